--- a/crates/agent/src/figures.rs
+++ b/crates/agent/src/figures.rs
@@ -94,3 +94,7 @@
         let _ = request.send(figures.render(started, &holdings));
     }
 }
+
+#[cfg(test)]
+#[path = "figures_tests.rs"]
+mod figures_tests;
