--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -54,6 +54,8 @@
 #[cfg(test)]
 mod earlier_version_tests;
 #[cfg(test)]
+mod encoding_tests;
+#[cfg(test)]
 mod entry_tests;
 #[cfg(test)]
 mod guard_tests;
