--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -14,9 +14,13 @@
 #[cfg(test)]
 mod answer_tests;
 mod command;
+#[cfg(test)]
+mod encoded_bytes_tests;
 pub mod gateway;
 #[cfg(test)]
 mod gateway_tests;
+#[cfg(test)]
+mod http_bytes_tests;
 mod lease;
 mod links;
 mod listing;
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -18,6 +18,10 @@
 use tokio::sync::mpsc;
 use tokio::time::{sleep, timeout};
 
+#[cfg(test)]
+#[path = "peers_tests.rs"]
+mod peers_tests;
+
 /// A connection on a calm network takes a few ms. A dropped opening packet is sent again only after a second, so that a new
 /// attempt is sooner through.
 const CONNECT_WITHIN: Duration = Duration::from_millis(300);
--- /dev/null
+++ b/crates/control/src/peers_tests.rs
@@ -0,0 +1,56 @@
+//! Frames of the links between control processes, byte for byte. There is no handshake: the first frame carries the first
+//! message, and each frame names its sender.
+
+use super::{PeerFrame, Peers, read_frames};
+use crate::command::Command;
+use crate::encoded_bytes_tests::{assert_bytes, from_hex, to_hex};
+use crate::message::PeerBody;
+use lugwharf_chain::Message;
+use std::net::SocketAddr;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::mpsc;
+
+/// The length in front, then the frame.
+const LENGTH: &str = "00000034";
+const FRAME: &str = "a26466726f6da162563482840a000001191e1464626f6479a165436861696ea16b5669657752657175657374a16561626f766504";
+
+fn sender() -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, 1], 7_700))
+}
+
+fn body() -> PeerBody {
+    PeerBody::Chain(Message::ViewRequest { above: 4 })
+}
+
+#[test]
+fn frame_is_encoded_as_captured() {
+    assert_bytes(&PeerFrame { from: sender(), body: body() }, FRAME);
+}
+
+#[tokio::test]
+async fn link_carries_the_captured_bytes_from_its_first_byte_on() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
+    let address = listener.local_addr().expect("an address");
+    let mut peers = Peers::new(sender(), None);
+    peers.send(address, body());
+    let (mut stream, _) = listener.accept().await.expect("a link");
+    let wanted = from_hex(&format!("{LENGTH}{FRAME}"));
+    let mut received = vec![0; wanted.len()];
+    stream.read_exact(&mut received).await.expect("a frame");
+    assert_eq!(to_hex(&received), to_hex(&wanted));
+}
+
+#[tokio::test]
+async fn captured_bytes_arrive_as_a_message_of_their_sender() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
+    let address = listener.local_addr().expect("an address");
+    let mut link = TcpStream::connect(address).await.expect("a connection");
+    link.write_all(&from_hex(&format!("{LENGTH}{FRAME}"))).await.expect("a write");
+    let (stream, _) = listener.accept().await.expect("a link");
+    let (commands, mut queue) = mpsc::channel(1);
+    tokio::spawn(read_frames(stream, commands));
+    let Some(Command::Peer { from, body: received }) = queue.recv().await else { panic!("no message") };
+    assert_eq!(from, sender());
+    assert_bytes(&PeerFrame { from, body: received }, FRAME);
+}
