--- /dev/null
+++ b/crates/election/tests/encoded_forms.rs
@@ -0,0 +1,107 @@
+//! Messages and log records byte for byte as the release 1a8c4db encodes them. The hex is captured from its encoder and
+//! never changes: processes of different releases run side by side, and a new release reads an old log.
+
+use lugwharf_election::{
+    Action, Batch, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
+};
+use rstest::rstest;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+const ROUND: u64 = 9;
+const TOKEN: FencingToken = FencingToken((3 << 24) + 1);
+const VIEW: u64 = 3;
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn bytes(hex: &str) -> Vec<u8> {
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(digits).collect()
+}
+
+fn encoded(message: &Message) -> String {
+    let mut bytes = Vec::new();
+    ciborium::into_writer(message, &mut bytes).expect("encodable");
+    hex(&bytes)
+}
+
+#[rstest]
+#[case::ask(Role::ListReader, MessageBody::Ask { round: ROUND }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16341736ba165726f756e6409")]
+#[case::willing(Role::ListReader, MessageBody::Willing { round: ROUND, highest: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16757696c6c696e67a265726f756e640967686967686573741a03000001")]
+#[case::elect(Role::ListReader, MessageBody::Elect { round: ROUND, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a165456c656374a265726f756e640965746f6b656e1a03000001")]
+#[case::renew(Role::ListReader, MessageBody::Renew { round: ROUND, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16552656e6577a265726f756e640965746f6b656e1a03000001")]
+#[case::vote(Role::ListReader, MessageBody::Vote { round: ROUND, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a164566f7465a265726f756e640965746f6b656e1a03000001")]
+#[case::refuse(Role::ListReader, MessageBody::Refuse { round: ROUND, highest: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a166526566757365a265726f756e640967686967686573741a03000001")]
+#[case::release_of_a_holder(Role::ListReader, MessageBody::Release { token: TOKEN, held: true }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f5")]
+#[case::release_of_a_candidate(Role::ListReader, MessageBody::Release { token: TOKEN, held: false }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f4")]
+#[case::the_other_role(Role::StageOrders, MessageBody::Renew { round: u64::MAX, token: TOKEN }, "a364726f6c656b53746167654f726465727364766965770364626f6479a16552656e6577a265726f756e641bffffffffffffffff65746f6b656e1a03000001")]
+fn a_message_has_the_captured_bytes(#[case] role: Role, #[case] body: MessageBody, #[case] captured: &str) {
+    let message = Message { role, view: VIEW, body };
+    assert_eq!(encoded(&message), captured);
+    let decoded: Message = ciborium::from_reader(bytes(captured).as_slice()).expect("a message");
+    assert_eq!(decoded, message);
+    assert_eq!(encoded(&decoded), captured);
+}
+
+/// A voter among three, with the records of its log.
+fn voter(role: Role, me: SocketAddr, members: Vec<SocketAddr>, records: &[Vec<u8>]) -> Elector {
+    let settings = ElectorSettings {
+        me,
+        role,
+        lease: Duration::from_millis(1_000),
+        renew_every: Duration::from_millis(250),
+        clock_drift_percent: 2,
+        seed: 5,
+    };
+    let mut elector = Elector::recover(settings, records, Duration::ZERO);
+    let view = Event::View { number: VIEW, members, voter: true };
+    elector.handle(Duration::ZERO, view, &mut Vec::new());
+    elector
+}
+
+/// The record that a voter stores before it votes for `candidate`.
+fn stored(role: Role, me: SocketAddr, candidate: SocketAddr) -> Vec<u8> {
+    let mut elector = voter(role, me, vec![me, candidate], &[]);
+    let body = MessageBody::Elect { round: ROUND, token: TOKEN };
+    let message = Message { role, view: VIEW, body };
+    let mut actions = Vec::new();
+    elector.handle(Duration::from_secs(2), Event::Message { from: candidate, message }, &mut actions);
+    let records = actions.iter().find_map(|action| match action {
+        Action::Store { batch: Batch(1), records } => Some(records.clone()),
+        _ => None,
+    });
+    let records = records.expect("a write");
+    assert_eq!(records.len(), 1);
+    records[0].clone()
+}
+
+#[rstest]
+#[case::ipv4(
+    Role::ListReader,
+    "10.0.0.1:7000",
+    "10.0.0.2:7700",
+    "a364726f6c656a4c69737452656164657265746f6b656e1a0300000166686f6c646572a162563482840a000002191e14"
+)]
+#[case::ipv6(
+    Role::ListReader,
+    "10.0.0.1:7000",
+    "[2001:db8::7]:7700",
+    "a364726f6c656a4c69737452656164657265746f6b656e1a0300000166686f6c646572a162563682901820010d18b8000000000000000000000007191e14"
+)]
+#[case::the_other_role(
+    Role::StageOrders,
+    "10.0.0.1:7000",
+    "10.0.0.2:65535",
+    "a364726f6c656b53746167654f726465727365746f6b656e1a0300000166686f6c646572a162563482840a00000219ffff"
+)]
+fn a_grant_record_has_the_captured_bytes(
+    #[case] role: Role, #[case] me: SocketAddr, #[case] holder: SocketAddr, #[case] captured: &str,
+) {
+    assert_eq!(hex(&stored(role, me, holder)), captured);
+    let recovered = voter(role, me, vec![me, holder], &[bytes(captured)]);
+    assert_eq!(recovered.granted_to(Duration::ZERO), Some((holder, TOKEN)));
+    let again: Vec<String> = recovered.snapshot_records().iter().map(|record| hex(record)).collect();
+    assert_eq!(again, [captured]);
+}
--- a/crates/election/tests/simulation/cut_off.rs
+++ b/crates/election/tests/simulation/cut_off.rs
@@ -17,7 +17,7 @@
 /// How the holder is cut off from the other control processes. Its agents and the platform stay in its reach, as the
 /// workers here act without links.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Cut {
+pub enum Cut {
     /// Nothing passes.
     Silent,
     /// It is heard, and hears nothing.
@@ -68,7 +68,7 @@
     }
 }
 
-fn cut(world: &mut World, cut: Cut, holder: usize) {
+pub fn cut(world: &mut World, cut: Cut, holder: usize) {
     let near = (0..world.len()).find(|process| *process != holder);
     for other in (0..world.len()).filter(|other| *other != holder) {
         match cut {
--- a/crates/election/tests/simulation/main.rs
+++ b/crates/election/tests/simulation/main.rs
@@ -3,8 +3,10 @@
 
 mod bounds;
 mod cut_off;
+mod digests;
 mod faults;
 mod process;
+mod trace;
 mod world;
 
 use rstest::rstest;
--- /dev/null
+++ b/crates/election/tests/simulation/trace.rs
@@ -0,0 +1,45 @@
+//! A digest of what a simulated world does. It folds encoded bytes, virtual times and addresses alone, never names of
+//! the source, so that it stays the same when these change.
+
+use crate::process::address;
+use std::time::Duration;
+
+const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
+/// FNV-1a over all that was folded so far.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Trace(u64);
+
+impl Trace {
+    pub fn new() -> Self {
+        Self(FNV_OFFSET)
+    }
+
+    pub fn digest(self) -> u64 {
+        self.0
+    }
+
+    pub fn fold(&mut self, bytes: &[u8]) {
+        for byte in bytes {
+            self.0 = (self.0 ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
+        }
+    }
+
+    pub fn number(&mut self, number: u64) {
+        self.fold(&number.to_be_bytes());
+    }
+
+    /// Begins what happened at one process.
+    pub fn event(&mut self, kind: u8, now: Duration, process: usize) {
+        self.fold(&[kind]);
+        self.fold(&now.as_nanos().to_be_bytes());
+        self.number(u64::from(address(process).port()));
+    }
+
+    /// Bytes with their length.
+    pub fn sized(&mut self, bytes: &[u8]) {
+        self.number(bytes.len() as u64);
+        self.fold(bytes);
+    }
+}
--- a/crates/election/tests/simulation/world.rs
+++ b/crates/election/tests/simulation/world.rs
@@ -1,6 +1,7 @@
 //! The processes, links, disks and views of one simulated core.
 
 use crate::process::{Process, View, address, index};
+use crate::trace::Trace;
 use fastrand::Rng;
 use lugwharf_election::{
     Action, Batch, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
@@ -74,6 +75,7 @@
     highest_gained: FencingToken,
     /// The round in which a process stood under a token first.
     stood: HashMap<(usize, FencingToken), u64>,
+    trace: Trace,
 }
 
 impl World {
@@ -97,6 +99,7 @@
             view,
             highest_gained: FencingToken::default(),
             stood: HashMap::new(),
+            trace: Trace::new(),
         };
         (0..members + spares).for_each(|process| world.start(process));
         (0..members + spares).for_each(|process| world.learn_soon(process));
@@ -107,6 +110,11 @@
         self.now
     }
 
+    /// What was delivered, stored, won and lost so far, with its times.
+    pub fn digest(&self) -> u64 {
+        self.trace.digest()
+    }
+
     pub fn len(&self) -> usize {
         self.processes.len()
     }
@@ -348,6 +356,9 @@
                 }
             }
             Later::Arrive { to, from, message } if !self.cuts.contains(&(from, to)) => {
+                self.trace.event(b'm', self.now, to);
+                self.trace.number(u64::from(address(from).port()));
+                self.trace.sized(&encoded(&message));
                 self.give(to, Event::Message { from: address(from), message });
             }
             Later::Synced { process, life, batch, records, fails }
@@ -367,6 +378,9 @@
         if !self.is_up(process) {
             return;
         }
+        self.trace.event(if fails { b'f' } else { b's' }, self.now, process);
+        self.trace.number(batch.0);
+        records.iter().for_each(|record| self.trace.sized(record));
         self.processes[process].unsynced.retain(|record| !records.contains(record));
         // A write that is told to have failed may still be on the disk.
         if !fails || self.random.bool() {
@@ -415,7 +429,7 @@
             Action::Send { to, message } => self.send(process, index(to), message),
             Action::Store { batch, records } => self.store(process, batch, records),
             Action::Gained { token } => self.gained(process, token),
-            Action::Lost => {}
+            Action::Lost => self.trace.event(b'l', self.now, process),
         }
     }
 
@@ -424,6 +438,8 @@
         let at = self.now;
         assert!(token > before, "seed {} at {at:?}: {process} gained {token:?} after {before:?}", self.seed);
         self.highest_gained = token;
+        self.trace.event(b'g', self.now, process);
+        self.trace.number(token.0);
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
@@ -452,3 +468,9 @@
         self.after(delay, Later::Synced { process, life, batch, records, fails });
     }
 }
+
+fn encoded(message: &Message) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    ciborium::into_writer(message, &mut bytes).expect("encodable");
+    bytes
+}
--- a/crates/stages/tests/planner.rs
+++ b/crates/stages/tests/planner.rs
@@ -374,3 +374,77 @@
     let again = again.iter().filter(|order| refused.iter().any(|server| server.id == order.id));
     assert_eq!(again.count(), orders);
 }
+
+/// Plays a fleet of three zones whose load, answers and listings are drawn from the seed; returns every order in its
+/// turn, with its time in ms.
+fn orders_of(seed: u64) -> Vec<(u64, String, Stage)> {
+    let mut random = Draws(seed);
+    let stage = |draw: u64| if draw == 0 { Stage::Decode } else { Stage::Prefill };
+    let zones = ["a", "b", "c"];
+    let mut servers: Vec<ServerEntry> =
+        (0..18).map(|n| server(n, zones[random.below(3) as usize], stage(random.below(2)))).collect();
+    let mut planner = gained();
+    let mut switching: Vec<(Duration, String, Stage)> = Vec::new();
+    let mut all = Vec::new();
+    for step in 1..300 {
+        let now = Duration::from_millis(step * 200);
+        switching.retain(|(at, id, to)| {
+            let server = servers.iter_mut().find(|server| server.id == *id && *at <= now);
+            server.map(|server| server.stage = Some(*to)).is_none()
+        });
+        let in_flight = if random.below(8) == 0 { random.below(700) as f64 } else { 0.0 };
+        planner.observe(&servers);
+        plan(&mut planner, now, &servers, &demand(in_flight));
+        for order in planner.due(now) {
+            let answer = match random.below(4) {
+                0 => OrderAnswer::Refused,
+                1 => OrderAnswer::Unclear,
+                _ => OrderAnswer::Taken,
+            };
+            planner.answered(now, &order.id, answer, SWITCH);
+            if answer == OrderAnswer::Taken {
+                switching.push((now + SWITCH, order.id.clone(), order.stage));
+            }
+            all.push((step * 200, order.id, order.stage));
+        }
+    }
+    all
+}
+
+/// SplitMix64.
+struct Draws(u64);
+
+impl Draws {
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (mixed ^ (mixed >> 31)) % bound
+    }
+}
+
+/// All orders of some seeds as the release 1a8c4db gives them: `+` makes a server decode, `-` prefill.
+#[rstest]
+#[case(
+    1,
+    "3600-10 3600-2 3600-6 11000+0 11000+1 11000+7 18400+0 18400+2 25800+0 25800+2 33200+0 33200+3 40600+3 48000+3 55400-1 55400-7"
+)]
+#[case(
+    2,
+    "3600+2 3600+3 11000+5 11000+7 18600-0 18600-1 26000+0 26000+5 33400+0 33400+9 40800+7 40800+9 48200-0 48200-1 48200-3 55600+0 55600+3"
+)]
+#[case(
+    3,
+    "3600+0 3600+6 3600+9 11000+0 11000+6 18400+0 18400+6 25800+0 33200+1 33200+8 40600+2 48000+2 55400+2"
+)]
+#[case(
+    4,
+    "3600+2 3600+4 11000+11 11000+5 18400+11 18400+7 25800+10 25800+12 33200-0 33200-1 40600+0 40600+14 48000+0 48000+14 55400-0 55400-4"
+)]
+fn orders_are_those_captured(#[case] seed: u64, #[case] captured: &str) {
+    let orders = orders_of(seed).into_iter().map(|(at, id, stage)| {
+        let sign = if stage == Stage::Decode { '+' } else { '-' };
+        format!("{at}{sign}{}", id.trim_start_matches("i-"))
+    });
+    assert_eq!(orders.collect::<Vec<_>>().join(" "), captured);
+}
