--- /dev/null
+++ b/crates/proxy/src/figures_tests.rs
@@ -0,0 +1,108 @@
+//! The names of the metrics, with their types and labels: alarms of operators name them. Those of invariants are `telemetry`'s.
+
+use crate::answer::Refusal;
+use crate::clients::Clients;
+use crate::figures::{increment, render};
+use crate::outcome::{RequestOutcome, SendOutcome};
+use crate::upstream::Fault;
+use crate::upstream::fixtures::shared;
+use crate::verdict::Verdict;
+
+const EXPECTED: [&str; 54] = [
+    "# TYPE lugwharf_proxy_body_bytes gauge",
+    "# TYPE lugwharf_proxy_budget_denials counter",
+    "# TYPE lugwharf_proxy_clients gauge",
+    "# TYPE lugwharf_proxy_config_version gauge",
+    "# TYPE lugwharf_proxy_draining gauge",
+    "# TYPE lugwharf_proxy_handles_freed counter",
+    "# TYPE lugwharf_proxy_handles_left counter",
+    "# TYPE lugwharf_proxy_list_epoch gauge",
+    "# TYPE lugwharf_proxy_list_sequence gauge",
+    "# TYPE lugwharf_proxy_live_proxies gauge",
+    "# TYPE lugwharf_proxy_ready gauge",
+    "# TYPE lugwharf_proxy_request_lines_omitted counter",
+    "# TYPE lugwharf_proxy_requests counter",
+    "# TYPE lugwharf_proxy_sends counter",
+    "# TYPE lugwharf_proxy_uptime_seconds gauge",
+    "lugwharf_proxy_body_bytes 321",
+    "lugwharf_proxy_budget_denials_total 1",
+    "lugwharf_proxy_clients 1",
+    "lugwharf_proxy_config_version 0",
+    "lugwharf_proxy_draining 0",
+    "lugwharf_proxy_handles_freed_total 2",
+    "lugwharf_proxy_handles_left_total 3",
+    "lugwharf_proxy_list_epoch 1",
+    "lugwharf_proxy_list_sequence 1",
+    "lugwharf_proxy_live_proxies 0",
+    "lugwharf_proxy_ready 0",
+    "lugwharf_proxy_request_lines_omitted_total 2",
+    "lugwharf_proxy_requests_total{outcome=\"body_too_large\"} 7",
+    "lugwharf_proxy_requests_total{outcome=\"broken\"} 15",
+    "lugwharf_proxy_requests_total{outcome=\"cut\"} 3",
+    "lugwharf_proxy_requests_total{outcome=\"deadline\"} 14",
+    "lugwharf_proxy_requests_total{outcome=\"full\"} 12",
+    "lugwharf_proxy_requests_total{outcome=\"head_too_large\"} 6",
+    "lugwharf_proxy_requests_total{outcome=\"left\"} 4",
+    "lugwharf_proxy_requests_total{outcome=\"malformed\"} 5",
+    "lugwharf_proxy_requests_total{outcome=\"no_route\"} 9",
+    "lugwharf_proxy_requests_total{outcome=\"not_ready\"} 10",
+    "lugwharf_proxy_requests_total{outcome=\"server_failure\"} 2",
+    "lugwharf_proxy_requests_total{outcome=\"slow\"} 8",
+    "lugwharf_proxy_requests_total{outcome=\"success\"} 1",
+    "lugwharf_proxy_requests_total{outcome=\"unavailable\"} 11",
+    "lugwharf_proxy_requests_total{outcome=\"unserved\"} 13",
+    "lugwharf_proxy_sends_total{outcome=\"broken\"} 10",
+    "lugwharf_proxy_sends_total{outcome=\"connect\"} 7",
+    "lugwharf_proxy_sends_total{outcome=\"failure\"} 2",
+    "lugwharf_proxy_sends_total{outcome=\"invalid\"} 3",
+    "lugwharf_proxy_sends_total{outcome=\"late\"} 9",
+    "lugwharf_proxy_sends_total{outcome=\"misdirected\"} 5",
+    "lugwharf_proxy_sends_total{outcome=\"moot\"} 8",
+    "lugwharf_proxy_sends_total{outcome=\"rejected\"} 4",
+    "lugwharf_proxy_sends_total{outcome=\"spoilt\"} 6",
+    "lugwharf_proxy_sends_total{outcome=\"success\"} 1",
+    "lugwharf_proxy_sends_total{outcome=\"timeout\"} 11",
+    "lugwharf_proxy_uptime_seconds 0",
+];
+
+/// The lines with types and values, sorted: those of one metric come in any order.
+fn sorted(text: &str) -> Vec<&str> {
+    let is_left_out =
+        |line: &str| line.starts_with("# HELP") || line.contains("invariant_violations") || line == "# EOF";
+    let mut lines: Vec<&str> = text.lines().filter(|line| !is_left_out(line)).collect();
+    lines.sort_unstable();
+    lines
+}
+
+#[tokio::test(start_paused = true)]
+async fn names_and_values_of_all_metrics() {
+    let shared = shared(([127, 0, 0, 1], 9).into());
+    let clients = Clients::new(4_096);
+    let _ = clients.add();
+    shared.body_room.set(shared.body_room.get() - 321);
+    for (times, outcome) in RequestOutcome::all().enumerate() {
+        (0..=times).for_each(|_| shared.figures.request_ended(outcome));
+    }
+    let verdicts = [
+        Verdict::Success,
+        Verdict::Failure,
+        Verdict::Invalid,
+        Verdict::Rejected,
+        Verdict::Misdirected,
+        Verdict::Spoilt,
+    ];
+    let answered = verdicts.map(|verdict| SendOutcome::Answered { status: 200, verdict });
+    let faults = [Fault::Connect, Fault::Moot, Fault::Late, Fault::Broken, Fault::Timeout];
+    let ends = answered.into_iter().chain(faults.map(SendOutcome::Failed));
+    for (times, outcome) in ends.enumerate() {
+        (0..=times).for_each(|_| shared.figures.send_ended(outcome));
+    }
+    increment(&shared.figures.budget_denials);
+    (0..2).for_each(|_| increment(&shared.figures.handles_freed));
+    (0..3).for_each(|_| increment(&shared.figures.handles_left));
+    // A burst of five lines is written, and two are left out.
+    let outcome = RequestOutcome::Refused(Refusal::Full);
+    let written = (0..7).filter(|_| shared.figures.may_write_line(shared.now(), outcome).is_some());
+    assert_eq!(written.count(), 5);
+    assert_eq!(sorted(&render(&shared, &clients)), EXPECTED);
+}
--- a/crates/proxy/src/handle.rs
+++ b/crates/proxy/src/handle.rs
@@ -1,6 +1,10 @@
 //! The memory of a prompt that a prefill server holds for one request. It is never given to another request, and freed at once
 //! if nobody takes it.
 
+#[cfg(test)]
+#[path = "handle_tests.rs"]
+mod handle_tests;
+
 use crate::figures::increment;
 use crate::state::Shared;
 use crate::upstream::{Connection, MOST_SURPLUS, read_over};
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -26,6 +26,8 @@
 #[cfg(test)]
 mod feed_tests;
 mod figures;
+#[cfg(test)]
+mod figures_tests;
 mod flight;
 mod forward;
 mod generate;
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -7,6 +7,8 @@
 #[cfg(test)]
 pub mod fixtures;
 mod outbound;
+#[cfg(test)]
+mod outbound_tests;
 mod pool;
 #[cfg(test)]
 mod pool_tests;
--- /dev/null
+++ b/crates/proxy/src/upstream/outbound_tests.rs
@@ -0,0 +1,76 @@
+//! The heads of requests to servers, byte for byte.
+
+use crate::request::ClientRequest;
+use crate::upstream::outbound::{Extra, Outbound};
+use crate::wire::parse_request;
+use bytes::{Bytes, BytesMut};
+use rstest::rstest;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// What a client sends: fields that go along, fields of the connection, and fields that only this program may set.
+const CLIENT: &str = "POST /v1/x?y=1 HTTP/1.1\r\nHost: app.example\r\nRequest-Id: r1\r\nX-Own: a  b\r\n\
+    Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nProxy-Authenticate: a\r\n\
+    Proxy-Authorization: b\r\nProxy-Connection: c\r\nTE: trailers\r\nTrailer: X-T\r\nTransfer-Encoding: chunked\r\n\
+    Upgrade: h2c\r\nContent-Length: 77\r\nExpect: 100-continue\r\nDeadline-Ms: 9000\r\nExpect-Instance: forged\r\n\
+    Serving-Stage: prefill\r\nKv-From: forged\r\nLast-Event-Id: 4\r\nPriority: 3\r\nExpect-Version: 2\r\n\
+    Prompt-Prefix: aa:1\r\nModel: m\r\n\r\n";
+const ALONG: &str = "POST /v1/x?y=1 HTTP/1.1\r\nHost: app.example\r\nRequest-Id: r1\r\nX-Own: a  b\r\n\
+    Expect-Version: 2\r\nPrompt-Prefix: aa:1\r\nModel: m\r\n";
+
+fn outbound(head: &str, body: Option<&'static str>) -> Outbound {
+    let head = parse_request(&mut BytesMut::from(head)).expect("a head").expect("a whole head");
+    let has_body = body.is_some();
+    let body = Bytes::from_static(body.unwrap_or_default().as_bytes());
+    Outbound::new(&ClientRequest { head, body, has_body, arrived: Instant::now() })
+}
+
+fn prefill() -> Extra {
+    Extra { is_prefill: true, priority: Some(2), ..Extra::default() }
+}
+
+fn decode() -> Extra {
+    Extra { kv_from: Some("127.0.0.1:9/k-1".to_owned()), priority: Some(7), ..Extra::default() }
+}
+
+fn resumed() -> Extra {
+    Extra { last_event_id: Some(b"12".to_vec()), ..decode() }
+}
+
+fn plain() -> Extra {
+    Extra::default()
+}
+
+#[rstest]
+#[case::plain(plain(), "Expect-Instance: i-1\r\nDeadline-Ms: 250\r\nLast-Event-Id: 4\r\nPriority: 3\r\n\r\n")]
+#[case::prefill(
+    prefill(),
+    "Expect-Instance: i-1\r\nDeadline-Ms: 250\r\nServing-Stage: prefill\r\nLast-Event-Id: 4\r\nPriority: 2\r\n\r\n"
+)]
+#[case::decode(
+    decode(),
+    "Expect-Instance: i-1\r\nDeadline-Ms: 250\r\nKv-From: 127.0.0.1:9/k-1\r\nLast-Event-Id: 4\r\nPriority: 7\r\n\r\n"
+)]
+#[case::resumed(
+    resumed(),
+    "Expect-Instance: i-1\r\nDeadline-Ms: 250\r\nKv-From: 127.0.0.1:9/k-1\r\nLast-Event-Id: 12\r\nPriority: 7\r\n\r\n"
+)]
+#[case::priority_beyond_the_scale(
+    Extra { priority: Some(12), ..plain() },
+    "Expect-Instance: i-1\r\nDeadline-Ms: 250\r\nLast-Event-Id: 4\r\nPriority: 9\r\n\r\n"
+)]
+fn head_of_a_request_with_a_body(#[case] extra: Extra, #[case] added: &str) {
+    let head = outbound(CLIENT, Some("hello")).encode("i-1", Duration::from_micros(250_900), &extra);
+    assert_eq!(String::from_utf8(head).expect("text"), format!("{ALONG}Content-Length: 5\r\n{added}"));
+}
+
+#[rstest]
+#[case::none_announced(None, "")]
+#[case::empty(Some(""), "Content-Length: 0\r\n")]
+fn head_of_a_request_without_bytes_of_a_body(#[case] body: Option<&'static str>, #[case] length: &str) {
+    let outbound = outbound("GET / HTTP/1.0\r\nhost: h\r\n\r\n", body);
+    let head = outbound.encode("i-1", Duration::ZERO, &Extra::default());
+    let expected =
+        format!("GET / HTTP/1.1\r\nhost: h\r\n{length}Expect-Instance: i-1\r\nDeadline-Ms: 0\r\n\r\n");
+    assert_eq!(String::from_utf8(head).expect("text"), expected);
+}
--- /dev/null
+++ b/crates/routing/tests/digest.rs
@@ -0,0 +1,582 @@
+//! Digests of decisions: seeded balancers under seeded sequences of events, compared with values taken before the refactoring.
+//!
+//! Every decision goes into an FNV-1a digest by explicit numbers, floating point figures by their bits. A digest that
+//! changes means that a decision, a draw or the order of evaluation has changed. The values were taken on x86-64 Linux with
+//! glibc, whose `exp` they depend on.
+
+mod common;
+
+use common::*;
+use fastrand::Rng;
+use lugwharf_protocol::{ServerDelta, ServerEntry, ServerState, Stage, TablePosition};
+use lugwharf_routing::{
+    Attempts, Balancer, BudgetTerms, CacheMemory, Choice, Ejection, Failure, HandOver, LoadReport, NoChoice,
+    Normalisation, Part, PeakEwma, Prompt, Query, RetryBudget, Sample, ServerKey, SplitLots, StickyKey,
+    Tuning, Work, by_weight, rendezvous_weight,
+};
+use std::time::Duration;
+
+const SERVICES: [&str; 2] = ["service", "other"];
+const ZONES: [&str; 3] = ["home", "away", "far"];
+const MODELS: [Option<&str>; 3] = [Some("m"), None, Some("n")];
+const PARTS: [Part; 3] = [Part::Prefill, Part::Decode, Part::Whole];
+const FAILURES: [Failure; 4] = [Failure::Connect, Failure::Broken, Failure::Timeout, Failure::Status];
+const STEPS: usize = 1_500;
+
+/// FNV-1a over 64-bit numbers.
+struct Digest(u64);
+
+impl Digest {
+    fn new() -> Digest {
+        Digest(0xcbf2_9ce4_8422_2325)
+    }
+
+    fn number(&mut self, number: u64) {
+        for byte in number.to_le_bytes() {
+            self.0 = (self.0 ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+        }
+    }
+
+    fn float(&mut self, value: f64) {
+        self.number(value.to_bits());
+    }
+
+    fn bool(&mut self, value: bool) {
+        self.number(u64::from(value));
+    }
+
+    fn text(&mut self, text: &str) {
+        text.bytes().for_each(|byte| self.number(byte.into()));
+        self.number(u64::MAX);
+    }
+
+    fn time(&mut self, time: Duration) {
+        self.number(time.as_nanos() as u64);
+    }
+}
+
+fn refusal_number(refusal: NoChoice) -> u64 {
+    match refusal {
+        NoChoice::Absent => 1,
+        NoChoice::Full => 2,
+    }
+}
+
+/// Each bit of the seed takes one mechanism out or sets a figure.
+fn tuning(seed: u64) -> Tuning {
+    let is_set = |bit: u32| seed >> bit & 1 == 1;
+    Tuning {
+        draws_two: seed % 7 != 3,
+        counts_in_flight: seed % 5 != 2,
+        rises_at_once: !is_set(0),
+        starts_at_median: !is_set(1),
+        samples_failures: !is_set(2),
+        steers: seed % 9 != 4,
+        prefers_home: seed % 6 != 1,
+        ejects: seed % 8 != 5,
+        normalisation: if is_set(3) { Normalisation::Plain } else { Normalisation::ByTokens },
+        sticky_key: if is_set(4) { StickyKey::MostTokens } else { StickyKey::LastShared },
+        in_flight_floor: if is_set(5) { 2 } else { 16 },
+        in_flight_factor: if is_set(5) { 0.05 } else { 8.0 },
+        cache_parts: if is_set(1) { 6 } else { 512 },
+        ..Tuning::default()
+    }
+}
+
+struct World {
+    balancer: Balancer,
+    rng: Rng,
+    digest: Digest,
+    now: Duration,
+    sequence: u64,
+    listed: Vec<ServerEntry>,
+    started: Vec<(ServerKey, Part)>,
+}
+
+impl World {
+    fn new(seed: u64) -> World {
+        World {
+            balancer: Balancer::new(tuning(seed), terms(), seed),
+            rng: Rng::with_seed(seed ^ 0x5eed),
+            digest: Digest::new(),
+            now: ms(0),
+            sequence: 0,
+            listed: Vec::new(),
+            started: Vec::new(),
+        }
+    }
+
+    fn run(seed: u64) -> u64 {
+        let mut world = World::new(seed);
+        world.replace_list();
+        for _ in 0..STEPS {
+            world.now += Duration::from_micros(world.rng.u64(..60_000));
+            world.step();
+        }
+        world.digest.0
+    }
+
+    fn step(&mut self) {
+        match self.rng.u32(..100) {
+            0..40 => self.choose(),
+            40..55 => self.end(),
+            55..72 => self.observe(),
+            72..78 => self.report(),
+            78..82 => self.read_prompt(),
+            82..90 => self.spend(),
+            90..93 => self.hand_over(),
+            93..97 => self.change_list(),
+            97 => self.replace_list(),
+            98 => self.set_terms(),
+            _ => self.inspect(),
+        }
+    }
+
+    fn service(&mut self) -> &'static str {
+        SERVICES[usize::from(self.rng.u8(..5) == 0)]
+    }
+
+    fn part(&mut self) -> Part {
+        PARTS[self.rng.usize(..3)]
+    }
+
+    /// The keys of the listed servers, in the order of their ids.
+    fn keys(&self) -> Vec<ServerKey> {
+        let mut keys: Vec<ServerKey> = self.balancer.keys().collect();
+        keys.sort_unstable();
+        keys
+    }
+
+    fn key(&mut self) -> Option<ServerKey> {
+        let keys = self.keys();
+        (!keys.is_empty()).then(|| keys[self.rng.usize(..keys.len())])
+    }
+
+    fn prompt(&mut self) -> Prompt {
+        let (subject, own) = (self.rng.u8(..12), self.rng.u16(..));
+        match self.rng.u8(..4) {
+            0 => Prompt::default(),
+            1 => Prompt::parse(Some(&format!("s-{subject}:700")), Some("900,40")),
+            _ => {
+                let tokens = 100 + u32::from(subject) * 130;
+                let text = format!("aa:800,b{subject:x}:{tokens},{own:x}:200");
+                Prompt::parse(Some(&text), Some("3000,20"))
+            }
+        }
+    }
+
+    fn entry(&mut self, number: u8) -> ServerEntry {
+        let stage = [None, Some(Stage::Prefill), Some(Stage::Decode)][self.rng.usize(..3)];
+        let mut entry = entry(&format!("i-{number}"), ZONES[self.rng.usize(..3)], stage);
+        entry.service = self.service().to_owned();
+        entry.slots = 1 + self.rng.u32(..64);
+        entry.cold_left_ms = if self.rng.u8(..4) == 0 { 3_000 } else { 0 };
+        if self.rng.u8(..10) == 0 {
+            entry.state = ServerState::Draining;
+        }
+        match self.rng.u8(..8) {
+            0 => entry.models.clear(),
+            1 => entry.models[0].name = "n".to_owned(),
+            _ => {}
+        }
+        entry
+    }
+
+    fn apply(&mut self, delta: &ServerDelta) {
+        let is_taken = self.balancer.apply(self.now, delta);
+        self.digest.bool(is_taken);
+        let TablePosition { epoch, sequence } = self.balancer.position();
+        self.digest.number(epoch);
+        self.digest.number(sequence);
+    }
+
+    fn replace_list(&mut self) {
+        self.sequence += 1;
+        let count = self.rng.u8(6..16);
+        self.listed = (0..count).map(|number| self.entry(number)).collect();
+        self.apply(&whole(position(1, self.sequence), self.listed.clone()));
+    }
+
+    fn change_list(&mut self) {
+        let number = self.rng.u8(..20);
+        let id = format!("i-{number}");
+        let old = self.listed.iter().position(|entry| entry.id == id);
+        let (mut entries, mut removed) = (Vec::new(), Vec::new());
+        match (old, self.rng.u8(..6)) {
+            (Some(at), 0) => {
+                self.listed.remove(at);
+                removed.push(id);
+            }
+            (Some(at), 1) => {
+                self.listed[at].address.set_port(9_000 + u16::from(number));
+                entries.push(self.listed[at].clone());
+            }
+            (Some(at), 2) => entries.push(self.listed[at].clone()),
+            (Some(at), 3) => {
+                self.listed[at].slots += 1;
+                entries.push(self.listed[at].clone());
+            }
+            (Some(at), _) => {
+                self.listed[at] = self.entry(number);
+                entries.push(self.listed[at].clone());
+            }
+            (None, 0) => {
+                let stale = whole(position(0, 99), Vec::new());
+                return self.apply(&stale);
+            }
+            (None, _) => {
+                let entry = self.entry(number);
+                self.listed.push(entry.clone());
+                entries.push(entry);
+            }
+        }
+        self.sequence += 1;
+        let position = position(1, self.sequence);
+        self.apply(&ServerDelta { position, whole: false, entries, removed });
+    }
+
+    fn choose(&mut self) {
+        let (service, part, prompt) = (self.service(), self.part(), self.prompt());
+        let keys = self.keys();
+        let excluded: Vec<ServerKey> = keys.into_iter().filter(|_| self.rng.u8(..12) == 0).collect();
+        let query = Query {
+            service,
+            part,
+            model: MODELS[self.rng.usize(..6) / 4 + self.rng.usize(..2) / 2],
+            prompt: &prompt,
+            zone: ZONES[self.rng.usize(..2)],
+            excluded: &excluded,
+            objective: ms(50 + self.rng.u64(..400)),
+        };
+        match self.balancer.choose(self.now, &query) {
+            Ok(choice) => {
+                self.chosen(&choice);
+                if self.rng.u8(..4) != 0 {
+                    self.balancer.started(choice.key, part);
+                    self.started.push((choice.key, part));
+                    self.digest.number(self.balancer.in_flight(choice.key, part).into());
+                }
+            }
+            Err(refusal) => self.digest.number(refusal_number(refusal)),
+        }
+    }
+
+    fn chosen(&mut self, choice: &Choice) {
+        self.digest.text(&choice.id);
+        self.digest.text(&choice.zone);
+        self.digest.number(choice.address.port().into());
+        self.digest.time(choice.estimate);
+        self.digest.bool(choice.is_busy);
+        self.digest.number(choice.tokens.into());
+    }
+
+    fn end(&mut self) {
+        if self.started.is_empty() {
+            return;
+        }
+        let (key, part) = self.started.swap_remove(self.rng.usize(..self.started.len()));
+        self.balancer.ended(key, part);
+        self.digest.number(self.balancer.in_flight(key, part).into());
+    }
+
+    fn observe(&mut self) {
+        let (Some(key), part) = (self.key(), self.part()) else { return };
+        let took = Duration::from_micros(self.rng.u64(500..400_000));
+        let work = Work { tokens: f64::from(self.rng.u32(..4_000)) };
+        let sample = match self.rng.u8(..10) {
+            0 => Sample::Void,
+            1 => Sample::Rejected,
+            2 | 3 => {
+                let failure = FAILURES[self.rng.usize(..4)];
+                Sample::Failed { failure, took, timeout: ms(self.rng.u64(..900)), work }
+            }
+            _ => Sample::Answered { took, work },
+        };
+        self.balancer.observed(self.now, key, part, sample);
+    }
+
+    fn report(&mut self) {
+        let Some(key) = self.key() else { return };
+        if self.rng.u8(..12) == 0 {
+            return self.balancer.misdirected(self.now, key);
+        }
+        let (running, waiting) = (self.rng.u32(..40), self.rng.u32(..6).saturating_sub(3));
+        let text = format!("{running}, {waiting},{}", self.rng.u32(..48));
+        if let Some(report) = LoadReport::parse(&text, self.now) {
+            self.digest.bool(report.is_full());
+            self.digest.bool(report.is_busy());
+            self.balancer.reported(key, report);
+        }
+    }
+
+    fn read_prompt(&mut self) {
+        let prompt = self.prompt();
+        if let Some(key) = self.key() {
+            self.balancer.read_prompt(self.now, key, &prompt);
+        }
+    }
+
+    fn spend(&mut self) {
+        let service = self.service();
+        if self.rng.bool() {
+            return self.balancer.requested(self.now, service);
+        }
+        let is_spent = self.balancer.try_spend(self.now, service);
+        self.digest.bool(is_spent);
+    }
+
+    fn hand_over(&mut self) {
+        let service = self.service();
+        if self.rng.bool() {
+            let succeeded = self.rng.u8(..3) == 0;
+            return self.balancer.handed_over(self.now, service, succeeded);
+        }
+        let may_pair = self.balancer.try_pair(self.now, service);
+        self.digest.bool(may_pair);
+    }
+
+    fn set_terms(&mut self) {
+        match self.rng.u8(..3) {
+            0 => self.balancer.set_live_proxies(self.rng.u32(..24)),
+            1 => {
+                let ratio = f64::from(self.rng.u32(..40)) / 100.0;
+                let terms = BudgetTerms { ratio, slack: 24.0, window: ms(4_000), share: 0.9 };
+                self.balancer.set_terms(terms);
+            }
+            _ => self.balancer.retain_services(|service| service == "service"),
+        }
+        self.digest.number(self.balancer.proxies().into());
+        self.digest.number(self.balancer.known_proxies().into());
+    }
+
+    fn inspect(&mut self) {
+        for load in self.balancer.loads() {
+            self.digest.text(&load.service);
+            self.digest.number(load.prefill.into());
+            self.digest.number(load.decode.into());
+        }
+        for service in SERVICES {
+            self.digest.bool(self.balancer.has_stages(service));
+        }
+        for key in self.keys() {
+            self.digest.text(self.balancer.id(key).expect("listed"));
+            self.digest.bool(self.balancer.is_listed(key));
+            for part in PARTS {
+                self.digest.bool(self.balancer.is_usable(self.now, key, part));
+                self.digest.number(self.balancer.in_flight(key, part).into());
+            }
+        }
+        self.digest.bool(self.balancer.has_servers());
+    }
+}
+
+const BALANCERS: [u64; 64] = [
+    0xc96e_6aca_111a_98c4,
+    0x759a_60a8_c071_165f,
+    0x3533_9038_1bfd_386f,
+    0x1e7d_2ba1_de90_843b,
+    0x1d16_6724_dcd6_8c80,
+    0xbe5f_60a0_3cdf_a9c3,
+    0x7bc8_0735_5698_4179,
+    0xa5e7_d566_c6a5_b308,
+    0xffbf_3736_931a_2772,
+    0x45df_0947_5eb7_ded4,
+    0xa24d_e829_2105_5f07,
+    0xd639_501c_651d_2dc3,
+    0x1c36_ba46_8e52_8f27,
+    0x8d89_675a_d969_f30f,
+    0x74a3_e7e9_3190_2d7a,
+    0xbde6_5e36_1350_dc5a,
+    0x7c60_ed56_5fed_a070,
+    0xe7e3_5ac9_51d3_488e,
+    0xb996_ca65_a129_fcf9,
+    0x3fa9_f6c8_a8f9_b25a,
+    0x6a89_accf_2aad_da6e,
+    0x8d61_c63f_60e9_35c1,
+    0x0785_7a6b_82e2_30b2,
+    0x1f97_0637_ce4f_30e7,
+    0xac4f_769c_84ac_01fe,
+    0x0e6c_a14a_c1c2_dc98,
+    0x2778_0a94_90fa_4479,
+    0xe46a_f8e9_daa6_789e,
+    0x544f_45ba_4f5e_2cb8,
+    0x77ac_a122_486f_603e,
+    0xf599_da23_570d_26b3,
+    0xb04a_d1e3_cefe_9d47,
+    0x5d4c_aaa0_f747_c23f,
+    0xa05e_d5b1_2118_f302,
+    0x985a_f33f_b087_5469,
+    0xfc0f_f34c_b197_a314,
+    0x9ee3_e1fd_5870_a5ff,
+    0xceae_f046_285c_c8c2,
+    0xd117_73d1_f2ea_ca9b,
+    0x273b_14f5_7e17_4822,
+    0x21c4_f8c8_1eb3_d618,
+    0xce20_82e3_8dde_3910,
+    0x1c38_81dc_deb9_5347,
+    0xffcc_000d_5367_e6d6,
+    0x40c1_5b70_1a0a_22d6,
+    0x4435_19a7_bea0_b3e6,
+    0x3461_de9a_1bd2_a5cf,
+    0xa429_a1f3_4576_48bc,
+    0x2e63_6827_ee3c_e4cf,
+    0xd325_0220_a6c4_9c0f,
+    0x61d8_5ed6_db75_5c8b,
+    0x52ad_fc22_5271_a543,
+    0xbb37_8506_46f8_d23d,
+    0xe5fa_5c94_9eda_eb2c,
+    0xae64_d26d_62f7_bf4b,
+    0x17f8_40de_bd3c_4a27,
+    0xf5cb_f935_7b4f_02ba,
+    0xe6ff_a7d2_70e6_78e4,
+    0xd62e_b0ec_2e94_0619,
+    0x532f_e845_ff43_3409,
+    0x4782_2f21_3f6f_3caf,
+    0xa9e2_4670_4c60_06b1,
+    0x0f83_6be1_c6dd_b35c,
+    0x6df7_740e_b3ac_c8b0,
+];
+
+#[test]
+fn seeded_balancers_decide_as_before() {
+    let digests: Vec<u64> = (0..BALANCERS.len() as u64).map(World::run).collect();
+    assert!(digests == BALANCERS, "{digests:#018x?}");
+}
+
+fn averages(rng: &mut Rng, digest: &mut Digest) {
+    let (mut average, mut now) = (PeakEwma::default(), ms(0));
+    for _ in 0..400 {
+        now += Duration::from_micros(rng.u64(..900_000));
+        let tau = ms(rng.u64(..8_000));
+        average.fold(now, tau, rng.f64() * 500.0 - 1.0, rng.bool());
+        digest.float(average.value().unwrap_or(-1.0));
+        digest.float(average.current(now + ms(rng.u64(..5_000)), tau, rng.f64() * 100.0));
+    }
+}
+
+fn budgets(rng: &mut Rng, digest: &mut Digest) {
+    let (mut budget, mut now) = (RetryBudget::default(), ms(0));
+    for _ in 0..600 {
+        now += ms(rng.u64(..120));
+        if rng.u8(..3) > 0 {
+            budget.request(now, &terms());
+        } else {
+            digest.bool(budget.try_spend(now, &terms(), rng.u32(..40)));
+        }
+    }
+}
+
+fn ejections(rng: &mut Rng, digest: &mut Digest) {
+    let (mut ejection, mut now, tuning) = (Ejection::default(), ms(0), Tuning::default());
+    for _ in 0..400 {
+        now += ms(rng.u64(..700));
+        match rng.u8(..12) {
+            0 => ejection.succeeded(),
+            1..4 => ejection.started(),
+            4..6 => ejection.ended(),
+            _ => {
+                let should_eject = ejection.failed(FAILURES[rng.usize(..4)], &tuning);
+                digest.bool(should_eject);
+                if should_eject {
+                    ejection.eject(now, &tuning);
+                }
+            }
+        }
+        digest.bool(ejection.is_ejected(now));
+        digest.bool(ejection.is_ejected(now + ms(rng.u64(..9_000))));
+    }
+}
+
+fn hand_overs(rng: &mut Rng, digest: &mut Digest) {
+    let (mut hand_over, mut now) = (HandOver::default(), ms(0));
+    for _ in 0..400 {
+        now += ms(rng.u64(..200));
+        if rng.bool() {
+            hand_over.ended(now, rng.u8(..3) == 0);
+        }
+        digest.bool(hand_over.try_pair(now));
+    }
+}
+
+fn caches(rng: &mut Rng, digest: &mut Digest) {
+    let (mut cache, mut now) = (CacheMemory::default(), ms(0));
+    for _ in 0..400 {
+        now += ms(1 + rng.u64(..50));
+        let text = format!("aa:{},{:x}:40,{:x}:{}", rng.u16(..), rng.u8(..16), rng.u16(..64), rng.u32(..));
+        let prompt = Prompt::parse(Some(&text), Some("70,8"));
+        digest.number(prompt.tokens_in.into());
+        digest.number(cache.kept_tokens(now, &prompt, ms(600)).into());
+        if rng.bool() {
+            cache.used(now, &prompt, 24);
+        }
+        digest.number(cache.len() as u64);
+        digest.bool(cache.is_empty());
+    }
+}
+
+fn splits(rng: &mut Rng, digest: &mut Digest) {
+    let mut lots = SplitLots::new(rng.f64() * 9.0 - 4.0);
+    for _ in 0..400 {
+        let lot = lots.draw();
+        digest.float(lot);
+        let weights: Vec<f64> = (0..rng.usize(..6)).map(|_| rng.f64() * 3.0 - 1.0).collect();
+        digest.number(by_weight(weights.into_iter(), lot).map_or(u64::MAX, |index| index as u64));
+        digest.number(rendezvous_weight(rng.u64(..), rng.u64(..)));
+    }
+}
+
+fn attempts(rng: &mut Rng, digest: &mut Digest) {
+    for _ in 0..100 {
+        let mut attempts = Attempts::new(rng.bool(), rng.u32(..5), rng.u32(..4));
+        for _ in 0..8 {
+            // Only what the proxy does: a run follows a permission to run.
+            if rng.bool() && attempts.may_run() {
+                attempts.arrived();
+                if rng.bool() { attempts.ran() } else { attempts.rejected() }
+            } else if attempts.may_prefill() {
+                attempts.arrived();
+                if rng.bool() { attempts.prefilled() } else { attempts.prefill_broke() }
+            }
+            let flags = [
+                attempts.may_run(),
+                attempts.may_prefill(),
+                attempts.needs_budget(),
+                attempts.has_free_prefill(),
+                attempts.is_unrun(),
+                attempts.was_offered(),
+            ];
+            flags.into_iter().for_each(|flag| digest.bool(flag));
+            digest.number(attempts.runs().into());
+        }
+    }
+}
+
+fn units(rng: &mut Rng, digest: &mut Digest) {
+    for seed in 0..16 {
+        for part in PARTS {
+            digest.float(Work { tokens: rng.f64() * 9_000.0 }.units(part, &tuning(seed)));
+            for stage in [None, Some(Stage::Prefill), Some(Stage::Decode)] {
+                digest.bool(part.fits(stage));
+            }
+        }
+    }
+}
+
+type Mechanism = fn(&mut Rng, &mut Digest);
+
+#[rstest::rstest]
+#[case::averages(averages, 0x62b1_b2a6_5d8e_c50f)]
+#[case::budgets(budgets, 0x2f55_efc2_2891_3dc5)]
+#[case::ejections(ejections, 0xa308_c995_cc43_6365)]
+#[case::hand_overs(hand_overs, 0xa522_ebf4_e4b8_10a4)]
+#[case::caches(caches, 0x2002_16ed_eed4_5707)]
+#[case::splits(splits, 0xef9e_e508_0bad_7469)]
+#[case::attempts(attempts, 0x63ba_b58a_1024_1b46)]
+#[case::units(units, 0x4477_6bd5_a44e_e802)]
+fn seeded_mechanisms_answer_as_before(#[case] mechanism: Mechanism, #[case] expected: u64) {
+    let mut digest = Digest::new();
+    for seed in 0..32 {
+        mechanism(&mut Rng::with_seed(seed), &mut digest);
+    }
+    assert!(digest.0 == expected, "{:#018x}", digest.0);
+}
