--- /dev/null
+++ b/crates/emulator/tests/digest.rs
@@ -0,0 +1,209 @@
+//! The outputs of the emulated servers on a seeded sequence of events, folded to one digest: a change of shape must not change
+//! an answer, a time or the order of actions.
+
+mod support;
+
+use lugwharf_emulator::content;
+use lugwharf_emulator::core::{Action, CallId, Identity, ServerCore, ServerEvent};
+use lugwharf_emulator::model_server::{ModelParameters, Stage};
+use lugwharf_emulator::plain_server::{PlainParameters, PlainServer};
+use lugwharf_emulator::wire::Request;
+use rstest::rstest;
+use std::time::Duration;
+use support::{Driven, generation, model, ms, order, parameters, prefill, with};
+
+const STEPS: u64 = 3_000;
+
+/// The SplitMix64 generator of the test's sequence.
+struct Draws(u64);
+
+impl Draws {
+    /// A number below `bound`.
+    fn below(&mut self, bound: u64) -> u64 {
+        self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        (mixed ^ (mixed >> 31)) % bound
+    }
+}
+
+/// The bytes of an action: a tag, the call and what it carries.
+fn encode(action: &Action) -> Vec<u8> {
+    let (tag, call, carried): (u8, &CallId, Vec<u8>) = match action {
+        Action::Answer { call, answer } => (1, call, answer.encode()),
+        Action::Head { call, head } => (2, call, head.encode_chunked_head()),
+        Action::Event { call, bytes } => (3, call, bytes.clone()),
+        Action::End { call } => (4, call, Vec::new()),
+        Action::Cut { call } => (5, call, Vec::new()),
+        Action::Ran { call, memory_of } => {
+            let memory_of = memory_of.as_ref().map_or_else(Vec::new, |id| format!("from {id}").into_bytes());
+            (6, call, memory_of)
+        }
+        Action::TakeHandle { call, address, handle } => (7, call, format!("{address}/{handle}").into_bytes()),
+    };
+    let mut bytes = vec![tag];
+    bytes.extend_from_slice(&call.0.to_be_bytes());
+    bytes.extend_from_slice(&carried);
+    bytes
+}
+
+/// All that a server did, with its times, and when it next wants to be woken.
+fn digest_of<C: ServerCore>(server: &Driven<C>, so_far: u64) -> u64 {
+    let mut digest = so_far;
+    for (at, action) in &server.actions {
+        let at = at.as_nanos().to_be_bytes();
+        digest = content::hash_all(&[&digest.to_be_bytes(), &at, &encode(action)]);
+    }
+    let wake = server.core.next_wake().map_or(0, |at| at.as_nanos());
+    content::hash_all(&[&digest.to_be_bytes(), &wake.to_be_bytes()])
+}
+
+/// The last handle that a prefill server gave, if any.
+fn last_handle(server: &Driven<impl ServerCore>) -> Option<String> {
+    server.actions.iter().rev().find_map(|(_, action)| match action {
+        Action::Answer { answer, .. } => {
+            let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
+            Some(body["KvHandle"].as_str()?.to_owned())
+        }
+        _ => None,
+    })
+}
+
+/// A generation whose size, prefix, rank and deadline are drawn.
+fn drawn_generation(draws: &mut Draws, step: u64, is_prefill: bool) -> Request {
+    let prefixes: [&[(u64, u64)]; 4] = [&[], &[(0xa1, 300)], &[(0xa1, 300), (0xb2, 200)], &[(0xc3, 640)]];
+    let prefix = prefixes[draws.below(4) as usize];
+    let tokens = (500 + draws.below(1_200), 1 + draws.below(40));
+    let id = format!("r{step}");
+    let mut request = if is_prefill { prefill(&id, tokens, prefix) } else { generation(&id, tokens, prefix) };
+    if draws.below(3) == 0 {
+        request = with(request, "Priority", &draws.below(10).to_string());
+    }
+    if draws.below(8) == 0 {
+        request = with(request, "Deadline-Ms", &(5 + draws.below(60)).to_string());
+    }
+    match draws.below(24) {
+        0 => with(request, "Expect-Instance", "i-other"),
+        1 => with(request, "Expect-Version", "2"),
+        2 => with(request, "Model", "other"),
+        3 => with(request, "Last-Event-Id", "3"),
+        4 => with(request, "Token-Counts", "none"),
+        _ => request,
+    }
+}
+
+/// Events that need no generation: cancels, drains, faults, orders, reports and health checks.
+fn drawn_disturbance<C: ServerCore>(server: &mut Driven<C>, draws: &mut Draws, sent: u64) {
+    match draws.below(12) {
+        0..=3 => {
+            let call = CallId(1 + draws.below(sent.max(1)));
+            server.tell(ServerEvent::Cancelled { call });
+        }
+        4 => server.tell(ServerEvent::SetFailing(true)),
+        5 | 6 => server.tell(ServerEvent::SetFailing(false)),
+        7 => {
+            let stage = if draws.below(2) == 0 { "prefill" } else { "decode" };
+            let fence = draws.below(9);
+            server
+                .send(order(&format!(r#"{{"Op":"Stage","Holder":"h","Fence":{fence},"Stage":"{stage}"}}"#)));
+        }
+        8 => {
+            server.send(Request::new("GET", "/health"));
+        }
+        _ => {
+            server.send(Request::new("GET", "/report"));
+        }
+    }
+}
+
+/// A small server, so that queue, slots and memory run out.
+fn small(stage: Stage) -> ModelParameters {
+    ModelParameters {
+        slots: 3,
+        queue: 4,
+        kv_tokens: 6_000,
+        kv_token_bytes: 1_000.0,
+        link_mbps: 400.0,
+        step_ms_per_running: 0.3,
+        handle_hold: Duration::from_millis(150),
+        report_lag: Duration::from_millis(20),
+        ..parameters(stage)
+    }
+}
+
+#[rstest]
+#[case::seed_1(1, 0x5a5cc724a2ac84ea)]
+#[case::seed_2(2, 0xa54e0feeaf9738ae)]
+#[case::seed_3(3, 0x31aa2856668d185b)]
+fn outputs_of_a_prefill_and_a_decode_server_keep_their_digest(#[case] seed: u64, #[case] expected: u64) {
+    let mut draws = Draws(seed);
+    let mut prefill_server = model("i-1", small(Stage::Prefill));
+    let mut decode_server = model("i-2", small(Stage::Decode));
+    let mut transfers = 0;
+    for step in 0..STEPS {
+        match draws.below(8) {
+            0..=2 => {
+                prefill_server.send(drawn_generation(&mut draws, step, true));
+            }
+            3..=5 => {
+                let mut request = drawn_generation(&mut draws, step, false);
+                if let Some(handle) = last_handle(&prefill_server).filter(|_| draws.below(2) == 0) {
+                    request = with(request, "Kv-From", &format!("127.0.0.1:9/{handle}"));
+                }
+                let known = decode_server.actions.len();
+                let call = decode_server.send(request);
+                let wanted = decode_server.actions[known..].iter().find_map(|(_, action)| match action {
+                    Action::TakeHandle { handle, .. } => Some(handle.clone()),
+                    _ => None,
+                });
+                if let Some(handle) = wanted {
+                    let contents = prefill_server.core.take_handle(&handle, prefill_server.now);
+                    transfers += u64::from(contents.is_some());
+                    decode_server.tell(ServerEvent::HandleTaken { call, contents });
+                }
+            }
+            6 => drawn_disturbance(&mut prefill_server, &mut draws, step / 3),
+            _ => drawn_disturbance(&mut decode_server, &mut draws, step / 3),
+        }
+        let pause = Duration::from_micros(draws.below(12_000));
+        prefill_server.run_for(pause);
+        decode_server.run_for(pause);
+    }
+    for server in [&mut prefill_server, &mut decode_server] {
+        server.tell(ServerEvent::Drain);
+        server.run_for(ms(1_000));
+    }
+    assert!(transfers > 0, "the sequence moves memory");
+    let mut digest = digest_of(&decode_server, digest_of(&prefill_server, seed));
+    for server in [&prefill_server, &decode_server] {
+        let statistics = server.core.statistics();
+        let counts =
+            [statistics.read_tokens, statistics.moved_tokens, statistics.wasted_tokens, statistics.put_back];
+        for count in counts {
+            digest = content::hash_all(&[&digest.to_be_bytes(), &count.to_be_bytes()]);
+        }
+    }
+    assert_eq!(digest, expected, "{digest:#018x}");
+}
+
+#[rstest]
+#[case::seed_1(1, 0x8323e04e2b3d5d0b)]
+#[case::seed_2(2, 0xaf967ee0de096766)]
+fn outputs_of_a_plain_server_keep_their_digest(#[case] seed: u64, #[case] expected: u64) {
+    let mut draws = Draws(seed);
+    let parameters = PlainParameters { slots: 2, queue: 3, work: ms(8), answer_bytes: 40 };
+    let mut server = Driven::new(PlainServer::new(Identity::new("i-3", "plain"), parameters));
+    for step in 0..STEPS {
+        match draws.below(6) {
+            0..=4 => {
+                server.send(drawn_generation(&mut draws, step, false));
+            }
+            _ => drawn_disturbance(&mut server, &mut draws, step),
+        }
+        server.run_for(Duration::from_micros(draws.below(9_000)));
+    }
+    server.tell(ServerEvent::Drain);
+    server.run_for(ms(1_000));
+    let digest = digest_of(&server, seed);
+    assert_eq!(digest, expected, "{digest:#018x}");
+}
