--- a/crates/chain/tests/simulation/main.rs
+++ b/crates/chain/tests/simulation/main.rs
@@ -16,6 +16,8 @@
 mod operator;
 mod operator_cases;
 mod oracle;
+mod regression_digests;
+mod transcript;
 mod trouble;
 mod world;
 
@@ -66,9 +68,15 @@
     }
 }
 
+fn ordinary_world(seed: u64) -> World {
+    World::new(seed, scenario(seed))
+}
+
 fn play_seed(seed: u64) -> Result<(), String> {
-    let scenario = scenario(seed);
-    let mut world = World::new(seed, scenario);
+    play_ordinary(&mut ordinary_world(seed))
+}
+
+fn play_ordinary(world: &mut World) -> Result<(), String> {
     world.begin_day()?;
     for _ in 0..2 {
         let present = world.present();
@@ -83,8 +91,7 @@
 }
 
 /// The same with processes that are told to end, for good or to start again.
-fn play_leaving(seed: u64) -> Result<(), String> {
-    let mut world = World::new(seed, scenario(seed));
+fn play_leaving(world: &mut World) -> Result<(), String> {
     world.begin_day()?;
     for _ in 0..2 {
         let present = world.present();
@@ -97,6 +104,10 @@
     Ok(())
 }
 
+fn play_leaving_seed(seed: u64) -> Result<(), String> {
+    play_leaving(&mut ordinary_world(seed))
+}
+
 fn limits<'a>(present: &'a [usize], scenario: &Scenario) -> Limits<'a> {
     let slowest_factor = (SLOWEST_SYNC.as_micros() / scenario.sync.as_micros().max(1)).max(1) as u32;
     Limits { present, disks: scenario.tolerated, slowest_factor }
@@ -104,9 +115,7 @@
 
 /// Links so slow and peers suspected so soon that views are proposed against each other all the time. Only what must
 /// hold at every step is checked, since such a core need not make progress.
-fn play_nervous(seed: u64) -> Result<(), String> {
-    let longest_delay = Duration::from_millis(200);
-    let mut world = World::new(seed, Scenario { nervous: true, longest_delay, ..scenario(seed) });
+fn play_nervous(world: &mut World) -> Result<(), String> {
     world.busy = true;
     let wish = world.proper_change();
     world.begin(0, wish, None);
@@ -125,6 +134,15 @@
     Ok(())
 }
 
+fn nervous_world(seed: u64) -> World {
+    let longest_delay = Duration::from_millis(200);
+    World::new(seed, Scenario { nervous: true, longest_delay, ..scenario(seed) })
+}
+
+fn play_nervous_seed(seed: u64) -> Result<(), String> {
+    play_nervous(&mut nervous_world(seed))
+}
+
 fn play_range(range: Range<u64>, play: fn(u64) -> Result<(), String>) {
     let next = AtomicU64::new(range.start);
     let failures = Mutex::new(Vec::new());
@@ -174,20 +192,20 @@
 
 #[test]
 fn nervous_cores() {
-    play_range(seeds(NERVOUS_SEEDS), play_nervous);
+    play_range(seeds(NERVOUS_SEEDS), play_nervous_seed);
 }
 
 #[test]
 fn leaving_cores() {
-    play_range(seeds(LEAVING_SEEDS), play_leaving);
+    play_range(seeds(LEAVING_SEEDS), play_leaving_seed);
 }
 
 #[test]
 fn replay() {
     let Some(seed) = std::env::var("CHAIN_SEED").ok().and_then(|seed| seed.parse().ok()) else { return };
     let play = match std::env::var("CHAIN_KIND").as_deref() {
-        Ok("nervous") => play_nervous,
-        Ok("leaving") => play_leaving,
+        Ok("nervous") => play_nervous_seed,
+        Ok("leaving") => play_leaving_seed,
         _ => play_seed,
     };
     if let Err(failure) = play(seed) {
--- a/crates/chain/tests/simulation/membership_cases.rs
+++ b/crates/chain/tests/simulation/membership_cases.rs
@@ -230,17 +230,17 @@
 /// Worlds in which a machine was cut off from all but one that was added later: a chain of these two took no calls of the others.
 #[rstest]
 fn a_chain_is_where_the_others_reach_it(#[values(3_003_137, 4_002_966, 4_003_179)] seed: u64) {
-    assert_eq!(crate::play_leaving(seed), Ok(()));
+    assert_eq!(crate::play_leaving_seed(seed), Ok(()));
 }
 
 /// The head was cut off from all but one process, which was added after the cut: a call at any other one is passed on by that one.
 #[test]
 fn a_head_that_one_process_reaches_takes_the_calls_of_all() {
-    assert_eq!(crate::play_leaving(20_061_014), Ok(()));
+    assert_eq!(crate::play_leaving_seed(20_061_014), Ok(()));
 }
 
 /// Worlds whose losses of power went on after the time that is called troubled.
 #[rstest]
 fn a_storm_ends_with_the_troubled_time(#[values(4_001_684, 4_004_409)] seed: u64) {
-    assert_eq!(crate::play_leaving(seed), Ok(()));
+    assert_eq!(crate::play_leaving_seed(seed), Ok(()));
 }
--- /dev/null
+++ b/crates/chain/tests/simulation/transcript.rs
@@ -0,0 +1,144 @@
+//! A digest of everything that a simulated run shows: what happens when, each message, each record and each answer.
+//!
+//! Messages, records and views go in as their CBOR encoding and all else as numbers, never as `Debug` output. So a digest
+//! changes with behaviour, encoded names or the draws of the random number generator, and with nothing else.
+
+use crate::world::Happening;
+use lugwharf_chain::{Action, Answer, CommittedConfig, LogLine};
+use std::time::Duration;
+
+/// Gathers the digest of a run.
+#[derive(Default)]
+pub struct Transcript {
+    hasher: blake3::Hasher,
+}
+
+impl Transcript {
+    /// The first 64 bits of the digest of what was recorded so far.
+    pub fn digest(&self) -> u64 {
+        let mut bytes = [0; size_of::<u64>()];
+        self.hasher.finalize_xof().fill(&mut bytes);
+        u64::from_be_bytes(bytes)
+    }
+
+    /// Records numbers, with a tag that says what they are.
+    pub fn record_numbers(&mut self, tag: &str, numbers: &[u64]) {
+        self.record_bytes(tag.as_bytes());
+        self.record_length(numbers.len());
+        for number in numbers {
+            self.hasher.update(&number.to_le_bytes());
+        }
+    }
+
+    /// Records something that happens in virtual time.
+    pub fn record_happening(&mut self, now: Duration, happening: &Happening) {
+        self.hasher.update(&now.as_nanos().to_le_bytes());
+        match happening {
+            Happening::Boot { node } => self.record_numbers("boot", &[*node as u64]),
+            Happening::Tick { node, epoch } => self.record_numbers("tick", &[*node as u64, *epoch]),
+            Happening::Deliver(parcel) => {
+                let (from, to) = (parcel.from as u64, parcel.to as u64);
+                // Its content was recorded when it was sent.
+                self.record_numbers("deliver", &[from, to, parcel.to_epoch]);
+            }
+            Happening::LinkDown { node, epoch, peer } => {
+                self.record_numbers("link down", &[*node as u64, *epoch, *peer as u64]);
+            }
+            Happening::DiskDone { node, epoch, batch } => {
+                self.record_numbers("disk done", &[*node as u64, *epoch, *batch]);
+            }
+            Happening::Fault(_) => self.record_numbers("fault", &[]),
+            Happening::Departure { node, epoch, .. } => {
+                self.record_numbers("departure", &[*node as u64, *epoch]);
+            }
+            Happening::Wake { operator, generation } => {
+                self.record_numbers("wake", &[*operator as u64, *generation]);
+            }
+            Happening::Silence { operator, ticket } => {
+                self.record_numbers("silence", &[*operator as u64, ticket.0]);
+            }
+            Happening::Answer { operator, ticket, answer } => {
+                self.record_numbers("answer arrives", &[*operator as u64, ticket.0]);
+                self.record_answer(answer);
+            }
+        }
+    }
+
+    /// Records what the replica on a machine wants done.
+    pub fn record_action(&mut self, node: usize, action: &Action) {
+        let node = node as u64;
+        match action {
+            Action::Send { to, message } => {
+                self.record_numbers("send", &[node]);
+                self.record_bytes(to.to_string().as_bytes());
+                self.record_encoded(message);
+            }
+            Action::Store { batch, records } => self.record_batch("store", node, *batch, records),
+            Action::Rewrite { batch, records } => self.record_batch("rewrite", node, *batch, records),
+            Action::Answer { ticket, answer } => {
+                self.record_numbers("answer", &[node, ticket.0]);
+                self.record_answer(answer);
+            }
+            Action::Committed { config } => {
+                self.record_numbers("committed", &[node]);
+                self.record_config(config);
+            }
+            Action::ViewChanged(view) => {
+                self.record_numbers("view", &[node]);
+                self.record_encoded(&**view);
+            }
+            Action::Log(line) => self.record_numbers("log", &[node, log_tag(line)]),
+        }
+    }
+
+    fn record_batch(&mut self, tag: &str, node: u64, batch: u64, records: &[Vec<u8>]) {
+        self.record_numbers(tag, &[node, batch, records.len() as u64]);
+        for record in records {
+            self.record_bytes(record);
+        }
+    }
+
+    fn record_answer(&mut self, answer: &Answer) {
+        match answer {
+            Answer::Accepted { version } => self.record_numbers("accepted", &[*version]),
+            Answer::Conflict { current } => self.record_numbers("conflict", &[*current]),
+            Answer::Outdated { current } => self.record_numbers("outdated", &[*current]),
+            Answer::Unavailable => self.record_numbers("unavailable", &[]),
+            Answer::Config(None) => self.record_numbers("no config", &[]),
+            Answer::Config(Some(config)) => self.record_config(config),
+        }
+    }
+
+    fn record_config(&mut self, config: &CommittedConfig) {
+        self.record_numbers("config", &[config.version, config.base]);
+        self.record_bytes(&config.bytes);
+    }
+
+    fn record_encoded(&mut self, value: &impl serde::Serialize) {
+        let mut bytes = Vec::new();
+        ciborium::into_writer(value, &mut bytes).expect("the value can be encoded");
+        self.record_bytes(&bytes);
+    }
+
+    fn record_bytes(&mut self, bytes: &[u8]) {
+        self.record_length(bytes.len());
+        self.hasher.update(bytes);
+    }
+
+    fn record_length(&mut self, length: usize) {
+        self.hasher.update(&(length as u64).to_le_bytes());
+    }
+}
+
+fn log_tag(line: &LogLine) -> u64 {
+    match line {
+        LogLine::Started { .. } => 1,
+        LogLine::Proposing { .. } => 2,
+        LogLine::Serving { .. } => 3,
+        LogLine::Committed(_) => 4,
+        LogLine::BallotReused { .. } => 5,
+        LogLine::DiskTrouble => 6,
+        LogLine::DiskWell => 7,
+        LogLine::Superseded(_) => 8,
+    }
+}
--- a/crates/chain/tests/simulation/world.rs
+++ b/crates/chain/tests/simulation/world.rs
@@ -5,6 +5,7 @@
 use crate::node::{DiskJob, Node};
 use crate::operator::Operator;
 use crate::oracle::Oracle;
+use crate::transcript::Transcript;
 use lugwharf_chain::{Action, Event, HistoryLimits, LogLine, Message, Ticket};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -154,6 +155,8 @@
     pub busy: bool,
     /// How many views were seen.
     pub views: u64,
+    /// Records the run, for its digest.
+    pub transcript: Option<Transcript>,
     trace: bool,
     queue: BinaryHeap<Reverse<Scheduled>>,
     order: u64,
@@ -192,6 +195,7 @@
             orders: 0,
             busy: false,
             views: 0,
+            transcript: None,
             trace: std::env::var_os("CHAIN_TRACE").is_some(),
             queue: BinaryHeap::new(),
             order: 0,
@@ -219,6 +223,9 @@
         while self.queue.peek().is_some_and(|Reverse(next)| next.at <= end) {
             let Some(Reverse(next)) = self.queue.pop() else { break };
             self.now = next.at;
+            if let Some(transcript) = &mut self.transcript {
+                transcript.record_happening(self.now, &next.what);
+            }
             self.happen(next.what);
             if let Some(violation) = self.oracle.violation.take() {
                 return Err(format!("at {:?}: {violation}", self.now));
@@ -298,6 +305,9 @@
 
     fn carry_out(&mut self, node: usize, actions: Vec<Action>) {
         for action in actions {
+            if let Some(transcript) = &mut self.transcript {
+                transcript.record_action(node, &action);
+            }
             match action {
                 Action::Send { to, message } => self.send(node, to, message),
                 Action::Store { batch, records } => {
--- a/crates/model/tests/chain/guards.rs
+++ b/crates/model/tests/chain/guards.rs
@@ -5,34 +5,39 @@
 use lugwharf_model::chain::{Bounds, Chain, Guards, property};
 use rstest::rstest;
 
-fn explore_without(removed: &[Guard], bounds: Bounds) -> Option<&'static str> {
+/// The property that breaks without these guards, and how many states and steps the search has seen.
+fn search_without(removed: &[Guard], bounds: Bounds) -> (Option<&'static str>, (usize, usize)) {
     let report = explore(&format!("without {removed:?}"), bounds, Guards::without(removed));
     assert!(report.complete || report.counterexample.is_some(), "the bounds are too wide");
-    report.counterexample.map(|found| found.property)
+    (report.counterexample.map(|found| found.property), (report.states, report.depth))
+}
+
+fn explore_without(removed: &[Guard], bounds: Bounds) -> Option<&'static str> {
+    search_without(removed, bounds).0
 }
 
 #[rstest]
-#[case::replicate_after_sync(ReplicateAfterSync, property::ACKNOWLEDGED_KEPT)]
-#[case::identity_of_disk(IdentityOfDisk, property::ACKNOWLEDGED_KEPT)]
-#[case::chain_of_tolerance(ChainOfTolerance, property::ACKNOWLEDGED_KEPT)]
-#[case::source_above_floor(SourceAboveFloor, property::ACKNOWLEDGED_KEPT)]
-#[case::serve_once_installed(ServeOnceInstalled, property::ACKNOWLEDGED_KEPT)]
-#[case::places_spared(PlacesSpared, property::ACKNOWLEDGED_KEPT)]
-#[case::seal_stops_takeover(SealStopsTakeover, property::ACKNOWLEDGED_KEPT)]
-#[case::leave_after_view(LeaveAfterView, property::ACKNOWLEDGED_KEPT)]
-#[case::resends_recognised(ResendsRecognised, property::TAKEN_NOT_REFUSED)]
-#[case::judged_on_committed(JudgedOnCommitted, property::REFUSED_STAYS_OUT)]
-#[case::reads_confirmed(ReadsConfirmed, property::NO_DEPOSED_REPLY)]
-#[case::refusals_confirmed(RefusalsConfirmed, property::NO_DEPOSED_REPLY)]
-#[case::seal_stops_confirmation(SealStopsConfirmation, property::NO_DEPOSED_REPLY)]
-#[case::ballot_after_sync(BallotAfterSync, property::ONE_VIEW_PER_NUMBER)]
-#[case::round_recovered(RoundRecovered, property::ONE_VIEW_PER_NUMBER)]
-#[case::promise_after_sync(PromiseAfterSync, property::ONE_VIEW_PER_NUMBER)]
-#[case::accepted_after_sync(AcceptedAfterSync, property::ONE_VIEW_PER_NUMBER)]
-#[case::promise_kept(PromiseKept, property::ONE_VIEW_PER_NUMBER)]
-#[case::accepted_taken_up(AcceptedTakenUp, property::ONE_VIEW_PER_NUMBER)]
-fn a_guard_is_needed(#[case] guard: Guard, #[case] property: &str) {
-    assert_eq!(explore_without(&[guard], smallest_bounds(guard)), Some(property));
+#[case::replicate_after_sync(ReplicateAfterSync, property::ACKNOWLEDGED_KEPT, (174, 3))]
+#[case::identity_of_disk(IdentityOfDisk, property::ACKNOWLEDGED_KEPT, (1_113, 5))]
+#[case::chain_of_tolerance(ChainOfTolerance, property::ACKNOWLEDGED_KEPT, (9_472, 9))]
+#[case::source_above_floor(SourceAboveFloor, property::ACKNOWLEDGED_KEPT, (2_688, 8))]
+#[case::serve_once_installed(ServeOnceInstalled, property::ACKNOWLEDGED_KEPT, (130_979, 17))]
+#[case::places_spared(PlacesSpared, property::ACKNOWLEDGED_KEPT, (28_961, 9))]
+#[case::seal_stops_takeover(SealStopsTakeover, property::ACKNOWLEDGED_KEPT, (181_670, 18))]
+#[case::leave_after_view(LeaveAfterView, property::ACKNOWLEDGED_KEPT, (759, 4))]
+#[case::resends_recognised(ResendsRecognised, property::TAKEN_NOT_REFUSED, (199, 4))]
+#[case::judged_on_committed(JudgedOnCommitted, property::REFUSED_STAYS_OUT, (12_805, 14))]
+#[case::reads_confirmed(ReadsConfirmed, property::NO_DEPOSED_REPLY, (29_794, 12))]
+#[case::refusals_confirmed(RefusalsConfirmed, property::NO_DEPOSED_REPLY, (6_640, 13))]
+#[case::seal_stops_confirmation(SealStopsConfirmation, property::NO_DEPOSED_REPLY, (65_829, 14))]
+#[case::ballot_after_sync(BallotAfterSync, property::ONE_VIEW_PER_NUMBER, (100_150, 11))]
+#[case::round_recovered(RoundRecovered, property::ONE_VIEW_PER_NUMBER, (91_686, 11))]
+#[case::promise_after_sync(PromiseAfterSync, property::ONE_VIEW_PER_NUMBER, (70_935, 13))]
+#[case::accepted_after_sync(AcceptedAfterSync, property::ONE_VIEW_PER_NUMBER, (49_126, 13))]
+#[case::promise_kept(PromiseKept, property::ONE_VIEW_PER_NUMBER, (239_567, 12))]
+#[case::accepted_taken_up(AcceptedTakenUp, property::ONE_VIEW_PER_NUMBER, (19_285, 12))]
+fn a_guard_is_needed(#[case] guard: Guard, #[case] property: &str, #[case] states_and_depth: (usize, usize)) {
+    assert_eq!(search_without(&[guard], smallest_bounds(guard)), (Some(property), states_and_depth));
 }
 
 /// Bounds within which the loss of a guard shows.
@@ -64,7 +69,8 @@
 fn the_seal_stops_takeover_or_replication() {
     let bounds = smallest_bounds(SealStopsReplication);
     let both = [SealStopsTakeover, SealStopsReplication];
-    assert_eq!(explore_without(&both, bounds), Some(property::ACKNOWLEDGED_KEPT));
+    let expected = (Some(property::ACKNOWLEDGED_KEPT), (197_857, 17));
+    assert_eq!(search_without(&both, bounds), expected);
     if is_long() {
         assert_eq!(explore_without(&[SealStopsReplication], bounds), None);
     }
--- a/crates/model/tests/chain/whole.rs
+++ b/crates/model/tests/chain/whole.rs
@@ -2,26 +2,29 @@
 
 use crate::{SUCCESSORS, agreement, bounds, explore, is_long};
 use lugwharf_model::chain::{Bounds, Chain, Guards, Set};
+use lugwharf_model::explorer::Report;
 use rstest::rstest;
 
-fn holds(name: &str, bounds: Bounds) {
+fn holds(name: &str, bounds: Bounds) -> Report {
     let report = explore(name, bounds, Guards::ALL);
     assert_eq!(report.counterexample, None);
     assert!(report.complete, "the bounds are too wide");
+    report
 }
 
 #[rstest]
-#[case::rivals("two changes on one base", bounds())]
-#[case::short_chain("a member outside the chain", Bounds { first_chain: Chain::of(&[0, 1]), ..bounds() })]
-#[case::newcomer("a newcomer", Bounds { newcomer: true, sent: 1, ..bounds() })]
-#[case::restart("a restart", Bounds { crashers: Set::of(&[0, 1, 2]), sent: 1, ..bounds() })]
-#[case::wipe("a wipe", Bounds { wipe: true, sent: 1, ..bounds() })]
-#[case::leave("a member leaves, a disk is lost", Bounds { sent: 1, newcomer: true, wipe: true, leave: true, ..bounds() })]
-#[case::read("a read", Bounds { sent: 1, questions: 1, ..bounds() })]
-#[case::refusal("a refusal on an unseen base", Bounds { changes: SUCCESSORS, questions: 1, ..bounds() })]
-#[case::agreement("two proposers", agreement(&[]))]
-fn within_short_bounds(#[case] name: &str, #[case] bounds: Bounds) {
-    holds(name, bounds);
+#[case::rivals("two changes on one base", bounds(), (10_187, 18))]
+#[case::short_chain("a member outside the chain", Bounds { first_chain: Chain::of(&[0, 1]), ..bounds() }, (15_737, 18))]
+#[case::newcomer("a newcomer", Bounds { newcomer: true, sent: 1, ..bounds() }, (8_317, 18))]
+#[case::restart("a restart", Bounds { crashers: Set::of(&[0, 1, 2]), sent: 1, ..bounds() }, (52_589, 22))]
+#[case::wipe("a wipe", Bounds { wipe: true, sent: 1, ..bounds() }, (17_014, 19))]
+#[case::leave("a member leaves, a disk is lost", Bounds { sent: 1, newcomer: true, wipe: true, leave: true, ..bounds() }, (44_377, 20))]
+#[case::read("a read", Bounds { sent: 1, questions: 1, ..bounds() }, (49_876, 21))]
+#[case::refusal("a refusal on an unseen base", Bounds { changes: SUCCESSORS, questions: 1, ..bounds() }, (163_580, 24))]
+#[case::agreement("two proposers", agreement(&[]), (12_198, 16))]
+fn within_short_bounds(#[case] name: &str, #[case] bounds: Bounds, #[case] states_and_depth: (usize, usize)) {
+    let report = holds(name, bounds);
+    assert_eq!((report.states, report.depth), states_and_depth);
 }
 
 /// The bounds of `MODEL_BOUNDS=long`.
--- a/crates/model/tests/election.rs
+++ b/crates/model/tests/election.rs
@@ -40,20 +40,22 @@
     std::env::var("MODEL_BOUNDS").is_ok_and(|bounds| bounds == "long")
 }
 
-fn holds(name: &str, bounds: Bounds) {
+fn holds(name: &str, bounds: Bounds) -> Report {
     let report = explore(name, bounds, Guards::ALL);
     assert_eq!(report.counterexample, None);
     assert!(report.complete, "the bounds are too wide");
+    report
 }
 
 #[rstest]
-#[case::candidates("two candidates", bounds())]
-#[case::restart("a restart", Bounds { crashes: 1, ..bounds() })]
-#[case::renewal("a renewal", Bounds { renewals: 1, ..bounds() })]
-#[case::second_view("a second view", across_views(&[1, 3]))]
-#[case::carried_over("a renewal across views", Bounds { renewals: 1, ..across_views(&[1, 3]) })]
-fn within_short_bounds(#[case] name: &str, #[case] bounds: Bounds) {
-    holds(name, bounds);
+#[case::candidates("two candidates", bounds(), (5_218, 14))]
+#[case::restart("a restart", Bounds { crashes: 1, ..bounds() }, (40_355, 15))]
+#[case::renewal("a renewal", Bounds { renewals: 1, ..bounds() }, (34_267, 19))]
+#[case::second_view("a second view", across_views(&[1, 3]), (41_886, 20))]
+#[case::carried_over("a renewal across views", Bounds { renewals: 1, ..across_views(&[1, 3]) }, (204_717, 24))]
+fn within_short_bounds(#[case] name: &str, #[case] bounds: Bounds, #[case] states_and_depth: (usize, usize)) {
+    let report = holds(name, bounds);
+    assert_eq!((report.states, report.depth), states_and_depth);
 }
 
 /// The bounds of `MODEL_BOUNDS=long`.
@@ -81,32 +83,44 @@
 }
 
 #[rstest]
-#[case::tokens_of_view(TokensOfView, TOKENS_CLIMB, across_views(&[1, 3]))]
-#[case::one_grant(OneGrantAtATime, ONE_HOLDER, bounds())]
-#[case::majority(MajorityElects, TOKENS_CLIMB, bounds())]
-#[case::vote_after_sync(VoteAfterSync, TOKENS_CLIMB, Bounds { crashes: 1, ..bounds() })]
-#[case::seal(SealStopsGrants, ONE_HOLDER, Bounds { renewals: 1, ..across_views(&[1, 3]) })]
-#[case::new_view_waits(NewViewWaits, ONE_HOLDER, across_views(&[1, 3]))]
-#[case::lease_from_request(LeaseFromRequest, ONE_HOLDER, Bounds { renewals: 1, ..bounds() })]
-fn a_guard_is_needed(#[case] guard: Guard, #[case] property: &str, #[case] bounds: Bounds) {
-    assert_eq!(explore_without(&[guard], bounds), Some(property));
+#[case::tokens_of_view(TokensOfView, TOKENS_CLIMB, across_views(&[1, 3]), (40_091, 16))]
+#[case::one_grant(OneGrantAtATime, ONE_HOLDER, bounds(), (5_203, 11))]
+#[case::majority(MajorityElects, TOKENS_CLIMB, bounds(), (1_843, 8))]
+#[case::vote_after_sync(VoteAfterSync, TOKENS_CLIMB, Bounds { crashes: 1, ..bounds() }, (53_774, 13))]
+#[case::seal(SealStopsGrants, ONE_HOLDER, Bounds { renewals: 1, ..across_views(&[1, 3]) }, (160_175, 16))]
+#[case::new_view_waits(NewViewWaits, ONE_HOLDER, across_views(&[1, 3]), (37_583, 14))]
+#[case::lease_from_request(LeaseFromRequest, ONE_HOLDER, Bounds { renewals: 1, ..bounds() }, (35_023, 14))]
+fn a_guard_is_needed(
+    #[case] guard: Guard, #[case] property: &str, #[case] bounds: Bounds,
+    #[case] states_and_depth: (usize, usize),
+) {
+    assert_eq!(search_without(&[guard], bounds), (Some(property), states_and_depth));
 }
 
-fn explore_without(removed: &[Guard], bounds: Bounds) -> Option<&'static str> {
+/// The property that breaks without these guards, and how many states and steps the search has seen.
+fn search_without(removed: &[Guard], bounds: Bounds) -> (Option<&'static str>, (usize, usize)) {
     let report = explore(&format!("without {removed:?}"), bounds, Guards::without(removed));
     assert!(report.complete || report.counterexample.is_some(), "the bounds are too wide");
-    report.counterexample.map(|found| found.property)
+    (report.counterexample.map(|found| found.property), (report.states, report.depth))
+}
+
+fn explore_without(removed: &[Guard], bounds: Bounds) -> Option<&'static str> {
+    search_without(removed, bounds).0
 }
 
 /// The first guard does nothing that the second does not do as well: only without both a property breaks.
 #[rstest]
-#[case::tokens_climb(&[TokensClimb, CampaignsEnd], bounds())]
-#[case::grant_anew(&[GrantAnewAfterRestart, SettledAfterRestart], Bounds { crashes: 1, ..bounds() })]
-#[case::settled(&[SettledAfterRestart, GrantAnewAfterRestart], Bounds { crashes: 1, ..bounds() })]
-#[case::quarantine(&[QuarantineWithoutRecord, VoteAfterSync], Bounds { crashes: 1, ..bounds() })]
-fn a_guard_is_implied(#[case] removed: &[Guard], #[case] bounds: Bounds) {
-    assert_eq!(explore_without(&removed[..1], bounds), None);
-    assert!(explore_without(removed, bounds).is_some());
+#[case::tokens_climb(&[TokensClimb, CampaignsEnd], bounds(), [(5_632, 14), (8_021, 12)])]
+#[case::grant_anew(&[GrantAnewAfterRestart, SettledAfterRestart], Bounds { crashes: 1, ..bounds() }, [(38_909, 15), (25_397, 11)])]
+#[case::settled(&[SettledAfterRestart, GrantAnewAfterRestart], Bounds { crashes: 1, ..bounds() }, [(36_215, 16), (25_397, 11)])]
+#[case::quarantine(&[QuarantineWithoutRecord, VoteAfterSync], Bounds { crashes: 1, ..bounds() }, [(40_355, 15), (53_774, 13)])]
+fn a_guard_is_implied(
+    #[case] removed: &[Guard], #[case] bounds: Bounds, #[case] states_and_depth: [(usize, usize); 2],
+) {
+    assert_eq!(search_without(&removed[..1], bounds), (None, states_and_depth[0]));
+    let (broken, seen) = search_without(removed, bounds);
+    assert!(broken.is_some());
+    assert_eq!(seen, states_and_depth[1]);
 }
 
 /// A process that stood before it accepted a later view must not win long after: meanwhile the holder renews in the later
@@ -114,7 +128,8 @@
 #[test]
 fn a_candidate_of_an_earlier_view_does_not_win_late() {
     let bounds = Bounds { renewals: 1, ..across_views(&[1, 2]) };
-    assert_eq!(explore_without(&[AskedFirst, CampaignsEnd], bounds), Some(ONE_HOLDER));
+    let expected = (Some(ONE_HOLDER), (375_810, 16));
+    assert_eq!(search_without(&[AskedFirst, CampaignsEnd], bounds), expected);
     if is_long() {
         assert_eq!(explore_without(&[CampaignsEnd], bounds), None);
         assert_eq!(explore_without(&[AskedFirst], bounds), None);
@@ -123,8 +138,10 @@
 
 /// These let the next election come soon or keep a token from coming back late; no property rests on them.
 #[rstest]
-#[case::released(ReleasedStaysReleased, Bounds { ticks: 2, renewals: 1, releases: 1, candidates: &[0, 1], ..bounds() })]
-#[case::renewals(RenewalsCurrent, Bounds { renewals: 1, ..across_views(&[1, 3]) })]
-fn a_guard_is_for_progress(#[case] guard: Guard, #[case] bounds: Bounds) {
-    assert_eq!(explore_without(&[guard], bounds), None);
+#[case::released(ReleasedStaysReleased, Bounds { ticks: 2, renewals: 1, releases: 1, candidates: &[0, 1], ..bounds() }, (249_739, 23))]
+#[case::renewals(RenewalsCurrent, Bounds { renewals: 1, ..across_views(&[1, 3]) }, (205_893, 24))]
+fn a_guard_is_for_progress(
+    #[case] guard: Guard, #[case] bounds: Bounds, #[case] states_and_depth: (usize, usize),
+) {
+    assert_eq!(search_without(&[guard], bounds), (None, states_and_depth));
 }
