--- a/src/bin/lugwharf-simulator/wire.rs
+++ b/src/bin/lugwharf-simulator/wire.rs
@@ -369,3 +369,7 @@
         frame.extend_from_slice(&self.tail);
     }
 }
+
+#[cfg(test)]
+#[path = "wire_tests.rs"]
+mod tests;
--- /dev/null
+++ b/src/bin/lugwharf-simulator/wire_tests.rs
@@ -0,0 +1,134 @@
+//! Tests of the records' form: one of each kind, from literal bytes.
+
+use super::*;
+
+/// One frame with one record, whose first bytes are these, and this tail.
+fn batch(start: &[u8], tail: &[u8]) -> Batch {
+    let mut body = vec![0; EVENT_SIZE];
+    body[..start.len()].copy_from_slice(start);
+    body.extend_from_slice(tail);
+    let mut frame = (body.len() as u32).to_le_bytes().to_vec();
+    // 1500.25 ms, and one record.
+    frame.extend_from_slice(&[0, 0, 0, 0, 0, 0x71, 0x97, 0x40, 1, 0, 0, 0]);
+    frame.extend_from_slice(&body);
+    read_batch(&mut &frame[..]).expect("readable").expect("a frame")
+}
+
+fn one<'a>(batch: &'a Batch) -> Record<'a> {
+    assert_eq!(batch.now, Duration::from_micros(1_500_250));
+    let mut records = batch.records();
+    let record = records.next().expect("a record").expect("readable");
+    assert!(records.next().is_none());
+    record
+}
+
+/// 30 and 900 as 64-bit floats.
+const THIRTY: [u8; 8] = [0, 0, 0, 0, 0, 0, 0x3e, 0x40];
+const NINE_HUNDRED: [u8; 8] = [0, 0, 0, 0, 0, 0x20, 0x8c, 0x40];
+
+#[test]
+fn records_without_a_tail_have_their_literal_form() {
+    let who = 0x0403_0201;
+    let (id, server) = (RequestId(0x0908_0706), ServerId(0x0b0a_0908_0706));
+    let event = |event| Record::Event { who, event };
+    let cases: Vec<(u8, Vec<u8>, Record)> = vec![
+        (0, vec![1, 2, 3, 4, 5, 6, 7, 8], event(Event::Timer(TimerId(0x0807_0605_0403_0201)))),
+        (1, vec![6, 7, 8, 9], event(Event::HungUp(id))),
+        (5, vec![], Record::Kill { who }),
+        (7, vec![1, 2, 3], Record::Pass),
+        (11, vec![], Record::Unknown(11)),
+        (8, vec![0, 0, 0, 0, 0, 3, 0, 0, 0], Record::Discovery { who, news: Some((ListKind::Full, 3)) }),
+        (8, vec![1, 0, 0, 0, 0, 4, 0, 0, 0], Record::Discovery { who, news: Some((ListKind::Delta, 4)) }),
+        (8, vec![2], Record::Discovery { who, news: None }),
+        (8, vec![3], Record::Discovery { who, news: Some((ListKind::Cached, 0)) }),
+        (
+            9,
+            [vec![6, 7, 8, 9, 2, 0, 0, 0, 0, 0, 0], THIRTY.to_vec()].concat(),
+            event(Event::StreamStarted { id, attempt: 2, took: Duration::from_millis(30) }),
+        ),
+        (
+            6,
+            [vec![6, 7, 8, 9, 10, 11, 4, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 0, 0x20, 0x40, 0, 0, 0x80, 0x3f]]
+                .concat(),
+            Record::Probed { who, server, outcome: Outcome::Timeout, values: vec![2.5, 1.0] },
+        ),
+    ];
+    for (code, rest, expected) in cases {
+        let batch = batch(&[vec![code, 1, 2, 3, 4], rest].concat(), &[]);
+        assert_eq!(one(&batch), expected, "code {code}");
+    }
+}
+
+#[test]
+fn a_request_has_its_cost_and_its_origin_by_two_bits() {
+    for (attributes, cost, origin) in [
+        (0, None, Origin::Fresh),
+        (1, Some(Duration::from_millis(30)), Origin::Fresh),
+        (2, None, Origin::ClientRetry),
+        (3, Some(Duration::from_millis(30)), Origin::ClientRetry),
+        (4, None, Origin::Fresh),
+    ] {
+        let mut bytes = vec![10, 5, 0, 0, 0, 6, 7, 8, 9];
+        bytes.extend(THIRTY);
+        bytes.resize(25, 0xff);
+        bytes.extend(NINE_HUNDRED);
+        bytes.extend([0xff; 4]);
+        bytes.extend([3, attributes, 0]);
+        let (id, patience) = (RequestId(0x0908_0706), Duration::from_millis(900));
+        let arrival = Arrival { id, class: 3, cost, patience, origin };
+        assert_eq!(one(&batch(&bytes, &[])), Record::Event { who: 5, event: Event::Request(arrival) });
+    }
+}
+
+#[test]
+fn an_outcome_has_its_code_and_whether_the_request_is_over() {
+    let all = [
+        Outcome::Ok,
+        Outcome::Error,
+        Outcome::Full,
+        Outcome::Timeout,
+        Outcome::ConnectFailed,
+        Outcome::Reset,
+        Outcome::Cancelled,
+        Outcome::NotSent,
+    ];
+    for (code, outcome) in (1..).zip(all) {
+        for (ended, progress) in [(0, Progress::Owed), (1, Progress::Ended)] {
+            let mut bytes = vec![4, 5, 0, 0, 0, 6, 7, 8, 9, 2, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, code, 0];
+            bytes.extend(THIRTY);
+            bytes.push(ended);
+            let (id, took) = (RequestId(0x0908_0706), Duration::from_millis(30));
+            let event = Event::Outcome { id, attempt: 2, outcome, took, progress };
+            assert_eq!(one(&batch(&bytes, &[])), Record::Event { who: 5, event });
+        }
+    }
+}
+
+#[test]
+fn a_start_and_a_list_refer_to_the_tail() {
+    let bytes = [2, 5, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 1, 0, 0, 0, 6, 0, 0, 0];
+    let start = batch(&bytes, b"-zone=0-");
+    assert_eq!(one(&start), Record::Up { who: 5, seed: 0x0807_0605_0403_0201, facts: "zone=0" });
+    let line = |availability: u8| {
+        let mut entry = vec![availability, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0x20, 0x40, 9, 10, 11];
+        entry.extend(if availability == 2 { [0; 8] } else { THIRTY });
+        entry
+    };
+    let list = batch(&[3, 15, 0, 0, 0, 2, 0, 0, 0, 3], &[b"--".to_vec(), line(0), line(1), line(2)].concat());
+    let listed = |availability, started| Listed {
+        server: ServerId(0x0605_0403_0201),
+        availability,
+        cell: 0x0807,
+        zone: 0x0a09,
+        kind: 11,
+        weight: 2.5,
+        started,
+    };
+    let started = Some(Duration::from_millis(30));
+    let entries = vec![
+        listed(Availability::Gone, started),
+        listed(Availability::Ready, started),
+        listed(Availability::Draining, None),
+    ];
+    assert_eq!(one(&list), Record::Manifest { list: 15, entries });
+}
--- /dev/null
+++ b/tests/settings_keys.rs
@@ -0,0 +1,167 @@
+//! Each key of the settings text, with its default and with a value of its own.
+
+use lugwharf_sidecar::api::*;
+use lugwharf_sidecar::settings::{self, Deployment};
+use std::time::Duration;
+
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
+}
+
+/// The fewest lines that are readable.
+const FEWEST: &str = "zone=1\ndiscovery=pushed\nrequestClasses.count=1\nrequestClasses.0.name=pay\n\
+    requestClasses.0.aim=290\nrequestClasses.0.idempotency=retryable\n";
+
+const ALL: &str = "zone=2\nme=7\ninstances=9\ntick=2.5\nworthBy=work\ndiscovery=on_request\n\
+    areas=a,b_c\nskus=small,large\n\
+    prices.crossZone=0.25\nprices.probe=0.125\nprices.handshake=0.5\n\
+    blend.whole=0.5\nblend.worstWindow=0.25\nblend.worstClass=0.125\n\
+    report.fields=depth,load_share,concurrent\n\
+    policyLimits.keepalive=4000\npolicyLimits.mostTries=5\npolicyLimits.cancel=true\npolicyLimits.probes=true\n\
+    policyLimits.retryAfter=true\npolicyLimits.maxRetryAfter=750\npolicyLimits.connectTimeout=70\n\
+    obligations.coldFrom=0.25\nobligations.rampTime=9000\nobligations.fallMultiple=4\nobligations.mustAskIn=2500\n\
+    requestClasses.count=3\n\
+    requestClasses.0.name=pay\nrequestClasses.0.aim=100\nrequestClasses.0.deadline=300\n\
+    requestClasses.0.aimStretch=1.5\nrequestClasses.0.points=8\nrequestClasses.0.lateWorth=0.5\n\
+    requestClasses.0.idempotency=dedup\nrequestClasses.0.group=zone\nrequestClasses.0.dedupWindow=600\n\
+    requestClasses.1.name=report\nrequestClasses.1.aim=200\nrequestClasses.1.idempotency=dedup\n\
+    requestClasses.1.group=cell\nrequestClasses.1.dedupWindow=700\n\
+    requestClasses.2.name=look\nrequestClasses.2.aim=400.5\nrequestClasses.2.idempotency=fragile\n";
+
+#[test]
+fn a_key_left_out_has_its_literal_default() {
+    let class = Class {
+        aim: ms(290),
+        deadline: ms(0),
+        aim_stretch: 0.0,
+        worth: 1.0,
+        late_worth: 0.0,
+        repeat: Repeat::Safe,
+    };
+    let expected = Settings {
+        zone: 1,
+        number: 0,
+        instances: 1,
+        keep_alive: ms(15_000),
+        classes: vec![class],
+        worth_by: WorthBy::Request,
+        cross_zone_price: 0.0,
+        probe_price: 0.0,
+        handshake_price: 0.0,
+        held_reported: false,
+        goal: Goal { whole: 1.0, worst_class: 0.0 },
+        max_attempts: 1,
+        cancel: Permit::Denied,
+        probes: Permit::Denied,
+        max_retry_after: None,
+        discovery: Discovery::Pushed,
+        slow_start: SlowStart { cold_from: 0.1, ramp_time: ms(30_000), fall_multiple: 2.0 },
+        tick: ms(5),
+    };
+    assert_eq!(settings::parse(FEWEST).expect("readable"), expected);
+    let expected = Deployment {
+        zones: vec![],
+        kinds: vec![],
+        classes: vec!["pay".into()],
+        connect_timeout: ms(250),
+        held_name: None,
+    };
+    assert_eq!(settings::deployment(FEWEST).expect("readable"), expected);
+    assert_eq!(settings::held_field(FEWEST), None);
+    let asked = settings::parse(&FEWEST.replace("pushed", "on_request")).expect("readable");
+    assert_eq!(asked.discovery, Discovery::OnRequest { must_ask_in: ms(10_000) });
+    let advised = settings::parse(&format!("{FEWEST}policyLimits.retryAfter=true\n")).expect("readable");
+    assert_eq!(advised.max_retry_after, Some(ms(0)));
+    let denied = settings::parse(&format!("{FEWEST}policyLimits.maxRetryAfter=60\n")).expect("readable");
+    assert_eq!(denied.max_retry_after, None, "only where it is granted");
+}
+
+#[test]
+fn each_key_sets_its_own_value() {
+    let class =
+        |aim, repeat| Class { aim, deadline: ms(0), aim_stretch: 0.0, worth: 1.0, late_worth: 0.0, repeat };
+    let first = Class {
+        aim: ms(100),
+        deadline: ms(300),
+        aim_stretch: 1.5,
+        worth: 8.0,
+        late_worth: 0.5,
+        repeat: Repeat::Keyed { group: Group::Zone, window: ms(600) },
+    };
+    let expected = Settings {
+        zone: 2,
+        number: 7,
+        instances: 9,
+        keep_alive: ms(4_000),
+        classes: vec![
+            first,
+            class(ms(200), Repeat::Keyed { group: Group::Cell, window: ms(700) }),
+            class(Duration::from_micros(400_500), Repeat::Unsafe),
+        ],
+        worth_by: WorthBy::Work,
+        cross_zone_price: 0.25,
+        probe_price: 0.125,
+        handshake_price: 0.5,
+        held_reported: true,
+        goal: Goal { whole: 0.75, worst_class: 0.125 },
+        max_attempts: 5,
+        cancel: Permit::Granted,
+        probes: Permit::Granted,
+        max_retry_after: Some(ms(750)),
+        discovery: Discovery::OnRequest { must_ask_in: ms(2_500) },
+        slow_start: SlowStart { cold_from: 0.25, ramp_time: ms(9_000), fall_multiple: 4.0 },
+        tick: Duration::from_micros(2_500),
+    };
+    assert_eq!(settings::parse(ALL).expect("readable"), expected);
+    let expected = Deployment {
+        zones: vec!["a".into(), "b_c".into()],
+        kinds: vec!["small".into(), "large".into()],
+        classes: vec!["pay".into(), "report".into(), "look".into()],
+        connect_timeout: ms(70),
+        held_name: Some("concurrent".into()),
+    };
+    assert_eq!(settings::deployment(ALL).expect("readable"), expected);
+    assert_eq!(settings::held_field(ALL), Some(2));
+    assert_eq!(settings::held_field("report.fields=load_share,depth\n"), Some(1));
+    let anywhere = ALL.replace("group=cell", "group=all");
+    let anywhere = settings::parse(&anywhere).expect("readable").classes[1].repeat;
+    assert_eq!(anywhere, Repeat::Keyed { group: Group::All, window: ms(700) });
+    let by_request = settings::parse(&ALL.replace("worthBy=work", "worthBy=request")).expect("readable");
+    assert_eq!(by_request.worth_by, WorthBy::Request);
+}
+
+#[test]
+fn what_cannot_be_read_is_named_with_its_text() {
+    let error =
+        |from: &str, to: &str| settings::parse(&ALL.replace(from, to)).expect_err("unreadable").to_string();
+    for (key, from, to) in [
+        ("zone", "zone=2\n", "zone=-1\n"),
+        ("me", "me=7", "me=x"),
+        ("instances", "instances=9", "instances=many"),
+        ("tick", "tick=2.5", "tick=-1"),
+        ("worthBy", "worthBy=work", "worthBy=time"),
+        ("discovery", "discovery=on_request", "discovery=guessed"),
+        ("prices.crossZone", "crossZone=0.25", "crossZone=NaN"),
+        ("policyLimits.cancel", "cancel=true", "cancel=1"),
+        ("policyLimits.mostTries", "mostTries=5", "mostTries=70000"),
+        ("obligations.rampTime", "rampTime=9000", "rampTime=1e13"),
+        ("requestClasses.0.group", "group=zone", "group=row"),
+        ("requestClasses.0.idempotency", "0.idempotency=dedup", "0.idempotency=perhaps"),
+        ("requestClasses.2.aim", "2.aim=400.5", "2.aim=inf"),
+    ] {
+        let text = to.trim_end().rsplit('=').next().expect("a value");
+        assert_eq!(error(from, to), format!("setting {key}: cannot read {text:?}"));
+    }
+    for key in ["zone", "discovery", "requestClasses.count", "requestClasses.0.dedupWindow"] {
+        let text: String = ALL
+            .lines()
+            .filter(|line| !line.starts_with(&format!("{key}=")))
+            .map(|l| format!("{l}\n"))
+            .collect();
+        let error = settings::parse(&text).expect_err("incomplete").to_string();
+        assert_eq!(error, format!("setting {key}: missing"));
+    }
+    let nameless = ALL.replace("requestClasses.1.name=report\n", "");
+    let error = settings::deployment(&nameless).expect_err("incomplete").to_string();
+    assert_eq!(error, "setting requestClasses.1.name: missing");
+}
--- /dev/null
+++ b/tests/simulator_wire.rs
@@ -0,0 +1,63 @@
+//! A whole session of the simulator's wire, byte for byte: each kind of record in, each kind of record out.
+//!
+//! `fixtures/simulator_session.txt` was captured on 1a8c4db and must never change. Each `in` line is one frame that the
+//! simulator writes, the `out` line below it the frame that the adapter has to answer, both in hexadecimal digits.
+
+use std::collections::BTreeSet;
+use std::io::Write;
+use std::process::{Command, Stdio};
+
+const SESSION: &str = include_str!("fixtures/simulator_session.txt");
+
+fn frames(kind: &str) -> Vec<Vec<u8>> {
+    let lines = SESSION.lines().filter_map(|line| line.strip_prefix(kind));
+    let byte = |text: &str, at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
+    lines.map(|text| (0..text.len()).step_by(2).map(|at| byte(text, at)).collect()).collect()
+}
+
+/// The first byte of each record of these frames.
+fn codes(frames: &[Vec<u8>], header: usize, count_at: usize, record: usize) -> BTreeSet<u8> {
+    let number =
+        |frame: &[u8]| u32::from_le_bytes(frame[count_at..count_at + 4].try_into().expect("four")) as usize;
+    frames.iter().flat_map(|frame| (0..number(frame)).map(|at| frame[header + at * record])).collect()
+}
+
+#[test]
+fn the_captured_session_is_answered_byte_for_byte() {
+    let (input, expected) = (frames("in "), frames("out "));
+    assert_eq!(codes(&input, 16, 12, 48), BTreeSet::from([0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 99]));
+    assert_eq!(codes(&expected, 8, 4, 24), BTreeSet::from([0, 1, 2, 3, 4, 5, 8, 10]));
+    for line in [
+        "ejected server 2b230100000a",
+        "readmitted server 2b230100000a",
+        "shedding load",
+        "no ready server on the list",
+        "server list unavailable, asking again",
+    ] {
+        let has = |frame: &Vec<u8>| frame.windows(line.len()).any(|bytes| bytes == line.as_bytes());
+        assert!(expected.iter().any(has), "{line}");
+    }
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_lugwharf-simulator"))
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("starts");
+    let mut to = adapter.stdin.take().expect("an input");
+    let writing = std::thread::spawn(move || to.write_all(&input.concat()).expect("written"));
+    let output = adapter.wait_with_output().expect("ends");
+    writing.join().expect("all written");
+    assert_eq!(output.status.code(), Some(0));
+    assert_eq!(
+        String::from_utf8_lossy(&output.stderr),
+        "lugwharf-simulator: skipped an event of unknown code 99\n\
+         lugwharf-simulator: skipped an event for instance 4, which is not up\n"
+    );
+    let mut rest = &output.stdout[..];
+    for (number, frame) in expected.iter().enumerate() {
+        let (answer, after) = rest.split_at(frame.len().min(rest.len()));
+        assert_eq!(answer, frame, "the answer to frame {number}");
+        rest = after;
+    }
+    assert!(rest.is_empty(), "{} bytes too many", rest.len());
+}
--- /dev/null
+++ b/tests/sockets/answers.rs
@@ -0,0 +1,145 @@
+//! Literal answers to the application: status line, headers and body, but for the date.
+
+use crate::world::*;
+use crate::{ok, rest};
+use serde_json::json;
+use std::io::Write;
+
+/// All that comes on a connection that this text is written to, once it is closed; the date is left out.
+fn answer_to(sidecar: &Sidecar, text: &str) -> String {
+    let mut client = sidecar.connect();
+    client.write_all(text.as_bytes()).expect("written");
+    without_date(&rest(&mut client))
+}
+
+fn without_date(text: &str) -> String {
+    let (head, body) = text.split_once("\r\n\r\n").expect("a head");
+    let lines: Vec<&str> = head.split("\r\n").collect();
+    assert_eq!(lines.iter().filter(|line| line.starts_with("date: ")).count(), 1, "{text}");
+    let kept: Vec<&str> = lines.into_iter().filter(|line| !line.starts_with("date: ")).collect();
+    format!("{}\r\n\r\n{body}", kept.join("\r\n"))
+}
+
+/// One that closes after its answer, which the module does not get to see.
+fn rejected(status: &str, why: &str) -> String {
+    format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{why}", why.len())
+}
+
+#[test]
+fn readiness_and_final_answers_have_their_literal_form() {
+    let upstream = Upstream::start(|seen| match seen.body.as_str() {
+        "typed" => Reply::text(200, "Content-Type: text/x-typed\r\nX-Other: 1\r\n", "hello"),
+        "broken" => Reply::text(500, "", "why"),
+        _ => ok("plain"),
+    });
+    let sidecar = Sidecar::with(&[&upstream], |config| {
+        config["settings"]["policyLimits"]["maxRetryAfter"] = json!(50.0);
+        config["settings"]["requestClasses"][0]["aim"] = json!(4_000.0);
+    });
+    let ask = |body: &str| {
+        let mut client = sidecar.connect();
+        client.write_all(call("pay", 19.0).body(body).text().as_bytes()).expect("written");
+        without_date(&Answer::read_text(&mut client))
+    };
+    let ready = || {
+        let mut client = sidecar.connect();
+        client.write_all(b"GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n").expect("written");
+        without_date(&Answer::read_text(&mut client))
+    };
+    assert_eq!(ready(), "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
+    let typed = "HTTP/1.1 200 OK\r\ncontent-type: text/x-typed\r\ncontent-length: 5\r\n\r\nhello";
+    assert_eq!(ask("typed"), typed);
+    assert_eq!(ask(""), "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nplain");
+    assert_eq!(ask("broken"), "HTTP/1.1 502 Bad Gateway\r\ncontent-length: 6\r\n\r\nfailed");
+    sidecar.discovery.say(2, true, &[upstream.line("Terminating")]);
+    sidecar.discovery.wait_for_index(2);
+    let refused =
+        "HTTP/1.1 503 Service Unavailable\r\nretry-after: 0.050\r\ncontent-length: 7\r\n\r\nrefused";
+    assert_eq!(ask(""), refused);
+    assert_eq!(ready(), "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n");
+}
+
+#[test]
+fn each_rejection_has_its_literal_status_and_reason() {
+    let upstream = Upstream::start(|_| ok("served"));
+    let sidecar = Sidecar::start(&[&upstream]);
+    let pay = || call("pay", 2.0);
+    let with = |from: &str, to: &str| pay().text().replace(from, to);
+    for (text, status, why) in [
+        (with("Content-Length: 0", "Transfer-Encoding: chunked"), "400 Bad Request", "a transfer coding"),
+        (
+            with("X-Budget", "X-Again: 1\r\nX-Again: 1\r\nX-Budget"),
+            "400 Bad Request",
+            "a header that comes twice",
+        ),
+        (
+            with("Content-Length: 0", "Content-Length: 65537"),
+            "413 Payload Too Large",
+            "a body that is too long",
+        ),
+        (pay().without("X-Call-Id").text(), "400 Bad Request", "no id"),
+        (call("nobody", 2.0).text(), "400 Bad Request", "no such class"),
+        (
+            pay().header("Idempotency-Key", "k").text(),
+            "400 Bad Request",
+            "a method or a key that does not fit the class",
+        ),
+        (pay().header("X-Budget", "soon").text(), "400 Bad Request", "no readable budget"),
+    ] {
+        assert_eq!(answer_to(&sidecar, &text), rejected(status, why));
+    }
+    // One whose body does not end, with the client still there.
+    let mut client = sidecar.connect();
+    let text = call("pay", 0.3).text().replace("Length: 0", "Length: 5");
+    client.write_all(text.as_bytes()).expect("written");
+    assert_eq!(without_date(&rest(&mut client)), rejected("408 Request Timeout", "a body that does not end"));
+    assert!(upstream.requests().is_empty());
+}
+
+#[test]
+fn the_id_of_an_open_request_is_rejected_with_its_literal_reason() {
+    let upstream = Upstream::start(|_| Reply::Silence);
+    let sidecar = Sidecar::start(&[&upstream]);
+    let same = || call("pay", 20.0).header("X-Call-Id", "same").text();
+    let mut first = sidecar.connect();
+    first.write_all(same().as_bytes()).expect("written");
+    upstream.wait_for("the request", |state| state.requests.len() == 1);
+    let mut second = sidecar.connect();
+    second.write_all(same().as_bytes()).expect("written");
+    let said = without_date(&rest(&mut second));
+    assert_eq!(said, rejected("409 Conflict", "the id of an open request"));
+}
+
+#[test]
+fn an_upstream_gets_the_clients_headers_in_their_order_and_none_of_the_connection() {
+    let upstream = Upstream::start(|_| ok("served"));
+    let sidecar = Sidecar::start(&[&upstream]);
+    let call = call("report", 2.0)
+        .header("X-Own", "kept")
+        .header("Connection", "keep-alive")
+        .header("TE", "trailers");
+    assert_eq!(
+        sidecar.ask(&call.header("Expect", "nothing").header("X-Again", "1").body("hello")).status,
+        200
+    );
+    let seen = upstream.requests();
+    let names = [
+        "host",
+        "x-call-id",
+        "x-call-class",
+        "idempotency-key",
+        "x-own",
+        "x-again",
+        "x-budget",
+        "content-length",
+    ];
+    let mut seen_names = seen[0].header_names();
+    seen_names.sort_unstable();
+    let mut sorted = names;
+    sorted.sort_unstable();
+    assert_eq!(seen_names, sorted);
+    assert_eq!((seen[0].header("x-own"), seen[0].header("host")), (Some("kept"), Some("origin.svc")));
+    let budget = seen[0].header("x-budget").expect("a budget");
+    let digits = budget.strip_prefix("1.").expect("under 2 s, over 1");
+    assert!(digits.len() == 4 && digits.bytes().all(|byte| byte.is_ascii_digit()), "four decimals: {budget}");
+}
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,5 +1,6 @@
 //! The sidecar on loopback sockets: the real program between a client, upstreams and discovery of the test's own.
 
+mod answers;
 mod connections;
 mod requests;
 mod upstreams;
--- a/tests/sockets/world/message.rs
+++ b/tests/sockets/world/message.rs
@@ -38,6 +38,11 @@
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(other, _)| other == name).map(|(_, value)| value.as_str())
     }
+
+    /// In lower case, in their order.
+    pub fn header_names(&self) -> Vec<&str> {
+        self.headers.iter().map(|(name, _)| name.as_str()).collect()
+    }
 }
 
 #[derive(Clone)]
@@ -113,6 +118,14 @@
         Answer::try_read(from).expect("an answer")
     }
 
+    /// The answer as it was written, up to the length that it names.
+    pub fn read_text(from: &mut TcpStream) -> String {
+        let seen = Seen::read(&mut BufReader::new(from)).expect("an answer");
+        let headers: String =
+            seen.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
+        format!("{}\r\n{headers}\r\n{}", seen.line, seen.body)
+    }
+
     pub(super) fn try_read(from: &mut TcpStream) -> Option<Answer> {
         let seen = Seen::read(&mut BufReader::new(from))?;
         let status = seen.line.split(' ').nth(1).and_then(|text| text.parse().ok()).expect("a status");
