--- a/crates/agent/src/uplink.rs
+++ b/crates/agent/src/uplink.rs
@@ -13,7 +13,7 @@
 use crate::last_resort::LastResort;
 use crate::link::Link;
 use crate::owner::{Command, Report};
-use lugwharf_membership::Ring;
+use lugwharf_membership::HashRing;
 use lugwharf_protocol::{AgentRequest, ControlReply, FrameError, Update};
 use lugwharf_settings::Settings;
 use spdlog::prelude::*;
@@ -120,7 +120,7 @@
     /// All known control processes, the preferred ones first; then those that were announced, then the seeds.
     fn order(&self) -> Vec<SocketAddr> {
         let known = if self.control.is_empty() { &self.seeds } else { &self.control };
-        let mut order = Ring::new(known).monitors_of(&self.node, known.len());
+        let mut order = HashRing::new(known).monitors_of(&self.node, known.len());
         let announced = self.outlook.announced.borrow().clone();
         for address in announced.into_iter().chain(self.seeds.iter().copied()) {
             if !order.contains(&address) {
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -8,7 +8,7 @@
 use lugwharf_chain::Blake3;
 use lugwharf_protocol::{AgentRequest, ServerEntry};
 use lugwharf_settings::Settings;
-use lugwharf_stages::OrderAnswer;
+use lugwharf_stages::OrderOutcome;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::sync::oneshot;
@@ -90,7 +90,7 @@
         /// The server's incarnation.
         id: String,
         /// How it ended.
-        answer: OrderAnswer,
+        answer: OrderOutcome,
     },
     /// Asks what is to be announced to seeds.
     Announcement {
--- a/crates/control/src/encoded_bytes_tests.rs
+++ b/crates/control/src/encoded_bytes_tests.rs
@@ -144,8 +144,8 @@
 }
 
 fn election_message() -> PeerBody {
-    let body = MessageBody::Ask { round: 9 };
-    PeerBody::Election(ElectionMessage { role: Role::ListReader, view: 4, body })
+    let body = MessageBody::PreVote { request_id: 9 };
+    PeerBody::Election(ElectionMessage { role: Role::ListWatcher, view: 4, body })
 }
 
 #[rstest]
--- a/crates/control/src/http_bytes_tests.rs
+++ b/crates/control/src/http_bytes_tests.rs
@@ -14,7 +14,7 @@
 use crate::status_tests::example;
 use lugwharf_chain::{Answer, CommittedConfig};
 use lugwharf_protocol::Stage;
-use lugwharf_stages::{Order, OrderAnswer};
+use lugwharf_stages::{Order, OrderOutcome};
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -287,7 +287,7 @@
     calls.send(OrderCall { order, holder: "core-1".to_owned(), held }).await.expect("a queue");
     assert_eq!(server.await.expect("a request"), wanted);
     let ended = done.recv().await;
-    assert!(matches!(ended, Some(Command::Ordered { answer: OrderAnswer::Taken, .. })));
+    assert!(matches!(ended, Some(Command::Ordered { answer: OrderOutcome::Accepted, .. })));
 }
 
 #[tokio::test]
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -7,7 +7,7 @@
 use crate::command::Command;
 use crate::status::Status;
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
-use lugwharf_stages::OrderAnswer;
+use lugwharf_stages::OrderOutcome;
 pub use lugwharf_telemetry::CONTENT_TYPE;
 use lugwharf_telemetry::{InvariantCounters, MetricsEndpoint};
 use prometheus_client::encoding::EncodeLabelSet;
@@ -177,7 +177,7 @@
     }
 
     /// Counts an order that has ended.
-    pub fn ordered(&self, answer: OrderAnswer) {
+    pub fn ordered(&self, answer: OrderOutcome) {
         self.orders.get_or_create(&AnswerLabel { answer: answer_name(answer) }).inc();
     }
 
@@ -207,11 +207,11 @@
 }
 
 /// The name of an answer, in metrics and logs.
-pub fn answer_name(answer: OrderAnswer) -> &'static str {
+pub fn answer_name(answer: OrderOutcome) -> &'static str {
     match answer {
-        OrderAnswer::Taken => "taken",
-        OrderAnswer::Unclear => "unclear",
-        OrderAnswer::Refused => "refused",
+        OrderOutcome::Accepted => "taken",
+        OrderOutcome::Unknown => "unclear",
+        OrderOutcome::Rejected => "refused",
     }
 }
 
--- a/crates/control/src/metrics_tests.rs
+++ b/crates/control/src/metrics_tests.rs
@@ -5,7 +5,7 @@
 use crate::status::{AgentStatus, Status};
 use crate::status_tests::{example, server};
 use lugwharf_protocol::{ServerState, Stage};
-use lugwharf_stages::OrderAnswer;
+use lugwharf_stages::OrderOutcome;
 use rstest::rstest;
 
 fn behind(status: Status) -> Status {
@@ -24,9 +24,9 @@
     metrics.list_reads.inc_by(3);
     metrics.list_failures.inc_by(4);
     metrics.stand_downs.inc();
-    metrics.ordered(OrderAnswer::Taken);
-    metrics.ordered(OrderAnswer::Unclear);
-    metrics.ordered(OrderAnswer::Taken);
+    metrics.ordered(OrderOutcome::Accepted);
+    metrics.ordered(OrderOutcome::Unknown);
+    metrics.ordered(OrderOutcome::Accepted);
     metrics.pulled(5, 0);
     metrics.pulled(1, 7);
     refusals.count(ErrorKind::Conflict);
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -10,7 +10,7 @@
 use hyper_util::rt::TokioIo;
 use lugwharf_invariants::{Invariant, check};
 use lugwharf_protocol::Stage;
-use lugwharf_stages::{Order, OrderAnswer};
+use lugwharf_stages::{Order, OrderOutcome};
 use serde::Serialize;
 use socket2::SockRef;
 use spdlog::prelude::*;
@@ -60,24 +60,24 @@
                 Ok(Ok(status)) => judge(status),
                 Ok(Err(error)) if error.is::<LeaseEnded>() => {
                     warn!("order", kv: { outcome = "withheld", id = call.order.id.as_str(), token = call.held.token });
-                    OrderAnswer::Refused
+                    OrderOutcome::Rejected
                 }
                 Ok(Err(error)) => {
                     warn!("order", kv: { outcome = "failed", id = call.order.id.as_str(), error: = error });
-                    OrderAnswer::Unclear
+                    OrderOutcome::Unknown
                 }
-                Err(_) => OrderAnswer::Unclear,
+                Err(_) => OrderOutcome::Unknown,
             };
             drop(commands.send(Command::Ordered { id: call.order.id, answer }).await);
         });
     }
 }
 
-fn judge(status: StatusCode) -> OrderAnswer {
+fn judge(status: StatusCode) -> OrderOutcome {
     match status.as_u16() {
-        200 | 202 => OrderAnswer::Taken,
-        400..=499 => OrderAnswer::Refused,
-        _ => OrderAnswer::Unclear,
+        200 | 202 => OrderOutcome::Accepted,
+        400..=499 => OrderOutcome::Rejected,
+        _ => OrderOutcome::Unknown,
     }
 }
 
--- a/crates/control/src/orders_tests.rs
+++ b/crates/control/src/orders_tests.rs
@@ -4,7 +4,7 @@
 use crate::command::Command;
 use crate::lease::HeldRole;
 use lugwharf_protocol::Stage;
-use lugwharf_stages::{Order, OrderAnswer};
+use lugwharf_stages::{Order, OrderOutcome};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -16,7 +16,7 @@
 const LONG: Duration = Duration::from_secs(600);
 
 /// Gives one order; returns how it ended.
-async fn give(address: SocketAddr, until: Instant) -> OrderAnswer {
+async fn give(address: SocketAddr, until: Instant) -> OrderOutcome {
     let (calls, queue) = mpsc::channel(1);
     let (commands, mut done) = mpsc::channel(1);
     tokio::spawn(run(queue, commands));
@@ -43,7 +43,7 @@
         stream.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").await.expect("an answer");
         String::from_utf8(received).expect("text")
     });
-    assert_eq!(give(address, Instant::now() + LONG).await, OrderAnswer::Taken);
+    assert_eq!(give(address, Instant::now() + LONG).await, OrderOutcome::Accepted);
     let received = server.await.expect("a request");
     assert!(received.starts_with("POST /order HTTP/1.1\r\n"), "{received}");
     assert!(received.to_ascii_lowercase().contains("expect-instance: i-1\r\n"), "{received}");
@@ -61,7 +61,7 @@
         let _ = stream.read_to_end(&mut received).await;
         received
     });
-    assert_eq!(give(address, Instant::now()).await, OrderAnswer::Refused);
+    assert_eq!(give(address, Instant::now()).await, OrderOutcome::Rejected);
     assert_eq!(server.await.expect("a connection"), b"");
 }
 
@@ -72,6 +72,6 @@
     let address = listener.local_addr().expect("an address");
     let begun = Instant::now();
     let left = Duration::from_millis(100);
-    assert_eq!(give(address, begun + left).await, OrderAnswer::Unclear);
+    assert_eq!(give(address, begun + left).await, OrderOutcome::Unknown);
     assert!(begun.elapsed() <= left + Duration::from_millis(1), "{:?}", begun.elapsed());
 }
--- a/crates/control/src/owner.rs
+++ b/crates/control/src/owner.rs
@@ -260,10 +260,10 @@
             RecordOwner::Chain if synced => self.chain(chain::Event::Stored { batch: number }),
             RecordOwner::Chain => self.chain(chain::Event::StoreFailed { batch: number }),
             RecordOwner::Election => {
-                let batch = election::Batch(number);
+                let batch = election::BatchId(number);
                 self.elect(match synced {
-                    true => election::Event::Stored { batch },
-                    false => election::Event::StoreFailed { batch },
+                    true => election::Event::Persisted { batch },
+                    false => election::Event::PersistFailed { batch },
                 });
             }
         }
@@ -316,7 +316,7 @@
         check(Invariant::CommittedVersionClimbs, record.version > before, || {
             format!("version {} after {before}", record.version)
         });
-        if self.tables.take_config(Arc::new(record)) {
+        if self.tables.advance_config(Arc::new(record)) {
             self.commits.note(self.now(), config.version);
             self.metrics.commits.inc();
             info!("config", kv: {
--- a/crates/control/src/owner/departure.rs
+++ b/crates/control/src/owner/departure.rs
@@ -21,7 +21,7 @@
     /// This process was told to end: it gives its role up, and agents are told to ask another process.
     pub(super) fn begin_departure(&mut self, done: oneshot::Sender<Outcome>) {
         let now = self.now();
-        let held = self.elector.holder(now).is_some();
+        let held = self.elector.held_lease(now).is_some();
         let grace = Duration::try_from_secs_f64(self.settings.bounds.grace_s).unwrap_or_default();
         info!("shutdown", kv: { outcome = "begun", held, view = self.elected_view });
         self.elect(election::Event::Resign);
--- a/crates/control/src/owner/report.rs
+++ b/crates/control/src/owner/report.rs
@@ -50,7 +50,7 @@
             holder: known.map(|(address, _)| address),
             token: known.map(|(_, token)| token.0),
             held_ms: known.map(|_| millis(now.saturating_sub(self.holder_since))),
-            held_here: self.elector.holder(now).is_some(),
+            held_here: self.elector.held_lease(now).is_some(),
         }
     }
 
--- a/crates/control/src/owner/role.rs
+++ b/crates/control/src/owner/role.rs
@@ -14,16 +14,16 @@
         for action in out {
             match action {
                 election::Action::Send { to, message } => self.peers.send(to, PeerBody::Election(message)),
-                election::Action::Store { batch, records } => {
+                election::Action::Persist { batch, records } => {
                     self.store(RecordOwner::Election, batch.0, records, false);
                 }
-                election::Action::Gained { token } => {
+                election::Action::LeaseAcquired { token } => {
                     info!("role", kv: { role = "list_reader", outcome = "gained", token = token.0 });
-                    self.stages.gained(self.now());
+                    self.stages.lease_acquired(self.now());
                 }
-                election::Action::Lost => {
+                election::Action::LeaseLost => {
                     info!("role", kv: { role = "list_reader", outcome = "lost" });
-                    self.stages.lost();
+                    self.stages.lease_lost();
                 }
             }
         }
@@ -38,8 +38,8 @@
 
     /// The list reader's role, if this process holds it now.
     pub(super) fn held_role(&self) -> Option<HeldRole> {
-        let grant = self.elector.holder(self.now())?;
-        Some(HeldRole { token: grant.token.0, until: self.started + grant.until })
+        let lease = self.elector.held_lease(self.now())?;
+        Some(HeldRole { token: lease.token.0, until: self.started + lease.expires_at })
     }
 
     fn note_holder(&mut self) {
--- a/crates/control/src/owner/settings.rs
+++ b/crates/control/src/owner/settings.rs
@@ -32,10 +32,10 @@
 /// The settings of the election of the list reader.
 pub fn elector_settings(me: SocketAddr, seed: u64) -> ElectorSettings {
     ElectorSettings {
-        me,
-        role: Role::ListReader,
-        lease: ROLE_LEASE,
-        renew_every: ROLE_RENEW,
+        local_address: me,
+        role: Role::ListWatcher,
+        lease_duration: ROLE_LEASE,
+        renew_interval: ROLE_RENEW,
         clock_drift_percent: CLOCK_DRIFT_PERCENT,
         seed,
     }
--- a/crates/control/src/owner/stages.rs
+++ b/crates/control/src/owner/stages.rs
@@ -6,7 +6,7 @@
 use lugwharf_config::Configuration;
 use lugwharf_protocol::ServerEntry;
 use lugwharf_stages::target::Demand;
-use lugwharf_stages::{OrderAnswer, StageTuning};
+use lugwharf_stages::{OrderOutcome, StageTuning};
 use spdlog::prelude::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -47,12 +47,12 @@
         for (service, servers) in services {
             let Some(terms) = self.engines.get(service) else { continue };
             let decode_in_flight = f64::from(self.loads.decode_in_flight(now, service));
-            let StageTuning { least_decode_share, decode_fill, .. } = self.stage_tuning;
+            let StageTuning { min_decode_share, max_decode_utilization, .. } = self.stage_tuning;
             let demand = Demand {
                 decode_in_flight,
                 slots: terms.slots,
-                least_share: least_decode_share,
-                fill: decode_fill,
+                min_decode_share,
+                max_utilization: max_decode_utilization,
             };
             self.stages.plan(now, service, &servers, &demand);
         }
@@ -62,7 +62,7 @@
     pub(super) fn give_orders(&mut self) {
         let now = self.now();
         let Some(held) = self.held_role() else { return };
-        for order in self.stages.due(now) {
+        for order in self.stages.due_orders(now) {
             info!("order", kv: { outcome = "given", id = order.id.as_str(), stage:? = order.stage, token = held.token });
             let call = OrderCall { order, holder: self.settings.node.clone(), held };
             if let Err(error) = self.orders.try_send(call) {
@@ -71,19 +71,19 @@
                     TrySendError::Full(call) | TrySendError::Closed(call) => call,
                 };
                 // It was never sent, so that the server need not stay out for it.
-                self.stages.answered(now, &call.order.id, OrderAnswer::Refused, Duration::ZERO);
+                self.stages.record_outcome(now, &call.order.id, OrderOutcome::Rejected, Duration::ZERO);
             }
         }
     }
 
     /// An order has ended.
-    pub(super) fn ordered(&mut self, id: &str, answer: OrderAnswer) {
+    pub(super) fn ordered(&mut self, id: &str, answer: OrderOutcome) {
         let now = self.now();
         let service = self.tables.servers().get(id).map(|entry| entry.service.as_str());
         let terms = service.and_then(|service| self.engines.get(service));
         let switch = terms.map_or(DEFAULT_SWITCH, |terms| terms.switch);
         info!("order", kv: { outcome = answer_name(answer), id });
         self.metrics.ordered(answer);
-        self.stages.answered(now, id, answer, switch);
+        self.stages.record_outcome(now, id, answer, switch);
     }
 }
--- a/crates/control/src/owner/tables.rs
+++ b/crates/control/src/owner/tables.rs
@@ -29,7 +29,7 @@
             }
             AgentRequest::Announce { control } => return self.hear_announcement(&control, reply),
         };
-        self.census.heard(&node, incarnation, now);
+        self.census.record_heartbeat(&node, incarnation, now);
         self.agents.note(now, &node, have);
         self.loads.heard(now, &node, loads);
         self.pulls.add(now, node, have, wait_ms, reply);
@@ -91,7 +91,7 @@
     fn tell_tables(&mut self, now: Duration) {
         self.exchanged = Some(now);
         self.count_proxies(now);
-        let fronts = self.census.live(now);
+        let fronts = self.census.live_count(now);
         let status = self.replica.status();
         let processes = match status.member {
             true => self.processes.all(now, self.me, &status.members),
@@ -125,7 +125,7 @@
             TablesMessage::Have { vector, fronts, loads, reaches, processes } => {
                 let now = self.now();
                 self.reach.told(now, from, reaches);
-                self.census.merge(from, fronts, now);
+                self.census.record_peer_count(from, fronts, now);
                 self.loads.merge(now, from, loads);
                 self.learn_processes(now, from, &processes);
                 self.processes.told_live_proxies(now, from, vector.live_proxies);
@@ -156,7 +156,7 @@
         if self.tables.servers().position().epoch == PROVISIONAL_EPOCH {
             return None;
         }
-        let servers = self.tables.servers().since(have.servers)?;
+        let servers = self.tables.servers().delta_since(have.servers)?;
         let vector = VersionVector { servers: servers.position, ..VersionVector::default() };
         Some(Update { vector, servers: Some(servers), ..Update::default() })
     }
@@ -176,7 +176,7 @@
 
     /// Takes a listing over and brings it to everybody.
     pub(super) fn listed(&mut self, epoch: u64, entries: Vec<ServerEntry>) {
-        let holds = self.elector.holder(self.now()).is_some_and(|grant| grant.token.0 == epoch);
+        let holds = self.elector.held_lease(self.now()).is_some_and(|lease| lease.token.0 == epoch);
         if !holds {
             return;
         }
@@ -205,7 +205,7 @@
     pub(super) fn listing_failed(&mut self, epoch: u64, give_up: bool) {
         self.metrics.list_failures.inc();
         let now = self.now();
-        let holds = self.elector.holder(now).is_some_and(|grant| grant.token.0 == epoch);
+        let holds = self.elector.held_lease(now).is_some_and(|lease| lease.token.0 == epoch);
         if !holds || !give_up {
             return;
         }
@@ -220,6 +220,6 @@
         self.reach.failed(now);
         // Before the role is vacant, so that it does not come back here before all others have tried.
         self.tell_tables(now);
-        self.elect(election::Event::StandDown { rest: REST });
+        self.elect(election::Event::StepDown { backoff: REST });
     }
 }
--- a/crates/control/src/owner/view.rs
+++ b/crates/control/src/owner/view.rs
@@ -17,7 +17,7 @@
         // hold the role in this view, as the next one may elect another.
         if status.accepted_next && self.sealed_view < status.view {
             self.sealed_view = status.view;
-            self.elect(election::Event::Sealed { number: status.view });
+            self.elect(election::Event::ViewSealed { number: status.view });
         }
     }
 
@@ -31,7 +31,7 @@
         // Links to others are opened again when something is sent there.
         let all = self.processes.all(self.now(), self.me, &status.members);
         self.peers.retain(|address| all.contains(address));
-        let (number, members, voter) = (status.view, status.members.clone(), status.member);
-        self.elect(election::Event::View { number, members, voter });
+        let (number, members, is_voter) = (status.view, status.members.clone(), status.member);
+        self.elect(election::Event::ViewInstalled { number, members, is_voter });
     }
 }
--- a/crates/control/src/pulls_tests.rs
+++ b/crates/control/src/pulls_tests.rs
@@ -72,7 +72,7 @@
     let mut before = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     pulls.serve(Duration::ZERO, &tables, &context(true));
     assert_eq!(update(&before.try_recv().expect("an answer")).vector.config, 0);
-    tables.take_config(Arc::new(ConfigRecord { version: 4, bytes: b"{}".to_vec() }));
+    tables.advance_config(Arc::new(ConfigRecord { version: 4, bytes: b"{}".to_vec() }));
     let mut after = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     let served = pulls.serve(Duration::ZERO, &tables, &context(true));
     assert_eq!((served.updated, served.configs), (1, vec![("front-1".to_owned(), 4)]));
@@ -124,12 +124,12 @@
     let pace = Duration::from_millis(500);
     let mut tables = tables(2);
     let mut pulls = Pulls::paced(pace);
-    tables.take_config(config(1));
+    tables.advance_config(config(1));
     let mut have = VersionVector::default();
     let mut sent = Vec::new();
     for tenth in 0..100_u64 {
         let now = Duration::from_millis(tenth * 10);
-        tables.take_config(config(tenth + 1));
+        tables.advance_config(config(tenth + 1));
         let mut answer = pull(&mut pulls, now, have);
         pulls.serve(now, &tables, &context(true));
         if let Ok(frame) = answer.try_recv() {
@@ -144,12 +144,12 @@
 fn a_list_that_changes_does_not_wait_for_a_configuration_that_is_not_due() {
     let mut tables = tables(2);
     let mut pulls = Pulls::paced(Duration::from_millis(500));
-    tables.take_config(config(1));
+    tables.advance_config(config(1));
     let mut first = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     pulls.serve(Duration::ZERO, &tables, &context(true));
     assert_eq!(update(&first.try_recv().expect("an answer")).vector.config, 1);
     let have = tables.vector();
-    tables.take_config(config(2));
+    tables.advance_config(config(2));
     tables.servers_mut().replace(1, (0..3).map(server).collect()).expect("the same epoch");
     let now = Duration::from_millis(100);
     let mut second = pull(&mut pulls, now, have);
@@ -162,7 +162,7 @@
 fn a_front_that_starts_again_gets_its_configuration_at_once() {
     let mut tables = tables(2);
     let mut pulls = Pulls::paced(Duration::from_millis(500));
-    tables.take_config(config(1));
+    tables.advance_config(config(1));
     for at in [0, 100] {
         let now = Duration::from_millis(at);
         let mut answer = pull(&mut pulls, now, VersionVector::default());
@@ -210,10 +210,10 @@
 fn a_pull_that_was_given_up_does_not_hold_up_the_next_one() {
     let mut tables = tables(2);
     let mut pulls = Pulls::paced(Duration::from_millis(500));
-    tables.take_config(config(1));
+    tables.advance_config(config(1));
     let have = tables.vector();
     drop(pull(&mut pulls, Duration::ZERO, have));
-    tables.take_config(config(2));
+    tables.advance_config(config(2));
     assert_eq!(pulls.serve(Duration::ZERO, &tables, &context(true)), Served::default());
     let mut answer = pull(&mut pulls, Duration::ZERO, have);
     let served = pulls.serve(Duration::ZERO, &tables, &context(true));
@@ -240,7 +240,7 @@
     let mut tables = tables(2);
     let mut pulls = Pulls::default();
     let old = tables.vector();
-    tables.take_config(config(1));
+    tables.advance_config(config(1));
     let new = tables.vector();
     let mut answers =
         [old, new, old, old, new, new].map(|have| (have, pull(&mut pulls, Duration::ZERO, have)));
@@ -263,11 +263,11 @@
         pulls.serve(at, tables, &context(true));
         answer.try_recv().ok().and_then(|frame| update(&frame).config).map(|config| config.version)
     };
-    tables.take_config(config(1));
+    tables.advance_config(config(1));
     let nothing = VersionVector::default();
     assert_eq!(ask(&tables, "front-1", Duration::ZERO, nothing), Some(1));
     let first = tables.vector();
-    tables.take_config(config(2));
+    tables.advance_config(config(2));
     assert_eq!(ask(&tables, "front-1", pace - Duration::from_millis(1), first), None);
     assert_eq!(ask(&tables, "front-2", pace - Duration::from_millis(1), first), Some(2));
     assert_eq!(ask(&tables, "front-1", pace, first), Some(2));
@@ -277,7 +277,7 @@
 #[test]
 fn answers_that_are_not_kept_are_made_anew() {
     let mut tables = tables(2);
-    tables.take_config(config(100));
+    tables.advance_config(config(100));
     let mut pulls = Pulls::default();
     let mut ask = |version: u64| {
         let have = VersionVector { config: version, ..tables.vector() };
--- a/crates/distribution/src/server_table.rs
+++ b/crates/distribution/src/server_table.rs
@@ -104,7 +104,7 @@
         Ok(changed)
     }
 
-    /// Takes over a delta that another process made by [`ServerTable::since`] for a position that this table had
+    /// Takes over a delta that another process made by [`ServerTable::delta_since`] for a position that this table had
     /// reached. Returns whether the table moved; a delta that leads to its own position or an older one does not move
     /// it.
     pub fn apply(&mut self, delta: &ServerDelta) -> Result<bool, ApplyError> {
@@ -130,7 +130,7 @@
 
     /// What a holder of `have` is missing. `None` if it has the same or is ahead of this table; differences if the
     /// history reaches back to `have`, else the whole list.
-    pub fn since(&self, have: TablePosition) -> Option<ServerDelta> {
+    pub fn delta_since(&self, have: TablePosition) -> Option<ServerDelta> {
         if have >= self.position {
             return None;
         }
--- a/crates/distribution/src/tables.rs
+++ b/crates/distribution/src/tables.rs
@@ -28,7 +28,7 @@
     }
 
     /// Takes over a committed configuration if it is newer; returns whether it was.
-    pub fn take_config(&mut self, config: Arc<ConfigRecord>) -> bool {
+    pub fn advance_config(&mut self, config: Arc<ConfigRecord>) -> bool {
         let newer = config.version > self.vector().config;
         if newer {
             self.config = Some(config);
@@ -66,7 +66,7 @@
     /// What a holder of `have` is missing; `None` if nothing. The vector in the update is what it holds afterwards.
     pub fn update_since(&self, have: &VersionVector) -> Option<Update> {
         let config = self.config.as_ref().filter(|config| config.version > have.config);
-        let servers = self.servers.since(have.servers);
+        let servers = self.servers.delta_since(have.servers);
         let fleet_changed = self.live_proxies > 0 && self.live_proxies != have.live_proxies;
         if config.is_none() && servers.is_none() && !fleet_changed {
             return None;
@@ -91,7 +91,7 @@
 
     fn apply_config(&mut self, config: Option<&ConfigRecord>) -> bool {
         let newer = config.filter(|config| config.version > self.vector().config);
-        newer.is_some_and(|config| self.take_config(Arc::new(config.clone())))
+        newer.is_some_and(|config| self.advance_config(Arc::new(config.clone())))
     }
 
     fn apply_fleet(&mut self, fleet: Option<FleetSummary>) -> bool {
--- a/crates/distribution/tests/server_table.rs
+++ b/crates/distribution/tests/server_table.rs
@@ -87,7 +87,7 @@
     #[case] have: TablePosition, #[case] whole: bool, #[case] new: &[&str], #[case] removed: &[&str],
 ) {
     let table = written(&[(1, &["a", "b"]), (1, &["a", "b", "c"]), (1, &["b", "c"])]);
-    let delta = table.since(have).unwrap();
+    let delta = table.delta_since(have).unwrap();
     assert_eq!(delta.position, at(1, 3));
     assert_eq!(delta.whole, whole);
     assert_eq!(ids(&delta.entries), new);
@@ -100,24 +100,24 @@
 #[case::later_epoch(at(2, 1))]
 fn sends_nothing_to_a_holder_that_is_not_behind(#[case] have: TablePosition) {
     let table = written(&[(1, &["a"]), (1, &["a", "b"])]);
-    assert_eq!(table.since(have), None);
+    assert_eq!(table.delta_since(have), None);
 }
 
 #[test]
 fn sends_no_unchanged_entry_at_a_change_of_reader() {
     let mut reader = written(&[(1, &["a", "b"]), (1, &["a", "b", "c"])]);
     let mut successor = ServerTable::new();
-    successor.apply(&reader.since(at(0, 0)).unwrap()).unwrap();
+    successor.apply(&reader.delta_since(at(0, 0)).unwrap()).unwrap();
     reader.replace(1, entries(&["a", "b", "c", "d"])).unwrap();
-    successor.apply(&reader.since(successor.position()).unwrap()).unwrap();
+    successor.apply(&reader.delta_since(successor.position()).unwrap()).unwrap();
     let behind = at(1, 2);
     let level = successor.position();
     successor.replace(7, entries(&["a", "b", "c", "d"])).unwrap();
-    let delta = successor.since(level).unwrap();
+    let delta = successor.delta_since(level).unwrap();
     assert_eq!(delta, ServerDelta { position: at(7, 1), ..ServerDelta::default() });
-    assert_eq!(ids(&successor.since(behind).unwrap().entries), ["d"]);
+    assert_eq!(ids(&successor.delta_since(behind).unwrap().entries), ["d"]);
     successor.replace(9, entries(&["a", "b", "d"])).unwrap();
-    let delta = successor.since(level).unwrap();
+    let delta = successor.delta_since(level).unwrap();
     assert!(!delta.whole);
     assert_eq!((delta.entries.len(), delta.removed), (0, vec!["c".to_owned()]));
 }
@@ -126,12 +126,12 @@
 fn sends_the_whole_to_a_holder_of_what_the_next_reader_never_saw() {
     let mut reader = written(&[(1, &["a", "b"])]);
     let mut successor = ServerTable::new();
-    successor.apply(&reader.since(at(0, 0)).unwrap()).unwrap();
+    successor.apply(&reader.delta_since(at(0, 0)).unwrap()).unwrap();
     reader.replace(1, entries(&["a"])).unwrap();
     successor.replace(2, entries(&["a", "b"])).unwrap();
-    assert!(successor.since(reader.position()).unwrap().whole);
-    assert!(!successor.since(at(1, 1)).unwrap().whole);
-    assert_eq!(reader.apply(&successor.since(reader.position()).unwrap()), Ok(true));
+    assert!(successor.delta_since(reader.position()).unwrap().whole);
+    assert!(!successor.delta_since(at(1, 1)).unwrap().whole);
+    assert_eq!(reader.apply(&successor.delta_since(reader.position()).unwrap()), Ok(true));
     assert!(reader.entries().eq(successor.entries()));
 }
 
@@ -139,8 +139,8 @@
 fn refuses_what_an_earlier_reader_still_sends() {
     let old = written(&[(1, &["a"]), (1, &["a", "b"])]);
     let mut table = written(&[(2, &["c"])]);
-    assert_eq!(table.apply(&old.since(at(0, 0)).unwrap()), Ok(false));
-    assert_eq!(table.apply(&old.since(at(1, 1)).unwrap()), Ok(false));
+    assert_eq!(table.apply(&old.delta_since(at(0, 0)).unwrap()), Ok(false));
+    assert_eq!(table.apply(&old.delta_since(at(1, 1)).unwrap()), Ok(false));
     assert_eq!(table.position(), at(2, 1));
 }
 
@@ -148,9 +148,9 @@
 fn asks_for_the_whole_where_differences_do_not_follow() {
     let source = written(&[(1, &["a"]), (1, &["a", "b"])]);
     let mut table = ServerTable::new();
-    let differences = source.since(at(1, 1)).unwrap();
+    let differences = source.delta_since(at(1, 1)).unwrap();
     assert_eq!(table.apply(&differences), Err(ApplyError::Gap { have: at(0, 0), to: at(1, 2) }));
-    assert_eq!(table.apply(&source.since(table.position()).unwrap()), Ok(true));
+    assert_eq!(table.apply(&source.delta_since(table.position()).unwrap()), Ok(true));
 }
 
 #[test]
@@ -159,10 +159,10 @@
     let many: Vec<ServerEntry> = (0..=MAX_TOMBSTONES).map(|number| entry(&number.to_string())).collect();
     table.replace(1, many).unwrap();
     table.replace(1, entries(&["0"])).unwrap();
-    assert!(!table.since(at(1, 1)).unwrap().whole);
+    assert!(!table.delta_since(at(1, 1)).unwrap().whole);
     table.replace(1, Vec::new()).unwrap();
-    assert!(table.since(at(1, 1)).unwrap().whole);
-    assert!(!table.since(at(1, 2)).unwrap().whole);
+    assert!(table.delta_since(at(1, 1)).unwrap().whole);
+    assert!(!table.delta_since(at(1, 2)).unwrap().whole);
 }
 
 #[test]
@@ -170,9 +170,9 @@
     let mut table = written(&[(1, &["a"])]);
     let epochs = MAX_EPOCH_CHANGES as u64;
     (2..=1 + epochs).for_each(|epoch| assert_eq!(table.replace(epoch, entries(&["a"])), Ok(true)));
-    assert!(!table.since(at(1, 1)).unwrap().whole);
+    assert!(!table.delta_since(at(1, 1)).unwrap().whole);
     table.replace(2 + epochs, entries(&["a"])).unwrap();
-    assert!(table.since(at(1, 1)).unwrap().whole);
+    assert!(table.delta_since(at(1, 1)).unwrap().whole);
 }
 
 /// Several processes pull from each other in any order while the reader role moves: whoever reaches the position of
@@ -209,7 +209,7 @@
             }
             _ => {
                 let (from, to) = (random.usize(..PROCESSES), random.usize(..PROCESSES));
-                if let Some(delta) = tables[from].since(tables[to].position()) {
+                if let Some(delta) = tables[from].delta_since(tables[to].position()) {
                     assert_eq!(tables[to].apply(&delta), Ok(true), "seed {seed}");
                 }
             }
@@ -227,9 +227,9 @@
     let one = written(&[(PROVISIONAL_EPOCH, &["a", "gone"])]);
     let mut other = written(&[(PROVISIONAL_EPOCH, &["a", "b"])]);
     assert_eq!(one.position(), other.position());
-    assert_eq!(one.since(TablePosition::default()).map(|delta| delta.whole), Some(true));
+    assert_eq!(one.delta_since(TablePosition::default()).map(|delta| delta.whole), Some(true));
     other.replace(7, entries(&["a", "b", "c"])).expect("a later epoch");
-    let delta = other.since(one.position()).expect("something newer");
+    let delta = other.delta_since(one.position()).expect("something newer");
     assert!(delta.whole);
     let mut holder = one.clone();
     assert_eq!(holder.apply(&delta), Ok(true));
@@ -240,7 +240,7 @@
 #[test]
 fn names_no_removal_that_its_holder_has_seen() {
     let table = written(&[(1, &["a", "b"]), (1, &["b"]), (1, &["b", "c"])]);
-    assert_eq!(table.since(at(1, 2)).map(|delta| delta.removed), Some(Vec::new()));
+    assert_eq!(table.delta_since(at(1, 2)).map(|delta| delta.removed), Some(Vec::new()));
 }
 
 #[test]
@@ -263,7 +263,7 @@
 fn takes_any_other_difference_for_a_change(#[case] listed: ServerEntry) {
     let mut table = written(&[(1, &["a"])]);
     assert_eq!(table.replace(1, vec![listed.clone()]), Ok(true));
-    assert_eq!(table.since(at(1, 1)).map(|delta| delta.entries), Some(vec![listed]));
+    assert_eq!(table.delta_since(at(1, 1)).map(|delta| delta.entries), Some(vec![listed]));
 }
 
 /// Only ends of epochs count against the bound, not each change within one.
@@ -274,5 +274,5 @@
         let listed: &[&str] = if change % 2 == 0 { &["a", "b"] } else { &["a"] };
         assert_eq!(table.replace(2, entries(listed)), Ok(true));
     }
-    assert_eq!(table.since(at(1, 1)).map(|delta| delta.whole), Some(false));
+    assert_eq!(table.delta_since(at(1, 1)).map(|delta| delta.whole), Some(false));
 }
--- a/crates/distribution/tests/tables.rs
+++ b/crates/distribution/tests/tables.rs
@@ -11,7 +11,7 @@
 
 fn tables(version: u64, epoch: u64, live: u32) -> Tables {
     let mut tables = Tables::new();
-    tables.take_config(config(version));
+    tables.advance_config(config(version));
     tables.servers_mut().replace(epoch, Vec::new()).unwrap();
     tables.set_live_proxies(live);
     tables
@@ -20,10 +20,10 @@
 #[test]
 fn takes_only_newer_configurations() {
     let mut tables = Tables::new();
-    assert!(tables.take_config(config(4)));
-    assert!(!tables.take_config(config(4)));
-    assert!(!tables.take_config(config(2)));
-    assert!(tables.take_config(config(9)));
+    assert!(tables.advance_config(config(4)));
+    assert!(!tables.advance_config(config(4)));
+    assert!(!tables.advance_config(config(2)));
+    assert!(tables.advance_config(config(9)));
     assert_eq!(tables.config(), Some(&config(9)));
 }
 
--- a/crates/election/src/campaign.rs
+++ b/crates/election/src/campaign.rs
@@ -31,33 +31,41 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Campaign {
     pub(crate) phase: Phase,
-    pub(crate) round: u64,
+    pub(crate) request_id: u64,
     /// Before the question was sent first.
     pub(crate) started: Duration,
     /// When the question was sent last.
     pub(crate) asked: Duration,
     /// The highest token heard of.
-    pub(crate) highest: FencingToken,
+    pub(crate) highest_token: FencingToken,
     yes: BTreeSet<SocketAddr>,
     no: BTreeSet<SocketAddr>,
 }
 
 impl Campaign {
     /// A question that is about to be sent.
-    pub(crate) fn new(phase: Phase, round: u64, started: Duration, highest: FencingToken) -> Self {
-        Self { phase, round, started, asked: started, highest, yes: BTreeSet::new(), no: BTreeSet::new() }
+    pub(crate) fn new(phase: Phase, request_id: u64, started: Duration, highest_token: FencingToken) -> Self {
+        Self {
+            phase,
+            request_id,
+            started,
+            asked: started,
+            highest_token,
+            yes: BTreeSet::new(),
+            no: BTreeSet::new(),
+        }
     }
 
     /// Takes a yes from a member.
-    pub(crate) fn accept(&mut self, from: SocketAddr, highest: FencingToken) {
+    pub(crate) fn accept(&mut self, from: SocketAddr, highest_token: FencingToken) {
         self.no.remove(&from);
         self.yes.insert(from);
-        self.highest = self.highest.max(highest);
+        self.highest_token = self.highest_token.max(highest_token);
     }
 
     /// Takes a no from a member.
-    pub(crate) fn refuse(&mut self, from: SocketAddr, highest: FencingToken) {
-        self.highest = self.highest.max(highest);
+    pub(crate) fn refuse(&mut self, from: SocketAddr, highest_token: FencingToken) {
+        self.highest_token = self.highest_token.max(highest_token);
         if !self.yes.contains(&from) {
             self.no.insert(from);
         }
--- a/crates/election/src/elector.rs
+++ b/crates/election/src/elector.rs
@@ -25,11 +25,11 @@
 
 /// A role held by this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Grant {
+pub struct Lease {
     /// The fencing token.
     pub token: FencingToken,
     /// When it ends unless it is renewed, on this process's steady clock.
-    pub until: Duration,
+    pub expires_at: Duration,
 }
 
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
     settings: ElectorSettings,
     random: Rng,
     /// The number of the last question. The first one is drawn, so that answers to an earlier start seldom fit.
-    round: u64,
+    request_id: u64,
     voter: Voter,
     view: Option<View>,
     standing: Standing,
@@ -68,12 +68,12 @@
 }
 
 impl Elector {
-    /// An elector after a start, with all records of the log, those of others too. It needs an [`Event::View`] before
+    /// An elector after a start, with all records of the log, those of others too. It needs an [`Event::ViewInstalled`] before
     /// it does anything.
     pub fn recover(settings: ElectorSettings, records: &[Vec<u8>], now: Duration) -> Self {
         let mut random = Rng::with_seed(settings.seed);
         Self {
-            round: random.u64(..),
+            request_id: random.u64(..),
             random,
             voter: Voter::recover(&settings, records, now),
             settings,
@@ -91,12 +91,14 @@
         self.expire(now, out);
         match event {
             Event::Tick => {}
-            Event::View { number, members, voter } => self.enter_view(now, number, members, voter, out),
-            Event::Sealed { number } => self.voter.seal(number),
+            Event::ViewInstalled { number, members, is_voter } => {
+                self.enter_view(now, number, members, is_voter, out)
+            }
+            Event::ViewSealed { number } => self.voter.seal(number),
             Event::Message { from, message } => self.on_message(now, from, message, out),
-            Event::Stored { batch } => self.on_stored(now, batch, out),
-            Event::StoreFailed { batch } => self.on_store_failed(now, batch, out),
-            Event::StandDown { rest } => self.stand_down(now, rest, out),
+            Event::Persisted { batch } => self.on_stored(now, batch, out),
+            Event::PersistFailed { batch } => self.on_store_failed(now, batch, out),
+            Event::StepDown { backoff } => self.step_down(now, backoff, out),
             Event::Resign => self.resign(now, out),
         }
         self.advance(now, out);
@@ -104,10 +106,10 @@
 
     /// The role, if this process holds it now. Ask right before each act in the role, with a time read at that moment:
     /// a process that stood still finds its lease over.
-    pub fn holder(&self, now: Duration) -> Option<Grant> {
+    pub fn held_lease(&self, now: Duration) -> Option<Lease> {
         match &self.standing {
             Standing::Holder(tenure) if now < tenure.until => {
-                Some(Grant { token: tenure.token, until: tenure.until })
+                Some(Lease { token: tenure.token, expires_at: tenure.until })
             }
             _ => None,
         }
@@ -131,8 +133,8 @@
 
     /// Drops what has run out by now, before anything else is decided.
     fn expire(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let longest = self.settings.lease / CAMPAIGN_PART;
-        let answer_within = self.settings.lease / ASK_AGAIN_PART;
+        let longest = self.settings.lease_duration / CAMPAIGN_PART;
+        let answer_within = self.settings.lease_duration / ASK_AGAIN_PART;
         match &self.standing {
             Standing::Holder(tenure) if now >= tenure.until => self.lose(now, out),
             Standing::Candidate(campaign) if campaign.is_over(now, longest, answer_within) => {
@@ -144,7 +146,7 @@
 
     /// Does what is due by now.
     fn advance(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let again_after = self.settings.lease / ASK_AGAIN_PART;
+        let again_after = self.settings.lease_duration / ASK_AGAIN_PART;
         match &self.standing {
             Standing::Holder(tenure) if now >= tenure.next_renewal => self.renew(now, out),
             Standing::Follower { ask_at } => self.follow(now, *ask_at, out),
@@ -156,15 +158,16 @@
     }
 
     fn follow(&mut self, now: Duration, ask_at: Option<Duration>, out: &mut Vec<Action>) {
-        let me = self.settings.me;
+        let me = self.settings.local_address;
         let view = self.view.as_ref().filter(|view| view.voter);
         let vacant = view.is_some_and(|view| self.voter.would_elect(now, view.number, me));
         if !vacant || self.resigned {
             self.standing = Standing::Follower { ask_at: None };
             return;
         }
-        let ask_at = ask_at
-            .unwrap_or_else(|| now.max(self.rest_until) + self.pause(self.settings.lease / SPREAD_PART));
+        let ask_at = ask_at.unwrap_or_else(|| {
+            now.max(self.rest_until) + self.pause(self.settings.lease_duration / SPREAD_PART)
+        });
         self.standing = Standing::Follower { ask_at: Some(ask_at) };
         if now >= ask_at {
             self.ask(now, out);
@@ -172,12 +175,12 @@
     }
 
     fn ask(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let round = self.next_round();
-        let highest = self.voter.highest();
-        let mut campaign = Campaign::new(Phase::Asking, round, now, highest);
-        campaign.accept(self.settings.me, highest);
+        let request_id = self.next_request_id();
+        let highest_token = self.voter.highest_token();
+        let mut campaign = Campaign::new(Phase::Asking, request_id, now, highest_token);
+        campaign.accept(self.settings.local_address, highest_token);
         self.standing = Standing::Candidate(campaign);
-        self.broadcast(MessageBody::Ask { round }, out);
+        self.broadcast(MessageBody::PreVote { request_id }, out);
         self.count(now, out);
     }
 
@@ -185,7 +188,7 @@
     /// dead this leaves the question open: without asking again this process would wait for the dead one, and refuse the
     /// voter meanwhile.
     fn ask_again(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let me = self.settings.me;
+        let me = self.settings.local_address;
         let Some(view) = &self.view else { return };
         if !self.voter.would_elect(now, view.number, me) {
             self.give_up(now, out);
@@ -193,22 +196,22 @@
         }
         let Standing::Candidate(campaign) = &mut self.standing else { return };
         campaign.asked = now;
-        let round = campaign.round;
+        let request_id = campaign.request_id;
         let unsure = view.members.iter().filter(|member| !campaign.has_yes_of(member));
         for to in unsure.copied().collect::<Vec<_>>() {
-            self.send(to, MessageBody::Ask { round }, out);
+            self.send(to, MessageBody::PreVote { request_id }, out);
         }
     }
 
-    fn stand(&mut self, now: Duration, highest: FencingToken, out: &mut Vec<Action>) {
-        let token = self.view.as_ref().and_then(|view| highest.next_in(view.number));
+    fn stand(&mut self, now: Duration, highest_token: FencingToken, out: &mut Vec<Action>) {
+        let token = self.view.as_ref().and_then(|view| highest_token.next_in(view.number));
         let Some(token) = token else {
             self.give_up(now, out);
             return;
         };
-        let round = self.next_round();
-        self.standing = Standing::Candidate(Campaign::new(Phase::Preparing(token), round, now, token));
-        self.request_own_vote(now, Request::Elect, round, token, out);
+        let request_id = self.next_request_id();
+        self.standing = Standing::Candidate(Campaign::new(Phase::Preparing(token), request_id, now, token));
+        self.request_own_vote(now, Request::Elect, request_id, token, out);
     }
 
     /// Asks the others for their votes, once the disk of this process holds the token: whatever happens to the process,
@@ -217,27 +220,28 @@
         let Standing::Candidate(campaign) = &mut self.standing else { return };
         let Phase::Preparing(token) = campaign.phase else { return };
         campaign.phase = Phase::Standing(token);
-        campaign.accept(self.settings.me, token);
-        let round = campaign.round;
-        self.broadcast(MessageBody::Elect { round, token }, out);
+        campaign.accept(self.settings.local_address, token);
+        let request_id = campaign.request_id;
+        self.broadcast(MessageBody::RequestVote { request_id, token }, out);
         self.count(now, out);
     }
 
     fn renew(&mut self, now: Duration, out: &mut Vec<Action>) {
-        let round = self.next_round();
+        let request_id = self.next_request_id();
         let Standing::Holder(tenure) = &mut self.standing else { return };
-        tenure.next_renewal = now + self.settings.renew_every;
-        tenure.begin_renewal(round, now);
+        tenure.next_renewal = now + self.settings.renew_interval;
+        tenure.begin_renewal(request_id, now);
         let token = tenure.token;
-        self.broadcast(MessageBody::Renew { round, token }, out);
-        self.request_own_vote(now, Request::Renew, round, token, out);
+        self.broadcast(MessageBody::RenewLease { request_id, token }, out);
+        self.request_own_vote(now, Request::Renew, request_id, token, out);
     }
 
     fn request_own_vote(
-        &mut self, now: Duration, request: Request, round: u64, token: FencingToken, out: &mut Vec<Action>,
+        &mut self, now: Duration, request: Request, request_id: u64, token: FencingToken,
+        out: &mut Vec<Action>,
     ) {
         let Some(view) = self.view.as_ref().map(|view| view.number) else { return };
-        let asked = Asked { from: self.settings.me, view, round, token };
+        let asked = Asked { from: self.settings.local_address, view, request_id, token };
         self.on_request(now, request, asked, out);
     }
 
@@ -246,34 +250,34 @@
     fn give_up(&mut self, now: Duration, out: &mut Vec<Action>) {
         let Standing::Candidate(Campaign { phase, .. }) = self.standing else { return };
         if let Phase::Preparing(token) | Phase::Standing(token) = phase {
-            self.voter.release(self.settings.me, token);
+            self.voter.release(self.settings.local_address, token);
             self.failures = self.failures.saturating_add(1).min(MAX_DOUBLINGS);
         }
         if let Phase::Standing(token) = phase {
-            self.broadcast(MessageBody::Release { token, held: false }, out);
+            self.broadcast(MessageBody::ReleaseLease { token, was_holder: false }, out);
         }
-        self.rest_until = now + self.pause(self.settings.lease / SPREAD_PART * (1 << self.failures));
+        self.rest_until = now + self.pause(self.settings.lease_duration / SPREAD_PART * (1 << self.failures));
         self.standing = Standing::Follower { ask_at: None };
     }
 
     /// The role is over at this process.
     fn lose(&mut self, now: Duration, out: &mut Vec<Action>) {
-        self.claims.lost(self.settings.me);
+        self.claims.lost(self.settings.local_address);
         self.standing = Standing::Follower { ask_at: None };
-        self.rest_until = now + self.settings.lease / SPREAD_PART;
-        out.push(Action::Lost);
+        self.rest_until = now + self.settings.lease_duration / SPREAD_PART;
+        out.push(Action::LeaseLost);
     }
 
     /// Gives the role up while it is held, so that the next election need not wait for the grants to end.
     fn hand_back(&mut self, now: Duration, token: FencingToken, out: &mut Vec<Action>) {
         self.lose(now, out);
-        self.voter.release(self.settings.me, token);
-        self.broadcast(MessageBody::Release { token, held: true }, out);
+        self.voter.release(self.settings.local_address, token);
+        self.broadcast(MessageBody::ReleaseLease { token, was_holder: true }, out);
     }
 
-    fn stand_down(&mut self, now: Duration, rest: Duration, out: &mut Vec<Action>) {
+    fn step_down(&mut self, now: Duration, backoff: Duration, out: &mut Vec<Action>) {
         self.step_back(now, out);
-        self.rest_until = self.rest_until.max(now + rest);
+        self.rest_until = self.rest_until.max(now + backoff);
         // Whatever time was drawn before is too early.
         if let Standing::Follower { ask_at } = &mut self.standing {
             *ask_at = None;
@@ -308,7 +312,7 @@
         members.dedup();
         self.voter.seal(number.saturating_sub(1));
         self.voter.enter_view(now);
-        let voter = voter && members.contains(&self.settings.me);
+        let voter = voter && members.contains(&self.settings.local_address);
         self.view = Some(View { number, members, voter });
         self.carry_over(now, voter, out);
     }
@@ -329,11 +333,11 @@
     fn count(&mut self, now: Duration, out: &mut Vec<Action>) {
         let members = self.view.as_ref().map_or(0, |view| view.members.len());
         let Standing::Candidate(campaign) = &self.standing else { return };
-        let (phase, started, highest) = (campaign.phase, campaign.started, campaign.highest);
+        let (phase, started, highest_token) = (campaign.phase, campaign.started, campaign.highest_token);
         match (campaign.outcome(members), phase) {
             (Outcome::Open, _) => {}
             (Outcome::Lost, _) => self.give_up(now, out),
-            (Outcome::Won, Phase::Asking) => self.stand(now, highest, out),
+            (Outcome::Won, Phase::Asking) => self.stand(now, highest_token, out),
             (Outcome::Won, Phase::Preparing(_)) => {}
             (Outcome::Won, Phase::Standing(token)) => self.win(now, token, started, out),
         }
@@ -348,8 +352,8 @@
         // The first renewal goes out at once: it tells the voters that did not vote, or voted for another, who has won.
         self.standing = Standing::Holder(Tenure::new(token, until, now));
         self.failures = 0;
-        self.note_claim(self.settings.me, token);
-        out.push(Action::Gained { token });
+        self.note_claim(self.settings.local_address, token);
+        out.push(Action::LeaseAcquired { token });
     }
 
     /// A process acts as the holder of a token.
@@ -360,9 +364,9 @@
     }
 
     /// A number that no earlier question of this process bears since its start.
-    fn next_round(&mut self) -> u64 {
-        self.round = self.round.wrapping_add(1);
-        self.round
+    fn next_request_id(&mut self) -> u64 {
+        self.request_id = self.request_id.wrapping_add(1);
+        self.request_id
     }
 
     fn pause(&mut self, longest: Duration) -> Duration {
@@ -371,7 +375,7 @@
 
     fn broadcast(&self, body: MessageBody, out: &mut Vec<Action>) {
         let Some(view) = &self.view else { return };
-        let others = view.members.iter().filter(|member| **member != self.settings.me);
+        let others = view.members.iter().filter(|member| **member != self.settings.local_address);
         for to in others {
             self.send(*to, body, out);
         }
--- a/crates/election/src/elector/exchange.rs
+++ b/crates/election/src/elector/exchange.rs
@@ -2,7 +2,7 @@
 
 use super::{Elector, SPREAD_PART, Standing};
 use crate::campaign::Phase;
-use crate::message::{Action, Batch, Message, MessageBody};
+use crate::message::{Action, BatchId, Message, MessageBody};
 use crate::settings::FencingToken;
 use crate::voter::{Asked, Request, Verdict};
 use std::net::SocketAddr;
@@ -24,51 +24,57 @@
         let is_current = message.view == view.number && view.members.contains(&from);
         let (view, is_voter) = (view.number, view.voter);
         match message.body {
-            MessageBody::Vote { round, token } if is_current => self.on_vote(now, from, round, token, out),
-            MessageBody::Willing { round, highest } if is_current => {
-                self.on_willing(now, from, round, highest, out)
+            MessageBody::VoteGranted { request_id, token } if is_current => {
+                self.on_vote(now, from, request_id, token, out)
             }
-            MessageBody::Refuse { round, highest } if is_current => {
-                self.on_refuse(now, from, round, highest, out)
+            MessageBody::PreVoteGranted { request_id, highest_token } if is_current => {
+                self.on_willing(now, from, request_id, highest_token, out)
+            }
+            MessageBody::VoteDenied { request_id, highest_token } if is_current => {
+                self.on_refuse(now, from, request_id, highest_token, out)
             }
             // A holder that is no member of the new view gives up there too.
-            MessageBody::Release { token, held } if message.view == view && token.view() <= view => {
+            MessageBody::ReleaseLease { token, was_holder: held }
+                if message.view == view && token.view() <= view =>
+            {
                 self.on_release(now, from, token, held);
             }
-            MessageBody::Ask { round } if is_voter => self.on_ask(now, from, round, is_current, out),
-            MessageBody::Elect { round, token } if is_voter => {
-                self.answer(now, Request::Elect, Asked { from, view, round, token }, is_current, out);
+            MessageBody::PreVote { request_id } if is_voter => {
+                self.on_ask(now, from, request_id, is_current, out)
+            }
+            MessageBody::RequestVote { request_id, token } if is_voter => {
+                self.answer(now, Request::Elect, Asked { from, view, request_id, token }, is_current, out);
             }
-            MessageBody::Renew { round, token } if is_voter => {
+            MessageBody::RenewLease { request_id, token } if is_voter => {
                 if is_current {
                     self.note_claim(from, token);
                 }
-                self.answer(now, Request::Renew, Asked { from, view, round, token }, is_current, out);
+                self.answer(now, Request::Renew, Asked { from, view, request_id, token }, is_current, out);
             }
             _ => {}
         }
     }
 
     fn on_ask(
-        &mut self, now: Duration, from: SocketAddr, round: u64, is_current: bool, out: &mut Vec<Action>,
+        &mut self, now: Duration, from: SocketAddr, request_id: u64, is_current: bool, out: &mut Vec<Action>,
     ) {
         let view = self.view.as_ref().map_or(0, |view| view.number);
-        let highest = self.voter.highest();
+        let highest_token = self.voter.highest_token();
         let willing = is_current && self.voter.would_elect(now, view, from) && self.yields_to(from);
         if willing {
             self.make_way(now);
         }
         let body = if willing {
-            MessageBody::Willing { round, highest }
+            MessageBody::PreVoteGranted { request_id, highest_token }
         } else {
-            MessageBody::Refuse { round, highest }
+            MessageBody::VoteDenied { request_id, highest_token }
         };
         self.send(from, body, out);
     }
 
     /// Lets another process, which asks for votes, finish before this one asks.
     fn make_way(&mut self, now: Duration) {
-        let longest = self.settings.lease / SPREAD_PART;
+        let longest = self.settings.lease_duration / SPREAD_PART;
         let later = now + longest + self.pause(longest);
         if let Standing::Follower { ask_at } = &mut self.standing {
             *ask_at = Some(later);
@@ -80,7 +86,7 @@
     fn yields_to(&self, from: SocketAddr) -> bool {
         match self.standing {
             Standing::Follower { .. } => true,
-            Standing::Candidate(_) => from < self.settings.me,
+            Standing::Candidate(_) => from < self.settings.local_address,
             Standing::Holder(_) => false,
         }
     }
@@ -102,21 +108,21 @@
         match self.voter.consider(now, request, asked) {
             Verdict::Vote => self.vote(now, asked, out),
             Verdict::VoteOnceStored { batch, record } => {
-                out.push(Action::Store { batch, records: vec![record.encode()] });
+                out.push(Action::Persist { batch, records: vec![record.encode()] });
             }
             Verdict::Waiting => {}
             Verdict::Refuse => self.refuse(now, asked, out),
         }
     }
 
-    pub(super) fn on_stored(&mut self, now: Duration, batch: Batch, out: &mut Vec<Action>) {
+    pub(super) fn on_stored(&mut self, now: Duration, batch: BatchId, out: &mut Vec<Action>) {
         let answered = self.voter.stored(now, batch);
         if let Some(asked) = answered.filter(|asked| self.is_of_this_view(asked)) {
             self.vote(now, asked, out);
         }
     }
 
-    pub(super) fn on_store_failed(&mut self, now: Duration, batch: Batch, out: &mut Vec<Action>) {
+    pub(super) fn on_store_failed(&mut self, now: Duration, batch: BatchId, out: &mut Vec<Action>) {
         let failed = self.voter.store_failed(batch);
         if let Some(asked) = failed.filter(|asked| self.is_of_this_view(asked)) {
             self.refuse(now, asked, out);
@@ -128,41 +134,42 @@
     }
 
     fn vote(&mut self, now: Duration, asked: Asked, out: &mut Vec<Action>) {
-        let Asked { from, round, token, .. } = asked;
-        if from == self.settings.me {
-            self.on_vote(now, from, round, token, out);
+        let Asked { from, request_id, token, .. } = asked;
+        if from == self.settings.local_address {
+            self.on_vote(now, from, request_id, token, out);
             return;
         }
         self.failures = 0;
-        self.send(from, MessageBody::Vote { round, token }, out);
+        self.send(from, MessageBody::VoteGranted { request_id, token }, out);
     }
 
     fn refuse(&mut self, now: Duration, asked: Asked, out: &mut Vec<Action>) {
-        let highest = self.voter.highest();
-        if asked.from == self.settings.me {
-            self.on_refuse(now, asked.from, asked.round, highest, out);
+        let highest_token = self.voter.highest_token();
+        if asked.from == self.settings.local_address {
+            self.on_refuse(now, asked.from, asked.request_id, highest_token, out);
             return;
         }
-        self.send(asked.from, MessageBody::Refuse { round: asked.round, highest }, out);
+        self.send(asked.from, MessageBody::VoteDenied { request_id: asked.request_id, highest_token }, out);
     }
 
     fn on_vote(
-        &mut self, now: Duration, from: SocketAddr, round: u64, token: FencingToken, out: &mut Vec<Action>,
+        &mut self, now: Duration, from: SocketAddr, request_id: u64, token: FencingToken,
+        out: &mut Vec<Action>,
     ) {
         let members = self.view.as_ref().map_or(0, |view| view.members.len());
         match &mut self.standing {
             Standing::Holder(tenure) if tenure.token == token => {
-                tenure.vote(from, round, members, self.settings.holder_lease());
+                tenure.vote(from, request_id, members, self.settings.holder_lease());
             }
             Standing::Candidate(campaign)
-                if from == self.settings.me
-                    && campaign.round == round
+                if from == self.settings.local_address
+                    && campaign.request_id == request_id
                     && campaign.phase == Phase::Preparing(token) =>
             {
                 self.canvass(now, out);
             }
             Standing::Candidate(campaign)
-                if campaign.round == round && campaign.phase == Phase::Standing(token) =>
+                if campaign.request_id == request_id && campaign.phase == Phase::Standing(token) =>
             {
                 campaign.accept(from, token);
                 self.count(now, out);
@@ -172,20 +179,22 @@
     }
 
     fn on_willing(
-        &mut self, now: Duration, from: SocketAddr, round: u64, highest: FencingToken, out: &mut Vec<Action>,
+        &mut self, now: Duration, from: SocketAddr, request_id: u64, highest_token: FencingToken,
+        out: &mut Vec<Action>,
     ) {
         let Standing::Candidate(campaign) = &mut self.standing else { return };
-        if campaign.round == round && campaign.phase == Phase::Asking {
-            campaign.accept(from, highest);
+        if campaign.request_id == request_id && campaign.phase == Phase::Asking {
+            campaign.accept(from, highest_token);
             self.count(now, out);
         }
     }
 
     fn on_refuse(
-        &mut self, now: Duration, from: SocketAddr, round: u64, highest: FencingToken, out: &mut Vec<Action>,
+        &mut self, now: Duration, from: SocketAddr, request_id: u64, highest_token: FencingToken,
+        out: &mut Vec<Action>,
     ) {
         let Standing::Candidate(campaign) = &mut self.standing else { return };
-        if campaign.round != round {
+        if campaign.request_id != request_id {
             return;
         }
         if let Phase::Preparing(_) = campaign.phase {
@@ -193,7 +202,7 @@
             self.give_up(now, out);
             return;
         }
-        campaign.refuse(from, highest);
+        campaign.refuse(from, highest_token);
         self.count(now, out);
     }
 
--- a/crates/election/src/lib.rs
+++ b/crates/election/src/lib.rs
@@ -20,7 +20,7 @@
 //! - Within a view: two majorities share a voter. The holder counts its lease from before it asked, the voter its grant
 //!   from when it answered, and both leave a margin for clocks that run at different rates.
 //! - After a restart: a voter takes its last synced grant as given anew; one that has none grants nothing for one lease.
-//! - Across views: whoever accepts a proposal for the next view stops granting in this one first ([`Event::Sealed`]). A
+//! - Across views: whoever accepts a proposal for the next view stops granting in this one first ([`Event::ViewSealed`]). A
 //!   view is chosen by a majority of the view before it, so from then on nobody is elected or renewed in the old one;
 //!   a holder goes on for one lease at most. Voters of the new view elect nobody for one lease, but renew the holder,
 //!   whose request says that it held the role when the new view was already chosen.
@@ -40,6 +40,6 @@
 mod tenure;
 mod voter;
 
-pub use elector::{Elector, Grant};
-pub use message::{Action, Batch, Event, Message, MessageBody};
+pub use elector::{Elector, Lease};
+pub use message::{Action, BatchId, Event, Message, MessageBody};
 pub use settings::{ElectorSettings, FencingToken, Role};
--- a/crates/election/src/settings.rs
+++ b/crates/election/src/settings.rs
@@ -10,12 +10,16 @@
 const PERCENT: u32 = 100;
 
 /// A role that one process at a time holds.
+///
+/// Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Role {
     /// Reads the platform's list of servers.
-    ListReader,
+    #[serde(rename = "ListReader")]
+    ListWatcher,
     /// Gives model servers their stage.
-    StageOrders,
+    #[serde(rename = "StageOrders")]
+    StagePlanner,
 }
 
 /// A fencing token: every election of a role gives a higher one. The number of the view stands in the upper bits, so
@@ -41,13 +45,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ElectorSettings {
     /// The address by which the other control processes know this one. One process at a time uses an address.
-    pub me: SocketAddr,
+    pub local_address: SocketAddr,
     /// The role.
     pub role: Role,
     /// How long a grant lasts. The same at all processes; for a role under the rule on turns, `Bounds.LeaseMs`.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// The pause between renewals; well below half of the lease.
-    pub renew_every: Duration,
+    pub renew_interval: Duration,
     /// How much faster or slower than true a steady clock may run, in percent: a holder stops so much earlier than its
     /// lease ends, a voter keeps its grant so much longer.
     pub clock_drift_percent: u32,
@@ -59,11 +63,11 @@
 impl ElectorSettings {
     /// How long a holder acts on a lease, from before its request was sent.
     pub(crate) fn holder_lease(&self) -> Duration {
-        self.lease * PERCENT.saturating_sub(self.clock_drift_percent) / PERCENT
+        self.lease_duration * PERCENT.saturating_sub(self.clock_drift_percent) / PERCENT
     }
 
     /// How long a voter keeps its grant, from when it was given.
     pub(crate) fn voter_lease(&self) -> Duration {
-        self.lease * PERCENT.saturating_add(self.clock_drift_percent) / PERCENT
+        self.lease_duration * PERCENT.saturating_add(self.clock_drift_percent) / PERCENT
     }
 }
--- a/crates/election/src/tenure.rs
+++ b/crates/election/src/tenure.rs
@@ -10,7 +10,7 @@
 
 #[derive(Clone, Debug)]
 struct Renewal {
-    round: u64,
+    request_id: u64,
     /// Before the request was sent.
     sent: Duration,
     votes: BTreeSet<SocketAddr>,
@@ -33,11 +33,11 @@
     }
 
     /// Notes a renewal that is about to be sent.
-    pub(crate) fn begin_renewal(&mut self, round: u64, sent: Duration) {
+    pub(crate) fn begin_renewal(&mut self, request_id: u64, sent: Duration) {
         if self.renewals.len() >= MAX_RENEWALS {
             self.renewals.pop_front();
         }
-        self.renewals.push_back(Renewal { round, sent, votes: BTreeSet::new() });
+        self.renewals.push_back(Renewal { request_id, sent, votes: BTreeSet::new() });
     }
 
     /// Forgets renewals under way, as their votes are of an earlier view.
@@ -46,8 +46,10 @@
     }
 
     /// Takes a vote of a member; with a majority of the `members` the lease runs anew from before the request.
-    pub(crate) fn vote(&mut self, from: SocketAddr, round: u64, members: usize, lease: Duration) {
-        let Some(index) = self.renewals.iter().position(|renewal| renewal.round == round) else { return };
+    pub(crate) fn vote(&mut self, from: SocketAddr, request_id: u64, members: usize, lease: Duration) {
+        let Some(index) = self.renewals.iter().position(|renewal| renewal.request_id == request_id) else {
+            return;
+        };
         let Some(renewal) = self.renewals.get_mut(index) else { return };
         renewal.votes.insert(from);
         if renewal.votes.len() <= members / 2 {
--- a/crates/election/src/voter.rs
+++ b/crates/election/src/voter.rs
@@ -1,6 +1,6 @@
 //! The voting side of an elector: to whom this process has granted the role and until when.
 
-use crate::message::Batch;
+use crate::message::BatchId;
 use crate::record::{GrantRecord, last_grant};
 use crate::settings::{ElectorSettings, FencingToken, Role};
 use std::collections::BTreeMap;
@@ -24,7 +24,7 @@
 pub(crate) struct Asked {
     pub(crate) from: SocketAddr,
     pub(crate) view: u64,
-    pub(crate) round: u64,
+    pub(crate) request_id: u64,
     pub(crate) token: FencingToken,
 }
 
@@ -34,7 +34,7 @@
     /// The vote goes out now.
     Vote,
     /// The vote goes out when the write is synced.
-    VoteOnceStored { batch: Batch, record: GrantRecord },
+    VoteOnceStored { batch: BatchId, record: GrantRecord },
     /// The vote already waits for its write.
     Waiting,
     /// No.
@@ -51,7 +51,7 @@
 /// A grant whose write is under way.
 #[derive(Clone, Copy, Debug)]
 struct Pending {
-    batch: Batch,
+    batch: BatchId,
     asked: Asked,
     /// The asker gave it up meanwhile.
     released: bool,
@@ -66,7 +66,7 @@
     record: Option<GrantRecord>,
     /// The last record known to be synced.
     synced: Option<GrantRecord>,
-    highest: FencingToken,
+    highest_token: FencingToken,
     promise: Option<Promise>,
     pending: Option<Pending>,
     /// The highest token that each process has given up. A renewal that was overtaken by the release does not bring the
@@ -95,7 +95,7 @@
             lease,
             record,
             synced: record,
-            highest: record.map_or(FencingToken::default(), |last| last.token),
+            highest_token: record.map_or(FencingToken::default(), |last| last.token),
             promise,
             pending: None,
             released: BTreeMap::new(),
@@ -108,8 +108,8 @@
     }
 
     /// The highest token known here.
-    pub(crate) fn highest(&self) -> FencingToken {
-        self.highest
+    pub(crate) fn highest_token(&self) -> FencingToken {
+        self.highest_token
     }
 
     /// The record that a rewritten log must hold.
@@ -163,7 +163,7 @@
     }
 
     /// A write is synced: the grant begins. Returns the request to answer, unless it was given up.
-    pub(crate) fn stored(&mut self, now: Duration, batch: Batch) -> Option<Asked> {
+    pub(crate) fn stored(&mut self, now: Duration, batch: BatchId) -> Option<Asked> {
         let pending = self.pending.take_if(|pending| pending.batch == batch)?;
         self.synced = self.record;
         if pending.released {
@@ -175,7 +175,7 @@
     }
 
     /// A write failed: the grant never begins. Returns the request to refuse.
-    pub(crate) fn store_failed(&mut self, batch: Batch) -> Option<Asked> {
+    pub(crate) fn store_failed(&mut self, batch: BatchId) -> Option<Asked> {
         self.pending.take_if(|pending| pending.batch == batch).map(|pending| pending.asked)
     }
 
@@ -198,7 +198,7 @@
 
     /// `from` gives up what it was granted under `token`.
     pub(crate) fn release(&mut self, from: SocketAddr, token: FencingToken) {
-        self.highest = self.highest.max(token);
+        self.highest_token = self.highest_token.max(token);
         if self.released.len() < MOST_RELEASES || self.released.contains_key(&from) {
             let released = self.released.entry(from).or_default();
             *released = (*released).max(token);
@@ -228,7 +228,7 @@
     }
 
     fn is_new_in_view(&self, asked: Asked) -> bool {
-        asked.token > self.highest && asked.token.view() == asked.view
+        asked.token > self.highest_token && asked.token.view() == asked.view
     }
 
     /// Whether a renewal is that of the holder, as far as this process knows: no later token is known to have been held, and
@@ -246,13 +246,13 @@
     /// for a lease, in which the grant ends.
     fn write(&mut self, now: Duration, asked: Asked) -> Verdict {
         let record = GrantRecord { role: self.role, token: asked.token, holder: asked.from };
-        if self.synced == Some(record) || asked.token < self.highest {
+        if self.synced == Some(record) || asked.token < self.highest_token {
             self.promise = Some(Promise { holder: asked.from, token: asked.token, until: now + self.lease });
             return Verdict::Vote;
         }
-        let batch = Batch(self.next_batch);
+        let batch = BatchId(self.next_batch);
         self.next_batch += 1;
-        self.highest = asked.token;
+        self.highest_token = asked.token;
         self.record = Some(record);
         self.pending = Some(Pending { batch, asked, released: false });
         Verdict::VoteOnceStored { batch, record }
--- a/crates/election/tests/encoded_forms.rs
+++ b/crates/election/tests/encoded_forms.rs
@@ -2,13 +2,13 @@
 //! never changes: processes of different releases run side by side, and a new release reads an old log.
 
 use lugwharf_election::{
-    Action, Batch, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
+    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
 };
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const ROUND: u64 = 9;
+const REQUEST_ID: u64 = 9;
 const TOKEN: FencingToken = FencingToken((3 << 24) + 1);
 const VIEW: u64 = 3;
 
@@ -28,15 +28,15 @@
 }
 
 #[rstest]
-#[case::ask(Role::ListReader, MessageBody::Ask { round: ROUND }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16341736ba165726f756e6409")]
-#[case::willing(Role::ListReader, MessageBody::Willing { round: ROUND, highest: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16757696c6c696e67a265726f756e640967686967686573741a03000001")]
-#[case::elect(Role::ListReader, MessageBody::Elect { round: ROUND, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a165456c656374a265726f756e640965746f6b656e1a03000001")]
-#[case::renew(Role::ListReader, MessageBody::Renew { round: ROUND, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16552656e6577a265726f756e640965746f6b656e1a03000001")]
-#[case::vote(Role::ListReader, MessageBody::Vote { round: ROUND, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a164566f7465a265726f756e640965746f6b656e1a03000001")]
-#[case::refuse(Role::ListReader, MessageBody::Refuse { round: ROUND, highest: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a166526566757365a265726f756e640967686967686573741a03000001")]
-#[case::release_of_a_holder(Role::ListReader, MessageBody::Release { token: TOKEN, held: true }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f5")]
-#[case::release_of_a_candidate(Role::ListReader, MessageBody::Release { token: TOKEN, held: false }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f4")]
-#[case::the_other_role(Role::StageOrders, MessageBody::Renew { round: u64::MAX, token: TOKEN }, "a364726f6c656b53746167654f726465727364766965770364626f6479a16552656e6577a265726f756e641bffffffffffffffff65746f6b656e1a03000001")]
+#[case::ask(Role::ListWatcher, MessageBody::PreVote { request_id: REQUEST_ID }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16341736ba165726f756e6409")]
+#[case::willing(Role::ListWatcher, MessageBody::PreVoteGranted { request_id: REQUEST_ID, highest_token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16757696c6c696e67a265726f756e640967686967686573741a03000001")]
+#[case::elect(Role::ListWatcher, MessageBody::RequestVote { request_id: REQUEST_ID, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a165456c656374a265726f756e640965746f6b656e1a03000001")]
+#[case::renew(Role::ListWatcher, MessageBody::RenewLease { request_id: REQUEST_ID, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16552656e6577a265726f756e640965746f6b656e1a03000001")]
+#[case::vote(Role::ListWatcher, MessageBody::VoteGranted { request_id: REQUEST_ID, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a164566f7465a265726f756e640965746f6b656e1a03000001")]
+#[case::refuse(Role::ListWatcher, MessageBody::VoteDenied { request_id: REQUEST_ID, highest_token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a166526566757365a265726f756e640967686967686573741a03000001")]
+#[case::release_of_a_holder(Role::ListWatcher, MessageBody::ReleaseLease { token: TOKEN, was_holder: true }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f5")]
+#[case::release_of_a_candidate(Role::ListWatcher, MessageBody::ReleaseLease { token: TOKEN, was_holder: false }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f4")]
+#[case::the_other_role(Role::StagePlanner, MessageBody::RenewLease { request_id: u64::MAX, token: TOKEN }, "a364726f6c656b53746167654f726465727364766965770364626f6479a16552656e6577a265726f756e641bffffffffffffffff65746f6b656e1a03000001")]
 fn a_message_has_the_captured_bytes(#[case] role: Role, #[case] body: MessageBody, #[case] captured: &str) {
     let message = Message { role, view: VIEW, body };
     assert_eq!(encoded(&message), captured);
@@ -48,15 +48,15 @@
 /// A voter among three, with the records of its log.
 fn voter(role: Role, me: SocketAddr, members: Vec<SocketAddr>, records: &[Vec<u8>]) -> Elector {
     let settings = ElectorSettings {
-        me,
+        local_address: me,
         role,
-        lease: Duration::from_millis(1_000),
-        renew_every: Duration::from_millis(250),
+        lease_duration: Duration::from_millis(1_000),
+        renew_interval: Duration::from_millis(250),
         clock_drift_percent: 2,
         seed: 5,
     };
     let mut elector = Elector::recover(settings, records, Duration::ZERO);
-    let view = Event::View { number: VIEW, members, voter: true };
+    let view = Event::ViewInstalled { number: VIEW, members, is_voter: true };
     elector.handle(Duration::ZERO, view, &mut Vec::new());
     elector
 }
@@ -64,12 +64,12 @@
 /// The record that a voter stores before it votes for `candidate`.
 fn stored(role: Role, me: SocketAddr, candidate: SocketAddr) -> Vec<u8> {
     let mut elector = voter(role, me, vec![me, candidate], &[]);
-    let body = MessageBody::Elect { round: ROUND, token: TOKEN };
+    let body = MessageBody::RequestVote { request_id: REQUEST_ID, token: TOKEN };
     let message = Message { role, view: VIEW, body };
     let mut actions = Vec::new();
     elector.handle(Duration::from_secs(2), Event::Message { from: candidate, message }, &mut actions);
     let records = actions.iter().find_map(|action| match action {
-        Action::Store { batch: Batch(1), records } => Some(records.clone()),
+        Action::Persist { batch: BatchId(1), records } => Some(records.clone()),
         _ => None,
     });
     let records = records.expect("a write");
@@ -79,19 +79,19 @@
 
 #[rstest]
 #[case::ipv4(
-    Role::ListReader,
+    Role::ListWatcher,
     "10.0.0.1:7000",
     "10.0.0.2:7700",
     "a364726f6c656a4c69737452656164657265746f6b656e1a0300000166686f6c646572a162563482840a000002191e14"
 )]
 #[case::ipv6(
-    Role::ListReader,
+    Role::ListWatcher,
     "10.0.0.1:7000",
     "[2001:db8::7]:7700",
     "a364726f6c656a4c69737452656164657265746f6b656e1a0300000166686f6c646572a162563682901820010d18b8000000000000000000000007191e14"
 )]
 #[case::the_other_role(
-    Role::StageOrders,
+    Role::StagePlanner,
     "10.0.0.1:7000",
     "10.0.0.2:65535",
     "a364726f6c656b53746167654f726465727365746f6b656e1a0300000166686f6c646572a162563482840a00000219ffff"
--- a/crates/election/tests/simulation/process.rs
+++ b/crates/election/tests/simulation/process.rs
@@ -2,7 +2,7 @@
 
 use crate::world::DRIFT_PERCENT;
 use fastrand::Rng;
-use lugwharf_election::{Elector, Event, Grant};
+use lugwharf_election::{Elector, Event, Lease};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     pub slow: Duration,
     pub busy_until: Duration,
     /// The role as the elector's driver has told its workers.
-    pub told: Option<Grant>,
+    pub told: Option<Lease>,
 }
 
 impl Process {
--- a/crates/election/tests/simulation/world.rs
+++ b/crates/election/tests/simulation/world.rs
@@ -4,7 +4,7 @@
 use crate::trace::Trace;
 use fastrand::Rng;
 use lugwharf_election::{
-    Action, Batch, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
+    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap};
@@ -43,7 +43,7 @@
     Synced {
         process: usize,
         life: u64,
-        batch: Batch,
+        batch: BatchId,
         records: Vec<Vec<u8>>,
         fails: bool,
     },
@@ -73,7 +73,7 @@
     pub late_news: bool,
     view: View,
     highest_gained: FencingToken,
-    /// The round in which a process stood under a token first.
+    /// The request id with which a process stood under a token first.
     stood: HashMap<(usize, FencingToken), u64>,
     trace: Trace,
 }
@@ -135,7 +135,8 @@
     pub fn holder(&self) -> Option<(usize, FencingToken)> {
         let mut holders = Vec::new();
         for (index, process) in self.processes.iter().enumerate() {
-            let grant = process.elector.as_ref().and_then(|elector| elector.holder(process.clock(self.now)));
+            let grant =
+                process.elector.as_ref().and_then(|elector| elector.held_lease(process.clock(self.now)));
             holders.extend(grant.map(|grant| (index, grant.token)));
         }
         assert!(holders.len() <= 1, "seed {} at {:?}: two holders {holders:?}", self.seed, self.now);
@@ -178,10 +179,10 @@
         let now = self.now;
         let seed = self.random.u64(..);
         let settings = ElectorSettings {
-            me: address(process),
-            role: Role::ListReader,
-            lease: LEASE,
-            renew_every: RENEW_EVERY,
+            local_address: address(process),
+            role: Role::ListWatcher,
+            lease_duration: LEASE,
+            renew_interval: RENEW_EVERY,
             clock_drift_percent: DRIFT_PERCENT,
             seed,
         };
@@ -193,7 +194,7 @@
         started.elector = Some(Elector::recover(settings, &started.log, started.clock(now)));
         let (life, sealed, view) = (started.life, started.sealed, started.known_view.clone());
         self.after(TICK, Later::Tick { process, life });
-        self.give(process, Event::Sealed { number: sealed });
+        self.give(process, Event::ViewSealed { number: sealed });
         if let Some(view) = view {
             self.tell_view(process, &view);
         }
@@ -244,7 +245,7 @@
     pub fn acts(&self, process: usize) -> Option<FencingToken> {
         let worker = &self.processes[process];
         let told = worker.told.filter(|_| !worker.frozen)?;
-        (worker.clock(self.now) < told.until).then_some(told.token)
+        (worker.clock(self.now) < told.expires_at).then_some(told.token)
     }
 
     /// Lets a process that stood still go on at its workers, before its driver comes to what has waited.
@@ -260,7 +261,7 @@
     }
 
     pub fn stand_down(&mut self, process: usize, rest: Duration) {
-        self.give(process, Event::StandDown { rest });
+        self.give(process, Event::StepDown { backoff: rest });
     }
 
     pub fn set_disk(&mut self, process: usize, fails: bool, stalls: bool) {
@@ -299,7 +300,7 @@
         let number = self.view.number;
         for acceptor in able.into_iter().take(accepting) {
             self.processes[acceptor].sealed = number;
-            self.give(acceptor, Event::Sealed { number });
+            self.give(acceptor, Event::ViewSealed { number });
         }
         self.view = View { number: number + 1, members };
         (0..self.len()).for_each(|process| self.learn_soon(process));
@@ -338,7 +339,7 @@
     fn tell_view(&mut self, process: usize, view: &View) {
         let voter = view.members.contains(&process) && view.number > self.processes[process].wiped_in;
         let members = view.members.iter().map(|member| address(*member)).collect();
-        self.give(process, Event::View { number: view.number, members, voter });
+        self.give(process, Event::ViewInstalled { number: view.number, members, is_voter: voter });
     }
 
     fn after(&mut self, delay: Duration, later: Later) {
@@ -374,7 +375,7 @@
         }
     }
 
-    fn sync(&mut self, process: usize, batch: Batch, records: Vec<Vec<u8>>, fails: bool) {
+    fn sync(&mut self, process: usize, batch: BatchId, records: Vec<Vec<u8>>, fails: bool) {
         if !self.is_up(process) {
             return;
         }
@@ -386,7 +387,7 @@
         if !fails || self.random.bool() {
             self.processes[process].log.extend(records);
         }
-        self.give(process, if fails { Event::StoreFailed { batch } } else { Event::Stored { batch } });
+        self.give(process, if fails { Event::PersistFailed { batch } } else { Event::Persisted { batch } });
     }
 
     fn give(&mut self, process: usize, event: Event) {
@@ -418,7 +419,7 @@
         let Some(elector) = &mut taker.elector else { return };
         let mut actions = Vec::new();
         elector.handle(clock, event, &mut actions);
-        taker.told = elector.holder(clock);
+        taker.told = elector.held_lease(clock);
         for action in actions {
             self.act(process, action);
         }
@@ -427,9 +428,9 @@
     fn act(&mut self, process: usize, action: Action) {
         match action {
             Action::Send { to, message } => self.send(process, index(to), message),
-            Action::Store { batch, records } => self.store(process, batch, records),
-            Action::Gained { token } => self.gained(process, token),
-            Action::Lost => self.trace.event(b'l', self.now, process),
+            Action::Persist { batch, records } => self.store(process, batch, records),
+            Action::LeaseAcquired { token } => self.gained(process, token),
+            Action::LeaseLost => self.trace.event(b'l', self.now, process),
         }
     }
 
@@ -454,12 +455,16 @@
 
     /// A process stands under a token in one campaign of its whole history, restarts and lost disks included.
     fn note_token(&mut self, from: usize, body: &MessageBody) {
-        let MessageBody::Elect { round, token } = *body else { return };
-        let first = *self.stood.entry((from, token)).or_insert(round);
-        assert_eq!(first, round, "seed {} at {:?}: {from} stood twice under {token:?}", self.seed, self.now);
+        let MessageBody::RequestVote { request_id, token } = *body else { return };
+        let first = *self.stood.entry((from, token)).or_insert(request_id);
+        assert_eq!(
+            first, request_id,
+            "seed {} at {:?}: {from} stood twice under {token:?}",
+            self.seed, self.now
+        );
     }
 
-    fn store(&mut self, process: usize, batch: Batch, records: Vec<Vec<u8>>) {
+    fn store(&mut self, process: usize, batch: BatchId, records: Vec<Vec<u8>>) {
         let writer = &mut self.processes[process];
         writer.unsynced.extend(records.iter().cloned());
         let (life, fails) = (writer.life, writer.disk_fails);
--- a/crates/election/tests/tokens.rs
+++ b/crates/election/tests/tokens.rs
@@ -2,7 +2,7 @@
 //! whose messages and writes the case lets through one by one.
 
 use lugwharf_election::{
-    Action, Batch, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
+    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
 };
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 
 struct Write {
     process: usize,
-    batch: Batch,
+    batch: BatchId,
     records: Vec<Vec<u8>>,
 }
 
@@ -45,10 +45,10 @@
 
 fn recover(process: usize, records: &[Vec<u8>], now: u64) -> Elector {
     let settings = ElectorSettings {
-        me: address(process),
-        role: Role::ListReader,
-        lease: Duration::from_millis(1_000),
-        renew_every: Duration::from_millis(250),
+        local_address: address(process),
+        role: Role::ListWatcher,
+        lease_duration: Duration::from_millis(1_000),
+        renew_interval: Duration::from_millis(250),
         clock_drift_percent: 2,
         seed: now + process as u64,
     };
@@ -66,7 +66,7 @@
 
     fn enter_view(&mut self, process: usize, now: u64, number: u64) {
         let members = (0..self.electors.len()).map(address).collect();
-        self.give(process, now, Event::View { number, members, voter: true });
+        self.give(process, now, Event::ViewInstalled { number, members, is_voter: true });
     }
 
     fn give(&mut self, process: usize, now: u64, event: Event) -> Vec<Action> {
@@ -83,10 +83,10 @@
             Action::Send { to, message } => {
                 self.letters.push(Letter { from, to: self::process(to), message });
             }
-            Action::Store { batch, records } => {
+            Action::Persist { batch, records } => {
                 self.writes.push(Write { process: from, batch, records });
             }
-            Action::Gained { .. } | Action::Lost => {}
+            Action::LeaseAcquired { .. } | Action::LeaseLost => {}
         }
     }
 
@@ -112,7 +112,7 @@
         let synced: Vec<Write> = synced;
         for Write { batch, records, .. } in synced {
             self.logs[process].extend(records);
-            self.give(process, now, Event::Stored { batch });
+            self.give(process, now, Event::Persisted { batch });
         }
     }
 
@@ -126,7 +126,7 @@
     /// Lets the candidate find a majority willing; returns when its own grant is on the way to its disk.
     fn prepare(&mut self, from: u64) -> u64 {
         let asks = |letter: &Letter| {
-            letter.from == CANDIDATE && matches!(letter.message.body, MessageBody::Ask { .. })
+            letter.from == CANDIDATE && matches!(letter.message.body, MessageBody::PreVote { .. })
         };
         let mut now = from;
         while !self.letters.iter().any(asks) {
@@ -137,7 +137,7 @@
         let asked = self.take(asks);
         self.deliver(now, asked);
         let willing = self.take(|letter| {
-            letter.to == CANDIDATE && matches!(letter.message.body, MessageBody::Willing { .. })
+            letter.to == CANDIDATE && matches!(letter.message.body, MessageBody::PreVoteGranted { .. })
         });
         self.deliver(now, willing);
         assert!(self.writes.iter().any(|write| write.process == CANDIDATE), "it does not stand");
@@ -152,9 +152,9 @@
 
 fn token_of(letter: &Letter) -> Option<FencingToken> {
     match letter.message.body {
-        MessageBody::Elect { token, .. }
-        | MessageBody::Renew { token, .. }
-        | MessageBody::Release { token, .. } => Some(token),
+        MessageBody::RequestVote { token, .. }
+        | MessageBody::RenewLease { token, .. }
+        | MessageBody::ReleaseLease { token, .. } => Some(token),
         _ => None,
     }
 }
@@ -178,7 +178,7 @@
         End::TimeOut => drop(core.give(CANDIDATE, now + CAMPAIGN, Event::Tick)),
         End::WriteFails => {
             let batch = core.writes[0].batch;
-            core.give(CANDIDATE, now, Event::StoreFailed { batch });
+            core.give(CANDIDATE, now, Event::PersistFailed { batch });
         }
     }
     assert_eq!(core.told().len(), 0);
@@ -205,17 +205,17 @@
     assert!(second > first, "{second:?} after {first:?}");
     core.deliver(now, requests);
     (1..members).for_each(|voter| core.sync(voter, now));
-    let votes = core.take(|letter| matches!(letter.message.body, MessageBody::Vote { .. }));
+    let votes = core.take(|letter| matches!(letter.message.body, MessageBody::VoteGranted { .. }));
     let gained = core.deliver(now, votes);
-    assert!(gained.contains(&Action::Gained { token: second }), "{gained:?}");
+    assert!(gained.contains(&Action::LeaseAcquired { token: second }), "{gained:?}");
 
     core.deliver(now, late);
     for voter in 1..members {
         let other = address(voter % (members - 1) + 1);
-        let body = MessageBody::Elect { round: 1, token: FencingToken(second.0 + 1) };
-        let message = Message { role: Role::ListReader, view: VIEW, body };
+        let body = MessageBody::RequestVote { request_id: 1, token: FencingToken(second.0 + 1) };
+        let message = Message { role: Role::ListWatcher, view: VIEW, body };
         let answer = core.give(voter, now, Event::Message { from: other, message });
-        assert!(!answer.iter().any(|action| matches!(action, Action::Store { .. })), "voter {voter}");
+        assert!(!answer.iter().any(|action| matches!(action, Action::Persist { .. })), "voter {voter}");
     }
 }
 
@@ -238,12 +238,16 @@
     let now = core.prepare(SETTLED);
     core.sync(CANDIDATE, now);
     let first = core.told();
-    let MessageBody::Elect { round: first, .. } = first[0].message.body else { panic!("it stands") };
+    let MessageBody::RequestVote { request_id: first, .. } = first[0].message.body else {
+        panic!("it stands")
+    };
     core.give(CANDIDATE, now + CAMPAIGN, Event::Tick);
     core.told();
     let now = core.prepare(now + CAMPAIGN);
     core.sync(CANDIDATE, now);
     let second = core.told();
-    let MessageBody::Elect { round: second, .. } = second[0].message.body else { panic!("it stands again") };
+    let MessageBody::RequestVote { request_id: second, .. } = second[0].message.body else {
+        panic!("it stands again")
+    };
     assert_ne!(first, second);
 }
--- a/crates/election/tests/views.rs
+++ b/crates/election/tests/views.rs
@@ -1,13 +1,13 @@
 //! What an elector makes of other views, strangers and other roles.
 
 use lugwharf_election::{
-    Action, Batch, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
+    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
 };
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const ROUND: u64 = 9;
+const REQUEST_ID: u64 = 9;
 /// From a start on nobody is elected for a lease and the drift.
 const SETTLED: u64 = 1_020;
 const STRANGER: u8 = 9;
@@ -33,10 +33,10 @@
     /// The same with records of an earlier life.
     fn from_records(records: &[Vec<u8>]) -> Self {
         let settings = ElectorSettings {
-            me: address(2),
-            role: Role::ListReader,
-            lease: Duration::from_millis(1_000),
-            renew_every: Duration::from_millis(250),
+            local_address: address(2),
+            role: Role::ListWatcher,
+            lease_duration: Duration::from_millis(1_000),
+            renew_interval: Duration::from_millis(250),
             clock_drift_percent: 2,
             seed: 5,
         };
@@ -53,44 +53,49 @@
 
     fn view(&mut self, now: u64, number: u64, voter: bool) -> Vec<Action> {
         let members = vec![address(1), address(2), address(3)];
-        self.at(now, Event::View { number, members, voter })
+        self.at(now, Event::ViewInstalled { number, members, is_voter: voter })
     }
 
     fn hear(&mut self, now: u64, view: u64, from: u8, body: MessageBody) -> Vec<Action> {
-        let message = Message { role: Role::ListReader, view, body };
+        let message = Message { role: Role::ListWatcher, view, body };
         self.at(now, Event::Message { from: address(from), message })
     }
 
     /// Whether it begins to grant the role to a process.
     fn grants(&mut self, now: u64, view: u64, from: u8, token: FencingToken) -> bool {
-        let answer = self.hear(now, view, from, MessageBody::Elect { round: ROUND, token });
-        answer.iter().any(|action| matches!(action, Action::Store { .. }))
+        let answer = self.hear(now, view, from, MessageBody::RequestVote { request_id: REQUEST_ID, token });
+        answer.iter().any(|action| matches!(action, Action::Persist { .. }))
     }
 
-    /// Stands; returns the time, the round and the token.
+    /// Stands; returns the time, the request id and the token.
     fn stands(&mut self) -> (u64, u64, FencingToken) {
         for now in (SETTLED..9_000).step_by(5) {
             let asked = bodies(&self.at(now, Event::Tick));
-            let Some(MessageBody::Ask { round }) = asked.first().copied() else { continue };
-            self.hear(now, 1, 1, MessageBody::Willing { round, highest: FencingToken::default() });
-            let stood = bodies(&self.at(now, Event::Stored { batch: Batch(1) }));
-            let Some(MessageBody::Elect { round, token }) = stood.first().copied() else {
+            let Some(MessageBody::PreVote { request_id }) = asked.first().copied() else { continue };
+            self.hear(
+                now,
+                1,
+                1,
+                MessageBody::PreVoteGranted { request_id, highest_token: FencingToken::default() },
+            );
+            let stood = bodies(&self.at(now, Event::Persisted { batch: BatchId(1) }));
+            let Some(MessageBody::RequestVote { request_id, token }) = stood.first().copied() else {
                 panic!("{stood:?}")
             };
-            return (now, round, token);
+            return (now, request_id, token);
         }
         panic!("it never asks");
     }
 
     fn holds(&mut self) -> (u64, FencingToken) {
-        let (now, round, token) = self.stands();
-        self.hear(now, 1, 1, MessageBody::Vote { round, token });
+        let (now, request_id, token) = self.stands();
+        self.hear(now, 1, 1, MessageBody::VoteGranted { request_id, token });
         assert!(self.holds_at(now));
         (now, token)
     }
 
     fn holds_at(&self, now: u64) -> bool {
-        self.elector.holder(Duration::from_millis(now)).is_some()
+        self.elector.held_lease(Duration::from_millis(now)).is_some()
     }
 }
 
@@ -112,7 +117,7 @@
 ) {
     let mut bed = Bed::new();
     bed.view(5_000, 2, true);
-    bed.hear(5_001, view, 1, MessageBody::Release { token: token(1, 1), held });
+    bed.hear(5_001, view, 1, MessageBody::ReleaseLease { token: token(1, 1), was_holder: held });
     assert_eq!(bed.grants(5_002, 2, 3, token(2, 1)), granted);
 }
 
@@ -120,7 +125,7 @@
 fn a_release_of_a_token_of_a_later_view_settles_nothing() {
     let mut bed = Bed::new();
     bed.view(5_000, 2, true);
-    bed.hear(5_001, 2, 1, MessageBody::Release { token: token(3, 1), held: true });
+    bed.hear(5_001, 2, 1, MessageBody::ReleaseLease { token: token(3, 1), was_holder: true });
     assert!(!bed.grants(5_002, 2, 3, token(2, 1)));
 }
 
@@ -137,17 +142,17 @@
 #[case::of_the_next(2, false)]
 fn renews_no_token_of_a_later_view(#[case] view: u64, #[case] granted: bool) {
     let mut bed = Bed::new();
-    let renew = MessageBody::Renew { round: ROUND, token: token(view, 1) };
+    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: token(view, 1) };
     let answer = bed.hear(SETTLED, 1, 1, renew);
-    assert_eq!(answer.iter().any(|action| matches!(action, Action::Store { .. })), granted);
+    assert_eq!(answer.iter().any(|action| matches!(action, Action::Persist { .. })), granted);
 }
 
 #[test]
 fn a_token_is_granted_once() {
     let mut bed = Bed::new();
     assert!(bed.grants(SETTLED, 1, 1, token(1, 5)));
-    bed.at(SETTLED, Event::Stored { batch: Batch(1) });
-    bed.hear(SETTLED, 1, 1, MessageBody::Release { token: token(1, 5), held: true });
+    bed.at(SETTLED, Event::Persisted { batch: BatchId(1) });
+    bed.hear(SETTLED, 1, 1, MessageBody::ReleaseLease { token: token(1, 5), was_holder: true });
     assert!(!bed.grants(SETTLED, 1, 3, token(1, 5)));
     assert!(!bed.grants(SETTLED, 1, 3, token(1, 4)));
     assert!(bed.grants(SETTLED, 1, 3, token(1, 6)));
@@ -157,22 +162,22 @@
 fn renews_no_earlier_token_than_it_knows() {
     let mut bed = Bed::new();
     assert!(bed.grants(SETTLED, 1, 1, token(1, 5)));
-    bed.at(SETTLED, Event::Stored { batch: Batch(1) });
+    bed.at(SETTLED, Event::Persisted { batch: BatchId(1) });
     let late = SETTLED + 2_000;
     for (at, earlier) in [(SETTLED + 1, 4), (SETTLED + 1, 5), (late, 4)] {
-        let body = MessageBody::Renew { round: ROUND, token: token(1, earlier) };
+        let body = MessageBody::RenewLease { request_id: REQUEST_ID, token: token(1, earlier) };
         let answer = bodies(&bed.hear(at, 1, 3, body));
-        assert!(matches!(answer.as_slice(), [MessageBody::Refuse { .. }]), "{earlier}: {answer:?}");
+        assert!(matches!(answer.as_slice(), [MessageBody::VoteDenied { .. }]), "{earlier}: {answer:?}");
     }
     // Its grant to the first process has lapsed, and the third one, which renews the same token, has won it.
-    let renew = MessageBody::Renew { round: ROUND, token: token(1, 5) };
+    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: token(1, 5) };
     let answer = bed.hear(late, 1, 3, renew);
-    assert!(matches!(answer.as_slice(), [Action::Store { .. }]), "{answer:?}");
-    bed.at(late + 1, Event::Stored { batch: Batch(2) });
+    assert!(matches!(answer.as_slice(), [Action::Persist { .. }]), "{answer:?}");
+    bed.at(late + 1, Event::Persisted { batch: BatchId(2) });
     // From then on the token is the third one's alone. Two that claim it are a violation in themselves.
     let _tolerance = lugwharf_invariants::tolerate();
     let first = bodies(&bed.hear(late + 2, 1, 1, renew));
-    assert!(matches!(first.as_slice(), [MessageBody::Refuse { .. }]), "{first:?}");
+    assert!(matches!(first.as_slice(), [MessageBody::VoteDenied { .. }]), "{first:?}");
     assert!(!bed.grants(late + 2, 1, 1, token(1, 5)));
 }
 
@@ -180,26 +185,26 @@
 fn a_stranger_gets_no_grant_and_its_vote_counts_for_nothing() {
     let mut bed = Bed::new();
     assert!(!bed.grants(SETTLED, 1, STRANGER, token(1, 1)));
-    let (now, round, token) = bed.stands();
-    bed.hear(now, 1, STRANGER, MessageBody::Vote { round, token });
+    let (now, request_id, token) = bed.stands();
+    bed.hear(now, 1, STRANGER, MessageBody::VoteGranted { request_id, token });
     assert!(!bed.holds_at(now));
-    bed.hear(now, 1, 1, MessageBody::Vote { round, token });
+    bed.hear(now, 1, 1, MessageBody::VoteGranted { request_id, token });
     assert!(bed.holds_at(now));
 }
 
 #[test]
 fn a_vote_of_another_view_counts_for_nothing() {
     let mut bed = Bed::new();
-    let (now, round, token) = bed.stands();
-    bed.hear(now, 0, 1, MessageBody::Vote { round, token });
+    let (now, request_id, token) = bed.stands();
+    bed.hear(now, 0, 1, MessageBody::VoteGranted { request_id, token });
     assert!(!bed.holds_at(now));
 }
 
 #[test]
 fn a_message_about_another_role_is_none() {
     let mut bed = Bed::new();
-    let body = MessageBody::Elect { round: ROUND, token: token(1, 1) };
-    let message = Message { role: Role::StageOrders, view: 1, body };
+    let body = MessageBody::RequestVote { request_id: REQUEST_ID, token: token(1, 1) };
+    let message = Message { role: Role::StagePlanner, view: 1, body };
     assert_eq!(bed.at(SETTLED, Event::Message { from: address(1), message }), []);
 }
 
@@ -220,11 +225,13 @@
     let (now, token) = bed.holds();
     let entered = bed.view(now + 10, 2, voter);
     assert_eq!(bed.holds_at(now + 10), voter);
-    assert_eq!(entered.contains(&Action::Lost), !voter);
+    assert_eq!(entered.contains(&Action::LeaseLost), !voter);
     let told = bodies(&entered);
     let as_wanted = told.iter().filter(|body| match body {
-        MessageBody::Renew { token: renewed, .. } => voter && *renewed == token,
-        MessageBody::Release { token: released, held } => !voter && *released == token && *held,
+        MessageBody::RenewLease { token: renewed, .. } => voter && *renewed == token,
+        MessageBody::ReleaseLease { token: released, was_holder: held } => {
+            !voter && *released == token && *held
+        }
         _ => false,
     });
     assert_eq!(as_wanted.count(), 2, "{told:?}");
@@ -233,9 +240,9 @@
 #[test]
 fn a_candidate_gives_its_votes_back_in_the_next_view() {
     let mut bed = Bed::new();
-    let (now, round, token) = bed.stands();
+    let (now, request_id, token) = bed.stands();
     bed.view(now + 10, 2, true);
-    bed.hear(now + 11, 2, 1, MessageBody::Vote { round, token });
+    bed.hear(now + 11, 2, 1, MessageBody::VoteGranted { request_id, token });
     assert!(!bed.holds_at(now + 11));
 }
 
@@ -245,11 +252,13 @@
     let mut bed = Bed::new();
     let (now, token) = bed.holds();
     let renewed = bodies(&bed.at(now + 250, Event::Tick));
-    let Some(MessageBody::Renew { round, .. }) = renewed.first().copied() else { panic!("{renewed:?}") };
+    let Some(MessageBody::RenewLease { request_id, .. }) = renewed.first().copied() else {
+        panic!("{renewed:?}")
+    };
     assert!(!bed.holds_at(now + 980));
-    bed.hear(now + 300, 1, 1, MessageBody::Vote { round: round + 1, token });
+    bed.hear(now + 300, 1, 1, MessageBody::VoteGranted { request_id: request_id + 1, token });
     assert!(!bed.holds_at(now + 980));
-    bed.hear(now + 300, 1, 1, MessageBody::Vote { round, token });
+    bed.hear(now + 300, 1, 1, MessageBody::VoteGranted { request_id, token });
     assert!(bed.holds_at(now + 250 + 979));
     assert!(!bed.holds_at(now + 250 + 980));
 }
@@ -257,15 +266,15 @@
 #[test]
 fn is_not_willing_and_does_not_stand_in_a_sealed_view() {
     let mut bed = Bed::new();
-    bed.at(SETTLED, Event::Sealed { number: 1 });
-    let answer = bodies(&bed.hear(SETTLED, 1, 1, MessageBody::Ask { round: ROUND }));
-    assert!(matches!(answer.as_slice(), [MessageBody::Refuse { .. }]), "{answer:?}");
+    bed.at(SETTLED, Event::ViewSealed { number: 1 });
+    let answer = bodies(&bed.hear(SETTLED, 1, 1, MessageBody::PreVote { request_id: REQUEST_ID }));
+    assert!(matches!(answer.as_slice(), [MessageBody::VoteDenied { .. }]), "{answer:?}");
     for now in (SETTLED..SETTLED + 1_000).step_by(5) {
         assert_eq!(bed.at(now, Event::Tick), []);
     }
 }
 
-/// A request that comes again while its grant is being written is answered once, by its last round. Another one, of the same
+/// A request that comes again while its grant is being written is answered once, by its last request id. Another one, of the same
 /// process or with the same token, is refused.
 #[rstest]
 #[case::again(1, 1, true)]
@@ -276,11 +285,11 @@
 ) {
     let mut bed = Bed::new();
     assert!(bed.grants(SETTLED, 1, 1, token(1, 1)));
-    let again = MessageBody::Elect { round: ROUND + 1, token: token(1, number) };
+    let again = MessageBody::RequestVote { request_id: REQUEST_ID + 1, token: token(1, number) };
     assert_eq!(bed.hear(SETTLED + 1, 1, from, again).is_empty(), waits);
-    let round = if waits { ROUND + 1 } else { ROUND };
-    let voted = bodies(&bed.at(SETTLED + 2, Event::Stored { batch: Batch(1) }));
-    assert_eq!(voted, [MessageBody::Vote { round, token: token(1, 1) }]);
+    let request_id = if waits { REQUEST_ID + 1 } else { REQUEST_ID };
+    let voted = bodies(&bed.at(SETTLED + 2, Event::Persisted { batch: BatchId(1) }));
+    assert_eq!(voted, [MessageBody::VoteGranted { request_id, token: token(1, 1) }]);
 }
 
 /// What is given up while its grant is being written does not begin; the role is free for others.
@@ -293,8 +302,8 @@
 ) {
     let mut bed = Bed::new();
     assert!(bed.grants(SETTLED, 1, 1, token(1, 1)));
-    bed.hear(SETTLED + 1, 1, from, MessageBody::Release { token: token(1, number), held: false });
-    let answer = bodies(&bed.at(SETTLED + 2, Event::Stored { batch: Batch(1) }));
+    bed.hear(SETTLED + 1, 1, from, MessageBody::ReleaseLease { token: token(1, number), was_holder: false });
+    let answer = bodies(&bed.at(SETTLED + 2, Event::Persisted { batch: BatchId(1) }));
     assert_eq!(!answer.is_empty(), voted);
     assert_eq!(bed.grants(SETTLED + 3, 1, 3, token(1, 9)), !voted);
 }
@@ -311,27 +320,27 @@
 ) {
     let mut bed = Bed::new();
     assert!(bed.grants(SETTLED, 1, 1, token(1, 1)));
-    bed.at(SETTLED, Event::Stored { batch: Batch(1) });
-    bed.hear(SETTLED + 1, 1, 3, MessageBody::Release { token: token(1, 2), held: false });
-    let renew = MessageBody::Renew { round: ROUND, token: token(1, number) };
+    bed.at(SETTLED, Event::Persisted { batch: BatchId(1) });
+    bed.hear(SETTLED + 1, 1, 3, MessageBody::ReleaseLease { token: token(1, 2), was_holder: false });
+    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: token(1, number) };
     let answer = bodies(&bed.hear(SETTLED + later, 1, from, renew));
-    let is_vote = matches!(answer.as_slice(), [MessageBody::Vote { .. }]);
+    let is_vote = matches!(answer.as_slice(), [MessageBody::VoteGranted { .. }]);
     assert_eq!(is_vote, voted, "{answer:?}");
 }
 
 /// A later token that was held ends an earlier one, once its grant has lapsed; one that was only stood under does not.
 #[rstest]
-#[case::released_by_its_holder(MessageBody::Release { token: token(1, 2), held: true }, false)]
-#[case::renewed_by_its_holder(MessageBody::Renew { round: ROUND, token: token(1, 2) }, false)]
-#[case::stood_under(MessageBody::Release { token: token(1, 2), held: false }, true)]
+#[case::released_by_its_holder(MessageBody::ReleaseLease { token: token(1, 2), was_holder: true }, false)]
+#[case::renewed_by_its_holder(MessageBody::RenewLease { request_id: REQUEST_ID, token: token(1, 2) }, false)]
+#[case::stood_under(MessageBody::ReleaseLease { token: token(1, 2), was_holder: false }, true)]
 fn a_token_that_was_held_ends_earlier_ones(#[case] later: MessageBody, #[case] voted: bool) {
     let mut bed = Bed::new();
     assert!(bed.grants(SETTLED, 1, 1, token(1, 1)));
-    bed.at(SETTLED, Event::Stored { batch: Batch(1) });
+    bed.at(SETTLED, Event::Persisted { batch: BatchId(1) });
     bed.hear(SETTLED + 1, 1, 3, later);
-    let renew = MessageBody::Renew { round: ROUND, token: token(1, 1) };
+    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: token(1, 1) };
     let answer = bodies(&bed.hear(SETTLED + 2_000, 1, 1, renew));
-    assert_eq!(matches!(answer.as_slice(), [MessageBody::Vote { .. }]), voted, "{answer:?}");
+    assert_eq!(matches!(answer.as_slice(), [MessageBody::VoteGranted { .. }]), voted, "{answer:?}");
 }
 
 /// What is granted without a record, below the highest token, keeps others from the role across a restart too.
@@ -341,11 +350,11 @@
     // The grant under the higher token is the one on the disk.
     assert!(bed.grants(SETTLED, 1, 3, token(1, 2)));
     let records = bed.elector.snapshot_records();
-    bed.at(SETTLED, Event::Stored { batch: Batch(1) });
-    bed.hear(SETTLED + 1, 1, 3, MessageBody::Release { token: token(1, 2), held: false });
-    let renew = MessageBody::Renew { round: ROUND, token: token(1, 1) };
+    bed.at(SETTLED, Event::Persisted { batch: BatchId(1) });
+    bed.hear(SETTLED + 1, 1, 3, MessageBody::ReleaseLease { token: token(1, 2), was_holder: false });
+    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: token(1, 1) };
     let answer = bodies(&bed.hear(SETTLED + 2, 1, 1, renew));
-    assert_eq!(answer, [MessageBody::Vote { round: ROUND, token: token(1, 1) }]);
+    assert_eq!(answer, [MessageBody::VoteGranted { request_id: REQUEST_ID, token: token(1, 1) }]);
     assert!(!bed.grants(SETTLED + 3, 1, 3, token(1, 3)));
     // It restarts at once, with the record of the higher token.
     let mut bed = Bed::from_records(&records);
@@ -358,10 +367,10 @@
 fn the_last_holder_is_renewed_after_a_gap() {
     let mut bed = Bed::new();
     assert!(bed.grants(SETTLED, 1, 1, token(1, 1)));
-    bed.at(SETTLED, Event::Stored { batch: Batch(1) });
-    let renew = MessageBody::Renew { round: ROUND, token: token(1, 1) };
+    bed.at(SETTLED, Event::Persisted { batch: BatchId(1) });
+    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: token(1, 1) };
     let answer = bodies(&bed.hear(SETTLED + 2_000, 1, 1, renew));
-    assert_eq!(answer, [MessageBody::Vote { round: ROUND, token: token(1, 1) }]);
+    assert_eq!(answer, [MessageBody::VoteGranted { request_id: REQUEST_ID, token: token(1, 1) }]);
     // A grant again.
     assert!(!bed.grants(SETTLED + 3_019, 1, 3, token(1, 2)));
     assert!(bed.grants(SETTLED + 3_020, 1, 3, token(1, 2)));
@@ -372,18 +381,18 @@
 fn no_two_writes_share_a_name() {
     let mut bed = Bed::new();
     assert!(bed.grants(SETTLED, 1, 1, token(1, 1)));
-    bed.at(SETTLED, Event::StoreFailed { batch: Batch(1) });
+    bed.at(SETTLED, Event::PersistFailed { batch: BatchId(1) });
     assert!(bed.grants(SETTLED + 1, 1, 3, token(1, 2)));
-    assert_eq!(bed.at(SETTLED + 2, Event::Stored { batch: Batch(1) }), []);
-    let voted = bodies(&bed.at(SETTLED + 3, Event::Stored { batch: Batch(2) }));
-    assert_eq!(voted, [MessageBody::Vote { round: ROUND, token: token(1, 2) }]);
+    assert_eq!(bed.at(SETTLED + 2, Event::Persisted { batch: BatchId(1) }), []);
+    let voted = bodies(&bed.at(SETTLED + 3, Event::Persisted { batch: BatchId(2) }));
+    assert_eq!(voted, [MessageBody::VoteGranted { request_id: REQUEST_ID, token: token(1, 2) }]);
 }
 
 /// Its disk was lost: what it granted before is forgotten.
 #[rstest]
-#[case::ask(MessageBody::Ask { round: ROUND })]
-#[case::elect(MessageBody::Elect { round: ROUND, token: token(2, 1) })]
-#[case::renew(MessageBody::Renew { round: ROUND, token: token(1, 1) })]
+#[case::ask(MessageBody::PreVote { request_id: REQUEST_ID })]
+#[case::elect(MessageBody::RequestVote { request_id: REQUEST_ID, token: token(2, 1) })]
+#[case::renew(MessageBody::RenewLease { request_id: REQUEST_ID, token: token(1, 1) })]
 fn without_a_vote_it_answers_no_request(#[case] body: MessageBody) {
     let mut bed = Bed::new();
     bed.view(0, 2, false);
--- a/crates/membership/src/census.rs
+++ b/crates/membership/src/census.rs
@@ -17,12 +17,12 @@
     pub timeout: Duration,
     /// The total falls to a lower number only after it has been lower for so long: a proxy's share of the fleet's
     /// retries is one part in the total, so a total that is too high is safe and one that is too low is not.
-    pub hold: Duration,
+    pub decrease_delay: Duration,
 }
 
 impl Default for CensusSettings {
     fn default() -> Self {
-        Self { timeout: Duration::from_secs(3), hold: Duration::from_secs(10) }
+        Self { timeout: Duration::from_secs(3), decrease_delay: Duration::from_secs(10) }
     }
 }
 
@@ -46,7 +46,7 @@
     settled_at: Duration,
     nodes: HashMap<String, Heard>,
     peers: HashMap<SocketAddr, PeerCount>,
-    /// Totals within `hold`, falling: each is the largest since the one before it.
+    /// Totals within `decrease_delay`, falling: each is the largest since the one before it.
     window: VecDeque<(Duration, u32)>,
 }
 
@@ -63,7 +63,7 @@
     }
 
     /// Takes a heartbeat; returns whether the node is new or has started anew.
-    pub fn heard(&mut self, node: &str, incarnation: u64, now: Duration) -> bool {
+    pub fn record_heartbeat(&mut self, node: &str, incarnation: u64, now: Duration) -> bool {
         if let Some(heard) = self.nodes.get_mut(node) {
             let started = heard.incarnation != incarnation;
             *heard = Heard { incarnation, at: now };
@@ -85,27 +85,27 @@
     }
 
     /// Nodes heard here within the timeout: what this monitor tells the others.
-    pub fn live(&self, now: Duration) -> u32 {
+    pub fn live_count(&self, now: Duration) -> u32 {
         let timeout = self.settings.timeout;
         let live = self.nodes.values().filter(|heard| now.saturating_sub(heard.at) <= timeout).count();
         u32::try_from(live).unwrap_or(u32::MAX)
     }
 
     /// Takes the count of another monitor.
-    pub fn merge(&mut self, peer: SocketAddr, live: u32, now: Duration) {
+    pub fn record_peer_count(&mut self, peer: SocketAddr, live: u32, now: Duration) {
         if self.peers.len() < MAX_PEERS || self.peers.contains_key(&peer) {
             self.peers.insert(peer, PeerCount { live, at: now });
         }
     }
 
-    /// Live nodes of the whole fleet: the largest sum of all fresh counts within the last `hold`, so that it grows at
+    /// Live nodes of the whole fleet: the largest sum of all fresh counts within the last `decrease_delay`, so that it grows at
     /// once and shrinks late. 0 while too little is known. Call it at least every second.
     pub fn total(&mut self, now: Duration) -> u32 {
         self.drop_silent(now);
         if now < self.settled_at {
             return 0;
         }
-        let sum = self.peers.values().fold(self.live(now), |sum, peer| sum.saturating_add(peer.live));
+        let sum = self.peers.values().fold(self.live_count(now), |sum, peer| sum.saturating_add(peer.live));
         self.note(sum, now);
         self.window.front().map_or(0, |(_, total)| *total)
     }
@@ -122,7 +122,7 @@
             self.window.pop_back();
         }
         self.window.push_back((now, sum));
-        let hold = self.settings.hold;
+        let hold = self.settings.decrease_delay;
         while self.window.len() > 1
             && self.window.front().is_some_and(|(at, _)| now.saturating_sub(*at) > hold)
         {
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -13,16 +13,16 @@
 /// Peers that are watched; more are not taken up.
 const MAX_PEERS: usize = 64;
 
-/// The bounds of a [`Detector`].
+/// The bounds of a [`FailureDetector`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct DetectorSettings {
+pub struct FailureDetectorSettings {
     /// No peer is suspected before this silence.
     pub min_timeout: Duration,
     /// Every peer is suspected after this silence; also the timeout of a peer with too few beats to tell.
     pub max_timeout: Duration,
-    /// A longer pause between two calls of [`Detector::tick`] means that this process stood still: beats may be
+    /// A longer pause between two calls of [`FailureDetector::tick`] means that this process stood still: beats may be
     /// waiting unread, so no peer is blamed for the pause.
-    pub own_pause: Duration,
+    pub local_pause_threshold: Duration,
 }
 
 #[derive(Clone, Debug)]
@@ -33,15 +33,15 @@
 
 /// Suspects peers that stay silent for longer than their beats let expect.
 #[derive(Clone, Debug)]
-pub struct Detector {
-    settings: DetectorSettings,
+pub struct FailureDetector {
+    settings: FailureDetectorSettings,
     peers: HashMap<SocketAddr, Watched>,
     last_tick: Option<Duration>,
 }
 
-impl Detector {
+impl FailureDetector {
     /// A detector that watches nobody.
-    pub fn new(settings: DetectorSettings) -> Self {
+    pub fn new(settings: FailureDetectorSettings) -> Self {
         Self { settings, peers: HashMap::new(), last_tick: None }
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Takes a beat, or any other message that the peer has just sent.
-    pub fn heard(&mut self, peer: SocketAddr, now: Duration) {
+    pub fn record_heartbeat(&mut self, peer: SocketAddr, now: Duration) {
         let Some(watched) = self.peers.get_mut(&peer) else {
             self.watch(peer, now);
             return;
@@ -75,7 +75,7 @@
     pub fn tick(&mut self, now: Duration) {
         let pause = self.last_tick.map_or(Duration::ZERO, |last| now.saturating_sub(last));
         self.last_tick = Some(now);
-        if pause <= self.settings.own_pause {
+        if pause <= self.settings.local_pause_threshold {
             return;
         }
         for watched in self.peers.values_mut() {
@@ -84,13 +84,13 @@
     }
 
     /// Whether the peer has been silent for too long. A peer that is not watched is not suspected.
-    pub fn is_suspect(&self, peer: SocketAddr, now: Duration) -> bool {
+    pub fn is_suspected(&self, peer: SocketAddr, now: Duration) -> bool {
         let watched = self.peers.get(&peer);
         watched.is_some_and(|watched| now.saturating_sub(watched.last) > self.timeout(watched))
     }
 
     fn timeout(&self, watched: &Watched) -> Duration {
-        let DetectorSettings { min_timeout, max_timeout, .. } = self.settings;
+        let FailureDetectorSettings { min_timeout, max_timeout, .. } = self.settings;
         if watched.intervals.len() < INTERVALS / 4 {
             return max_timeout;
         }
--- a/crates/membership/src/ring.rs
+++ b/crates/membership/src/ring.rs
@@ -11,12 +11,12 @@
 /// Monitors on a ring of hashes, each at several points. A monitor that joins or leaves moves only the nodes whose
 /// next point was or becomes its own. Every process that knows the same monitors computes the same ring.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ring {
+pub struct HashRing {
     points: Vec<(u64, SocketAddr)>,
     monitors: usize,
 }
 
-impl Ring {
+impl HashRing {
     /// The ring of these monitors; their order and repeats do not matter.
     pub fn new(monitors: &[SocketAddr]) -> Self {
         let mut monitors = monitors.to_vec();
--- a/crates/membership/tests/ring.rs
+++ b/crates/membership/tests/ring.rs
@@ -1,6 +1,6 @@
 //! Which monitors a node beats to.
 
-use lugwharf_membership::Ring;
+use lugwharf_membership::HashRing;
 use rstest::rstest;
 use std::net::SocketAddr;
 
@@ -20,7 +20,7 @@
 #[case::two_of_three(3, 2, 2)]
 #[case::all(5, 9, 5)]
 fn names_distinct_monitors(#[case] count: u8, #[case] wanted: usize, #[case] named: usize) {
-    let ring = Ring::new(&monitors(count));
+    let ring = HashRing::new(&monitors(count));
     for node in nodes() {
         let mut chosen = ring.monitors_of(&node, wanted);
         chosen.sort_unstable();
@@ -34,15 +34,15 @@
     let mut reversed = monitors(5);
     reversed.reverse();
     reversed.extend(monitors(2));
-    assert_eq!(Ring::new(&reversed), Ring::new(&monitors(5)));
+    assert_eq!(HashRing::new(&reversed), HashRing::new(&monitors(5)));
 }
 
 #[test]
 fn moves_only_the_nodes_of_a_monitor_that_leaves() {
-    let all = Ring::new(&monitors(5));
+    let all = HashRing::new(&monitors(5));
     let left = monitors(5)[2];
     let rest: Vec<SocketAddr> = monitors(5).into_iter().filter(|monitor| *monitor != left).collect();
-    let rest = Ring::new(&rest);
+    let rest = HashRing::new(&rest);
     for node in nodes() {
         let before = all.monitors_of(&node, 2);
         let after = rest.monitors_of(&node, 1);
@@ -55,7 +55,7 @@
 #[case(3)]
 #[case(9)]
 fn spreads_the_nodes(#[case] count: u8) {
-    let ring = Ring::new(&monitors(count));
+    let ring = HashRing::new(&monitors(count));
     let mean = NODES / usize::from(count);
     for monitor in monitors(count) {
         let homes = nodes().filter(|node| ring.monitors_of(node, 1) == [monitor]).count();
@@ -65,15 +65,15 @@
 
 #[test]
 fn counts_its_monitors() {
-    assert_eq!(Ring::new(&monitors(3)).len(), 3);
-    assert!(!Ring::new(&monitors(3)).is_empty());
-    assert!(Ring::new(&[]).is_empty());
+    assert_eq!(HashRing::new(&monitors(3)).len(), 3);
+    assert!(!HashRing::new(&monitors(3)).is_empty());
+    assert!(HashRing::new(&[]).is_empty());
 }
 
 /// Processes of different releases share a ring: what a node is placed at is part of the protocol.
 #[test]
 fn places_nodes_where_every_release_places_them() {
-    let ring = Ring::new(&monitors(9));
+    let ring = HashRing::new(&monitors(9));
     let homes: String = nodes()
         .take(60)
         .map(|node| monitors(9).iter().position(|monitor| ring.monitors_of(&node, 1) == [*monitor]))
--- a/crates/stages/src/lib.rs
+++ b/crates/stages/src/lib.rs
@@ -5,7 +5,7 @@
 //!
 //! 1. **announce**: the server is shown to the proxies as leaving ([`Planner::overlay`]), so that nothing new is on its way
 //!    to it when it changes;
-//! 2. **order**: [`Planner::due`] names the order once the announcement has reached everybody;
+//! 2. **order**: [`Planner::due_orders`] names the order once the announcement has reached everybody;
 //! 3. **settle**: the server stays out until it has had the time to change and the list has had the time to show it.
 //!
 //! The size of the parts is worked out in [`target`].
@@ -15,5 +15,5 @@
 pub mod target;
 mod tuning;
 
-pub use planner::{Order, OrderAnswer, Planner, PlannerSettings};
+pub use planner::{Order, OrderOutcome, Planner, PlannerSettings};
 pub use tuning::StageTuning;
--- a/crates/stages/src/planner.rs
+++ b/crates/stages/src/planner.rs
@@ -1,6 +1,6 @@
 //! The planner: which servers change their part, and when.
 
-use crate::target::{Demand, decode_by_zone};
+use crate::target::{Demand, decode_targets};
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,35 +8,35 @@
 
 /// Under load decode servers are given away only where there are so many too many: a load that moves by one server's worth
 /// would send that server to and fro, out of service for seconds each time.
-const LEAST_SURPLUS: usize = 2;
+const MIN_SURPLUS: usize = 2;
 
 /// The times and shares of a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerSettings {
     /// Nothing is ordered for so long after the role was gained: two holders must not take turns within the lease that
     /// the deployment states.
-    pub rest_after_gain: Duration,
+    pub acquisition_delay: Duration,
     /// From the announcement to the order.
-    pub announce: Duration,
+    pub announcement_delay: Duration,
     /// What the list lags behind, with the time between two readings.
     pub list_lag: Duration,
     /// The pause after servers have changed their part, before the next change.
-    pub rest_after_change: Duration,
+    pub change_cooldown: Duration,
     /// A server whose order failed is left alone for so long.
-    pub rest_after_failure: Duration,
+    pub failure_cooldown: Duration,
     /// Time constant of the decay of the load that is planned for.
-    pub load_decay: Duration,
+    pub load_decay_time: Duration,
 }
 
 impl Default for PlannerSettings {
     fn default() -> Self {
         PlannerSettings {
-            rest_after_gain: Duration::from_millis(3_200),
-            announce: Duration::from_millis(300),
+            acquisition_delay: Duration::from_millis(3_200),
+            announcement_delay: Duration::from_millis(300),
             list_lag: Duration::from_millis(2_000),
-            rest_after_change: Duration::from_secs(3),
-            rest_after_failure: Duration::from_secs(5),
-            load_decay: Duration::from_secs(20),
+            change_cooldown: Duration::from_secs(3),
+            failure_cooldown: Duration::from_secs(5),
+            load_decay_time: Duration::from_secs(20),
         }
     }
 }
@@ -54,13 +54,13 @@
 
 /// How an order ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderOutcome {
     /// The server takes it (202), or has that part already (200).
-    Taken,
+    Accepted,
     /// There was no clear answer: it may have been taken.
-    Unclear,
+    Unknown,
     /// The server refused (4xx).
-    Refused,
+    Rejected,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -115,7 +115,7 @@
 }
 
 impl Planner {
-    /// One that plans nothing before [`Planner::gained`].
+    /// One that plans nothing before [`Planner::lease_acquired`].
     pub fn new(settings: PlannerSettings) -> Planner {
         Planner {
             settings,
@@ -127,7 +127,7 @@
     }
 
     /// The role was gained.
-    pub fn gained(&mut self, now: Duration) {
+    pub fn lease_acquired(&mut self, now: Duration) {
         self.gained = Some(now);
         self.changes.clear();
         self.rest_until.clear();
@@ -135,14 +135,14 @@
     }
 
     /// The role was lost: nothing more is ordered.
-    pub fn lost(&mut self) {
+    pub fn lease_lost(&mut self) {
         self.gained = None;
         self.changes.clear();
     }
 
     /// Whether servers may be told to change now.
     fn may_order(&self, now: Duration) -> bool {
-        self.gained.is_some_and(|gained| now >= gained + self.settings.rest_after_gain)
+        self.gained.is_some_and(|gained| now >= gained + self.settings.acquisition_delay)
     }
 
     /// Looks at the servers of one service, as the platform lists them, and begins changes where they are due.
@@ -161,12 +161,12 @@
             }
         }
         let counts = by_zone.iter().map(|(zone, servers)| (*zone, servers.len())).collect();
-        let targets = decode_by_zone(&counts, &demand);
+        let targets = decode_targets(&counts, &demand);
         let idle = demand.decode_in_flight < 1.0;
         let wanted: usize = targets.values().sum();
         let ready = by_zone.values().flatten();
         let decode = ready.filter(|server| server.stage == Some(Stage::Decode)).count();
-        let may_lower = idle || decode >= wanted + LEAST_SURPLUS;
+        let may_lower = idle || decode >= wanted + MIN_SURPLUS;
         for (zone, servers) in by_zone {
             let target = targets.get(zone).copied().unwrap_or(0);
             self.plan_zone(now, service, &servers, target, idle, may_lower);
@@ -176,7 +176,7 @@
     /// The demand with the load as it was held.
     fn held(&mut self, now: Duration, service: &str, demand: &Demand) -> Demand {
         let load = self.loads.entry(service.to_owned()).or_default();
-        let decode_in_flight = load.fold(now, demand.decode_in_flight, self.settings.load_decay);
+        let decode_in_flight = load.fold(now, demand.decode_in_flight, self.settings.load_decay_time);
         Demand { decode_in_flight, ..demand.clone() }
     }
 
@@ -197,14 +197,14 @@
         let candidates = candidates.filter(|server| !self.changes.contains_key(&server.id));
         let chosen: Vec<&&ServerEntry> = candidates.take(most).collect();
         for server in chosen {
-            let step = Step::Announced { due: now + self.settings.announce };
+            let step = Step::Announced { due: now + self.settings.announcement_delay };
             let change = Change { service: service.to_owned(), address: server.address, stage: to, step };
             self.changes.insert(server.id.clone(), change);
         }
     }
 
     /// The orders that are due now; each is named once.
-    pub fn due(&mut self, now: Duration) -> Vec<Order> {
+    pub fn due_orders(&mut self, now: Duration) -> Vec<Order> {
         if !self.may_order(now) {
             return Vec::new();
         }
@@ -220,18 +220,18 @@
 
     /// An order has ended. `switch` is what the server takes to change. An answer to an order that is not under way any more, as
     /// one of an earlier tenure of the role, changes nothing.
-    pub fn answered(&mut self, now: Duration, id: &str, answer: OrderAnswer, switch: Duration) {
+    pub fn record_outcome(&mut self, now: Duration, id: &str, answer: OrderOutcome, switch: Duration) {
         let settings = &self.settings;
         let Some(change) = self.changes.get_mut(id).filter(|change| change.step == Step::Ordered) else {
             return;
         };
         change.step = match answer {
-            OrderAnswer::Taken | OrderAnswer::Unclear => {
+            OrderOutcome::Accepted | OrderOutcome::Unknown => {
                 Step::Settling { until: now + switch + settings.list_lag }
             }
-            OrderAnswer::Refused => Step::Resting { until: now + settings.rest_after_failure },
+            OrderOutcome::Rejected => Step::Resting { until: now + settings.failure_cooldown },
         };
-        let rest = now + switch + settings.list_lag + settings.rest_after_change;
+        let rest = now + switch + settings.list_lag + settings.change_cooldown;
         self.rest_until.insert(change.service.clone(), rest);
     }
 
--- a/crates/stages/src/target.rs
+++ b/crates/stages/src/target.rs
@@ -14,14 +14,14 @@
     pub slots: u32,
     /// The share of servers that decode gets at least: a hand-over of memory occupies a server's link, and few links would
     /// be busy links.
-    pub least_share: f64,
+    pub min_decode_share: f64,
     /// The share of the places of decode servers that may be taken.
-    pub fill: f64,
+    pub max_utilization: f64,
 }
 
 /// The number of decode servers by zone. Each zone with two servers or more keeps one of either part, so that memory need not
 /// move between zones.
-pub fn decode_by_zone(servers_by_zone: &BTreeMap<&str, usize>, demand: &Demand) -> BTreeMap<String, usize> {
+pub fn decode_targets(servers_by_zone: &BTreeMap<&str, usize>, demand: &Demand) -> BTreeMap<String, usize> {
     let all: usize = servers_by_zone.values().sum();
     let wanted = wanted(all, demand);
     let mut targets: BTreeMap<String, usize> = BTreeMap::new();
@@ -50,8 +50,8 @@
 
 /// Decode servers over all zones.
 fn wanted(all: usize, demand: &Demand) -> usize {
-    let by_share = (all as f64 * demand.least_share.clamp(0.0, 1.0)).ceil();
-    let places = f64::from(demand.slots.max(1)) * demand.fill.max(0.01);
+    let by_share = (all as f64 * demand.min_decode_share.clamp(0.0, 1.0)).ceil();
+    let places = f64::from(demand.slots.max(1)) * demand.max_utilization.max(0.01);
     let by_load = (demand.decode_in_flight.max(0.0) / places).ceil();
     by_share.max(by_load).min(all as f64) as usize
 }
--- a/crates/stages/tests/planner.rs
+++ b/crates/stages/tests/planner.rs
@@ -1,8 +1,8 @@
 //! When servers change their part.
 
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
-use lugwharf_stages::target::{Demand, decode_by_zone};
-use lugwharf_stages::{OrderAnswer, Planner, PlannerSettings};
+use lugwharf_stages::target::{Demand, decode_targets};
+use lugwharf_stages::{OrderOutcome, Planner, PlannerSettings};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 }
 
 fn demand(decode_in_flight: f64) -> Demand {
-    Demand { decode_in_flight, slots: 64, least_share: 0.25, fill: 0.6 }
+    Demand { decode_in_flight, slots: 64, min_decode_share: 0.25, max_utilization: 0.6 }
 }
 
 fn server(number: u16, zone: &str, stage: Stage) -> ServerEntry {
@@ -45,12 +45,12 @@
 
 fn gained() -> Planner {
     let mut planner = Planner::new(PlannerSettings::default());
-    planner.gained(Duration::ZERO);
+    planner.lease_acquired(Duration::ZERO);
     planner
 }
 
 fn ids(planner: &mut Planner, now: Duration) -> Vec<(String, Stage)> {
-    planner.due(now).into_iter().map(|order| (order.id, order.stage)).collect()
+    planner.due_orders(now).into_iter().map(|order| (order.id, order.stage)).collect()
 }
 
 #[rstest]
@@ -69,7 +69,7 @@
 ) {
     let names = ["a", "b", "c"];
     let servers: BTreeMap<&str, usize> = names.into_iter().zip(servers.iter().copied()).collect();
-    let targets: Vec<usize> = decode_by_zone(&servers, &demand(in_flight)).into_values().collect();
+    let targets: Vec<usize> = decode_targets(&servers, &demand(in_flight)).into_values().collect();
     assert_eq!(targets, expected);
 }
 
@@ -98,8 +98,10 @@
         shown.iter().filter(|server| server.state == ServerState::Draining).count()
     };
     assert_eq!(draining(&planner), 4);
-    let orders = planner.due(seconds(5.0));
-    orders.iter().for_each(|order| planner.answered(seconds(5.0), &order.id, OrderAnswer::Taken, SWITCH));
+    let orders = planner.due_orders(seconds(5.0));
+    orders
+        .iter()
+        .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
     assert_eq!(draining(&planner), 4);
     let mut changed = fleet(3);
     for server in &mut changed {
@@ -115,9 +117,11 @@
 fn an_order_without_an_answer_keeps_its_server_out_until_it_could_have_changed() {
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
-    let orders = planner.due(seconds(5.0));
+    let orders = planner.due_orders(seconds(5.0));
     assert_eq!(orders.len(), 2);
-    orders.iter().for_each(|order| planner.answered(seconds(5.0), &order.id, OrderAnswer::Unclear, SWITCH));
+    orders
+        .iter()
+        .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Unknown, SWITCH));
     let mut shown = fleet(2);
     planner.overlay(&mut shown);
     assert_eq!(shown.iter().filter(|server| server.state == ServerState::Draining).count(), 2);
@@ -132,15 +136,17 @@
     let mut planner = gained();
     let servers = fleet(3);
     plan(&mut planner, seconds(4.0), &servers, &demand(10.0));
-    let orders = planner.due(seconds(5.0));
+    let orders = planner.due_orders(seconds(5.0));
     assert_eq!(orders.len(), 2);
     plan(&mut planner, seconds(5.1), &servers, &demand(10.0));
-    assert!(planner.due(seconds(6.0)).is_empty(), "two are under way");
-    orders.iter().for_each(|order| planner.answered(seconds(6.0), &order.id, OrderAnswer::Refused, SWITCH));
+    assert!(planner.due_orders(seconds(6.0)).is_empty(), "two are under way");
+    orders
+        .iter()
+        .for_each(|order| planner.record_outcome(seconds(6.0), &order.id, OrderOutcome::Rejected, SWITCH));
     plan(&mut planner, seconds(7.0), &servers, &demand(10.0));
-    assert!(planner.due(seconds(8.0)).is_empty(), "a pause");
+    assert!(planner.due_orders(seconds(8.0)).is_empty(), "a pause");
     plan(&mut planner, seconds(17.0), &servers, &demand(10.0));
-    assert_eq!(planner.due(seconds(18.0)).len(), 2);
+    assert_eq!(planner.due_orders(seconds(18.0)).len(), 2);
 }
 
 #[test]
@@ -156,13 +162,13 @@
 fn after_the_role_is_lost_nothing_is_ordered() {
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &fleet(3), &demand(0.0));
-    planner.lost();
-    assert!(planner.due(seconds(9.0)).is_empty());
+    planner.lease_lost();
+    assert!(planner.due_orders(seconds(9.0)).is_empty());
     plan(&mut planner, seconds(9.0), &fleet(3), &demand(0.0));
-    assert!(planner.due(seconds(10.0)).is_empty());
-    planner.gained(seconds(11.0));
+    assert!(planner.due_orders(seconds(10.0)).is_empty());
+    planner.lease_acquired(seconds(11.0));
     plan(&mut planner, seconds(12.0), &fleet(3), &demand(0.0));
-    assert!(planner.due(seconds(13.0)).is_empty());
+    assert!(planner.due_orders(seconds(13.0)).is_empty());
 }
 
 #[test]
@@ -170,9 +176,9 @@
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(150.0));
     plan(&mut planner, seconds(8.0), &fleet(2), &demand(1.0));
-    assert!(planner.due(seconds(9.0)).is_empty(), "the next burst may come");
+    assert!(planner.due_orders(seconds(9.0)).is_empty(), "the next burst may come");
     plan(&mut planner, seconds(90.0), &fleet(2), &demand(1.0));
-    assert_eq!(planner.due(seconds(91.0)).len(), 2);
+    assert_eq!(planner.due_orders(seconds(91.0)).len(), 2);
 }
 
 #[rstest]
@@ -190,24 +196,24 @@
         .collect();
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &servers, &demand(in_flight));
-    assert_eq!(planner.due(seconds(5.0)).len(), orders);
+    assert_eq!(planner.due_orders(seconds(5.0)).len(), orders);
 }
 
 /// The role is lost with an order under way, and gained again: its answer comes when the next change is only announced.
 #[rstest]
-#[case(OrderAnswer::Taken)]
-#[case(OrderAnswer::Unclear)]
-#[case(OrderAnswer::Refused)]
-fn an_answer_of_an_earlier_tenure_is_not_taken_for_the_next_orders(#[case] late: OrderAnswer) {
+#[case(OrderOutcome::Accepted)]
+#[case(OrderOutcome::Unknown)]
+#[case(OrderOutcome::Rejected)]
+fn an_answer_of_an_earlier_tenure_is_not_taken_for_the_next_orders(#[case] late: OrderOutcome) {
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
-    let orders = planner.due(seconds(5.0));
+    let orders = planner.due_orders(seconds(5.0));
     assert_eq!(orders.len(), 2);
-    planner.lost();
-    planner.gained(seconds(6.0));
+    planner.lease_lost();
+    planner.lease_acquired(seconds(6.0));
     plan(&mut planner, seconds(10.0), &fleet(2), &demand(0.0));
-    orders.iter().for_each(|order| planner.answered(seconds(10.1), &order.id, late, SWITCH));
-    assert_eq!(planner.due(seconds(11.0)), orders, "each is given in this tenure too");
+    orders.iter().for_each(|order| planner.record_outcome(seconds(10.1), &order.id, late, SWITCH));
+    assert_eq!(planner.due_orders(seconds(11.0)), orders, "each is given in this tenure too");
 }
 
 /// Only the first answer counts: a second one would have the server stay out for longer, or come back too soon.
@@ -215,9 +221,13 @@
 fn an_order_is_answered_once() {
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
-    let orders = planner.due(seconds(5.0));
-    orders.iter().for_each(|order| planner.answered(seconds(5.0), &order.id, OrderAnswer::Taken, SWITCH));
-    orders.iter().for_each(|order| planner.answered(seconds(5.1), &order.id, OrderAnswer::Refused, SWITCH));
+    let orders = planner.due_orders(seconds(5.0));
+    orders
+        .iter()
+        .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
+    orders
+        .iter()
+        .for_each(|order| planner.record_outcome(seconds(5.1), &order.id, OrderOutcome::Rejected, SWITCH));
     let mut shown = fleet(2);
     planner.overlay(&mut shown);
     assert_eq!(shown.iter().filter(|server| server.state == ServerState::Draining).count(), 2);
@@ -235,15 +245,17 @@
     let mut planner = gained();
     let servers = fleet(3);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let orders = planner.due(seconds(5.0));
-    orders.iter().for_each(|order| planner.answered(seconds(5.0), &order.id, OrderAnswer::Refused, SWITCH));
+    let orders = planner.due_orders(seconds(5.0));
+    orders
+        .iter()
+        .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Rejected, SWITCH));
     assert_eq!(leaving(&planner, &servers), 0);
     // A list that shows the wanted part, read before the refusal, ends no rest.
     planner.observe(&fleet(1));
     let settings = PlannerSettings::default();
-    let rest = SWITCH + settings.list_lag + settings.rest_after_change;
+    let rest = SWITCH + settings.list_lag + settings.change_cooldown;
     plan(&mut planner, seconds(5.0) + rest, &servers, &demand(0.0));
-    assert_eq!(planner.due(seconds(20.0)).len(), 4, "the rest of the servers is over as well");
+    assert_eq!(planner.due_orders(seconds(20.0)).len(), 4, "the rest of the servers is over as well");
 }
 
 /// Until just before the pause after a change ends, nothing is planned.
@@ -254,13 +266,15 @@
     let mut planner = gained();
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let given = planner.due(seconds(5.0));
-    given.iter().for_each(|order| planner.answered(seconds(5.0), &order.id, OrderAnswer::Taken, SWITCH));
+    let given = planner.due_orders(seconds(5.0));
+    given
+        .iter()
+        .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
     planner.observe(&fleet(1));
     let settings = PlannerSettings::default();
-    let end = seconds(5.0) + SWITCH + settings.list_lag + settings.rest_after_change;
+    let end = seconds(5.0) + SWITCH + settings.list_lag + settings.change_cooldown;
     plan(&mut planner, end - before, &servers, &demand(0.0));
-    assert_eq!(planner.due(end + seconds(1.0)).len(), orders);
+    assert_eq!(planner.due_orders(end + seconds(1.0)).len(), orders);
 }
 
 /// Its order may have been taken: it comes back only when the list could show it.
@@ -271,8 +285,10 @@
     let mut planner = gained();
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let given = planner.due(seconds(5.0));
-    given.iter().for_each(|order| planner.answered(seconds(5.0), &order.id, OrderAnswer::Taken, SWITCH));
+    let given = planner.due_orders(seconds(5.0));
+    given
+        .iter()
+        .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
     // The list still shows the old part.
     planner.observe(&servers);
     let end = seconds(5.0) + SWITCH + PlannerSettings::default().list_lag;
@@ -289,7 +305,7 @@
         .map(|server| ServerEntry { service: "other".to_owned(), ..server })
         .collect();
     planner.plan(seconds(4.0), "other", &others.iter().collect::<Vec<_>>(), &demand(0.0));
-    assert_eq!(planner.due(seconds(5.0)).len(), 4);
+    assert_eq!(planner.due_orders(seconds(5.0)).len(), 4);
 }
 
 /// Where there is one request or more, servers change one by one and one too many stays.
@@ -299,7 +315,7 @@
 fn one_request_is_load(#[case] in_flight: f64, #[case] orders: usize) {
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &fleet(3), &demand(in_flight));
-    assert_eq!(planner.due(seconds(5.0)).len(), orders);
+    assert_eq!(planner.due_orders(seconds(5.0)).len(), orders);
 }
 
 /// 100 requests want 3 of 12 decode servers: 5 are two too many, 4 are one.
@@ -311,7 +327,7 @@
     let servers: Vec<ServerEntry> = (0..12).map(|n| server(n, "a", stage(n))).collect();
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &servers, &demand(100.0));
-    assert_eq!(planner.due(seconds(5.0)).len(), orders);
+    assert_eq!(planner.due_orders(seconds(5.0)).len(), orders);
 }
 
 /// 150 requests want 4 of 8 servers; a time constant later a third of what went is still held, which wants 2.
@@ -322,16 +338,16 @@
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(150.0));
     plan(&mut planner, later, &fleet(2), &demand(20.0));
-    assert_eq!(planner.due(later + seconds(1.0)).len(), orders);
+    assert_eq!(planner.due_orders(later + seconds(1.0)).len(), orders);
 }
 
 /// Without load as many change as are missing, and no more.
 #[test]
 fn without_load_all_missing_decode_servers_change_at_once() {
     let mut planner = gained();
-    let demand = Demand { least_share: 0.75, ..demand(0.0) };
+    let demand = Demand { min_decode_share: 0.75, ..demand(0.0) };
     plan(&mut planner, seconds(4.0), &fleet(1), &demand);
-    assert_eq!(planner.due(seconds(5.0)).len(), 4);
+    assert_eq!(planner.due_orders(seconds(5.0)).len(), 4);
 }
 
 /// A list that already shows the new part does not end an order whose answer has not come.
@@ -339,7 +355,7 @@
 fn a_server_stays_out_until_its_order_has_ended() {
     let mut planner = gained();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
-    assert_eq!(planner.due(seconds(5.0)).len(), 2);
+    assert_eq!(planner.due_orders(seconds(5.0)).len(), 2);
     planner.observe(&fleet(1));
     assert_eq!(leaving(&planner, &fleet(1)), 2);
 }
@@ -350,15 +366,16 @@
 #[case::at_its_end(Duration::ZERO, 2)]
 fn a_server_that_refused_is_left_alone_for_its_rest(#[case] before: Duration, #[case] orders: usize) {
     let rest = seconds(60.0);
-    let mut planner =
-        Planner::new(PlannerSettings { rest_after_failure: rest, ..PlannerSettings::default() });
-    planner.gained(Duration::ZERO);
+    let mut planner = Planner::new(PlannerSettings { failure_cooldown: rest, ..PlannerSettings::default() });
+    planner.lease_acquired(Duration::ZERO);
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let given = planner.due(seconds(5.0));
+    let given = planner.due_orders(seconds(5.0));
     let refused: Vec<ServerEntry> =
         servers.iter().filter(|server| given.iter().any(|order| order.id == server.id)).cloned().collect();
-    given.iter().for_each(|order| planner.answered(seconds(5.0), &order.id, OrderAnswer::Refused, SWITCH));
+    given
+        .iter()
+        .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Rejected, SWITCH));
     // Those that refused are the only ones with the part that is too many.
     let mut rest_of_fleet = servers;
     for server in &mut rest_of_fleet {
@@ -366,11 +383,11 @@
             server.stage = Some(Stage::Prefill);
         }
     }
-    let lone = Demand { least_share: 0.0, ..demand(0.0) };
+    let lone = Demand { min_decode_share: 0.0, ..demand(0.0) };
     let all = [rest_of_fleet, vec![server(5, "a", Stage::Decode), server(15, "b", Stage::Decode)]].concat();
     let end = seconds(5.0) + rest;
     plan(&mut planner, end - before, &all, &lone);
-    let again = planner.due(end + seconds(1.0));
+    let again = planner.due_orders(end + seconds(1.0));
     let again = again.iter().filter(|order| refused.iter().any(|server| server.id == order.id));
     assert_eq!(again.count(), orders);
 }
@@ -395,14 +412,14 @@
         let in_flight = if random.below(8) == 0 { random.below(700) as f64 } else { 0.0 };
         planner.observe(&servers);
         plan(&mut planner, now, &servers, &demand(in_flight));
-        for order in planner.due(now) {
+        for order in planner.due_orders(now) {
             let answer = match random.below(4) {
-                0 => OrderAnswer::Refused,
-                1 => OrderAnswer::Unclear,
-                _ => OrderAnswer::Taken,
+                0 => OrderOutcome::Rejected,
+                1 => OrderOutcome::Unknown,
+                _ => OrderOutcome::Accepted,
             };
-            planner.answered(now, &order.id, answer, SWITCH);
-            if answer == OrderAnswer::Taken {
+            planner.record_outcome(now, &order.id, answer, SWITCH);
+            if answer == OrderOutcome::Accepted {
                 switching.push((now + SWITCH, order.id.clone(), order.stage));
             }
             all.push((step * 200, order.id, order.stage));
