--- a/crates/control/src/owner.rs
+++ b/crates/control/src/owner.rs
@@ -104,7 +104,7 @@
     /// The number of the last view in which the elector was told to grant nothing more.
     sealed_view: u64,
     /// The last holder of the list reader's role that was heard of, and since when.
-    holder: Option<(SocketAddr, election::FencingToken)>,
+    holder: Option<election::LeaseHolder>,
     holder_since: Duration,
     metrics: Metrics,
     reach: Reach,
--- a/crates/control/src/owner/report.rs
+++ b/crates/control/src/owner/report.rs
@@ -47,8 +47,8 @@
         let known = self.elector.known_holder();
         RoleStatus {
             role: LIST_READER,
-            holder: known.map(|(address, _)| address),
-            token: known.map(|(_, token)| token.0),
+            holder: known.map(|holder| holder.address),
+            token: known.map(|holder| holder.token.0),
             held_ms: known.map(|_| millis(now.saturating_sub(self.holder_since))),
             held_here: self.elector.held_lease(now).is_some(),
         }
--- /dev/null
+++ b/crates/election/src/elector/inbound.rs
@@ -0,0 +1,100 @@
+//! How an elector receives the messages of others.
+
+use super::Elector;
+use crate::action::Action;
+use crate::lease::LeaseHolder;
+use crate::message::{Message, MessageBody};
+use crate::voter::{RequestKind, VoteRequest};
+use std::net::SocketAddr;
+use std::time::Duration;
+
+impl Elector {
+    pub(super) fn on_message(
+        &mut self, now: Duration, from: SocketAddr, message: Message, actions: &mut Vec<Action>,
+    ) {
+        let Some(view) = &self.view else { return };
+        if message.role != self.settings.role {
+            return;
+        }
+        if message.view > view.number {
+            // The sender knows a later view, so this one is over.
+            self.voter.seal(message.view - 1);
+            return;
+        }
+        let is_of_view = message.view == view.number;
+        let is_current = is_of_view && view.members.contains(&from);
+        match message.body {
+            // A holder that is no member of the new view releases its lease there too.
+            MessageBody::ReleaseLease { token, was_holder } if is_of_view && token.view() <= view.number => {
+                self.on_release(now, LeaseHolder { address: from, token }, was_holder);
+            }
+            MessageBody::PreVoteGranted { .. }
+            | MessageBody::VoteGranted { .. }
+            | MessageBody::VoteDenied { .. }
+                if is_current =>
+            {
+                self.on_response(now, from, message.body, actions);
+            }
+            MessageBody::PreVote { .. }
+            | MessageBody::RequestVote { .. }
+            | MessageBody::RenewLease { .. }
+                if view.is_voter =>
+            {
+                self.on_request(now, from, message.body, is_current, actions);
+            }
+            _ => {}
+        }
+    }
+
+    /// Handles an answer of another member in the current view.
+    fn on_response(&mut self, now: Duration, from: SocketAddr, body: MessageBody, actions: &mut Vec<Action>) {
+        match body {
+            MessageBody::PreVoteGranted { request_id, highest_token } => {
+                self.on_pre_vote_granted(now, from, request_id, highest_token, actions);
+            }
+            MessageBody::VoteGranted { request_id, token } => {
+                self.on_vote_granted(now, from, request_id, token, actions);
+            }
+            MessageBody::VoteDenied { request_id, highest_token } => {
+                self.on_vote_denied(now, from, request_id, highest_token, actions);
+            }
+            _ => {}
+        }
+    }
+
+    /// Handles a request as a voter. `is_current` says that a member sent it in the current view; any other one is denied.
+    fn on_request(
+        &mut self, now: Duration, from: SocketAddr, body: MessageBody, is_current: bool,
+        actions: &mut Vec<Action>,
+    ) {
+        let (kind, request_id, token) = match body {
+            MessageBody::PreVote { request_id } => {
+                self.on_pre_vote(now, from, request_id, is_current, actions);
+                return;
+            }
+            MessageBody::RequestVote { request_id, token } => (RequestKind::Election, request_id, token),
+            MessageBody::RenewLease { request_id, token } => (RequestKind::Renewal, request_id, token),
+            _ => return,
+        };
+        let Some(view) = self.view.as_ref().map(|view| view.number) else { return };
+        let request = VoteRequest { kind, requester: from, view, request_id, token };
+        if !is_current {
+            // The denial carries this view: a requester in an earlier one learns that its view is over.
+            self.deny_vote(now, request, actions);
+            return;
+        }
+        if kind == RequestKind::Renewal {
+            self.record_holder(LeaseHolder { address: from, token });
+        }
+        self.decide_vote(now, request, actions);
+    }
+
+    fn on_release(&mut self, now: Duration, holder: LeaseHolder, was_holder: bool) {
+        self.voter.release(holder);
+        if was_holder {
+            self.voter.record_held(holder.token);
+            self.voter.allow_elections(now);
+            self.known_holder.record_release(holder);
+        }
+    }
+}
--- /dev/null
+++ b/crates/election/src/known_holder.rs
@@ -0,0 +1,48 @@
+//! The lease holder as far as this process knows it.
+
+use crate::lease::LeaseHolder;
+use lugwharf_invariants::{Invariant, check};
+use std::net::SocketAddr;
+
+/// The lease holder as far as this process knows it: a process that renewed a lease, or this process itself.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct KnownHolder {
+    /// The last holder that has not released the role.
+    current: Option<LeaseHolder>,
+    /// The process that acted under the highest token so far.
+    highest: Option<LeaseHolder>,
+}
+
+impl KnownHolder {
+    /// Records that a process acts as the holder: it renews its lease, or has just acquired it. `is_latest` says that no
+    /// later token was held, and that the process has not released this one.
+    pub(crate) fn record(&mut self, holder: LeaseHolder, is_latest: bool) {
+        let other =
+            self.highest.filter(|known| known.token == holder.token && known.address != holder.address);
+        check(Invariant::OneHolderPerToken, other.is_none(), || {
+            let other = other.map(|other| (other.address, other.token));
+            format!("{} beside {other:?}", holder.address)
+        });
+        if self.highest.is_none_or(|known| holder.token > known.token) {
+            self.highest = Some(holder);
+        }
+        if is_latest {
+            self.current = Some(holder);
+        }
+    }
+
+    /// The last known holder.
+    pub(crate) fn current(&self) -> Option<LeaseHolder> {
+        self.current
+    }
+
+    /// Records that a process holds the role no longer, under whatever token.
+    pub(crate) fn record_loss(&mut self, address: SocketAddr) {
+        self.current.take_if(|known| known.address == address);
+    }
+
+    /// Records that a holder has released its lease.
+    pub(crate) fn record_release(&mut self, holder: LeaseHolder) {
+        self.current.take_if(|known| *known == holder);
+    }
+}
--- a/crates/election/src/voter.rs
+++ b/crates/election/src/voter.rs
@@ -1,260 +1,282 @@
-//! The voting side of an elector: to whom this process has granted the role and until when.
+//! The voting side of an elector: to whom this process has granted a lease and until when.
 
-use crate::message::BatchId;
+use crate::action::BatchId;
+use crate::lease::LeaseHolder;
 use crate::record::{GrantRecord, last_grant};
-use crate::settings::{ElectorSettings, FencingToken, Role};
+use crate::settings::{ElectorSettings, Role};
+use crate::token::FencingToken;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Processes whose releases are kept; a view has fewer members.
-const MOST_RELEASES: usize = 64;
+/// Processes whose released tokens are remembered; a view has fewer members.
+const MAX_RELEASED_TOKENS: usize = 64;
 
 /// What a requester wants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Request {
-    /// A grant under a new token.
-    Elect,
-    /// A longer grant under the token that it holds.
-    Renew,
+pub(crate) enum RequestKind {
+    /// A lease under a new token.
+    Election,
+    /// A longer lease under the token that the requester holds.
+    Renewal,
 }
 
-/// A request as it came.
+/// A request for a vote.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Asked {
-    pub(crate) from: SocketAddr,
+pub(crate) struct VoteRequest {
+    pub(crate) kind: RequestKind,
+    pub(crate) requester: SocketAddr,
     pub(crate) view: u64,
     pub(crate) request_id: u64,
     pub(crate) token: FencingToken,
 }
 
+impl VoteRequest {
+    /// The requester, and the token under which it asks.
+    fn holder(&self) -> LeaseHolder {
+        LeaseHolder { address: self.requester, token: self.token }
+    }
+}
+
 /// What a voter does with a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
-    /// The vote goes out now.
-    Vote,
-    /// The vote goes out when the write is synced.
-    VoteOnceStored { batch: BatchId, record: GrantRecord },
-    /// The vote already waits for its write.
-    Waiting,
-    /// No.
-    Refuse,
+pub(crate) enum VoteDecision {
+    /// It grants the request now.
+    Grant,
+    /// It grants the request once the write is synced.
+    GrantOncePersisted { batch: BatchId, record: GrantRecord },
+    /// The same request already waits for its write.
+    AlreadyPending,
+    /// It denies the request.
+    Deny,
 }
 
+/// A lease that this process has granted.
 #[derive(Clone, Copy, Debug)]
-struct Promise {
-    holder: SocketAddr,
-    token: FencingToken,
-    until: Duration,
+struct GrantedLease {
+    holder: LeaseHolder,
+    expires_at: Duration,
 }
 
-/// A grant whose write is under way.
+/// A lease that is granted once its record is synced.
 #[derive(Clone, Copy, Debug)]
-struct Pending {
+struct PendingGrant {
     batch: BatchId,
-    asked: Asked,
-    /// The asker gave it up meanwhile.
-    released: bool,
+    request: VoteRequest,
+    /// Whether the requester has released the lease meanwhile.
+    is_released: bool,
 }
 
 /// The voting side of an elector.
 #[derive(Clone, Debug)]
 pub(crate) struct Voter {
     role: Role,
-    lease: Duration,
+    lease_duration: Duration,
     /// The last record written, whether synced or not.
-    record: Option<GrantRecord>,
+    last_record: Option<GrantRecord>,
     /// The last record known to be synced.
-    synced: Option<GrantRecord>,
+    synced_record: Option<GrantRecord>,
     highest_token: FencingToken,
-    promise: Option<Promise>,
-    pending: Option<Pending>,
-    /// The highest token that each process has given up. A renewal that was overtaken by the release does not bring the
-    /// grant back.
-    released: BTreeMap<SocketAddr, FencingToken>,
-    /// The highest token that is known to have been held, rather than only stood under.
-    held: FencingToken,
-    /// Nothing is granted before: a grant without a record may be forgotten.
-    quarantined_until: Duration,
+    granted: Option<GrantedLease>,
+    pending: Option<PendingGrant>,
+    /// The highest token that each process has released. A renewal that was overtaken by the release does not bring
+    /// the lease back.
+    released_tokens: BTreeMap<SocketAddr, FencingToken>,
+    /// The highest token that is known to have been held, rather than only asked votes for.
+    highest_held_token: FencingToken,
+    /// Nothing is granted before: a lease that was granted without a record may be forgotten.
+    no_grants_before: Duration,
     /// Nobody is elected before: a holder of an earlier view may still act.
-    settled_at: Duration,
+    no_elections_before: Duration,
     /// Nothing is granted in this view and earlier ones.
-    sealed: u64,
+    sealed_view: u64,
     next_batch: u64,
 }
 
 impl Voter {
-    /// A voter after a start, with the records of its log. It takes its last grant as given anew.
+    /// A voter after a start, with the records of its log. The last lease that it granted starts anew.
     pub(crate) fn recover(settings: &ElectorSettings, records: &[Vec<u8>], now: Duration) -> Self {
-        let lease = settings.voter_lease();
+        let lease_duration = settings.voter_lease_duration();
         let record = last_grant(settings.role, records);
-        let promise =
-            record.map(|last| Promise { holder: last.holder, token: last.token, until: now + lease });
+        let granted = record.map(|last| GrantedLease {
+            holder: LeaseHolder { address: last.holder, token: last.token },
+            expires_at: now + lease_duration,
+        });
         Self {
             role: settings.role,
-            lease,
-            record,
-            synced: record,
+            lease_duration,
+            last_record: record,
+            synced_record: record,
             highest_token: record.map_or(FencingToken::default(), |last| last.token),
-            promise,
+            granted,
             pending: None,
-            released: BTreeMap::new(),
-            held: FencingToken::default(),
-            quarantined_until: if record.is_some() { now } else { now + lease },
-            settled_at: now + lease,
-            sealed: 0,
+            released_tokens: BTreeMap::new(),
+            highest_held_token: FencingToken::default(),
+            no_grants_before: if record.is_some() { now } else { now + lease_duration },
+            no_elections_before: now + lease_duration,
+            sealed_view: 0,
             next_batch: 1,
         }
     }
 
-    /// The highest token known here.
+    /// The highest token that this voter knows.
     pub(crate) fn highest_token(&self) -> FencingToken {
         self.highest_token
     }
 
     /// The record that a rewritten log must hold.
-    pub(crate) fn record(&self) -> Option<GrantRecord> {
-        self.record
+    pub(crate) fn last_record(&self) -> Option<GrantRecord> {
+        self.last_record
     }
 
-    /// Begins to vote in a new view.
+    /// Starts to vote in a new view: nobody is elected for one lease, as the holder of the view before may still act.
     pub(crate) fn enter_view(&mut self, now: Duration) {
-        self.settled_at = self.settled_at.max(now + self.lease);
+        self.no_elections_before = self.no_elections_before.max(now + self.lease_duration);
     }
 
     /// Stops granting in `view` and earlier ones.
     pub(crate) fn seal(&mut self, view: u64) {
-        self.sealed = self.sealed.max(view);
+        self.sealed_view = self.sealed_view.max(view);
     }
 
-    /// Whether `candidate` would get a vote under a new token.
-    pub(crate) fn would_elect(&self, now: Duration, view: u64, candidate: SocketAddr) -> bool {
-        view > self.sealed
-            && now >= self.quarantined_until
-            && now >= self.settled_at
+    /// Whether `candidate` would get a vote under a new token of `view`.
+    pub(crate) fn would_vote_for(&self, now: Duration, view: u64, candidate: SocketAddr) -> bool {
+        view > self.sealed_view
+            && now >= self.no_grants_before
+            && now >= self.no_elections_before
             && self.pending.is_none()
             && self.is_free_for(now, candidate)
     }
 
     /// Decides on a request made in the view of this process.
-    pub(crate) fn consider(&mut self, now: Duration, request: Request, asked: Asked) -> Verdict {
-        if asked.view <= self.sealed || now < self.quarantined_until {
-            return Verdict::Refuse;
+    pub(crate) fn decide(&mut self, now: Duration, request: VoteRequest) -> VoteDecision {
+        if request.view <= self.sealed_view || now < self.no_grants_before {
+            return VoteDecision::Deny;
         }
         if let Some(pending) = &mut self.pending {
-            let repeated = pending.asked.from == asked.from && pending.asked.token == asked.token;
-            if !repeated {
-                return Verdict::Refuse;
+            if pending.request.holder() != request.holder() {
+                return VoteDecision::Deny;
             }
-            pending.asked = asked;
-            return Verdict::Waiting;
+            // The answer carries the id of the last of several equal requests.
+            pending.request = request;
+            return VoteDecision::AlreadyPending;
         }
-        if self.extend(now, asked) {
-            return Verdict::Vote;
+        if self.extend_granted(now, request) {
+            return VoteDecision::Grant;
         }
-        let allowed = match request {
-            Request::Elect => now >= self.settled_at && self.is_new_in_view(asked),
-            Request::Renew => self.is_current(asked),
+        let is_allowed = match request.kind {
+            RequestKind::Election => now >= self.no_elections_before && self.is_new_token(request),
+            RequestKind::Renewal => self.is_renewable(request),
         };
-        if !allowed || !self.is_free_for(now, asked.from) {
-            return Verdict::Refuse;
+        if !is_allowed || !self.is_free_for(now, request.requester) {
+            return VoteDecision::Deny;
         }
-        self.write(now, asked)
+        self.grant(now, request)
     }
 
-    /// A write is synced: the grant begins. Returns the request to answer, unless it was given up.
-    pub(crate) fn stored(&mut self, now: Duration, batch: BatchId) -> Option<Asked> {
+    /// Records that a write is synced: the lease starts. Returns the request to answer, unless it was released.
+    pub(crate) fn record_persisted(&mut self, now: Duration, batch: BatchId) -> Option<VoteRequest> {
         let pending = self.pending.take_if(|pending| pending.batch == batch)?;
-        self.synced = self.record;
-        if pending.released {
+        self.synced_record = self.last_record;
+        if pending.is_released {
             return None;
         }
-        let Asked { from: holder, token, view, .. } = pending.asked;
-        self.promise = Some(Promise { holder, token, until: now + self.lease });
-        (view > self.sealed).then_some(pending.asked)
+        let request = pending.request;
+        self.start_lease(now, request.holder());
+        (request.view > self.sealed_view).then_some(request)
     }
 
-    /// A write failed: the grant never begins. Returns the request to refuse.
-    pub(crate) fn store_failed(&mut self, batch: BatchId) -> Option<Asked> {
-        self.pending.take_if(|pending| pending.batch == batch).map(|pending| pending.asked)
+    /// Records that a write failed: the lease never starts. Returns the request to deny.
+    pub(crate) fn record_persist_failed(&mut self, batch: BatchId) -> Option<VoteRequest> {
+        self.pending.take_if(|pending| pending.batch == batch).map(|pending| pending.request)
     }
 
-    /// Whether no later token than `token` is known to have been held, and `holder` has not given it up.
-    pub(crate) fn is_latest(&self, holder: SocketAddr, token: FencingToken) -> bool {
-        let has_given_up = self.released.get(&holder).is_some_and(|released| *released >= token);
-        token >= self.held && !has_given_up
+    /// Whether no later token is known to have been held, and the holder has not released its own.
+    pub(crate) fn is_latest(&self, holder: LeaseHolder) -> bool {
+        let released = self.released_tokens.get(&holder.address);
+        let has_released = released.is_some_and(|released| *released >= holder.token);
+        holder.token >= self.highest_held_token && !has_released
     }
 
-    /// The holder and the token of a grant that runs.
-    pub(crate) fn granted_to(&self, now: Duration) -> Option<(SocketAddr, FencingToken)> {
-        let running = self.promise.filter(|promise| promise.until > now);
-        running.map(|promise| (promise.holder, promise.token))
+    /// The holder of the lease that this voter has granted, as long as it runs.
+    pub(crate) fn granted_to(&self, now: Duration) -> Option<LeaseHolder> {
+        self.granted.filter(|granted| granted.expires_at > now).map(|granted| granted.holder)
     }
 
-    /// Some process acts, or has acted, as the holder of `token`.
-    pub(crate) fn note_held(&mut self, token: FencingToken) {
-        self.held = self.held.max(token);
+    /// Records that some process acts, or has acted, as the holder of `token`.
+    pub(crate) fn record_held(&mut self, token: FencingToken) {
+        self.highest_held_token = self.highest_held_token.max(token);
     }
 
-    /// `from` gives up what it was granted under `token`.
-    pub(crate) fn release(&mut self, from: SocketAddr, token: FencingToken) {
-        self.highest_token = self.highest_token.max(token);
-        if self.released.len() < MOST_RELEASES || self.released.contains_key(&from) {
-            let released = self.released.entry(from).or_default();
-            *released = (*released).max(token);
+    /// Ends the lease that was granted to this holder, also one that still waits for its write.
+    pub(crate) fn release(&mut self, holder: LeaseHolder) {
+        self.highest_token = self.highest_token.max(holder.token);
+        let known = self.released_tokens.contains_key(&holder.address);
+        if known || self.released_tokens.len() < MAX_RELEASED_TOKENS {
+            let released = self.released_tokens.entry(holder.address).or_default();
+            *released = (*released).max(holder.token);
         }
-        self.promise.take_if(|promise| promise.holder == from && promise.token == token);
+        self.granted.take_if(|granted| granted.holder == holder);
         if let Some(pending) = &mut self.pending {
-            pending.released |= pending.asked.from == from && pending.asked.token == token;
+            pending.is_released |= pending.request.holder() == holder;
         }
     }
 
-    /// The last holder of an earlier view has given up the role after this view was chosen.
-    pub(crate) fn settle(&mut self, now: Duration) {
-        self.settled_at = self.settled_at.min(now);
+    /// Allows elections from now on: the last holder of an earlier view has released the role in this view.
+    pub(crate) fn allow_elections(&mut self, now: Duration) {
+        self.no_elections_before = self.no_elections_before.min(now);
     }
 
-    /// Extends a running grant of the asker under the same token.
-    fn extend(&mut self, now: Duration, asked: Asked) -> bool {
-        let until = now + self.lease;
-        let promise = self.promise.as_mut();
-        let running = promise.filter(|promise| promise.until > now);
-        let same = running.filter(|promise| promise.holder == asked.from && promise.token == asked.token);
-        same.map(|promise| promise.until = until).is_some()
+    /// Extends the requester's running lease under the same token; returns whether there is one.
+    fn extend_granted(&mut self, now: Duration, request: VoteRequest) -> bool {
+        let is_granted = self.granted_to(now) == Some(request.holder());
+        if is_granted {
+            self.start_lease(now, request.holder());
+        }
+        is_granted
     }
 
-    fn is_free_for(&self, now: Duration, asker: SocketAddr) -> bool {
-        self.promise.is_none_or(|promise| promise.until <= now || promise.holder == asker)
+    /// Whether no other process has a running lease from this voter.
+    fn is_free_for(&self, now: Duration, requester: SocketAddr) -> bool {
+        self.granted_to(now).is_none_or(|holder| holder.address == requester)
     }
 
-    fn is_new_in_view(&self, asked: Asked) -> bool {
-        asked.token > self.highest_token && asked.token.view() == asked.view
+    /// Whether the token is larger than all that this voter knows, and of the requester's view.
+    fn is_new_token(&self, request: VoteRequest) -> bool {
+        request.token > self.highest_token && request.token.view() == request.view
     }
 
-    /// Whether a renewal is that of the holder, as far as this process knows: no later token is known to have been held, and
-    /// the asker has not given its own up.
+    /// Whether a renewal is that of the holder, as far as this process knows: no later token is known to have been held,
+    /// and the requester has not released its own.
     ///
-    /// The highest token known here may be another one, or the record may name another process under the same token, where
-    /// others stood for the role at the same time: who renews a token has won it, with the votes of a majority. This guards
-    /// progress alone. A holder is followed only by an election, and [`Voter::is_free_for`] keeps grants that run.
-    fn is_current(&self, asked: Asked) -> bool {
-        self.is_latest(asked.from, asked.token) && asked.token.view() <= asked.view
+    /// The highest token known here may be another one, or the record may name another process under the same token,
+    /// where several were candidates at the same time: who renews a token has won it with the votes of a majority. This
+    /// guards progress alone. A holder is succeeded only after an election, and [`Voter::is_free_for`] protects leases
+    /// that run.
+    fn is_renewable(&self, request: VoteRequest) -> bool {
+        self.is_latest(request.holder()) && request.token.view() <= request.view
     }
 
-    /// Grants what was asked for. The record stays that of the highest token, so that this process never stands for a token
-    /// again: a renewal below it is granted without a record. Should this process forget it in a restart, it elects nobody
-    /// for a lease, in which the grant ends.
-    fn write(&mut self, now: Duration, asked: Asked) -> Verdict {
-        let record = GrantRecord { role: self.role, token: asked.token, holder: asked.from };
-        if self.synced == Some(record) || asked.token < self.highest_token {
-            self.promise = Some(Promise { holder: asked.from, token: asked.token, until: now + self.lease });
-            return Verdict::Vote;
+    /// Grants a request.
+    ///
+    /// The record stays that of the highest token, so that this process is never a candidate for a token twice: a
+    /// renewal below the highest token is granted without a record. Should this process forget it in a restart, it elects
+    /// nobody for a lease, in which the one that it granted ends.
+    fn grant(&mut self, now: Duration, request: VoteRequest) -> VoteDecision {
+        let record = GrantRecord { role: self.role, token: request.token, holder: request.requester };
+        if self.synced_record == Some(record) || request.token < self.highest_token {
+            self.start_lease(now, request.holder());
+            return VoteDecision::Grant;
         }
         let batch = BatchId(self.next_batch);
         self.next_batch += 1;
-        self.highest_token = asked.token;
-        self.record = Some(record);
-        self.pending = Some(Pending { batch, asked, released: false });
-        Verdict::VoteOnceStored { batch, record }
+        self.highest_token = request.token;
+        self.last_record = Some(record);
+        self.pending = Some(PendingGrant { batch, request, is_released: false });
+        VoteDecision::GrantOncePersisted { batch, record }
+    }
+
+    fn start_lease(&mut self, now: Duration, holder: LeaseHolder) {
+        self.granted = Some(GrantedLease { holder, expires_at: now + self.lease_duration });
     }
 }
--- a/crates/election/tests/encoded_forms.rs
+++ b/crates/election/tests/encoded_forms.rs
@@ -2,7 +2,7 @@
 //! never changes: processes of different releases run side by side, and a new release reads an old log.
 
 use lugwharf_election::{
-    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
+    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, LeaseHolder, Message, MessageBody, Role,
 };
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -101,7 +101,7 @@
 ) {
     assert_eq!(hex(&stored(role, me, holder)), captured);
     let recovered = voter(role, me, vec![me, holder], &[bytes(captured)]);
-    assert_eq!(recovered.granted_to(Duration::ZERO), Some((holder, TOKEN)));
+    assert_eq!(recovered.granted_to(Duration::ZERO), Some(LeaseHolder { address: holder, token: TOKEN }));
     let again: Vec<String> = recovered.snapshot_records().iter().map(|record| hex(record)).collect();
     assert_eq!(again, [captured]);
 }
--- a/crates/election/tests/questions.rs
+++ b/crates/election/tests/questions.rs
@@ -1,7 +1,7 @@
 //! Questions of a single elector against scripted peers: whom it asks, when again, and when it gives up.
 
 use lugwharf_election::{
-    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
+    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, LeaseHolder, Message, MessageBody, Role,
 };
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -22,6 +22,10 @@
     SocketAddr::from(([10, 0, 0, host], 7_700))
 }
 
+fn holder(host: u8) -> Option<LeaseHolder> {
+    Some(LeaseHolder { address: address(host), token: FIRST })
+}
+
 struct Bed {
     elector: Elector,
 }
@@ -177,10 +181,10 @@
     bed.hear(SETTLED + 1, 1, MessageBody::ReleaseLease { token: FIRST, was_holder: false });
     assert_eq!(bed.elector.known_holder(), None);
     bed.hear(SETTLED + 2, 3, MessageBody::RenewLease { request_id: 9, token: FIRST });
-    assert_eq!(bed.elector.known_holder(), Some((address(3), FIRST)));
+    assert_eq!(bed.elector.known_holder(), holder(3));
     // A late renewal of one that has given up, and the release of one that is not the holder, change nothing.
     bed.hear(SETTLED + 3, 1, MessageBody::ReleaseLease { token: FIRST, was_holder: true });
-    assert_eq!(bed.elector.known_holder(), Some((address(3), FIRST)));
+    assert_eq!(bed.elector.known_holder(), holder(3));
     bed.hear(SETTLED + 4, 3, MessageBody::ReleaseLease { token: FIRST, was_holder: true });
     assert_eq!(bed.elector.known_holder(), None);
     bed.hear(SETTLED + 5, 3, MessageBody::RenewLease { request_id: 9, token: FIRST });
@@ -233,7 +237,7 @@
     bed.willing(now, 1, request_id);
     bed.at(now, Event::Persisted { batch: BatchId(1) });
     bed.hear(now, 1, MessageBody::VoteGranted { request_id: request_id + 1, token: FIRST });
-    assert_eq!(bed.elector.known_holder(), Some((address(2), FIRST)));
+    assert_eq!(bed.elector.known_holder(), holder(2));
     assert_eq!(bed.at(now + 249, Event::Tick), []);
     assert_eq!(bed.at(now + 250, Event::Tick).len(), 2);
     assert_eq!(bed.at(now + 499, Event::Tick), []);
--- a/crates/election/tests/simulation/world.rs
+++ b/crates/election/tests/simulation/world.rs
@@ -4,7 +4,7 @@
 use crate::trace::Trace;
 use fastrand::Rng;
 use lugwharf_election::{
-    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
+    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, LeaseHolder, Message, MessageBody, Role,
 };
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap};
@@ -145,7 +145,7 @@
 
     /// Voters that run and do not help the holder to keep the role, or do not name it.
     pub fn strangers_to(&self, held: (usize, FencingToken)) -> Vec<usize> {
-        let named = Some((address(held.0), held.1));
+        let named = Some(LeaseHolder { address: address(held.0), token: held.1 });
         let helps = |process: &usize| {
             let process = &self.processes[*process];
             let now = process.clock(self.now);
--- a/crates/election/tests/votes.rs
+++ b/crates/election/tests/votes.rs
@@ -1,7 +1,7 @@
 //! Single electors against a scripted peer: what a grant promises and for how long.
 
 use lugwharf_election::{
-    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
+    Action, BatchId, Elector, ElectorSettings, Event, FencingToken, LeaseHolder, Message, MessageBody, Role,
 };
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -346,7 +346,7 @@
     };
     let voted = bed.at(now + 251, Event::Persisted { batch: *batch });
     assert_eq!(answers(&voted), [MessageBody::VoteGranted { request_id: REQUEST_ID, token }]);
-    assert_eq!(bed.elector.known_holder(), Some((address(3), token)));
+    assert_eq!(bed.elector.known_holder(), Some(LeaseHolder { address: address(3), token }));
 }
 
 #[test]
