--- a/crates/agent/src/directory.rs
+++ b/crates/agent/src/discovery.rs
@@ -4,7 +4,7 @@
 //! processes announce themselves to such a machine, and an agent that asks it learns those that it knows. Nothing else is
 //! told, and always as out of touch, so that nobody takes anything out of date from here.
 
-use crate::Outlook;
+use crate::ControlPlaneStatus;
 use lugwharf_protocol::{
     AgentRequest, ControlReply, FrameError, Update, VersionVector, read_frame, write_frame,
 };
@@ -28,7 +28,7 @@
 const MOST_ANNOUNCED: usize = 64;
 
 /// Answers askers for as long as the process runs.
-pub async fn serve(listener: TcpListener, outlook: Outlook) {
+pub async fn serve(listener: TcpListener, control_plane: ControlPlaneStatus) {
     let room = Arc::new(Semaphore::new(MOST_LINKS));
     loop {
         let Ok((stream, address)) = listener.accept().await else {
@@ -36,9 +36,9 @@
             continue;
         };
         let Ok(place) = room.clone().try_acquire_owned() else { continue };
-        let outlook = outlook.clone();
+        let control_plane = control_plane.clone();
         tokio::spawn(async move {
-            if let Err(error) = answer(stream, &outlook).await {
+            if let Err(error) = answer(stream, &control_plane).await {
                 debug!("link", kv: { outcome = "closed", kind = "directory", from: = address, error: = error });
             }
             drop(place);
@@ -46,7 +46,7 @@
     }
 }
 
-async fn answer(mut stream: TcpStream, outlook: &Outlook) -> Result<(), FrameError> {
+async fn answer(mut stream: TcpStream, control_plane: &ControlPlaneStatus) -> Result<(), FrameError> {
     loop {
         let request = timeout(SILENT, read_frame::<AgentRequest>(&mut stream)).await;
         let request = request.map_err(io::Error::from)??;
@@ -54,21 +54,21 @@
             None => return Ok(()),
             Some(AgentRequest::Pull { have, .. }) => have,
             Some(AgentRequest::Announce { control }) => {
-                learn(outlook, control);
+                learn(control_plane, control);
                 VersionVector::default()
             }
         };
-        let control = known(outlook);
+        let control = known(control_plane);
         let update = Update { vector: have, ..Update::default() };
-        let reply = ControlReply::Update { in_touch: false, control, update };
+        let reply = ControlReply::Update { has_quorum: false, control, update };
         timeout(SILENT, write_frame(&mut stream, &reply)).await.map_err(io::Error::from)??;
     }
 }
 
 /// What the agent knows, and what was announced beside.
-fn known(outlook: &Outlook) -> Vec<SocketAddr> {
-    let mut known = outlook.control.borrow().clone();
-    for address in outlook.announced.borrow().iter() {
+fn known(control_plane: &ControlPlaneStatus) -> Vec<SocketAddr> {
+    let mut known = control_plane.known.borrow().clone();
+    for address in control_plane.announced.borrow().iter() {
         if !known.contains(address) {
             known.push(*address);
         }
@@ -78,8 +78,8 @@
 }
 
 /// The newest announcement comes first, and what was announced before stays as far as there is room.
-fn learn(outlook: &Outlook, control: Vec<SocketAddr>) {
-    let announced = outlook.announced.borrow().clone();
+fn learn(control_plane: &ControlPlaneStatus, control: Vec<SocketAddr>) {
+    let announced = control_plane.announced.borrow().clone();
     let mut newest = control;
     newest.truncate(MOST_ANNOUNCED);
     for address in announced {
@@ -87,5 +87,5 @@
             newest.push(address);
         }
     }
-    outlook.announced.send_replace(newest);
+    control_plane.announced.send_replace(newest);
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -7,9 +7,9 @@
 mod backoff;
 #[cfg(test)]
 mod backoff_tests;
-pub mod directory;
+pub mod discovery;
 #[cfg(test)]
-mod directory_tests;
+mod discovery_tests;
 mod feed;
 mod figures;
 mod last_resort;
@@ -40,16 +40,16 @@
     /// The port of `GET /metrics`; not served if absent.
     pub metrics_port: Option<u16>,
     /// What is told of the control plane to others on this machine.
-    pub outlook: Outlook,
+    pub control_plane: ControlPlaneStatus,
 }
 
 /// What the agent knows of the control plane, kept up to date.
 #[derive(Clone, Debug, Default)]
-pub struct Outlook {
+pub struct ControlPlaneStatus {
     /// The agent address of the control process that is followed.
-    pub following: watch::Sender<Option<SocketAddr>>,
+    pub followed: watch::Sender<Option<SocketAddr>>,
     /// The agent addresses of all control processes that are known.
-    pub control: watch::Sender<Vec<SocketAddr>>,
+    pub known: watch::Sender<Vec<SocketAddr>>,
     /// The agent addresses that control processes have announced to this machine, the newest first.
     pub announced: watch::Sender<Vec<SocketAddr>>,
 }
@@ -71,7 +71,7 @@
     {
         tokio::spawn(figures::serve(endpoint, figures.clone(), commands.clone()));
     }
-    tokio::spawn(uplink::run(settings, figures, commands, reloads, options.outlook));
+    tokio::spawn(uplink::run(settings, figures, commands, reloads, options.control_plane));
     loop {
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
--- a/crates/agent/src/link_tests.rs
+++ b/crates/agent/src/link_tests.rs
@@ -22,7 +22,7 @@
 }
 
 fn reply() -> ControlReply {
-    ControlReply::Update { in_touch: true, control: Vec::new(), update: Update::default() }
+    ControlReply::Update { has_quorum: true, control: Vec::new(), update: Update::default() }
 }
 
 /// How much of a reply the peer sends before it stays silent.
--- a/crates/agent/src/uplink.rs
+++ b/crates/agent/src/uplink.rs
@@ -7,7 +7,7 @@
 //! have been asked and none is in touch: an old configuration serves better than none, and the newest may not be passed
 //! over for an old one by a front that starts.
 
-use crate::Outlook;
+use crate::ControlPlaneStatus;
 use crate::backoff::Backoff;
 use crate::figures::{Figures, PullOutcome};
 use crate::last_resort::LastResort;
@@ -48,13 +48,13 @@
     source: Option<IpAddr>,
     figures: Arc<Figures>,
     commands: mpsc::Sender<Command>,
-    outlook: Outlook,
+    control_plane: ControlPlaneStatus,
 }
 
 /// Runs until the owner of the tables ends.
 pub async fn run(
     settings: Settings, figures: Arc<Figures>, commands: mpsc::Sender<Command>,
-    mut reloads: mpsc::Receiver<Settings>, outlook: Outlook,
+    mut reloads: mpsc::Receiver<Settings>, control_plane: ControlPlaneStatus,
 ) {
     let mut uplink = Uplink {
         node: settings.node.clone(),
@@ -64,7 +64,7 @@
         source: settings.bind,
         figures,
         commands,
-        outlook,
+        control_plane,
     };
     let mut backoff = Backoff::new(uplink.incarnation);
     while !uplink.commands.is_closed() {
@@ -121,7 +121,7 @@
     fn order(&self) -> Vec<SocketAddr> {
         let known = if self.control.is_empty() { &self.seeds } else { &self.control };
         let mut order = HashRing::new(known).monitors_of(&self.node, known.len());
-        let announced = self.outlook.announced.borrow().clone();
+        let announced = self.control_plane.announced.borrow().clone();
         for address in announced.into_iter().chain(self.seeds.iter().copied()) {
             if !order.contains(&address) {
                 order.push(address);
@@ -139,7 +139,7 @@
             let mut served = false;
             let left = self.follow(address, &mut served, &mut last_resort).await;
             if is_unfit(&left) {
-                self.outlook.following.send_replace(None);
+                self.control_plane.followed.send_replace(None);
             }
             was_served |= served;
             match left {
@@ -180,10 +180,10 @@
                 wait_ms: wait.as_millis() as u32,
                 loads,
             };
-            let ControlReply::Update { in_touch, control, update } =
+            let ControlReply::Update { has_quorum, control, update } =
                 link.call(&request, wait + GRACE).await?;
             self.learn(control);
-            if !in_touch {
+            if !has_quorum {
                 self.figures.pulled(PullOutcome::OutOfTouch);
                 last_resort.offer(update);
                 return Ok(Left::OutOfTouch);
@@ -193,7 +193,7 @@
             let preferred = self.order().first() == Some(&address);
             if !std::mem::replace(served, true) {
                 self.figures.followed();
-                self.outlook.following.send_replace(Some(address));
+                self.control_plane.followed.send_replace(Some(address));
                 info!("control", kv: { outcome = "following", control: = address });
             }
             if !preferred && since.elapsed() >= RETURN_AFTER {
@@ -206,7 +206,7 @@
     fn learn(&mut self, control: Vec<SocketAddr>) {
         if !control.is_empty() && control.len() <= MOST_ADDRESSES {
             if self.control != control {
-                self.outlook.control.send_replace(control.clone());
+                self.control_plane.known.send_replace(control.clone());
             }
             self.control = control;
         }
--- a/crates/agent/src/uplink_tests.rs
+++ b/crates/agent/src/uplink_tests.rs
@@ -1,7 +1,7 @@
 //! Which control process an agent believes: processes of a few lines answer on loopback, one round at a time.
 
 use super::{Left, Uplink, is_unfit};
-use crate::Outlook;
+use crate::ControlPlaneStatus;
 use crate::owner::{Command, Report};
 use lugwharf_protocol::{
     AgentRequest, ConfigRecord, ControlReply, FrameError, Update, VersionVector, encode, read_frame,
@@ -27,7 +27,7 @@
 
 impl Says {
     fn reply(self) -> Option<ControlReply> {
-        let (in_touch, version) = match self {
+        let (has_quorum, version) = match self {
             Says::InTouch(version) => (true, version),
             Says::OutOfTouch(version) => (false, version),
             Says::Nothing => return None,
@@ -35,7 +35,7 @@
         let vector = VersionVector { config: version, ..VersionVector::default() };
         let config = Some(ConfigRecord { version, bytes: b"{}".to_vec() });
         let update = Update { vector, config, ..Update::default() };
-        Some(ControlReply::Update { in_touch, control: Vec::new(), update })
+        Some(ControlReply::Update { has_quorum, control: Vec::new(), update })
     }
 }
 
@@ -81,8 +81,8 @@
     let control = Vec::new();
     let figures = Arc::default();
     let (node, incarnation, source) = ("front-1".to_owned(), 1, None);
-    let outlook = Outlook::default();
-    let uplink = Uplink { node, incarnation, seeds, control, source, figures, commands, outlook };
+    let control_plane = ControlPlaneStatus::default();
+    let uplink = Uplink { node, incarnation, seeds, control, source, figures, commands, control_plane };
     let order = uplink.order();
     listeners.sort_by_key(|listener| order.iter().position(|known| *known == address(listener)));
     let answers = listeners.into_iter().zip(says);
@@ -141,7 +141,7 @@
 #[tokio::test]
 async fn tells_which_process_it_follows_until_it_leaves_it() {
     let mut bench = bench(vec![vec![NEW, OLD], vec![]]).await;
-    let mut followed = bench.uplink.outlook.following.subscribe();
+    let mut followed = bench.uplink.control_plane.followed.subscribe();
     let process = bench.uplink.order()[0];
     let watching = tokio::spawn(async move {
         let mut seen = Vec::new();
@@ -176,7 +176,7 @@
     let announced: SocketAddr = "127.0.0.9:1".parse().expect("an address");
     bench.uplink.control = vec!["127.0.0.8:1".parse().expect("an address")];
     let known = bench.uplink.control[0];
-    bench.uplink.outlook.announced.send_replace(vec![announced, known]);
+    bench.uplink.control_plane.announced.send_replace(vec![announced, known]);
     let order = bench.uplink.order();
     assert_eq!((order[0], order[1], order.len()), (known, announced, 4));
 }
--- a/crates/control/src/announcement_tests.rs
+++ b/crates/control/src/announcement_tests.rs
@@ -21,7 +21,7 @@
         let request = read_frame::<AgentRequest>(&mut stream).await.expect("a frame");
         let own = "10.0.0.2:7721".parse().expect("an address");
         assert_eq!(request, Some(AgentRequest::Announce { control: vec![own] }));
-        let reply = ControlReply::Update { in_touch: false, control, update: Update::default() };
+        let reply = ControlReply::Update { has_quorum: false, control, update: Update::default() };
         write_frame(&mut stream, &reply).await.expect("a write");
     });
     let (commands, mut queue) = mpsc::channel(4);
--- a/crates/control/src/encoded_bytes_tests.rs
+++ b/crates/control/src/encoded_bytes_tests.rs
@@ -53,7 +53,7 @@
         zone: "zone-a".to_owned(),
         slots: 16,
         state: ServerState::Ready,
-        cold_left_ms: 1_500,
+        warmup_remaining_ms: 1_500,
         stage: Some(Stage::Prefill),
         models: vec![ModelEntry { name: "base".to_owned(), version: 3 }],
     };
@@ -66,7 +66,7 @@
     };
     ServerDelta {
         position: TablePosition { epoch: 7, sequence: 70_001 },
-        whole: false,
+        is_full: false,
         entries: vec![entry, other],
         removed: vec!["i-3".to_owned()],
     }
--- a/crates/control/src/listing.rs
+++ b/crates/control/src/listing.rs
@@ -99,7 +99,7 @@
             zone: instance.zone,
             slots: instance.slots,
             state,
-            cold_left_ms: instance.cold_left_ms.max(0.0) as u64,
+            warmup_remaining_ms: instance.cold_left_ms.max(0.0) as u64,
             stage,
             models: models.map(|model| ModelEntry { name: model.name, version: model.version }).collect(),
         }
--- a/crates/control/src/owner_tests.rs
+++ b/crates/control/src/owner_tests.rs
@@ -73,8 +73,8 @@
     let request = AgentRequest::Pull { node, incarnation, have: VersionVector::default(), wait_ms: 0, loads };
     owner.handle(Command::Pull { request, reply });
     let frame = answer.try_recv().expect("an answer");
-    let ControlReply::Update { in_touch, .. } = decode(&frame[size_of::<u32>()..]).expect("a reply");
-    in_touch
+    let ControlReply::Update { has_quorum, .. } = decode(&frame[size_of::<u32>()..]).expect("a reply");
+    has_quorum
 }
 
 #[tokio::test]
--- a/crates/control/src/pulls.rs
+++ b/crates/control/src/pulls.rs
@@ -65,7 +65,7 @@
 impl Context {
     /// The answer with this update, if it can be encoded.
     pub fn encode(&self, update: Update) -> Option<Frame> {
-        let reply = ControlReply::Update { in_touch: self.in_touch, control: self.control.clone(), update };
+        let reply = ControlReply::Update { has_quorum: self.in_touch, control: self.control.clone(), update };
         match encode(&reply) {
             Ok(frame) => Some(frame.into()),
             Err(error) => {
--- a/crates/control/src/pulls_tests.rs
+++ b/crates/control/src/pulls_tests.rs
@@ -23,7 +23,7 @@
         zone: "a".to_owned(),
         slots: 16,
         state: ServerState::Ready,
-        cold_left_ms: 0,
+        warmup_remaining_ms: 0,
         stage: None,
         models: Vec::new(),
     }
@@ -99,8 +99,8 @@
     let mut answer = pull(&mut pulls, Duration::ZERO, tables.vector());
     pulls.serve(Duration::ZERO, &tables, &context(false));
     let frame = answer.try_recv().expect("an answer");
-    let ControlReply::Update { in_touch, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
-    assert!(!in_touch);
+    let ControlReply::Update { has_quorum, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
+    assert!(!has_quorum);
 }
 
 #[test]
@@ -172,8 +172,8 @@
 }
 
 fn in_touch(frame: &Frame) -> bool {
-    let ControlReply::Update { in_touch, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
-    in_touch
+    let ControlReply::Update { has_quorum, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
+    has_quorum
 }
 
 /// The answer to a pull that was served before: it is not made anew, though what it says of contact changes.
--- a/crates/control/src/status_tests.rs
+++ b/crates/control/src/status_tests.rs
@@ -15,7 +15,7 @@
         zone: "zone-a".to_owned(),
         slots: 4,
         state,
-        cold_left_ms: 0,
+        warmup_remaining_ms: 0,
         stage,
         models: Vec::new(),
     }
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -68,7 +68,7 @@
     directory: &Path, commands: tokio::sync::mpsc::Sender<Command>, usable: impl Fn(&[Vec<u8>]) -> bool,
 ) -> Result<Opened, StoreError> {
     let (log, recovered, lost) = open_log(directory, usable)?;
-    if let Some(cut) = &recovered.cut_tail {
+    if let Some(cut) = &recovered.torn_tail {
         warn!("log_file", kv: { outcome = "tail_cut", offset = cut.offset, bytes = cut.bytes });
     }
     let (batches, queue) = channel();
@@ -86,7 +86,7 @@
 ) -> Result<(Log, Recovered, bool), StoreError> {
     match Log::open(directory) {
         Ok((log, recovered)) if usable(&recovered.records) => return Ok((log, recovered, false)),
-        Ok(_) | Err(StoreError::Damaged { .. } | StoreError::Foreign) => {}
+        Ok(_) | Err(StoreError::Corrupt { .. } | StoreError::UnknownFormat) => {}
         Err(error) => return Err(error),
     }
     error!("log_file", kv: { outcome = "set_aside", reason = "it can't be read" });
--- a/crates/distribution/src/server_table.rs
+++ b/crates/distribution/src/server_table.rs
@@ -81,7 +81,7 @@
     /// every holder refuses what an earlier writer may still send. One table writes under one epoch: a process that was
     /// started anew needs a new token.
     ///
-    /// A different `cold_left_ms` alone is no change: it counts down from reading to reading, so that each reading
+    /// A different `warmup_remaining_ms` alone is no change: it counts down from reading to reading, so that each reading
     /// would change every young server. The latest value is kept for those who ask later.
     ///
     /// An id listed twice, as when the list shifts between two pages, counts as draining if either line says so; else
@@ -111,7 +111,7 @@
         if delta.position <= self.position {
             return Ok(false);
         }
-        if delta.whole {
+        if delta.is_full {
             self.take_whole(delta);
             return Ok(true);
         }
@@ -143,12 +143,12 @@
         let mut removed: Vec<String> = removed.cloned().collect();
         removed.sort_unstable();
         removed.dedup();
-        Some(ServerDelta { position: self.position, whole: false, entries, removed })
+        Some(ServerDelta { position: self.position, is_full: false, entries, removed })
     }
 
     fn whole(&self) -> ServerDelta {
         let entries = self.entries().cloned().collect();
-        ServerDelta { position: self.position, whole: true, entries, removed: Vec::new() }
+        ServerDelta { position: self.position, is_full: true, entries, removed: Vec::new() }
     }
 
     fn next_position(&self, epoch: u64) -> TablePosition {
@@ -169,7 +169,7 @@
     fn put(&mut self, id: String, entry: ServerEntry, changed: TablePosition) -> bool {
         match self.held.get_mut(&id) {
             Some(held) if is_same(&held.entry, &entry) => {
-                held.entry.cold_left_ms = entry.cold_left_ms;
+                held.entry.warmup_remaining_ms = entry.warmup_remaining_ms;
                 false
             }
             _ => {
--- a/crates/distribution/tests/server_table.rs
+++ b/crates/distribution/tests/server_table.rs
@@ -16,7 +16,7 @@
         zone: "z".to_owned(),
         slots: 4,
         state: ServerState::Ready,
-        cold_left_ms: 0,
+        warmup_remaining_ms: 0,
         stage: None,
         models: Vec::new(),
     }
@@ -64,9 +64,9 @@
 #[test]
 fn takes_a_countdown_for_no_change_but_keeps_it() {
     let mut table = ServerTable::new();
-    table.replace(1, vec![ServerEntry { cold_left_ms: 900, ..entry("a") }]).unwrap();
-    assert_eq!(table.replace(1, vec![ServerEntry { cold_left_ms: 400, ..entry("a") }]), Ok(false));
-    assert_eq!(table.get("a").map(|entry| entry.cold_left_ms), Some(400));
+    table.replace(1, vec![ServerEntry { warmup_remaining_ms: 900, ..entry("a") }]).unwrap();
+    assert_eq!(table.replace(1, vec![ServerEntry { warmup_remaining_ms: 400, ..entry("a") }]), Ok(false));
+    assert_eq!(table.get("a").map(|entry| entry.warmup_remaining_ms), Some(400));
 }
 
 #[rstest]
@@ -89,7 +89,7 @@
     let table = written(&[(1, &["a", "b"]), (1, &["a", "b", "c"]), (1, &["b", "c"])]);
     let delta = table.delta_since(have).unwrap();
     assert_eq!(delta.position, at(1, 3));
-    assert_eq!(delta.whole, whole);
+    assert_eq!(delta.is_full, whole);
     assert_eq!(ids(&delta.entries), new);
     assert_eq!(delta.removed, removed);
 }
@@ -118,7 +118,7 @@
     assert_eq!(ids(&successor.delta_since(behind).unwrap().entries), ["d"]);
     successor.replace(9, entries(&["a", "b", "d"])).unwrap();
     let delta = successor.delta_since(level).unwrap();
-    assert!(!delta.whole);
+    assert!(!delta.is_full);
     assert_eq!((delta.entries.len(), delta.removed), (0, vec!["c".to_owned()]));
 }
 
@@ -129,8 +129,8 @@
     successor.apply(&reader.delta_since(at(0, 0)).unwrap()).unwrap();
     reader.replace(1, entries(&["a"])).unwrap();
     successor.replace(2, entries(&["a", "b"])).unwrap();
-    assert!(successor.delta_since(reader.position()).unwrap().whole);
-    assert!(!successor.delta_since(at(1, 1)).unwrap().whole);
+    assert!(successor.delta_since(reader.position()).unwrap().is_full);
+    assert!(!successor.delta_since(at(1, 1)).unwrap().is_full);
     assert_eq!(reader.apply(&successor.delta_since(reader.position()).unwrap()), Ok(true));
     assert!(reader.entries().eq(successor.entries()));
 }
@@ -159,10 +159,10 @@
     let many: Vec<ServerEntry> = (0..=MAX_TOMBSTONES).map(|number| entry(&number.to_string())).collect();
     table.replace(1, many).unwrap();
     table.replace(1, entries(&["0"])).unwrap();
-    assert!(!table.delta_since(at(1, 1)).unwrap().whole);
+    assert!(!table.delta_since(at(1, 1)).unwrap().is_full);
     table.replace(1, Vec::new()).unwrap();
-    assert!(table.delta_since(at(1, 1)).unwrap().whole);
-    assert!(!table.delta_since(at(1, 2)).unwrap().whole);
+    assert!(table.delta_since(at(1, 1)).unwrap().is_full);
+    assert!(!table.delta_since(at(1, 2)).unwrap().is_full);
 }
 
 #[test]
@@ -170,9 +170,9 @@
     let mut table = written(&[(1, &["a"])]);
     let epochs = MAX_EPOCH_CHANGES as u64;
     (2..=1 + epochs).for_each(|epoch| assert_eq!(table.replace(epoch, entries(&["a"])), Ok(true)));
-    assert!(!table.delta_since(at(1, 1)).unwrap().whole);
+    assert!(!table.delta_since(at(1, 1)).unwrap().is_full);
     table.replace(2 + epochs, entries(&["a"])).unwrap();
-    assert!(table.delta_since(at(1, 1)).unwrap().whole);
+    assert!(table.delta_since(at(1, 1)).unwrap().is_full);
 }
 
 /// Several processes pull from each other in any order while the reader role moves: whoever reaches the position of
@@ -227,10 +227,10 @@
     let one = written(&[(PROVISIONAL_EPOCH, &["a", "gone"])]);
     let mut other = written(&[(PROVISIONAL_EPOCH, &["a", "b"])]);
     assert_eq!(one.position(), other.position());
-    assert_eq!(one.delta_since(TablePosition::default()).map(|delta| delta.whole), Some(true));
+    assert_eq!(one.delta_since(TablePosition::default()).map(|delta| delta.is_full), Some(true));
     other.replace(7, entries(&["a", "b", "c"])).expect("a later epoch");
     let delta = other.delta_since(one.position()).expect("something newer");
-    assert!(delta.whole);
+    assert!(delta.is_full);
     let mut holder = one.clone();
     assert_eq!(holder.apply(&delta), Ok(true));
     let held: Vec<&str> = holder.entries().map(|entry| entry.id.as_str()).collect();
@@ -274,5 +274,5 @@
         let listed: &[&str] = if change % 2 == 0 { &["a", "b"] } else { &["a"] };
         assert_eq!(table.replace(2, entries(listed)), Ok(true));
     }
-    assert_eq!(table.delta_since(at(1, 1)).map(|delta| delta.whole), Some(false));
+    assert_eq!(table.delta_since(at(1, 1)).map(|delta| delta.is_full), Some(false));
 }
--- a/crates/lugwharf/src/front.rs
+++ b/crates/lugwharf/src/front.rs
@@ -6,7 +6,7 @@
 
 use crate::commands::block_on;
 use eyre::{Result, WrapErr};
-use lugwharf_agent::{AgentOptions, Outlook, directory};
+use lugwharf_agent::{AgentOptions, ControlPlaneStatus, discovery};
 use lugwharf_control::{ControlOptions, gateway};
 use lugwharf_settings::{ControlPlacement, Settings};
 use lugwharf_stages::StageTuning;
@@ -40,12 +40,12 @@
 
 async fn run_with_gateway(settings: Settings, options: AgentOptions, address: SocketAddr) -> Result<()> {
     let directory_address = SocketAddr::new(settings.listen_ip(), settings.internal_ports().agent);
-    let outlook = Outlook::default();
+    let control_plane = ControlPlaneStatus::default();
     let (target, targets) = watch::channel(None);
     gateway::serve(listen(address).await?, targets);
-    tokio::spawn(redirect_to_followed(outlook.following.subscribe(), target, address.port()));
-    tokio::spawn(directory::serve(listen(directory_address).await?, outlook.clone()));
-    let options = AgentOptions { outlook, ..options };
+    tokio::spawn(redirect_to_followed(control_plane.followed.subscribe(), target, address.port()));
+    tokio::spawn(discovery::serve(listen(directory_address).await?, control_plane.clone()));
+    let options = AgentOptions { control_plane, ..options };
     lugwharf_agent::run(settings, options).await
 }
 
--- a/crates/lugwharf/tests/cut_off.rs
+++ b/crates/lugwharf/tests/cut_off.rs
@@ -94,7 +94,7 @@
     fleet.cluster.signal_control(CUT_OFF, Signal::Thaw).expect("a signal");
     let reply = link.reply().await.expect("a reply");
     let version = reply.config_version();
-    assert!(!reply.in_touch || version == 3, "version {version} as the newest\n{}", fleet.cluster.logs());
+    assert!(!reply.has_quorum || version == 3, "version {version} as the newest\n{}", fleet.cluster.logs());
     assert!(
         poll(|| async { pull::is_in_touch(agents).await == Some(true) }).await,
         "{}",
@@ -121,5 +121,5 @@
     let link = Pull::from_nothing(agents).await.expect("a link");
     fleet.cluster.signal_control(CUT_OFF, Signal::Thaw).expect("a signal");
     let reply = link.reply().await.expect("a reply");
-    assert!(!reply.in_touch, "{}", fleet.cluster.logs());
+    assert!(!reply.has_quorum, "{}", fleet.cluster.logs());
 }
--- a/crates/lugwharf/tests/followers.rs
+++ b/crates/lugwharf/tests/followers.rs
@@ -29,7 +29,7 @@
     for address in &all {
         let names_all = || async {
             let Some(reply) = pull::ask(*address).await else { return false };
-            reply.in_touch && reply.control.into_iter().collect::<BTreeSet<_>>() == all
+            reply.has_quorum && reply.control.into_iter().collect::<BTreeSet<_>>() == all
         };
         assert!(poll(names_all).await, "{address}\n{}", fleet.cluster.logs());
     }
@@ -40,7 +40,7 @@
     loop {
         let waiting = Pull::send(address, have, LONG_MS).await.expect("a link");
         let reply = waiting.reply().await.expect("a reply");
-        assert!(reply.in_touch, "out of touch in calm times");
+        assert!(reply.has_quorum, "out of touch in calm times");
         if reply.config_version() > 0 {
             return reply.config_version();
         }
@@ -114,7 +114,7 @@
     // Whoever waits there hears of it as well.
     let waiting = Pull::send(agent_address(&fleet, other), VersionVector::default(), LONG_MS).await;
     let reply = waiting.expect("a link").reply().await.expect("a reply");
-    assert!(!reply.in_touch);
+    assert!(!reply.has_quorum);
     for member in [0, 1] {
         fleet.cluster.signal_control(member, Signal::Thaw).expect("a signal");
     }
--- a/crates/lugwharf/tests/support/pull.rs
+++ b/crates/lugwharf/tests/support/pull.rs
@@ -11,7 +11,7 @@
 
 /// Its answer.
 pub struct Reply {
-    pub in_touch: bool,
+    pub has_quorum: bool,
     pub control: Vec<SocketAddr>,
     pub update: Update,
 }
@@ -40,8 +40,9 @@
 
     /// Waits for the answer.
     pub async fn reply(mut self) -> Option<Reply> {
-        let ControlReply::Update { in_touch, control, update } = read_frame(&mut self.link).await.ok()??;
-        Some(Reply { in_touch, control, update })
+        let ControlReply::Update { has_quorum, control, update } =
+            read_frame(&mut self.link).await.ok()??;
+        Some(Reply { has_quorum, control, update })
     }
 }
 
@@ -52,5 +53,5 @@
 
 /// Whether a control process calls itself in touch.
 pub async fn is_in_touch(address: SocketAddr) -> Option<bool> {
-    ask(address).await.map(|reply| reply.in_touch)
+    ask(address).await.map(|reply| reply.has_quorum)
 }
--- a/crates/protocol/src/agent.rs
+++ b/crates/protocol/src/agent.rs
@@ -63,13 +63,14 @@
     pub fleet: Option<FleetSummary>,
 }
 
-/// What a control process answers.
+/// What a control process answers. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub enum ControlReply {
     /// What is newer; parts that are not are absent.
     Update {
         /// Whether this control process is in touch with a majority of its view. An agent leaves one that is not.
-        in_touch: bool,
+        #[serde(rename = "in_touch")]
+        has_quorum: bool,
         /// Agent addresses of all control processes of the view.
         control: Vec<SocketAddr>,
         /// What is newer.
--- a/crates/protocol/src/packed.rs
+++ b/crates/protocol/src/packed.rs
@@ -16,14 +16,15 @@
 #[derive(Serialize, Deserialize)]
 struct PackedDelta<'a> {
     position: TablePosition,
-    whole: bool,
+    #[serde(rename = "whole")]
+    is_full: bool,
     names: Vec<Cow<'a, str>>,
     models: Vec<Cow<'a, [ModelEntry]>>,
     rows: Vec<Row<'a>>,
     removed: Cow<'a, [String]>,
 }
 
-/// One server: id, service, address, zone, slots, whether it takes requests, `cold_left_ms`, part, models. Service, zone and
+/// One server: id, service, address, zone, slots, whether it takes requests, `warmup_remaining_ms`, part, models. Service, zone and
 /// models are indices.
 #[derive(Serialize, Deserialize)]
 struct Row<'a>(Cow<'a, str>, usize, SocketAddr, usize, u32, bool, u64, Option<bool>, usize);
@@ -57,12 +58,12 @@
         let ready = entry.state == ServerState::Ready;
         let prefill = entry.stage.map(|stage| stage == Stage::Prefill);
         let id = Cow::Borrowed(entry.id.as_str());
-        Row(id, service, entry.address, zone, entry.slots, ready, entry.cold_left_ms, prefill, models)
+        Row(id, service, entry.address, zone, entry.slots, ready, entry.warmup_remaining_ms, prefill, models)
     });
     let rows = rows.collect();
     PackedDelta {
         position: delta.position,
-        whole: delta.whole,
+        is_full: delta.is_full,
         names: names.values.into_iter().map(Cow::Borrowed).collect(),
         models: models.values.into_iter().map(Cow::Borrowed).collect(),
         rows,
@@ -71,9 +72,9 @@
 }
 
 fn unpack(packed: PackedDelta<'_>) -> Option<ServerDelta> {
-    let PackedDelta { position, whole, names, models, rows, removed } = packed;
+    let PackedDelta { position, is_full, names, models, rows, removed } = packed;
     let entry = |row: Row<'_>| {
-        let Row(id, service, address, zone, slots, ready, cold_left_ms, prefill, held) = row;
+        let Row(id, service, address, zone, slots, ready, warmup_remaining_ms, prefill, held) = row;
         Some(ServerEntry {
             id: id.into_owned(),
             service: names.get(service)?.to_string(),
@@ -81,13 +82,13 @@
             zone: names.get(zone)?.to_string(),
             slots,
             state: if ready { ServerState::Ready } else { ServerState::Draining },
-            cold_left_ms,
+            warmup_remaining_ms,
             stage: prefill.map(|prefill| if prefill { Stage::Prefill } else { Stage::Decode }),
             models: models.get(held)?.to_vec(),
         })
     };
     let entries = rows.into_iter().map(entry).collect::<Option<Vec<ServerEntry>>>()?;
-    Some(ServerDelta { position, whole, entries, removed: removed.into_owned() })
+    Some(ServerDelta { position, is_full, entries, removed: removed.into_owned() })
 }
 
 impl Serialize for ServerDelta {
--- a/crates/protocol/src/table.rs
+++ b/crates/protocol/src/table.rs
@@ -81,7 +81,7 @@
     pub version: u64,
 }
 
-/// One server of the platform's list.
+/// One server of the platform's list. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ServerEntry {
     /// Its incarnation.
@@ -97,7 +97,8 @@
     /// Whether it takes requests.
     pub state: ServerState,
     /// For how long it is still slow from its start, in ms, when it was listed.
-    pub cold_left_ms: u64,
+    #[serde(rename = "cold_left_ms")]
+    pub warmup_remaining_ms: u64,
     /// Its part, where it has one.
     pub stage: Option<Stage>,
     /// Models it holds.
@@ -119,10 +120,10 @@
     /// The position after this change.
     pub position: TablePosition,
     /// Whether `entries` is the whole list; else it holds only what is new or different.
-    pub whole: bool,
+    pub is_full: bool,
     /// Entries that are new or different.
     pub entries: Vec<ServerEntry>,
-    /// Ids that are gone; empty where `whole`.
+    /// Ids that are gone; empty where `is_full`.
     pub removed: Vec<String>,
 }
 
--- a/crates/protocol/tests/packed.rs
+++ b/crates/protocol/tests/packed.rs
@@ -18,7 +18,7 @@
         zone: format!("some-zone-{}", number % 3),
         slots: 64,
         state: if number.is_multiple_of(5) { ServerState::Draining } else { ServerState::Ready },
-        cold_left_ms: u64::from(number % 7),
+        warmup_remaining_ms: u64::from(number % 7),
         stage: [None, Some(Stage::Prefill), Some(Stage::Decode)][usize::from(number % 3)],
         models: (0..number % 3).map(|model| ModelEntry { name: format!("m{model}"), version: 4 }).collect(),
     }
@@ -27,7 +27,7 @@
 fn delta(servers: u16) -> ServerDelta {
     ServerDelta {
         position: TablePosition { epoch: 117_440_513, sequence: 9 },
-        whole: true,
+        is_full: true,
         entries: (0..servers).map(entry).collect(),
         removed: vec!["i-gone".to_owned()],
     }
--- a/crates/proxy/src/feed_tests.rs
+++ b/crates/proxy/src/feed_tests.rs
@@ -71,7 +71,7 @@
         assert_eq!((after.have.config, after.have.servers), (7, report.have.servers));
         // Made for another proxy's vector, or by an agent that knows an older list.
         let position = TablePosition { epoch: 0, sequence: 9 };
-        let servers = Some(ServerDelta { position, whole: true, entries: Vec::new(), removed: Vec::new() });
+        let servers = Some(ServerDelta { position, is_full: true, entries: Vec::new(), removed: Vec::new() });
         write_frame(&mut new, &FeedMessage::Update(Update { servers, ..Update::default() }))
             .await
             .expect("sent");
@@ -95,7 +95,7 @@
         let (mut new, _) = link(agent).await;
         let position = report.have.servers;
         let entries = vec![entry(agent.local_addr().expect("an address"))];
-        let servers = Some(ServerDelta { position, whole: true, entries, removed: Vec::new() });
+        let servers = Some(ServerDelta { position, is_full: true, entries, removed: Vec::new() });
         write_frame(&mut new, &FeedMessage::Update(Update { servers, ..Update::default() }))
             .await
             .expect("sent");
--- a/crates/proxy/src/upstream/fixtures.rs
+++ b/crates/proxy/src/upstream/fixtures.rs
@@ -37,7 +37,7 @@
 /// Has the process hear of a list.
 pub fn list(shared: &Shared, sequence: u64, entries: Vec<ServerEntry>) {
     let position = TablePosition { epoch: 1, sequence };
-    let servers = Some(ServerDelta { position, whole: true, entries, removed: Vec::new() });
+    let servers = Some(ServerDelta { position, is_full: true, entries, removed: Vec::new() });
     shared.apply(&Update { servers, ..Update::default() });
 }
 
@@ -49,7 +49,7 @@
         zone: "home".to_owned(),
         slots: 8,
         state: ServerState::Ready,
-        cold_left_ms: 0,
+        warmup_remaining_ms: 0,
         stage: None,
         models: Vec::new(),
     }
--- a/crates/proxy/tests/common/mod.rs
+++ b/crates/proxy/tests/common/mod.rs
@@ -186,7 +186,7 @@
                 zone: "home".to_owned(),
                 slots: 8,
                 state: ServerState::Ready,
-                cold_left_ms: 0,
+                warmup_remaining_ms: 0,
                 stage: *stage,
                 models: Vec::new(),
             });
@@ -249,7 +249,7 @@
     async fn list_entries(&mut self, entries: Vec<ServerEntry>) {
         self.sequence += 1;
         let position = TablePosition { epoch: 1, sequence: self.sequence };
-        let servers = Some(ServerDelta { position, whole: true, entries, removed: Vec::new() });
+        let servers = Some(ServerDelta { position, is_full: true, entries, removed: Vec::new() });
         let fleet = Some(FleetSummary { live_proxies: 1 });
         let have = self.update(Update { servers, fleet, ..Update::default() }).await;
         assert_eq!(have.servers, position);
--- a/crates/routing/src/listing.rs
+++ b/crates/routing/src/listing.rs
@@ -14,7 +14,7 @@
         if delta.position < self.position {
             return false;
         }
-        if delta.whole {
+        if delta.is_full {
             self.remove_absent(&delta.entries);
         }
         for id in &delta.removed {
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -38,7 +38,7 @@
 
 impl Server {
     pub fn new(entry: ServerEntry, zone: Rc<str>, now: Duration) -> Server {
-        let cold_until = now + Duration::from_millis(entry.cold_left_ms);
+        let cold_until = now + Duration::from_millis(entry.warmup_remaining_ms);
         Server {
             id: Rc::from(entry.id.as_str()),
             zone,
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -26,7 +26,7 @@
         zone: zone.to_owned(),
         slots: 64,
         state: ServerState::Ready,
-        cold_left_ms: 0,
+        warmup_remaining_ms: 0,
         stage,
         models: vec![ModelEntry { name: "m".to_owned(), version: 1 }],
     }
@@ -37,7 +37,7 @@
 }
 
 pub fn whole(position: TablePosition, entries: Vec<ServerEntry>) -> ServerDelta {
-    ServerDelta { position, whole: true, entries, removed: Vec::new() }
+    ServerDelta { position, is_full: true, entries, removed: Vec::new() }
 }
 
 pub fn balancer(tuning: Tuning, entries: Vec<ServerEntry>) -> Balancer {
--- a/crates/routing/tests/digest.rs
+++ b/crates/routing/tests/digest.rs
@@ -170,7 +170,7 @@
         let mut entry = entry(&format!("i-{number}"), ZONES[self.rng.usize(..3)], stage);
         entry.service = self.service().to_owned();
         entry.slots = 1 + self.rng.u32(..64);
-        entry.cold_left_ms = if self.rng.u8(..4) == 0 { 3_000 } else { 0 };
+        entry.warmup_remaining_ms = if self.rng.u8(..4) == 0 { 3_000 } else { 0 };
         if self.rng.u8(..10) == 0 {
             entry.state = ServerState::Draining;
         }
@@ -232,7 +232,7 @@
         }
         self.sequence += 1;
         let position = position(1, self.sequence);
-        self.apply(&ServerDelta { position, whole: false, entries, removed });
+        self.apply(&ServerDelta { position, is_full: false, entries, removed });
     }
 
     fn choose(&mut self) {
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -167,7 +167,7 @@
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
     balancer.started(a, Part::Whole);
     let removed = vec!["b".to_owned()];
-    let delta = ServerDelta { position: position(1, 2), whole: false, entries: plain(1), removed };
+    let delta = ServerDelta { position: position(1, 2), is_full: false, entries: plain(1), removed };
     assert!(balancer.apply(ms(0), &delta));
     assert_eq!(balancer.in_flight(a, Part::Whole), 1);
     assert!(!balancer.is_listed(b));
--- a/crates/stages/tests/planner.rs
+++ b/crates/stages/tests/planner.rs
@@ -25,7 +25,7 @@
         zone: zone.to_owned(),
         slots: 64,
         state: ServerState::Ready,
-        cold_left_ms: 0,
+        warmup_remaining_ms: 0,
         stage: Some(stage),
         models: Vec::new(),
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -25,7 +25,7 @@
     fn remove(&self, name: &str) -> io::Result<()>;
 
     /// Makes renames and removals last.
-    fn sync_folder(&self) -> io::Result<()>;
+    fn sync_directory(&self) -> io::Result<()>;
 }
 
 /// An open file.
@@ -42,25 +42,25 @@
 
 /// A folder of the file system.
 #[derive(Clone, Debug)]
-pub struct Folder {
+pub struct Directory {
     path: PathBuf,
 }
 
-impl Folder {
+impl Directory {
     /// The folder at a path; it must exist.
-    pub fn new(path: &Path) -> Folder {
-        Folder { path: path.to_owned() }
+    pub fn new(path: &Path) -> Directory {
+        Directory { path: path.to_owned() }
     }
 }
 
 /// A file of the file system.
 #[derive(Debug)]
-pub struct FolderFile {
+pub struct DirectoryFile {
     file: File,
 }
 
-impl Disk for Folder {
-    type File = FolderFile;
+impl Disk for Directory {
+    type File = DirectoryFile;
 
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         let mut file = match File::open(self.path.join(name)) {
@@ -73,15 +73,15 @@
         Ok(Some(bytes))
     }
 
-    fn open(&self, name: &str) -> io::Result<FolderFile> {
+    fn open(&self, name: &str) -> io::Result<DirectoryFile> {
         let file = OpenOptions::new().read(true).write(true).open(self.path.join(name))?;
-        Ok(FolderFile { file })
+        Ok(DirectoryFile { file })
     }
 
-    fn create(&self, name: &str) -> io::Result<FolderFile> {
+    fn create(&self, name: &str) -> io::Result<DirectoryFile> {
         let path = self.path.join(name);
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
-        Ok(FolderFile { file })
+        Ok(DirectoryFile { file })
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -92,12 +92,12 @@
         std::fs::remove_file(self.path.join(name))
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
 
-impl DiskFile for FolderFile {
+impl DiskFile for DirectoryFile {
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         self.file.seek(SeekFrom::Start(offset))?;
         self.file.write_all(bytes)
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -10,13 +10,13 @@
     Io(#[from] io::Error),
     /// Records that were synced are not readable any more.
     #[error("the log is damaged at byte {offset}: sound records follow")]
-    Damaged {
+    Corrupt {
         /// Where the damage begins.
         offset: u64,
     },
     /// The file is no log of this version.
     #[error("the file is no log of a known version")]
-    Foreign,
+    UnknownFormat,
     /// A rewrite failed at its renaming, so the name may stand for either file. Rewrite or reopen.
     #[error("the log must be rewritten or reopened first")]
     Poisoned,
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -110,13 +110,13 @@
     /// The sequence number of the next frame.
     pub next_sequence: u64,
     /// Whether sound frames follow behind one that is not.
-    pub damaged: bool,
+    pub is_corrupt: bool,
 }
 
 /// Reads the frames of a file behind its header.
 pub fn parse(generation: u64, file: &[u8]) -> Parsed {
     let mut parsed =
-        Parsed { records: Vec::new(), good_bytes: HEADER_BYTES, next_sequence: 1, damaged: false };
+        Parsed { records: Vec::new(), good_bytes: HEADER_BYTES, next_sequence: 1, is_corrupt: false };
     while let Some(frame) = file.get(parsed.good_bytes..).and_then(|rest| decode_frame(generation, rest)) {
         if frame.sequence != parsed.next_sequence {
             break;
@@ -125,7 +125,7 @@
         parsed.good_bytes += frame.bytes;
         parsed.next_sequence += 1;
     }
-    parsed.damaged = later_frame(generation, file, parsed.good_bytes, parsed.next_sequence);
+    parsed.is_corrupt = later_frame(generation, file, parsed.good_bytes, parsed.next_sequence);
     parsed
 }
 
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -18,6 +18,6 @@
 pub mod simulated;
 
 pub use checksum::crc32c;
-pub use disk::{Disk, DiskFile, Folder, FolderFile};
+pub use disk::{Directory, DirectoryFile, Disk, DiskFile};
 pub use error::StoreError;
-pub use log::{CutTail, Log, Recovered};
+pub use log::{Log, Recovered, TornTail};
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,6 +1,6 @@
 //! The log itself.
 
-use crate::disk::{Disk, DiskFile, Folder};
+use crate::disk::{Directory, Disk, DiskFile};
 use crate::error::StoreError;
 use crate::frame::{self, HEADER_BYTES, MAX_FRAME_BYTES};
 use std::path::Path;
@@ -17,7 +17,7 @@
 
 /// A tail that was cut off at the opening.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CutTail {
+pub struct TornTail {
     /// Where it began.
     pub offset: u64,
     /// How many bytes it had.
@@ -30,12 +30,12 @@
     /// The records, oldest first.
     pub records: Vec<Vec<u8>>,
     /// What was cut off.
-    pub cut_tail: Option<CutTail>,
+    pub torn_tail: Option<TornTail>,
 }
 
 /// An open log.
 #[derive(Debug)]
-pub struct Log<D: Disk = Folder> {
+pub struct Log<D: Disk = Directory> {
     disk: D,
     file: D::File,
     generation: u64,
@@ -44,20 +44,20 @@
     /// Bytes of a failed append may lie behind the good ones.
     unclean: bool,
     /// The name may still fall back to the file before the last rewrite.
-    folder_unsynced: bool,
+    directory_unsynced: bool,
     /// The name may stand for another file than the open one.
     misnamed: bool,
 }
 
-impl Log<Folder> {
+impl Log<Directory> {
     /// Opens the log in a folder of the file system, or makes an empty one.
     pub fn open(folder: &Path) -> Result<(Log, Recovered), StoreError> {
-        Log::open_on(Folder::new(folder))
+        Log::open_on(Directory::new(folder))
     }
 
     /// Sets a damaged log aside, so that the next opening begins with an empty one.
     pub fn quarantine(folder: &Path) -> Result<(), StoreError> {
-        Log::quarantine_on(&Folder::new(folder))
+        Log::quarantine_on(&Directory::new(folder))
     }
 }
 
@@ -72,7 +72,7 @@
         let unnamed = disk.read(NEW)?.filter(|bytes| frame::decode_header(bytes).is_some());
         let Some(bytes) = unnamed else { return Log::create(disk) };
         disk.rename(NEW, LOG)?;
-        disk.sync_folder()?;
+        disk.sync_directory()?;
         Log::open_existing(disk, &bytes)
     }
 
@@ -84,26 +84,26 @@
         if disk.read(LOG)?.is_some() {
             disk.rename(LOG, QUARANTINED)?;
         }
-        disk.sync_folder()?;
+        disk.sync_directory()?;
         Ok(())
     }
 
     fn open_existing(disk: D, bytes: &[u8]) -> Result<(Log<D>, Recovered), StoreError> {
-        let generation = frame::decode_header(bytes).ok_or(StoreError::Foreign)?;
+        let generation = frame::decode_header(bytes).ok_or(StoreError::UnknownFormat)?;
         let parsed = frame::parse(generation, bytes);
         let good_bytes = parsed.good_bytes as u64;
-        if parsed.damaged {
-            return Err(StoreError::Damaged { offset: good_bytes });
+        if parsed.is_corrupt {
+            return Err(StoreError::Corrupt { offset: good_bytes });
         }
         let mut file = disk.open(LOG)?;
         let surplus = bytes.len() as u64 - good_bytes;
-        let cut_tail = (surplus > 0).then_some(CutTail { offset: good_bytes, bytes: surplus });
+        let torn_tail = (surplus > 0).then_some(TornTail { offset: good_bytes, bytes: surplus });
         // What was read may lie in a cache only, if a process died before its sync; so it is synced before it counts.
-        if cut_tail.is_some() {
+        if torn_tail.is_some() {
             file.set_length(good_bytes)?;
         }
         file.sync()?;
-        disk.sync_folder()?;
+        disk.sync_directory()?;
         let log = Log {
             disk,
             file,
@@ -111,10 +111,10 @@
             next_sequence: parsed.next_sequence,
             good_bytes,
             unclean: false,
-            folder_unsynced: false,
+            directory_unsynced: false,
             misnamed: false,
         };
-        Ok((log, Recovered { records: parsed.records, cut_tail }))
+        Ok((log, Recovered { records: parsed.records, torn_tail }))
     }
 
     fn create(disk: D) -> Result<(Log<D>, Recovered), StoreError> {
@@ -123,7 +123,7 @@
         file.write_at(0, &frame::encode_header(generation))?;
         file.sync()?;
         disk.rename(NEW, LOG)?;
-        disk.sync_folder()?;
+        disk.sync_directory()?;
         let log = Log {
             disk,
             file,
@@ -131,10 +131,10 @@
             next_sequence: 1,
             good_bytes: HEADER_BYTES as u64,
             unclean: false,
-            folder_unsynced: false,
+            directory_unsynced: false,
             misnamed: false,
         };
-        Ok((log, Recovered { records: Vec::new(), cut_tail: None }))
+        Ok((log, Recovered { records: Vec::new(), torn_tail: None }))
     }
 
     /// Appends records and syncs them. After an error nothing is known of what lies on disk behind the records before;
@@ -175,9 +175,9 @@
         self.next_sequence = frames.len() as u64 + 1;
         self.good_bytes = good_bytes;
         self.unclean = false;
-        self.folder_unsynced = true;
-        self.disk.sync_folder()?;
-        self.folder_unsynced = false;
+        self.directory_unsynced = true;
+        self.disk.sync_directory()?;
+        self.directory_unsynced = false;
         Ok(())
     }
 
@@ -204,9 +204,9 @@
         if self.misnamed {
             return Err(StoreError::Poisoned);
         }
-        if self.folder_unsynced {
-            self.disk.sync_folder()?;
-            self.folder_unsynced = false;
+        if self.directory_unsynced {
+            self.disk.sync_directory()?;
+            self.directory_unsynced = false;
         }
         if self.unclean {
             self.file.set_length(self.good_bytes)?;
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/simulated.rs
@@ -269,7 +269,7 @@
         Ok(())
     }
 
-    fn sync_folder(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         let mut state = lock(&self.state);
         state.permit()?;
         state.durable_names = state.names.clone();
--- a/crates/store/tests/file_format.rs
+++ b/crates/store/tests/file_format.rs
@@ -118,7 +118,7 @@
     for (file, held, added) in cases {
         let disk = disk_with(LOG, &unhex(file));
         let (mut log, recovered) = Log::open_on(disk.clone()).expect("a log");
-        assert_eq!((recovered.records, recovered.cut_tail), (held, None), "{file}");
+        assert_eq!((recovered.records, recovered.torn_tail), (held, None), "{file}");
         assert_eq!(content(&disk, LOG).as_deref(), Some(file));
         log.append(&records(&["x"])).expect("appended");
         assert_eq!(content(&disk, LOG), Some(format!("{file}{added}")));
@@ -143,7 +143,7 @@
     let disk = disk_with(LOG, &[header.clone(), earlier.clone()].concat());
     let recovered = Log::open_on(disk.clone()).expect("a log").1;
     assert_eq!(recovered.records, records(&[]));
-    let tail = recovered.cut_tail.expect("a tail");
+    let tail = recovered.torn_tail.expect("a tail");
     assert_eq!((tail.offset, tail.bytes), (20, earlier.len() as u64));
     assert_eq!(content(&disk, LOG), Some(hex(&header)));
 }
@@ -154,7 +154,7 @@
     file[30] ^= 1;
     let disk = disk_with(LOG, &file);
     let error = Log::open_on(disk.clone()).expect_err("damage");
-    assert!(matches!(error, StoreError::Damaged { offset: 20 }), "{error}");
+    assert!(matches!(error, StoreError::Corrupt { offset: 20 }), "{error}");
     Log::quarantine_on(&disk).expect("set aside");
     assert_eq!(content(&disk, QUARANTINED), Some(hex(&file)));
     assert_eq!(content(&disk, LOG), None);
@@ -164,5 +164,5 @@
 fn a_file_of_another_format_is_refused() {
     let error =
         Log::open_on(disk_with(LOG, b"LWHLOG\x00\x02 and so on, to the end")).expect_err("another format");
-    assert!(matches!(error, StoreError::Foreign), "{error}");
+    assert!(matches!(error, StoreError::UnknownFormat), "{error}");
 }
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -1,7 +1,7 @@
 //! The log on a sound disk, cut at every byte, damaged at every byte, and on a disk that refuses.
 
 use lugwharf_store::simulated::SimulatedDisk;
-use lugwharf_store::{Disk, Folder, Log, Recovered, StoreError, crc32c};
+use lugwharf_store::{Directory, Disk, Log, Recovered, StoreError, crc32c};
 use rstest::rstest;
 
 /// The length of the header and of a frame around its records, as the layout in `frame.rs` says.
@@ -54,14 +54,14 @@
 #[test]
 fn an_empty_disk_gives_an_empty_log() {
     let recovered = reopen(&SimulatedDisk::new());
-    assert_eq!(recovered, Recovered { records: Vec::new(), cut_tail: None });
+    assert_eq!(recovered, Recovered { records: Vec::new(), torn_tail: None });
 }
 
 #[test]
 fn records_come_back_in_order() {
     let recovered = reopen(&written());
     assert_eq!(recovered.records, batches().concat());
-    assert_eq!(recovered.cut_tail, None);
+    assert_eq!(recovered.torn_tail, None);
 }
 
 #[test]
@@ -73,12 +73,12 @@
         let (mut log, recovered) = Log::open_on(disk.clone()).unwrap();
         let kept = whole_batches(length);
         assert_eq!(recovered.records, kept, "cut at {length}");
-        assert_eq!(recovered.cut_tail.is_some(), log.len_bytes() != length as u64, "cut at {length}");
+        assert_eq!(recovered.torn_tail.is_some(), log.len_bytes() != length as u64, "cut at {length}");
 
         log.append(&[b"next".to_vec()]).unwrap();
         let recovered = reopen(&disk);
         assert_eq!(recovered.records, [kept, vec![b"next".to_vec()]].concat(), "cut at {length}");
-        assert_eq!(recovered.cut_tail, None, "cut at {length}");
+        assert_eq!(recovered.torn_tail, None, "cut at {length}");
     }
 }
 
@@ -90,14 +90,14 @@
         let disk = written();
         disk.corrupt("log", offset);
         match Log::open_on(disk) {
-            Err(StoreError::Foreign) => assert!(offset < HEADER_BYTES, "byte {offset}"),
-            Err(StoreError::Damaged { .. }) => {
+            Err(StoreError::UnknownFormat) => assert!(offset < HEADER_BYTES, "byte {offset}"),
+            Err(StoreError::Corrupt { .. }) => {
                 assert!((HEADER_BYTES..last).contains(&offset), "byte {offset}")
             }
             Ok((_, recovered)) => {
                 assert!(offset >= last, "byte {offset}");
                 assert_eq!(recovered.records, batches()[..3].concat());
-                assert!(recovered.cut_tail.is_some());
+                assert!(recovered.torn_tail.is_some());
             }
             Err(error) => panic!("byte {offset}: {error}"),
         }
@@ -125,7 +125,7 @@
     log.append(&[b"small".to_vec()]).unwrap();
     let recovered = reopen(&disk);
     assert_eq!(recovered.records, [batches().concat(), vec![b"small".to_vec()]].concat());
-    assert_eq!(recovered.cut_tail, None);
+    assert_eq!(recovered.torn_tail, None);
 }
 
 #[rstest]
@@ -139,7 +139,7 @@
     log.append(&[b"shorter".to_vec()]).unwrap();
     log.append(&[b"and more".to_vec()]).unwrap();
     let expected = [batches().concat(), vec![b"shorter".to_vec(), b"and more".to_vec()]].concat();
-    assert_eq!(reopen(&disk), Recovered { records: expected, cut_tail: None });
+    assert_eq!(reopen(&disk), Recovered { records: expected, torn_tail: None });
 }
 
 #[test]
@@ -199,7 +199,7 @@
     let (_, recovered) = Log::open(&path).unwrap();
     assert_eq!(recovered.records, vec![b"two".to_vec(), b"three".to_vec()]);
     Log::quarantine(&path).unwrap();
-    assert_eq!(Log::open_on(Folder::new(&path)).unwrap().1.records, Vec::<Vec<u8>>::new());
+    assert_eq!(Log::open_on(Directory::new(&path)).unwrap().1.records, Vec::<Vec<u8>>::new());
     std::fs::remove_dir_all(&path).unwrap();
 }
 
@@ -252,5 +252,5 @@
     disk.truncate("log", length - 1);
     let recovered = reopen(&disk);
     assert_eq!(recovered.records, Vec::<Vec<u8>>::new());
-    assert!(recovered.cut_tail.is_some());
+    assert!(recovered.torn_tail.is_some());
 }
--- a/crates/store/tests/simulated.rs
+++ b/crates/store/tests/simulated.rs
@@ -1,7 +1,7 @@
 //! The simulated disk itself: a test of the log is worth as much as the faults that its disk plays.
 
 use lugwharf_store::simulated::SimulatedDisk;
-use lugwharf_store::{Disk, DiskFile, Folder};
+use lugwharf_store::{Directory, Disk, DiskFile};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
@@ -94,7 +94,7 @@
         file.sync().unwrap();
         disk.rename("new", "file").unwrap();
         if synced {
-            disk.sync_folder().unwrap();
+            disk.sync_directory().unwrap();
         }
     });
     let lengths: Vec<_> = outcomes.iter().map(|content| content.as_ref().map(Vec::len)).collect();
@@ -111,7 +111,7 @@
         disk.remove("file").unwrap();
         assert_eq!(disk.read("file").unwrap(), None);
         if synced {
-            disk.sync_folder().unwrap();
+            disk.sync_directory().unwrap();
         }
     });
     assert!(outcomes.contains(&None));
@@ -207,7 +207,7 @@
 #[test]
 fn a_file_that_can_not_be_read_is_not_taken_for_none() {
     let scratch = Scratch::new("unreadable");
-    let folder = Folder::new(&scratch.0);
+    let folder = Directory::new(&scratch.0);
     assert!(matches!(folder.read("log"), Ok(None)));
     std::os::unix::fs::symlink("log", scratch.0.join("log")).unwrap();
     assert!(folder.read("log").is_err());
@@ -216,7 +216,7 @@
 #[test]
 fn a_file_is_cut_and_removed() {
     let scratch = Scratch::new("cut");
-    let folder = Folder::new(&scratch.0);
+    let folder = Directory::new(&scratch.0);
     let mut file = folder.create("log").unwrap();
     file.write_at(0, b"abcdef").unwrap();
     file.set_length(3).unwrap();
@@ -230,7 +230,7 @@
 fn a_sync_that_the_system_refuses_fails() {
     let scratch = Scratch::new("sync");
     std::os::unix::fs::symlink("/dev/null", scratch.0.join("log")).unwrap();
-    let mut device = Folder::new(&scratch.0).open("log").unwrap();
+    let mut device = Directory::new(&scratch.0).open("log").unwrap();
     assert!(device.sync().is_err());
-    assert!(Folder::new(&scratch.0.join("none")).sync_folder().is_err());
+    assert!(Directory::new(&scratch.0.join("none")).sync_directory().is_err());
 }
