--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -66,9 +66,9 @@
     tokio::spawn(feed::serve(listener, commands.clone()));
     let (reload, reloads) = mpsc::channel(1);
     let figures = Arc::<Figures>::default();
-    if let Some(port) = options.metrics_port
-        && let Some(endpoint) = MetricsEndpoint::listen(SocketAddr::new(settings.listen_ip(), port)).await
-    {
+    let metrics_endpoint =
+        MetricsEndpoint::listen_if_enabled(settings.listen_ip(), options.metrics_port).await;
+    if let Some(endpoint) = metrics_endpoint {
         tokio::spawn(figures::serve(endpoint, figures.clone(), commands.clone()));
     }
     tokio::spawn(uplink::run(settings, figures, commands, reloads, options.control_plane));
--- a/crates/proxy/src/figures.rs
+++ b/crates/proxy/src/figures.rs
@@ -5,7 +5,7 @@
 use crate::clients::Clients;
 use crate::outcome::{RequestOutcome, SendOutcome};
 use crate::state::Shared;
-use lugwharf_telemetry::{Exposition, LineLimit, MetricsEndpoint, Permit};
+use lugwharf_telemetry::{Exposition, LogPermit, LogRateLimiter, MetricsEndpoint};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -29,7 +29,7 @@
     pub handles_left: Cell<u64>,
     /// Lines about failed requests that were left out.
     lines_omitted: Cell<u64>,
-    limits: RefCell<[LineLimit; RequestOutcome::COUNT]>,
+    limits: RefCell<[LogRateLimiter; RequestOutcome::COUNT]>,
 }
 
 impl Default for Figures {
@@ -41,7 +41,7 @@
             handles_freed: Cell::new(0),
             handles_left: Cell::new(0),
             lines_omitted: Cell::new(0),
-            limits: RefCell::new(std::array::from_fn(|_| LineLimit::new(LINE_EVERY, LINE_BURST))),
+            limits: RefCell::new(std::array::from_fn(|_| LogRateLimiter::new(LINE_EVERY, LINE_BURST))),
         }
     }
 }
@@ -63,8 +63,8 @@
     }
 
     /// Asks whether a line about a request that ended so may be written at `now`.
-    pub fn may_write_line(&self, now: Duration, outcome: RequestOutcome) -> Option<Permit> {
-        let permit = self.limits.borrow_mut()[outcome.index()].ask(now);
+    pub fn may_write_line(&self, now: Duration, outcome: RequestOutcome) -> Option<LogPermit> {
+        let permit = self.limits.borrow_mut()[outcome.index()].try_acquire(now);
         if permit.is_none() {
             increment(&self.lines_omitted);
         }
--- a/crates/telemetry/src/exposition.rs
+++ b/crates/telemetry/src/exposition.rs
@@ -1,6 +1,6 @@
-//! Figures as text, in the OpenMetrics format.
+//! Metrics as text, in the OpenMetrics format.
 //!
-//! A process counts in plain cells; the text is made from them when it is asked for, so that nothing is held in between.
+//! A process counts in plain cells; the text is made from them when it is requested, so that nothing is retained in between.
 
 use lugwharf_invariants::counts;
 use prometheus_client::encoding::EncodeLabelSet;
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use prometheus_client::registry::Registry;
 
-/// The type of the text.
+/// The media type of the text, for the header `Content-Type`.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -23,34 +23,35 @@
     invariant: &'static str,
 }
 
-/// The text of one process under construction.
+/// A builder of the metrics text of one process.
 pub struct Exposition {
     registry: Registry,
 }
 
 impl Exposition {
-    /// Begins a text; all names begin with `prefix`, as in `lugwharf_proxy`. It tells of violated invariants.
+    /// Starts a text whose metric names begin with `prefix`, as in `lugwharf_proxy`. It contains the counts of violated
+    /// invariants from the start.
     pub fn new(prefix: &'static str) -> Exposition {
         let mut registry = Registry::with_prefix(prefix);
         InvariantCounters::default().register(&mut registry);
         Exposition { registry }
     }
 
-    /// Adds a figure that goes up and down.
+    /// Adds a gauge: a value that goes up and down. Values above `i64::MAX` are written as that.
     pub fn gauge(&mut self, name: &'static str, help: &'static str, value: u64) {
         let gauge: Gauge = Gauge::default();
         gauge.set(i64::try_from(value).unwrap_or(i64::MAX));
         self.registry.register(name, help, gauge);
     }
 
-    /// Adds a count; `_total` is appended to its name.
+    /// Adds a counter; the format appends `_total` to its name.
     pub fn counter(&mut self, name: &'static str, help: &'static str, value: u64) {
         let counter: Counter = Counter::default();
         counter.inc_by(value);
         self.registry.register(name, help, counter);
     }
 
-    /// Adds counts that are told apart by the label `outcome`.
+    /// Adds a family of counters, one for each value of the label `outcome`.
     pub fn outcomes(
         &mut self, name: &'static str, help: &'static str, counts: impl Iterator<Item = (&'static str, u64)>,
     ) {
@@ -61,7 +62,7 @@
         self.registry.register(name, help, family);
     }
 
-    /// The whole text.
+    /// The complete text.
     pub fn finish(self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
@@ -70,21 +71,21 @@
     }
 }
 
-/// The violations of each invariant as a metric of a registry that lasts.
+/// The counts of violated invariants as a metric of a long-lived registry.
 #[derive(Clone, Debug, Default)]
 pub struct InvariantCounters {
     family: Family<InvariantLabel, Counter>,
 }
 
 impl InvariantCounters {
-    /// Adds the metric to a registry, as it stands now.
+    /// Adds the metric to a registry, with the present counts.
     pub fn register(&self, registry: &mut Registry) {
         self.refresh();
         let help = "Violations of invariants by name";
         registry.register("invariant_violations", help, self.family.clone());
     }
 
-    /// Brings the metric up to date.
+    /// Copies the present counts of the process into the metric.
     pub fn refresh(&self) {
         self.family.clear();
         for (invariant, count) in counts() {
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,19 +1,19 @@
-//! What every process of the fleet tells of itself.
+//! What every process of the fleet reports of itself: metrics, rate-limited log lines, violated invariants.
 //!
 //! | module | job |
 //! | --- | --- |
 //! | `endpoint` | serves `GET /metrics` on a port of its own |
-//! | `exposition` | writes figures in the OpenMetrics text format, violated invariants among them |
-//! | `line_limit` | bounds the rate of log lines and counts those that are left out |
+//! | `exposition` | writes metrics in the OpenMetrics text format, violated invariants among them |
+//! | `log_rate_limiter` | bounds the rate of log lines and counts the suppressed ones |
 //! | `violations` | writes violated invariants to the log |
 #![forbid(unsafe_code)]
 
 mod endpoint;
 mod exposition;
-mod line_limit;
+mod log_rate_limiter;
 mod violations;
 
 pub use endpoint::{MetricsEndpoint, MetricsRequest};
 pub use exposition::{CONTENT_TYPE, Exposition, InvariantCounters};
-pub use line_limit::{LineLimit, Permit};
+pub use log_rate_limiter::{LogPermit, LogRateLimiter};
 pub use violations::log_violations;
--- a/crates/telemetry/src/violations.rs
+++ b/crates/telemetry/src/violations.rs
@@ -1,14 +1,14 @@
-//! Violated invariants in the log.
+//! Log lines for violated invariants.
 
 use lugwharf_invariants::{Violation, report_to};
 use spdlog::prelude::*;
 
-/// From now on the first violations of each invariant are written to the log of this process.
+/// Writes the first violations of each invariant to the log of this process from now on.
 pub fn log_violations() {
-    report_to(write);
+    report_to(log_violation);
 }
 
-fn write(violation: &Violation) {
+fn log_violation(violation: &Violation) {
     let Violation { invariant, count, facts } = violation;
     error!("invariant", kv: {
         outcome = "violated", invariant = invariant.name(), count = *count, facts = facts.as_str()
