--- a/crates/proxy/tests/tables.rs
+++ b/crates/proxy/tests/agent_updates.rs
@@ -9,7 +9,7 @@
 #[case(HOST, "/other/x", 404)]
 #[case("other.example", "/r/x", 404)]
 #[tokio::test]
-async fn what_has_no_route_is_not_found(#[case] host: &str, #[case] path: &str, #[case] status: u16) {
+async fn request_without_a_route_gets_404(#[case] host: &str, #[case] path: &str, #[case] status: u16) {
     with_world(setup("safe", ""), async |world| {
         let mut client = world.client().await;
         client.send(&format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n")).await;
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn before_any_configuration_requests_are_refused_and_checks_fail() {
+async fn before_the_first_configuration_requests_and_readiness_get_503() {
     let setup = Setup { configured: false, ..setup("safe", "") };
     with_world(setup, async |world| {
         assert_eq!(world.readiness().await, 503);
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn an_older_configuration_never_replaces_a_newer_one() {
+async fn older_configuration_never_replaces_a_newer_one() {
     with_world(setup("safe", ""), async |world| {
         assert_eq!(world.configure(7, &[], false).await.config, 7);
         let route = format!(
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn an_agent_that_comes_back_gets_a_report_of_what_is_there() {
+async fn reconnected_agent_gets_the_applied_versions() {
     with_world(setup("safe", ""), async |world| {
         let have = world.reconnect().await;
         assert_eq!((have.config, have.servers.sequence), (1, 1));
@@ -63,7 +63,7 @@
 }
 
 #[tokio::test]
-async fn draining_servers_get_nothing_more() {
+async fn draining_server_gets_no_new_requests() {
     with_world(setup("unsafe", ""), async |world| {
         world.list_draining(&["a"]).await;
         for round in 0..8 {
--- a/crates/proxy/tests/calls.rs
+++ b/crates/proxy/tests/at_most_once.rs
@@ -28,7 +28,7 @@
 #[case::both(route("unsafe", 1), vec![route("safe", 5)])]
 #[case::removed(route("unsafe", 3), vec![])]
 #[tokio::test]
-async fn a_new_configuration_does_not_let_a_request_under_way_run_again(
+async fn in_flight_request_keeps_its_retry_policy_when_configuration_relaxes_it(
     #[case] before: String, #[case] after: Vec<String>,
 ) {
     let setup = Setup { routes: vec![before], retry_budget: 10.0, ..setup("unsafe", "") };
@@ -44,7 +44,7 @@
 }
 
 #[tokio::test]
-async fn a_new_configuration_does_not_take_the_second_run_of_a_request_under_way() {
+async fn in_flight_request_keeps_its_retry_when_configuration_forbids_retries() {
     with_world(world_of("safe", 2), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, first) = world.accept_either("a", "b").await;
@@ -62,7 +62,7 @@
 
 /// The agent's restart, and a list that it tells anew.
 #[tokio::test]
-async fn a_request_under_way_is_not_sent_again_after_the_agents_restart() {
+async fn unsafe_request_is_not_retried_after_agent_restart() {
     with_world(world_of("unsafe", 3), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _) = world.accept_either("a", "b").await;
@@ -78,7 +78,7 @@
 
 /// Servers keep their names over it: one that has turned the request away is not asked again.
 #[tokio::test]
-async fn servers_that_were_asked_are_known_after_the_agents_restart() {
+async fn attempted_servers_are_excluded_after_agent_restart() {
     with_world(world_of("unsafe", 3), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, first) = world.accept_either("a", "b").await;
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test]
-async fn a_request_under_way_is_not_sent_again_while_the_process_ends() {
+async fn unsafe_request_is_not_retried_during_shutdown() {
     until_end(world_of("unsafe", 3), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _) = world.accept_either("a", "b").await;
@@ -113,7 +113,7 @@
 
 /// A server that has left the list between the choice and the send gets nothing.
 #[tokio::test]
-async fn a_request_whose_connection_comes_up_too_late_is_not_sent() {
+async fn request_whose_deadline_passes_during_connect_is_refused() {
     with_world(world_of("unsafe", 1), async |world| {
         let mut client = world.ask("r1", "Deadline-Ms: 30\r\n").await;
         let got = client.message().await.expect("an answer");
@@ -159,7 +159,7 @@
     504
 )]
 #[tokio::test]
-async fn what_may_have_run_is_not_sent_again(#[case] said: &str, #[case] status: u16) {
+async fn unsafe_request_that_may_have_executed_is_not_retried(#[case] said: &str, #[case] status: u16) {
     with_world(world_of("unsafe", 3), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _) = world.accept_either("a", "b").await;
@@ -182,7 +182,7 @@
 #[case::half_a_body("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf")]
 #[case::its_own_failure("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n")]
 #[tokio::test]
-async fn what_may_run_twice_is_sent_again_once(#[case] said: &str) {
+async fn safe_request_is_retried_once_on_another_server(#[case] said: &str) {
     let mut setup = world_of("safe", 2);
     setup.servers.push(("c", None));
     with_world(setup, async |world| {
@@ -211,7 +211,7 @@
 
 /// A failure that the request itself brings about would come again.
 #[tokio::test]
-async fn a_servers_refusal_of_the_request_itself_is_final() {
+async fn client_error_response_is_final() {
     with_world(world_of("safe", 3), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _) = world.accept_either("a", "b").await;
@@ -224,7 +224,7 @@
 
 /// No server turns a request away for ever: those that do are bounded too.
 #[tokio::test]
-async fn rejections_are_bounded() {
+async fn rejected_attempts_of_an_unsafe_request_are_bounded() {
     const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let mut setup = Setup { retry_budget: 100.0, ..world_of("unsafe", 1) };
     setup.servers = NAMES.iter().map(|name| (*name, None)).collect();
@@ -250,7 +250,7 @@
 
 /// A server that says that it is busy, and takes longer than there is time, gets nothing: the client hears so at once.
 #[tokio::test]
-async fn a_request_without_hope_is_refused_unsent() {
+async fn request_that_cannot_meet_its_deadline_is_refused_unsent() {
     with_world(world_of("unsafe", 1), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "").await;
@@ -277,7 +277,7 @@
 }
 
 #[tokio::test]
-async fn servers_that_are_not_there_are_not_tried_for_ever() {
+async fn refused_connections_are_bounded() {
     const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let mut setup = world_of("unsafe", 1);
     setup.servers = NAMES.iter().map(|name| (*name, None)).collect();
@@ -292,7 +292,7 @@
 
 /// Sends that come to nothing are bounded too: each one may have taken a place of a server that is full.
 #[tokio::test]
-async fn sends_that_came_to_nothing_are_bounded() {
+async fn attempts_reset_before_the_last_byte_are_bounded() {
     const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
     let mut setup = world_of("unsafe", 1);
     setup.servers = NAMES.iter().map(|name| (*name, None)).collect();
@@ -321,7 +321,7 @@
 
 /// Refusing it would promise that it has not run.
 #[tokio::test]
-async fn a_request_that_may_have_run_is_not_refused_for_want_of_hope() {
+async fn retry_that_cannot_meet_its_deadline_is_still_sent() {
     with_world(world_of("safe", 2), async |world| {
         world.list(&["a"]).await;
         let mut client = world.ask("r1", "").await;
@@ -351,7 +351,7 @@
 #[case::silent("")]
 #[case::half_a_body("HTTP/1.1 200 OK\r\nRequest-Id: r2\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf")]
 #[tokio::test]
-async fn a_time_that_is_over_costs_no_budget(#[case] said: &str) {
+async fn deadline_exceeded_withdraws_nothing_from_the_retry_budget(#[case] said: &str) {
     let setup = Setup { retry_budget: 1.0, ..world_of("safe", 2) };
     with_world(setup, async |world| {
         // Half a resend is earned by each request: one by these two, and one and a half with the last.
--- a/crates/proxy/tests/terms_gone.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -51,7 +51,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn while_a_server_works(
+async fn disconnect_during_execution_cancels_it(
     #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
     #[values("safe", "unsafe", "streaming")] kind: &str,
 ) {
@@ -68,7 +68,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn while_a_second_server_works(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
+async fn disconnect_during_a_retry_cancels_it(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
     let setup = Setup { retry_budget: 10.0, ..setup("safe", r#","MaxAttempts":3"#) };
     with_world(setup, async |world| {
         let client = world.ask("r1", "").await;
@@ -84,7 +84,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn while_its_prompt_is_read(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
+async fn disconnect_during_prefill_cancels_it(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
     with_world(split("", &["d"]), async |world| {
         let client = world.ask("r1", "").await;
         let (mut reader, _) = world.offer("p").await;
@@ -97,7 +97,9 @@
 
 #[rstest]
 #[tokio::test]
-async fn while_its_memory_is_handed_over(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
+async fn disconnect_during_kv_transfer_cancels_it_and_releases_the_handle(
+    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+) {
     with_world(split("", &["d"]), async |world| {
         let (client, mut reader) = ask_and_read(world, "r1").await;
         let (mut server, _) = world.offer("d").await;
@@ -112,7 +114,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn while_its_stream_runs(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
+async fn disconnect_during_a_stream_cancels_it(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
     let setup = Setup { retry_budget: 10.0, ..split(r#","Resumable":true,"MaxAttempts":3"#, &["d", "e"]) };
     with_world(setup, async |world| {
         let (mut client, _reader) = ask_and_read(world, "r1").await;
@@ -130,7 +132,9 @@
 
 #[rstest]
 #[tokio::test]
-async fn before_its_body_has_come_whole(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
+async fn disconnect_before_the_body_is_complete_sends_nothing(
+    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+) {
     with_world(setup("safe", ""), async |world| {
         let mut client = world.client().await;
         let whole = request("r1", "", "body");
@@ -145,7 +149,9 @@
 /// The last byte of an unrepeatable request on a new connection is held back for a moment, and then never goes out.
 #[rstest]
 #[tokio::test]
-async fn before_the_last_byte_has_gone_out(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
+async fn disconnect_while_the_last_byte_is_withheld_never_sends_it(
+    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+) {
     with_world(setup("unsafe", ""), async |world| {
         tokio::time::pause();
         let client = world.ask("r1", "").await;
@@ -163,7 +169,9 @@
 /// A server that reads nothing has a part of a long body.
 #[rstest]
 #[tokio::test]
-async fn while_a_server_takes_its_body(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
+async fn disconnect_while_the_body_is_being_sent_stops_it(
+    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+) {
     const LONG: usize = 16 * 1024 * 1024;
     with_world(Setup { max_body: LONG, ..setup("unsafe", "") }, async |world| {
         let mut client = world.client().await;
@@ -182,7 +190,9 @@
 /// Its connection's end stands behind more bytes than are read ahead.
 #[rstest]
 #[tokio::test]
-async fn behind_requests_that_it_sent_ahead(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
+async fn disconnect_behind_pipelined_requests_cancels_the_current_one(
+    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+) {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
@@ -200,7 +210,9 @@
 /// The client was gone before its connection was taken from the queue, as where a proxy is busy or stood still.
 #[rstest]
 #[tokio::test]
-async fn before_its_request_is_read(#[values("safe", "unsafe", "streaming")] kind: &str) {
+async fn disconnect_before_the_request_is_read_sends_nothing(
+    #[values("safe", "unsafe", "streaming")] kind: &str,
+) {
     use std::io::Write;
     let setup = Setup { retry_budget: 10.0, ..setup(kind, r#","MaxAttempts":3"#) };
     with_world(setup, async |world| {
--- a/crates/proxy/tests/unframed.rs
+++ b/crates/proxy/tests/close_delimited.rs
@@ -18,7 +18,7 @@
 #[case::short(4)]
 #[case::long(100_000)]
 #[tokio::test]
-async fn an_answer_is_complete_at_its_connections_end(#[case] length: usize) {
+async fn response_without_a_length_is_complete_at_connection_close(#[case] length: usize) {
     with_world(setup("unsafe", ""), async |world| {
         let (mut client, mut server) = asked(world).await;
         let body = "x".repeat(length);
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_of_http_1_0_is_complete_at_its_connections_end() {
+async fn http_1_0_response_is_complete_at_connection_close() {
     with_world(setup("unsafe", ""), async |world| {
         let (mut client, mut server) = asked(world).await;
         server.send(&format!("{HEAD}\r\nold").replace("HTTP/1.1", "HTTP/1.0")).await;
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn a_short_answer_that_is_reset_is_not_passed_on() {
+async fn short_response_that_is_reset_is_replaced_by_502() {
     with_world(setup("unsafe", ""), async |world| {
         let (mut client, mut server) = asked(world).await;
         server.send(&format!("{HEAD}\r\nhalf")).await;
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test]
-async fn a_long_answer_that_is_reset_breaks_the_clients_connection() {
+async fn long_response_that_is_reset_breaks_the_client_connection() {
     with_world(setup("unsafe", ""), async |world| {
         let (mut client, mut server) = asked(world).await;
         server.send(&format!("{HEAD}\r\n{}", "x".repeat(70_000))).await;
@@ -75,7 +75,7 @@
 #[case::torn("id: 2\ndata: to", false, false)]
 #[case::reset("", true, false)]
 #[tokio::test]
-async fn a_stream_ends_with_its_connection(
+async fn stream_without_a_length_ends_with_its_connection(
     #[case] more: &str, #[case] is_reset: bool, #[case] is_complete: bool,
 ) {
     with_world(setup("streaming", ""), async |world| {
@@ -95,7 +95,7 @@
 
 /// Whatever comes on a streaming route goes on at once, also without a length.
 #[tokio::test]
-async fn pieces_go_on_as_they_come_on_a_streaming_route() {
+async fn streaming_route_forwards_data_as_it_arrives() {
     with_world(setup("streaming", ""), async |world| {
         let (mut client, mut server) = asked(world).await;
         server.send(&format!("{HEAD}\r\none")).await;
--- a/crates/proxy/tests/kept_connections.rs
+++ b/crates/proxy/tests/connection_reuse.rs
@@ -30,7 +30,7 @@
 
 /// A resumed stream has its prompt read again: the same id at the same server, whose first answer comes a second time now.
 #[tokio::test]
-async fn a_second_reading_does_not_take_a_late_copy_of_the_first_ones_answer() {
+async fn second_prefill_ignores_a_duplicate_of_the_first_prefill_response() {
     let more = r#","Resumable":true,"MaxAttempts":3"#;
     let setup = Setup { retry_budget: 10.0, ..split(more, &["d", "e"]) };
     with_world(setup, async |world| {
@@ -67,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn late_copies_of_several_answers_are_read_over() {
+async fn duplicate_responses_of_earlier_requests_are_skipped() {
     with_world(setup("unsafe", ""), async |world| {
         let (mut client, mut server) = keep_one(world, "r1").await;
         client.send(&request("r2", "", "body")).await;
@@ -85,7 +85,7 @@
 #[case::no_id(format!("POST /r/x HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 4\r\n\r\nbody"))]
 #[case::no_body_behind_the_length(format!("HEAD /r/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r2\r\n\r\n"))]
 #[tokio::test]
-async fn a_request_whose_answer_cant_be_told_apart_has_its_connection_alone(#[case] other: String) {
+async fn request_without_distinguishable_response_gets_its_own_connection(#[case] other: String) {
     with_world(setup("safe", ""), async |world| {
         let (mut client, mut kept) = keep_one(world, "r1").await;
         client.send(&other).await;
@@ -111,7 +111,7 @@
 
 /// The call that frees a handle bears no id: a late copy of another answer may come in place of its own.
 #[tokio::test]
-async fn the_connection_that_freed_a_handle_carries_nothing_more() {
+async fn connection_that_released_a_handle_is_not_reused() {
     with_world(split("", &["d"]), async |world| {
         let client = world.ask("r1", "").await;
         let mut kept = world.accept("p").await;
@@ -138,7 +138,7 @@
 
 /// Nothing is sent to the address of a server that has left the list: it may be another one's by now.
 #[tokio::test]
-async fn a_handle_of_a_server_that_is_gone_is_left_alone() {
+async fn handle_of_a_removed_server_is_not_released() {
     with_world(split("", &["d"]), async |world| {
         let client = world.ask("r1", "").await;
         let mut kept = world.accept("p").await;
@@ -164,7 +164,7 @@
 #[case::over_time(true)]
 #[case::client_gone(false)]
 #[tokio::test]
-async fn a_connection_on_which_an_answer_is_owed_is_not_used_again(#[case] waits: bool) {
+async fn connection_with_an_outstanding_response_is_not_reused(#[case] waits: bool) {
     with_world(setup("safe", ""), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "Deadline-Ms: 900\r\n").await;
@@ -187,7 +187,7 @@
 
 /// Streams that are cancelled, by their client or since they may not go on.
 #[tokio::test]
-async fn a_cancelled_streams_connection_is_not_used_again() {
+async fn connection_of_a_cancelled_stream_is_not_reused() {
     with_world(split("", &["d"]), async |world| {
         world.list(&["p"]).await;
         let mut client = world.ask("r1", "").await;
@@ -207,7 +207,7 @@
 
 /// The rest of the refusal would come in place of the next answer.
 #[tokio::test]
-async fn a_refusal_that_has_not_come_whole_ends_its_connection() {
+async fn incomplete_rejection_closes_its_connection() {
     let setup = Setup { retry_budget: 10.0, ..setup("unsafe", "") };
     with_world(setup, async |world| {
         let _client = world.ask("r1", "").await;
@@ -226,7 +226,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_says_so_is_the_connections_last() {
+async fn connection_close_header_is_honoured() {
     with_world(setup("safe", ""), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "").await;
@@ -247,7 +247,7 @@
 #[case::no_answer("surplus".to_owned())]
 #[case::a_second_copy(answer("r1", "ok"))]
 #[tokio::test]
-async fn bytes_behind_an_answer_end_its_connection_at_once(#[case] surplus: String) {
+async fn surplus_bytes_after_a_response_close_the_connection_at_once(#[case] surplus: String) {
     with_world(setup("safe", ""), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "").await;
@@ -271,7 +271,7 @@
 #[case::long_idle_safe("safe", "", 2_600, true)]
 #[case::too_long_idle_safe("safe", "", 4_100, false)]
 #[tokio::test]
-async fn a_connection_that_may_be_closing_is_not_used(
+async fn idle_connection_that_may_be_closing_is_not_reused(
     #[case] kind: &str, #[case] more: &str, #[case] rests: u64, #[case] is_used: bool,
 ) {
     with_world(setup(kind, ""), async |world| {
@@ -298,7 +298,7 @@
 
 /// An incarnation's connections end with it, also where the same address is listed for the next one.
 #[tokio::test]
-async fn connections_are_not_inherited_by_the_next_server_at_an_address() {
+async fn connections_are_not_inherited_by_the_next_incarnation_at_an_address() {
     let mut setup = setup("safe", "");
     setup.servers = vec![("a", None::<Stage>)];
     with_world(setup, async |world| {
--- a/crates/proxy/tests/terms_time.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -35,7 +35,7 @@
 #[case::unreadable("Deadline-Ms: soon\r\n", 5_000)]
 #[case::negative("Deadline-Ms: -1\r\n", 5_000)]
 #[tokio::test]
-async fn each_send_is_handed_what_is_left(#[case] more: &str, #[case] most: u64) {
+async fn every_attempt_carries_the_remaining_deadline(#[case] more: &str, #[case] most: u64) {
     let most = Duration::from_millis(most);
     let setup = Setup { retry_budget: 10.0, ..setup("safe", r#","MaxAttempts":2"#) };
     with_world(setup, async |world| {
@@ -57,7 +57,7 @@
 #[case::the_clients("Deadline-Ms: 4000\r\n", 4_000)]
 #[case::none("", 5_000)]
 #[tokio::test]
-async fn a_reading_its_run_and_the_rest_are_each_handed_what_is_left(#[case] more: &str, #[case] most: u64) {
+async fn prefill_decode_and_resumption_carry_the_remaining_deadline(#[case] more: &str, #[case] most: u64) {
     let most = Duration::from_millis(most);
     let route = r#","Resumable":true,"MaxAttempts":2"#;
     let setup = Setup { retry_budget: 10.0, ..split(route, &["d", "e"]) };
@@ -85,7 +85,7 @@
 #[case::sent_together(true)]
 #[case::sent_meanwhile(false)]
 #[tokio::test]
-async fn a_request_behind_another_one_has_waited_already(#[case] together: bool) {
+async fn deadline_of_a_pipelined_request_includes_its_wait(#[case] together: bool) {
     let next = request("r2", "Deadline-Ms: 3000\r\n", "body");
     with_world(setup("safe", ""), async |world| {
         world.list(&["b"]).await;
@@ -123,7 +123,7 @@
     None
 )]
 #[tokio::test]
-async fn a_final_answer_is_there_soon_after_the_routes_time(
+async fn final_response_comes_soon_after_the_route_timeout(
     #[case] kind: &str, #[case] said: &str, #[case] status: Option<u16>,
 ) {
     with_world(setup(kind, ""), async |world| {
@@ -143,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn a_request_whose_prompt_nobody_reads_has_its_final_answer_in_time() {
+async fn request_with_a_silent_prefill_server_is_answered_in_time() {
     with_world(split("", &["d"]), async |world| {
         let since = Instant::now();
         let mut client = world.ask("r1", "").await;
@@ -158,7 +158,7 @@
 
 /// A body that comes steadily and slowly is no reason to hold its request for longer.
 #[tokio::test]
-async fn a_request_whose_body_is_not_whole_in_time_has_its_final_answer() {
+async fn request_with_an_incomplete_body_gets_408_in_time() {
     let step = Duration::from_millis(200);
     with_world(setup("unsafe", ""), async |world| {
         let since = Instant::now();
@@ -179,7 +179,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_beyond_the_routes_time_is_broken_off() {
+async fn stream_that_exceeds_the_route_timeout_is_truncated() {
     with_world(split("", &["d"]), async |world| {
         let since = Instant::now();
         let (mut client, _reader) = ask_and_read(world, "r1").await;
@@ -219,7 +219,9 @@
     "ok"
 )]
 #[tokio::test]
-async fn a_servers_silence_ends_no_answer(#[case] before: &str, #[case] after: &str, #[case] body: &str) {
+async fn server_pause_within_the_deadline_does_not_end_a_response(
+    #[case] before: &str, #[case] after: &str, #[case] body: &str,
+) {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
@@ -235,7 +237,7 @@
 #[case::between_events("", "id: 2\ndata: 2\n\n")]
 #[case::inside_an_event("id: 2\nda", "ta: 2\n\n")]
 #[tokio::test]
-async fn a_servers_silence_ends_no_stream(#[case] before: &str, #[case] after: &str) {
+async fn server_pause_within_the_deadline_does_not_end_a_stream(#[case] before: &str, #[case] after: &str) {
     with_world(split("", &["d"]), async |world| {
         let (mut client, _reader) = ask_and_read(world, "r1").await;
         let (mut server, _) = world.offer("d").await;
--- a/crates/proxy/tests/terms_early.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -17,7 +17,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_before_the_rest_of_a_long_body_goes_on_and_its_connection_is_not_used_again() {
+async fn early_response_is_forwarded_and_its_connection_is_not_reused() {
     with_world(long_bodies("unsafe"), async |world| {
         world.list(&["b"]).await;
         let mut client = world.client().await;
@@ -37,7 +37,7 @@
 }
 
 #[tokio::test]
-async fn a_rejection_before_the_rest_of_a_long_body_sends_the_whole_body_to_another_server() {
+async fn early_rejection_sends_the_complete_body_to_another_server() {
     with_world(long_bodies("unsafe"), async |world| {
         let mut client = world.client().await;
         client.send(&request("r1", "", &"x".repeat(LONG))).await;
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn an_interim_answer_does_not_stop_the_body() {
+async fn interim_response_does_not_stop_the_body() {
     with_world(long_bodies("unsafe"), async |world| {
         let mut client = world.client().await;
         client.send(&request("r1", "", &"x".repeat(LONG))).await;
@@ -72,7 +72,7 @@
 
 /// The last byte of an unrepeatable request is held back for a moment: an answer that comes then is to this request.
 #[tokio::test]
-async fn an_answer_before_the_last_byte_goes_on_and_the_request_is_not_sent_again() {
+async fn response_before_the_last_byte_is_forwarded_and_the_request_is_not_retried() {
     with_world(Setup { retry_budget: 10.0, ..setup("unsafe", "") }, async |world| {
         world.list(&["b"]).await;
         tokio::time::pause();
@@ -87,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn an_early_answer_of_a_server_that_then_closes_goes_on() {
+async fn early_response_followed_by_a_close_is_forwarded() {
     with_world(long_bodies("unsafe"), async |world| {
         world.list(&["b"]).await;
         let mut client = world.client().await;
--- a/crates/proxy/tests/terms_versions.rs
+++ b/crates/proxy/tests/expect_version.rs
@@ -12,7 +12,7 @@
 #[case::instance("")]
 #[case::version(ASKS_VERSION)]
 #[tokio::test]
-async fn a_misdirected_request_goes_on_inside_the_budget(#[case] more: &str) {
+async fn misdirected_request_is_retried_within_the_retry_budget(#[case] more: &str) {
     let setup = Setup { retry_budget: 10.0, ..setup("unsafe", "") };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", more).await;
@@ -31,7 +31,7 @@
 #[case::instance("")]
 #[case::version(ASKS_VERSION)]
 #[tokio::test]
-async fn without_budget_a_misdirected_request_is_refused_with_a_time(#[case] more: &str) {
+async fn without_retry_budget_a_misdirected_request_gets_503_with_retry_after(#[case] more: &str) {
     let setup = Setup { retry_budget: 0.0, ..setup("safe", r#","MaxAttempts":3"#) };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", more).await;
@@ -45,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn where_no_server_has_the_version_the_client_gets_no_421() {
+async fn request_misdirected_everywhere_gets_503_not_421() {
     let setup = Setup { retry_budget: 10.0, ..setup("safe", r#","MaxAttempts":3"#) };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", ASKS_VERSION).await;
@@ -61,7 +61,7 @@
 
 /// That a server has other weights than one client asked for tells nothing of others' requests.
 #[tokio::test]
-async fn a_server_without_a_clients_version_still_serves_others() {
+async fn version_mismatch_of_one_client_does_not_exclude_the_server_for_others() {
     let setup = Setup { retry_budget: 10.0, ..setup("unsafe", "") };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", ASKS_VERSION).await;
@@ -90,7 +90,7 @@
 #[case::in_the_rest("id: 1\ndata: 1\n\n", "versions: 12\nid: 2\ndata: 2\n\n")]
 #[case::one_that_looks_like_an_id("versions: 9\nevent: id: 7\nid: 1\n\n", "versions: 10\nid: 2\ndata:\n\n")]
 #[tokio::test]
-async fn events_keep_their_version_lines_and_resume_behind_their_ids(
+async fn version_lines_are_forwarded_and_resumption_uses_event_ids(
     #[case] first: &str, #[case] second: &str,
 ) {
     let more = r#","Resumable":true,"MaxAttempts":2"#;
@@ -120,7 +120,7 @@
 }
 
 #[tokio::test]
-async fn a_version_line_that_comes_byte_by_byte_goes_on_whole() {
+async fn version_line_arriving_byte_by_byte_is_forwarded_complete() {
     with_world(setup("streaming", ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
--- a/crates/proxy/tests/terms_headers.rs
+++ b/crates/proxy/tests/forwarded_headers.rs
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn what_tells_of_the_prompt_goes_unchanged_to_each_server_that_is_sent_a_generation() {
+async fn prompt_headers_are_forwarded_unchanged_to_every_attempt_of_a_generation() {
     let more = r#","Resumable":true,"MaxAttempts":2"#;
     let setup = Setup { retry_budget: 10.0, ..split(more, &["d", "e"]) };
     with_world(setup, async |world| {
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn what_tells_of_the_prompt_goes_unchanged_to_both_of_a_pair() {
+async fn prompt_headers_are_forwarded_unchanged_to_prefill_and_decode() {
     with_world(split("", &["d"]), async |world| {
         let _client = world.ask("r1", PROMPT).await;
         let (mut reader, seen) = world.offer("p").await;
@@ -71,7 +71,7 @@
 #[case::misdirected(Some(421))]
 #[case::reset(None)]
 #[tokio::test]
-async fn what_tells_of_the_prompt_goes_unchanged_to_the_next_server(#[case] status: Option<u16>) {
+async fn prompt_headers_are_forwarded_unchanged_to_a_retry(#[case] status: Option<u16>) {
     let setup = Setup { retry_budget: 10.0, ..setup("safe", r#","MaxAttempts":2"#) };
     with_world(setup, async |world| {
         let _client = world.ask("r1", PROMPT).await;
@@ -93,7 +93,7 @@
     "Serving-Stage: prefill\r\nserving-stage: decode\r\nKv-From: 10.0.0.1:80/x\r\nExpect-Instance: i-z\r\n";
 
 #[tokio::test]
-async fn a_client_cant_say_what_only_the_system_may() {
+async fn reserved_headers_of_a_client_are_replaced_in_a_generation() {
     with_world(split("", &["d"]), async |world| {
         let _client = world.ask("r1", FORGED).await;
         let (mut reader, seen) = world.offer("p").await;
@@ -110,7 +110,7 @@
 }
 
 #[tokio::test]
-async fn a_client_cant_have_a_plain_request_only_read() {
+async fn reserved_headers_of_a_client_are_replaced_in_a_plain_request() {
     with_world(setup("unsafe", ""), async |world| {
         let _client = world.ask("r1", FORGED).await;
         let (_server, seen, name) = world.offer_either("a", "b").await;
@@ -126,7 +126,7 @@
 #[case::the_clients_own_is_not_asked(r#","Priority":3"#, "Priority: 0\r\n", "3")]
 #[case::beyond_what_servers_know(r#","Priority":12"#, "", "9")]
 #[tokio::test]
-async fn the_priority_at_a_model_server_is_the_routes(
+async fn priority_at_a_model_server_is_the_routes(
     #[case] route: &str, #[case] own: &str, #[case] told: &str,
 ) {
     with_world(split(route, &["d"]), async |world| {
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test]
-async fn elsewhere_a_clients_priority_is_a_header_like_others() {
+async fn priority_header_is_forwarded_to_a_plain_service() {
     with_world(setup("unsafe", r#","Priority":3"#), async |world| {
         let _client = world.ask("r1", "Priority: u=1\r\n").await;
         let (_server, seen, _) = world.offer_either("a", "b").await;
@@ -150,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_keeps_what_it_tells_of_versions() {
+async fn versions_header_of_a_response_is_forwarded() {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
--- a/crates/proxy/tests/requests.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 #[tokio::test]
-async fn a_request_goes_through_unchanged_and_its_answer_comes_back_unchanged() {
+async fn request_and_response_are_forwarded_unchanged() {
     with_world(setup("unsafe", ""), async |world| {
         let more = "X-Own: 1\r\nDeadline-Ms: 3000\r\nConnection: X-Hop\r\nX-Hop: 2\r\nKv-From: evil\r\n";
         let mut client = world.ask("r1", more).await;
@@ -30,7 +30,7 @@
 }
 
 #[tokio::test]
-async fn connections_are_used_again_on_both_sides() {
+async fn client_and_server_connections_are_reused() {
     with_world(setup("safe", ""), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "").await;
@@ -47,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn chunked_bodies_go_on_with_a_length() {
+async fn chunked_request_body_is_forwarded_with_a_content_length() {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.client().await;
         let head = format!(
@@ -78,7 +78,7 @@
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nno"
 )]
 #[tokio::test]
-async fn spoilt_answers_do_not_go_on(#[case] said: &str) {
+async fn invalid_response_is_replaced_by_502(#[case] said: &str) {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_breaks_off_is_never_passed_on_as_whole() {
+async fn truncated_response_is_replaced_by_502() {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn a_long_answer_that_breaks_off_breaks_the_clients_connection() {
+async fn truncated_long_response_breaks_the_client_connection() {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
@@ -118,7 +118,7 @@
 }
 
 #[tokio::test]
-async fn a_servers_own_failure_goes_back_as_it_is() {
+async fn server_error_response_is_forwarded_unchanged() {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
@@ -132,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn surplus_bytes_behind_an_answer_end_its_connection() {
+async fn surplus_bytes_after_a_response_end_connection_reuse() {
     with_world(setup("safe", ""), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "").await;
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test]
-async fn a_late_second_copy_of_an_answer_is_told_apart_by_its_id() {
+async fn duplicate_response_is_skipped_by_its_request_id() {
     with_world(setup("unsafe", ""), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "").await;
@@ -164,7 +164,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_its_server_has_closed_is_not_used() {
+async fn connection_closed_by_the_server_is_not_reused() {
     with_world(setup("unsafe", ""), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "").await;
@@ -180,7 +180,7 @@
 }
 
 #[tokio::test]
-async fn at_the_deadline_the_answer_promises_only_what_is_sure() {
+async fn deadline_after_the_send_gives_504() {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.ask("r1", "Deadline-Ms: 900\r\n").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
@@ -192,7 +192,7 @@
 }
 
 #[tokio::test]
-async fn a_time_that_is_over_before_anything_is_sent_is_a_refusal() {
+async fn deadline_before_the_send_gives_503_with_retry_after() {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.ask("r1", "Deadline-Ms: 1\r\n").await;
         let got = client.message().await.expect("an answer");
@@ -203,7 +203,7 @@
 }
 
 #[tokio::test]
-async fn when_the_client_leaves_its_server_is_told() {
+async fn client_disconnect_closes_the_server_connection() {
     with_world(setup("unsafe", ""), async |world| {
         let client = world.ask("r1", "").await;
         let (mut server, _, _) = world.offer_either("a", "b").await;
@@ -214,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn answers_to_head_have_a_length_and_no_body() {
+async fn response_to_head_has_a_length_and_no_body() {
     with_world(setup("safe", ""), async |world| {
         let mut client = world.client().await;
         client.send(&format!("HEAD /r/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r1\r\n\r\n")).await;
--- a/crates/proxy/tests/shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 #[tokio::test]
-async fn it_is_not_ready_at_once_still_serves_and_ends_when_nothing_is_owed() {
+async fn shutdown_fails_readiness_at_once_and_serves_until_idle() {
     until_end(setup("unsafe", ""), async |world| {
         let mut resting = world.ask("r0", "").await;
         let (mut server, _) = world.accept_either("a", "b").await;
@@ -39,7 +39,7 @@
 }
 
 #[tokio::test]
-async fn what_is_under_way_is_waited_for_and_what_rests_is_closed() {
+async fn shutdown_waits_for_in_flight_requests_and_closes_idle_connections() {
     until_end(setup("unsafe", ""), async |world| {
         let mut slow = world.ask("r1", "").await;
         let (mut server, _) = world.accept_either("a", "b").await;
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test]
-async fn it_ends_before_it_is_killed_whatever_is_left() {
+async fn shutdown_cuts_remaining_requests_before_the_grace_period_ends() {
     let mut setup = setup("unsafe", "");
     setup.routes[0] = setup.routes[0].replace("\"TimeoutMs\":5000", "\"TimeoutMs\":60000");
     let mut begun = Instant::now();
--- a/crates/proxy/tests/pairs.rs
+++ b/crates/proxy/tests/kv_handles.rs
@@ -47,7 +47,7 @@
 #[case::too_large(format!("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 20000\r\n\r\n{{\"KvHandle\":\"x\"}}{}", " ".repeat(19_984)))]
 #[case::anothers(prefilled("x").replace("r1", "r0"))]
 #[tokio::test]
-async fn what_is_no_handle_goes_nowhere(#[case] said: String) {
+async fn invalid_handle_is_not_forwarded(#[case] said: String) {
     with_world(paired(r#","MaxAttempts":1"#, &["p", "q"], &["d"]), async |world| {
         world.list(&["q"]).await;
         let _client = world.ask("r1", "").await;
@@ -63,7 +63,7 @@
 #[case::longest(&"x".repeat(256))]
 #[case::all_marks("aZ0-_.~")]
 #[tokio::test]
-async fn a_plain_handle_goes_to_the_decode_server_and_is_not_freed(#[case] handle: &str) {
+async fn valid_handle_is_forwarded_and_not_released(#[case] handle: &str) {
     with_world(paired("", &["p"], &["d"]), async |world| {
         let mut client = world.ask("r1", "").await;
         let mut kept = reading(world, "p", &prefilled(handle)).await;
@@ -85,7 +85,7 @@
 #[case::spoilt("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n")]
 #[case::failed("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n")]
 #[tokio::test]
-async fn a_handle_is_not_used_by_a_second_run(#[case] said: &str, #[values(2, 4)] attempts: u32) {
+async fn handle_is_not_reused_by_a_second_execution(#[case] said: &str, #[values(2, 4)] attempts: u32) {
     let more = format!(r#","Resumable":true,"MaxAttempts":{attempts}"#);
     with_world(paired(&more, &["p", "q"], &["d", "e"]), async |world| {
         world.list(&["q"]).await;
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn a_failure_that_goes_to_the_client_frees_the_handle() {
+async fn failure_response_releases_the_handle() {
     with_world(paired("", &["p"], &["d", "e"]), async |world| {
         let mut client = world.ask("r1", "").await;
         let mut kept = reading(world, "p", &prefilled("one")).await;
@@ -122,7 +122,7 @@
 
 /// Two servers are asked to take it over; a third one reads by itself.
 #[tokio::test]
-async fn a_handle_that_two_servers_turned_away_is_given_up() {
+async fn handle_rejected_by_two_servers_is_released() {
     with_world(paired("", &["p"], &["d", "e", "f"]), async |world| {
         let _client = world.ask("r1", "").await;
         let mut kept = reading(world, "p", &prefilled("one")).await;
@@ -147,7 +147,7 @@
 #[case::one(1, false)]
 #[case::two(2, true)]
 #[tokio::test]
-async fn a_broken_reading_is_repeated_within_the_attempts(#[case] attempts: u32, #[case] is_read: bool) {
+async fn broken_prefill_is_retried_within_max_attempts(#[case] attempts: u32, #[case] is_read: bool) {
     let more = format!(r#","MaxAttempts":{attempts}"#);
     with_world(paired(&more, &["p", "q"], &["d"]), async |world| {
         let _client = world.ask("r1", "").await;
@@ -166,7 +166,7 @@
 
 /// A server that is silent for too long is given up with its connection: its late handle reaches nobody.
 #[tokio::test]
-async fn a_silent_reading_is_given_up_with_its_connection() {
+async fn prefill_timeout_closes_its_connection_and_is_retried() {
     with_world(paired(r#","MaxAttempts":2"#, &["p", "q"], &["d"]), async |world| {
         let _client = world.ask("r1", "").await;
         let (mut silent, first) = world.accept_either("p", "q").await;
@@ -187,7 +187,7 @@
 
 /// Readings that were turned away are bounded: then a decode server reads by itself.
 #[tokio::test]
-async fn three_servers_are_asked_to_read() {
+async fn rejected_prefill_attempts_are_limited_to_three() {
     with_world(paired("", &["p", "q", "s", "t"], &["d"]), async |world| {
         let _client = world.ask("r1", "").await;
         let mut readers = 0;
@@ -217,7 +217,9 @@
 #[case::short(SHORT, true)]
 #[case::long(LONG, false)]
 #[tokio::test]
-async fn a_decode_server_reads_short_prompts_alone(#[case] prompt: &str, #[case] is_read: bool) {
+async fn after_a_failed_prefill_only_short_prompts_run_on_a_decode_server(
+    #[case] prompt: &str, #[case] is_read: bool,
+) {
     with_world(paired(r#","MaxAttempts":1"#, &["p", "q"], &["d"]), async |world| {
         let mut client = world.ask("r1", prompt).await;
         let (mut server, _) = world.accept_either("p", "q").await;
@@ -238,7 +240,7 @@
 
 /// The same where the budget does not pay for another reading.
 #[tokio::test]
-async fn without_budget_a_long_prompt_that_was_turned_away_is_refused() {
+async fn without_retry_budget_a_rejected_long_prompt_is_refused() {
     let setup = Setup { retry_budget: 0.0, ..paired("", &["p", "q"], &["d"]) };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", LONG).await;
@@ -259,7 +261,7 @@
 #[case::one(1, false)]
 #[case::three(3, true)]
 #[tokio::test]
-async fn a_long_prompt_whose_memory_nobody_took_is_read_by_a_prefill_server_or_refused(
+async fn long_prompt_with_a_rejected_handle_is_prefilled_again_or_refused(
     #[case] attempts: u32, #[case] is_read: bool,
 ) {
     let more = format!(r#","MaxAttempts":{attempts}"#);
@@ -295,7 +297,7 @@
 
 /// Where no server is there to read prompts, decode servers read all of them.
 #[tokio::test]
-async fn a_decode_server_reads_long_prompts_where_nobody_else_does() {
+async fn without_prefill_servers_a_decode_server_prefills_long_prompts() {
     with_world(paired("", &[], &["d"]), async |world| {
         let _client = world.ask("r1", LONG).await;
         let mut decoder = world.accept("d").await;
@@ -306,7 +308,7 @@
 
 /// An unsafe stream whose decode server is silent to the end has its answer, and goes nowhere else.
 #[tokio::test]
-async fn an_unsafe_stream_over_time_is_not_sent_again() {
+async fn unsafe_stream_that_exceeds_its_deadline_is_not_retried() {
     with_world(paired(r#","MaxAttempts":3"#, &["p"], &["d", "e"]), async |world| {
         let mut client = world.ask("r1", "Deadline-Ms: 2000\r\n").await;
         let mut kept = reading(world, "p", &prefilled("one")).await;
@@ -326,7 +328,7 @@
 
 /// Without an id nobody could say where a second run has to go on.
 #[tokio::test]
-async fn a_stream_whose_last_event_had_no_id_is_not_resumed() {
+async fn stream_whose_last_event_has_no_id_is_not_resumed() {
     with_world(paired(r#","Resumable":true,"MaxAttempts":3"#, &["p"], &["d", "e"]), async |world| {
         let mut client = world.ask("r1", "").await;
         let _kept = reading(world, "p", &prefilled("one")).await;
@@ -348,7 +350,7 @@
 
 /// Servers that turn a stream away are bounded, with a handle and without.
 #[tokio::test]
-async fn rejections_of_a_stream_are_bounded() {
+async fn rejected_attempts_of_a_stream_are_bounded() {
     const NAMES: [&str; 8] = ["d", "e", "f", "g", "h", "i", "j", "k"];
     let setup = Setup { retry_budget: 100.0, ..paired("", &["p"], &NAMES) };
     with_world(setup, async |world| {
@@ -374,7 +376,7 @@
 
 /// The second decode server has to be paid for.
 #[tokio::test]
-async fn without_budget_a_stream_goes_to_one_decode_server() {
+async fn without_retry_budget_a_stream_tries_one_decode_server() {
     let setup = Setup { retry_budget: 0.0, ..paired("", &["p"], &["d", "e"]) };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", "").await;
@@ -393,7 +395,7 @@
 
 /// The run of a resumed stream that broke may have taken the handle: no other server is sent to with it.
 #[tokio::test]
-async fn a_handle_of_a_resumed_stream_goes_to_one_run() {
+async fn handle_of_a_resumed_stream_is_used_by_one_execution() {
     // A violation would end the request's task, and leave the test waiting.
     let _tolerance = lugwharf_invariants::tolerate();
     let setup = paired(r#","Resumable":true,"MaxAttempts":6"#, &["p"], &["d", "e", "f", "g"]);
--- a/crates/proxy/tests/terms_prefill.rs
+++ b/crates/proxy/tests/prefill_budget.rs
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn the_first_reading_costs_nothing() {
+async fn first_prefill_withdraws_nothing() {
     with_world(readers(NO_EXTRA, ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut reader, _, _) = world.offer_either("p", "q").await;
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn a_rejected_reading_is_an_arrival() {
+async fn rejected_prefill_counts_as_an_arrival() {
     with_world(readers(NO_EXTRA, ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut reader, _, _) = world.offer_either("p", "q").await;
@@ -47,7 +47,7 @@
 
 /// The rejected call is the request's first arrival, its run the second; the reading between them is free.
 #[tokio::test]
-async fn the_first_reading_that_is_taken_up_is_free_also_behind_a_rejected_one() {
+async fn first_accepted_prefill_is_free_after_a_rejected_one() {
     with_world(readers(ONE_EXTRA, ""), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut reader, _, first) = world.offer_either("p", "q").await;
@@ -68,7 +68,7 @@
 
 /// A run that broke off, and the reading for its rest: with a budget of one the rest can't be asked for as well.
 #[tokio::test]
-async fn a_second_reading_is_an_arrival() {
+async fn second_prefill_counts_as_an_arrival() {
     let more = r#","Resumable":true,"MaxAttempts":3"#;
     with_world(readers(ONE_EXTRA, more), async |world| {
         let mut client = world.ask("r1", "").await;
--- a/crates/proxy/tests/streams.rs
+++ b/crates/proxy/tests/prefill_decode.rs
@@ -8,7 +8,7 @@
 use rstest::rstest;
 
 #[tokio::test]
-async fn a_pair_serves_a_stream_and_each_event_goes_on_as_it_comes() {
+async fn prefill_and_decode_servers_serve_a_stream_event_by_event() {
     with_world(split("", &["d"]), async |world| {
         let (mut client, _prefill) = ask_and_read(world, "r1").await;
         let (mut server, seen) = world.offer("d").await;
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn a_torn_event_does_not_go_on_and_the_stream_looks_cut() {
+async fn partial_event_is_withheld_and_the_stream_is_truncated() {
     with_world(split("", &["d"]), async |world| {
         let (mut client, _prefill) = ask_and_read(world, "r1").await;
         let (mut server, _) = world.offer("d").await;
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn a_resumable_stream_goes_on_at_another_server_inside_its_answer() {
+async fn resumable_stream_continues_on_another_server_in_the_same_response() {
     let more = r#","Resumable":true,"MaxAttempts":2"#;
     let setup = Setup { retry_budget: 10.0, ..split(more, &["d", "e"]) };
     with_world(setup, async |world| {
@@ -71,7 +71,7 @@
 }
 
 #[tokio::test]
-async fn a_resumed_stream_that_goes_back_is_broken_off() {
+async fn resumed_stream_that_repeats_an_event_is_truncated() {
     let more = r#","Resumable":true,"MaxAttempts":2"#;
     let setup = Setup { retry_budget: 10.0, ..split(more, &["d", "e"]) };
     with_world(setup, async |world| {
@@ -92,7 +92,7 @@
 #[case::no_attempts_left(r#","Resumable":true,"MaxAttempts":1"#, 10.0)]
 #[case::no_budget(r#","Resumable":true,"MaxAttempts":2"#, 0.0)]
 #[tokio::test]
-async fn a_stream_that_may_not_be_resumed_is_cut(#[case] more: &str, #[case] retry_budget: f64) {
+async fn stream_that_may_not_be_resumed_is_truncated(#[case] more: &str, #[case] retry_budget: f64) {
     let setup = Setup { retry_budget, ..split(more, &["d", "e"]) };
     with_world(setup, async |world| {
         let (mut client, _prefill) = ask_and_read(world, "r1").await;
@@ -107,7 +107,7 @@
 }
 
 #[tokio::test]
-async fn a_handle_is_freed_when_the_client_leaves_before_it_is_taken() {
+async fn client_disconnect_before_the_transfer_releases_the_handle() {
     with_world(split("", &["d"]), async |world| {
         let (client, mut prefill) = ask_and_read(world, "r1").await;
         let (mut server, _) = world.offer("d").await;
@@ -119,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn a_decode_server_that_turns_the_request_away_leaves_the_handle_to_another_one() {
+async fn rejected_decode_attempt_leaves_the_handle_to_another_server() {
     let setup = Setup { retry_budget: 10.0, ..split("", &["d", "e"]) };
     with_world(setup, async |world| {
         let (mut client, _prefill) = ask_and_read(world, "r1").await;
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn where_all_turn_the_request_away_it_is_refused_and_the_handle_freed() {
+async fn request_rejected_by_all_decode_servers_releases_its_handle() {
     let setup = Setup { retry_budget: 10.0, ..split("", &["d", "e"]) };
     with_world(setup, async |world| {
         let (mut client, mut prefill) = ask_and_read(world, "r1").await;
@@ -153,7 +153,7 @@
 }
 
 #[tokio::test]
-async fn without_prefill_servers_a_decode_server_reads_by_itself() {
+async fn without_prefill_servers_a_decode_server_runs_both_phases() {
     with_world(split("", &["d"]), async |world| {
         world.list(&["p"]).await;
         let mut client = world.ask("r1", "").await;
@@ -166,7 +166,7 @@
 }
 
 #[tokio::test]
-async fn a_prefill_server_that_is_not_there_is_passed_over() {
+async fn prefill_server_that_refuses_connections_is_skipped() {
     with_world(split("", &["d"]), async |world| {
         world.end("p");
         let mut client = world.ask("r1", "").await;
@@ -179,7 +179,7 @@
 }
 
 #[tokio::test]
-async fn without_decode_servers_the_request_is_refused_and_its_handle_freed() {
+async fn without_decode_servers_the_request_is_refused_and_its_handle_released() {
     with_world(split("", &["d"]), async |world| {
         world.list(&["d"]).await;
         let (mut client, mut prefill) = ask_and_read(world, "r1").await;
@@ -190,7 +190,7 @@
 }
 
 #[tokio::test]
-async fn an_unsafe_stream_is_not_sent_again_after_its_decode_server_broke() {
+async fn unsafe_stream_is_not_retried_after_its_decode_server_reset() {
     with_world(Setup { retry_budget: 10.0, ..split(r#","MaxAttempts":3"#, &["d", "e"]) }, async |world| {
         let (mut client, mut prefill) = ask_and_read(world, "r1").await;
         let (server, _, _) = offer_decode(world).await;
@@ -202,7 +202,7 @@
 }
 
 #[tokio::test]
-async fn servers_without_stages_get_the_request_as_it_is() {
+async fn servers_without_stages_get_the_request_unchanged() {
     let mut setup = split("", &[]);
     setup.servers = vec![("a", None::<Stage>)];
     with_world(setup, async |world| {
@@ -214,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn a_clients_own_last_event_id_goes_along() {
+async fn last_event_id_of_the_client_is_forwarded() {
     with_world(split(r#","Resumable":true"#, &["d"]), async |world| {
         let _client = world.ask("r1", "Last-Event-Id: 17\r\n").await;
         let _prefill = prefill(world, "r1").await;
@@ -225,7 +225,7 @@
 }
 
 #[tokio::test]
-async fn a_handle_that_is_gone_leaves_the_reading_to_a_decode_server() {
+async fn missing_handle_makes_a_decode_server_run_both_phases() {
     let setup = Setup { retry_budget: 10.0, ..split("", &["d", "e"]) };
     with_world(setup, async |world| {
         let (mut client, mut prefill) = ask_and_read(world, "r1").await;
@@ -244,7 +244,7 @@
 }
 
 #[tokio::test]
-async fn a_prefill_server_that_turns_the_request_away_is_followed_by_another() {
+async fn rejected_prefill_is_retried_on_another_server() {
     let mut setup = Setup { retry_budget: 10.0, ..split("", &["d"]) };
     setup.servers.push(("q", Some(Stage::Prefill)));
     with_world(setup, async |world| {
@@ -263,7 +263,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_that_is_over_time_is_cut() {
+async fn stream_that_exceeds_its_deadline_is_truncated() {
     with_world(split("", &["d"]), async |world| {
         let mut client = world.ask("r1", "Deadline-Ms: 3000\r\n").await;
         let _prefill = prefill(world, "r1").await;
@@ -287,7 +287,7 @@
 #[case(54_600, "5")]
 #[case(4_000_000_000, "9")]
 #[tokio::test]
-async fn a_prompt_is_read_by_the_rank_of_its_length(#[case] tokens: u32, #[case] rank: &str) {
+async fn prefill_priority_follows_prompt_length(#[case] tokens: u32, #[case] rank: &str) {
     with_world(split("", &["d"]), async |world| {
         let mut client = world.ask("r1", &format!("Token-Counts: {tokens},20\r\n")).await;
         let (mut server, seen) = world.offer("p").await;
--- a/crates/proxy/tests/intake.rs
+++ b/crates/proxy/tests/request_parsing.rs
@@ -27,7 +27,9 @@
 #[case::two_hosts("Host: other.example\r\nContent-Length: 0\r\n\r\n", 400)]
 #[case::a_body_too_large("Content-Length: 1001\r\n\r\n", 413)]
 #[tokio::test]
-async fn what_could_be_read_in_two_ways_goes_nowhere_and_closes(#[case] rest: &str, #[case] status: u16) {
+async fn ambiguous_or_oversized_request_is_rejected_and_closes_the_connection(
+    #[case] rest: &str, #[case] status: u16,
+) {
     with_world(setup("safe", ""), async |world| {
         let mut client = world.client().await;
         client.send(&format!("POST /r/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r1\r\n{rest}")).await;
@@ -45,7 +47,7 @@
 }
 
 #[tokio::test]
-async fn heads_and_chunked_bodies_are_bounded() {
+async fn head_and_chunked_body_limits_are_enforced() {
     with_world(setup("safe", ""), async |world| {
         let long = "x".repeat(5_000);
         let mut client = world.ask("r1", &format!("X: {long}\r\n")).await;
@@ -60,7 +62,7 @@
 }
 
 #[tokio::test]
-async fn slow_requests_are_ended() {
+async fn slow_request_head_or_body_times_out_with_408() {
     with_world(setup("safe", ""), async |world| {
         let mut in_head = world.client().await;
         in_head.send("POST /r/x HT").await;
@@ -78,7 +80,7 @@
 }
 
 #[tokio::test]
-async fn a_client_may_rest_for_well_over_the_limit_and_not_for_ever() {
+async fn idle_client_connection_outlives_the_idle_timeout_and_is_then_closed() {
     with_world(setup("unsafe", ""), async |world| {
         let mut client = world.client().await;
         client.send("GET /none/ HTTP/1.1\r\nHost: x\r\n\r\n").await;
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 
 #[tokio::test]
-async fn an_unsafe_request_is_not_sent_again_after_a_reset() {
+async fn unsafe_request_is_not_retried_after_a_reset() {
     with_world(setup("unsafe", r#","MaxAttempts":3"#), async |world| {
         let mut client = world.ask("r1", "").await;
         let (server, _, _) = world.offer_either("a", "b").await;
@@ -19,7 +19,7 @@
 }
 
 #[tokio::test]
-async fn a_safe_request_runs_again_after_a_reset() {
+async fn safe_request_is_retried_on_another_server_after_a_reset() {
     let setup = Setup { retry_budget: 10.0, ..setup("safe", r#","MaxAttempts":2"#) };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", "").await;
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn without_budget_nothing_is_sent_again() {
+async fn without_retry_budget_a_safe_request_is_not_retried() {
     let setup = Setup { retry_budget: 0.0, ..setup("safe", r#","MaxAttempts":2"#) };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", "").await;
@@ -51,7 +51,7 @@
 #[case::too_many(429)]
 #[case::misdirected(421)]
 #[tokio::test]
-async fn what_did_not_run_goes_to_another_server(#[case] status: u16) {
+async fn rejected_request_is_retried_on_another_server(#[case] status: u16) {
     let setup = Setup { retry_budget: 10.0, ..setup("unsafe", "") };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", "").await;
@@ -76,7 +76,7 @@
 }
 
 #[tokio::test]
-async fn where_all_servers_are_full_the_request_is_refused_with_a_time() {
+async fn request_rejected_by_all_servers_gets_503_with_retry_after() {
     let setup = Setup { retry_budget: 10.0, ..setup("unsafe", "") };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", "").await;
@@ -93,7 +93,7 @@
 }
 
 #[tokio::test]
-async fn a_server_that_is_not_there_is_passed_over() {
+async fn server_that_refuses_connections_is_skipped() {
     with_world(setup("unsafe", ""), async |world| {
         world.end("a");
         for round in 0..6 {
--- a/crates/proxy/tests/terms_sure.rs
+++ b/crates/proxy/tests/route_availability.rs
@@ -17,7 +17,9 @@
 #[case(HOST, "/none/x")]
 #[case("none.example", "/")]
 #[tokio::test]
-async fn without_a_configuration_each_request_is_told_to_come_again(#[case] host: &str, #[case] path: &str) {
+async fn without_a_configuration_every_request_gets_503_with_retry_after(
+    #[case] host: &str, #[case] path: &str,
+) {
     let setup = Setup { configured: false, ..setup("safe", "") };
     with_world(setup, async |world| {
         assert_eq!(status(world, host, path).await, (503, true));
@@ -30,7 +32,7 @@
 }
 
 #[tokio::test]
-async fn a_configuration_stays_in_force_while_the_agent_is_gone() {
+async fn configuration_stays_in_force_while_the_agent_is_disconnected() {
     with_world(setup("safe", ""), async |world| {
         world.reconnect().await;
         assert_eq!(status(world, HOST, "/none/x").await, (404, false));
@@ -43,7 +45,7 @@
 }
 
 #[tokio::test]
-async fn a_route_without_servers_is_no_route_that_is_missing() {
+async fn route_without_servers_gets_503_not_404() {
     with_world(setup("safe", ""), async |world| {
         world.list(&["a", "b"]).await;
         assert_eq!(status(world, HOST, "/r/x").await, (503, true));
@@ -52,7 +54,7 @@
 }
 
 #[tokio::test]
-async fn a_route_without_a_service_is_no_route_that_is_missing() {
+async fn route_without_a_weighted_service_gets_503_not_404() {
     let split = r#""TrafficSplit":[{"Service":"s","Weight":0}]"#;
     let mut setup = setup("safe", "");
     setup.routes[0] = setup.routes[0].replace(r#""Service":"s""#, split);
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/sighup.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 
 #[tokio::test]
-async fn a_request_under_way_is_not_sent_again_after_sighup() {
+async fn in_flight_unsafe_request_is_not_retried_after_sighup() {
     let setup = Setup { retry_budget: 10.0, ..setup("unsafe", r#","MaxAttempts":3"#) };
     with_world(setup, async |world| {
         let mut client = world.ask("r1", "").await;
--- a/crates/proxy/tests/last_byte.rs
+++ b/crates/proxy/tests/withheld_last_byte.rs
@@ -23,7 +23,7 @@
 
 /// The server that is full may be closing the new connection: while the last byte has not gone out, nothing has run.
 #[tokio::test]
-async fn the_last_byte_of_an_unsafe_request_is_held_back_on_a_new_connection() {
+async fn last_byte_of_an_unsafe_request_is_withheld_on_a_new_connection() {
     with_world(world_of("unsafe", 1), async |world| {
         let (mut client, mut server) = frozen(async {
             let client = world.ask("r1", "").await;
@@ -43,7 +43,7 @@
 }
 
 #[tokio::test]
-async fn the_last_byte_of_an_unsafe_request_is_held_back_on_a_connection_that_has_rested() {
+async fn last_byte_of_an_unsafe_request_is_withheld_on_an_idle_connection() {
     with_world(world_of("unsafe", 1), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "").await;
@@ -71,7 +71,7 @@
 #[case::safe("safe", false)]
 #[case::just_used("unsafe", true)]
 #[tokio::test]
-async fn nothing_is_held_back_without_need(#[case] kind: &str, #[case] is_kept: bool) {
+async fn last_byte_is_not_withheld_without_need(#[case] kind: &str, #[case] is_kept: bool) {
     with_world(world_of(kind, 1), async |world| {
         world.list(&["b"]).await;
         let mut client = world.client().await;
@@ -103,7 +103,7 @@
 #[case::only_begun("HTTP/1.1 200 OK\r\nRequest-".to_owned(), 502)]
 #[case::no_answer("\u{1}\u{2}nonsense\r\n\r\n".to_owned(), 502)]
 #[tokio::test]
-async fn an_answer_before_the_last_byte_is_the_requests_own(#[case] said: String, #[case] status: u16) {
+async fn response_before_the_last_byte_belongs_to_the_request(#[case] said: String, #[case] status: u16) {
     with_world(world_of("unsafe", 1), async |world| {
         let mut client = world.ask("r1", "").await;
         let mut server = frozen(async {
@@ -127,7 +127,7 @@
 }
 
 #[tokio::test]
-async fn an_early_refusal_goes_to_another_server_and_ends_its_connection() {
+async fn rejection_before_the_last_byte_is_retried_and_closes_its_connection() {
     with_world(world_of("unsafe", 1), async |world| {
         let mut client = world.ask("r1", "").await;
         let (mut server, mut other) = frozen(async {
@@ -148,7 +148,7 @@
 
 /// On a kept connection a late copy of another answer may come while the last byte is held back.
 #[tokio::test]
-async fn another_requests_answer_does_not_end_the_send() {
+async fn duplicate_response_does_not_end_the_send() {
     with_world(world_of("unsafe", 1), async |world| {
         world.list(&["b"]).await;
         let mut client = world.ask("r1", "").await;
