--- a/crates/proxy/tests/at_most_once.rs
+++ b/crates/proxy/tests/at_most_once.rs
@@ -1,27 +1,24 @@
-//! What may have run is not sent again unless its route allows it, whatever happens while the request is under way.
+//! At-most-once execution of requests that are not idempotent.
+//!
+//! A request that a server may have executed is sent again only if its route allows it (`safe`, or a resumable stream), whatever
+//! happens while it is in flight: a new configuration, an agent's restart, a shutdown, a broken or foreign response. Attempts
+//! that certainly did not execute are bounded too.
 
-mod clock;
-mod common;
+mod support;
 
-use clock::frozen;
-use common::*;
 use rstest::rstest;
 use std::time::Duration;
+use support::clock::with_frozen_clock;
+use support::*;
 
-/// All of the usual request but its last byte.
-const ALL_BUT_LAST: &str = "\r\n\r\nbod";
+/// More servers than one request may try.
+const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
 
-fn route(kind: &str, attempts: u32) -> String {
-    format!(
-        r#"{{"Host":"{HOST}","PathPrefix":"/r/","RouteKind":"{kind}","TimeoutMs":5000,"SloMs":300,"Service":"s","MaxAttempts":{attempts}}}"#
-    )
+fn route(kind: &'static str, attempts: u32) -> Route {
+    Route::new(kind).max_attempts(attempts)
 }
 
-fn world_of(kind: &str, attempts: u32) -> Setup {
-    Setup { routes: vec![route(kind, attempts)], retry_budget: 10.0, ..setup(kind, "") }
-}
-
-/// The route as it was when the request came rules it to its end.
+/// The route as it was when the request arrived governs it to its end.
 #[rstest]
 #[case::kind(route("unsafe", 3), vec![route("safe", 3)])]
 #[case::attempts(route("safe", 1), vec![route("safe", 5)])]
@@ -29,247 +26,224 @@
 #[case::removed(route("unsafe", 3), vec![])]
 #[tokio::test]
 async fn in_flight_request_keeps_its_retry_policy_when_configuration_relaxes_it(
-    #[case] before: String, #[case] after: Vec<String>,
+    #[case] before: Route, #[case] after: Vec<Route>,
 ) {
-    let setup = Setup { routes: vec![before], retry_budget: 10.0, ..setup("unsafe", "") };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        assert_eq!(world.configure(2, &after, false).await.config, 2);
+    let scenario = Scenario::new("unsafe").route(before).retry_budget(10.0);
+    with_proxy(scenario, async |proxy| {
+        let (mut client, server, _) = proxy.dispatch("r1", "").await;
+        assert_eq!(proxy.configure(2, &after).await.config, 2);
         server.reset();
-        assert_eq!(client.message().await.expect("an answer").status(), 502);
+        assert_eq!(client.read_response().await.status(), 502);
     })
     .await;
 }
 
 #[tokio::test]
 async fn in_flight_request_keeps_its_retry_when_configuration_forbids_retries() {
-    with_world(world_of("safe", 2), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, first) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        world.configure(2, &[route("unsafe", 1)], false).await;
+    with_proxy(Scenario::new("safe").max_attempts(2).retry_budget(10.0), async |proxy| {
+        let (mut client, server, first) = proxy.dispatch("r1", "").await;
+        proxy.configure(2, &[route("unsafe", 1)]).await;
         server.reset();
-        let (mut server, second) = world.accept_either("a", "b").await;
+        let (mut server, _, second) = proxy.receive_any(&PLAIN_SERVERS).await;
         assert_ne!(first, second);
-        assert!(server.message().await.is_some());
-        server.send(&answer("r1", "again")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "again");
+        server.send(&ok_response("r1", "again")).await;
+        assert_eq!(client.read_response().await.body, "again");
     })
     .await;
 }
 
-/// The agent's restart, and a list that it tells anew.
+/// The restarted agent sends a relaxed configuration and the server list again.
 #[tokio::test]
 async fn unsafe_request_is_not_retried_after_agent_restart() {
-    with_world(world_of("unsafe", 3), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        world.reconnect().await;
-        world.configure(2, &[route("safe", 3)], false).await;
-        world.list(&[]).await;
+    with_proxy(Scenario::new("unsafe").max_attempts(3).retry_budget(10.0), async |proxy| {
+        let (mut client, server, _) = proxy.dispatch("r1", "").await;
+        proxy.reconnect_agent().await;
+        proxy.configure(2, &[route("safe", 3)]).await;
+        proxy.list_all().await;
         server.reset();
-        assert_eq!(client.message().await.expect("an answer").status(), 502);
+        assert_eq!(client.read_response().await.status(), 502);
     })
     .await;
 }
 
-/// Servers keep their names over it: one that has turned the request away is not asked again.
+/// Servers keep their identities across the restart: one that rejected the request is not tried again.
 #[tokio::test]
 async fn attempted_servers_are_excluded_after_agent_restart() {
-    with_world(world_of("unsafe", 3), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, first) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        world.reconnect().await;
-        world.list(&[]).await;
-        server.send(&not_executed("r1", 503)).await;
-        let (mut server, second) = world.accept_either("a", "b").await;
+    with_proxy(Scenario::new("unsafe").max_attempts(3).retry_budget(10.0), async |proxy| {
+        let (mut client, mut server, first) = proxy.dispatch("r1", "").await;
+        proxy.reconnect_agent().await;
+        proxy.list_all().await;
+        server.send(&rejection("r1", 503)).await;
+        let (mut server, _, second) = proxy.receive_any(&PLAIN_SERVERS).await;
         assert_ne!(first, second);
-        assert!(server.message().await.is_some());
-        server.send(&not_executed("r1", 503)).await;
-        assert_eq!(client.message().await.expect("an answer").status(), 503);
+        server.send(&rejection("r1", 503)).await;
+        assert_eq!(client.read_response().await.status(), 503);
     })
     .await;
 }
 
 #[tokio::test]
 async fn unsafe_request_is_not_retried_during_shutdown() {
-    until_end(world_of("unsafe", 3), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        world.stop();
-        assert_eq!(world.readiness().await, 503);
+    with_proxy_until_shutdown(Scenario::new("unsafe").max_attempts(3).retry_budget(10.0), async |proxy| {
+        let (mut client, server, _) = proxy.dispatch("r1", "").await;
+        proxy.begin_shutdown();
+        assert_eq!(proxy.readiness_status().await, 503);
         server.reset();
-        let got = client.message().await.expect("an answer");
-        assert_eq!((got.status(), got.header("connection")), (502, Some("close")));
+        let response = client.read_response().await;
+        assert_eq!((response.status(), response.header("connection")), (502, Some("close")));
         tokio::time::pause();
     })
     .await;
 }
 
-/// A server that has left the list between the choice and the send gets nothing.
+/// Nothing was sent, so the response may promise that nothing was executed.
 #[tokio::test]
 async fn request_whose_deadline_passes_during_connect_is_refused() {
-    with_world(world_of("unsafe", 1), async |world| {
-        let mut client = world.ask("r1", "Deadline-Ms: 30\r\n").await;
-        let got = client.message().await.expect("an answer");
-        assert_eq!(got.status(), 503, "what was not sent is promised not to have run");
+    with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
+        let mut client = proxy.send_request("r1", "Deadline-Ms: 30\r\n").await;
+        let response = client.read_response().await;
+        assert_eq!(response.status(), 503, "an unsent request was not executed");
     })
     .await;
 }
 
-/// What an unsafe request meets, with attempts and budget left: whatever it is, it may have run.
+/// Attempts and retry budget are left: only the possible execution forbids a retry.
 #[rstest]
 #[case::reset("", 502)]
-#[case::another_requests(
+#[case::response_to_another_request(
     "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nServer-Stamp: s\r\nContent-Length: 2\r\n\r\nno",
     502
 )]
-#[case::anothers_promise(
+#[case::rejection_of_another_request(
     "HTTP/1.1 503 No\r\nRequest-Id: r0\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n",
     502
 )]
-#[case::nobodys_promise("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", 502)]
-#[case::without_a_promise("HTTP/1.1 503 No\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n", 502)]
-#[case::without_a_stamp("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nno", 502)]
-#[case::half_a_head("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n", 502)]
-#[case::half_a_body(
+#[case::rejection_without_request_id("HTTP/1.1 503 No\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n", 502)]
+#[case::unavailable_without_not_executed(
+    "HTTP/1.1 503 No\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n",
+    502
+)]
+#[case::without_server_stamp("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nno", 502)]
+#[case::truncated_head("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n", 502)]
+#[case::truncated_body(
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf",
     502
 )]
-#[case::half_a_chunk(
+#[case::truncated_chunk(
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nhalf",
     502
 )]
-#[case::two_lengths(
+#[case::duplicate_content_length(
     "HTTP/1.1 503 No\r\nRequest-Id: r1\r\nNot-Executed: 1\r\nContent-Length: 0\r\nContent-Length: 1\r\n\r\n",
     502
 )]
-#[case::another_protocol("HTTP/1.1 101 Switch\r\nRequest-Id: r1\r\n\r\n", 502)]
-#[case::its_own_failure(
+#[case::switching_protocols("HTTP/1.1 101 Switch\r\nRequest-Id: r1\r\n\r\n", 502)]
+#[case::server_error(
     "HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n",
     500
 )]
-#[case::its_own_time_out(
+#[case::server_timeout(
     "HTTP/1.1 504 Oh\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n",
     504
 )]
 #[tokio::test]
-async fn unsafe_request_that_may_have_executed_is_not_retried(#[case] said: &str, #[case] status: u16) {
-    with_world(world_of("unsafe", 3), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        server.send(said).await;
+async fn unsafe_request_that_may_have_executed_is_not_retried(#[case] reply: &str, #[case] status: u16) {
+    with_proxy(Scenario::new("unsafe").max_attempts(3).retry_budget(10.0), async |proxy| {
+        let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
+        server.send(reply).await;
         drop(server);
-        let got = tokio::select! {
-            got = client.message() => got.expect("an answer"),
-            _ = world.accept_either("a", "b") => panic!("it was sent again"),
+        let response = tokio::select! {
+            response = client.read_message() => response.expect("a response"),
+            _ = proxy.accept_any(&PLAIN_SERVERS) => panic!("retried"),
         };
-        assert_eq!(got.status(), status);
+        assert_eq!(response.status(), status);
     })
     .await;
 }
 
-/// The same for a safe one: to another server, within `MaxAttempts`.
+/// `MaxAttempts` is 2: one retry, on another server.
 #[rstest]
 #[case::reset("")]
-#[case::without_a_stamp("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nno")]
-#[case::half_a_body("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf")]
-#[case::its_own_failure("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n")]
+#[case::without_server_stamp("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nno")]
+#[case::truncated_body(
+    "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf"
+)]
+#[case::server_error("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n")]
 #[tokio::test]
-async fn safe_request_is_retried_once_on_another_server(#[case] said: &str) {
-    let mut setup = world_of("safe", 2);
-    setup.servers.push(("c", None));
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let mut met = Vec::new();
+async fn safe_request_is_retried_once_on_another_server(#[case] reply: &str) {
+    const NAMES: [&str; 3] = ["a", "b", "c"];
+    let scenario = Scenario::new("safe").servers(&NAMES).max_attempts(2).retry_budget(10.0);
+    with_proxy(scenario, async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let mut attempted = Vec::new();
         for _ in 0..2 {
-            let (mut server, name) = tokio::select! {
-                peer = world.accept("a") => (peer, "a"),
-                peer = world.accept("b") => (peer, "b"),
-                peer = world.accept("c") => (peer, "c"),
-            };
-            assert!(server.message().await.is_some());
-            assert!(!met.contains(&name), "each server once");
-            met.push(name);
-            server.send(said).await;
+            let (mut server, _, name) = proxy.receive_any(&NAMES).await;
+            assert!(!attempted.contains(&name), "each server once");
+            attempted.push(name);
+            server.send(reply).await;
         }
-        let got = tokio::select! {
-            got = client.message() => got.expect("an answer"),
-            _ = world.accept_either("a", "b") => panic!("a third send"),
-            _ = world.accept("c") => panic!("a third send"),
+        let response = tokio::select! {
+            response = client.read_message() => response.expect("a response"),
+            _ = proxy.accept_any(&NAMES) => panic!("a third attempt"),
         };
-        assert!(got.status() == 502 || got.status() == 500, "{}", got.head);
+        assert!(response.status() == 502 || response.status() == 500, "{}", response.head);
     })
     .await;
 }
 
-/// A failure that the request itself brings about would come again.
+/// A failure that the request itself causes would recur on any server.
 #[tokio::test]
 async fn client_error_response_is_final() {
-    with_world(world_of("safe", 3), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
+    with_proxy(Scenario::new("safe").max_attempts(3).retry_budget(10.0), async |proxy| {
+        let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
         server.send("HTTP/1.1 404 No\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n").await;
-        assert_eq!(client.message().await.expect("an answer").status(), 404);
+        assert_eq!(client.read_response().await.status(), 404);
     })
     .await;
 }
 
-/// No server turns a request away for ever: those that do are bounded too.
+/// A rejected attempt did not execute and is no retry, but attempts are bounded all the same: 4 servers.
 #[tokio::test]
 async fn rejected_attempts_of_an_unsafe_request_are_bounded() {
-    const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    let mut setup = Setup { retry_budget: 100.0, ..world_of("unsafe", 1) };
-    setup.servers = NAMES.iter().map(|name| (*name, None)).collect();
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let mut sends = 0;
-        let got = loop {
+    let scenario = Scenario::new("unsafe").servers(&NAMES).max_attempts(1).retry_budget(100.0);
+    with_proxy(scenario, async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let mut attempts = 0;
+        let response = loop {
             let mut server = tokio::select! {
-                got = client.message() => break got.expect("an answer"),
-                (peer, _) = world.accept_either("a", "b") => peer,
-                (peer, _) = world.accept_either("c", "d") => peer,
-                (peer, _) = world.accept_either("e", "f") => peer,
-                (peer, _) = world.accept_either("g", "h") => peer,
+                response = client.read_message() => break response.expect("a response"),
+                (accepted, _) = proxy.accept_any(&NAMES) => accepted,
             };
-            assert!(server.message().await.is_some());
-            server.send(&not_executed("r1", 503)).await;
-            sends += 1;
+            server.read_request().await;
+            server.send(&rejection("r1", 503)).await;
+            attempts += 1;
         };
-        assert_eq!((got.status(), sends), (503, 4));
+        assert_eq!((response.status(), attempts), (503, 4));
     })
     .await;
 }
 
-/// A server that says that it is busy, and takes longer than there is time, gets nothing: the client hears so at once.
+/// The only server reports a full load and has been slower than the deadline allows: the client is refused at once.
 #[tokio::test]
 async fn request_that_cannot_meet_its_deadline_is_refused_unsent() {
-    with_world(world_of("unsafe", 1), async |world| {
-        world.list(&["b"]).await;
-        let mut client = world.ask("r1", "").await;
-        let mut kept = world.accept("a").await;
-        assert!(kept.message().await.is_some());
-        let said = answer("r1", "slow").replace("Content-Length", "Load-Report: 8,4,8\r\nContent-Length");
-        frozen(async {
+    with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
+        proxy.list_all_but(&["b"]).await;
+        let mut client = proxy.send_request("r1", "").await;
+        let (mut idle, _) = proxy.receive("a").await;
+        let reply = with_headers(&ok_response("r1", "slow"), "Load-Report: 8,4,8\r\n");
+        with_frozen_clock(async {
             tokio::time::advance(Duration::from_secs(2)).await;
-            kept.send(&said).await;
-            assert!(client.message().await.is_some());
+            idle.send(&reply).await;
+            client.read_response().await;
             client.send(&request("r2", "Deadline-Ms: 900\r\n", "body")).await;
-            let got = tokio::select! {
-                got = client.message() => got.expect("an answer"),
-                seen = kept.until(ALL_BUT_LAST) => panic!("it was sent: {seen:?}"),
+            let response = tokio::select! {
+                response = client.read_message() => response.expect("a response"),
+                received = idle.read_until(ALL_BUT_LAST_BYTE) => panic!("sent: {received:?}"),
             };
-            assert_eq!(got.status(), 503);
-            // With more time it is.
+            assert_eq!(response.status(), 503);
+            // With more time it is sent.
             client.send(&request("r3", "", "body")).await;
-            assert!(kept.until(ALL_BUT_LAST).await.is_some());
+            assert!(idle.read_until(ALL_BUT_LAST_BYTE).await.is_some());
         })
         .await;
     })
@@ -278,106 +252,91 @@
 
 #[tokio::test]
 async fn refused_connections_are_bounded() {
-    const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    let mut setup = world_of("unsafe", 1);
-    setup.servers = NAMES.iter().map(|name| (*name, None)).collect();
-    with_world(setup, async |world| {
-        NAMES.iter().for_each(|name| world.end(name));
-        let mut client = world.ask("r1", "").await;
-        let got = client.message().await.expect("an answer");
-        assert_eq!(got.status(), 503, "nothing was sent");
+    let scenario = Scenario::new("unsafe").servers(&NAMES).max_attempts(1).retry_budget(10.0);
+    with_proxy(scenario, async |proxy| {
+        NAMES.iter().for_each(|name| proxy.stop_server(name));
+        let mut client = proxy.send_request("r1", "").await;
+        let response = client.read_response().await;
+        assert_eq!(response.status(), 503, "nothing was sent");
     })
     .await;
 }
 
-/// Sends that come to nothing are bounded too: each one may have taken a place of a server that is full.
+/// Nothing was executed, but each attempt may have taken capacity of a full server: 5 attempts.
 #[tokio::test]
 async fn attempts_reset_before_the_last_byte_are_bounded() {
-    const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
-    let mut setup = world_of("unsafe", 1);
-    setup.servers = NAMES.iter().map(|name| (*name, None)).collect();
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let mut sends = 0;
-        let got = frozen(async {
+    let scenario = Scenario::new("unsafe").servers(&NAMES).max_attempts(1).retry_budget(10.0);
+    with_proxy(scenario, async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let mut attempts = 0;
+        let response = with_frozen_clock(async {
             loop {
                 let mut server = tokio::select! {
-                    got = client.message() => break got.expect("an answer"),
-                    (peer, _) = world.accept_either("a", "b") => peer,
-                    (peer, _) = world.accept_either("c", "d") => peer,
-                    (peer, _) = world.accept_either("e", "f") => peer,
-                    (peer, _) = world.accept_either("g", "h") => peer,
+                    response = client.read_message() => break response.expect("a response"),
+                    (accepted, _) = proxy.accept_any(&NAMES) => accepted,
                 };
-                assert!(server.until(ALL_BUT_LAST).await.is_some());
+                assert!(server.read_until(ALL_BUT_LAST_BYTE).await.is_some());
                 server.reset();
-                sends += 1;
+                attempts += 1;
             }
         })
         .await;
-        assert_eq!((got.status(), sends), (503, 5));
+        assert_eq!((response.status(), attempts), (503, 5));
     })
     .await;
 }
 
-/// Refusing it would promise that it has not run.
+/// Its first attempt may have executed; a 503 would promise that it has not.
 #[tokio::test]
 async fn retry_that_cannot_meet_its_deadline_is_still_sent() {
-    with_world(world_of("safe", 2), async |world| {
-        world.list(&["a"]).await;
-        let mut client = world.ask("r1", "").await;
-        let mut slow = world.accept("b").await;
-        assert!(slow.message().await.is_some());
-        world.list(&[]).await;
-        let said = answer("r1", "slow").replace("Content-Length", "Load-Report: 8,4,8\r\nContent-Length");
-        frozen(async {
+    with_proxy(Scenario::new("safe").max_attempts(2).retry_budget(10.0), async |proxy| {
+        proxy.list_all_but(&["a"]).await;
+        let mut client = proxy.send_request("r1", "").await;
+        let (mut slow, _) = proxy.receive("b").await;
+        proxy.list_all().await;
+        let reply = with_headers(&ok_response("r1", "slow"), "Load-Report: 8,4,8\r\n");
+        with_frozen_clock(async {
             tokio::time::advance(Duration::from_secs(2)).await;
-            slow.send(&said).await;
-            assert!(client.message().await.is_some());
+            slow.send(&reply).await;
+            client.read_response().await;
             client.send(&request("r2", "Deadline-Ms: 900\r\n", "body")).await;
-            let mut server = world.accept("a").await;
-            assert!(server.message().await.is_some());
+            let (server, _) = proxy.receive("a").await;
             server.reset();
-            assert!(slow.message().await.is_some());
-            slow.send(&answer("r2", "again")).await;
-            assert_eq!(client.message().await.expect("an answer").body, "again");
+            slow.read_request().await;
+            slow.send(&ok_response("r2", "again")).await;
+            assert_eq!(client.read_response().await.body, "again");
         })
         .await;
     })
     .await;
 }
 
-/// A time that is over in the head or in the body of an answer leaves the budget to others.
+/// A deadline that passes in the head or in the body of a response leaves the retry budget to other requests.
 #[rstest]
 #[case::silent("")]
-#[case::half_a_body("HTTP/1.1 200 OK\r\nRequest-Id: r2\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf")]
+#[case::truncated_body(
+    "HTTP/1.1 200 OK\r\nRequest-Id: r2\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf"
+)]
 #[tokio::test]
-async fn deadline_exceeded_withdraws_nothing_from_the_retry_budget(#[case] said: &str) {
-    let setup = Setup { retry_budget: 1.0, ..world_of("safe", 2) };
-    with_world(setup, async |world| {
-        // Half a resend is earned by each request: one by these two, and one and a half with the last.
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        server
-            .send(&answer("r1", "ok").replace("Content-Length", "Connection: close\r\nContent-Length"))
-            .await;
-        assert!(client.message().await.is_some());
-        let mut client = world.ask("r2", "Deadline-Ms: 900\r\n").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        server.send(said).await;
+async fn deadline_exceeded_withdraws_nothing_from_the_retry_budget(#[case] reply: &str) {
+    let scenario = Scenario::new("safe").max_attempts(2).retry_budget(1.0);
+    with_proxy(scenario, async |proxy| {
+        // Each request deposits half a retry: the first two one retry, all three one and a half.
+        let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
+        server.send(&closing(&ok_response("r1", "ok"))).await;
+        client.read_response().await;
+        let (mut client, mut server, _) = proxy.dispatch("r2", "Deadline-Ms: 900\r\n").await;
+        server.send(reply).await;
         tokio::time::pause();
-        assert_eq!(client.message().await.expect("an answer").status(), 504);
+        assert_eq!(client.read_response().await.status(), 504);
         tokio::time::resume();
-        let mut client = world.ask("r3", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
+        let (mut client, server, _) = proxy.dispatch("r3", "").await;
         server.reset();
         let (mut server, _) = tokio::select! {
-            met = world.accept_either("a", "b") => met,
-            got = client.message() => panic!("no budget was left: {got:?}"),
+            accepted = proxy.accept_any(&PLAIN_SERVERS) => accepted,
+            response = client.read_message() => panic!("no retry budget was left: {response:?}"),
         };
-        assert!(server.message().await.is_some());
+        server.read_request().await;
     })
     .await;
 }
--- a/crates/proxy/tests/client_disconnect.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -1,96 +1,96 @@
-//! A client that has left: nothing is sent for it any more, and what servers do for it ends within half a second, wherever its
-//! request waits.
+//! Client disconnect: wherever its request waits, nothing more is sent for it, and every attempt is cancelled within 500 ms.
 
-mod common;
+mod support;
 
-use common::pairs::*;
-use common::*;
 use rstest::rstest;
 use std::time::Duration;
+use support::prefill::*;
+use support::*;
 use tokio::time::{Instant, timeout};
 
-/// The servers' work has ended so long after the client left.
-const ENDED: Duration = Duration::from_millis(500);
+/// Attempts are cancelled within this time after the disconnect.
+const CANCELLED_WITHIN: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Leaves {
-    Closes,
-    Resets,
+enum Disconnect {
+    Close,
+    Reset,
 }
 
-fn leave(client: Peer, how: Leaves) {
+fn disconnect(client: Connection, how: Disconnect) {
     match how {
-        Leaves::Closes => drop(client),
-        Leaves::Resets => client.reset(),
+        Disconnect::Close => drop(client),
+        Disconnect::Reset => client.reset(),
     }
 }
 
-/// The client leaves; from now on time passes as soon as nothing else happens, so that a wait for a timer is seen.
-fn leave_and_pause(client: Peer, how: Leaves) -> Instant {
+/// Disconnects; from now on time passes as soon as all tasks are idle, so that a wait for a timer shows.
+fn disconnect_and_pause(client: Connection, how: Disconnect) -> Instant {
     tokio::time::pause();
-    leave(client, how);
+    disconnect(client, how);
     Instant::now()
 }
 
-/// Lets everybody see what has come, while the paused time stands still.
+/// Lets all tasks handle what has arrived while the paused clock stands still.
 async fn settle() {
     for _ in 0..64 {
         tokio::task::yield_now().await;
     }
 }
 
-async fn is_ended(server: &mut Peer, since: Instant) {
-    assert!(server.is_closed().await, "nothing more comes");
-    assert!(since.elapsed() < ENDED, "{:?}", since.elapsed());
+/// The attempt at this server is cancelled in time.
+async fn expect_cancelled(server: &mut Connection, since: Instant) {
+    assert!(server.is_closed().await, "nothing more is sent");
+    assert!(since.elapsed() < CANCELLED_WITHIN, "{:?}", since.elapsed());
 }
 
-/// No connection comes to these servers within seconds.
-async fn nothing_comes(world: &World, one: &'static str, other: &'static str) {
-    assert!(timeout(Duration::from_secs(10), world.accept_either(one, other)).await.is_err());
+/// No further connection to these servers within 10 s.
+async fn expect_no_attempt(proxy: &TestProxy, servers: &[&'static str]) {
+    assert!(timeout(Duration::from_secs(10), proxy.accept_any(servers)).await.is_err());
 }
 
 #[rstest]
 #[tokio::test]
 async fn disconnect_during_execution_cancels_it(
-    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
-    #[values("safe", "unsafe", "streaming")] kind: &str,
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
+    #[values("safe", "unsafe", "streaming")] kind: &'static str,
 ) {
-    let setup = Setup { retry_budget: 10.0, ..setup(kind, r#","MaxAttempts":3"#) };
-    with_world(setup, async |world| {
-        let client = world.ask("r1", "").await;
-        let (mut server, _, _) = world.offer_either("a", "b").await;
-        let since = leave_and_pause(client, how);
-        is_ended(&mut server, since).await;
-        nothing_comes(world, "a", "b").await;
+    with_proxy(Scenario::new(kind).max_attempts(3).retry_budget(10.0), async |proxy| {
+        let (client, mut server, _) = proxy.dispatch("r1", "").await;
+        let since = disconnect_and_pause(client, how);
+        expect_cancelled(&mut server, since).await;
+        expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
     .await;
 }
 
 #[rstest]
 #[tokio::test]
-async fn disconnect_during_a_retry_cancels_it(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
-    let setup = Setup { retry_budget: 10.0, ..setup("safe", r#","MaxAttempts":3"#) };
-    with_world(setup, async |world| {
-        let client = world.ask("r1", "").await;
-        let (mut server, _, _) = world.offer_either("a", "b").await;
-        server.send(&not_executed("r1", 503)).await;
-        let (mut server, _, _) = world.offer_either("a", "b").await;
-        let since = leave_and_pause(client, how);
-        is_ended(&mut server, since).await;
-        nothing_comes(world, "a", "b").await;
+async fn disconnect_during_a_retry_cancels_it(
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
+) {
+    with_proxy(Scenario::new("safe").max_attempts(3).retry_budget(10.0), async |proxy| {
+        let (client, mut server, _) = proxy.dispatch("r1", "").await;
+        server.send(&rejection("r1", 503)).await;
+        let (mut server, _, _) = proxy.receive_any(&PLAIN_SERVERS).await;
+        let since = disconnect_and_pause(client, how);
+        expect_cancelled(&mut server, since).await;
+        expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
     .await;
 }
 
 #[rstest]
 #[tokio::test]
-async fn disconnect_during_prefill_cancels_it(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
-    with_world(split("", &["d"]), async |world| {
-        let client = world.ask("r1", "").await;
-        let (mut reader, _) = world.offer("p").await;
-        let since = leave_and_pause(client, how);
-        is_ended(&mut reader, since).await;
-        nothing_comes(world, "p", "d").await;
+async fn disconnect_during_prefill_cancels_it(
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
+) {
+    with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
+        let client = proxy.send_request("r1", "").await;
+        let (mut prefill_server, _) = proxy.receive("p").await;
+        let since = disconnect_and_pause(client, how);
+        expect_cancelled(&mut prefill_server, since).await;
+        expect_no_attempt(proxy, &["p", "d"]).await;
     })
     .await;
 }
@@ -98,34 +98,36 @@
 #[rstest]
 #[tokio::test]
 async fn disconnect_during_kv_transfer_cancels_it_and_releases_the_handle(
-    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
 ) {
-    with_world(split("", &["d"]), async |world| {
-        let (client, mut reader) = ask_and_read(world, "r1").await;
-        let (mut server, _) = world.offer("d").await;
-        let since = leave_and_pause(client, how);
-        is_ended(&mut server, since).await;
-        is_freed(&mut reader).await;
-        assert!(since.elapsed() < ENDED, "{:?}", since.elapsed());
-        nothing_comes(world, "p", "d").await;
+    with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
+        let (client, mut prefill_server) = send_and_prefill(proxy, "r1").await;
+        let (mut server, _) = proxy.receive("d").await;
+        let since = disconnect_and_pause(client, how);
+        expect_cancelled(&mut server, since).await;
+        serve_release(&mut prefill_server).await;
+        assert!(since.elapsed() < CANCELLED_WITHIN, "{:?}", since.elapsed());
+        expect_no_attempt(proxy, &["p", "d"]).await;
     })
     .await;
 }
 
 #[rstest]
 #[tokio::test]
-async fn disconnect_during_a_stream_cancels_it(#[values(Leaves::Closes, Leaves::Resets)] how: Leaves) {
-    let setup = Setup { retry_budget: 10.0, ..split(r#","Resumable":true,"MaxAttempts":3"#, &["d", "e"]) };
-    with_world(setup, async |world| {
-        let (mut client, _reader) = ask_and_read(world, "r1").await;
-        let (mut server, _, _) = offer_decode(world).await;
-        server.send(&stream_head("r1")).await;
-        server.send(&chunk(&event(1))).await;
-        assert!(client.until("\r\n\r\n").await.is_some());
-        assert_eq!(client.chunk().await, Some(Some(event(1))));
-        let since = leave_and_pause(client, how);
-        is_ended(&mut server, since).await;
-        nothing_comes(world, "d", "e").await;
+async fn disconnect_during_a_stream_cancels_it(
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
+) {
+    let scenario =
+        Scenario::prefill_decode(&["p"], &["d", "e"]).resumable().max_attempts(3).retry_budget(10.0);
+    with_proxy(scenario, async |proxy| {
+        let (mut client, _prefill_server) = send_and_prefill(proxy, "r1").await;
+        let (mut server, _, _) = receive_decode(proxy).await;
+        server.start_stream("r1", 1).await;
+        assert!(client.read_head().await.is_some());
+        assert_eq!(client.read_chunk().await, Some(Some(event(1))));
+        let since = disconnect_and_pause(client, how);
+        expect_cancelled(&mut server, since).await;
+        expect_no_attempt(proxy, &["d", "e"]).await;
     })
     .await;
 }
@@ -133,95 +135,93 @@
 #[rstest]
 #[tokio::test]
 async fn disconnect_before_the_body_is_complete_sends_nothing(
-    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
 ) {
-    with_world(setup("safe", ""), async |world| {
-        let mut client = world.client().await;
-        let whole = request("r1", "", "body");
-        client.send(&whole[..whole.len() - 1]).await;
-        assert_eq!(world.readiness().await, 200, "what was sent before has been read");
-        leave_and_pause(client, how);
-        nothing_comes(world, "a", "b").await;
+    with_proxy(Scenario::new("safe"), async |proxy| {
+        let mut client = proxy.connect().await;
+        let complete = request("r1", "", "body");
+        client.send(&complete[..complete.len() - 1]).await;
+        assert_eq!(proxy.readiness_status().await, 200, "the incomplete body has been read");
+        disconnect_and_pause(client, how);
+        expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
     .await;
 }
 
-/// The last byte of an unrepeatable request on a new connection is held back for a moment, and then never goes out.
+/// The last byte of an unsafe request on a new connection is withheld for a moment, and then never sent.
 #[rstest]
 #[tokio::test]
 async fn disconnect_while_the_last_byte_is_withheld_never_sends_it(
-    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
 ) {
-    with_world(setup("unsafe", ""), async |world| {
+    with_proxy(Scenario::new("unsafe"), async |proxy| {
         tokio::time::pause();
-        let client = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.until("\r\n\r\nbod").await.is_some());
+        let client = proxy.send_request("r1", "").await;
+        let (mut server, _) = proxy.accept_any(&PLAIN_SERVERS).await;
+        assert!(server.read_until(ALL_BUT_LAST_BYTE).await.is_some());
         let since = Instant::now();
-        leave(client, how);
+        disconnect(client, how);
         settle().await;
-        is_ended(&mut server, since).await;
-        nothing_comes(world, "a", "b").await;
+        expect_cancelled(&mut server, since).await;
+        expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
     .await;
 }
 
-/// A server that reads nothing has a part of a long body.
+/// The server has received a part of a long body and reads no more.
 #[rstest]
 #[tokio::test]
 async fn disconnect_while_the_body_is_being_sent_stops_it(
-    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
 ) {
     const LONG: usize = 16 * 1024 * 1024;
-    with_world(Setup { max_body: LONG, ..setup("unsafe", "") }, async |world| {
-        let mut client = world.client().await;
+    with_proxy(Scenario::new("unsafe").max_body_bytes(LONG), async |proxy| {
+        let mut client = proxy.connect().await;
         client.send(&request("r1", "", &"x".repeat(LONG))).await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.until("\r\n\r\n").await.is_some());
-        let since = leave_and_pause(client, how);
-        assert_eq!(world.readiness().await, 200);
-        assert!(server.rest().await.len() < LONG, "the rest never comes");
-        assert!(since.elapsed() < ENDED, "{:?}", since.elapsed());
-        nothing_comes(world, "a", "b").await;
+        let (mut server, _) = proxy.accept_any(&PLAIN_SERVERS).await;
+        assert!(server.read_head().await.is_some());
+        let since = disconnect_and_pause(client, how);
+        assert_eq!(proxy.readiness_status().await, 200);
+        assert!(server.read_to_end().await.len() < LONG, "the rest is never sent");
+        assert!(since.elapsed() < CANCELLED_WITHIN, "{:?}", since.elapsed());
+        expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
     .await;
 }
 
-/// Its connection's end stands behind more bytes than are read ahead.
+/// The end of the connection stands behind more pipelined bytes than the proxy reads ahead.
 #[rstest]
 #[tokio::test]
 async fn disconnect_behind_pipelined_requests_cancels_the_current_one(
-    #[values(Leaves::Closes, Leaves::Resets)] how: Leaves,
+    #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
 ) {
-    with_world(setup("unsafe", ""), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _, _) = world.offer_either("a", "b").await;
+    with_proxy(Scenario::new("unsafe"), async |proxy| {
+        let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
         for _ in 0..8 {
             client.send(&request("r2", &format!("X: {}\r\n", "x".repeat(3_000)), "body")).await;
         }
-        assert_eq!(world.readiness().await, 200, "what is read ahead has been read");
-        let since = leave_and_pause(client, how);
-        is_ended(&mut server, since).await;
-        nothing_comes(world, "a", "b").await;
+        assert_eq!(proxy.readiness_status().await, 200, "the proxy has read ahead as far as it does");
+        let since = disconnect_and_pause(client, how);
+        expect_cancelled(&mut server, since).await;
+        expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
     .await;
 }
 
-/// The client was gone before its connection was taken from the queue, as where a proxy is busy or stood still.
+/// The client was gone before its connection was accepted, as where the proxy was busy or paused.
 #[rstest]
 #[tokio::test]
 async fn disconnect_before_the_request_is_read_sends_nothing(
-    #[values("safe", "unsafe", "streaming")] kind: &str,
+    #[values("safe", "unsafe", "streaming")] kind: &'static str,
 ) {
     use std::io::Write;
-    let setup = Setup { retry_budget: 10.0, ..setup(kind, r#","MaxAttempts":3"#) };
-    with_world(setup, async |world| {
-        // Without a wait in between, so that the proxy sees all of it at once.
-        let mut client = std::net::TcpStream::connect(world.front).expect("a connection");
+    with_proxy(Scenario::new(kind).max_attempts(3).retry_budget(10.0), async |proxy| {
+        // Without an await in between, so that the proxy sees connection, request and end at once.
+        let mut client = std::net::TcpStream::connect(proxy.front_address).expect("a connection");
         client.write_all(request("r1", "", "body").as_bytes()).expect("a write");
         drop(client);
         tokio::time::pause();
-        nothing_comes(world, "a", "b").await;
+        expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
     .await;
 }
--- a/crates/proxy/tests/close_delimited.rs
+++ b/crates/proxy/tests/close_delimited.rs
@@ -1,16 +1,14 @@
-//! Answers without a length: complete at the orderly end of their connection, broken off by a reset.
+//! Responses without a length: complete when the server closes the connection, truncated when it resets it.
 
-mod common;
+mod support;
 
-use common::*;
 use rstest::rstest;
+use support::*;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\n";
 
-async fn asked(world: &World) -> (Peer, Peer) {
-    let client = world.ask("r1", "").await;
-    let (mut server, _) = world.accept_either("a", "b").await;
-    assert!(server.message().await.is_some());
+async fn send_and_receive(proxy: &TestProxy) -> (Connection, Connection) {
+    let (client, server, _) = proxy.dispatch("r1", "").await;
     (client, server)
 }
 
@@ -19,92 +17,95 @@
 #[case::long(100_000)]
 #[tokio::test]
 async fn response_without_a_length_is_complete_at_connection_close(#[case] length: usize) {
-    with_world(setup("unsafe", ""), async |world| {
-        let (mut client, mut server) = asked(world).await;
+    with_proxy(Scenario::new("unsafe"), async |proxy| {
+        let (mut client, mut server) = send_and_receive(proxy).await;
         let body = "x".repeat(length);
         server.send(&format!("{HEAD}\r\n{body}")).await;
         drop(server);
-        let got = client.message().await.expect("an answer");
-        assert_eq!((got.status(), got.header("server-stamp"), got.body == body), (200, Some("s"), true));
+        let response = client.read_response().await;
+        assert_eq!(
+            (response.status(), response.header("server-stamp"), response.body == body),
+            (200, Some("s"), true)
+        );
         client.send(&request("r2", "", "body")).await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some(), "on a connection of its own");
+        let (mut server, _) = proxy.accept_any(&PLAIN_SERVERS).await;
+        assert!(server.read_message().await.is_some(), "on a new connection");
     })
     .await;
 }
 
 #[tokio::test]
 async fn http_1_0_response_is_complete_at_connection_close() {
-    with_world(setup("unsafe", ""), async |world| {
-        let (mut client, mut server) = asked(world).await;
+    with_proxy(Scenario::new("unsafe"), async |proxy| {
+        let (mut client, mut server) = send_and_receive(proxy).await;
         server.send(&format!("{HEAD}\r\nold").replace("HTTP/1.1", "HTTP/1.0")).await;
         drop(server);
-        assert_eq!(client.message().await.expect("an answer").body, "old");
+        assert_eq!(client.read_response().await.body, "old");
     })
     .await;
 }
 
 #[tokio::test]
 async fn short_response_that_is_reset_is_replaced_by_502() {
-    with_world(setup("unsafe", ""), async |world| {
-        let (mut client, mut server) = asked(world).await;
+    with_proxy(Scenario::new("unsafe"), async |proxy| {
+        let (mut client, mut server) = send_and_receive(proxy).await;
         server.send(&format!("{HEAD}\r\nhalf")).await;
         server.reset();
-        let got = client.message().await.expect("an answer");
-        assert_eq!((got.status(), got.header("server-stamp")), (502, None));
+        let response = client.read_response().await;
+        assert_eq!((response.status(), response.header("server-stamp")), (502, None));
     })
     .await;
 }
 
 #[tokio::test]
 async fn long_response_that_is_reset_breaks_the_client_connection() {
-    with_world(setup("unsafe", ""), async |world| {
-        let (mut client, mut server) = asked(world).await;
+    with_proxy(Scenario::new("unsafe"), async |proxy| {
+        let (mut client, mut server) = send_and_receive(proxy).await;
         server.send(&format!("{HEAD}\r\n{}", "x".repeat(70_000))).await;
-        assert!(client.until("\r\n\r\n").await.is_some(), "it has begun to go on");
+        assert!(client.read_head().await.is_some(), "forwarding has begun");
         server.reset();
-        let (_, is_complete) = client.stream().await;
+        let (_, is_complete) = client.read_stream().await;
         assert!(!is_complete);
     })
     .await;
 }
 
-/// A stream ends between two events, and in an orderly way, or it is cut.
+/// A stream is complete if its connection is closed between two events; otherwise it is truncated.
 #[rstest]
 #[case::complete("", false, true)]
-#[case::torn("id: 2\ndata: to", false, false)]
+#[case::partial_event("id: 2\ndata: to", false, false)]
 #[case::reset("", true, false)]
 #[tokio::test]
 async fn stream_without_a_length_ends_with_its_connection(
-    #[case] more: &str, #[case] is_reset: bool, #[case] is_complete: bool,
+    #[case] rest: &str, #[case] is_reset: bool, #[case] is_complete: bool,
 ) {
-    with_world(setup("streaming", ""), async |world| {
-        let (mut client, mut server) = asked(world).await;
-        server.send(&format!("{HEAD}Content-Type: text/event-stream\r\n\r\n{}{more}", event(1))).await;
-        assert!(client.until("\r\n\r\n").await.is_some());
-        assert_eq!(client.chunk().await, Some(Some(event(1))), "before the end");
+    with_proxy(Scenario::new("streaming"), async |proxy| {
+        let (mut client, mut server) = send_and_receive(proxy).await;
+        server.send(&format!("{HEAD}Content-Type: text/event-stream\r\n\r\n{}{rest}", event(1))).await;
+        assert!(client.read_head().await.is_some());
+        assert_eq!(client.read_chunk().await, Some(Some(event(1))), "forwarded before the stream ends");
         if is_reset {
             server.reset();
         } else {
             drop(server);
         }
-        assert_eq!(client.stream().await, (String::new(), is_complete));
+        assert_eq!(client.read_stream().await, (String::new(), is_complete));
     })
     .await;
 }
 
-/// Whatever comes on a streaming route goes on at once, also without a length.
+/// Also without a length and without the type of an event stream.
 #[tokio::test]
 async fn streaming_route_forwards_data_as_it_arrives() {
-    with_world(setup("streaming", ""), async |world| {
-        let (mut client, mut server) = asked(world).await;
+    with_proxy(Scenario::new("streaming"), async |proxy| {
+        let (mut client, mut server) = send_and_receive(proxy).await;
         server.send(&format!("{HEAD}\r\none")).await;
-        assert!(client.until("\r\n\r\n").await.is_some());
-        assert_eq!(client.chunk().await, Some(Some("one".to_owned())));
+        assert!(client.read_head().await.is_some());
+        assert_eq!(client.read_chunk().await, Some(Some("one".to_owned())));
         server.send("two").await;
-        assert_eq!(client.chunk().await, Some(Some("two".to_owned())));
+        assert_eq!(client.read_chunk().await, Some(Some("two".to_owned())));
         drop(server);
-        assert_eq!(client.chunk().await, Some(None));
+        assert_eq!(client.read_chunk().await, Some(None));
     })
     .await;
 }
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -1,202 +1,199 @@
-//! The time of a request: no server is handed more than is left, and a final answer is there soon after the route's time.
+//! Deadline propagation: every attempt carries the remaining time, and the final response comes within 500 ms of the route's
+//! timeout, whatever the servers do.
 
-mod common;
+mod support;
 
-use common::pairs::*;
-use common::*;
 use rstest::rstest;
 use std::time::Duration;
+use support::clock::advance_clock;
+use support::prefill::*;
+use support::*;
 use tokio::time::Instant;
 
-/// The time of the tests' route.
+/// `TimeoutMs` of the route.
 const TIMEOUT: Duration = Duration::from_millis(5_000);
-/// A final answer is there so long after the route's time at the latest.
-const LATE: Duration = Duration::from_millis(500);
-/// What a server takes in these tests.
-const TAKES: Duration = Duration::from_millis(1_000);
+/// The final response comes at most so long after the timeout.
+const GRACE: Duration = Duration::from_millis(500);
+/// How long a server takes before it responds.
+const SERVER_DELAY: Duration = Duration::from_millis(1_000);
 
-fn deadline(seen: &Message) -> Duration {
-    let ms = seen.header("deadline-ms").expect("a deadline").parse().expect("a number");
+fn deadline(received: &Message) -> Duration {
+    let ms = received.header("deadline-ms").expect("a deadline").parse().expect("a number");
     Duration::from_millis(ms)
 }
 
-/// Lets time pass at once, for all.
-async fn pass(time: Duration) {
-    tokio::time::pause();
-    tokio::time::advance(time).await;
-    tokio::time::resume();
-}
-
 #[rstest]
-#[case::the_clients("Deadline-Ms: 3000\r\n", 3_000)]
-#[case::a_fraction("Deadline-Ms: 2999.5\r\n", 2_999)]
-#[case::beyond_the_routes("Deadline-Ms: 60000\r\n", 5_000)]
+#[case::of_the_client("Deadline-Ms: 3000\r\n", 3_000)]
+#[case::fraction("Deadline-Ms: 2999.5\r\n", 2_999)]
+#[case::above_the_route_timeout("Deadline-Ms: 60000\r\n", 5_000)]
 #[case::none("", 5_000)]
 #[case::unreadable("Deadline-Ms: soon\r\n", 5_000)]
 #[case::negative("Deadline-Ms: -1\r\n", 5_000)]
 #[tokio::test]
-async fn every_attempt_carries_the_remaining_deadline(#[case] more: &str, #[case] most: u64) {
-    let most = Duration::from_millis(most);
-    let setup = Setup { retry_budget: 10.0, ..setup("safe", r#","MaxAttempts":2"#) };
-    with_world(setup, async |world| {
-        let _client = world.ask("r1", more).await;
-        let (mut server, seen, _) = world.offer_either("a", "b").await;
-        let first = deadline(&seen);
-        assert!(first <= most && first > most / 2, "{first:?}");
-        pass(TAKES).await;
-        server.send(&not_executed("r1", 503)).await;
-        let (_server, seen, _) = world.offer_either("a", "b").await;
-        let second = deadline(&seen);
-        assert!(second <= first - TAKES, "{second:?} after {first:?}");
-        assert_eq!(seen.head.to_lowercase().matches("deadline-ms").count(), 1);
+async fn every_attempt_carries_the_remaining_deadline(#[case] headers: &str, #[case] max_ms: u64) {
+    let max = Duration::from_millis(max_ms);
+    with_proxy(Scenario::new("safe").max_attempts(2).retry_budget(10.0), async |proxy| {
+        let _client = proxy.send_request("r1", headers).await;
+        let (mut server, received, _) = proxy.receive_any(&PLAIN_SERVERS).await;
+        let first = deadline(&received);
+        assert!(first <= max && first > max / 2, "{first:?}");
+        advance_clock(SERVER_DELAY).await;
+        server.send(&rejection("r1", 503)).await;
+        let (_server, received, _) = proxy.receive_any(&PLAIN_SERVERS).await;
+        let second = deadline(&received);
+        assert!(second <= first - SERVER_DELAY, "{second:?} after {first:?}");
+        assert_eq!(received.head.to_lowercase().matches("deadline-ms").count(), 1);
     })
     .await;
 }
 
 #[rstest]
-#[case::the_clients("Deadline-Ms: 4000\r\n", 4_000)]
+#[case::of_the_client("Deadline-Ms: 4000\r\n", 4_000)]
 #[case::none("", 5_000)]
 #[tokio::test]
-async fn prefill_decode_and_resumption_carry_the_remaining_deadline(#[case] more: &str, #[case] most: u64) {
-    let most = Duration::from_millis(most);
-    let route = r#","Resumable":true,"MaxAttempts":2"#;
-    let setup = Setup { retry_budget: 10.0, ..split(route, &["d", "e"]) };
-    with_world(setup, async |world| {
-        let _client = world.ask("r1", more).await;
-        let (mut reader, seen) = world.offer("p").await;
-        assert!(deadline(&seen) <= most);
-        pass(Duration::from_millis(500)).await;
-        reader.send(&prefilled("r1")).await;
-        let (mut server, seen, _) = offer_decode(world).await;
-        let run = deadline(&seen);
-        assert!(run <= most - Duration::from_millis(500), "{run:?}");
-        server.send(&stream_head("r1")).await;
-        server.send(&chunk(&event(1))).await;
-        pass(TAKES).await;
+async fn prefill_decode_and_resumption_carry_the_remaining_deadline(
+    #[case] headers: &str, #[case] max_ms: u64,
+) {
+    let max = Duration::from_millis(max_ms);
+    let scenario =
+        Scenario::prefill_decode(&["p"], &["d", "e"]).resumable().max_attempts(2).retry_budget(10.0);
+    with_proxy(scenario, async |proxy| {
+        let _client = proxy.send_request("r1", headers).await;
+        let (mut prefill_server, received) = proxy.receive("p").await;
+        assert!(deadline(&received) <= max);
+        advance_clock(Duration::from_millis(500)).await;
+        prefill_server.send(&prefill_response("r1", HANDLE)).await;
+        let (mut server, received, _) = receive_decode(proxy).await;
+        let decode = deadline(&received);
+        assert!(decode <= max - Duration::from_millis(500), "{decode:?}");
+        server.start_stream("r1", 1).await;
+        advance_clock(SERVER_DELAY).await;
         server.reset();
-        let (_server, seen, _) = offer_decode(world).await;
-        assert!(deadline(&seen) <= run - TAKES);
+        let (_server, received, _) = receive_decode(proxy).await;
+        assert!(deadline(&received) <= decode - SERVER_DELAY);
     })
     .await;
 }
 
-/// A client's time runs from when it has sent a request, also where an earlier one on its connection takes long.
+/// The deadline counts from the request's arrival, also while an earlier request on its connection is served.
 #[rstest]
-#[case::sent_together(true)]
-#[case::sent_meanwhile(false)]
+#[case::sent_with_the_first(true)]
+#[case::sent_during_the_first(false)]
 #[tokio::test]
-async fn deadline_of_a_pipelined_request_includes_its_wait(#[case] together: bool) {
+async fn deadline_of_a_pipelined_request_includes_its_wait(#[case] is_sent_together: bool) {
     let next = request("r2", "Deadline-Ms: 3000\r\n", "body");
-    with_world(setup("safe", ""), async |world| {
-        world.list(&["b"]).await;
-        let mut client = world.client().await;
+    with_proxy(Scenario::new("safe"), async |proxy| {
+        proxy.list_all_but(&["b"]).await;
+        let mut client = proxy.connect().await;
         let first = request("r1", "", "body");
-        client.send(&if together { first + next.as_str() } else { first }).await;
-        let (mut server, _) = world.offer("a").await;
-        if !together {
+        client.send(&if is_sent_together { first + next.as_str() } else { first }).await;
+        let (mut server, _) = proxy.receive("a").await;
+        if !is_sent_together {
             client.send(&next).await;
-            // Read in once a later connection has been served.
-            assert_eq!(world.readiness().await, 200);
+            // Received once a later connection has been served.
+            assert_eq!(proxy.readiness_status().await, 200);
         }
-        pass(TAKES).await;
-        server.send(&answer("r1", "ok")).await;
-        let seen = server.message().await.expect("a request");
-        assert_eq!(seen.header("request-id"), Some("r2"));
-        assert!(deadline(&seen) <= Duration::from_millis(3_000) - TAKES, "{:?}", deadline(&seen));
+        advance_clock(SERVER_DELAY).await;
+        server.send(&ok_response("r1", "ok")).await;
+        let received = server.read_request().await;
+        assert_eq!(received.header("request-id"), Some("r2"));
+        assert!(
+            deadline(&received) <= Duration::from_millis(3_000) - SERVER_DELAY,
+            "{:?}",
+            deadline(&received)
+        );
     })
     .await;
 }
 
-/// What a silent server has said before.
+/// Cases: what the server sends before it falls silent.
 #[rstest]
-#[case::nothing("safe", "", Some(504))]
-#[case::nothing_of_what_may_have_run("unsafe", "", Some(504))]
-#[case::a_head(
+#[case::nothing_to_a_safe_request("safe", "", Some(504))]
+#[case::nothing_to_an_unsafe_request("unsafe", "", Some(504))]
+#[case::head_and_half_a_body(
     "unsafe",
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf",
     Some(504)
 )]
 #[case::half_a_head("unsafe", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n", Some(504))]
-#[case::a_long_body(
+#[case::long_body_in_forwarding(
     "unsafe",
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 99999\r\n\r\nhalf",
     None
 )]
 #[tokio::test]
 async fn final_response_comes_soon_after_the_route_timeout(
-    #[case] kind: &str, #[case] said: &str, #[case] status: Option<u16>,
+    #[case] kind: &'static str, #[case] reply: &str, #[case] status: Option<u16>,
 ) {
-    with_world(setup(kind, ""), async |world| {
+    with_proxy(Scenario::new(kind), async |proxy| {
         let since = Instant::now();
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _, _) = world.offer_either("a", "b").await;
-        server.send(said).await;
+        let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
+        server.send(reply).await;
         tokio::time::pause();
-        let got = client.message().await;
-        assert_eq!(got.map(|got| got.status()), status);
+        let response = client.read_message().await;
+        assert_eq!(response.map(|response| response.status()), status);
         let took = since.elapsed();
-        assert!(took > TIMEOUT / 2 && took < TIMEOUT + LATE, "{took:?}");
-        assert!(server.is_closed().await, "the server is told");
-        assert!(since.elapsed() < TIMEOUT + LATE);
+        assert!(took > TIMEOUT / 2 && took < TIMEOUT + GRACE, "{took:?}");
+        assert!(server.is_closed().await, "the attempt is cancelled");
+        assert!(since.elapsed() < TIMEOUT + GRACE);
     })
     .await;
 }
 
 #[tokio::test]
 async fn request_with_a_silent_prefill_server_is_answered_in_time() {
-    with_world(split("", &["d"]), async |world| {
+    with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
         let since = Instant::now();
-        let mut client = world.ask("r1", "").await;
-        let (_reader, _) = world.offer("p").await;
+        let mut client = proxy.send_request("r1", "").await;
+        let (_prefill_server, _) = proxy.receive("p").await;
         tokio::time::pause();
-        let got = client.message().await.expect("an answer");
-        assert!([503, 504].contains(&got.status()), "{}", got.status());
-        assert!(since.elapsed() < TIMEOUT + LATE, "{:?}", since.elapsed());
+        let response = client.read_response().await;
+        assert!([503, 504].contains(&response.status()), "{}", response.status());
+        assert!(since.elapsed() < TIMEOUT + GRACE, "{:?}", since.elapsed());
     })
     .await;
 }
 
-/// A body that comes steadily and slowly is no reason to hold its request for longer.
+/// A body that arrives slowly but steadily does not extend the deadline.
 #[tokio::test]
 async fn request_with_an_incomplete_body_gets_408_in_time() {
     let step = Duration::from_millis(200);
-    with_world(setup("unsafe", ""), async |world| {
+    with_proxy(Scenario::new("unsafe"), async |proxy| {
         let since = Instant::now();
-        let mut client = world.client().await;
+        let mut client = proxy.connect().await;
         let whole = request("r1", "", &"x".repeat(100));
         client.send(&whole[..whole.len() - 100]).await;
         while since.elapsed() < TIMEOUT + step {
             client.send("x").await;
-            assert_eq!(world.readiness().await, 200);
-            pass(step).await;
+            assert_eq!(proxy.readiness_status().await, 200);
+            advance_clock(step).await;
         }
         tokio::time::pause();
-        let got = client.message().await.expect("an answer");
-        assert_eq!((got.status(), got.header("connection")), (408, Some("close")));
-        assert!(since.elapsed() < TIMEOUT + LATE, "{:?}", since.elapsed());
+        let response = client.read_response().await;
+        assert_eq!((response.status(), response.header("connection")), (408, Some("close")));
+        assert!(since.elapsed() < TIMEOUT + GRACE, "{:?}", since.elapsed());
     })
     .await;
 }
 
 #[tokio::test]
 async fn stream_that_exceeds_the_route_timeout_is_truncated() {
-    with_world(split("", &["d"]), async |world| {
+    with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
         let since = Instant::now();
-        let (mut client, _reader) = ask_and_read(world, "r1").await;
-        let (mut server, _) = world.offer("d").await;
-        server.send(&stream_head("r1")).await;
-        server.send(&chunk(&event(1))).await;
-        assert!(client.until("\r\n\r\n").await.is_some());
-        assert_eq!(client.chunk().await, Some(Some(event(1))));
+        let (mut client, _prefill_server) = send_and_prefill(proxy, "r1").await;
+        let (mut server, _) = proxy.receive("d").await;
+        server.start_stream("r1", 1).await;
+        assert!(client.read_head().await.is_some());
+        assert_eq!(client.read_chunk().await, Some(Some(event(1))));
         tokio::time::pause();
-        assert_eq!(client.stream().await, (String::new(), false));
+        assert_eq!(client.read_stream().await, (String::new(), false));
         assert!(server.is_closed().await);
-        assert!(since.elapsed() < TIMEOUT + LATE, "{:?}", since.elapsed());
+        assert!(since.elapsed() < TIMEOUT + GRACE, "{:?}", since.elapsed());
     })
     .await;
 }
 
-/// Silence within the request's time ends nothing, whichever part of the answer it falls into.
+/// Whichever part of the response the pause falls into.
 #[rstest]
 #[case::before_the_head(
     "",
@@ -222,13 +219,12 @@
 async fn server_pause_within_the_deadline_does_not_end_a_response(
     #[case] before: &str, #[case] after: &str, #[case] body: &str,
 ) {
-    with_world(setup("unsafe", ""), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _, _) = world.offer_either("a", "b").await;
+    with_proxy(Scenario::new("unsafe"), async |proxy| {
+        let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
         server.send(before).await;
-        pass(TIMEOUT - Duration::from_millis(500)).await;
+        advance_clock(TIMEOUT - Duration::from_millis(500)).await;
         server.send(after).await;
-        assert_eq!(client.message().await.expect("an answer").body, body);
+        assert_eq!(client.read_response().await.body, body);
     })
     .await;
 }
@@ -238,15 +234,15 @@
 #[case::inside_an_event("id: 2\nda", "ta: 2\n\n")]
 #[tokio::test]
 async fn server_pause_within_the_deadline_does_not_end_a_stream(#[case] before: &str, #[case] after: &str) {
-    with_world(split("", &["d"]), async |world| {
-        let (mut client, _reader) = ask_and_read(world, "r1").await;
-        let (mut server, _) = world.offer("d").await;
+    with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
+        let (mut client, _prefill_server) = send_and_prefill(proxy, "r1").await;
+        let (mut server, _) = proxy.receive("d").await;
         server.send(&stream_head("r1")).await;
         server.send(&chunk(&(event(1) + before))).await;
-        pass(TIMEOUT - Duration::from_millis(500)).await;
+        advance_clock(TIMEOUT - Duration::from_millis(500)).await;
         server.send(&chunk(after)).await;
         server.send(LAST_CHUNK).await;
-        assert_eq!(client.message().await.expect("an answer").body, event(1) + event(2).as_str());
+        assert_eq!(client.read_response().await.body, events(2));
     })
     .await;
 }
--- a/crates/proxy/tests/early_responses.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -1,15 +1,15 @@
-//! Answers that come before their request was sent whole: they go on, and the rest of that request never stands where something
-//! else is due.
+//! Responses that arrive before their request was sent completely: they are forwarded, and the unsent rest of the request never
+//! lands where another request is due.
 
-mod common;
+mod support;
 
-use common::*;
+use support::*;
 
-/// More than the buffers of both ends of a connection take.
+/// More than the socket buffers of both ends hold.
 const LONG: usize = 16 * 1024 * 1024;
 
-fn long_bodies(kind: &str) -> Setup {
-    Setup { max_body: LONG, retry_budget: 10.0, ..setup(kind, r#","MaxAttempts":2"#) }
+fn long_bodies(kind: &'static str) -> Scenario {
+    Scenario::new(kind).max_attempts(2).max_body_bytes(LONG).retry_budget(10.0)
 }
 
 fn is_part_of_body(rest: &[u8]) -> bool {
@@ -18,85 +18,85 @@
 
 #[tokio::test]
 async fn early_response_is_forwarded_and_its_connection_is_not_reused() {
-    with_world(long_bodies("unsafe"), async |world| {
-        world.list(&["b"]).await;
-        let mut client = world.client().await;
+    with_proxy(long_bodies("unsafe"), async |proxy| {
+        proxy.list_all_but(&["b"]).await;
+        let mut client = proxy.connect().await;
         client.send(&request("r1", "", &"x".repeat(LONG))).await;
-        let mut early = world.accept("a").await;
-        assert!(early.until("\r\n\r\n").await.is_some());
-        early.send(&answer("r1", "early")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "early");
+        let mut early = proxy.accept("a").await;
+        assert!(early.read_head().await.is_some());
+        early.send(&ok_response("r1", "early")).await;
+        assert_eq!(client.read_response().await.body, "early");
         client.send(&request("r2", "", "second")).await;
-        let mut next = world.accept("a").await;
-        assert_eq!(next.message().await.expect("a request").body, "second");
-        next.send(&answer("r2", "ok")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "ok");
-        assert!(is_part_of_body(&early.rest().await));
+        let mut next = proxy.accept("a").await;
+        assert_eq!(next.read_request().await.body, "second");
+        next.send(&ok_response("r2", "ok")).await;
+        assert_eq!(client.read_response().await.body, "ok");
+        assert!(is_part_of_body(&early.read_to_end().await));
     })
     .await;
 }
 
 #[tokio::test]
 async fn early_rejection_sends_the_complete_body_to_another_server() {
-    with_world(long_bodies("unsafe"), async |world| {
-        let mut client = world.client().await;
+    with_proxy(long_bodies("unsafe"), async |proxy| {
+        let mut client = proxy.connect().await;
         client.send(&request("r1", "", &"x".repeat(LONG))).await;
-        let (mut early, first) = world.accept_either("a", "b").await;
-        assert!(early.until("\r\n\r\n").await.is_some());
-        early.send(&not_executed("r1", 503)).await;
-        let (mut server, second) = world.accept_either("a", "b").await;
+        let (mut early, first) = proxy.accept_any(&PLAIN_SERVERS).await;
+        assert!(early.read_head().await.is_some());
+        early.send(&rejection("r1", 503)).await;
+        let (mut server, second) = proxy.accept_any(&PLAIN_SERVERS).await;
         assert_ne!(first, second);
-        assert_eq!(server.message().await.expect("a request").body.len(), LONG);
-        server.send(&answer("r1", "there")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "there");
-        assert!(is_part_of_body(&early.rest().await));
+        assert_eq!(server.read_request().await.body.len(), LONG);
+        server.send(&ok_response("r1", "there")).await;
+        assert_eq!(client.read_response().await.body, "there");
+        assert!(is_part_of_body(&early.read_to_end().await));
     })
     .await;
 }
 
 #[tokio::test]
 async fn interim_response_does_not_stop_the_body() {
-    with_world(long_bodies("unsafe"), async |world| {
-        let mut client = world.client().await;
+    with_proxy(long_bodies("unsafe"), async |proxy| {
+        let mut client = proxy.connect().await;
         client.send(&request("r1", "", &"x".repeat(LONG))).await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        let head = server.until("\r\n\r\n").await.expect("a head");
+        let (mut server, _) = proxy.accept_any(&PLAIN_SERVERS).await;
+        let head = server.read_head().await.expect("a head");
         assert!(head.contains(&format!("Content-Length: {LONG}\r\n")), "{head}");
         server.send("HTTP/1.1 100 Continue\r\n\r\n").await;
-        assert_eq!(server.exactly(LONG).await.map(|body| body.len()), Some(LONG));
-        server.send(&answer("r1", "whole")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "whole");
+        assert_eq!(server.read_exactly(LONG).await.map(|body| body.len()), Some(LONG));
+        server.send(&ok_response("r1", "whole")).await;
+        assert_eq!(client.read_response().await.body, "whole");
     })
     .await;
 }
 
-/// The last byte of an unrepeatable request is held back for a moment: an answer that comes then is to this request.
+/// The last byte of an unsafe request is withheld for a moment; a response that arrives then belongs to this request.
 #[tokio::test]
 async fn response_before_the_last_byte_is_forwarded_and_the_request_is_not_retried() {
-    with_world(Setup { retry_budget: 10.0, ..setup("unsafe", "") }, async |world| {
-        world.list(&["b"]).await;
+    with_proxy(Scenario::new("unsafe").retry_budget(10.0), async |proxy| {
+        proxy.list_all_but(&["b"]).await;
         tokio::time::pause();
-        let mut client = world.ask("r1", "").await;
-        let mut early = world.accept("a").await;
-        assert!(early.until("\r\n\r\nbod").await.is_some());
-        early.send(&answer("r1", "early")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "early");
-        assert!(early.is_closed().await, "neither the last byte nor another request comes");
+        let mut client = proxy.send_request("r1", "").await;
+        let mut early = proxy.accept("a").await;
+        assert!(early.read_until(ALL_BUT_LAST_BYTE).await.is_some());
+        early.send(&ok_response("r1", "early")).await;
+        assert_eq!(client.read_response().await.body, "early");
+        assert!(early.is_closed().await, "neither the last byte nor another request is sent");
     })
     .await;
 }
 
 #[tokio::test]
 async fn early_response_followed_by_a_close_is_forwarded() {
-    with_world(long_bodies("unsafe"), async |world| {
-        world.list(&["b"]).await;
-        let mut client = world.client().await;
+    with_proxy(long_bodies("unsafe"), async |proxy| {
+        proxy.list_all_but(&["b"]).await;
+        let mut client = proxy.connect().await;
         client.send(&request("r1", "", &"x".repeat(LONG))).await;
-        let mut early = world.accept("a").await;
-        assert!(early.until("\r\n\r\n").await.is_some());
-        early.send(&answer("r1", "early")).await;
-        early.finish().await;
-        assert_eq!(client.message().await.expect("an answer").body, "early");
+        let mut early = proxy.accept("a").await;
+        assert!(early.read_head().await.is_some());
+        early.send(&ok_response("r1", "early")).await;
+        early.shutdown_write().await;
+        assert_eq!(client.read_response().await.body, "early");
     })
     .await;
 }
--- a/crates/proxy/tests/expect_version.rs
+++ b/crates/proxy/tests/expect_version.rs
@@ -1,83 +1,80 @@
-//! Answers of 421: by `Expect-Instance`, which the proxy sets, or by a client's own `Expect-Version`. Each is one more arrival
-//! and no run.
+//! Misdirected requests (421) and versions of a model's weights.
+//!
+//! A server answers 421 to an `Expect-Instance` of the proxy or an `Expect-Version` of the client that it doesn't match. Each 421 is
+//! one arrival paid from the retry budget, and no execution. Version lines of streams are forwarded unchanged.
 
-mod common;
+mod support;
 
-use common::*;
 use rstest::rstest;
+use support::*;
 
-const ASKS_VERSION: &str = "Expect-Version: 2\r\n";
+/// A client's demand for certain weights.
+const EXPECT_VERSION: &str = "Expect-Version: 2\r\n";
 
 #[rstest]
 #[case::instance("")]
-#[case::version(ASKS_VERSION)]
+#[case::version(EXPECT_VERSION)]
 #[tokio::test]
-async fn misdirected_request_is_retried_within_the_retry_budget(#[case] more: &str) {
-    let setup = Setup { retry_budget: 10.0, ..setup("unsafe", "") };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", more).await;
-        let (mut server, _, first) = world.offer_either("a", "b").await;
-        server.send(&not_executed("r1", 421)).await;
-        let (mut server, seen, second) = world.offer_either("a", "b").await;
+async fn misdirected_request_is_retried_within_the_retry_budget(#[case] headers: &str) {
+    with_proxy(Scenario::new("unsafe").retry_budget(10.0), async |proxy| {
+        let (mut client, mut server, first) = proxy.dispatch("r1", headers).await;
+        server.send(&rejection("r1", 421)).await;
+        let (mut server, received, second) = proxy.receive_any(&PLAIN_SERVERS).await;
         assert_ne!(first, second);
-        assert_eq!(seen.header("expect-version"), (!more.is_empty()).then_some("2"));
-        server.send(&answer("r1", "there")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "there");
+        assert_eq!(received.header("expect-version"), (!headers.is_empty()).then_some("2"));
+        server.send(&ok_response("r1", "there")).await;
+        assert_eq!(client.read_response().await.body, "there");
     })
     .await;
 }
 
 #[rstest]
 #[case::instance("")]
-#[case::version(ASKS_VERSION)]
+#[case::version(EXPECT_VERSION)]
 #[tokio::test]
-async fn without_retry_budget_a_misdirected_request_gets_503_with_retry_after(#[case] more: &str) {
-    let setup = Setup { retry_budget: 0.0, ..setup("safe", r#","MaxAttempts":3"#) };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", more).await;
-        let (mut server, _, _) = world.offer_either("a", "b").await;
-        server.send(&not_executed("r1", 421)).await;
-        let got = client.message().await.expect("an answer");
-        assert_eq!((got.status(), got.header("server-stamp")), (503, None));
-        assert!(got.header("retry-after").is_some());
+async fn without_retry_budget_a_misdirected_request_gets_503_with_retry_after(#[case] headers: &str) {
+    with_proxy(Scenario::new("safe").max_attempts(3).retry_budget(0.0), async |proxy| {
+        let (mut client, mut server, _) = proxy.dispatch("r1", headers).await;
+        server.send(&rejection("r1", 421)).await;
+        let response = client.read_response().await;
+        assert_eq!((response.status(), response.header("server-stamp")), (503, None));
+        assert!(response.header("retry-after").is_some());
     })
     .await;
 }
 
 #[tokio::test]
 async fn request_misdirected_everywhere_gets_503_not_421() {
-    let setup = Setup { retry_budget: 10.0, ..setup("safe", r#","MaxAttempts":3"#) };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", ASKS_VERSION).await;
+    with_proxy(Scenario::new("safe").max_attempts(3).retry_budget(10.0), async |proxy| {
+        let mut client = proxy.send_request("r1", EXPECT_VERSION).await;
         for _ in 0..2 {
-            let (mut server, _, _) = world.offer_either("a", "b").await;
-            server.send(&not_executed("r1", 421)).await;
+            let (mut server, _, _) = proxy.receive_any(&PLAIN_SERVERS).await;
+            server.send(&rejection("r1", 421)).await;
         }
-        let got = client.message().await.expect("an answer");
-        assert_eq!((got.status(), got.header("server-stamp")), (503, None));
+        let response = client.read_response().await;
+        assert_eq!((response.status(), response.header("server-stamp")), (503, None));
     })
     .await;
 }
 
-/// That a server has other weights than one client asked for tells nothing of others' requests.
+/// Other weights than one client expects say nothing about requests of others.
 #[tokio::test]
 async fn version_mismatch_of_one_client_does_not_exclude_the_server_for_others() {
-    let setup = Setup { retry_budget: 10.0, ..setup("unsafe", "") };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", ASKS_VERSION).await;
+    with_proxy(Scenario::new("unsafe").retry_budget(10.0), async |proxy| {
+        let mut client = proxy.send_request("r1", EXPECT_VERSION).await;
         for _ in 0..2 {
-            let (mut server, _, _) = world.offer_either("a", "b").await;
-            server.send(&not_executed("r1", 421)).await;
+            let (mut server, _, _) = proxy.receive_any(&PLAIN_SERVERS).await;
+            server.send(&rejection("r1", 421)).await;
         }
-        assert_eq!(client.message().await.expect("an answer").status(), 503);
-        let mut other = world.ask("r2", "").await;
+        assert_eq!(client.read_response().await.status(), 503);
+        let mut other = proxy.send_request("r2", "").await;
         let answered = async {
-            let (mut server, _, _) = world.offer_either("a", "b").await;
-            server.send(&answer("r2", "ok")).await;
+            let (mut server, _, _) = proxy.receive_any(&PLAIN_SERVERS).await;
+            server.send(&ok_response("r2", "ok")).await;
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            got = other.message() => assert_eq!(got.expect("an answer").body, "ok"),
+            response = other.read_message() => assert_eq!(response.expect("a response").body, "ok"),
             () = answered => {}
         }
     })
@@ -85,52 +82,53 @@
 }
 
 #[rstest]
-#[case::running("versions: 3\nid: 1\ndata: 1\n\n", "id: 2\ndata: 2\n\n")]
+#[case::in_the_first_part("versions: 3\nid: 1\ndata: 1\n\n", "id: 2\ndata: 2\n\n")]
 #[case::with_carriage_returns("versions: 3\r\nid: 1\r\ndata: 1\r\n\r\n", "id: 2\r\ndata: 2\r\n\r\n")]
-#[case::in_the_rest("id: 1\ndata: 1\n\n", "versions: 12\nid: 2\ndata: 2\n\n")]
+#[case::in_the_resumed_part("id: 1\ndata: 1\n\n", "versions: 12\nid: 2\ndata: 2\n\n")]
 #[case::one_that_looks_like_an_id("versions: 9\nevent: id: 7\nid: 1\n\n", "versions: 10\nid: 2\ndata:\n\n")]
 #[tokio::test]
 async fn version_lines_are_forwarded_and_resumption_uses_event_ids(
     #[case] first: &str, #[case] second: &str,
 ) {
-    let more = r#","Resumable":true,"MaxAttempts":2"#;
-    let setup = Setup { retry_budget: 10.0, ..setup("streaming", more) };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _, _) = world.offer_either("a", "b").await;
-        server.send(&stream_head("r1").replacen("\r\n", "\r\nVersions: 2\r\n", 1)).await;
+    let scenario = Scenario::new("streaming").resumable().max_attempts(2).retry_budget(10.0);
+    with_proxy(scenario, async |proxy| {
+        let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
+        server.send(&with_headers(&stream_head("r1"), "Versions: 2\r\n")).await;
         server.send(&chunk(&format!("{first}versions: 4\nid:"))).await;
         server.reset();
-        let (mut server, seen, _) = world.offer_either("a", "b").await;
-        assert_eq!(seen.header("last-event-id"), Some("1"));
+        let (mut server, received, _) = proxy.receive_any(&PLAIN_SERVERS).await;
+        assert_eq!(received.header("last-event-id"), Some("1"));
+        let other_head = stream_head("r1").replace("stamp-r1", "another");
         server
-            .send(&stream_head("r1").replace("stamp-r1", "another").replacen(
-                "\r\n",
-                "\r\nVersions: 5\r\n",
-                1,
+            .send(&with_headers(
+                &other_head,
+                "Versions: 5
+",
             ))
             .await;
         server.send(&chunk(second)).await;
         server.send(LAST_CHUNK).await;
-        let got = client.message().await.expect("an answer");
-        assert_eq!(got.body, format!("{first}{second}"));
-        assert_eq!((got.header("server-stamp"), got.header("versions")), (Some("stamp-r1"), Some("2")));
+        let response = client.read_response().await;
+        assert_eq!(response.body, format!("{first}{second}"));
+        assert_eq!(
+            (response.header("server-stamp"), response.header("versions")),
+            (Some("stamp-r1"), Some("2"))
+        );
     })
     .await;
 }
 
 #[tokio::test]
 async fn version_line_arriving_byte_by_byte_is_forwarded_complete() {
-    with_world(setup("streaming", ""), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _, _) = world.offer_either("a", "b").await;
+    with_proxy(Scenario::new("streaming"), async |proxy| {
+        let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
         server.send(&stream_head("r1")).await;
-        assert!(client.until("\r\n\r\n").await.is_some());
-        let whole = "versions: 3\nid: 1\ndata: 1\n\n";
-        for byte in whole.chars() {
+        assert!(client.read_head().await.is_some());
+        let complete_event = "versions: 3\nid: 1\ndata: 1\n\n";
+        for byte in complete_event.chars() {
             server.send(&chunk(&byte.to_string())).await;
         }
-        assert_eq!(client.chunk().await, Some(Some(whole.to_owned())));
+        assert_eq!(client.read_chunk().await, Some(Some(complete_event.to_owned())));
     })
     .await;
 }
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,37 +1,33 @@
-//! The end of the process, with what is under way.
+//! Graceful shutdown: readiness fails at once, in-flight requests are finished, and the process ends within the grace period.
 
-mod common;
+mod support;
 
-use common::*;
 use std::time::Duration;
+use support::*;
 use tokio::time::Instant;
 
 #[tokio::test]
 async fn shutdown_fails_readiness_at_once_and_serves_until_idle() {
-    until_end(setup("unsafe", ""), async |world| {
-        let mut resting = world.ask("r0", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        server
-            .send(&answer("r0", "before").replace("Content-Length", "Connection: close\r\nContent-Length"))
-            .await;
-        assert_eq!(resting.message().await.expect("an answer").header("connection"), None);
-        world.list(&["b"]).await;
-        assert_eq!(world.readiness().await, 200);
-        world.stop();
-        assert_eq!(world.readiness().await, 503);
-        // One that had rested, and one that comes late, are served, and told that it was the last time.
-        resting.send(&request("r1", "", "body")).await;
-        let mut late = world.ask("r2", "").await;
+    with_proxy_until_shutdown(Scenario::new("unsafe"), async |proxy| {
+        let mut idle = proxy.send_request("r0", "").await;
+        let (mut server, _, _) = proxy.receive_any(&PLAIN_SERVERS).await;
+        server.send(&closing(&ok_response("r0", "before"))).await;
+        assert_eq!(idle.read_response().await.header("connection"), None);
+        proxy.list_all_but(&["b"]).await;
+        assert_eq!(proxy.readiness_status().await, 200);
+        proxy.begin_shutdown();
+        assert_eq!(proxy.readiness_status().await, 503);
+        // An idle connection and a late one are served; `Connection: close` tells both that it was the last time.
+        idle.send(&request("r1", "", "body")).await;
+        let mut late = proxy.send_request("r2", "").await;
         for _ in 0..2 {
-            let mut server = world.accept("a").await;
-            let seen = server.message().await.expect("a request");
-            let id = seen.header("request-id").expect("an id").to_owned();
-            server.send(&answer(&id, "still")).await;
+            let (mut server, received) = proxy.receive("a").await;
+            let id = received.header("request-id").expect("an id").to_owned();
+            server.send(&ok_response(&id, "still")).await;
         }
-        for client in [&mut resting, &mut late] {
-            let got = client.message().await.expect("an answer");
-            assert_eq!((got.body.as_str(), got.header("connection")), ("still", Some("close")));
+        for client in [&mut idle, &mut late] {
+            let response = client.read_response().await;
+            assert_eq!((response.body.as_str(), response.header("connection")), ("still", Some("close")));
         }
         tokio::time::pause();
     })
@@ -40,34 +36,30 @@
 
 #[tokio::test]
 async fn shutdown_waits_for_in_flight_requests_and_closes_idle_connections() {
-    until_end(setup("unsafe", ""), async |world| {
-        let mut slow = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
-        let mut resting = world.client().await;
-        world.stop();
-        assert_eq!(world.readiness().await, 503);
+    with_proxy_until_shutdown(Scenario::new("unsafe"), async |proxy| {
+        let mut slow = proxy.send_request("r1", "").await;
+        let (mut server, _, _) = proxy.receive_any(&PLAIN_SERVERS).await;
+        let mut idle = proxy.connect().await;
+        proxy.begin_shutdown();
+        assert_eq!(proxy.readiness_status().await, 503);
         tokio::time::pause();
-        assert!(resting.is_closed().await);
-        server.send(&answer("r1", "late")).await;
-        assert_eq!(slow.message().await.expect("an answer").body, "late");
+        assert!(idle.is_closed().await);
+        server.send(&ok_response("r1", "late")).await;
+        assert_eq!(slow.read_response().await.body, "late");
     })
     .await;
 }
 
 #[tokio::test]
 async fn shutdown_cuts_remaining_requests_before_the_grace_period_ends() {
-    let mut setup = setup("unsafe", "");
-    setup.routes[0] = setup.routes[0].replace("\"TimeoutMs\":5000", "\"TimeoutMs\":60000");
+    let scenario = Scenario::new("unsafe").route(Route::new("unsafe").timeout_ms(60_000));
     let mut begun = Instant::now();
-    until_end(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
+    with_proxy_until_shutdown(scenario, async |proxy| {
+        let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
         tokio::time::pause();
         begun = Instant::now();
-        world.stop();
-        assert!(client.message().await.is_none(), "cut at the end");
+        proxy.begin_shutdown();
+        assert!(client.read_message().await.is_none(), "truncated at the end");
         assert!(server.is_closed().await);
     })
     .await;
--- a/crates/proxy/tests/kv_handles.rs
+++ b/crates/proxy/tests/kv_handles.rs
@@ -1,59 +1,53 @@
-//! Handles between prefill and decode servers: each is taken once or freed, and none outlives the attempt that it was made for.
+//! KV handles between prefill and decode servers.
+//!
+//! A handle names the KV cache of a prefilled prompt. It is used by one execution at most, or released, and none outlives the
+//! attempt that it was made for. Prefill and decode attempts are bounded and paid from the retry budget.
 
-mod common;
+mod support;
 
-use common::*;
-use lugwharf_protocol::Stage;
 use rstest::rstest;
+use support::prefill::{expect_release, prefill_response};
+use support::*;
 
 const STAMPED: &str = "Request-Id: r1\r\nServer-Stamp: s\r\n";
 
-fn paired(more: &str, prefill: &[&'static str], decode: &[&'static str]) -> Setup {
-    let mut setup = Setup { retry_budget: 10.0, ..split(more, decode) };
-    setup.servers.retain(|(_, stage)| *stage == Some(Stage::Decode));
-    setup.servers.extend(prefill.iter().map(|name| (*name, Some(Stage::Prefill))));
-    setup
+/// Prefill and decode servers with an ample retry budget.
+fn generation(prefill: &[&'static str], decode: &[&'static str]) -> Scenario {
+    Scenario::prefill_decode(prefill, decode).retry_budget(10.0)
 }
 
+/// The response to the prefill of request `r1`, by a server that doesn't name the type of the body.
 fn prefilled(handle: &str) -> String {
-    let body = format!(r#"{{"KvHandle":"{handle}","Tokens":1460,"Version":1}}"#);
-    let length = body.len();
-    format!("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: {length}\r\n\r\n{body}")
+    prefill_response("r1", handle).replace("Content-Type: application/json\r\n", "")
 }
 
-/// The next call to a prefill server, answered with what is said.
-async fn reading(world: &World, name: &str, said: &str) -> Peer {
-    let mut server = world.accept(name).await;
-    let seen = server.message().await.expect("a request");
-    assert_eq!(seen.header("serving-stage"), Some("prefill"));
-    server.send(said).await;
+/// Serves the next prefill request at a server with that reply.
+async fn serve_prefill(proxy: &TestProxy, name: &str, reply: &str) -> Connection {
+    let (mut server, received) = proxy.receive(name).await;
+    assert_eq!(received.header("serving-stage"), Some("prefill"));
+    server.send(reply).await;
     server
 }
 
-async fn is_freed(server: &mut Peer, handle: &str) {
-    let seen = server.message().await.expect("a request");
-    assert!(seen.head.starts_with(&format!("DELETE /kv-handle/{handle} HTTP/1.1\r\n")), "{}", seen.head);
-}
-
-/// What a prefill server says that is no handle: one run is left, and a decode server reads by itself.
+/// The prefill failed; the one attempt that is left runs both phases on a decode server.
 #[rstest]
-#[case::a_path(prefilled("../x"))]
-#[case::two_lines(prefilled("a\\r\\nX: 1"))]
+#[case::path(prefilled("../x"))]
+#[case::line_break(prefilled("a\\r\\nX: 1"))]
 #[case::empty(prefilled(""))]
 #[case::too_long(prefilled(&"x".repeat(257)))]
-#[case::another_status("HTTP/1.1 201 OK\r\nRequest-Id: r1\r\nContent-Length: 16\r\n\r\n{\"KvHandle\":\"x\"}".to_owned())]
-#[case::a_failure("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n".to_owned())]
-#[case::no_json("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 1\r\n\r\n{".to_owned())]
-#[case::too_large(format!("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 20000\r\n\r\n{{\"KvHandle\":\"x\"}}{}", " ".repeat(19_984)))]
-#[case::anothers(prefilled("x").replace("r1", "r0"))]
+#[case::unexpected_status("HTTP/1.1 201 OK\r\nRequest-Id: r1\r\nContent-Length: 16\r\n\r\n{\"KvHandle\":\"x\"}".to_owned())]
+#[case::server_error("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n".to_owned())]
+#[case::malformed_json("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 1\r\n\r\n{".to_owned())]
+#[case::oversized_body(format!("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 20000\r\n\r\n{{\"KvHandle\":\"x\"}}{}", " ".repeat(19_984)))]
+#[case::response_to_another_request(prefilled("x").replace("r1", "r0"))]
 #[tokio::test]
-async fn invalid_handle_is_not_forwarded(#[case] said: String) {
-    with_world(paired(r#","MaxAttempts":1"#, &["p", "q"], &["d"]), async |world| {
-        world.list(&["q"]).await;
-        let _client = world.ask("r1", "").await;
-        let mut server = reading(world, "p", &said).await;
-        let mut decoder = world.accept("d").await;
-        assert_eq!(decoder.message().await.expect("a request").header("kv-from"), None);
+async fn invalid_handle_is_not_forwarded(#[case] reply: String) {
+    with_proxy(generation(&["p", "q"], &["d"]).max_attempts(1), async |proxy| {
+        proxy.list_all_but(&["q"]).await;
+        let _client = proxy.send_request("r1", "").await;
+        let mut server = serve_prefill(proxy, "p", &reply).await;
+        let mut decode_server = proxy.accept("d").await;
+        assert_eq!(decode_server.read_request().await.header("kv-from"), None);
         assert!(server.is_closed().await);
     })
     .await;
@@ -61,373 +55,337 @@
 
 #[rstest]
 #[case::longest(&"x".repeat(256))]
-#[case::all_marks("aZ0-_.~")]
+#[case::all_punctuation("aZ0-_.~")]
 #[tokio::test]
 async fn valid_handle_is_forwarded_and_not_released(#[case] handle: &str) {
-    with_world(paired("", &["p"], &["d"]), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let mut kept = reading(world, "p", &prefilled(handle)).await;
-        let mut server = world.accept("d").await;
-        let source = format!("{}/{handle}", world.address("p"));
-        assert_eq!(server.message().await.expect("a request").header("kv-from"), Some(source.as_str()));
-        server.send(&answer("r1", "done")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "done");
+    with_proxy(generation(&["p"], &["d"]), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let mut prefill_server = serve_prefill(proxy, "p", &prefilled(handle)).await;
+        let mut server = proxy.accept("d").await;
+        let source = format!("{}/{handle}", proxy.address("p"));
+        assert_eq!(server.read_request().await.header("kv-from"), Some(source.as_str()));
+        server.send(&ok_response("r1", "done")).await;
+        assert_eq!(client.read_response().await.body, "done");
         client.send(&request("r2", "", "body")).await;
-        let seen = kept.message().await.expect("a request");
-        assert!(seen.head.starts_with("POST /r/x"), "taken handles are not freed: {}", seen.head);
+        let received = prefill_server.read_request().await;
+        assert!(received.head.starts_with("POST /r/x"), "a used handle is not released: {}", received.head);
     })
     .await;
 }
 
-/// Whatever a decode server did with it, it is not given to another one once the request may have run.
+/// Whatever became of the first execution: the second one does without the handle.
 #[rstest]
 #[case::reset("")]
-#[case::spoilt("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n")]
-#[case::failed("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n")]
+#[case::without_server_stamp("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n")]
+#[case::server_error("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n")]
 #[tokio::test]
-async fn handle_is_not_reused_by_a_second_execution(#[case] said: &str, #[values(2, 4)] attempts: u32) {
-    let more = format!(r#","Resumable":true,"MaxAttempts":{attempts}"#);
-    with_world(paired(&more, &["p", "q"], &["d", "e"]), async |world| {
-        world.list(&["q"]).await;
-        let _client = world.ask("r1", "").await;
-        let mut kept = reading(world, "p", &prefilled("one")).await;
-        let (mut server, first) = world.accept_either("d", "e").await;
-        assert!(server.message().await.expect("a request").header("kv-from").is_some());
-        server.send(said).await;
+async fn handle_is_not_reused_by_a_second_execution(#[case] reply: &str, #[values(2, 4)] attempts: u32) {
+    with_proxy(generation(&["p", "q"], &["d", "e"]).resumable().max_attempts(attempts), async |proxy| {
+        proxy.list_all_but(&["q"]).await;
+        let _client = proxy.send_request("r1", "").await;
+        let mut prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let (mut server, first) = proxy.accept_any(&["d", "e"]).await;
+        assert!(server.read_request().await.header("kv-from").is_some());
+        server.send(reply).await;
         server.reset();
         let (mut server, second) = tokio::select! {
-            met = world.accept_either("d", "e") => met,
-            _ = world.accept("p") => panic!("a second reading for one stream"),
+            accepted = proxy.accept_any(&["d", "e"]) => accepted,
+            _ = proxy.accept("p") => panic!("a second prefill for one stream"),
         };
         assert_ne!(first, second);
-        assert_eq!(server.message().await.expect("a request").header("kv-from"), None);
-        is_freed(&mut kept, "one").await;
+        assert_eq!(server.read_request().await.header("kv-from"), None);
+        expect_release(&mut prefill_server, "one").await;
     })
     .await;
 }
 
 #[tokio::test]
 async fn failure_response_releases_the_handle() {
-    with_world(paired("", &["p"], &["d", "e"]), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let mut kept = reading(world, "p", &prefilled("one")).await;
-        let (mut server, _) = world.accept_either("d", "e").await;
-        assert!(server.message().await.is_some());
+    with_proxy(generation(&["p"], &["d", "e"]), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let mut prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let (mut server, _, _) = proxy.receive_any(&["d", "e"]).await;
         server.send(&format!("HTTP/1.1 500 Oh\r\n{STAMPED}Content-Length: 0\r\n\r\n")).await;
-        assert_eq!(client.message().await.expect("an answer").status(), 500);
-        is_freed(&mut kept, "one").await;
+        assert_eq!(client.read_response().await.status(), 500);
+        expect_release(&mut prefill_server, "one").await;
     })
     .await;
 }
 
-/// Two servers are asked to take it over; a third one reads by itself.
+/// The handle is offered to two decode servers; the third one runs both phases.
 #[tokio::test]
 async fn handle_rejected_by_two_servers_is_released() {
-    with_world(paired("", &["p"], &["d", "e", "f"]), async |world| {
-        let _client = world.ask("r1", "").await;
-        let mut kept = reading(world, "p", &prefilled("one")).await;
-        let mut asked = Vec::new();
-        for takes in [true, true, false] {
-            let (mut server, name) = tokio::select! {
-                met = world.accept_either("d", "e") => met,
-                peer = world.accept("f") => (peer, "f"),
-            };
-            assert!(!asked.contains(&name), "{name} twice");
-            asked.push(name);
-            assert_eq!(server.message().await.expect("a request").header("kv-from").is_some(), takes);
-            server.send(&not_executed("r1", 503)).await;
+    with_proxy(generation(&["p"], &["d", "e", "f"]), async |proxy| {
+        let _client = proxy.send_request("r1", "").await;
+        let mut prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let mut attempted = Vec::new();
+        for has_handle in [true, true, false] {
+            let (mut server, name) = proxy.accept_any(&["d", "e", "f"]).await;
+            assert!(!attempted.contains(&name), "{name} twice");
+            attempted.push(name);
+            assert_eq!(server.read_request().await.header("kv-from").is_some(), has_handle);
+            server.send(&rejection("r1", 503)).await;
         }
-        is_freed(&mut kept, "one").await;
+        expect_release(&mut prefill_server, "one").await;
     })
     .await;
 }
 
-/// A reading that broke may have been taken up, and counts: with one attempt there is no second one.
+/// A broken prefill may have been executed and counts as an attempt.
 #[rstest]
 #[case::one(1, false)]
 #[case::two(2, true)]
 #[tokio::test]
-async fn broken_prefill_is_retried_within_max_attempts(#[case] attempts: u32, #[case] is_read: bool) {
-    let more = format!(r#","MaxAttempts":{attempts}"#);
-    with_world(paired(&more, &["p", "q"], &["d"]), async |world| {
-        let _client = world.ask("r1", "").await;
-        let (mut server, first) = world.accept_either("p", "q").await;
-        assert!(server.message().await.is_some());
+async fn broken_prefill_is_retried_within_max_attempts(#[case] attempts: u32, #[case] is_retried: bool) {
+    with_proxy(generation(&["p", "q"], &["d"]).max_attempts(attempts), async |proxy| {
+        let _client = proxy.send_request("r1", "").await;
+        let (server, _, first) = proxy.receive_any(&["p", "q"]).await;
         server.reset();
-        let second = tokio::select! {
-            peer = world.accept("d") => (peer, "d"),
-            met = world.accept_either("p", "q") => met,
-        };
-        assert_ne!(second.1, first);
-        assert_eq!(second.1 != "d", is_read);
+        let (_server, second) = proxy.accept_any(&["p", "q", "d"]).await;
+        assert_ne!(second, first);
+        assert_eq!(second != "d", is_retried);
     })
     .await;
 }
 
-/// A server that is silent for too long is given up with its connection: its late handle reaches nobody.
+/// The connection is closed with the attempt: a late handle reaches nobody.
 #[tokio::test]
 async fn prefill_timeout_closes_its_connection_and_is_retried() {
-    with_world(paired(r#","MaxAttempts":2"#, &["p", "q"], &["d"]), async |world| {
-        let _client = world.ask("r1", "").await;
-        let (mut silent, first) = world.accept_either("p", "q").await;
-        assert!(silent.message().await.is_some());
+    with_proxy(generation(&["p", "q"], &["d"]).max_attempts(2), async |proxy| {
+        let _client = proxy.send_request("r1", "").await;
+        let (mut silent, _, first) = proxy.receive_any(&["p", "q"]).await;
         tokio::time::pause();
         assert!(silent.is_closed().await);
         tokio::time::resume();
-        let (mut server, second) = world.accept_either("p", "q").await;
+        let (mut server, _, second) = proxy.receive_any(&["p", "q"]).await;
         assert_ne!(first, second);
-        assert!(server.message().await.is_some());
         server.send(&prefilled("two")).await;
-        let mut decoder = world.accept("d").await;
-        let source = format!("{}/two", world.address(second));
-        assert_eq!(decoder.message().await.expect("a request").header("kv-from"), Some(source.as_str()));
+        let mut decode_server = proxy.accept("d").await;
+        let source = format!("{}/two", proxy.address(second));
+        assert_eq!(decode_server.read_request().await.header("kv-from"), Some(source.as_str()));
     })
     .await;
 }
 
-/// Readings that were turned away are bounded: then a decode server reads by itself.
+/// Then a decode server runs both phases.
 #[tokio::test]
 async fn rejected_prefill_attempts_are_limited_to_three() {
-    with_world(paired("", &["p", "q", "s", "t"], &["d"]), async |world| {
-        let _client = world.ask("r1", "").await;
-        let mut readers = 0;
+    with_proxy(generation(&["p", "q", "s", "t"], &["d"]), async |proxy| {
+        let _client = proxy.send_request("r1", "").await;
+        let mut attempts = 0;
         loop {
             let mut server = tokio::select! {
-                (peer, _) = world.accept_either("p", "q") => peer,
-                (peer, _) = world.accept_either("s", "t") => peer,
-                _ = world.accept("d") => break,
+                (accepted, _) = proxy.accept_any(&["p", "q", "s", "t"]) => accepted,
+                _ = proxy.accept("d") => break,
             };
-            assert!(server.message().await.is_some());
-            readers += 1;
-            server.send(&not_executed("r1", 503)).await;
+            server.read_request().await;
+            attempts += 1;
+            server.send(&rejection("r1", 503)).await;
         }
-        assert_eq!(readers, 3);
+        assert_eq!(attempts, 3);
     })
     .await;
 }
 
-/// The fields of a prompt that a decode server would read for longer than the streams of others may pause.
+/// Headers of a prompt whose prefill on a decode server would stall the streams of others for too long.
 const LONG: &str = "Token-Counts: 9000,10\r\n";
-/// Of one that it reads in one piece.
+/// Headers of a prompt that a decode server prefills in one chunk.
 const SHORT: &str = "Token-Counts: 900,10\r\n";
 
-/// Where the reading failed and no other server may be asked, a decode server reads what is short; the rest is told to come
-/// back, and has not run.
+/// No further prefill attempt is allowed: a long prompt is refused with `Retry-After`, unexecuted.
 #[rstest]
 #[case::short(SHORT, true)]
 #[case::long(LONG, false)]
 #[tokio::test]
 async fn after_a_failed_prefill_only_short_prompts_run_on_a_decode_server(
-    #[case] prompt: &str, #[case] is_read: bool,
+    #[case] prompt: &str, #[case] is_retried: bool,
 ) {
-    with_world(paired(r#","MaxAttempts":1"#, &["p", "q"], &["d"]), async |world| {
-        let mut client = world.ask("r1", prompt).await;
-        let (mut server, _) = world.accept_either("p", "q").await;
-        assert!(server.message().await.is_some());
+    with_proxy(generation(&["p", "q"], &["d"]).max_attempts(1), async |proxy| {
+        let mut client = proxy.send_request("r1", prompt).await;
+        let (server, _, _) = proxy.receive_any(&["p", "q"]).await;
         server.reset();
         let refused = tokio::select! {
-            _ = world.accept("d") => None,
-            got = client.message() => got,
+            _ = proxy.accept("d") => None,
+            response = client.read_message() => response,
         };
-        assert_eq!(refused.is_none(), is_read);
-        if let Some(got) = refused {
-            assert_eq!(got.status(), 503);
-            assert!(got.header("retry-after").is_some());
+        assert_eq!(refused.is_none(), is_retried);
+        if let Some(response) = refused {
+            assert_eq!(response.status(), 503);
+            assert!(response.header("retry-after").is_some());
         }
     })
     .await;
 }
 
-/// The same where the budget does not pay for another reading.
+/// The retry budget does not pay for another prefill attempt.
 #[tokio::test]
 async fn without_retry_budget_a_rejected_long_prompt_is_refused() {
-    let setup = Setup { retry_budget: 0.0, ..paired("", &["p", "q"], &["d"]) };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", LONG).await;
-        let (mut server, _) = world.accept_either("p", "q").await;
-        assert!(server.message().await.is_some());
-        server.send(&not_executed("r1", 503)).await;
-        let got = tokio::select! {
-            got = client.message() => got.expect("an answer"),
-            _ = world.accept("d") => panic!("a decode server reads a long prompt"),
+    with_proxy(generation(&["p", "q"], &["d"]).retry_budget(0.0), async |proxy| {
+        let mut client = proxy.send_request("r1", LONG).await;
+        let (mut server, _, _) = proxy.receive_any(&["p", "q"]).await;
+        server.send(&rejection("r1", 503)).await;
+        let response = tokio::select! {
+            response = client.read_message() => response.expect("a response"),
+            _ = proxy.accept("d") => panic!("a decode server prefills a long prompt"),
         };
-        assert_eq!(got.status(), 503);
+        assert_eq!(response.status(), 503);
     })
     .await;
 }
 
-/// A long prompt whose memory two servers turned away is read once more by a prefill server, within the attempts.
+/// Two decode servers rejected the handle: a prefill server prefills once more, if `MaxAttempts` allows it.
 #[rstest]
 #[case::one(1, false)]
 #[case::three(3, true)]
 #[tokio::test]
-async fn long_prompt_with_a_rejected_handle_is_prefilled_again_or_refused(
-    #[case] attempts: u32, #[case] is_read: bool,
+async fn long_prompt_with_a_rejected_handle_is_retried_again_or_refused(
+    #[case] attempts: u32, #[case] is_retried: bool,
 ) {
-    let more = format!(r#","MaxAttempts":{attempts}"#);
-    with_world(paired(&more, &["p", "q"], &["d", "e", "f"]), async |world| {
-        let mut client = world.ask("r1", LONG).await;
-        let (mut kept, _) = world.accept_either("p", "q").await;
-        assert!(kept.message().await.is_some());
-        kept.send(&prefilled("one")).await;
+    with_proxy(generation(&["p", "q"], &["d", "e", "f"]).max_attempts(attempts), async |proxy| {
+        let mut client = proxy.send_request("r1", LONG).await;
+        let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
+        prefill_server.send(&prefilled("one")).await;
         for _ in 0..2 {
-            let mut server = tokio::select! {
-                (peer, _) = world.accept_either("d", "e") => peer,
-                peer = world.accept("f") => peer,
-            };
-            assert!(server.message().await.expect("a request").header("kv-from").is_some());
-            server.send(&not_executed("r1", 503)).await;
+            let (mut server, _) = proxy.accept_any(&["d", "e", "f"]).await;
+            assert!(server.read_request().await.header("kv-from").is_some());
+            server.send(&rejection("r1", 503)).await;
         }
-        is_freed(&mut kept, "one").await;
+        expect_release(&mut prefill_server, "one").await;
         let status = tokio::select! {
-            seen = kept.message() => {
-                assert_eq!(seen.expect("a request").header("serving-stage"), Some("prefill"));
+            received = prefill_server.read_message() => {
+                assert_eq!(received.expect("a request").header("serving-stage"), Some("prefill"));
                 None
             }
-            (mut peer, _) = world.accept_either("p", "q") => {
-                assert_eq!(peer.message().await.expect("a request").header("serving-stage"), Some("prefill"));
+            (mut accepted, _) = proxy.accept_any(&["p", "q"]) => {
+                assert_eq!(accepted.read_request().await.header("serving-stage"), Some("prefill"));
                 None
             }
-            got = client.message() => got.map(|got| got.status()),
+            response = client.read_message() => response.map(|response| response.status()),
         };
-        assert_eq!(status, if is_read { None } else { Some(503) });
+        assert_eq!(status, if is_retried { None } else { Some(503) });
     })
     .await;
 }
 
-/// Where no server is there to read prompts, decode servers read all of them.
 #[tokio::test]
 async fn without_prefill_servers_a_decode_server_prefills_long_prompts() {
-    with_world(paired("", &[], &["d"]), async |world| {
-        let _client = world.ask("r1", LONG).await;
-        let mut decoder = world.accept("d").await;
-        assert_eq!(decoder.message().await.expect("a request").header("serving-stage"), None);
+    with_proxy(generation(&[], &["d"]), async |proxy| {
+        let _client = proxy.send_request("r1", LONG).await;
+        let mut decode_server = proxy.accept("d").await;
+        assert_eq!(decode_server.read_request().await.header("serving-stage"), None);
     })
     .await;
 }
 
-/// An unsafe stream whose decode server is silent to the end has its answer, and goes nowhere else.
+/// The decode server is silent to the end: the client gets 504, and no other server gets the request.
 #[tokio::test]
 async fn unsafe_stream_that_exceeds_its_deadline_is_not_retried() {
-    with_world(paired(r#","MaxAttempts":3"#, &["p"], &["d", "e"]), async |world| {
-        let mut client = world.ask("r1", "Deadline-Ms: 2000\r\n").await;
-        let mut kept = reading(world, "p", &prefilled("one")).await;
-        let (mut server, _) = world.accept_either("d", "e").await;
-        assert!(server.message().await.is_some());
+    with_proxy(generation(&["p"], &["d", "e"]).max_attempts(3), async |proxy| {
+        let mut client = proxy.send_request("r1", "Deadline-Ms: 2000\r\n").await;
+        let mut prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let (_server, _, _) = proxy.receive_any(&["d", "e"]).await;
         tokio::time::pause();
-        let got = tokio::select! {
-            got = client.message() => got.expect("an answer"),
-            _ = world.accept_either("d", "e") => panic!("it was sent again"),
+        let response = tokio::select! {
+            response = client.read_message() => response.expect("a response"),
+            _ = proxy.accept_any(&["d", "e"]) => panic!("retried"),
         };
         tokio::time::resume();
-        assert_eq!(got.status(), 504);
-        is_freed(&mut kept, "one").await;
+        assert_eq!(response.status(), 504);
+        expect_release(&mut prefill_server, "one").await;
     })
     .await;
 }
 
-/// Without an id nobody could say where a second run has to go on.
+/// Without an event id no server could tell where to resume.
 #[tokio::test]
 async fn stream_whose_last_event_has_no_id_is_not_resumed() {
-    with_world(paired(r#","Resumable":true,"MaxAttempts":3"#, &["p"], &["d", "e"]), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let _kept = reading(world, "p", &prefilled("one")).await;
-        let (mut server, _) = world.accept_either("d", "e").await;
-        assert!(server.message().await.is_some());
+    with_proxy(generation(&["p"], &["d", "e"]).resumable().max_attempts(3), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let _prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let (mut server, _, _) = proxy.receive_any(&["d", "e"]).await;
         server.send(&stream_head("r1")).await;
         server.send(&chunk("data: 1\n\n")).await;
-        assert!(client.until("\r\n\r\n").await.is_some());
-        assert_eq!(client.chunk().await, Some(Some("data: 1\n\n".to_owned())));
+        assert!(client.read_head().await.is_some());
+        assert_eq!(client.read_chunk().await, Some(Some("data: 1\n\n".to_owned())));
         server.reset();
         let (rest, is_complete) = tokio::select! {
-            rest = client.stream() => rest,
-            _ = world.accept_either("d", "e") => panic!("it was resumed"),
+            rest = client.read_stream() => rest,
+            _ = proxy.accept_any(&["d", "e"]) => panic!("resumed"),
         };
         assert_eq!((rest.as_str(), is_complete), ("", false));
     })
     .await;
 }
 
-/// Servers that turn a stream away are bounded, with a handle and without.
+/// With a handle and without: 4 decode servers.
 #[tokio::test]
 async fn rejected_attempts_of_a_stream_are_bounded() {
     const NAMES: [&str; 8] = ["d", "e", "f", "g", "h", "i", "j", "k"];
-    let setup = Setup { retry_budget: 100.0, ..paired("", &["p"], &NAMES) };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let _kept = reading(world, "p", &prefilled("one")).await;
-        let mut sends = 0;
-        let got = loop {
+    with_proxy(generation(&["p"], &NAMES).retry_budget(100.0), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let _prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let mut attempts = 0;
+        let response = loop {
             let mut server = tokio::select! {
-                got = client.message() => break got.expect("an answer"),
-                (peer, _) = world.accept_either("d", "e") => peer,
-                (peer, _) = world.accept_either("f", "g") => peer,
-                (peer, _) = world.accept_either("h", "i") => peer,
-                (peer, _) = world.accept_either("j", "k") => peer,
+                response = client.read_message() => break response.expect("a response"),
+                (accepted, _) = proxy.accept_any(&NAMES) => accepted,
             };
-            assert!(server.message().await.is_some());
-            server.send(&not_executed("r1", 503)).await;
-            sends += 1;
+            server.read_request().await;
+            server.send(&rejection("r1", 503)).await;
+            attempts += 1;
         };
-        assert_eq!((got.status(), sends), (503, 4));
+        assert_eq!((response.status(), attempts), (503, 4));
     })
     .await;
 }
 
-/// The second decode server has to be paid for.
+/// The second decode attempt would be paid from the retry budget.
 #[tokio::test]
 async fn without_retry_budget_a_stream_tries_one_decode_server() {
-    let setup = Setup { retry_budget: 0.0, ..paired("", &["p"], &["d", "e"]) };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let _kept = reading(world, "p", &prefilled("one")).await;
-        let (mut server, _) = world.accept_either("d", "e").await;
-        assert!(server.message().await.is_some());
-        server.send(&not_executed("r1", 503)).await;
-        let got = tokio::select! {
-            got = client.message() => got.expect("an answer"),
-            _ = world.accept_either("d", "e") => panic!("unpaid"),
+    with_proxy(generation(&["p"], &["d", "e"]).retry_budget(0.0), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let _prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let (mut server, _, _) = proxy.receive_any(&["d", "e"]).await;
+        server.send(&rejection("r1", 503)).await;
+        let response = tokio::select! {
+            response = client.read_message() => response.expect("a response"),
+            _ = proxy.accept_any(&["d", "e"]) => panic!("a retry without budget"),
         };
-        assert_eq!(got.status(), 503);
+        assert_eq!(response.status(), 503);
     })
     .await;
 }
 
-/// The run of a resumed stream that broke may have taken the handle: no other server is sent to with it.
+/// The broken second execution may have used the second handle: the third one gets none.
 #[tokio::test]
 async fn handle_of_a_resumed_stream_is_used_by_one_execution() {
-    // A violation would end the request's task, and leave the test waiting.
+    // A violated invariant would end the request's task and leave the test waiting.
     let _tolerance = lugwharf_invariants::tolerate();
-    let setup = paired(r#","Resumable":true,"MaxAttempts":6"#, &["p"], &["d", "e", "f", "g"]);
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let _first_reader = reading(world, "p", &prefilled("one")).await;
-        let mut server = any_decoder(world).await;
-        assert!(server.message().await.is_some());
-        server.send(&stream_head("r1")).await;
-        server.send(&chunk(&event(1))).await;
-        assert!(client.until("\r\n\r\n").await.is_some());
+    with_proxy(generation(&["p"], &["d", "e", "f", "g"]).resumable().max_attempts(6), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let _first_prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let mut server = accept_decode(proxy).await;
+        server.read_request().await;
+        server.start_stream("r1", 1).await;
+        assert!(client.read_head().await.is_some());
         server.reset();
-        let mut second_reader = reading(world, "p", &prefilled("two")).await;
-        let mut server = any_decoder(world).await;
-        let seen = server.message().await.expect("a request");
-        assert!(seen.header("kv-from").is_some_and(|from| from.ends_with("/two")), "{}", seen.head);
+        let mut second_prefill_server = serve_prefill(proxy, "p", &prefilled("two")).await;
+        let mut server = accept_decode(proxy).await;
+        let received = server.read_request().await;
+        assert!(received.header("kv-from").is_some_and(|from| from.ends_with("/two")), "{}", received.head);
         server.reset();
-        let mut server = any_decoder(world).await;
-        let seen = server.message().await.expect("a request");
-        assert_eq!(seen.header("kv-from"), None, "{}", seen.head);
-        is_freed(&mut second_reader, "two").await;
+        let mut server = accept_decode(proxy).await;
+        let received = server.read_request().await;
+        assert_eq!(received.header("kv-from"), None, "{}", received.head);
+        expect_release(&mut second_prefill_server, "two").await;
         server.send(&stream_head("r1")).await;
         server.send(&chunk(&event(2))).await;
         server.send(LAST_CHUNK).await;
-        assert_eq!(client.stream().await, (event(1) + event(2).as_str(), true));
+        assert_eq!(client.read_stream().await, (events(2), true));
     })
     .await;
 }
 
-async fn any_decoder(world: &World) -> Peer {
-    tokio::select! {
-        (peer, _) = world.accept_either("d", "e") => peer,
-        (peer, _) = world.accept_either("f", "g") => peer,
-    }
+async fn accept_decode(proxy: &TestProxy) -> Connection {
+    proxy.accept_any(&["d", "e", "f", "g"]).await.0
 }
--- a/crates/proxy/tests/prefill_budget.rs
+++ b/crates/proxy/tests/prefill_budget.rs
@@ -1,92 +1,87 @@
-//! What the reading of a prompt costs of the retry budget: the first call that a server takes up nothing; rejected and further
-//! ones like any other arrival.
+//! The share of prefill attempts in the retry budget: the first accepted one is free; rejected and further ones are arrivals like
+//! others.
 
-mod common;
+mod support;
 
-use common::pairs::*;
-use common::*;
-use lugwharf_protocol::Stage;
+use support::prefill::*;
+use support::*;
 
-/// The retry budgets with which a proxy that has had one request may send nothing more for it, or once more: it spends half.
+/// Retry budgets that allow no further attempt, or one, for a proxy's first request: a proxy spends at most half of what it earned.
 const NO_EXTRA: f64 = 0.0;
 const ONE_EXTRA: f64 = 2.0;
 
-/// Two servers read prompts, p and q; a budget of so many arrivals for each request.
-fn readers(retry_budget: f64, more: &str) -> Setup {
-    let mut setup = Setup { retry_budget, ..split(more, &["d", "e"]) };
-    setup.servers.push(("q", Some(Stage::Prefill)));
-    setup
+/// Two prefill and two decode servers.
+fn generation(retry_budget: f64) -> Scenario {
+    Scenario::prefill_decode(&["p", "q"], &["d", "e"]).retry_budget(retry_budget)
 }
 
 #[tokio::test]
 async fn first_prefill_withdraws_nothing() {
-    with_world(readers(NO_EXTRA, ""), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut reader, _, _) = world.offer_either("p", "q").await;
-        reader.send(&prefilled("r1")).await;
-        let (mut server, seen, _) = offer_decode(world).await;
-        assert!(seen.header("kv-from").is_some());
-        server.send(&whole_stream("r1", 2)).await;
-        assert_eq!(client.message().await.expect("an answer").body, event(1) + event(2).as_str());
+    with_proxy(generation(NO_EXTRA), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
+        prefill_server.send(&prefill_response("r1", HANDLE)).await;
+        let (mut server, received, _) = receive_decode(proxy).await;
+        assert!(received.header("kv-from").is_some());
+        server.send(&complete_stream("r1", 2)).await;
+        assert_eq!(client.read_response().await.body, events(2));
     })
     .await;
 }
 
 #[tokio::test]
 async fn rejected_prefill_counts_as_an_arrival() {
-    with_world(readers(NO_EXTRA, ""), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut reader, _, _) = world.offer_either("p", "q").await;
-        reader.send(&not_executed("r1", 503)).await;
-        let got = client.message().await.expect("an answer");
-        assert_eq!(got.status(), 503, "nothing may be sent any more");
-        assert!(got.header("retry-after").is_some());
+    with_proxy(generation(NO_EXTRA), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
+        prefill_server.send(&rejection("r1", 503)).await;
+        let response = client.read_response().await;
+        assert_eq!(response.status(), 503, "no attempt is left");
+        assert!(response.header("retry-after").is_some());
     })
     .await;
 }
 
-/// The rejected call is the request's first arrival, its run the second; the reading between them is free.
+/// The rejected prefill is the first arrival, the decode the second; the accepted prefill between them is free.
 #[tokio::test]
 async fn first_accepted_prefill_is_free_after_a_rejected_one() {
-    with_world(readers(ONE_EXTRA, ""), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut reader, _, first) = world.offer_either("p", "q").await;
-        reader.send(&not_executed("r1", 503)).await;
-        let (mut reader, _, second) = world.offer_either("p", "q").await;
+    with_proxy(generation(ONE_EXTRA), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let (mut prefill_server, _, first) = proxy.receive_any(&["p", "q"]).await;
+        prefill_server.send(&rejection("r1", 503)).await;
+        let (mut prefill_server, _, second) = proxy.receive_any(&["p", "q"]).await;
         assert_ne!(first, second);
-        reader.send(&prefilled("r1")).await;
-        let (mut server, seen, _) = tokio::select! {
-            offered = offer_decode(world) => offered,
-            got = client.message() => panic!("refused: {got:?}"),
+        prefill_server.send(&prefill_response("r1", HANDLE)).await;
+        let (mut server, received, _) = tokio::select! {
+            offered = receive_decode(proxy) => offered,
+            response = client.read_message() => panic!("refused: {response:?}"),
         };
-        assert!(seen.header("kv-from").is_some());
-        server.send(&whole_stream("r1", 1)).await;
-        assert_eq!(client.message().await.expect("an answer").body, event(1));
+        assert!(received.header("kv-from").is_some());
+        server.send(&complete_stream("r1", 1)).await;
+        assert_eq!(client.read_response().await.body, event(1));
     })
     .await;
 }
 
-/// A run that broke off, and the reading for its rest: with a budget of one the rest can't be asked for as well.
+/// A broken decode and the prefill for its resumption: a budget of one further attempt doesn't pay for the resumption itself.
 #[tokio::test]
 async fn second_prefill_counts_as_an_arrival() {
-    let more = r#","Resumable":true,"MaxAttempts":3"#;
-    with_world(readers(ONE_EXTRA, more), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut reader, _, _) = world.offer_either("p", "q").await;
-        reader.send(&prefilled("r1")).await;
-        let (mut server, _, _) = offer_decode(world).await;
-        server.send(&stream_head("r1")).await;
-        server.send(&chunk(&event(1))).await;
+    with_proxy(generation(ONE_EXTRA).resumable().max_attempts(3), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
+        prefill_server.send(&prefill_response("r1", HANDLE)).await;
+        let (mut server, _, _) = receive_decode(proxy).await;
+        server.start_stream("r1", 1).await;
         server.reset();
-        let (mut second, seen) = tokio::select! {
-            offered = world.offer_either("p", "q") => (offered.0, offered.1),
-            seen = reader.message() => (reader, seen.expect("a request")),
+        let (mut second, received) = tokio::select! {
+            offered = proxy.receive_any(&["p", "q"]) => (offered.0, offered.1),
+            received = prefill_server.read_message() => (prefill_server, received.expect("a request")),
         };
-        assert_eq!(seen.header("serving-stage"), Some("prefill"));
-        second.send(&prefilled("r1")).await;
-        assert!(client.until("\r\n\r\n").await.is_some());
-        assert_eq!(client.stream().await, (event(1), false));
-        is_freed(&mut second).await;
+        assert_eq!(received.header("serving-stage"), Some("prefill"));
+        second.send(&prefill_response("r1", HANDLE)).await;
+        assert!(client.read_head().await.is_some());
+        assert_eq!(client.read_stream().await, (event(1), false));
+        serve_release(&mut second).await;
     })
     .await;
 }
--- a/crates/proxy/tests/sighup.rs
+++ b/crates/proxy/tests/sighup.rs
@@ -1,26 +1,23 @@
-//! SIGHUP while a request is under way. Alone in its process, since the signal reaches the whole of it.
+//! SIGHUP while a request is in flight. Alone in its binary, since the signal reaches the whole process.
 
-mod common;
+mod support;
 
-use common::*;
 use std::process::Command;
+use support::*;
 
 #[tokio::test]
 async fn in_flight_unsafe_request_is_not_retried_after_sighup() {
-    let setup = Setup { retry_budget: 10.0, ..setup("unsafe", r#","MaxAttempts":3"#) };
-    with_world(setup, async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, _) = world.accept_either("a", "b").await;
-        assert!(server.message().await.is_some());
+    with_proxy(Scenario::new("unsafe").max_attempts(3).retry_budget(10.0), async |proxy| {
+        let (mut client, server, _) = proxy.dispatch("r1", "").await;
         let signalled = Command::new("sh").args(["-c", "kill -HUP $PPID"]).status().expect("a shell");
         assert!(signalled.success());
-        assert_eq!(world.readiness().await, 200, "it goes on");
+        assert_eq!(proxy.readiness_status().await, 200, "the proxy keeps serving");
         server.reset();
-        let got = tokio::select! {
-            got = client.message() => got.expect("an answer"),
-            _ = world.accept_either("a", "b") => panic!("it was sent again"),
+        let response = tokio::select! {
+            response = client.read_message() => response.expect("a response"),
+            _ = proxy.accept_any(&PLAIN_SERVERS) => panic!("retried"),
         };
-        assert_eq!(got.status(), 502);
+        assert_eq!(response.status(), 502);
     })
     .await;
 }
--- /dev/null
+++ b/crates/proxy/tests/support/connection.rs
@@ -0,0 +1,171 @@
+//! One end of a connection, read and written by the test.
+
+use super::messages::{chunk, event, stream_head};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpStream;
+
+/// A complete request or response.
+#[derive(Debug, Clone)]
+pub struct Message {
+    pub head: String,
+    pub body: String,
+}
+
+impl Message {
+    /// The status of a response.
+    pub fn status(&self) -> u16 {
+        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+    }
+
+    /// The first value of a header, by its name in any case.
+    pub fn header(&self, name: &str) -> Option<&str> {
+        self.head.lines().skip(1).find_map(|line| {
+            let (other, value) = line.split_once(':')?;
+            other.eq_ignore_ascii_case(name).then(|| value.trim())
+        })
+    }
+}
+
+/// One end of a connection.
+pub struct Connection {
+    pub stream: TcpStream,
+    /// Bytes that were received and not yet consumed.
+    buffer: Vec<u8>,
+}
+
+impl Connection {
+    /// Takes a stream over.
+    pub fn new(stream: TcpStream) -> Connection {
+        drop(stream.set_nodelay(true));
+        Connection { stream, buffer: Vec::new() }
+    }
+
+    /// Writes the text.
+    pub async fn send(&mut self, text: &str) {
+        self.stream.write_all(text.as_bytes()).await.expect("written");
+    }
+
+    /// Sends the head of a stream and its first `count` events, each in a chunk.
+    pub async fn start_stream(&mut self, id: &str, count: u32) {
+        self.send(&stream_head(id)).await;
+        for id in 1..=count {
+            self.send(&chunk(&event(id))).await;
+        }
+    }
+
+    /// Receives more; `false` at the end, also after a reset.
+    async fn fill(&mut self) -> bool {
+        let mut bytes = [0; 4_096];
+        match self.stream.read(&mut bytes).await {
+            Ok(0) | Err(_) => false,
+            Ok(length) => {
+                self.buffer.extend_from_slice(&bytes[..length]);
+                true
+            }
+        }
+    }
+
+    /// Reads up to `end` inclusively; `None` if the connection ends before.
+    pub async fn read_until(&mut self, end: &str) -> Option<String> {
+        loop {
+            if let Some(at) = find(&self.buffer, end.as_bytes()) {
+                let text = self.buffer.drain(..at + end.len()).collect();
+                return String::from_utf8(text).ok();
+            }
+            if !self.fill().await {
+                return None;
+            }
+        }
+    }
+
+    /// Reads a head with its empty line; `None` if the connection ends before.
+    pub async fn read_head(&mut self) -> Option<String> {
+        self.read_until("\r\n\r\n").await
+    }
+
+    /// The next message; `None` if the connection ends before it is complete.
+    pub async fn read_message(&mut self) -> Option<Message> {
+        let head = self.read_head().await?;
+        let mut message = Message { head, body: String::new() };
+        if message.header("transfer-encoding").is_some() {
+            while let Some(chunk) = self.read_chunk().await? {
+                message.body.push_str(&chunk);
+            }
+            return Some(message);
+        }
+        let length = message.header("content-length").map_or(0, |length| length.parse().expect("a length"));
+        message.body = self.read_exactly(length).await?;
+        Some(message)
+    }
+
+    /// The next message, which must be complete.
+    pub async fn read_request(&mut self) -> Message {
+        self.read_message().await.expect("a request")
+    }
+
+    /// The next message, which must be complete.
+    pub async fn read_response(&mut self) -> Message {
+        self.read_message().await.expect("a response")
+    }
+
+    /// The next chunk: `Some(None)` for the last one, `None` if the connection ends before it.
+    pub async fn read_chunk(&mut self) -> Option<Option<String>> {
+        let size = self.read_until("\r\n").await?;
+        let size = usize::from_str_radix(size.trim(), 16).expect("a size");
+        while self.buffer.len() < size + 2 {
+            if !self.fill().await {
+                return None;
+            }
+        }
+        let data: Vec<u8> = self.buffer.drain(..size + 2).take(size).collect();
+        Some((size > 0).then(|| String::from_utf8(data).expect("text")))
+    }
+
+    /// All chunks until the stream ends, and whether its last chunk came.
+    pub async fn read_stream(&mut self) -> (String, bool) {
+        let mut text = String::new();
+        loop {
+            match self.read_chunk().await {
+                Some(Some(chunk)) => text.push_str(&chunk),
+                Some(None) => return (text, true),
+                None => return (text, false),
+            }
+        }
+    }
+
+    /// The next `length` bytes, `None` if the connection ends before them.
+    pub async fn read_exactly(&mut self, length: usize) -> Option<String> {
+        while self.buffer.len() < length {
+            if !self.fill().await {
+                return None;
+            }
+        }
+        String::from_utf8(self.buffer.drain(..length).collect()).ok()
+    }
+
+    /// All bytes until the connection ends.
+    pub async fn read_to_end(&mut self) -> Vec<u8> {
+        while self.fill().await {}
+        std::mem::take(&mut self.buffer)
+    }
+
+    /// Closes the sending direction; the other one stays open.
+    pub async fn shutdown_write(&mut self) {
+        self.stream.shutdown().await.expect("shut down");
+    }
+
+    /// Waits for more: whether the other end closes without a further byte.
+    pub async fn is_closed(&mut self) -> bool {
+        self.buffer.is_empty() && !self.fill().await
+    }
+
+    /// Closes with a reset.
+    pub fn reset(self) {
+        let socket = socket2::SockRef::from(&self.stream);
+        socket.set_linger(Some(std::time::Duration::ZERO)).expect("set");
+    }
+}
+
+fn find(text: &[u8], part: &[u8]) -> Option<usize> {
+    text.windows(part.len()).position(|window| window == part)
+}
--- /dev/null
+++ b/crates/proxy/tests/support/harness.rs
@@ -0,0 +1,304 @@
+//! The running proxy with its agent, servers and clients.
+
+use super::connection::{Connection, Message};
+use super::messages::{ok_response, request};
+use super::scenario::{PLAIN_SERVERS, Route, Scenario};
+use lugwharf_protocol::{
+    ConfigRecord, FeedMessage, FleetSummary, ProxyReport, ServerDelta, ServerEntry, ServerState,
+    TablePosition, Update, VersionVector, read_frame, write_frame,
+};
+use lugwharf_settings::Settings;
+use std::collections::BTreeMap;
+use std::future::poll_fn;
+use std::net::{Ipv4Addr, SocketAddr};
+use std::sync::atomic::{AtomicU8, Ordering};
+use std::task::Poll;
+use tokio::io::AsyncWriteExt;
+use tokio::net::{TcpListener, TcpStream};
+use tokio::sync::oneshot;
+
+const FRONT_PORT: u16 = 8_161;
+const READY_PORT: u16 = 8_167;
+
+/// What a proxy and its peers need of each other before they run.
+pub(super) struct ProcessSetup {
+    pub settings: Settings,
+    pub peers: PeerSetup,
+    pub stop_signal: oneshot::Receiver<()>,
+}
+
+/// What the test's side of a proxy is made from.
+pub(super) struct PeerSetup {
+    agent_listener: TcpListener,
+    addresses: ListenAddresses,
+    stop: oneshot::Sender<()>,
+}
+
+impl ProcessSetup {
+    pub async fn prepare(scenario: &Scenario) -> ProcessSetup {
+        let agent_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+        let agent_port = agent_listener.local_addr().expect("an address").port();
+        let addresses = ListenAddresses::unique();
+        let settings = settings(agent_port, &addresses, scenario.retry_budget);
+        let (stop, stop_signal) = oneshot::channel();
+        ProcessSetup { settings, peers: PeerSetup { agent_listener, addresses, stop }, stop_signal }
+    }
+}
+
+/// Where a proxy listens.
+struct ListenAddresses {
+    front: SocketAddr,
+    ready: SocketAddr,
+}
+
+impl ListenAddresses {
+    /// On a loopback address of this proxy's own: a port that was free a moment ago may have gone to another test's connection.
+    fn unique() -> ListenAddresses {
+        static STARTED: AtomicU8 = AtomicU8::new(0);
+        let [high, low] = (std::process::id() as u16).to_be_bytes();
+        let number = STARTED.fetch_add(1, Ordering::Relaxed).wrapping_add(2);
+        let host = Ipv4Addr::new(127, high, low, number);
+        ListenAddresses { front: (host, FRONT_PORT).into(), ready: (host, READY_PORT).into() }
+    }
+}
+
+/// A front-end node's settings: a grace period of 8 s, and a retry budget without slack.
+fn settings(agent_port: u16, addresses: &ListenAddresses, retry_budget: f64) -> Settings {
+    let ListenAddresses { front, ready } = addresses;
+    let (first, last) = (agent_port - 2, agent_port.saturating_add(1));
+    let text = format!(
+        r#"
+        Node = "front-1"
+        Ip = "127.0.0.1"
+        Zone = "home"
+        PortRange = [{first},{last}]
+        [Listen]
+        Front = "{front}"
+        Ready = "{ready}"
+        [Bounds]
+        GraceS = 8
+        RetryBudget = {retry_budget}
+        BudgetSlack = 0
+        "#
+    );
+    Settings::parse(&text).expect("settings")
+}
+
+/// A running proxy, its agent and its servers. A server is called by its name; its incarnation is `i-NAME`.
+pub struct TestProxy {
+    /// Where clients connect.
+    pub front_address: SocketAddr,
+    ready_address: SocketAddr,
+    listeners: BTreeMap<&'static str, TcpListener>,
+    entries: Vec<ServerEntry>,
+    agent: TcpStream,
+    agent_listener: TcpListener,
+    list_sequence: u64,
+    is_model: bool,
+    max_body_bytes: usize,
+    stop: Option<oneshot::Sender<()>>,
+}
+
+impl TestProxy {
+    /// Takes the proxy's connection to its agent, and sends it the scenario's configuration and servers.
+    pub(super) async fn start(peers: PeerSetup, scenario: &Scenario) -> TestProxy {
+        let PeerSetup { agent_listener, addresses, stop } = peers;
+        let mut agent = agent_listener.accept().await.expect("the proxy").0;
+        assert_eq!(read_report(&mut agent).await, VersionVector::default());
+        let mut proxy = TestProxy {
+            front_address: addresses.front,
+            ready_address: addresses.ready,
+            listeners: BTreeMap::new(),
+            entries: Vec::new(),
+            agent,
+            agent_listener,
+            list_sequence: 0,
+            is_model: scenario.is_model,
+            max_body_bytes: scenario.max_body_bytes,
+            stop: Some(stop),
+        };
+        proxy.start_servers(scenario).await;
+        if scenario.is_configured {
+            proxy.configure(1, std::slice::from_ref(&scenario.route)).await;
+            proxy.list_all().await;
+        }
+        proxy
+    }
+
+    async fn start_servers(&mut self, scenario: &Scenario) {
+        for (name, stage) in &scenario.servers {
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let address = listener.local_addr().expect("an address");
+            self.listeners.insert(*name, listener);
+            self.entries.push(ServerEntry {
+                id: format!("i-{name}"),
+                service: "s".to_owned(),
+                address,
+                zone: "home".to_owned(),
+                slots: 8,
+                state: ServerState::Ready,
+                cold_left_ms: 0,
+                stage: *stage,
+                models: Vec::new(),
+            });
+        }
+    }
+}
+
+/// The agent.
+impl TestProxy {
+    /// Breaks the agent's connection and takes the proxy's next one; returns the versions that the proxy reports.
+    pub async fn reconnect_agent(&mut self) -> VersionVector {
+        self.agent.shutdown().await.expect("closed");
+        self.agent = self.agent_listener.accept().await.expect("the proxy").0;
+        read_report(&mut self.agent).await
+    }
+
+    /// Sends a configuration with these routes; returns the versions that the proxy reports then.
+    pub async fn configure(&mut self, version: u64, routes: &[Route]) -> VersionVector {
+        let engine = if self.is_model { r#","Engine":{"Slots":8}"# } else { "" };
+        let routes: Vec<String> = routes.iter().map(Route::to_json).collect();
+        let (routes, max_body_bytes) = (routes.join(","), self.max_body_bytes);
+        let text = format!(
+            r#"{{"Version":{version},"Routes":[{routes}],"Services":[{{"Name":"s"{engine}}}],
+            "Limits":{{"MaxHeaderBytes":4096,"MaxBodyBytes":{max_body_bytes},"HeaderTimeoutMs":500,"IdleTimeoutMs":4000}}}}"#
+        );
+        let config = Some(ConfigRecord { version, bytes: text.into_bytes() });
+        self.update(Update { config, ..Update::default() }).await
+    }
+
+    /// Lists all servers.
+    pub async fn list_all(&mut self) {
+        self.list_entries(self.entries.clone()).await;
+    }
+
+    /// Lists all servers but those.
+    pub async fn list_all_but(&mut self, omitted: &[&str]) {
+        let is_listed = |entry: &&ServerEntry| !is_named(entry, omitted);
+        let entries: Vec<ServerEntry> = self.entries.iter().filter(is_listed).cloned().collect();
+        self.list_entries(entries).await;
+    }
+
+    /// Lists all servers, those as draining.
+    pub async fn list_draining(&mut self, draining: &[&str]) {
+        let mut entries = self.entries.clone();
+        for entry in entries.iter_mut().filter(|entry| is_named(entry, draining)) {
+            entry.state = ServerState::Draining;
+        }
+        self.list_entries(entries).await;
+    }
+
+    async fn list_entries(&mut self, entries: Vec<ServerEntry>) {
+        self.list_sequence += 1;
+        let position = TablePosition { epoch: 1, sequence: self.list_sequence };
+        let servers = Some(ServerDelta { position, whole: true, entries, removed: Vec::new() });
+        let fleet = Some(FleetSummary { live_proxies: 1 });
+        let have = self.update(Update { servers, fleet, ..Update::default() }).await;
+        assert_eq!(have.servers, position);
+    }
+
+    async fn update(&mut self, update: Update) -> VersionVector {
+        write_frame(&mut self.agent, &FeedMessage::Update(update)).await.expect("sent");
+        read_report(&mut self.agent).await
+    }
+}
+
+/// The servers.
+impl TestProxy {
+    /// Where a server listens.
+    pub fn address(&self, name: &str) -> SocketAddr {
+        let entry = self.entries.iter().find(|entry| is_named(entry, &[name]));
+        entry.expect("a server of that name").address
+    }
+
+    /// The next connection to a server.
+    pub async fn accept(&self, name: &str) -> Connection {
+        Connection::new(self.listeners[name].accept().await.expect("a connection").0)
+    }
+
+    /// The next connection to one of the servers, and its name.
+    pub async fn accept_any(&self, names: &[&'static str]) -> (Connection, &'static str) {
+        let (stream, name) = poll_fn(|context| {
+            let ready = names.iter().find_map(|name| match self.listeners[name].poll_accept(context) {
+                Poll::Ready(accepted) => Some((accepted.expect("a connection").0, *name)),
+                Poll::Pending => None,
+            });
+            ready.map_or(Poll::Pending, Poll::Ready)
+        })
+        .await;
+        (Connection::new(stream), name)
+    }
+
+    /// The next request on a new connection to a server.
+    pub async fn receive(&self, name: &str) -> (Connection, Message) {
+        let mut server = self.accept(name).await;
+        let request = server.read_request().await;
+        (server, request)
+    }
+
+    /// The next request on a new connection to one of the servers, with the server's name.
+    pub async fn receive_any(&self, names: &[&'static str]) -> (Connection, Message, &'static str) {
+        let (mut server, name) = self.accept_any(names).await;
+        let request = server.read_request().await;
+        (server, request, name)
+    }
+
+    /// Stops a server: connections to it are refused from now on.
+    pub fn stop_server(&mut self, name: &str) {
+        self.listeners.remove(name);
+    }
+}
+
+/// The clients, and the process.
+impl TestProxy {
+    /// A new client.
+    pub async fn connect(&self) -> Connection {
+        Connection::new(TcpStream::connect(self.front_address).await.expect("accepted"))
+    }
+
+    /// A new client that sends a request to `/r/x`; `headers` are complete lines.
+    pub async fn send_request(&self, id: &str, headers: &str) -> Connection {
+        let mut client = self.connect().await;
+        client.send(&request(id, headers, "body")).await;
+        client
+    }
+
+    /// A new client whose request has arrived at server a or b: both connections, and the server's name.
+    pub async fn dispatch(&self, id: &str, headers: &str) -> (Connection, Connection, &'static str) {
+        let client = self.send_request(id, headers).await;
+        let (server, _, name) = self.receive_any(&PLAIN_SERVERS).await;
+        (client, server, name)
+    }
+
+    /// A client and server a after a first exchange, request `r1`: both connections are idle and reusable. Leaves a as the only
+    /// one listed of the two plain servers.
+    pub async fn idle_connections(&mut self) -> (Connection, Connection) {
+        self.list_all_but(&["b"]).await;
+        let mut client = self.send_request("r1", "").await;
+        let (mut server, _) = self.receive("a").await;
+        server.send(&ok_response("r1", "first")).await;
+        assert_eq!(client.read_response().await.body, "first");
+        (client, server)
+    }
+
+    /// The status that readiness checks get.
+    pub async fn readiness_status(&self) -> u16 {
+        let mut check = Connection::new(TcpStream::connect(self.ready_address).await.expect("accepted"));
+        check.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").await;
+        check.read_response().await.status()
+    }
+
+    /// What SIGTERM does.
+    pub fn begin_shutdown(&mut self) {
+        drop(self.stop.take());
+    }
+}
+
+fn is_named(entry: &ServerEntry, names: &[&str]) -> bool {
+    names.iter().any(|name| entry.id == format!("i-{name}"))
+}
+
+async fn read_report(agent: &mut TcpStream) -> VersionVector {
+    let report: ProxyReport = read_frame(agent).await.expect("a report").expect("a report");
+    report.have
+}
--- /dev/null
+++ b/crates/proxy/tests/support/messages.rs
@@ -0,0 +1,68 @@
+//! Requests and responses as text. Header arguments are complete lines, each with its CRLF.
+
+use super::scenario::HOST;
+
+/// A `POST` to `/r/x`.
+pub fn request(id: &str, headers: &str, body: &str) -> String {
+    let length = body.len();
+    format!(
+        "POST /r/x?q=1 HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: {id}\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
+    )
+}
+
+/// All of `request(id, headers, "body")` but its last byte ends so.
+pub const ALL_BUT_LAST_BYTE: &str = "\r\n\r\nbod";
+
+/// A successful response that its server has stamped.
+pub fn ok_response(id: &str, body: &str) -> String {
+    let length = body.len();
+    format!(
+        "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: stamp-{id}\r\nContent-Length: {length}\r\n\r\n{body}"
+    )
+}
+
+/// A response of a server that did not execute the request and never will.
+pub fn rejection(id: &str, status: u16) -> String {
+    format!("HTTP/1.1 {status} No\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
+}
+
+/// The response with further headers behind its status line.
+pub fn with_headers(response: &str, headers: &str) -> String {
+    response.replacen("\r\n", &format!("\r\n{headers}"), 1)
+}
+
+/// The response of a server that closes the connection after it.
+pub fn closing(response: &str) -> String {
+    with_headers(response, "Connection: close\r\n")
+}
+
+/// The head of a stream of server-sent events in chunks.
+pub fn stream_head(id: &str) -> String {
+    format!(
+        "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: stamp-{id}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+    )
+}
+
+/// One chunk of a chunked body.
+pub fn chunk(data: &str) -> String {
+    format!("{:x}\r\n{data}\r\n", data.len())
+}
+
+/// The chunk that ends a chunked body.
+pub const LAST_CHUNK: &str = "0\r\n\r\n";
+
+/// A server-sent event.
+pub fn event(id: u32) -> String {
+    format!("id: {id}\ndata: {id}\n\n")
+}
+
+/// The first `count` events as text.
+pub fn events(count: u32) -> String {
+    (1..=count).map(event).collect()
+}
+
+/// A complete stream of the first `count` events.
+pub fn complete_stream(id: &str, count: u32) -> String {
+    let chunks: String = (1..=count).map(|id| chunk(&event(id))).collect();
+    stream_head(id) + chunks.as_str() + LAST_CHUNK
+}
--- a/crates/proxy/tests/withheld_last_byte.rs
+++ b/crates/proxy/tests/withheld_last_byte.rs
@@ -1,171 +1,150 @@
-//! The last byte of a request: what comes before it is out, and what that proves.
+//! The withheld last byte of a request.
+//!
+//! A server that is full, or has closed an idle connection, resets it. The proxy withholds the last byte of an unsafe request for
+//! a moment on a connection that may be dead: a reset before it is sent proves that nothing was executed, so the request may go
+//! elsewhere.
 
-mod clock;
-mod common;
+mod support;
 
-use clock::frozen;
-use common::*;
 use rstest::rstest;
 use std::time::Duration;
+use support::clock::with_frozen_clock;
+use support::*;
 
-/// All of the usual request but its last byte.
-const ALL_BUT_LAST: &str = "\r\n\r\nbod";
-
-fn route(kind: &str, attempts: u32) -> String {
-    format!(
-        r#"{{"Host":"{HOST}","PathPrefix":"/r/","RouteKind":"{kind}","TimeoutMs":5000,"SloMs":300,"Service":"s","MaxAttempts":{attempts}}}"#
-    )
-}
-
-fn world_of(kind: &str, attempts: u32) -> Setup {
-    Setup { routes: vec![route(kind, attempts)], retry_budget: 10.0, ..setup(kind, "") }
-}
-
-/// The server that is full may be closing the new connection: while the last byte has not gone out, nothing has run.
+/// A full server may reset the new connection: while the last byte is withheld, nothing was executed.
 #[tokio::test]
 async fn last_byte_of_an_unsafe_request_is_withheld_on_a_new_connection() {
-    with_world(world_of("unsafe", 1), async |world| {
-        let (mut client, mut server) = frozen(async {
-            let client = world.ask("r1", "").await;
-            let (mut server, first) = world.accept_either("a", "b").await;
-            assert!(server.until(ALL_BUT_LAST).await.is_some());
+    with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
+        let (mut client, mut server) = with_frozen_clock(async {
+            let client = proxy.send_request("r1", "").await;
+            let (mut server, first) = proxy.accept_any(&PLAIN_SERVERS).await;
+            assert!(server.read_until(ALL_BUT_LAST_BYTE).await.is_some());
             server.reset();
-            let (server, second) = world.accept_either("a", "b").await;
+            let (server, second) = proxy.accept_any(&PLAIN_SERVERS).await;
             assert_ne!(first, second);
             (client, server)
         })
         .await;
-        assert!(server.message().await.is_some());
-        server.send(&answer("r1", "once")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "once");
+        server.read_request().await;
+        server.send(&ok_response("r1", "once")).await;
+        assert_eq!(client.read_response().await.body, "once");
     })
     .await;
 }
 
 #[tokio::test]
 async fn last_byte_of_an_unsafe_request_is_withheld_on_an_idle_connection() {
-    with_world(world_of("unsafe", 1), async |world| {
-        world.list(&["b"]).await;
-        let mut client = world.ask("r1", "").await;
-        let mut kept = world.accept("a").await;
-        assert!(kept.message().await.is_some());
-        kept.send(&answer("r1", "ok")).await;
-        assert!(client.message().await.is_some());
-        let mut server = frozen(async {
+    with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
+        let (mut client, mut idle) = proxy.idle_connections().await;
+        let mut server = with_frozen_clock(async {
             tokio::time::advance(Duration::from_millis(500)).await;
             client.send(&request("r2", "", "body")).await;
-            assert!(kept.until(ALL_BUT_LAST).await.is_some());
-            drop(kept);
-            world.accept("a").await
+            assert!(idle.read_until(ALL_BUT_LAST_BYTE).await.is_some());
+            drop(idle);
+            proxy.accept("a").await
         })
         .await;
-        assert!(server.message().await.is_some());
-        server.send(&answer("r2", "once")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "once");
+        server.read_request().await;
+        server.send(&ok_response("r2", "once")).await;
+        assert_eq!(client.read_response().await.body, "once");
     })
     .await;
 }
 
-/// Holding back costs time: what may run twice, and what goes on a connection that was used just now, goes out whole.
+/// Withholding costs time: safe requests, and those on a connection that was used just now, are sent at once.
 #[rstest]
 #[case::safe("safe", false)]
 #[case::just_used("unsafe", true)]
 #[tokio::test]
-async fn last_byte_is_not_withheld_without_need(#[case] kind: &str, #[case] is_kept: bool) {
-    with_world(world_of(kind, 1), async |world| {
-        world.list(&["b"]).await;
-        let mut client = world.client().await;
-        let mut kept = None;
+async fn last_byte_is_not_withheld_without_need(#[case] kind: &'static str, #[case] is_kept: bool) {
+    with_proxy(Scenario::new(kind).max_attempts(1).retry_budget(10.0), async |proxy| {
+        proxy.list_all_but(&["b"]).await;
+        let mut client = proxy.connect().await;
+        let mut idle = None;
         if is_kept {
             client.send(&request("r1", "", "body")).await;
-            let mut server = world.accept("a").await;
-            assert!(server.message().await.is_some());
-            server.send(&answer("r1", "ok")).await;
-            assert!(client.message().await.is_some());
-            kept = Some(server);
+            let (mut server, _) = proxy.receive("a").await;
+            server.send(&ok_response("r1", "ok")).await;
+            client.read_response().await;
+            idle = Some(server);
         }
-        frozen(async {
+        with_frozen_clock(async {
             client.send(&request("r2", "", "body")).await;
-            let mut server = match kept {
-                Some(kept) => kept,
-                None => world.accept("a").await,
+            let mut server = match idle {
+                Some(idle) => idle,
+                None => proxy.accept("a").await,
             };
-            assert!(server.message().await.is_some());
+            server.read_request().await;
         })
         .await;
     })
     .await;
 }
 
-/// A server may answer before it has read the whole body: then it may have run before the last byte was out.
+/// A server may respond before it has read the complete body: then it may have executed the request.
 #[rstest]
-#[case::whole(answer("r1", "early"), 200)]
-#[case::only_begun("HTTP/1.1 200 OK\r\nRequest-".to_owned(), 502)]
-#[case::no_answer("\u{1}\u{2}nonsense\r\n\r\n".to_owned(), 502)]
+#[case::complete(ok_response("r1", "early"), 200)]
+#[case::truncated_head("HTTP/1.1 200 OK\r\nRequest-".to_owned(), 502)]
+#[case::garbage("\u{1}\u{2}nonsense\r\n\r\n".to_owned(), 502)]
 #[tokio::test]
-async fn response_before_the_last_byte_belongs_to_the_request(#[case] said: String, #[case] status: u16) {
-    with_world(world_of("unsafe", 1), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let mut server = frozen(async {
-            let (mut server, _) = world.accept_either("a", "b").await;
-            assert!(server.until(ALL_BUT_LAST).await.is_some());
-            server.send(&said).await;
+async fn response_before_the_last_byte_belongs_to_the_request(#[case] reply: String, #[case] status: u16) {
+    with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let mut server = with_frozen_clock(async {
+            let (mut server, _) = proxy.accept_any(&PLAIN_SERVERS).await;
+            assert!(server.read_until(ALL_BUT_LAST_BYTE).await.is_some());
+            server.send(&reply).await;
             server
         })
         .await;
         if status == 502 {
             server.reset();
         } else {
-            // The rest of the body is due on this connection: nothing else may come there.
-            let rest = server.until("\r\n\r\n").await;
+            // The rest of the body is due on this connection: nothing else may be sent there.
+            let rest = server.read_head().await;
             assert_eq!(rest, None);
         }
-        let got = client.message().await.expect("an answer");
-        assert_eq!(got.status(), status, "{}", got.head);
+        let response = client.read_response().await;
+        assert_eq!(response.status(), status, "{}", response.head);
     })
     .await;
 }
 
 #[tokio::test]
 async fn rejection_before_the_last_byte_is_retried_and_closes_its_connection() {
-    with_world(world_of("unsafe", 1), async |world| {
-        let mut client = world.ask("r1", "").await;
-        let (mut server, mut other) = frozen(async {
-            let (mut server, _) = world.accept_either("a", "b").await;
-            assert!(server.until(ALL_BUT_LAST).await.is_some());
-            server.send(&not_executed("r1", 503)).await;
-            let (other, _) = world.accept_either("a", "b").await;
+    with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
+        let mut client = proxy.send_request("r1", "").await;
+        let (mut server, mut other) = with_frozen_clock(async {
+            let (mut server, _) = proxy.accept_any(&PLAIN_SERVERS).await;
+            assert!(server.read_until(ALL_BUT_LAST_BYTE).await.is_some());
+            server.send(&rejection("r1", 503)).await;
+            let (other, _) = proxy.accept_any(&PLAIN_SERVERS).await;
             (server, other)
         })
         .await;
         assert!(server.is_closed().await);
-        assert!(other.message().await.is_some());
-        other.send(&answer("r1", "there")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "there");
+        other.read_request().await;
+        other.send(&ok_response("r1", "there")).await;
+        assert_eq!(client.read_response().await.body, "there");
     })
     .await;
 }
 
-/// On a kept connection a late copy of another answer may come while the last byte is held back.
+/// On a reused connection a duplicate of an earlier response may arrive while the last byte is withheld.
 #[tokio::test]
 async fn duplicate_response_does_not_end_the_send() {
-    with_world(world_of("unsafe", 1), async |world| {
-        world.list(&["b"]).await;
-        let mut client = world.ask("r1", "").await;
-        let mut kept = world.accept("a").await;
-        assert!(kept.message().await.is_some());
-        kept.send(&answer("r1", "first")).await;
-        assert!(client.message().await.is_some());
-        frozen(async {
+    with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
+        let (mut client, mut idle) = proxy.idle_connections().await;
+        with_frozen_clock(async {
             tokio::time::advance(Duration::from_millis(500)).await;
             client.send(&request("r2", "", "body")).await;
-            assert!(kept.until(ALL_BUT_LAST).await.is_some());
-            kept.send(&answer("r1", "first")).await;
+            assert!(idle.read_until(ALL_BUT_LAST_BYTE).await.is_some());
+            idle.send(&ok_response("r1", "first")).await;
         })
         .await;
-        assert_eq!(kept.until("y").await.as_deref(), Some("y"), "the last byte");
-        kept.send(&answer("r2", "second")).await;
-        assert_eq!(client.message().await.expect("an answer").body, "second");
+        assert_eq!(idle.read_until("y").await.as_deref(), Some("y"), "the last byte");
+        idle.send(&ok_response("r2", "second")).await;
+        assert_eq!(client.read_response().await.body, "second");
     })
     .await;
 }
