--- /dev/null
+++ b/crates/election/tests/elector/main.rs
@@ -0,0 +1,7 @@
+//! Electors against scripted peers: one elector alone, or several whose messages and writes the case lets through.
+
+mod campaigns;
+mod fencing_tokens;
+mod harness;
+mod views;
+mod voting;
--- a/crates/election/tests/encoded_forms.rs
+++ b/crates/election/tests/encoded_forms.rs
@@ -28,14 +28,14 @@
 }
 
 #[rstest]
-#[case::ask(Role::ListWatcher, MessageBody::PreVote { request_id: REQUEST_ID }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16341736ba165726f756e6409")]
-#[case::willing(Role::ListWatcher, MessageBody::PreVoteGranted { request_id: REQUEST_ID, highest_token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16757696c6c696e67a265726f756e640967686967686573741a03000001")]
-#[case::elect(Role::ListWatcher, MessageBody::RequestVote { request_id: REQUEST_ID, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a165456c656374a265726f756e640965746f6b656e1a03000001")]
-#[case::renew(Role::ListWatcher, MessageBody::RenewLease { request_id: REQUEST_ID, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16552656e6577a265726f756e640965746f6b656e1a03000001")]
-#[case::vote(Role::ListWatcher, MessageBody::VoteGranted { request_id: REQUEST_ID, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a164566f7465a265726f756e640965746f6b656e1a03000001")]
-#[case::refuse(Role::ListWatcher, MessageBody::VoteDenied { request_id: REQUEST_ID, highest_token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a166526566757365a265726f756e640967686967686573741a03000001")]
-#[case::release_of_a_holder(Role::ListWatcher, MessageBody::ReleaseLease { token: TOKEN, was_holder: true }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f5")]
-#[case::release_of_a_candidate(Role::ListWatcher, MessageBody::ReleaseLease { token: TOKEN, was_holder: false }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f4")]
+#[case::pre_vote(Role::ListWatcher, MessageBody::PreVote { request_id: REQUEST_ID }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16341736ba165726f756e6409")]
+#[case::pre_vote_granted(Role::ListWatcher, MessageBody::PreVoteGranted { request_id: REQUEST_ID, highest_token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16757696c6c696e67a265726f756e640967686967686573741a03000001")]
+#[case::request_vote(Role::ListWatcher, MessageBody::RequestVote { request_id: REQUEST_ID, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a165456c656374a265726f756e640965746f6b656e1a03000001")]
+#[case::renew_lease(Role::ListWatcher, MessageBody::RenewLease { request_id: REQUEST_ID, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16552656e6577a265726f756e640965746f6b656e1a03000001")]
+#[case::vote_granted(Role::ListWatcher, MessageBody::VoteGranted { request_id: REQUEST_ID, token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a164566f7465a265726f756e640965746f6b656e1a03000001")]
+#[case::vote_denied(Role::ListWatcher, MessageBody::VoteDenied { request_id: REQUEST_ID, highest_token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a166526566757365a265726f756e640967686967686573741a03000001")]
+#[case::release_by_a_holder(Role::ListWatcher, MessageBody::ReleaseLease { token: TOKEN, was_holder: true }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f5")]
+#[case::release_by_a_candidate(Role::ListWatcher, MessageBody::ReleaseLease { token: TOKEN, was_holder: false }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f4")]
 #[case::the_other_role(Role::StagePlanner, MessageBody::RenewLease { request_id: u64::MAX, token: TOKEN }, "a364726f6c656b53746167654f726465727364766965770364626f6479a16552656e6577a265726f756e641bffffffffffffffff65746f6b656e1a03000001")]
 fn a_message_has_the_captured_bytes(#[case] role: Role, #[case] body: MessageBody, #[case] captured: &str) {
     let message = Message { role, view: VIEW, body };
--- a/crates/election/tests/simulation/digests.rs
+++ b/crates/election/tests/simulation/digests.rs
@@ -3,7 +3,7 @@
 //! order of draws from a generator changes them.
 
 use crate::world::{LEASE, World};
-use crate::{CALM, SETTLING, STORM, cut_off, faults};
+use crate::{FAULT_TIME, SETTLE_TIME, STABLE_TIME, faults, partitions};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -16,15 +16,15 @@
     for seed in 0..SEEDS {
         let digest = play(seed).digest();
         println!("seed {seed}: {digest:#018x}");
-        all.number(digest);
+        all.fold_number(digest);
     }
     all.digest()
 }
 
 /// A world in which a process has won the role, and that process.
-fn settled(seed: u64, members: usize, spares: usize) -> (World, usize) {
+fn world_with_holder(seed: u64, members: usize, spares: usize) -> (World, usize) {
     let mut world = World::new(seed, members, spares);
-    world.run_for(SETTLING);
+    world.run_for(SETTLE_TIME);
     let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
     (world, holder)
 }
@@ -32,12 +32,12 @@
 #[rstest]
 #[case::three(3, 1, 0x985c_26f8_971b_43cc)]
 #[case::five(5, 2, 0xd69b_f9a4_1c26_5ea3)]
-fn of_faults_and_a_calm(#[case] members: usize, #[case] spares: usize, #[case] captured: u64) {
+fn digest_of_faults_and_healing(#[case] members: usize, #[case] spares: usize, #[case] captured: u64) {
     let play = |seed| {
         let mut world = World::new(seed, members, spares);
-        faults::storm(&mut world, STORM);
-        faults::calm(&mut world);
-        world.run_for(SETTLING + CALM);
+        faults::inject_faults(&mut world, FAULT_TIME);
+        faults::heal(&mut world);
+        world.run_for(SETTLE_TIME + STABLE_TIME);
         world
     };
     assert_eq!(digest(play), captured);
@@ -46,10 +46,10 @@
 #[rstest]
 #[case::three(3, 0x0c12_7219_1bbf_a07f)]
 #[case::five(5, 0x449a_6b04_e7ff_4707)]
-fn of_a_start_of_all(#[case] members: usize, #[case] captured: u64) {
+fn digest_of_a_simultaneous_start(#[case] members: usize, #[case] captured: u64) {
     let play = |seed| {
         let mut world = World::new(seed, members, 0);
-        world.run_for(SETTLING + CALM);
+        world.run_for(SETTLE_TIME + STABLE_TIME);
         world
     };
     assert_eq!(digest(play), captured);
@@ -59,9 +59,9 @@
 #[case::in_one_view(None, 0xa9fd_3877_38e8_c3c0)]
 #[case::with_a_view_after_300_ms(Some(300), 0xc3dd_c51a_87fc_23f4)]
 #[case::with_a_view_after_950_ms(Some(950), 0xae72_969a_e383_3dbf)]
-fn of_a_killed_holder(#[case] view_after_ms: Option<u64>, #[case] captured: u64) {
+fn digest_of_a_killed_holder(#[case] view_after_ms: Option<u64>, #[case] captured: u64) {
     let play = |seed| {
-        let (mut world, holder) = settled(seed, 3, 1);
+        let (mut world, holder) = world_with_holder(seed, 3, 1);
         world.kill(holder);
         if let Some(after) = view_after_ms {
             world.run_for(Duration::from_millis(after));
@@ -75,9 +75,9 @@
 
 #[rstest]
 #[case(0x64b6_af0a_ac7f_f419)]
-fn of_a_resigned_holder(#[case] captured: u64) {
+fn digest_of_a_resigned_holder(#[case] captured: u64) {
     let play = |seed| {
-        let (mut world, holder) = settled(seed, 3, 0);
+        let (mut world, holder) = world_with_holder(seed, 3, 0);
         world.resign(holder);
         world.run_for(LEASE * 2);
         world
@@ -88,11 +88,11 @@
 #[rstest]
 #[case::of_the_holder(false, 0x0f25_6781_42af_bc2a)]
 #[case::of_all(true, 0xec61_f080_4f41_855b)]
-fn of_standing_down(#[case] all: bool, #[case] captured: u64) {
+fn digest_of_stepping_down(#[case] all: bool, #[case] captured: u64) {
     let play = |seed| {
-        let (mut world, holder) = settled(seed, 3, 0);
+        let (mut world, holder) = world_with_holder(seed, 3, 0);
         for process in (0..world.len()).filter(|process| all || *process == holder) {
-            world.stand_down(process, LEASE);
+            world.step_down(process, LEASE);
         }
         world.run_for(LEASE * 4);
         world
@@ -103,9 +103,9 @@
 /// A holder that is a member of the next view keeps the role.
 #[rstest]
 #[case(0xe066_dcad_d094_2a2a)]
-fn of_a_change_of_view(#[case] captured: u64) {
+fn digest_of_a_view_change(#[case] captured: u64) {
     let play = |seed| {
-        let (mut world, holder) = settled(seed, 3, 1);
+        let (mut world, holder) = world_with_holder(seed, 3, 1);
         let leaving = world.members().into_iter().find(|member| *member != holder);
         world.replace_in_view(leaving.unwrap_or_default());
         world.run_for(LEASE * 4);
@@ -115,21 +115,23 @@
 }
 
 #[rstest]
-#[case::silent(cut_off::Cut::Silent, 0, 0x5d08_032e_d139_b2ab)]
-#[case::hears_nothing(cut_off::Cut::HearsNothing, 0, 0xe618_32e6_363a_5f3f)]
-#[case::not_heard(cut_off::Cut::NotHeard, 0, 0x8ebe_7bb2_5aa1_fc0f)]
-#[case::reaches_one_of_five(cut_off::Cut::NearOne, 0, 0xe7ac_a7ec_3314_9733)]
-#[case::stands_still(cut_off::Cut::Frozen, 0, 0x277b_262f_a4d5_c5b7)]
-#[case::not_heard_on_a_slow_processor(cut_off::Cut::NotHeard, 40, 0xeadd_b466_0bfc_440c)]
-fn of_a_holder_that_is_cut_off(#[case] kind: cut_off::Cut, #[case] slow_ms: u64, #[case] captured: u64) {
+#[case::isolated(partitions::Partition::Isolated, 0, 0x5d08_032e_d139_b2ab)]
+#[case::no_inbound(partitions::Partition::NoInbound, 0, 0xe618_32e6_363a_5f3f)]
+#[case::no_outbound(partitions::Partition::NoOutbound, 0, 0x8ebe_7bb2_5aa1_fc0f)]
+#[case::one_peer_reachable(partitions::Partition::OnePeerReachable, 0, 0xe7ac_a7ec_3314_9733)]
+#[case::paused(partitions::Partition::Paused, 0, 0x277b_262f_a4d5_c5b7)]
+#[case::no_outbound_on_a_slow_processor(partitions::Partition::NoOutbound, 40, 0xeadd_b466_0bfc_440c)]
+fn digest_of_a_partitioned_holder(
+    #[case] kind: partitions::Partition, #[case] slow_ms: u64, #[case] captured: u64,
+) {
     let play = |seed| {
-        let (mut world, holder) = settled(seed, 5, 0);
+        let (mut world, holder) = world_with_holder(seed, 5, 0);
         world.slow_down(holder, Duration::from_millis(slow_ms));
         world.run_for(LEASE);
-        cut_off::cut(&mut world, kind, holder);
+        partitions::partition(&mut world, kind, holder);
         world.run_for(LEASE * 5);
-        world.cuts.clear();
-        world.thaw(holder);
+        world.blocked_links.clear();
+        world.resume(holder);
         world.run_for(LEASE * 3);
         world
     };
--- a/crates/election/tests/simulation/faults.rs
+++ b/crates/election/tests/simulation/faults.rs
@@ -1,93 +1,93 @@
-//! Faults drawn from the seed.
+//! Faults that are drawn from the seed.
 
 use crate::world::World;
 use std::time::Duration;
 
-/// Draws faults for so long.
-pub fn storm(world: &mut World, time: Duration) {
-    world.late_news = true;
+/// Injects random faults for so long.
+pub fn inject_faults(world: &mut World, time: Duration) {
+    world.slow_view_updates = true;
     let end = world.now() + time;
     while world.now() < end {
         let pause = Duration::from_millis(world.random.u64(5..900));
         world.run_for(pause);
-        strike(world);
+        inject_fault(world);
     }
 }
 
-/// Ends all faults; processes whose disk was lost are taken in by a new view.
-pub fn calm(world: &mut World) {
-    world.cuts.clear();
+/// Ends all faults; processes whose disk was lost are admitted by a new view.
+pub fn heal(world: &mut World) {
+    world.blocked_links.clear();
     world.slow_links = false;
-    world.late_news = false;
+    world.slow_view_updates = false;
     for process in 0..world.len() {
-        world.thaw(process);
+        world.resume(process);
         world.start(process);
         world.set_disk(process, false, false);
     }
-    world.spread_view();
+    world.broadcast_view();
     world.run_for(Duration::from_secs(4));
     let members = world.members();
     world.change_view(members);
     world.run_for(Duration::from_secs(4));
 }
 
-fn strike(world: &mut World) {
+fn inject_fault(world: &mut World) {
     let process = world.random.usize(..world.len());
     let other = world.random.usize(..world.len());
     match world.random.u8(..19) {
         0 | 1 => world.kill(process),
-        2 => wipe(world, process),
+        2 => lose_disk(world, process),
         3 => (0..world.len()).for_each(|process| world.kill(process)),
         4..=6 => (0..world.len()).for_each(|process| world.start(process)),
-        7 => world.freeze(process),
-        8 | 9 => world.thaw(process),
-        10 => cut(world, process, other),
-        11 | 12 => world.cuts.clear(),
-        13 => split(world),
-        14 => disk(world, process),
+        7 => world.pause(process),
+        8 | 9 => world.resume(process),
+        10 => block_link(world, process, other),
+        11 | 12 => world.blocked_links.clear(),
+        13 => partition(world),
+        14 => set_disk_faults(world, process),
         15 => world.slow_links = !world.slow_links,
         16 => change_view(world),
         17 => {
-            let rest = Duration::from_millis(world.random.u64(..3_000));
-            world.stand_down(process, rest);
+            let backoff = Duration::from_millis(world.random.u64(..3_000));
+            world.step_down(process, backoff);
         }
         _ => {
             world.rewrite_log(process);
-            world.spread_view();
+            world.broadcast_view();
         }
     }
 }
 
-/// Disks are lost only as long as a majority of the members remember.
-fn wipe(world: &mut World, process: usize) {
+/// Disks are lost only as long as a majority of the members keep theirs.
+fn lose_disk(world: &mut World, process: usize) {
     let members = world.members();
-    let forgetful = members.iter().filter(|member| world.is_amnesiac(**member)).count();
-    let tolerated = (members.len() - 1) / 2;
-    if forgetful < tolerated && !world.is_amnesiac(process) {
-        world.wipe(process);
+    let lost = members.iter().filter(|member| world.has_lost_disk(**member)).count();
+    let fault_tolerance = (members.len() - 1) / 2;
+    if lost < fault_tolerance && !world.has_lost_disk(process) {
+        world.lose_disk(process);
     }
 }
 
-fn cut(world: &mut World, from: usize, to: usize) {
-    world.cuts.insert((from, to));
+fn block_link(world: &mut World, from: usize, to: usize) {
+    world.blocked_links.insert((from, to));
     if world.random.bool() {
-        world.cuts.insert((to, from));
+        world.blocked_links.insert((to, from));
     }
 }
 
-/// Cuts the processes into two sides.
-fn split(world: &mut World) {
+/// Partitions the processes into two sides.
+fn partition(world: &mut World) {
     let sides: Vec<bool> = (0..world.len()).map(|_| world.random.bool()).collect();
     for from in 0..sides.len() {
         for to in 0..sides.len() {
             if sides[from] != sides[to] {
-                world.cuts.insert((from, to));
+                world.blocked_links.insert((from, to));
             }
         }
     }
 }
 
-fn disk(world: &mut World, process: usize) {
+fn set_disk_faults(world: &mut World, process: usize) {
     let (fails, stalls) = (world.random.bool(), world.random.bool());
     world.set_disk(process, fails, stalls);
 }
--- a/crates/election/tests/simulation/main.rs
+++ b/crates/election/tests/simulation/main.rs
@@ -1,10 +1,10 @@
-//! A whole core on virtual time from one seed. `ELECTION_SEED=17 cargo test -p lugwharf-election --test simulation`
+//! A whole control plane on virtual time from one seed. `ELECTION_SEED=17 cargo test -p lugwharf-election --test simulation`
 //! replays one seed; `ELECTION_SEEDS=100000` plays more of them than the fixed ones.
 
 mod bounds;
-mod cut_off;
 mod digests;
 mod faults;
+mod partitions;
 mod process;
 mod trace;
 mod world;
@@ -15,9 +15,9 @@
 
 /// Seeds played by default, from 0 on.
 const SEEDS: u64 = 300;
-const STORM: Duration = Duration::from_secs(30);
-const SETTLING: Duration = Duration::from_secs(6);
-const CALM: Duration = Duration::from_secs(3);
+const FAULT_TIME: Duration = Duration::from_secs(30);
+const SETTLE_TIME: Duration = Duration::from_secs(6);
+const STABLE_TIME: Duration = Duration::from_secs(3);
 
 fn seeds() -> std::ops::Range<u64> {
     let read = |name| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
@@ -27,65 +27,67 @@
     }
 }
 
-/// One holder at a time in true time, tokens that climb, and a holder that lasts once all is calm.
+/// One holder at a time in true time, growing tokens, and a stable holder once all faults have ended.
 #[rstest]
 #[case::three(3, 1)]
 #[case::five(5, 2)]
-fn holds_under_faults(#[case] members: usize, #[case] spares: usize) {
+fn one_holder_under_faults_and_a_stable_one_after(#[case] members: usize, #[case] spares: usize) {
     for seed in seeds() {
         let mut world = World::new(seed, members, spares);
-        faults::storm(&mut world, STORM);
-        faults::calm(&mut world);
-        world.run_for(SETTLING);
+        faults::inject_faults(&mut world, FAULT_TIME);
+        faults::heal(&mut world);
+        world.run_for(SETTLE_TIME);
         let held =
-            world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role after a calm"));
-        world.run_for(CALM);
-        assert_eq!(world.holder(), Some(held), "seed {seed}: the holder changed in calm times");
+            world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role after the faults"));
+        world.run_for(STABLE_TIME);
+        assert_eq!(world.holder(), Some(held), "seed {seed}: the holder changed without a fault");
         // Else the role rests on a bare majority.
         assert_eq!(
-            world.strangers_to(held),
+            world.voters_not_supporting(held),
             Vec::<usize>::new(),
-            "seed {seed}: voters that don't help the holder"
+            "seed {seed}: voters that don't support the holder"
         );
     }
 }
 
-/// Processes that start together often stand at once, under the same token.
+/// Processes that start together often campaign at once, under the same token.
 #[rstest]
 #[case::three(3)]
 #[case::five(5)]
-fn all_voters_help_the_holder_after_a_start_of_all(#[case] members: usize) {
+fn all_voters_support_the_holder_after_a_simultaneous_start(#[case] members: usize) {
     for seed in seeds() {
         let mut world = World::new(seed, members, 0);
-        world.run_for(SETTLING + CALM);
+        world.run_for(SETTLE_TIME + STABLE_TIME);
         let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
         assert_eq!(
-            world.strangers_to(held),
+            world.voters_not_supporting(held),
             Vec::<usize>::new(),
-            "seed {seed}: voters that don't help the holder"
+            "seed {seed}: voters that don't support the holder"
         );
     }
 }
 
-/// A successor of a killed holder within the time that the constants leave for it; see `bounds`.
+/// The constants bound the time from a kill to the next holder; see `bounds`.
 #[rstest]
-fn follows_a_killed_holder(#[values(None, Some(300), Some(950))] view_after_ms: Option<u64>) {
+fn killed_holder_is_succeeded_within_the_bound(
+    #[values(None, Some(300), Some(950))] view_after_ms: Option<u64>,
+) {
     let longest = seeds().map(|seed| vacancy(seed, view_after_ms.map(Duration::from_millis))).max();
-    let bound = bounds::longest_vacancy(view_after_ms.map(Duration::from_millis));
+    let bound = bounds::max_vacancy(view_after_ms.map(Duration::from_millis));
     println!("longest vacancy {longest:?} with a lease of {LEASE:?}, bound {bound:?}");
 }
 
-/// The killed holder's grants end at two voters some ms apart; the one whose grant ends first asks in between, and is
-/// refused by the other one, while the dead process does not answer.
+/// The leases that two voters granted the killed holder end some ms apart. The voter whose lease ends first sends a pre-vote
+/// in between and is denied by the other one, while the dead process does not answer.
 #[test]
-fn asks_again_where_the_first_question_came_before_the_last_grant_ended() {
+fn pre_vote_is_resent_when_it_came_before_the_last_lease_ended() {
     vacancy(4_780, None);
 }
 
 /// For how long the role is vacant after the holder is killed; panics if that is above the bound.
 fn vacancy(seed: u64, view_after: Option<Duration>) -> Duration {
     let mut world = World::new(seed, 3, 1);
-    world.run_for(SETTLING);
+    world.run_for(SETTLE_TIME);
     let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
     let killed = world.now();
     world.kill(holder);
@@ -93,7 +95,7 @@
         world.run_for(after);
         world.replace_in_view(holder);
     }
-    let bound = bounds::longest_vacancy(view_after);
+    let bound = bounds::max_vacancy(view_after);
     while world.holder().is_none() {
         world.run_for(POLL);
         let vacant = world.now() - killed;
@@ -102,12 +104,12 @@
     world.now() - killed
 }
 
-/// A holder that is stopped orderly is followed without waiting for its lease.
+/// A holder that resigns is succeeded without waiting for its lease.
 #[test]
-fn follows_a_resigned_holder_at_once() {
+fn resigned_holder_is_succeeded_at_once() {
     for seed in seeds() {
         let mut world = World::new(seed, 3, 0);
-        world.run_for(SETTLING);
+        world.run_for(SETTLE_TIME);
         let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
         world.resign(holder);
         world.run_for(LEASE / 2);
@@ -116,44 +118,44 @@
     }
 }
 
-/// A holder that can't do the work is followed as fast, and does not come back while its successor holds the role.
+/// A holder that steps down is succeeded as fast, and does not return while its successor holds the role.
 #[test]
-fn follows_a_holder_that_stands_down_and_keeps_the_successor() {
+fn holder_that_steps_down_is_succeeded_and_does_not_return() {
     for seed in seeds() {
         let mut world = World::new(seed, 3, 0);
-        world.run_for(SETTLING);
+        world.run_for(SETTLE_TIME);
         let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
-        world.stand_down(holder, LEASE);
+        world.step_down(holder, LEASE);
         world.run_for(LEASE / 2);
         let next = world.holder().unwrap_or_else(|| panic!("seed {seed}: no successor"));
         assert_ne!(next.0, holder, "seed {seed}");
-        world.run_for(CALM);
-        assert_eq!(world.holder(), Some(next), "seed {seed}: it came back");
+        world.run_for(STABLE_TIME);
+        assert_eq!(world.holder(), Some(next), "seed {seed}: it returned");
     }
 }
 
-/// Where no other process can stand, the one that stood down holds the role again soon.
+/// Where no other process can be elected, one that stepped down holds the role again soon.
 #[test]
-fn takes_the_role_again_where_nobody_else_can() {
+fn role_returns_when_every_process_stepped_down() {
     for seed in seeds() {
         let mut world = World::new(seed, 3, 0);
-        world.run_for(SETTLING);
+        world.run_for(SETTLE_TIME);
         let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
         for process in 0..world.len() {
-            world.stand_down(process, LEASE);
+            world.step_down(process, LEASE);
         }
         world.run_for(LEASE * 2);
         let held = world.holder();
-        assert!(held.is_some(), "seed {seed}: vacant after {holder} stood down");
+        assert!(held.is_some(), "seed {seed}: vacant after {holder} stepped down");
     }
 }
 
 /// A holder that is a member of the next view keeps the role and its token.
 #[test]
-fn keeps_the_holder_over_a_change_of_view() {
+fn holder_keeps_its_lease_over_a_view_change() {
     for seed in seeds() {
         let mut world = World::new(seed, 3, 1);
-        world.run_for(SETTLING);
+        world.run_for(SETTLE_TIME);
         let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
         let leaving = world.members().into_iter().find(|member| *member != held.0);
         world.replace_in_view(leaving.unwrap_or_default());
--- a/crates/election/tests/simulation/process.rs
+++ b/crates/election/tests/simulation/process.rs
@@ -22,27 +22,27 @@
 
 pub struct Process {
     pub elector: Option<Elector>,
-    pub life: u64,
-    pub frozen: bool,
-    pub waiting: Vec<Event>,
+    pub incarnation: u64,
+    pub is_paused: bool,
+    pub pending_events: Vec<Event>,
     /// The steady clock: its rate against true time and its time at the start of the world.
     pub rate: f64,
     pub offset: Duration,
     pub log: Vec<Vec<u8>>,
-    /// Writes on their way to the disk.
+    /// Records whose writes are in flight.
     pub unsynced: Vec<Vec<u8>>,
-    /// The last view for the successor of which it accepted a proposal, synced.
+    /// The last view for whose successor it accepted a proposal, synced.
     pub sealed: u64,
     pub known_view: Option<View>,
-    /// It votes in later views than this only.
-    pub wiped_in: u64,
+    /// The view in which its disk was lost: it votes in later views only.
+    pub disk_lost_in: u64,
     pub disk_fails: bool,
     pub disk_stalls: bool,
-    /// Up to how long an event waits for the processor, and until when the last one does.
-    pub slow: Duration,
+    /// How long an event waits for the processor at most, and until when the last one does.
+    pub max_event_delay: Duration,
     pub busy_until: Duration,
-    /// The role as the elector's driver has told its workers.
-    pub told: Option<Lease>,
+    /// The lease as the elector's driver has reported it to its workers.
+    pub reported_lease: Option<Lease>,
 }
 
 impl Process {
@@ -50,21 +50,21 @@
         let drift = f64::from(DRIFT_PERCENT) / 100.0;
         Self {
             elector: None,
-            life: 0,
-            frozen: false,
-            waiting: Vec::new(),
+            incarnation: 0,
+            is_paused: false,
+            pending_events: Vec::new(),
             rate: 1.0 + drift * (2.0 * random.f64() - 1.0),
             offset: Duration::from_secs(random.u64(..100_000)),
             log: Vec::new(),
             unsynced: Vec::new(),
             sealed: 0,
             known_view: None,
-            wiped_in: 0,
+            disk_lost_in: 0,
             disk_fails: false,
             disk_stalls: false,
-            slow: Duration::ZERO,
+            max_event_delay: Duration::ZERO,
             busy_until: Duration::ZERO,
-            told: None,
+            reported_lease: None,
         }
     }
 
--- a/crates/election/tests/simulation/trace.rs
+++ b/crates/election/tests/simulation/trace.rs
@@ -26,20 +26,20 @@
         }
     }
 
-    pub fn number(&mut self, number: u64) {
+    pub fn fold_number(&mut self, number: u64) {
         self.fold(&number.to_be_bytes());
     }
 
-    /// Begins what happened at one process.
-    pub fn event(&mut self, kind: u8, now: Duration, process: usize) {
+    /// Starts an event at one process.
+    pub fn fold_event(&mut self, kind: u8, now: Duration, process: usize) {
         self.fold(&[kind]);
         self.fold(&now.as_nanos().to_be_bytes());
-        self.number(u64::from(address(process).port()));
+        self.fold_number(u64::from(address(process).port()));
     }
 
-    /// Bytes with their length.
-    pub fn sized(&mut self, bytes: &[u8]) {
-        self.number(bytes.len() as u64);
+    /// Folds bytes with their length.
+    pub fn fold_sized(&mut self, bytes: &[u8]) {
+        self.fold_number(bytes.len() as u64);
         self.fold(bytes);
     }
 }
--- a/crates/election/tests/simulation/world.rs
+++ b/crates/election/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The processes, links, disks and views of one simulated core.
+//! The processes, links, disks and views of one simulated control plane.
 
 use crate::process::{Process, View, address, index};
 use crate::trace::Trace;
@@ -11,50 +11,50 @@
 use std::time::Duration;
 
 pub const LEASE: Duration = Duration::from_millis(1_000);
-const RENEW_EVERY: Duration = Duration::from_millis(250);
+const RENEW_INTERVAL: Duration = Duration::from_millis(250);
 pub const TICK: Duration = Duration::from_millis(25);
 pub const DRIFT_PERCENT: u32 = 2;
-/// What a message takes at least and at most, where links are not slow.
-const SHORTEST_DELAY: Duration = Duration::from_micros(500);
-pub const LONGEST_DELAY: Duration = Duration::from_micros(4_500);
+/// The delay of a message, where links are not slow.
+const MIN_DELAY: Duration = Duration::from_micros(500);
+pub const MAX_DELAY: Duration = Duration::from_micros(4_500);
 const SLOW_DELAY: Duration = Duration::from_micros(1_500_500);
-/// What a sync takes at least and at most, where the disk does not stall.
-const SHORTEST_SYNC: Duration = Duration::from_millis(1);
-pub const LONGEST_SYNC: Duration = Duration::from_millis(9);
+/// The time that a sync takes, where the disk does not stall.
+const MIN_SYNC: Duration = Duration::from_millis(1);
+pub const MAX_SYNC: Duration = Duration::from_millis(9);
 const STALLED_SYNC: Duration = Duration::from_millis(3_001);
-/// News of a view takes at most this, where it is not late.
-pub const NEWS_WITHIN: Duration = Duration::from_millis(30);
-const LATE_NEWS_WITHIN: Duration = Duration::from_millis(3_000);
-/// How often a case looks who holds the role.
+/// The longest delay of a view update, where updates are not slow.
+pub const MAX_VIEW_DELAY: Duration = Duration::from_millis(30);
+const MAX_SLOW_VIEW_DELAY: Duration = Duration::from_millis(3_000);
+/// How often a case checks who holds the role.
 pub const POLL: Duration = Duration::from_millis(5);
 
-/// What happens later. A `life` tells starts of a process apart: what was meant for an earlier one is dropped.
+/// What happens at a later time. What is meant for an earlier incarnation of a process is dropped.
 #[derive(Clone, Debug)]
-enum Later {
+enum Scheduled {
     Tick {
         process: usize,
-        life: u64,
+        incarnation: u64,
     },
-    Arrive {
+    Deliver {
         to: usize,
         from: usize,
         message: Message,
     },
     Synced {
         process: usize,
-        life: u64,
+        incarnation: u64,
         batch: BatchId,
         records: Vec<Vec<u8>>,
         fails: bool,
     },
-    Learn {
+    UpdateView {
         process: usize,
         view: View,
     },
-    /// A slow processor comes to an event.
+    /// A slow processor starts on an event.
     Handle {
         process: usize,
-        life: u64,
+        incarnation: u64,
         event: Event,
     },
 }
@@ -64,17 +64,17 @@
     pub random: Rng,
     now: Duration,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    later: HashMap<u64, Later>,
-    next: u64,
+    scheduled: HashMap<u64, Scheduled>,
+    next_key: u64,
     processes: Vec<Process>,
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub blocked_links: BTreeSet<(usize, usize)>,
     pub slow_links: bool,
-    /// News of a view may take seconds to some processes.
-    pub late_news: bool,
+    /// View updates may take seconds to some processes.
+    pub slow_view_updates: bool,
     view: View,
-    highest_gained: FencingToken,
-    /// The request id with which a process stood under a token first.
-    stood: HashMap<(usize, FencingToken), u64>,
+    highest_acquired: FencingToken,
+    /// The request id under which a process first campaigned for a token.
+    campaigns: HashMap<(usize, FencingToken), u64>,
     trace: Trace,
 }
 
@@ -90,19 +90,19 @@
             random,
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
-            later: HashMap::new(),
-            next: 0,
+            scheduled: HashMap::new(),
+            next_key: 0,
             processes,
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             slow_links: false,
-            late_news: false,
+            slow_view_updates: false,
             view,
-            highest_gained: FencingToken::default(),
-            stood: HashMap::new(),
+            highest_acquired: FencingToken::default(),
+            campaigns: HashMap::new(),
             trace: Trace::new(),
         };
         (0..members + spares).for_each(|process| world.start(process));
-        (0..members + spares).for_each(|process| world.learn_soon(process));
+        (0..members + spares).for_each(|process| world.schedule_view_update(process));
         world
     }
 
@@ -110,7 +110,7 @@
         self.now
     }
 
-    /// What was delivered, stored, won and lost so far, with its times.
+    /// The digest of what was delivered, stored, acquired and lost so far, with its times.
     pub fn digest(&self) -> u64 {
         self.trace.digest()
     }
@@ -127,24 +127,24 @@
         self.processes[process].elector.is_some()
     }
 
-    pub fn is_amnesiac(&self, process: usize) -> bool {
-        self.processes[process].wiped_in >= self.view.number
+    pub fn has_lost_disk(&self, process: usize) -> bool {
+        self.processes[process].disk_lost_in >= self.view.number
     }
 
-    /// The holder by the clocks of all processes, those that stand still too.
+    /// The holder by the clocks of all processes, paused ones included; panics if there are two.
     pub fn holder(&self) -> Option<(usize, FencingToken)> {
         let mut holders = Vec::new();
         for (index, process) in self.processes.iter().enumerate() {
-            let grant =
+            let lease =
                 process.elector.as_ref().and_then(|elector| elector.held_lease(process.clock(self.now)));
-            holders.extend(grant.map(|grant| (index, grant.token)));
+            holders.extend(lease.map(|lease| (index, lease.token)));
         }
         assert!(holders.len() <= 1, "seed {} at {:?}: two holders {holders:?}", self.seed, self.now);
         holders.first().copied()
     }
 
-    /// Voters that run and do not help the holder to keep the role, or do not name it.
-    pub fn strangers_to(&self, held: (usize, FencingToken)) -> Vec<usize> {
+    /// Running voters that have granted the holder no lease, or do not know it as the holder.
+    pub fn voters_not_supporting(&self, held: (usize, FencingToken)) -> Vec<usize> {
         let named = Some(LeaseHolder { address: address(held.0), token: held.1 });
         let helps = |process: &usize| {
             let process = &self.processes[*process];
@@ -154,7 +154,7 @@
                 .as_ref()
                 .is_none_or(|elector| elector.granted_to(now) == named && elector.known_holder() == named)
         };
-        let voters = self.members().into_iter().filter(|process| !self.is_amnesiac(*process));
+        let voters = self.members().into_iter().filter(|process| !self.has_lost_disk(*process));
         voters.filter(|process| !helps(process)).collect()
     }
 
@@ -166,8 +166,8 @@
             }
             self.queue.pop();
             self.now = at;
-            if let Some(later) = self.later.remove(&key) {
-                self.happen(later);
+            if let Some(scheduled) = self.scheduled.remove(&key) {
+                self.dispatch(scheduled);
             }
             self.holder();
         }
@@ -182,21 +182,23 @@
             local_address: address(process),
             role: Role::ListWatcher,
             lease_duration: LEASE,
-            renew_interval: RENEW_EVERY,
+            renew_interval: RENEW_INTERVAL,
             clock_drift_percent: DRIFT_PERCENT,
             seed,
         };
-        let started = &mut self.processes[process];
-        if started.elector.is_some() {
+        let process_state = &mut self.processes[process];
+        if process_state.elector.is_some() {
             return;
         }
-        started.life += 1;
-        started.elector = Some(Elector::recover(settings, &started.log, started.clock(now)));
-        let (life, sealed, view) = (started.life, started.sealed, started.known_view.clone());
-        self.after(TICK, Later::Tick { process, life });
-        self.give(process, Event::ViewSealed { number: sealed });
+        process_state.incarnation += 1;
+        process_state.elector =
+            Some(Elector::recover(settings, &process_state.log, process_state.clock(now)));
+        let (incarnation, sealed, view) =
+            (process_state.incarnation, process_state.sealed, process_state.known_view.clone());
+        self.schedule(TICK, Scheduled::Tick { process, incarnation });
+        self.deliver(process, Event::ViewSealed { number: sealed });
         if let Some(view) = view {
-            self.tell_view(process, &view);
+            self.install_view(process, &view);
         }
     }
 
@@ -208,60 +210,61 @@
                 self.processes[process].log.push(record);
             }
         }
-        let killed = &mut self.processes[process];
-        killed.elector = None;
-        killed.frozen = false;
-        killed.waiting.clear();
-        killed.told = None;
+        let process_state = &mut self.processes[process];
+        process_state.elector = None;
+        process_state.is_paused = false;
+        process_state.pending_events.clear();
+        process_state.reported_lease = None;
     }
 
     /// Ends a process whose disk is lost with it.
-    pub fn wipe(&mut self, process: usize) {
+    pub fn lose_disk(&mut self, process: usize) {
         self.kill(process);
-        let wiped = &mut self.processes[process];
-        wiped.log.clear();
-        wiped.sealed = 0;
-        wiped.known_view = None;
-        wiped.wiped_in = self.view.number;
+        let process_state = &mut self.processes[process];
+        process_state.log.clear();
+        process_state.sealed = 0;
+        process_state.known_view = None;
+        process_state.disk_lost_in = self.view.number;
     }
 
-    pub fn freeze(&mut self, process: usize) {
-        self.processes[process].frozen = true;
+    pub fn pause(&mut self, process: usize) {
+        self.processes[process].is_paused = true;
     }
 
-    pub fn thaw(&mut self, process: usize) {
-        self.processes[process].frozen = false;
-        for event in std::mem::take(&mut self.processes[process].waiting) {
-            self.give(process, event);
+    pub fn resume(&mut self, process: usize) {
+        self.processes[process].is_paused = false;
+        for event in std::mem::take(&mut self.processes[process].pending_events) {
+            self.deliver(process, event);
         }
     }
 
-    /// Each event of the process waits for its processor, up to so long.
-    pub fn slow_down(&mut self, process: usize, slow: Duration) {
-        self.processes[process].slow = slow;
+    /// Each event of the process waits for its processor, up to `max_event_delay`.
+    pub fn slow_down(&mut self, process: usize, max_event_delay: Duration) {
+        self.processes[process].max_event_delay = max_event_delay;
     }
 
-    /// The token under which a worker of the process acts now: it knows what it was told last, and looks at the clock.
-    pub fn acts(&self, process: usize) -> Option<FencingToken> {
+    /// The token under which a worker of the process acts now: it knows the last lease that was reported to it, and checks
+    /// the clock.
+    pub fn acting_token(&self, process: usize) -> Option<FencingToken> {
         let worker = &self.processes[process];
-        let told = worker.told.filter(|_| !worker.frozen)?;
-        (worker.clock(self.now) < told.expires_at).then_some(told.token)
+        let reported_lease = worker.reported_lease.filter(|_| !worker.is_paused)?;
+        (worker.clock(self.now) < reported_lease.expires_at).then_some(reported_lease.token)
     }
 
-    /// Lets a process that stood still go on at its workers, before its driver comes to what has waited.
-    pub fn thaw_workers_first(&mut self, process: usize) -> Option<FencingToken> {
-        self.processes[process].frozen = false;
-        let acted = self.acts(process);
-        self.thaw(process);
+    /// Resumes the workers of a paused process before its driver handles the pending events.
+    pub fn resume_workers_first(&mut self, process: usize) -> Option<FencingToken> {
+        self.processes[process].is_paused = false;
+        let acted = self.acting_token(process);
+        self.resume(process);
         acted
     }
 
     pub fn resign(&mut self, process: usize) {
-        self.give(process, Event::Resign);
+        self.deliver(process, Event::Resign);
     }
 
-    pub fn stand_down(&mut self, process: usize, rest: Duration) {
-        self.give(process, Event::StepDown { backoff: rest });
+    pub fn step_down(&mut self, process: usize, backoff: Duration) {
+        self.deliver(process, Event::StepDown { backoff });
     }
 
     pub fn set_disk(&mut self, process: usize, fails: bool, stalls: bool) {
@@ -271,104 +274,118 @@
 
     /// Rewrites the log as a driver does when it gets long.
     pub fn rewrite_log(&mut self, process: usize) {
-        let rewritten = &mut self.processes[process];
-        let Some(elector) = &rewritten.elector else { return };
-        rewritten.log = elector.snapshot_records();
+        let process_state = &mut self.processes[process];
+        let Some(elector) = &process_state.elector else { return };
+        process_state.log = elector.snapshot_records();
     }
 
-    /// A change of view that puts a spare in the place of `leaving`.
+    /// A view change that replaces `leaving` by a spare.
     pub fn replace_in_view(&mut self, leaving: usize) {
-        let taken_in = (0..self.len()).find(|process| !self.view.members.contains(process));
+        let spare = (0..self.len()).find(|process| !self.view.members.contains(process));
         let mut members = self.members();
         members.retain(|member| *member != leaving);
-        members.extend(taken_in);
+        members.extend(spare);
         self.change_view(members);
     }
 
-    /// A change of view, if enough acceptors of the present one can seal it.
+    /// A view change, if a majority of the present view can accept it.
     pub fn change_view(&mut self, members: Vec<usize>) {
         let present = self.members();
         let proposer = present[self.random.usize(..present.len())];
-        let mut able: Vec<usize> =
+        let mut acceptors: Vec<usize> =
             present.iter().copied().filter(|member| self.can_accept(proposer, *member)).collect();
-        self.random.shuffle(&mut able);
+        self.random.shuffle(&mut acceptors);
         let majority = present.len() / 2 + 1;
-        if able.len() < majority {
+        if acceptors.len() < majority {
             return;
         }
-        let accepting = majority + self.random.usize(..=able.len() - majority);
+        let accepting = majority + self.random.usize(..=acceptors.len() - majority);
         let number = self.view.number;
-        for acceptor in able.into_iter().take(accepting) {
+        for acceptor in acceptors.into_iter().take(accepting) {
             self.processes[acceptor].sealed = number;
-            self.give(acceptor, Event::ViewSealed { number });
+            self.deliver(acceptor, Event::ViewSealed { number });
         }
         self.view = View { number: number + 1, members };
-        (0..self.len()).for_each(|process| self.learn_soon(process));
+        (0..self.len()).for_each(|process| self.schedule_view_update(process));
     }
 
-    /// Tells everyone the newest view, as when whoever missed it asks for it.
-    pub fn spread_view(&mut self) {
-        (0..self.len()).for_each(|process| self.learn_soon(process));
+    /// Sends everyone the newest view, as when a process that missed it asks for it.
+    pub fn broadcast_view(&mut self) {
+        (0..self.len()).for_each(|process| self.schedule_view_update(process));
     }
 
     fn can_accept(&self, proposer: usize, member: usize) -> bool {
         let process = &self.processes[member];
-        let linked = !self.cuts.contains(&(proposer, member)) && !self.cuts.contains(&(member, proposer));
-        self.is_up(member) && !process.frozen && !process.disk_fails && linked && !self.is_amnesiac(member)
-    }
-
-    fn learn_soon(&mut self, process: usize) {
-        let longest = if self.late_news && self.random.u8(..8) == 0 { LATE_NEWS_WITHIN } else { NEWS_WITHIN };
-        let delay = longest.mul_f64(self.random.f64());
+        let linked = !self.blocked_links.contains(&(proposer, member))
+            && !self.blocked_links.contains(&(member, proposer));
+        self.is_up(member)
+            && !process.is_paused
+            && !process.disk_fails
+            && linked
+            && !self.has_lost_disk(member)
+    }
+
+    fn schedule_view_update(&mut self, process: usize) {
+        let max_delay = if self.slow_view_updates && self.random.u8(..8) == 0 {
+            MAX_SLOW_VIEW_DELAY
+        } else {
+            MAX_VIEW_DELAY
+        };
+        let delay = max_delay.mul_f64(self.random.f64());
         let view = self.view.clone();
-        self.after(delay, Later::Learn { process, view });
+        self.schedule(delay, Scheduled::UpdateView { process, view });
     }
 
-    fn learn(&mut self, process: usize, view: View) {
-        let is_cut = (0..self.len())
+    fn update_view(&mut self, process: usize, view: View) {
+        let is_isolated = (0..self.len())
             .filter(|other| *other != process)
-            .all(|other| self.cuts.contains(&(other, process)));
-        let learner = &mut self.processes[process];
-        if learner.elector.is_none() || is_cut || learner.known_view.as_ref() >= Some(&view) {
+            .all(|other| self.blocked_links.contains(&(other, process)));
+        let process_state = &mut self.processes[process];
+        if process_state.elector.is_none() || is_isolated || process_state.known_view.as_ref() >= Some(&view)
+        {
             return;
         }
-        learner.known_view = Some(view.clone());
-        self.tell_view(process, &view);
+        process_state.known_view = Some(view.clone());
+        self.install_view(process, &view);
     }
 
-    fn tell_view(&mut self, process: usize, view: &View) {
-        let voter = view.members.contains(&process) && view.number > self.processes[process].wiped_in;
+    fn install_view(&mut self, process: usize, view: &View) {
+        let voter = view.members.contains(&process) && view.number > self.processes[process].disk_lost_in;
         let members = view.members.iter().map(|member| address(*member)).collect();
-        self.give(process, Event::ViewInstalled { number: view.number, members, is_voter: voter });
+        self.deliver(process, Event::ViewInstalled { number: view.number, members, is_voter: voter });
     }
 
-    fn after(&mut self, delay: Duration, later: Later) {
-        self.next += 1;
-        self.later.insert(self.next, later);
-        self.queue.push(Reverse((self.now + delay, self.next)));
+    fn schedule(&mut self, delay: Duration, scheduled: Scheduled) {
+        self.next_key += 1;
+        self.scheduled.insert(self.next_key, scheduled);
+        self.queue.push(Reverse((self.now + delay, self.next_key)));
     }
 
-    fn happen(&mut self, later: Later) {
-        match later {
-            Later::Tick { process, life } if self.processes[process].life == life => {
-                self.after(TICK, Later::Tick { process, life });
-                if !self.processes[process].frozen {
-                    self.give(process, Event::Tick);
+    fn dispatch(&mut self, scheduled: Scheduled) {
+        match scheduled {
+            Scheduled::Tick { process, incarnation }
+                if self.processes[process].incarnation == incarnation =>
+            {
+                self.schedule(TICK, Scheduled::Tick { process, incarnation });
+                if !self.processes[process].is_paused {
+                    self.deliver(process, Event::Tick);
                 }
             }
-            Later::Arrive { to, from, message } if !self.cuts.contains(&(from, to)) => {
-                self.trace.event(b'm', self.now, to);
-                self.trace.number(u64::from(address(from).port()));
-                self.trace.sized(&encoded(&message));
-                self.give(to, Event::Message { from: address(from), message });
+            Scheduled::Deliver { to, from, message } if !self.blocked_links.contains(&(from, to)) => {
+                self.trace.fold_event(b'm', self.now, to);
+                self.trace.fold_number(u64::from(address(from).port()));
+                self.trace.fold_sized(&encoded(&message));
+                self.deliver(to, Event::Message { from: address(from), message });
             }
-            Later::Synced { process, life, batch, records, fails }
-                if self.processes[process].life == life =>
+            Scheduled::Synced { process, incarnation, batch, records, fails }
+                if self.processes[process].incarnation == incarnation =>
             {
                 self.sync(process, batch, records, fails);
             }
-            Later::Learn { process, view } => self.learn(process, view),
-            Later::Handle { process, life, event } if self.processes[process].life == life => {
+            Scheduled::UpdateView { process, view } => self.update_view(process, view),
+            Scheduled::Handle { process, incarnation, event }
+                if self.processes[process].incarnation == incarnation =>
+            {
                 self.handle(process, event);
             }
             _ => {}
@@ -379,30 +396,33 @@
         if !self.is_up(process) {
             return;
         }
-        self.trace.event(if fails { b'f' } else { b's' }, self.now, process);
-        self.trace.number(batch.0);
-        records.iter().for_each(|record| self.trace.sized(record));
+        self.trace.fold_event(if fails { b'f' } else { b's' }, self.now, process);
+        self.trace.fold_number(batch.0);
+        records.iter().for_each(|record| self.trace.fold_sized(record));
         self.processes[process].unsynced.retain(|record| !records.contains(record));
-        // A write that is told to have failed may still be on the disk.
+        // A write that is reported as failed may still be on the disk.
         if !fails || self.random.bool() {
             self.processes[process].log.extend(records);
         }
-        self.give(process, if fails { Event::PersistFailed { batch } } else { Event::Persisted { batch } });
+        self.deliver(
+            process,
+            if fails { Event::PersistFailed { batch } } else { Event::Persisted { batch } },
+        );
     }
 
-    fn give(&mut self, process: usize, event: Event) {
+    fn deliver(&mut self, process: usize, event: Event) {
         let now = self.now;
-        let taker = &mut self.processes[process];
-        if taker.frozen {
-            taker.waiting.push(event);
+        let process_state = &mut self.processes[process];
+        if process_state.is_paused {
+            process_state.pending_events.push(event);
             return;
         }
-        if taker.slow > Duration::ZERO {
-            let life = taker.life;
-            let wait = taker.slow.mul_f64(self.random.f64());
-            taker.busy_until = taker.busy_until.max(now + wait);
-            let delay = taker.busy_until - now;
-            self.after(delay, Later::Handle { process, life, event });
+        if process_state.max_event_delay > Duration::ZERO {
+            let incarnation = process_state.incarnation;
+            let wait = process_state.max_event_delay.mul_f64(self.random.f64());
+            process_state.busy_until = process_state.busy_until.max(now + wait);
+            let delay = process_state.busy_until - now;
+            self.schedule(delay, Scheduled::Handle { process, incarnation, event });
             return;
         }
         self.handle(process, event);
@@ -410,67 +430,71 @@
 
     fn handle(&mut self, process: usize, event: Event) {
         let now = self.now;
-        let taker = &mut self.processes[process];
-        if taker.frozen {
-            taker.waiting.push(event);
+        let process_state = &mut self.processes[process];
+        if process_state.is_paused {
+            process_state.pending_events.push(event);
             return;
         }
-        let clock = taker.clock(now);
-        let Some(elector) = &mut taker.elector else { return };
+        let clock = process_state.clock(now);
+        let Some(elector) = &mut process_state.elector else { return };
         let mut actions = Vec::new();
         elector.handle(clock, event, &mut actions);
-        taker.told = elector.held_lease(clock);
+        process_state.reported_lease = elector.held_lease(clock);
         for action in actions {
-            self.act(process, action);
+            self.carry_out(process, action);
         }
     }
 
-    fn act(&mut self, process: usize, action: Action) {
+    fn carry_out(&mut self, process: usize, action: Action) {
         match action {
             Action::Send { to, message } => self.send(process, index(to), message),
-            Action::Persist { batch, records } => self.store(process, batch, records),
-            Action::LeaseAcquired { token } => self.gained(process, token),
-            Action::LeaseLost => self.trace.event(b'l', self.now, process),
+            Action::Persist { batch, records } => self.persist(process, batch, records),
+            Action::LeaseAcquired { token } => self.record_lease(process, token),
+            Action::LeaseLost => self.trace.fold_event(b'l', self.now, process),
         }
     }
 
-    fn gained(&mut self, process: usize, token: FencingToken) {
-        let before = self.highest_gained;
+    fn record_lease(&mut self, process: usize, token: FencingToken) {
+        let before = self.highest_acquired;
         let at = self.now;
-        assert!(token > before, "seed {} at {at:?}: {process} gained {token:?} after {before:?}", self.seed);
-        self.highest_gained = token;
-        self.trace.event(b'g', self.now, process);
-        self.trace.number(token.0);
+        assert!(
+            token > before,
+            "seed {} at {at:?}: {process} acquired {token:?} after {before:?}",
+            self.seed
+        );
+        self.highest_acquired = token;
+        self.trace.fold_event(b'g', self.now, process);
+        self.trace.fold_number(token.0);
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        self.note_token(from, &message.body);
-        if self.cuts.contains(&(from, to)) {
+        self.check_token(from, &message.body);
+        if self.blocked_links.contains(&(from, to)) {
             return;
         }
-        let longest = if self.slow_links && self.random.u8(..4) == 0 { SLOW_DELAY } else { LONGEST_DELAY };
-        let delay = SHORTEST_DELAY + (longest - SHORTEST_DELAY).mul_f64(self.random.f64());
-        self.after(delay, Later::Arrive { to, from, message });
+        let max_delay = if self.slow_links && self.random.u8(..4) == 0 { SLOW_DELAY } else { MAX_DELAY };
+        let delay = MIN_DELAY + (max_delay - MIN_DELAY).mul_f64(self.random.f64());
+        self.schedule(delay, Scheduled::Deliver { to, from, message });
     }
 
-    /// A process stands under a token in one campaign of its whole history, restarts and lost disks included.
-    fn note_token(&mut self, from: usize, body: &MessageBody) {
+    /// A process campaigns for a token once in its history, restarts and lost disks included.
+    fn check_token(&mut self, from: usize, body: &MessageBody) {
         let MessageBody::RequestVote { request_id, token } = *body else { return };
-        let first = *self.stood.entry((from, token)).or_insert(request_id);
+        let first = *self.campaigns.entry((from, token)).or_insert(request_id);
         assert_eq!(
             first, request_id,
-            "seed {} at {:?}: {from} stood twice under {token:?}",
+            "seed {} at {:?}: {from} campaigned twice under {token:?}",
             self.seed, self.now
         );
     }
 
-    fn store(&mut self, process: usize, batch: BatchId, records: Vec<Vec<u8>>) {
-        let writer = &mut self.processes[process];
-        writer.unsynced.extend(records.iter().cloned());
-        let (life, fails) = (writer.life, writer.disk_fails);
-        let longest = if writer.disk_stalls { STALLED_SYNC } else { LONGEST_SYNC };
-        let delay = SHORTEST_SYNC + (longest - SHORTEST_SYNC).mul_f64(self.random.f64());
-        self.after(delay, Later::Synced { process, life, batch, records, fails });
+    fn persist(&mut self, process: usize, batch: BatchId, records: Vec<Vec<u8>>) {
+        let process_state = &mut self.processes[process];
+        process_state.unsynced.extend(records.iter().cloned());
+        let (incarnation, fails) = (process_state.incarnation, process_state.disk_fails);
+        let max_delay = if process_state.disk_stalls { STALLED_SYNC } else { MAX_SYNC };
+        let delay = MIN_SYNC + (max_delay - MIN_SYNC).mul_f64(self.random.f64());
+        self.schedule(delay, Scheduled::Synced { process, incarnation, batch, records, fails });
     }
 }
 
