--- a/crates/membership/src/census.rs
+++ b/crates/membership/src/census.rs
@@ -1,22 +1,22 @@
-//! How many nodes live.
+//! The count of live nodes.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Nodes that are counted. Bounds memory against names that are none; beyond it, new names are not taken up.
+/// The most nodes that one monitor counts. It bounds the memory that made-up names can take; further names are ignored.
 pub const MAX_NODES: usize = 16_384;
-/// Other monitors whose counts are kept.
+/// The most other monitors whose counts are stored.
 pub const MAX_PEERS: usize = 64;
 
 /// The times of a [`Census`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CensusSettings {
-    /// A node that was not heard for so long no longer counts, nor does a peer's count. A node that moves from one
-    /// monitor to another counts twice for so long at most, unless its old monitor calls [`Census::forget`].
+    /// How long a heartbeat counts, and a peer's count; default 3 s. A node that moves from one monitor to another is
+    /// counted twice for so long at most, unless its old monitor calls [`Census::forget`].
     pub timeout: Duration,
-    /// The total falls to a lower number only after it has been lower for so long: a proxy's share of the fleet's
-    /// retries is one part in the total, so a total that is too high is safe and one that is too low is not.
+    /// How long the total must have been lower before it decreases; default 10 s. A proxy's share of the fleet's retry
+    /// budget is the budget divided by the total, so a total that is too high is safe and one that is too low is not.
     pub decrease_delay: Duration,
 }
 
@@ -26,106 +26,121 @@
     }
 }
 
+/// The last heartbeat of a node.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct Heartbeat {
     incarnation: u64,
-    at: Duration,
+    received_at: Duration,
 }
 
+/// The last count of another monitor.
 #[derive(Clone, Copy, Debug)]
 struct PeerCount {
-    live: u32,
+    live_count: u32,
+    received_at: Duration,
+}
+
+/// A total and when it was computed.
+#[derive(Clone, Copy, Debug)]
+struct Sample {
     at: Duration,
+    total: u32,
 }
 
-/// The nodes that one monitor hears, the counts of the other monitors, and the total of both.
+/// The nodes that send heartbeats to one monitor, the counts of the other monitors, and the total of both.
 #[derive(Clone, Debug)]
 pub struct Census {
     settings: CensusSettings,
-    /// Before this time too little was heard to tell a total.
-    settled_at: Duration,
-    nodes: HashMap<String, Heard>,
+    /// No total is known before: not every node has had the time for a heartbeat.
+    total_known_from: Duration,
+    nodes: HashMap<String, Heartbeat>,
     peers: HashMap<SocketAddr, PeerCount>,
-    /// Totals within `decrease_delay`, falling: each is the largest since the one before it.
-    window: VecDeque<(Duration, u32)>,
+    /// The sliding-window maximum of the totals within `decrease_delay`, as a deque: the totals strictly decrease from
+    /// front to back, and each is the largest since the one before it.
+    window: VecDeque<Sample>,
 }
 
 impl Census {
-    /// A census that begins now. Its total is 0, nothing known, until each node has had one `timeout` to beat.
+    /// A census that starts at `now`. Its total is 0, which means unknown, for one `timeout`.
     pub fn new(settings: CensusSettings, now: Duration) -> Self {
         Self {
             settings,
-            settled_at: now + settings.timeout,
+            total_known_from: now + settings.timeout,
             nodes: HashMap::new(),
             peers: HashMap::new(),
             window: VecDeque::new(),
         }
     }
 
-    /// Takes a heartbeat; returns whether the node is new or has started anew.
+    /// Records a heartbeat; returns whether the node is new or has restarted.
     pub fn record_heartbeat(&mut self, node: &str, incarnation: u64, now: Duration) -> bool {
-        if let Some(heard) = self.nodes.get_mut(node) {
-            let started = heard.incarnation != incarnation;
-            *heard = Heard { incarnation, at: now };
-            return started;
+        let heartbeat = Heartbeat { incarnation, received_at: now };
+        if let Some(last) = self.nodes.get_mut(node) {
+            let has_restarted = last.incarnation != incarnation;
+            *last = heartbeat;
+            return has_restarted;
         }
         if self.nodes.len() >= MAX_NODES {
-            self.drop_silent(now);
+            self.remove_expired(now);
         }
         if self.nodes.len() >= MAX_NODES {
             return false;
         }
-        self.nodes.insert(node.to_owned(), Heard { incarnation, at: now });
+        self.nodes.insert(node.to_owned(), heartbeat);
         true
     }
 
-    /// Stops counting a node, as when its link here ended because it took another monitor.
+    /// Stops counting a node, as when its connection ended because it moved to another monitor.
     pub fn forget(&mut self, node: &str) {
         self.nodes.remove(node);
     }
 
-    /// Nodes heard here within the timeout: what this monitor tells the others.
+    /// The number of nodes that sent this monitor a heartbeat within the timeout; it is what the monitor reports to its
+    /// peers.
     pub fn live_count(&self, now: Duration) -> u32 {
         let timeout = self.settings.timeout;
-        let live = self.nodes.values().filter(|heard| now.saturating_sub(heard.at) <= timeout).count();
-        u32::try_from(live).unwrap_or(u32::MAX)
+        let live = self.nodes.values().filter(|last| now.saturating_sub(last.received_at) <= timeout);
+        u32::try_from(live.count()).unwrap_or(u32::MAX)
     }
 
-    /// Takes the count of another monitor.
-    pub fn record_peer_count(&mut self, peer: SocketAddr, live: u32, now: Duration) {
+    /// Records the count that another monitor has reported.
+    pub fn record_peer_count(&mut self, peer: SocketAddr, live_count: u32, now: Duration) {
         if self.peers.len() < MAX_PEERS || self.peers.contains_key(&peer) {
-            self.peers.insert(peer, PeerCount { live, at: now });
+            self.peers.insert(peer, PeerCount { live_count, received_at: now });
         }
     }
 
-    /// Live nodes of the whole fleet: the largest sum of all fresh counts within the last `decrease_delay`, so that it grows at
-    /// once and shrinks late. 0 while too little is known. Call it at least every second.
+    /// The number of live nodes of the fleet; 0 while it is unknown. Call it at least every second.
+    ///
+    /// It is the largest sum of all fresh counts within the last `decrease_delay`, so that it increases at once and
+    /// decreases late.
     pub fn total(&mut self, now: Duration) -> u32 {
-        self.drop_silent(now);
-        if now < self.settled_at {
+        self.remove_expired(now);
+        if now < self.total_known_from {
             return 0;
         }
-        let sum = self.peers.values().fold(self.live_count(now), |sum, peer| sum.saturating_add(peer.live));
-        self.note(sum, now);
-        self.window.front().map_or(0, |(_, total)| *total)
+        let peer_counts = self.peers.values().map(|peer| peer.live_count);
+        let total = peer_counts.fold(self.live_count(now), u32::saturating_add);
+        self.record_total(total, now);
+        self.window.front().map_or(0, |largest| largest.total)
     }
 
-    fn drop_silent(&mut self, now: Duration) {
+    fn remove_expired(&mut self, now: Duration) {
         let timeout = self.settings.timeout;
-        self.nodes.retain(|_, heard| now.saturating_sub(heard.at) <= timeout);
-        self.peers.retain(|_, peer| now.saturating_sub(peer.at) <= timeout);
+        self.nodes.retain(|_, last| now.saturating_sub(last.received_at) <= timeout);
+        self.peers.retain(|_, peer| now.saturating_sub(peer.received_at) <= timeout);
     }
 
-    /// Keeps the window falling, so that its length is bounded by the numbers of different totals in it.
-    fn note(&mut self, sum: u32, now: Duration) {
-        while self.window.back().is_some_and(|(_, total)| *total <= sum) {
+    /// Adds a total to the window. The window keeps no sample that a later one is as large as, so that its length is
+    /// bounded by the number of different totals in it.
+    fn record_total(&mut self, total: u32, now: Duration) {
+        while self.window.back().is_some_and(|last| last.total <= total) {
             self.window.pop_back();
         }
-        self.window.push_back((now, sum));
-        let hold = self.settings.decrease_delay;
-        while self.window.len() > 1
-            && self.window.front().is_some_and(|(at, _)| now.saturating_sub(*at) > hold)
-        {
+        self.window.push_back(Sample { at: now, total });
+        let decrease_delay = self.settings.decrease_delay;
+        let is_old = |sample: &Sample| now.saturating_sub(sample.at) > decrease_delay;
+        while self.window.len() > 1 && self.window.front().is_some_and(is_old) {
             self.window.pop_front();
         }
     }
--- a/crates/membership/src/ring.rs
+++ b/crates/membership/src/hash_ring.rs
@@ -1,19 +1,23 @@
-//! The ring of monitors.
+//! The consistent-hash ring of monitors.
 
 use std::net::SocketAddr;
 
-/// Points of one monitor on the ring. With 9 monitors the largest share is then some 1.3 times the mean.
+/// The points of one monitor on the ring. With 9 monitors the largest share is then some 1.3 times the mean.
 pub const POINTS_PER_MONITOR: u32 = 64;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// Monitors on a ring of hashes, each at several points. A monitor that joins or leaves moves only the nodes whose
-/// next point was or becomes its own. Every process that knows the same monitors computes the same ring.
+/// A consistent-hash ring of monitors, each at several points (Karger et al., Consistent Hashing and Random Trees,
+/// STOC 1997).
+///
+/// A monitor that joins or leaves moves only the nodes whose next point was or becomes its own. Every process that knows
+/// the same monitors computes the same ring.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HashRing {
+    /// The points in the order of their hashes.
     points: Vec<(u64, SocketAddr)>,
-    monitors: usize,
+    monitor_count: usize,
 }
 
 impl HashRing {
@@ -24,36 +28,36 @@
         monitors.dedup();
         let mut points: Vec<_> = monitors.iter().flat_map(|monitor| points_of(*monitor)).collect();
         points.sort_unstable();
-        Self { points, monitors: monitors.len() }
+        Self { points, monitor_count: monitors.len() }
     }
 
-    /// The first `count` distinct monitors from the node's place on; fewer if there are fewer. The first is its home,
-    /// the others take over in this order.
-    pub fn monitors_of(&self, node: &str, count: usize) -> Vec<SocketAddr> {
-        let wanted = count.min(self.monitors);
-        let place = hash(node.as_bytes());
-        let start = self.points.partition_point(|(point, _)| *point < place);
+    /// The first `max_count` distinct monitors from the node's hash on; fewer if there are fewer. The first is the node's
+    /// home, the others take over in this order.
+    pub fn monitors_of(&self, node: &str, max_count: usize) -> Vec<SocketAddr> {
+        let count = max_count.min(self.monitor_count);
+        let node_hash = hash(node.as_bytes());
+        let start = self.points.partition_point(|(point, _)| *point < node_hash);
         let (before, from) = self.points.split_at(start);
-        let mut chosen = Vec::with_capacity(wanted);
+        let mut monitors = Vec::with_capacity(count);
         for (_, monitor) in from.iter().chain(before) {
-            if chosen.len() == wanted {
+            if monitors.len() == count {
                 break;
             }
-            if !chosen.contains(monitor) {
-                chosen.push(*monitor);
+            if !monitors.contains(monitor) {
+                monitors.push(*monitor);
             }
         }
-        chosen
+        monitors
     }
 
-    /// Monitors on the ring.
+    /// The number of monitors on the ring.
     pub fn len(&self) -> usize {
-        self.monitors
+        self.monitor_count
     }
 
-    /// Whether there is no monitor.
+    /// Whether the ring has no monitor.
     pub fn is_empty(&self) -> bool {
-        self.monitors == 0
+        self.monitor_count == 0
     }
 }
 
@@ -61,8 +65,9 @@
     (0..POINTS_PER_MONITOR).map(move |point| (hash(format!("{monitor}#{point}").as_bytes()), monitor))
 }
 
-/// FNV-1a, then the finaliser of SplitMix64, as FNV alone spreads short, similar names badly. Fixed here because every
-/// process must compute the same value, also across releases of the standard library.
+/// FNV-1a, then the finaliser of SplitMix64, as FNV alone spreads short, similar names badly.
+///
+/// It is fixed here, because every process must compute the same value, also across releases of the standard library.
 fn hash(bytes: &[u8]) -> u64 {
     let folded =
         bytes.iter().fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,16 +1,16 @@
-//! Which monitors a front beats to, how many fronts live, and which peers to suspect.
+//! Counts the live front-end nodes, and finds the monitors that a node reports to and the peers to suspect.
 //!
 //! Sans I/O: times are [`std::time::Duration`]s since any fixed point of the caller's steady clock.
 //!
-//! A front picks its monitors, the control processes, by its place on a [`HashRing`]. Each monitor counts the fronts that
-//! it has heard in a [`Census`] and tells the other monitors nothing but that count, so that what is sent between
-//! monitors does not grow with the fronts.
+//! The control processes are the monitors. A node finds its monitors by its place on a [`HashRing`] and sends them
+//! heartbeats. Each monitor counts the nodes that send it heartbeats in a [`Census`] and reports nothing but that count to
+//! the other monitors, so that the traffic between monitors does not grow with the number of nodes.
 #![forbid(unsafe_code)]
 
 mod census;
-mod detector;
-mod ring;
+mod failure_detector;
+mod hash_ring;
 
 pub use census::{Census, CensusSettings, MAX_NODES, MAX_PEERS};
-pub use detector::{FailureDetector, FailureDetectorSettings};
-pub use ring::{HashRing, POINTS_PER_MONITOR};
+pub use failure_detector::{FailureDetector, FailureDetectorSettings};
+pub use hash_ring::{HashRing, POINTS_PER_MONITOR};
--- a/crates/membership/tests/census.rs
+++ b/crates/membership/tests/census.rs
@@ -1,4 +1,4 @@
-//! How many nodes live.
+//! The count of live nodes.
 
 use lugwharf_membership::{Census, CensusSettings, MAX_NODES, MAX_PEERS};
 use std::net::SocketAddr;
@@ -16,17 +16,17 @@
     SocketAddr::from(([10, 0, 0, host], 7_700))
 }
 
-fn beat(census: &mut Census, nodes: std::ops::Range<u32>, now: Duration) {
+fn send_heartbeats(census: &mut Census, nodes: std::ops::Range<u32>, now: Duration) {
     nodes.for_each(|node| {
         census.record_heartbeat(&format!("n{node}"), 1, now);
     });
 }
 
 #[test]
-fn counts_nodes_heard_within_the_timeout() {
+fn nodes_with_a_heartbeat_within_the_timeout_are_counted() {
     let mut census = census();
-    beat(&mut census, 0..5, seconds(0.0));
-    beat(&mut census, 0..2, seconds(2.0));
+    send_heartbeats(&mut census, 0..5, seconds(0.0));
+    send_heartbeats(&mut census, 0..2, seconds(2.0));
     assert_eq!(census.live_count(seconds(3.0)), 5);
     assert_eq!(census.live_count(seconds(3.1)), 2);
     census.forget("n0");
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn tells_new_starts_apart() {
+fn new_and_restarted_nodes_are_reported() {
     let mut census = census();
     assert!(census.record_heartbeat("a", 5, seconds(0.0)));
     assert!(!census.record_heartbeat("a", 5, seconds(0.1)));
@@ -43,42 +43,42 @@
 }
 
 #[test]
-fn knows_no_total_before_each_node_could_beat() {
+fn total_is_unknown_before_each_node_could_send_a_heartbeat() {
     let mut census = census();
-    beat(&mut census, 0..1, seconds(0.5));
+    send_heartbeats(&mut census, 0..1, seconds(0.5));
     assert_eq!(census.total(seconds(0.5)), 0);
-    beat(&mut census, 0..40, seconds(2.9));
+    send_heartbeats(&mut census, 0..40, seconds(2.9));
     assert_eq!(census.total(seconds(3.0)), 40);
 }
 
 #[test]
-fn grows_at_once_and_shrinks_late() {
+fn total_increases_at_once_and_decreases_late() {
     let mut census = census();
-    beat(&mut census, 0..10, seconds(4.0));
+    send_heartbeats(&mut census, 0..10, seconds(4.0));
     assert_eq!(census.total(seconds(4.0)), 10);
-    beat(&mut census, 0..30, seconds(5.0));
+    send_heartbeats(&mut census, 0..30, seconds(5.0));
     assert_eq!(census.total(seconds(5.0)), 30);
     for tick in 6..=15 {
-        beat(&mut census, 0..10, seconds(f64::from(tick)));
+        send_heartbeats(&mut census, 0..10, seconds(f64::from(tick)));
         assert_eq!(census.total(seconds(f64::from(tick))), 30, "at {tick} s");
     }
     for tick in 16..=20 {
-        beat(&mut census, 0..10, seconds(f64::from(tick)));
+        send_heartbeats(&mut census, 0..10, seconds(f64::from(tick)));
         census.total(seconds(f64::from(tick)));
     }
     assert_eq!(census.total(seconds(20.0)), 10);
 }
 
 #[test]
-fn adds_the_counts_of_other_monitors_while_they_are_fresh() {
+fn fresh_counts_of_other_monitors_are_added() {
     let mut census = census();
-    beat(&mut census, 0..10, seconds(4.0));
+    send_heartbeats(&mut census, 0..10, seconds(4.0));
     census.record_peer_count(peer(1), 7, seconds(4.0));
     census.record_peer_count(peer(2), 5, seconds(4.0));
     census.record_peer_count(peer(2), 6, seconds(4.5));
     assert_eq!(census.total(seconds(4.5)), 23);
     for tick in 5..=30 {
-        beat(&mut census, 0..10, seconds(f64::from(tick)));
+        send_heartbeats(&mut census, 0..10, seconds(f64::from(tick)));
         census.record_peer_count(peer(1), 7, seconds(f64::from(tick)));
         census.total(seconds(f64::from(tick)));
     }
@@ -86,27 +86,27 @@
 }
 
 #[test]
-fn counts_a_node_that_moved_twice_for_a_timeout_at_most() {
+fn moved_node_is_counted_twice_for_a_timeout_at_most() {
     let (mut old, mut new) = (census(), census());
-    beat(&mut old, 0..10, seconds(4.0));
+    send_heartbeats(&mut old, 0..10, seconds(4.0));
     for tick in 5..=9 {
-        beat(&mut new, 0..10, seconds(f64::from(tick)));
+        send_heartbeats(&mut new, 0..10, seconds(f64::from(tick)));
     }
     assert_eq!(old.live_count(seconds(7.0)) + new.live_count(seconds(7.0)), 20);
     assert_eq!(old.live_count(seconds(7.1)) + new.live_count(seconds(7.1)), 10);
 }
 
 #[test]
-fn takes_up_a_bounded_number_of_names() {
+fn number_of_counted_nodes_is_bounded() {
     let mut census = census();
-    beat(&mut census, 0..MAX_NODES as u32 + 10, seconds(0.0));
+    send_heartbeats(&mut census, 0..MAX_NODES as u32 + 10, seconds(0.0));
     assert_eq!(census.live_count(seconds(0.0)), MAX_NODES as u32);
     assert!(census.record_heartbeat("late", 1, seconds(4.0)));
     assert_eq!(census.live_count(seconds(4.0)), 1);
 }
 
 #[test]
-fn takes_the_counts_of_a_bounded_number_of_monitors() {
+fn number_of_counted_monitors_is_bounded() {
     let mut census = census();
     (0..MAX_PEERS as u8 + 1).for_each(|host| census.record_peer_count(peer(host), 1, seconds(3.0)));
     census.record_peer_count(peer(0), 2, seconds(3.0));
@@ -114,14 +114,14 @@
 }
 
 #[test]
-fn shrinks_also_where_nobody_asked_at_the_end_of_the_hold() {
+fn total_decreases_also_if_not_read_at_the_end_of_the_delay() {
     let mut census = census();
-    beat(&mut census, 0..30, seconds(4.0));
+    send_heartbeats(&mut census, 0..30, seconds(4.0));
     assert_eq!(census.total(seconds(4.0)), 30);
-    beat(&mut census, 0..10, seconds(13.9));
+    send_heartbeats(&mut census, 0..10, seconds(13.9));
     assert_eq!(census.total(seconds(13.9)), 30);
-    beat(&mut census, 0..10, seconds(14.0));
-    assert_eq!(census.total(seconds(14.0)), 30, "as long as the hold");
-    beat(&mut census, 0..10, seconds(14.6));
+    send_heartbeats(&mut census, 0..10, seconds(14.0));
+    assert_eq!(census.total(seconds(14.0)), 30, "for as long as the delay");
+    send_heartbeats(&mut census, 0..10, seconds(14.6));
     assert_eq!(census.total(seconds(14.6)), 10);
 }
--- a/crates/membership/tests/detector.rs
+++ b/crates/membership/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Whom to suspect.
+//! Which peers are suspected, and when.
 
 use lugwharf_membership::{FailureDetector, FailureDetectorSettings};
 use rstest::rstest;
@@ -19,13 +19,13 @@
     SocketAddr::from(([10, 0, 0, 1], 7_700))
 }
 
-/// A peer that has beaten with these pauses in turn, and the time of its last beat.
-fn beaten(pauses: &[u64]) -> (FailureDetector, Duration) {
+/// A detector of a peer that has sent heartbeats at these intervals in turn, and the time of the last one.
+fn detector_after(intervals: &[u64]) -> (FailureDetector, Duration) {
     let mut detector = FailureDetector::new(SETTINGS);
     let mut now = ms(1_000);
     detector.record_heartbeat(peer(), now);
-    for pause in pauses.iter().cycle().take(40) {
-        now += ms(*pause);
+    for interval in intervals.iter().cycle().take(40) {
+        now += ms(*interval);
         detector.record_heartbeat(peer(), now);
     }
     (detector, now)
@@ -35,15 +35,17 @@
 #[case::fast_and_regular(&[100], 300)]
 #[case::slow_and_regular(&[200], 500)]
 #[case::irregular(&[50, 350], 800)]
-#[case::never_beyond_the_longest(&[900], 1_500)]
-fn suspects_after_a_silence_that_fits_the_beats(#[case] pauses: &[u64], #[case] silence: u64) {
-    let (detector, last) = beaten(pauses);
-    assert!(!detector.is_suspected(peer(), last + ms(silence) - ms(1)));
-    assert!(detector.is_suspected(peer(), last + ms(silence) + ms(1)));
+#[case::never_above_the_maximum(&[900], 1_500)]
+fn peer_is_suspected_after_a_timeout_that_fits_its_heartbeats(
+    #[case] intervals: &[u64], #[case] timeout: u64,
+) {
+    let (detector, last) = detector_after(intervals);
+    assert!(!detector.is_suspected(peer(), last + ms(timeout) - ms(1)));
+    assert!(detector.is_suspected(peer(), last + ms(timeout) + ms(1)));
 }
 
 #[test]
-fn suspects_a_watched_peer_that_never_beats() {
+fn watched_peer_without_any_heartbeat_is_suspected() {
     let mut detector = FailureDetector::new(SETTINGS);
     assert!(!detector.is_suspected(peer(), ms(9_000)));
     detector.watch(peer(), ms(1_000));
@@ -55,17 +57,17 @@
 }
 
 #[test]
-fn blames_no_peer_for_its_own_pause() {
-    let (mut detector, last) = beaten(&[100]);
+fn local_pause_is_not_held_against_peers() {
+    let (mut detector, last) = detector_after(&[100]);
     detector.tick(last);
-    let thawed = last + ms(4_000);
-    detector.tick(thawed);
-    assert!(!detector.is_suspected(peer(), thawed));
-    assert!(detector.is_suspected(peer(), thawed + ms(301)));
+    let resumed = last + ms(4_000);
+    detector.tick(resumed);
+    assert!(!detector.is_suspected(peer(), resumed));
+    assert!(detector.is_suspected(peer(), resumed + ms(301)));
 }
 
 #[test]
-fn watches_a_bounded_number_of_peers() {
+fn number_of_watched_peers_is_bounded() {
     let mut detector = FailureDetector::new(SETTINGS);
     let peers: Vec<_> = (0..=64).map(|host| SocketAddr::from(([10, 0, 1, host], 7_700))).collect();
     peers.iter().for_each(|peer| detector.watch(*peer, ms(0)));
@@ -76,8 +78,8 @@
 #[rstest]
 #[case::too_few_to_tell(3, false)]
 #[case::enough(4, true)]
-fn judges_by_the_beats_once_there_are_some(#[case] intervals: u64, #[case] suspected: bool) {
+fn timeout_adapts_once_there_are_enough_heartbeats(#[case] intervals: u64, #[case] suspected: bool) {
     let mut detector = FailureDetector::new(SETTINGS);
-    (0..=intervals).for_each(|beat| detector.record_heartbeat(peer(), ms(100 * beat)));
+    (0..=intervals).for_each(|heartbeat| detector.record_heartbeat(peer(), ms(100 * heartbeat)));
     assert_eq!(detector.is_suspected(peer(), ms(100 * intervals + 301)), suspected);
 }
--- a/crates/membership/tests/ring.rs
+++ b/crates/membership/tests/hash_ring.rs
@@ -1,4 +1,4 @@
-//! Which monitors a node beats to.
+//! Which monitors a node sends heartbeats to.
 
 use lugwharf_membership::HashRing;
 use rstest::rstest;
@@ -19,7 +19,7 @@
 #[case::one(1, 2, 1)]
 #[case::two_of_three(3, 2, 2)]
 #[case::all(5, 9, 5)]
-fn names_distinct_monitors(#[case] count: u8, #[case] wanted: usize, #[case] named: usize) {
+fn monitors_of_a_node_are_distinct(#[case] count: u8, #[case] wanted: usize, #[case] named: usize) {
     let ring = HashRing::new(&monitors(count));
     for node in nodes() {
         let mut chosen = ring.monitors_of(&node, wanted);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn is_the_same_for_any_order_of_monitors() {
+fn ring_does_not_depend_on_the_order_of_monitors() {
     let mut reversed = monitors(5);
     reversed.reverse();
     reversed.extend(monitors(2));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn moves_only_the_nodes_of_a_monitor_that_leaves() {
+fn only_nodes_of_a_leaving_monitor_move() {
     let all = HashRing::new(&monitors(5));
     let left = monitors(5)[2];
     let rest: Vec<SocketAddr> = monitors(5).into_iter().filter(|monitor| *monitor != left).collect();
@@ -46,15 +46,15 @@
     for node in nodes() {
         let before = all.monitors_of(&node, 2);
         let after = rest.monitors_of(&node, 1);
-        let heir = if before[0] == left { before[1] } else { before[0] };
-        assert_eq!(after, [heir]);
+        let successor = if before[0] == left { before[1] } else { before[0] };
+        assert_eq!(after, [successor]);
     }
 }
 
 #[rstest]
 #[case(3)]
 #[case(9)]
-fn spreads_the_nodes(#[case] count: u8) {
+fn nodes_are_spread_evenly(#[case] count: u8) {
     let ring = HashRing::new(&monitors(count));
     let mean = NODES / usize::from(count);
     for monitor in monitors(count) {
@@ -64,15 +64,15 @@
 }
 
 #[test]
-fn counts_its_monitors() {
+fn len_is_the_number_of_monitors() {
     assert_eq!(HashRing::new(&monitors(3)).len(), 3);
     assert!(!HashRing::new(&monitors(3)).is_empty());
     assert!(HashRing::new(&[]).is_empty());
 }
 
-/// Processes of different releases share a ring: what a node is placed at is part of the protocol.
+/// Processes of different releases share a ring: the placement of nodes is part of the protocol.
 #[test]
-fn places_nodes_where_every_release_places_them() {
+fn placement_is_the_same_in_every_release() {
     let ring = HashRing::new(&monitors(9));
     let homes: String = nodes()
         .take(60)
