--- a/crates/stages/src/lib.rs
+++ b/crates/stages/src/lib.rs
@@ -1,19 +1,26 @@
-//! Plans which model servers read prompts (prefill) and which make tokens (decode).
+//! Plans which model servers prefill prompts and which decode tokens, and when a server changes its stage.
 //!
-//! [`Planner`] is a state machine without I/O. The holder of the list reader's role hands it each listing with the load of the
-//! fleet; it says which servers are to change their part, in three steps:
+//! [`Planner`] is a state machine without I/O. The holder of the list watcher's role passes it each list of servers with the
+//! load of the fleet. The planner decides which servers change their stage, in three steps:
 //!
-//! 1. **announce**: the server is shown to the proxies as leaving ([`Planner::overlay`]), so that nothing new is on its way
-//!    to it when it changes;
-//! 2. **order**: [`Planner::due_orders`] names the order once the announcement has reached everybody;
-//! 3. **settle**: the server stays out until it has had the time to change and the list has had the time to show it.
+//! 1. **Announce**: the server is shown to the proxies as draining ([`Planner::overlay`]), so that no new request is on its
+//!    way to it when it changes.
+//! 2. **Order**: [`Planner::due_orders`] returns the order once the announcement has reached every proxy.
+//! 3. **Settle**: the server stays out of service until it has had the time to change and the list has had the time to show
+//!    the new stage.
 //!
-//! The size of the parts is worked out in [`target`].
+//! How many servers of each zone should decode is computed in [`target`].
 #![forbid(unsafe_code)]
 
+mod change;
+mod load;
+mod order;
 mod planner;
+mod settings;
 pub mod target;
 mod tuning;
 
-pub use planner::{Order, OrderOutcome, Planner, PlannerSettings};
+pub use order::{Order, OrderOutcome};
+pub use planner::Planner;
+pub use settings::PlannerSettings;
 pub use tuning::StageTuning;
--- /dev/null
+++ b/crates/stages/src/settings.rs
@@ -0,0 +1,34 @@
+//! The settings of a planner.
+
+use std::time::Duration;
+
+/// The times of a planner.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PlannerSettings {
+    /// No order is sent for so long after the lease was acquired; default 3.2 s. Two holders must not give orders in turn
+    /// within the lease that the deployment states.
+    pub acquisition_delay: Duration,
+    /// The time from the announcement to the order; default 300 ms.
+    pub announcement_delay: Duration,
+    /// How old the list of servers may be, with the time between two reads; default 2 s.
+    pub list_lag: Duration,
+    /// The time after servers of a service have changed their stage, before the next change; default 3 s.
+    pub change_cooldown: Duration,
+    /// How long a server that rejected an order gets no other one; default 5 s.
+    pub failure_cooldown: Duration,
+    /// The time constant of the exponential decay of the load that is planned for; default 20 s.
+    pub load_decay_time: Duration,
+}
+
+impl Default for PlannerSettings {
+    fn default() -> Self {
+        PlannerSettings {
+            acquisition_delay: Duration::from_millis(3_200),
+            announcement_delay: Duration::from_millis(300),
+            list_lag: Duration::from_millis(2_000),
+            change_cooldown: Duration::from_secs(3),
+            failure_cooldown: Duration::from_secs(5),
+            load_decay_time: Duration::from_secs(20),
+        }
+    }
+}
--- a/crates/stages/src/tuning.rs
+++ b/crates/stages/src/tuning.rs
@@ -1,19 +1,22 @@
-//! The figures of the planning of parts that a settings file may set, and its switch.
+//! The tuning of stage planning by a settings file.
 
 use serde::Deserialize;
 
-/// The figures.
+/// The section `[stages]` of a tuning file. A key that is missing has its default.
+///
+/// The names of the keys are fixed; see docs/OPERATING.md.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StageTuning {
-    /// Whether servers are ordered to change their parts.
+    /// Whether servers are ordered to change their stage; default true.
     pub orders: bool,
-    /// The share of servers that make tokens at least: a hand-over of memory occupies a server's link, and few links would be
-    /// busy links.
+    /// The smallest share of servers that decode; default 0.2. A transfer of KV cache occupies the link of a decode server,
+    /// and a few links would be saturated.
     #[serde(rename = "least_decode_share")]
     pub min_decode_share: f64,
-    /// The share of the places of decode servers that may be taken: the rest is for bursts and for servers that are lost. A full
-    /// batch makes tokens at half the pace of an empty one, which is many times faster than pauses may last.
+    /// The largest share of the decode servers' slots that may be in use; default 0.6. The rest is for bursts and for
+    /// servers that fail. A full batch decodes at half the pace of an empty one, which is still many times faster than the
+    /// longest pause between tokens that is allowed.
     #[serde(rename = "decode_fill")]
     pub max_decode_utilization: f64,
 }
--- a/crates/stages/tests/planner.rs
+++ b/crates/stages/tests/planner.rs
@@ -1,4 +1,4 @@
-//! When servers change their part.
+//! When servers change their stage.
 
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
 use lugwharf_stages::target::{Demand, decode_targets};
@@ -31,7 +31,7 @@
     }
 }
 
-/// Two zones of four; in each, `decode` make tokens.
+/// Two zones of four servers; in each, `decode` of them decode.
 fn fleet(decode: u16) -> Vec<ServerEntry> {
     let stage = |number| if number < decode { Stage::Decode } else { Stage::Prefill };
     let zone = |zone: &'static str, first: u16| (0..4).map(move |n| server(first + n, zone, stage(n)));
@@ -43,13 +43,13 @@
     planner.plan(now, "s", &servers, demand);
 }
 
-fn gained() -> Planner {
+fn planner_with_lease() -> Planner {
     let mut planner = Planner::new(PlannerSettings::default());
     planner.lease_acquired(Duration::ZERO);
     planner
 }
 
-fn ids(planner: &mut Planner, now: Duration) -> Vec<(String, Stage)> {
+fn ordered_stages(planner: &mut Planner, now: Duration) -> Vec<(String, Stage)> {
     planner.due_orders(now).into_iter().map(|order| (order.id, order.stage)).collect()
 }
 
@@ -61,10 +61,10 @@
 #[case(&[1, 5], 0.0, &[1, 1])]
 #[case(&[3, 3], 1e9, &[2, 2])]
 #[case(&[1], 0.0, &[1])]
-#[case::an_empty_zone(&[0, 4], 0.0, &[0, 1])]
+#[case::empty_zone(&[0, 4], 0.0, &[0, 1])]
 #[case::the_smaller_zone_is_further_below_its_share(&[11, 7], 0.0, &[3, 2])]
 #[case::the_larger_zone_is_further_below_its_share(&[13, 5], 0.0, &[4, 1])]
-fn decode_gets_what_it_needs_and_each_zone_keeps_both_parts(
+fn decode_targets_meet_the_demand_and_leave_both_stages_in_each_zone(
     #[case] servers: &[usize], #[case] in_flight: f64, #[case] expected: &[usize],
 ) {
     let names = ["a", "b", "c"];
@@ -74,22 +74,22 @@
 }
 
 #[test]
-fn nothing_is_ordered_before_the_last_holders_lease_is_over() {
-    let mut planner = gained();
+fn nothing_is_ordered_before_the_acquisition_delay() {
+    let mut planner = planner_with_lease();
     let servers = fleet(3);
     plan(&mut planner, seconds(3.0), &servers, &demand(0.0));
-    assert!(ids(&mut planner, seconds(3.1)).is_empty());
+    assert!(ordered_stages(&mut planner, seconds(3.1)).is_empty());
     plan(&mut planner, seconds(3.3), &servers, &demand(0.0));
-    assert!(ids(&mut planner, seconds(3.5)).is_empty(), "announced, not ordered yet");
-    let orders = ids(&mut planner, seconds(3.7));
+    assert!(ordered_stages(&mut planner, seconds(3.5)).is_empty(), "announced, not ordered yet");
+    let orders = ordered_stages(&mut planner, seconds(3.7));
     assert_eq!(orders.len(), 4);
     assert!(orders.iter().all(|(_, stage)| *stage == Stage::Prefill));
-    assert!(ids(&mut planner, seconds(3.8)).is_empty(), "each is named once");
+    assert!(ordered_stages(&mut planner, seconds(3.8)).is_empty(), "each is returned once");
 }
 
 #[test]
-fn a_server_is_shown_as_leaving_from_its_announcement_until_it_has_changed() {
-    let mut planner = gained();
+fn changing_server_is_draining_from_its_announcement_until_the_list_shows_it() {
+    let mut planner = planner_with_lease();
     let servers = fleet(3);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
     let draining = |planner: &Planner| {
@@ -114,8 +114,8 @@
 }
 
 #[test]
-fn an_order_without_an_answer_keeps_its_server_out_until_it_could_have_changed() {
-    let mut planner = gained();
+fn order_of_unknown_outcome_keeps_its_server_draining_until_it_could_have_changed() {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
     let orders = planner.due_orders(seconds(5.0));
     assert_eq!(orders.len(), 2);
@@ -132,35 +132,35 @@
 }
 
 #[test]
-fn under_load_one_server_of_a_zone_changes_at_a_time_and_then_there_is_a_pause() {
-    let mut planner = gained();
+fn under_load_one_server_of_a_zone_changes_at_a_time_followed_by_a_cooldown() {
+    let mut planner = planner_with_lease();
     let servers = fleet(3);
     plan(&mut planner, seconds(4.0), &servers, &demand(10.0));
     let orders = planner.due_orders(seconds(5.0));
     assert_eq!(orders.len(), 2);
     plan(&mut planner, seconds(5.1), &servers, &demand(10.0));
-    assert!(planner.due_orders(seconds(6.0)).is_empty(), "two are under way");
+    assert!(planner.due_orders(seconds(6.0)).is_empty(), "two are in progress");
     orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(6.0), &order.id, OrderOutcome::Rejected, SWITCH));
     plan(&mut planner, seconds(7.0), &servers, &demand(10.0));
-    assert!(planner.due_orders(seconds(8.0)).is_empty(), "a pause");
+    assert!(planner.due_orders(seconds(8.0)).is_empty(), "a cooldown");
     plan(&mut planner, seconds(17.0), &servers, &demand(10.0));
     assert_eq!(planner.due_orders(seconds(18.0)).len(), 2);
 }
 
 #[test]
-fn more_answers_under_way_bring_servers_back_to_decode() {
-    let mut planner = gained();
+fn more_requests_in_flight_reassign_servers_to_decode() {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(1), &demand(150.0));
-    let orders = ids(&mut planner, seconds(5.0));
+    let orders = ordered_stages(&mut planner, seconds(5.0));
     assert_eq!(orders.len(), 2);
     assert!(orders.iter().all(|(_, stage)| *stage == Stage::Decode));
 }
 
 #[test]
-fn after_the_role_is_lost_nothing_is_ordered() {
-    let mut planner = gained();
+fn nothing_is_ordered_after_the_lease_is_lost() {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(3), &demand(0.0));
     planner.lease_lost();
     assert!(planner.due_orders(seconds(9.0)).is_empty());
@@ -172,8 +172,8 @@
 }
 
 #[test]
-fn servers_that_a_burst_needed_are_kept_for_a_while_after_it() {
-    let mut planner = gained();
+fn decode_servers_of_a_burst_are_retained_for_a_while() {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(150.0));
     plan(&mut planner, seconds(8.0), &fleet(2), &demand(1.0));
     assert!(planner.due_orders(seconds(9.0)).is_empty(), "the next burst may come");
@@ -182,10 +182,10 @@
 }
 
 #[rstest]
-#[case::one_too_many_under_load(&[2, 1], 10.0, 0)]
-#[case::two_too_many_under_load(&[2, 2], 10.0, 2)]
-#[case::one_too_many_without_load(&[2, 1], 0.0, 1)]
-fn one_decode_server_too_many_stays_while_there_is_load(
+#[case::one_surplus_under_load(&[2, 1], 10.0, 0)]
+#[case::two_surplus_under_load(&[2, 2], 10.0, 2)]
+#[case::one_surplus_without_load(&[2, 1], 0.0, 1)]
+fn single_surplus_decode_server_is_not_reassigned_under_load(
     #[case] decode: &[u16], #[case] in_flight: f64, #[case] orders: usize,
 ) {
     let stage = |number, decode| if number < decode { Stage::Decode } else { Stage::Prefill };
@@ -194,18 +194,19 @@
         .into_iter()
         .flat_map(|(zone, first, decode)| (0..4).map(move |n| server(first + n, zone, stage(n, decode))))
         .collect();
-    let mut planner = gained();
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &servers, &demand(in_flight));
     assert_eq!(planner.due_orders(seconds(5.0)).len(), orders);
 }
 
-/// The role is lost with an order under way, and gained again: its answer comes when the next change is only announced.
+/// The lease is lost with an order outstanding, and acquired again: the outcome comes when the next change is only
+/// announced.
 #[rstest]
 #[case(OrderOutcome::Accepted)]
 #[case(OrderOutcome::Unknown)]
 #[case(OrderOutcome::Rejected)]
-fn an_answer_of_an_earlier_tenure_is_not_taken_for_the_next_orders(#[case] late: OrderOutcome) {
-    let mut planner = gained();
+fn outcome_of_an_order_under_an_earlier_lease_is_ignored(#[case] late: OrderOutcome) {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
     let orders = planner.due_orders(seconds(5.0));
     assert_eq!(orders.len(), 2);
@@ -213,13 +214,13 @@
     planner.lease_acquired(seconds(6.0));
     plan(&mut planner, seconds(10.0), &fleet(2), &demand(0.0));
     orders.iter().for_each(|order| planner.record_outcome(seconds(10.1), &order.id, late, SWITCH));
-    assert_eq!(planner.due_orders(seconds(11.0)), orders, "each is given in this tenure too");
+    assert_eq!(planner.due_orders(seconds(11.0)), orders, "each is returned under this lease too");
 }
 
-/// Only the first answer counts: a second one would have the server stay out for longer, or come back too soon.
+/// A second outcome would have the server stay out of service for longer, or return too soon.
 #[test]
-fn an_order_is_answered_once() {
-    let mut planner = gained();
+fn only_the_first_outcome_of_an_order_counts() {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
     let orders = planner.due_orders(seconds(5.0));
     orders
@@ -233,37 +234,39 @@
     assert_eq!(shown.iter().filter(|server| server.state == ServerState::Draining).count(), 2);
 }
 
-/// Servers of `servers` that the proxies are told to leave alone.
-fn leaving(planner: &Planner, servers: &[ServerEntry]) -> usize {
+/// How many of the servers are shown as draining.
+fn draining_count(planner: &Planner, servers: &[ServerEntry]) -> usize {
     let mut shown = servers.to_vec();
     planner.overlay(&mut shown);
     shown.iter().filter(|server| server.state == ServerState::Draining).count()
 }
 
 #[test]
-fn a_server_that_refused_stays_in_service_and_rests() {
-    let mut planner = gained();
+fn server_that_rejected_stays_in_service_and_cools_down() {
+    let mut planner = planner_with_lease();
     let servers = fleet(3);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
     let orders = planner.due_orders(seconds(5.0));
     orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Rejected, SWITCH));
-    assert_eq!(leaving(&planner, &servers), 0);
-    // A list that shows the wanted part, read before the refusal, ends no rest.
+    assert_eq!(draining_count(&planner, &servers), 0);
+    // A list that shows the wanted stage, read before the rejection, ends no cooldown.
     planner.observe(&fleet(1));
     let settings = PlannerSettings::default();
-    let rest = SWITCH + settings.list_lag + settings.change_cooldown;
-    plan(&mut planner, seconds(5.0) + rest, &servers, &demand(0.0));
-    assert_eq!(planner.due_orders(seconds(20.0)).len(), 4, "the rest of the servers is over as well");
+    let cooldown = SWITCH + settings.list_lag + settings.change_cooldown;
+    plan(&mut planner, seconds(5.0) + cooldown, &servers, &demand(0.0));
+    assert_eq!(planner.due_orders(seconds(20.0)).len(), 4, "the cooldown of the servers is over as well");
 }
 
-/// Until just before the pause after a change ends, nothing is planned.
+/// Until just before the cooldown after a change ends, nothing is planned.
 #[rstest]
 #[case::within(Duration::from_millis(1), 0)]
 #[case::at_its_end(Duration::ZERO, 2)]
-fn a_service_rests_for_the_switch_the_lag_and_the_pause(#[case] before: Duration, #[case] orders: usize) {
-    let mut planner = gained();
+fn service_cools_down_for_the_switch_the_lag_and_the_cooldown(
+    #[case] before: Duration, #[case] orders: usize,
+) {
+    let mut planner = planner_with_lease();
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
     let given = planner.due_orders(seconds(5.0));
@@ -277,28 +280,28 @@
     assert_eq!(planner.due_orders(end + seconds(1.0)).len(), orders);
 }
 
-/// Its order may have been taken: it comes back only when the list could show it.
+/// Its order may have been accepted: it returns to service only when the list could show it.
 #[rstest]
 #[case::within(Duration::from_millis(1), 2)]
 #[case::at_its_end(Duration::ZERO, 0)]
-fn a_server_that_changes_stays_out_for_the_switch_and_the_lag(#[case] before: Duration, #[case] out: usize) {
-    let mut planner = gained();
+fn changing_server_is_draining_for_the_switch_and_the_lag(#[case] before: Duration, #[case] out: usize) {
+    let mut planner = planner_with_lease();
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
     let given = planner.due_orders(seconds(5.0));
     given
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
-    // The list still shows the old part.
+    // The list still shows the old stage.
     planner.observe(&servers);
     let end = seconds(5.0) + SWITCH + PlannerSettings::default().list_lag;
     plan(&mut planner, end - before, &servers, &demand(0.0));
-    assert_eq!(leaving(&planner, &servers), out);
+    assert_eq!(draining_count(&planner, &servers), out);
 }
 
 #[test]
-fn a_change_in_one_service_does_not_hold_up_another() {
-    let mut planner = gained();
+fn change_in_one_service_does_not_delay_another() {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
     let others: Vec<ServerEntry> = (100..104)
         .map(|n| server(n, "a", if n < 103 { Stage::Decode } else { Stage::Prefill }))
@@ -308,34 +311,34 @@
     assert_eq!(planner.due_orders(seconds(5.0)).len(), 4);
 }
 
-/// Where there is one request or more, servers change one by one and one too many stays.
+/// With one request or more in flight, servers change one by one and a single surplus one stays.
 #[rstest]
 #[case::none(0.99, 4)]
 #[case::one(1.0, 2)]
-fn one_request_is_load(#[case] in_flight: f64, #[case] orders: usize) {
-    let mut planner = gained();
+fn one_request_in_flight_is_load(#[case] in_flight: f64, #[case] orders: usize) {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(3), &demand(in_flight));
     assert_eq!(planner.due_orders(seconds(5.0)).len(), orders);
 }
 
-/// 100 requests want 3 of 12 decode servers: 5 are two too many, 4 are one.
+/// 100 requests want 3 of 12 servers to decode: 5 are two surplus, 4 are one.
 #[rstest]
 #[case(4, 0)]
 #[case(5, 1)]
-fn two_too_many_are_counted_over_the_wanted_ones(#[case] decode: u16, #[case] orders: usize) {
+fn surplus_is_counted_over_the_wanted_decode_servers(#[case] decode: u16, #[case] orders: usize) {
     let stage = |number| if number < decode { Stage::Decode } else { Stage::Prefill };
     let servers: Vec<ServerEntry> = (0..12).map(|n| server(n, "a", stage(n))).collect();
-    let mut planner = gained();
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &servers, &demand(100.0));
     assert_eq!(planner.due_orders(seconds(5.0)).len(), orders);
 }
 
-/// 150 requests want 4 of 8 servers; a time constant later a third of what went is still held, which wants 2.
+/// 150 requests want 4 of 8 servers; a time constant later a third of the decrease is still counted, which wants 2.
 #[rstest]
 #[case::soon(seconds(8.0), 0)]
 #[case::after_the_time_constant(seconds(24.0), 2)]
-fn a_load_is_forgotten_by_its_time_constant(#[case] later: Duration, #[case] orders: usize) {
-    let mut planner = gained();
+fn load_decays_by_its_time_constant(#[case] later: Duration, #[case] orders: usize) {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(150.0));
     plan(&mut planner, later, &fleet(2), &demand(20.0));
     assert_eq!(planner.due_orders(later + seconds(1.0)).len(), orders);
@@ -344,63 +347,64 @@
 /// Without load as many change as are missing, and no more.
 #[test]
 fn without_load_all_missing_decode_servers_change_at_once() {
-    let mut planner = gained();
+    let mut planner = planner_with_lease();
     let demand = Demand { min_decode_share: 0.75, ..demand(0.0) };
     plan(&mut planner, seconds(4.0), &fleet(1), &demand);
     assert_eq!(planner.due_orders(seconds(5.0)).len(), 4);
 }
 
-/// A list that already shows the new part does not end an order whose answer has not come.
+/// A list that already shows the new stage does not end an order without an outcome.
 #[test]
-fn a_server_stays_out_until_its_order_has_ended() {
-    let mut planner = gained();
+fn server_is_draining_until_its_order_has_an_outcome() {
+    let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
     assert_eq!(planner.due_orders(seconds(5.0)).len(), 2);
     planner.observe(&fleet(1));
-    assert_eq!(leaving(&planner, &fleet(1)), 2);
+    assert_eq!(draining_count(&planner, &fleet(1)), 2);
 }
 
-/// Also longer than its service rests.
+/// Also longer than the cooldown of its service.
 #[rstest]
 #[case::within(Duration::from_millis(1), 0)]
 #[case::at_its_end(Duration::ZERO, 2)]
-fn a_server_that_refused_is_left_alone_for_its_rest(#[case] before: Duration, #[case] orders: usize) {
-    let rest = seconds(60.0);
-    let mut planner = Planner::new(PlannerSettings { failure_cooldown: rest, ..PlannerSettings::default() });
+fn server_that_rejected_gets_no_order_for_its_cooldown(#[case] before: Duration, #[case] orders: usize) {
+    let cooldown = seconds(60.0);
+    let mut planner =
+        Planner::new(PlannerSettings { failure_cooldown: cooldown, ..PlannerSettings::default() });
     planner.lease_acquired(Duration::ZERO);
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
     let given = planner.due_orders(seconds(5.0));
-    let refused: Vec<ServerEntry> =
+    let rejected: Vec<ServerEntry> =
         servers.iter().filter(|server| given.iter().any(|order| order.id == server.id)).cloned().collect();
     given
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Rejected, SWITCH));
-    // Those that refused are the only ones with the part that is too many.
+    // Those that rejected are the only ones with the surplus stage.
     let mut rest_of_fleet = servers;
     for server in &mut rest_of_fleet {
-        if !refused.iter().any(|refused| refused.id == server.id) {
+        if !rejected.iter().any(|rejected| rejected.id == server.id) {
             server.stage = Some(Stage::Prefill);
         }
     }
     let lone = Demand { min_decode_share: 0.0, ..demand(0.0) };
     let all = [rest_of_fleet, vec![server(5, "a", Stage::Decode), server(15, "b", Stage::Decode)]].concat();
-    let end = seconds(5.0) + rest;
+    let end = seconds(5.0) + cooldown;
     plan(&mut planner, end - before, &all, &lone);
     let again = planner.due_orders(end + seconds(1.0));
-    let again = again.iter().filter(|order| refused.iter().any(|server| server.id == order.id));
+    let again = again.iter().filter(|order| rejected.iter().any(|server| server.id == order.id));
     assert_eq!(again.count(), orders);
 }
 
-/// Plays a fleet of three zones whose load, answers and listings are drawn from the seed; returns every order in its
+/// Simulates a fleet of three zones whose load, outcomes and lists are drawn from the seed; returns every order in its
 /// turn, with its time in ms.
 fn orders_of(seed: u64) -> Vec<(u64, String, Stage)> {
-    let mut random = Draws(seed);
+    let mut random = SplitMix64(seed);
     let stage = |draw: u64| if draw == 0 { Stage::Decode } else { Stage::Prefill };
     let zones = ["a", "b", "c"];
     let mut servers: Vec<ServerEntry> =
         (0..18).map(|n| server(n, zones[random.below(3) as usize], stage(random.below(2)))).collect();
-    let mut planner = gained();
+    let mut planner = planner_with_lease();
     let mut switching: Vec<(Duration, String, Stage)> = Vec::new();
     let mut all = Vec::new();
     for step in 1..300 {
@@ -428,10 +432,10 @@
     all
 }
 
-/// SplitMix64.
-struct Draws(u64);
+/// A generator whose sequence never changes.
+struct SplitMix64(u64);
 
-impl Draws {
+impl SplitMix64 {
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -458,7 +462,7 @@
     4,
     "3600+2 3600+4 11000+11 11000+5 18400+11 18400+7 25800+10 25800+12 33200-0 33200-1 40600+0 40600+14 48000+0 48000+14 55400-0 55400-4"
 )]
-fn orders_are_those_captured(#[case] seed: u64, #[case] captured: &str) {
+fn orders_match_the_captured_ones(#[case] seed: u64, #[case] captured: &str) {
     let orders = orders_of(seed).into_iter().map(|(at, id, stage)| {
         let sign = if stage == Stage::Decode { '+' } else { '-' };
         format!("{at}{sign}{}", id.trim_start_matches("i-"))
