--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/feed.rs
@@ -60,7 +60,7 @@
     shared: &Shared, mut writer: OwnedWriteHalf, applied: &Notify,
 ) -> Result<(), FrameError> {
     loop {
-        let loads = shared.balancer.borrow().loads();
+        let loads = shared.balancer.borrow().in_flight_loads();
         write_frame(&mut writer, &ProxyReport { have: shared.have(), loads }).await?;
         tokio::select! {
             () = applied.notified() => {}
--- a/crates/proxy/src/feed_tests.rs
+++ b/crates/proxy/src/feed_tests.rs
@@ -90,7 +90,7 @@
 async fn the_same_list_again_keeps_servers_as_they_are() {
     with_agent(async |agent, shared| {
         let (old, report) = link(agent).await;
-        let before: Vec<_> = shared.balancer.borrow().keys().collect();
+        let before: Vec<_> = shared.balancer.borrow().server_keys().collect();
         drop(old);
         let (mut new, _) = link(agent).await;
         let position = report.have.servers;
@@ -101,7 +101,7 @@
             .expect("sent");
         let after: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
         assert_eq!(after.have.servers, position);
-        assert_eq!(shared.balancer.borrow().keys().collect::<Vec<_>>(), before);
+        assert_eq!(shared.balancer.borrow().server_keys().collect::<Vec<_>>(), before);
     })
     .await;
 }
--- a/crates/proxy/src/flight.rs
+++ b/crates/proxy/src/flight.rs
@@ -1,7 +1,7 @@
 //! One send in flight, as the balancer counts it.
 
 use crate::state::Shared;
-use lugwharf_routing::{Choice, Failure, Part, Sample, ServerKey, Work};
+use lugwharf_routing::{FailureKind, Observation, Phase, Selection, ServerKey, WorkSize};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -14,8 +14,8 @@
 pub struct Flight {
     shared: Rc<Shared>,
     key: ServerKey,
-    part: Part,
-    work: Work,
+    part: Phase,
+    work: WorkSize,
     begun: Instant,
     timeout: Duration,
     is_seen: bool,
@@ -23,39 +23,39 @@
 
 impl Flight {
     /// A server was chosen, and has until `by`.
-    pub fn new(shared: &Rc<Shared>, choice: &Choice, part: Part, by: Instant) -> Flight {
-        shared.balancer.borrow_mut().started(choice.key, part);
+    pub fn new(shared: &Rc<Shared>, choice: &Selection, part: Phase, by: Instant) -> Flight {
+        shared.balancer.borrow_mut().record_start(choice.key, part);
         let begun = Instant::now();
-        let work = Work { tokens: choice.tokens.into() };
+        let work = WorkSize { tokens: choice.prefill_tokens.into() };
         let timeout = by.saturating_duration_since(begun);
         Flight { shared: shared.clone(), key: choice.key, part, work, begun, timeout, is_seen: false }
     }
 
     /// The server did its part, so long after it was sent the request.
     pub fn answered(&mut self, took: Duration) {
-        self.observe(Sample::Answered { took, work: self.work });
+        self.observe(Observation::Success { elapsed: took, work: self.work });
     }
 
     /// The server failed.
-    pub fn failed(&mut self, failure: Failure) {
+    pub fn failed(&mut self, failure: FailureKind) {
         let (took, timeout, work) = (self.begun.elapsed(), self.timeout, self.work);
-        self.observe(Sample::Failed { failure, took, timeout, work });
+        self.observe(Observation::Failure { kind: failure, elapsed: took, timeout, work });
     }
 
     /// Nothing was sent, or the answer tells nothing of the server.
     pub fn void(&mut self) {
-        self.observe(Sample::Void);
+        self.observe(Observation::Inconclusive);
     }
 
     /// The server turned the request away since it is full.
     pub fn rejected(&mut self) {
-        self.observe(Sample::Rejected);
+        self.observe(Observation::Rejected);
     }
 
-    fn observe(&mut self, sample: Sample) {
+    fn observe(&mut self, sample: Observation) {
         self.is_seen = true;
         let now = self.shared.now();
-        self.shared.balancer.borrow_mut().observed(now, self.key, self.part, sample);
+        self.shared.balancer.borrow_mut().record_observation(now, self.key, self.part, sample);
     }
 }
 
@@ -63,8 +63,8 @@
     fn drop(&mut self) {
         if !self.is_seen && self.begun.elapsed() >= SILENCE {
             self.timeout = self.begun.elapsed();
-            self.failed(Failure::Timeout);
+            self.failed(FailureKind::Timeout);
         }
-        self.shared.balancer.borrow_mut().ended(self.key, self.part);
+        self.shared.balancer.borrow_mut().record_end(self.key, self.part);
     }
 }
--- a/crates/proxy/src/generate.rs
+++ b/crates/proxy/src/generate.rs
@@ -10,7 +10,7 @@
 use crate::upstream::{Answered, Extra};
 use crate::verdict::{Verdict, judge};
 use lugwharf_invariants::{Invariant, check};
-use lugwharf_routing::{Choice, Failure, NoChoice, Part, ServerKey};
+use lugwharf_routing::{FailureKind, Phase, Selection, SelectionError, ServerKey};
 use serde::Deserialize;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -48,9 +48,9 @@
 /// Sends the request until a decode server gives an answer for the client.
 pub async fn obtain(job: &mut Job<'_>, extra: &Extra) -> Result<Taken, Refusal> {
     let now = job.shared.now();
-    let mut pairs = job.shared.balancer.borrow_mut().try_pair(now, job.service);
+    let mut pairs = job.shared.balancer.borrow_mut().try_kv_transfer(now, job.service);
     loop {
-        if !job.attempts.may_run() {
+        if !job.attempts.may_execute() {
             return Err(job.give_up(Refusal::Full));
         }
         let reads = pairs || !may_read_after_failure(job);
@@ -81,28 +81,31 @@
     if !job.attempts.may_prefill() || !job.may_try() || tried.len() >= MOST_READERS {
         return read_by_decode(job);
     }
-    let ask = Ask { part: Part::Prefill, zone: &job.shared.zone, excluded: tried };
+    let ask = Ask { part: Phase::Prefill, zone: &job.shared.zone, excluded: tried };
     let choice = match job.choose(&ask) {
         Ok(choice) => choice,
-        Err(NoChoice::Absent) if tried.is_empty() => return Ok(Some(Prefill::Skip)),
-        Err(NoChoice::Absent) => return read_by_decode(job),
-        Err(NoChoice::Full) => return Err(job.give_up(Refusal::Full)),
+        Err(SelectionError::NoServer) if tried.is_empty() => return Ok(Some(Prefill::Skip)),
+        Err(SelectionError::NoServer) => return read_by_decode(job),
+        Err(SelectionError::Saturated) => return Err(job.give_up(Refusal::Full)),
     };
-    if job.is_hopeless(&choice) && job.attempts.is_unrun() {
+    if job.is_hopeless(&choice) && job.attempts.is_unexecuted() {
         return Err(Refusal::Full);
     }
     if !job.may_arrive() {
         return read_by_decode(job);
     }
     tried.push(choice.key);
-    let extra =
-        Extra { is_prefill: true, priority: extra.priority.map(|_| rank(choice.tokens)), ..extra.clone() };
+    let extra = Extra {
+        is_prefill: true,
+        priority: extra.priority.map(|_| rank(choice.prefill_tokens)),
+        ..extra.clone()
+    };
     let by = (Instant::now() + patience(job, &choice)).min(job.by);
-    match job.send(&choice, Part::Prefill, &extra, by).await {
+    match job.send(&choice, Phase::Prefill, &extra, by).await {
         Sent::Unsent => Ok(None),
         Sent::Late => Err(job.give_up(Refusal::Unserved)),
         Sent::Broken | Sent::TimedOut => {
-            job.attempts.prefill_broke();
+            job.attempts.record_prefill_failure();
             Ok(None)
         }
         Sent::Answered(answered, flight) => Ok(read_answer(job, &choice, answered, flight, by).await),
@@ -113,8 +116,8 @@
 /// so that a long one would hold up every stream there for longer than pauses may last, for a request that is late already. One
 /// that has run, as a stream that is resumed, can't be told to come back, and its client has a part of it.
 fn read_by_decode(job: &Job<'_>) -> Result<Option<Prefill>, Refusal> {
-    let most = job.shared.balancer.borrow().tuning().decode_reads_at_most;
-    if job.prompt.tokens_in > most && job.attempts.is_unrun() {
+    let most = job.shared.balancer.borrow().tuning().max_decode_prefill_tokens;
+    if job.prompt.input_tokens > most && job.attempts.is_unexecuted() {
         return Err(job.give_up(Refusal::Full));
     }
     Ok(Some(Prefill::Skip))
@@ -124,8 +127,8 @@
 fn may_read_after_failure(job: &Job<'_>) -> bool {
     let balancer = job.shared.balancer.borrow();
     let tuning = balancer.tuning();
-    let is_short = job.prompt.tokens_in <= tuning.decode_reads_at_most;
-    tuning.decode_reads_after_failures || is_short || !job.attempts.is_unrun()
+    let is_short = job.prompt.input_tokens <= tuning.max_decode_prefill_tokens;
+    tuning.decode_prefills_after_failures || is_short || !job.attempts.is_unexecuted()
 }
 
 /// The rank of a prompt by its length, 0 for the shortest: reading a long one takes hundreds of milliseconds, in which short
@@ -135,25 +138,25 @@
     doublings.min(u32::from(MOST_RANK)) as u8
 }
 
-fn patience(job: &Job<'_>, choice: &Choice) -> Duration {
+fn patience(job: &Job<'_>, choice: &Selection) -> Duration {
     let usual = choice.estimate.saturating_mul(PATIENCE_ESTIMATES).max(job.objective() * PATIENCE_OBJECTIVES);
     usual.min(job.left() / 2)
 }
 
 async fn read_answer(
-    job: &mut Job<'_>, choice: &Choice, mut answered: Box<Answered>, mut flight: crate::flight::Flight,
+    job: &mut Job<'_>, choice: &Selection, mut answered: Box<Answered>, mut flight: crate::flight::Flight,
     by: Instant,
 ) -> Option<Prefill> {
     match judge(&answered.head) {
         Verdict::Misdirected => {
-            job.attempts.rejected();
+            job.attempts.record_rejection();
             job.misdirected(choice);
             flight.void();
             answered.discard(job.shared);
             return None;
         }
         Verdict::Rejected => {
-            job.attempts.rejected();
+            job.attempts.record_rejection();
             flight.rejected();
             answered.discard(job.shared);
             return None;
@@ -161,23 +164,23 @@
         // This answer is not for the client, and bears no stamp.
         _ if answered.head.status == 200 => {}
         Verdict::Success | Verdict::Failure | Verdict::Invalid | Verdict::Spoilt => {
-            job.attempts.prefill_broke();
-            flight.failed(Failure::Status);
+            job.attempts.record_prefill_failure();
+            flight.failed(FailureKind::ServerError);
             return None;
         }
     }
     let body = answered.collect(MOST_PREFILL_ANSWER, by).await;
     let handle = body.ok().and_then(|body| serde_json::from_slice::<PrefillAnswer>(&body).ok());
     let Some(PrefillAnswer { handle }) = handle.filter(|answer| is_plain(&answer.handle)) else {
-        job.attempts.prefill_broke();
-        flight.failed(Failure::Broken);
+        job.attempts.record_prefill_failure();
+        flight.failed(FailureKind::ConnectionBroken);
         return None;
     };
     job.prefilled();
     flight.answered(answered.sent.elapsed());
     answered.finish(job.shared);
     let now = job.shared.now();
-    job.shared.balancer.borrow_mut().read_prompt(now, choice.key, &job.prompt);
+    job.shared.balancer.borrow_mut().record_prefill(now, choice.key, &job.prompt);
     Some(Prefill::Read(Handle::new(job.shared, choice.clone(), handle)))
 }
 
@@ -192,12 +195,12 @@
 async fn decode(job: &mut Job<'_>, extra: &Extra, handle: Option<Handle>) -> Result<Option<Taken>, Refusal> {
     let zone = handle.as_ref().map(|handle| handle.zone().to_string());
     let zone = zone.as_deref().unwrap_or(&job.shared.zone);
-    let part = if handle.is_some() { Part::Decode } else { Part::Whole };
+    let part = if handle.is_some() { Phase::Decode } else { Phase::Full };
     let extra = Extra { kv_from: handle.as_ref().map(Handle::source), ..extra.clone() };
     let mut rejections = 0;
-    let runs_before = job.attempts.runs();
+    let runs_before = job.attempts.executions();
     loop {
-        if !job.attempts.may_run() || !job.may_try() {
+        if !job.attempts.may_execute() || !job.may_try() {
             return Err(job.give_up(Refusal::Full));
         }
         let ask = Ask { part, zone, excluded: &job.tried };
@@ -207,13 +210,13 @@
             Err(_) if handle.is_some() && rejections > 0 => return Ok(None),
             Err(none) => return Err(job.give_up(none.into())),
         };
-        if job.is_hopeless(&choice) && job.attempts.is_unrun() {
+        if job.is_hopeless(&choice) && job.attempts.is_unexecuted() {
             return Err(Refusal::Full);
         }
         if !job.may_arrive() {
             return Err(job.give_up(Refusal::Full));
         }
-        let is_unused = handle.is_none() || job.attempts.runs() == runs_before;
+        let is_unused = handle.is_none() || job.attempts.executions() == runs_before;
         check(Invariant::HandleUsedOnce, is_unused, || format!("request {}", job.request.id()));
         let sent = job.send(&choice, part, &extra, job.by).await;
         job.tried.push(choice.key);
@@ -226,7 +229,7 @@
             return Ok(Some(taken));
         }
         // It may have run: the handle is used up.
-        if job.attempts.runs() != runs_before {
+        if job.attempts.executions() != runs_before {
             return Ok(None);
         }
         rejections += u32::from(has_arrived);
@@ -246,5 +249,5 @@
 
 fn note_hand_over(job: &Job<'_>, succeeded: bool) {
     let now = job.shared.now();
-    job.shared.balancer.borrow_mut().handed_over(now, job.service, succeeded);
+    job.shared.balancer.borrow_mut().record_kv_transfer(now, job.service, succeeded);
 }
--- a/crates/proxy/src/handle.rs
+++ b/crates/proxy/src/handle.rs
@@ -9,7 +9,7 @@
 use crate::state::Shared;
 use crate::upstream::{Connection, MOST_SURPLUS, read_over};
 use crate::wire::field;
-use lugwharf_routing::{Choice, Part};
+use lugwharf_routing::{Phase, Selection};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
@@ -20,14 +20,14 @@
 /// A handle that nobody has taken yet.
 pub struct Handle {
     shared: Rc<Shared>,
-    server: Choice,
+    server: Selection,
     id: String,
     is_taken: bool,
 }
 
 impl Handle {
     /// `server` holds the memory.
-    pub fn new(shared: &Rc<Shared>, server: Choice, id: String) -> Handle {
+    pub fn new(shared: &Rc<Shared>, server: Selection, id: String) -> Handle {
         Handle { shared: shared.clone(), server, id, is_taken: false }
     }
 
@@ -66,14 +66,14 @@
 
 /// `DELETE /kv-handle/ID` at the server that holds it; whether it was done. The call has no id that its answer could bear, so its
 /// connection carries nothing more: a late copy of another call's answer may have come in place of its own.
-async fn free(shared: &Shared, server: &Choice, id: &str) -> Option<bool> {
-    if !shared.balancer.borrow().is_usable(shared.now(), server.key, Part::Prefill) {
+async fn free(shared: &Shared, server: &Selection, id: &str) -> Option<bool> {
+    if !shared.balancer.borrow().is_eligible(shared.now(), server.key, Phase::Prefill) {
         return None;
     }
     let mut connection = match shared.pool.take(server.key, true, &[]) {
         Some(connection) => connection,
         None => {
-            let proxies = shared.balancer.borrow().proxies();
+            let proxies = shared.balancer.borrow().proxy_count();
             let open = shared.pool.open_count(server.key, None, proxies)?;
             Connection::open(server.address, open).await.ok()?
         }
@@ -89,7 +89,7 @@
     }
 }
 
-fn request(server: &Choice, id: &str) -> Vec<u8> {
+fn request(server: &Selection, id: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(160);
     out.extend_from_slice(b"DELETE /kv-handle/");
     out.extend_from_slice(id.as_bytes());
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/job.rs
@@ -12,7 +12,9 @@
 use crate::wire::RequestHead;
 use lugwharf_config::{Route, RouteKind};
 use lugwharf_invariants::{Invariant, check};
-use lugwharf_routing::{Attempts, Choice, Failure, NoChoice, Part, Prompt, Query, ServerKey};
+use lugwharf_routing::{
+    Attempts, FailureKind, Phase, Prompt, Selection, SelectionError, SelectionQuery, ServerKey,
+};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -75,7 +77,7 @@
 /// A choice with the send's terms.
 pub struct Ask<'a> {
     /// What the server is to do.
-    pub part: Part,
+    pub part: Phase,
     /// The zone that is preferred.
     pub zone: &'a str,
     /// Servers that are out of the question.
@@ -96,8 +98,8 @@
         let now = shared.now();
         trace.begin(shared, routes, service, objective(route), patience);
         let mut balancer = shared.balancer.borrow_mut();
-        balancer.requested(now, service);
-        let rejections = balancer.tuning().rejections;
+        balancer.record_request(now, service);
+        let rejections = balancer.tuning().max_rejections;
         Ok(Job {
             shared,
             request,
@@ -121,7 +123,7 @@
 
     /// Whether its service splits generations between prefill and decode servers.
     pub fn is_split(&self) -> bool {
-        self.is_model && self.shared.balancer.borrow().has_stages(self.service)
+        self.is_model && self.shared.balancer.borrow().is_disaggregated(self.service)
     }
 
     /// The time within which an answer earns its full worth.
@@ -136,36 +138,36 @@
 
     /// What a send adds, before it is told more.
     pub fn extra(&self) -> Extra {
-        let passes = self.is_model && self.shared.balancer.borrow().tuning().passes_priority;
+        let passes = self.is_model && self.shared.balancer.borrow().tuning().forwards_priority;
         Extra { priority: passes.then(|| self.route.priority.min(9)), ..Extra::default() }
     }
 
     /// Chooses a server.
-    pub fn choose(&self, ask: &Ask<'_>) -> Result<Choice, NoChoice> {
-        let query = Query {
+    pub fn choose(&self, ask: &Ask<'_>) -> Result<Selection, SelectionError> {
+        let query = SelectionQuery {
             service: self.service,
-            part: ask.part,
+            phase: ask.part,
             model: self.request.head.headers.get_text("model").filter(|_| self.is_model),
             prompt: &self.prompt,
-            zone: ask.zone,
+            preferred_zone: ask.zone,
             excluded: ask.excluded,
             objective: self.objective(),
         };
-        self.shared.balancer.borrow_mut().choose(self.shared.now(), &query)
+        self.shared.balancer.borrow_mut().select(self.shared.now(), &query)
     }
 
     /// Refused early: the server chosen is more than half full by its own report, and would take longer than there is time.
-    pub fn is_hopeless(&self, choice: &Choice) -> bool {
-        let refuses = self.shared.balancer.borrow().tuning().refuses_early;
+    pub fn is_hopeless(&self, choice: &Selection) -> bool {
+        let refuses = self.shared.balancer.borrow().tuning().sheds_hopeless_requests;
         refuses && choice.is_busy && choice.estimate > self.left()
     }
 
     /// Pays for the next arrival, if it has to be paid for. What was paid and not used stays paid.
     pub fn may_arrive(&mut self) -> bool {
-        if !self.attempts.needs_budget() || self.paid {
+        if !self.attempts.needs_retry_budget() || self.paid {
             return true;
         }
-        self.paid = self.shared.balancer.borrow_mut().try_spend(self.shared.now(), self.service);
+        self.paid = self.shared.balancer.borrow_mut().try_withdraw_retry(self.shared.now(), self.service);
         if !self.paid {
             self.trace.budget_denied(self.shared);
         }
@@ -178,8 +180,8 @@
     }
 
     /// Sends it to a server, and counts.
-    pub async fn send(&mut self, choice: &Choice, part: Part, extra: &Extra, by: Instant) -> Sent {
-        let may_be_sent = self.idempotent || self.attempts.is_unrun();
+    pub async fn send(&mut self, choice: &Selection, part: Phase, extra: &Extra, by: Instant) -> Sent {
+        let may_be_sent = self.idempotent || self.attempts.is_unexecuted();
         check(Invariant::UnrepeatableSentOnce, may_be_sent, || {
             format!("request {} to {} as {part:?}", self.request.id(), choice.id)
         });
@@ -215,7 +217,7 @@
                 Sent::Answered(Box::new(answered), flight)
             }
             Err(Fault::Connect) => {
-                flight.failed(Failure::Connect);
+                flight.failed(FailureKind::Connect);
                 self.unsent += 1;
                 Sent::Unsent
             }
@@ -229,12 +231,12 @@
                 Sent::Late
             }
             Err(Fault::Broken) => {
-                flight.failed(Failure::Broken);
+                flight.failed(FailureKind::ConnectionBroken);
                 self.arrived();
                 Sent::Broken
             }
             Err(Fault::Timeout) => {
-                flight.failed(Failure::Timeout);
+                flight.failed(FailureKind::Timeout);
                 self.arrived();
                 Sent::TimedOut
             }
@@ -243,16 +245,16 @@
 
     /// A server said that it is another one, has another part, or other weights. It is left out for a while, but where the
     /// client itself asked for a version of the weights: that tells nothing of others' requests.
-    pub fn misdirected(&self, choice: &Choice) {
+    pub fn misdirected(&self, choice: &Selection) {
         if self.request.head.headers.has("expect-version") {
             return;
         }
-        self.shared.balancer.borrow_mut().misdirected(self.shared.now(), choice.key);
+        self.shared.balancer.borrow_mut().record_misdirected(self.shared.now(), choice.key);
     }
 
     /// The answer where nothing more is sent.
     pub fn give_up(&self, unrun: Refusal) -> Refusal {
-        match (self.attempts.is_unrun(), self.left().is_zero()) {
+        match (self.attempts.is_unexecuted(), self.left().is_zero()) {
             (true, true) => Refusal::Unserved,
             (true, false) => unrun,
             (false, true) => Refusal::Deadline,
@@ -261,17 +263,17 @@
     }
 
     fn arrived(&mut self) {
-        let is_paid = self.paid || !self.attempts.needs_budget();
+        let is_paid = self.paid || !self.attempts.needs_retry_budget();
         check(Invariant::RetriesPaid, is_paid, || format!("request {}", self.request.id()));
         self.paid_last = std::mem::replace(&mut self.paid, false);
-        self.attempts.arrived();
+        self.attempts.record_delivery();
     }
 
     /// A server has taken up the last send, which had the prompt read. The first such call is free: what was paid for it, after
     /// another one was rejected, pays for the next arrival.
     pub fn prefilled(&mut self) {
         self.paid = self.attempts.has_free_prefill() && self.paid_last;
-        self.attempts.prefilled();
+        self.attempts.record_prefill();
     }
 }
 
@@ -300,11 +302,11 @@
     routes.find(host.trim(), target).ok_or(Refusal::NoRoute)
 }
 
-impl From<NoChoice> for Refusal {
-    fn from(none: NoChoice) -> Refusal {
+impl From<SelectionError> for Refusal {
+    fn from(none: SelectionError) -> Refusal {
         match none {
-            NoChoice::Absent => Refusal::Unavailable,
-            NoChoice::Full => Refusal::Full,
+            SelectionError::NoServer => Refusal::Unavailable,
+            SelectionError::Saturated => Refusal::Full,
         }
     }
 }
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -8,7 +8,7 @@
 use crate::upstream::Answered;
 use crate::wire::{Decoded, Framing, ResponseHead};
 use lugwharf_config::RouteKind;
-use lugwharf_routing::Failure;
+use lugwharf_routing::FailureKind;
 use tokio::time::timeout_at;
 
 /// Bodies up to this size are read whole before they go on, so that one that breaks off can still be asked for again.
@@ -90,12 +90,12 @@
             }
             Ok(Err(_)) => {
                 job.trace.body_ended(BodyOutcome::Broken);
-                taken.flight.failed(Failure::Broken);
+                taken.flight.failed(FailureKind::ConnectionBroken);
                 return Relayed::Unbegun;
             }
             Err(_) => {
                 job.trace.body_ended(BodyOutcome::Timeout);
-                taken.flight.failed(Failure::Timeout);
+                taken.flight.failed(FailureKind::Timeout);
                 return Relayed::Unbegun;
             }
         }
@@ -147,7 +147,7 @@
             }
             Ok(Err(_)) => {
                 job.trace.body_ended(BodyOutcome::Broken);
-                taken.flight.failed(Failure::Broken);
+                taken.flight.failed(FailureKind::ConnectionBroken);
                 return Relayed::Ended(Ended::Broken);
             }
             Err(_) => {
@@ -179,7 +179,7 @@
             Pump::End => return StreamEnd::Complete,
             Pump::Cut => {
                 job.trace.body_ended(BodyOutcome::Broken);
-                taken.flight.failed(Failure::Broken);
+                taken.flight.failed(FailureKind::ConnectionBroken);
                 return StreamEnd::Cut;
             }
             Pump::Invalid => {
@@ -196,7 +196,7 @@
             Ok(Ok(())) => {}
             Ok(Err(_)) => {
                 job.trace.body_ended(BodyOutcome::Broken);
-                taken.flight.failed(Failure::Broken);
+                taken.flight.failed(FailureKind::ConnectionBroken);
                 return StreamEnd::Cut;
             }
             Err(_) => {
--- a/crates/proxy/src/routes.rs
+++ b/crates/proxy/src/routes.rs
@@ -1,7 +1,7 @@
 //! A configuration in force, with what is looked up in it.
 
 use lugwharf_config::{Configuration, Route, RouteTable, Service};
-use lugwharf_routing::{SplitLots, by_weight};
+use lugwharf_routing::{TrafficSplitter, by_weight};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
     configuration: Configuration,
     table: RouteTable,
     /// The lots of each route that is split, by its name.
-    splits: BTreeMap<String, RefCell<SplitLots>>,
+    splits: BTreeMap<String, RefCell<TrafficSplitter>>,
 }
 
 impl Routes {
@@ -19,7 +19,7 @@
     pub fn new(configuration: Configuration, first_lot: impl Fn() -> f64) -> Routes {
         let table = RouteTable::new(&configuration);
         let split = configuration.routes.iter().filter(|route| !route.traffic_split.is_empty());
-        let splits = split.map(|route| (route.name.clone(), RefCell::new(SplitLots::new(first_lot()))));
+        let splits = split.map(|route| (route.name.clone(), RefCell::new(TrafficSplitter::new(first_lot()))));
         Routes { table, splits: splits.collect(), configuration }
     }
 
@@ -28,7 +28,7 @@
         if let Some(service) = &route.service {
             return Some(service);
         }
-        let lot = self.splits.get(&route.name)?.borrow_mut().draw();
+        let lot = self.splits.get(&route.name)?.borrow_mut().next_sample();
         let index = by_weight(route.traffic_split.iter().map(|split| split.weight), lot)?;
         route.traffic_split.get(index).map(|split| split.service.as_str())
     }
--- a/crates/proxy/src/service.rs
+++ b/crates/proxy/src/service.rs
@@ -73,7 +73,11 @@
 
 /// An answer broke off before anything of it went on: whether it may be asked for again.
 fn unbegun(job: &Job<'_>) -> Result<(), Refusal> {
-    if job.attempts.may_run() && !job.left().is_zero() { Ok(()) } else { Err(job.give_up(Refusal::Broken)) }
+    if job.attempts.may_execute() && !job.left().is_zero() {
+        Ok(())
+    } else {
+        Err(job.give_up(Refusal::Broken))
+    }
 }
 
 async fn obtain(job: &mut Job<'_>, extra: &Extra) -> Result<Taken, Refusal> {
@@ -113,7 +117,7 @@
 /// The next run of a stream that was cut, if there may be one. The answer keeps the head of its first server.
 async fn resume(job: &mut Job<'_>, events: &mut Events, extra: &mut Extra) -> Option<Taken> {
     let resumes = job.shared.balancer.borrow().tuning().resumes_streams;
-    if !resumes || !job.attempts.may_run() || !events.can_resume() {
+    if !resumes || !job.attempts.may_execute() || !events.can_resume() {
         return None;
     }
     events.resume();
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -9,7 +9,7 @@
 use lugwharf_config::{Configuration, Limits};
 use lugwharf_invariants::{Invariant, check};
 use lugwharf_protocol::{Update, VersionVector};
-use lugwharf_routing::{Balancer, BudgetTerms, Tuning};
+use lugwharf_routing::{Balancer, RetryBudgetConfig, Tuning};
 use lugwharf_settings::{Bounds, Settings};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -44,7 +44,7 @@
 impl Shared {
     /// Before anything is known.
     pub fn new(settings: &Settings, tuning: Tuning, seed: u64) -> Rc<Shared> {
-        let pool = if tuning.keeps_connections { Pool::default() } else { Pool::keeping_none() };
+        let pool = if tuning.reuses_connections { Pool::default() } else { Pool::keeping_none() };
         let balancer = Balancer::new(tuning, terms(&settings.bounds), seed);
         let body_most = settings.limits.memory_mb.max(16) * 1024 * 1024 / BODIES_SHARE;
         Rc::new(Shared {
@@ -123,14 +123,14 @@
 
     /// Takes over what may change while the process runs.
     pub fn reload(&self, settings: &Settings) {
-        self.balancer.borrow_mut().set_terms(terms(&settings.bounds));
+        self.balancer.borrow_mut().set_retry_budget(terms(&settings.bounds));
     }
 
     /// What this process has.
     pub fn have(&self) -> VersionVector {
         let balancer = self.balancer.borrow();
         let config = self.routes.borrow().as_ref().map_or(0, |routes| routes.version());
-        VersionVector { config, servers: balancer.position(), live_proxies: balancer.known_proxies() }
+        VersionVector { config, servers: balancer.position(), live_proxies: balancer.reported_proxy_count() }
     }
 
     /// Takes an update over; what is older than what is held changes nothing.
@@ -167,11 +167,11 @@
     }
 }
 
-fn terms(bounds: &Bounds) -> BudgetTerms {
-    BudgetTerms {
+fn terms(bounds: &Bounds) -> RetryBudgetConfig {
+    RetryBudgetConfig {
         ratio: bounds.retry_budget,
-        slack: bounds.budget_slack,
+        reserve: bounds.budget_slack,
         window: Duration::from_secs_f64(bounds.budget_window_s.clamp(0.1, 3_600.0)),
-        share: 1.0,
+        local_share: 1.0,
     }
 }
--- a/crates/proxy/src/trace.rs
+++ b/crates/proxy/src/trace.rs
@@ -9,7 +9,7 @@
 use crate::routes::Routes;
 use crate::state::Shared;
 use lugwharf_protocol::VersionVector;
-use lugwharf_routing::Part;
+use lugwharf_routing::Phase;
 use spdlog::prelude::*;
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Write};
@@ -25,7 +25,7 @@
     /// The server's incarnation.
     pub server: Rc<str>,
     /// What it was to do.
-    pub part: Part,
+    pub part: Phase,
     /// The connection that carried it last, if any did.
     pub connection: Option<u64>,
     /// Since the request arrived.
@@ -45,9 +45,9 @@
 impl fmt::Display for SendTrace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let part = match self.part {
-            Part::Whole => "whole",
-            Part::Prefill => "prefill",
-            Part::Decode => "decode",
+            Phase::Full => "whole",
+            Phase::Prefill => "prefill",
+            Phase::Decode => "decode",
         };
         write!(f, "{}/{part}", self.server)?;
         if let Some(connection) = self.connection {
--- a/crates/proxy/src/trace_tests.rs
+++ b/crates/proxy/src/trace_tests.rs
@@ -5,14 +5,14 @@
 use crate::trace::SendTrace;
 use crate::upstream::Fault;
 use crate::verdict::Verdict;
-use lugwharf_routing::Part;
+use lugwharf_routing::Phase;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 fn send(outcome: SendOutcome) -> SendTrace {
     SendTrace {
         server: "i-1".into(),
-        part: Part::Decode,
+        part: Phase::Decode,
         connection: Some(7),
         begun: Duration::from_millis(3),
         took: Duration::from_millis(20),
--- a/crates/proxy/src/upstream/exchange.rs
+++ b/crates/proxy/src/upstream/exchange.rs
@@ -7,7 +7,7 @@
 use crate::upstream::outbound::{Extra, Outbound};
 use crate::upstream::writing::{Writer, Written};
 use crate::wire::{BodyDecoder, Decoded, Framing, ResponseHead, response_framing};
-use lugwharf_routing::{Choice, LoadReport, Part, ServerKey};
+use lugwharf_routing::{LoadReport, Phase, Selection, ServerKey};
 use std::io;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
@@ -52,7 +52,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Terms {
     /// What the server is to do.
-    pub part: Part,
+    pub part: Phase,
     /// The answer's head is waited for until then.
     pub by: Instant,
     /// The time within which an answer earns its full worth.
@@ -127,11 +127,11 @@
 
 /// Sends the request to `server` and waits for the head of its answer.
 pub async fn exchange(
-    shared: &Shared, server: &Choice, outbound: &mut Outbound, extra: &Extra, terms: Terms,
+    shared: &Shared, server: &Selection, outbound: &mut Outbound, extra: &Extra, terms: Terms,
 ) -> Result<Answered, Fault> {
     for _ in 0..DEAD_MOST {
         let mut connection = connection(shared, server, outbound, terms).await?;
-        if !shared.balancer.borrow().is_usable(shared.now(), server.key, terms.part) {
+        if !shared.balancer.borrow().is_eligible(shared.now(), server.key, terms.part) {
             if connection.is_reused {
                 shared.pool.put(server.key, connection);
             }
@@ -166,14 +166,14 @@
 }
 
 async fn connection(
-    shared: &Shared, server: &Choice, outbound: &Outbound, terms: Terms,
+    shared: &Shared, server: &Selection, outbound: &Outbound, terms: Terms,
 ) -> Result<Connection, Fault> {
     if outbound.shares_connections()
         && let Some(connection) = shared.pool.take(server.key, terms.idempotent, &outbound.carriers)
     {
         return Ok(connection);
     }
-    let proxies = shared.balancer.borrow().proxies();
+    let proxies = shared.balancer.borrow().proxy_count();
     let open = shared.pool.open_count(server.key, terms.max_connections, proxies).ok_or(Fault::Moot)?;
     let now = Instant::now();
     let left = terms.by.saturating_duration_since(now);
@@ -197,7 +197,7 @@
 /// How long the last byte of a request is held back on a connection that may be dead. On a kept one also if the request may be
 /// repeated: each send that breaks uses one of its attempts up. New ones that are reset are rare, and cost it less than the wait.
 pub fn hold_back(terms: &Terms, is_reused: bool, rested: Duration) -> Option<Duration> {
-    let may_repeat = terms.idempotent || terms.part == Part::Prefill;
+    let may_repeat = terms.idempotent || terms.part == Phase::Prefill;
     let may_be_dead = if is_reused { rested >= RESTED } else { !may_repeat };
     may_be_dead.then_some(HOLD_BACK)
 }
@@ -246,6 +246,6 @@
 fn note_report(shared: &Shared, key: ServerKey, head: &ResponseHead) {
     let report = head.headers.get_text("load-report");
     if let Some(report) = report.and_then(|text| LoadReport::parse(text, shared.now())) {
-        shared.balancer.borrow_mut().reported(key, report);
+        shared.balancer.borrow_mut().record_load_report(key, report);
     }
 }
--- a/crates/proxy/src/upstream/exchange_tests.rs
+++ b/crates/proxy/src/upstream/exchange_tests.rs
@@ -5,7 +5,7 @@
 use crate::upstream::exchange::{Answered, Fault, Terms, connect_fault, exchange, hold_back};
 use crate::upstream::fixtures::{choice, connected, entry, key, list, listener, outbound, shared};
 use crate::upstream::outbound::{Extra, Outbound};
-use lugwharf_routing::Part;
+use lugwharf_routing::Phase;
 use rstest::rstest;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -15,7 +15,7 @@
 const LONG: usize = 32 << 20;
 const OWN: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n";
 
-fn terms(idempotent: bool, part: Part) -> Terms {
+fn terms(idempotent: bool, part: Phase) -> Terms {
     Terms {
         part,
         by: Instant::now() + Duration::from_secs(3),
@@ -51,18 +51,18 @@
 
 /// Held back is what can't be repeated, where the connection may be dead.
 #[rstest]
-#[case::new(false, Part::Whole, false, 0, true)]
-#[case::new_decode(false, Part::Decode, false, 0, true)]
-#[case::rested(false, Part::Whole, true, 250, true)]
-#[case::just_used(false, Part::Whole, true, 249, false)]
-#[case::may_repeat(true, Part::Whole, false, 0, false)]
-#[case::may_repeat_rested(true, Part::Whole, true, 250, true)]
-#[case::may_repeat_just_used(true, Part::Whole, true, 249, false)]
-#[case::a_reading(false, Part::Prefill, false, 0, false)]
-#[case::a_reading_rested(false, Part::Prefill, true, 250, true)]
+#[case::new(false, Phase::Full, false, 0, true)]
+#[case::new_decode(false, Phase::Decode, false, 0, true)]
+#[case::rested(false, Phase::Full, true, 250, true)]
+#[case::just_used(false, Phase::Full, true, 249, false)]
+#[case::may_repeat(true, Phase::Full, false, 0, false)]
+#[case::may_repeat_rested(true, Phase::Full, true, 250, true)]
+#[case::may_repeat_just_used(true, Phase::Full, true, 249, false)]
+#[case::a_reading(false, Phase::Prefill, false, 0, false)]
+#[case::a_reading_rested(false, Phase::Prefill, true, 250, true)]
 #[tokio::test]
 async fn what_is_held_back(
-    #[case] idempotent: bool, #[case] part: Part, #[case] is_reused: bool, #[case] rested: u64,
+    #[case] idempotent: bool, #[case] part: Phase, #[case] is_reused: bool, #[case] rested: u64,
     #[case] is_held: bool,
 ) {
     let rested = Duration::from_millis(rested);
@@ -85,7 +85,7 @@
         peer
     };
     let (result, _peer) =
-        tokio::join!(send(&shared, &listener, &mut outbound, terms(false, Part::Whole)), script);
+        tokio::join!(send(&shared, &listener, &mut outbound, terms(false, Phase::Full)), script);
     assert_eq!(result.err(), Some(expected));
 }
 
@@ -104,7 +104,7 @@
     }
     let mut outbound = request(4);
     let by = Instant::now() + Duration::from_millis(left);
-    let result = send(&shared, &listener, &mut outbound, Terms { by, ..terms(true, Part::Whole) }).await;
+    let result = send(&shared, &listener, &mut outbound, Terms { by, ..terms(true, Phase::Full) }).await;
     let expected = if is_late { Fault::Late } else { Fault::Timeout };
     assert_eq!(result.err(), Some(expected));
     assert_eq!(outbound.carriers.is_empty(), is_late);
@@ -118,7 +118,7 @@
     let choice = choice(&shared, listener.local_addr().expect("an address"));
     list(&shared, 2, Vec::new());
     let mut outbound = request(4);
-    let result = exchange(&shared, &choice, &mut outbound, &Extra::default(), terms(true, Part::Whole)).await;
+    let result = exchange(&shared, &choice, &mut outbound, &Extra::default(), terms(true, Phase::Full)).await;
     assert_eq!((result.err(), outbound.carriers.len()), (Some(Fault::Moot), 0));
 }
 
@@ -135,7 +135,7 @@
     draining.state = lugwharf_protocol::ServerState::Draining;
     list(&shared, 2, vec![draining]);
     let mut outbound = request(4);
-    let result = send(&shared, &listener, &mut outbound, terms(true, Part::Whole)).await;
+    let result = send(&shared, &listener, &mut outbound, terms(true, Phase::Full)).await;
     assert_eq!(result.err(), Some(Fault::Moot));
     let connection = shared.pool.take(key(&shared), true, &[]).expect("kept");
     assert_eq!((connection.id(), connection.idle_since), (id, since));
@@ -171,7 +171,7 @@
         peer.write_all(OWN.as_bytes()).await.expect("said");
         peer
     };
-    let sending = send(&shared, &listener, &mut outbound, terms(false, Part::Whole));
+    let sending = send(&shared, &listener, &mut outbound, terms(false, Phase::Full));
     let result = tokio::select! {
         result = sending => result,
         _ = async { script.await; std::future::pending::<()>().await } => unreachable!("it never ends"),
@@ -225,7 +225,7 @@
             peer.write_all(OWN.as_bytes()).await.expect("said");
             peer
         };
-        let sending = send(&shared, &listener, &mut outbound, terms(true, Part::Whole));
+        let sending = send(&shared, &listener, &mut outbound, terms(true, Phase::Full));
         let (result, peer) = tokio::join!(sending, script);
         result.expect("an answer").finish(&shared);
         assert_eq!(outbound.carriers.len(), round + 1);
@@ -251,7 +251,7 @@
     };
     let sending = async {
         let mut answered =
-            send(&shared, &listener, &mut outbound, terms(true, Part::Whole)).await.expect("an answer");
+            send(&shared, &listener, &mut outbound, terms(true, Phase::Full)).await.expect("an answer");
         answered.collect(100, Instant::now() + Duration::from_secs(3)).await.expect("a body");
         answered.finish(&shared);
     };
@@ -275,7 +275,7 @@
         peer.write_all(said.as_bytes()).await.expect("said");
         peer
     };
-    let sending = send(&shared, &listener, &mut outbound, terms(true, Part::Whole));
+    let sending = send(&shared, &listener, &mut outbound, terms(true, Phase::Full));
     let (answered, _peer) = tokio::join!(sending, script);
     let body = answered.expect("an answer").collect(most, Instant::now() + Duration::from_secs(3)).await;
     assert_eq!(body.ok(), is_taken.then(|| b"all".to_vec()));
@@ -308,7 +308,7 @@
         drop(peer.write_all(format!("{other}{OWN}").as_bytes()).await);
         peer
     };
-    let sending = send(&shared, &listener, &mut outbound, terms(true, Part::Whole));
+    let sending = send(&shared, &listener, &mut outbound, terms(true, Phase::Full));
     let (result, _peer) = tokio::join!(sending, script);
     assert_eq!(result.err(), (!is_passed).then_some(Fault::Broken));
 }
--- a/crates/proxy/src/upstream/fixtures.rs
+++ b/crates/proxy/src/upstream/fixtures.rs
@@ -7,7 +7,7 @@
 use crate::wire::parse_request;
 use bytes::{Bytes, BytesMut};
 use lugwharf_protocol::{ServerDelta, ServerEntry, ServerState, TablePosition, Update};
-use lugwharf_routing::{Choice, ServerKey, Tuning};
+use lugwharf_routing::{Selection, ServerKey, Tuning};
 use lugwharf_settings::Settings;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -57,19 +57,19 @@
 
 /// The key of the only server.
 pub fn key(shared: &Shared) -> ServerKey {
-    shared.balancer.borrow().keys().next().expect("a server")
+    shared.balancer.borrow().server_keys().next().expect("a server")
 }
 
 /// The choice of the only server.
-pub fn choice(shared: &Shared, address: SocketAddr) -> Choice {
-    Choice {
+pub fn choice(shared: &Shared, address: SocketAddr) -> Selection {
+    Selection {
         key: key(shared),
         id: "i-a".into(),
         address,
         zone: "home".into(),
         estimate: Duration::from_millis(1),
         is_busy: false,
-        tokens: 0,
+        prefill_tokens: 0,
     }
 }
 
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,10 +1,10 @@
 //! The owner of everything that is known of servers, and what it is told of sends.
 
-use crate::budget::{BudgetTerms, RetryBudget};
-use crate::hand_over::HandOver;
+use crate::kv_transfer::KvTransferBreaker;
+use crate::load_report::LoadReport;
+use crate::observation::{Observation, Phase, value};
 use crate::prompt::Prompt;
-use crate::report::LoadReport;
-use crate::sample::{Part, Sample, value};
+use crate::retry_budget::{RetryBudget, RetryBudgetConfig};
 use crate::server::{Server, ServerKey};
 use crate::tuning::Tuning;
 use lugwharf_protocol::TablePosition;
@@ -13,22 +13,22 @@
 use std::time::Duration;
 
 /// At most this share of a pool is ejected: where most look bad it isn't them.
-const MOST_EJECTED: f64 = 0.5;
+const MAX_EJECTED_SHARE: f64 = 0.5;
 
 /// The servers of one service, and what is counted for it.
 #[derive(Debug, Default)]
 pub(crate) struct ServicePool {
     pub servers: Vec<ServerKey>,
-    pub budget: RetryBudget,
-    pub typical: [Typical; Part::COUNT],
-    pub hand_over: HandOver,
+    pub retry_budget: RetryBudget,
+    pub median_latencies: [MedianLatency; Phase::COUNT],
+    pub kv_transfers: KvTransferBreaker,
 }
 
-/// The median of the known averages in one part, looked at again after a while.
+/// The median of the known averages in one phase, looked at again after a while.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Typical {
+pub(crate) struct MedianLatency {
     pub value: f64,
-    pub until: Duration,
+    pub valid_until: Duration,
 }
 
 /// All servers, their states and the budgets of their services.
@@ -44,13 +44,13 @@
     pub(crate) next_key: u32,
     pub(crate) live_proxies: u32,
     pub(crate) scratch: Vec<ServerKey>,
-    terms: BudgetTerms,
+    retry_budget: RetryBudgetConfig,
 }
 
 impl Balancer {
-    /// One that knows of no server. `terms.share` is taken from `tuning`.
-    pub fn new(tuning: Tuning, terms: BudgetTerms, seed: u64) -> Balancer {
-        let terms = BudgetTerms { share: tuning.budget_share, ..terms };
+    /// One that knows of no server. `retry_budget.local_share` is taken from `tuning`.
+    pub fn new(tuning: Tuning, retry_budget: RetryBudgetConfig, seed: u64) -> Balancer {
+        let retry_budget = RetryBudgetConfig { local_share: tuning.retry_budget_share, ..retry_budget };
         Balancer {
             tuning,
             rng: fastrand::Rng::with_seed(seed),
@@ -62,7 +62,7 @@
             next_key: 0,
             live_proxies: 0,
             scratch: Vec::new(),
-            terms,
+            retry_budget,
         }
     }
 
@@ -77,54 +77,54 @@
     }
 
     /// Proxies that are assumed to be alive.
-    pub fn proxies(&self) -> u32 {
-        if self.live_proxies == 0 { self.tuning.proxies_guess } else { self.live_proxies }
+    pub fn proxy_count(&self) -> u32 {
+        if self.live_proxies == 0 { self.tuning.assumed_proxies } else { self.live_proxies }
     }
 
     /// Proxies that were told to be alive; 0 if nothing was.
-    pub fn known_proxies(&self) -> u32 {
+    pub fn reported_proxy_count(&self) -> u32 {
         self.live_proxies
     }
 
-    /// Replaces the terms of the retry budget.
-    pub fn set_terms(&mut self, terms: BudgetTerms) {
-        self.terms = BudgetTerms { share: self.tuning.budget_share, ..terms };
+    /// Replaces the config of the retry budget.
+    pub fn set_retry_budget(&mut self, retry_budget: RetryBudgetConfig) {
+        self.retry_budget = RetryBudgetConfig { local_share: self.tuning.retry_budget_share, ..retry_budget };
     }
 
     /// A client's request for a service.
-    pub fn requested(&mut self, now: Duration, service: &str) {
-        let terms = self.terms;
-        self.pool(service).budget.request(now, &terms);
+    pub fn record_request(&mut self, now: Duration, service: &str) {
+        let config = self.retry_budget;
+        self.pool(service).retry_budget.deposit(now, &config);
     }
 
     /// Whether the service may get one more arrival beyond a request's first. It counts as spent.
-    pub fn try_spend(&mut self, now: Duration, service: &str) -> bool {
-        let (terms, proxies) = (self.terms, self.budget_proxies());
-        self.pool(service).budget.try_spend(now, &terms, proxies)
+    pub fn try_withdraw_retry(&mut self, now: Duration, service: &str) -> bool {
+        let (config, proxies) = (self.retry_budget, self.retry_budget_proxies());
+        self.pool(service).retry_budget.try_withdraw(now, &config, proxies)
     }
 
     /// Whether the memory of prompts is worth handing over between servers of the service now.
-    pub fn try_pair(&mut self, now: Duration, service: &str) -> bool {
-        self.pool(service).hand_over.try_pair(now)
+    pub fn try_kv_transfer(&mut self, now: Duration, service: &str) -> bool {
+        self.pool(service).kv_transfers.try_acquire(now)
     }
 
     /// A hand-over between servers of the service has ended.
-    pub fn handed_over(&mut self, now: Duration, service: &str, succeeded: bool) {
-        self.pool(service).hand_over.ended(now, succeeded);
+    pub fn record_kv_transfer(&mut self, now: Duration, service: &str, succeeded: bool) {
+        self.pool(service).kv_transfers.record(now, succeeded);
     }
 
     /// A fleet that seems small may have grown unheard: half of the guess is assumed at least.
-    fn budget_proxies(&self) -> u32 {
-        self.proxies().max(self.tuning.proxies_guess / 2)
+    fn retry_budget_proxies(&self) -> u32 {
+        self.proxy_count().max(self.tuning.assumed_proxies / 2)
     }
 
     /// Whether a server may still be sent a request for `part`: to be asked right before each send.
-    pub fn is_usable(&self, now: Duration, key: ServerKey, part: Part) -> bool {
-        self.servers.get(&key).is_some_and(|server| server.takes(part, None, now))
+    pub fn is_eligible(&self, now: Duration, key: ServerKey, phase: Phase) -> bool {
+        self.servers.get(&key).is_some_and(|server| server.accepts(phase, None, now))
     }
 
     /// Whether any server of a service is listed with a stage.
-    pub fn has_stages(&self, service: &str) -> bool {
+    pub fn is_disaggregated(&self, service: &str) -> bool {
         let pool = self.services.get(service).map_or(&[][..], |pool| &pool.servers);
         pool.iter().any(|key| self.servers.get(key).is_some_and(|server| server.entry.stage.is_some()))
     }
@@ -135,49 +135,54 @@
     }
 
     /// A server was chosen: counts from here on as in flight.
-    pub fn started(&mut self, key: ServerKey, part: Part) {
+    pub fn record_start(&mut self, key: ServerKey, phase: Phase) {
         if let Some(server) = self.servers.get_mut(&key) {
-            let state = &mut server.parts[part.index()];
+            let state = &mut server.phases[phase.index()];
             state.in_flight = state.in_flight.saturating_add(1);
-            server.ejection.started();
+            server.ejection.record_start();
         }
     }
 
     /// What was started has ended, however it did.
-    pub fn ended(&mut self, key: ServerKey, part: Part) {
+    pub fn record_end(&mut self, key: ServerKey, phase: Phase) {
         if let Some(server) = self.servers.get_mut(&key) {
-            let state = &mut server.parts[part.index()];
+            let state = &mut server.phases[phase.index()];
             state.in_flight = state.in_flight.saturating_sub(1);
-            server.ejection.ended();
+            server.ejection.record_inconclusive();
         }
     }
 
     /// The incarnation of a listed server.
-    pub fn id(&self, key: ServerKey) -> Option<&str> {
+    pub fn server_id(&self, key: ServerKey) -> Option<&str> {
         self.servers.get(&key).map(|server| &*server.id)
     }
 
     /// Own requests in flight.
-    pub fn in_flight(&self, key: ServerKey, part: Part) -> u32 {
-        self.servers.get(&key).map_or(0, |server| server.parts[part.index()].in_flight)
+    pub fn in_flight(&self, key: ServerKey, phase: Phase) -> u32 {
+        self.servers.get(&key).map_or(0, |server| server.phases[phase.index()].in_flight)
     }
 
     /// Folds in what a send showed.
-    pub fn observed(&mut self, now: Duration, key: ServerKey, part: Part, sample: Sample) {
+    pub fn record_observation(&mut self, now: Duration, key: ServerKey, phase: Phase, sample: Observation) {
         let Some(server) = self.servers.get_mut(&key) else { return };
-        if let Some(time) = value(sample, part, &self.tuning) {
+        if let Some(latency) = value(sample, phase, &self.tuning) {
             let tuning = &self.tuning;
-            server.parts[part.index()].latency.fold(now, tuning.tau, time, tuning.rises_at_once);
+            server.phases[phase.index()].latency.observe(
+                now,
+                tuning.ewma_decay,
+                latency,
+                tuning.is_peak_sensitive,
+            );
         }
         match sample {
-            Sample::Answered { .. } => server.ejection.succeeded(),
-            Sample::Void => server.ejection.ended(),
-            Sample::Rejected => {
-                server.ejection.ended();
-                server.told_full(now, &self.tuning);
+            Observation::Success { .. } => server.ejection.record_success(),
+            Observation::Inconclusive => server.ejection.record_inconclusive(),
+            Observation::Rejected => {
+                server.ejection.record_inconclusive();
+                server.mark_overloaded(now, &self.tuning);
             }
-            Sample::Failed { failure, .. } => {
-                if server.ejection.failed(failure, &self.tuning) && self.tuning.ejects {
+            Observation::Failure { kind, .. } => {
+                if server.ejection.record_failure(kind, &self.tuning) && self.tuning.ejects_outliers {
                     self.eject(now, key);
                 }
             }
@@ -188,14 +193,14 @@
         let Some(server) = self.servers.get(&key) else { return };
         let (service, stage) = (server.entry.service.as_str(), server.entry.stage);
         let pool = self.services.get(service).map_or(&[][..], |pool| &pool.servers);
-        let alike = pool.iter().filter_map(|other| Some((other, self.servers.get(other)?)));
-        let alike = alike.filter(|(_, server)| server.entry.stage == stage);
+        let peers = pool.iter().filter_map(|other| Some((other, self.servers.get(other)?)));
+        let peers = peers.filter(|(_, server)| server.entry.stage == stage);
         let (mut all, mut ejected) = (0, 0);
-        for (other, server) in alike {
+        for (other, server) in peers {
             all += 1;
             ejected += usize::from(*other != key && server.ejection.is_ejected(now));
         }
-        if (ejected + 1) as f64 <= all as f64 * MOST_EJECTED
+        if (ejected + 1) as f64 <= all as f64 * MAX_EJECTED_SHARE
             && let Some(server) = self.servers.get_mut(&key)
         {
             server.ejection.eject(now, &self.tuning);
@@ -204,23 +209,23 @@
 
     /// A server said that it is another one, or has another part (421): left out until the list changes its entry, or for a
     /// while.
-    pub fn misdirected(&mut self, now: Duration, key: ServerKey) {
+    pub fn record_misdirected(&mut self, now: Duration, key: ServerKey) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.misdirected(now, &self.tuning);
+            server.mark_misdirected(now, &self.tuning);
         }
     }
 
     /// A server told its load.
-    pub fn reported(&mut self, key: ServerKey, report: LoadReport) {
+    pub fn record_load_report(&mut self, key: ServerKey, report: LoadReport) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.report = Some(report);
+            server.load_report = Some(report);
         }
     }
 
     /// A server has read a prompt.
-    pub fn read_prompt(&mut self, now: Duration, key: ServerKey, prompt: &Prompt) {
+    pub fn record_prefill(&mut self, now: Duration, key: ServerKey, prompt: &Prompt) {
         if let Some(server) = self.servers.get_mut(&key) {
-            server.cache.used(now, prompt, self.tuning.cache_parts);
+            server.prefix_cache.record_prefill(now, prompt, self.tuning.prefix_cache_capacity);
         }
     }
 
--- a/crates/routing/src/listing.rs
+++ b/crates/routing/src/endpoints.rs
@@ -38,7 +38,7 @@
     }
 
     /// The keys of all listed servers.
-    pub fn keys(&self) -> impl Iterator<Item = ServerKey> + '_ {
+    pub fn server_keys(&self) -> impl Iterator<Item = ServerKey> + '_ {
         self.servers.keys().copied()
     }
 
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/in_flight_loads.rs
@@ -1,20 +1,20 @@
 //! What this proxy has under way, by service.
 
 use crate::balancer::Balancer;
-use crate::sample::Part;
+use crate::observation::Phase;
 use lugwharf_protocol::ServiceLoad;
 use std::collections::BTreeMap;
 
 impl Balancer {
     /// The requests in flight at each service whose servers have stages.
-    pub fn loads(&self) -> Vec<ServiceLoad> {
+    pub fn in_flight_loads(&self) -> Vec<ServiceLoad> {
         let mut loads: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
         for server in self.servers.values().filter(|server| server.entry.stage.is_some()) {
             let service = server.entry.service.as_str();
             let load = loads.entry(service).or_default();
-            let in_flight = |part: Part| server.parts[part.index()].in_flight;
-            load.prefill = load.prefill.saturating_add(in_flight(Part::Prefill));
-            let decode = in_flight(Part::Decode).saturating_add(in_flight(Part::Whole));
+            let in_flight = |phase: Phase| server.phases[phase.index()].in_flight;
+            load.prefill = load.prefill.saturating_add(in_flight(Phase::Prefill));
+            let decode = in_flight(Phase::Decode).saturating_add(in_flight(Phase::Full));
             load.decode = load.decode.saturating_add(decode);
         }
         let named =
--- a/crates/routing/src/report.rs
+++ b/crates/routing/src/load_report.rs
@@ -12,19 +12,19 @@
     /// Slots.
     pub slots: u32,
     /// When it came.
-    pub at: Duration,
+    pub received_at: Duration,
 }
 
 impl LoadReport {
     /// Reads `running,waiting,slots`.
-    pub fn parse(text: &str, at: Duration) -> Option<LoadReport> {
+    pub fn parse(text: &str, received_at: Duration) -> Option<LoadReport> {
         let mut numbers = text.split(',').map(|number| number.trim().parse::<u32>().ok());
         let (running, waiting, slots) = (numbers.next()??, numbers.next()??, numbers.next()??);
-        Some(LoadReport { running, waiting, slots, at })
+        Some(LoadReport { running, waiting, slots, received_at })
     }
 
     /// Whether something waited or no slot was free.
-    pub fn is_full(&self) -> bool {
+    pub fn is_saturated(&self) -> bool {
         self.waiting > 0 || (self.slots > 0 && self.running >= self.slots)
     }
 
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -1,10 +1,10 @@
 //! What is known of one server: its entry in the list and, for each part, its average and own requests in flight.
 
-use crate::cache::CacheMemory;
-use crate::ejection::Ejection;
-use crate::ewma::PeakEwma;
-use crate::report::LoadReport;
-use crate::sample::Part;
+use crate::load_report::LoadReport;
+use crate::observation::Phase;
+use crate::outlier_ejection::OutlierEjection;
+use crate::peak_ewma::PeakEwma;
+use crate::prefix_cache::PrefixCacheTracker;
 use crate::tuning::Tuning;
 use lugwharf_protocol::{ServerEntry, ServerState};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 
 /// A server's state in one part.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct PartState {
+pub(crate) struct PhaseState {
     pub latency: PeakEwma,
     pub in_flight: u32,
 }
@@ -28,26 +28,26 @@
     pub id: Rc<str>,
     pub zone: Rc<str>,
     pub id_hash: u64,
-    pub parts: [PartState; Part::COUNT],
-    pub ejection: Ejection,
-    pub cache: CacheMemory,
-    pub report: Option<LoadReport>,
-    cold_until: Duration,
+    pub phases: [PhaseState; Phase::COUNT],
+    pub ejection: OutlierEjection,
+    pub prefix_cache: PrefixCacheTracker,
+    pub load_report: Option<LoadReport>,
+    warmup_until: Duration,
     misdirected_until: Duration,
 }
 
 impl Server {
     pub fn new(entry: ServerEntry, zone: Rc<str>, now: Duration) -> Server {
-        let cold_until = now + Duration::from_millis(entry.warmup_remaining_ms);
+        let warmup_until = now + Duration::from_millis(entry.warmup_remaining_ms);
         Server {
             id: Rc::from(entry.id.as_str()),
             zone,
             id_hash: crate::rendezvous::hash(entry.id.as_bytes()),
-            parts: Default::default(),
-            ejection: Ejection::default(),
-            cache: CacheMemory::default(),
-            report: None,
-            cold_until,
+            phases: Default::default(),
+            ejection: OutlierEjection::default(),
+            prefix_cache: PrefixCacheTracker::default(),
+            load_report: None,
+            warmup_until,
             misdirected_until: Duration::ZERO,
             entry,
         }
@@ -60,22 +60,23 @@
         }
         self.misdirected_until = Duration::ZERO;
         if self.entry.stage != entry.stage {
-            self.parts = self.parts.map(|part| PartState { in_flight: part.in_flight, ..Default::default() });
+            self.phases =
+                self.phases.map(|phase| PhaseState { in_flight: phase.in_flight, ..Default::default() });
         }
         self.zone = zone;
         self.entry = entry;
     }
 
     /// It said that it is another server, or has another part.
-    pub fn misdirected(&mut self, now: Duration, tuning: &Tuning) {
-        self.misdirected_until = now + tuning.misdirected;
+    pub fn mark_misdirected(&mut self, now: Duration, tuning: &Tuning) {
+        self.misdirected_until = now + tuning.misdirected_backoff;
     }
 
     /// Whether a request for `part` may be sent there, by the list and what the server itself has said.
-    pub fn takes(&self, part: Part, model: Option<&str>, now: Duration) -> bool {
+    pub fn accepts(&self, phase: Phase, model: Option<&str>, now: Duration) -> bool {
         self.entry.state == ServerState::Ready
             && now >= self.misdirected_until
-            && part.fits(self.entry.stage)
+            && phase.fits(self.entry.stage)
             && self.has_model(model)
     }
 
@@ -85,44 +86,46 @@
     }
 
     /// It turned a request away: counts as full, where its own report does not say so.
-    pub fn told_full(&mut self, now: Duration, tuning: &Tuning) {
-        if self.fresh_report(now, tuning).is_some_and(|report| report.is_full()) {
+    pub fn mark_overloaded(&mut self, now: Duration, tuning: &Tuning) {
+        if self.fresh_load_report(now, tuning).is_some_and(|report| report.is_saturated()) {
             return;
         }
-        let own = self.parts.iter().map(|part| part.in_flight).sum();
-        self.report = Some(LoadReport { running: own, waiting: 1, slots: self.entry.slots, at: now });
+        let own = self.phases.iter().map(|phase| phase.in_flight).sum();
+        self.load_report =
+            Some(LoadReport { running: own, waiting: 1, slots: self.entry.slots, received_at: now });
     }
 
     /// Its report, while it is fresh.
-    pub fn fresh_report(&self, now: Duration, tuning: &Tuning) -> Option<LoadReport> {
-        self.report.filter(|report| now.saturating_sub(report.at) <= tuning.report_age)
+    pub fn fresh_load_report(&self, now: Duration, tuning: &Tuning) -> Option<LoadReport> {
+        self.load_report.filter(|report| now.saturating_sub(report.received_at) <= tuning.load_report_ttl)
     }
 
     /// `ewma x (in_flight + 1) / weight`, in ms for each unit of work. The list carries no weights, so the weight is 1. The
     /// requests of others that the server has reported lately enter the requests in flight by a share.
-    pub fn score(&self, part: Part, typical: f64, now: Duration, tuning: &Tuning) -> f64 {
-        let state = &self.parts[part.index()];
-        let latency = self.latency(part, typical, now, tuning);
-        let report = self.fresh_report(now, tuning);
+    pub fn score(&self, phase: Phase, median_latency: f64, now: Duration, tuning: &Tuning) -> f64 {
+        let state = &self.phases[phase.index()];
+        let latency = self.latency(phase, median_latency, now, tuning);
+        let report = self.fresh_load_report(now, tuning);
         let others = report.map_or(0.0, |report| {
             let all = report.running.saturating_add(report.waiting);
-            f64::from(all.saturating_sub(state.in_flight)) * tuning.report_weight
+            f64::from(all.saturating_sub(state.in_flight)) * tuning.load_report_weight
         });
-        let full = if report.is_some_and(|report| report.is_full()) { tuning.full_factor } else { 1.0 };
-        let cold = if now < self.cold_until { tuning.cold_factor } else { 1.0 };
+        let full =
+            if report.is_some_and(|report| report.is_saturated()) { tuning.saturation_penalty } else { 1.0 };
+        let cold = if now < self.warmup_until { tuning.warmup_penalty } else { 1.0 };
         let own = if tuning.counts_in_flight { f64::from(state.in_flight) } else { 0.0 };
         latency * (own + others + 1.0) * full * cold
     }
 
     /// The average as of now, in ms for each unit of work.
-    pub fn latency(&self, part: Part, typical: f64, now: Duration, tuning: &Tuning) -> f64 {
-        self.parts[part.index()].latency.current(now, tuning.tau, typical).max(MIN_LATENCY_MS)
+    pub fn latency(&self, phase: Phase, median_latency: f64, now: Duration, tuning: &Tuning) -> f64 {
+        self.phases[phase.index()].latency.decayed(now, tuning.ewma_decay, median_latency).max(MIN_LATENCY_MS)
     }
 
     /// The bound on own requests in flight there.
-    pub fn in_flight_bound(&self, proxies: u32, tuning: &Tuning) -> u32 {
-        let share = f64::from(self.entry.slots) * tuning.in_flight_factor / f64::from(proxies.max(1));
-        (share.ceil() as u32).max(tuning.in_flight_floor)
+    pub fn in_flight_limit(&self, proxies: u32, tuning: &Tuning) -> u32 {
+        let share = f64::from(self.entry.slots) * tuning.in_flight_limit_factor / f64::from(proxies.max(1));
+        (share.ceil() as u32).max(tuning.min_in_flight_limit)
     }
 }
 
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -2,14 +2,16 @@
 #![allow(dead_code)]
 
 use lugwharf_protocol::{ModelEntry, ServerDelta, ServerEntry, ServerState, Stage, TablePosition};
-use lugwharf_routing::{Balancer, BudgetTerms, Choice, NoChoice, Part, Prompt, Query, ServerKey, Tuning};
+use lugwharf_routing::{
+    Balancer, Phase, Prompt, RetryBudgetConfig, Selection, SelectionError, SelectionQuery, ServerKey, Tuning,
+};
 use std::time::Duration;
 
 pub const SERVICE: &str = "service";
 pub const SEED: u64 = 42;
 
-pub fn terms() -> BudgetTerms {
-    BudgetTerms { ratio: 0.2, slack: 32.0, window: Duration::from_secs(10), share: 1.0 }
+pub fn terms() -> RetryBudgetConfig {
+    RetryBudgetConfig { ratio: 0.2, reserve: 32.0, window: Duration::from_secs(10), local_share: 1.0 }
 }
 
 pub fn ms(ms: u64) -> Duration {
@@ -52,32 +54,34 @@
 }
 
 pub struct Ask<'a> {
-    pub part: Part,
+    pub phase: Phase,
     pub prompt: &'a Prompt,
     pub excluded: &'a [ServerKey],
     pub zone: &'a str,
 }
 
-pub fn choose_with(balancer: &mut Balancer, now: Duration, ask: &Ask<'_>) -> Result<Choice, NoChoice> {
-    let query = Query {
+pub fn select_with(
+    balancer: &mut Balancer, now: Duration, ask: &Ask<'_>,
+) -> Result<Selection, SelectionError> {
+    let query = SelectionQuery {
         service: SERVICE,
-        part: ask.part,
+        phase: ask.phase,
         model: Some("m"),
         prompt: ask.prompt,
-        zone: ask.zone,
+        preferred_zone: ask.zone,
         excluded: ask.excluded,
         objective: ms(300),
     };
-    balancer.choose(now, &query)
+    balancer.select(now, &query)
 }
 
-pub fn choose(balancer: &mut Balancer, now: Duration) -> Result<Choice, NoChoice> {
+pub fn select(balancer: &mut Balancer, now: Duration) -> Result<Selection, SelectionError> {
     let prompt = Prompt::default();
-    choose_with(balancer, now, &Ask { part: Part::Whole, prompt: &prompt, excluded: &[], zone: "home" })
+    select_with(balancer, now, &Ask { phase: Phase::Full, prompt: &prompt, excluded: &[], zone: "home" })
 }
 
 /// The key of a server, found by drawing until it comes up.
 pub fn key_of(balancer: &mut Balancer, id: &str) -> ServerKey {
-    let keys: Vec<ServerKey> = balancer.keys().collect();
-    keys.into_iter().find(|key| balancer.id(*key) == Some(id)).expect("listed")
+    let keys: Vec<ServerKey> = balancer.server_keys().collect();
+    keys.into_iter().find(|key| balancer.server_id(*key) == Some(id)).expect("listed")
 }
--- a/crates/routing/tests/digest.rs
+++ b/crates/routing/tests/digest.rs
@@ -10,17 +10,19 @@
 use fastrand::Rng;
 use lugwharf_protocol::{ServerDelta, ServerEntry, ServerState, Stage, TablePosition};
 use lugwharf_routing::{
-    Attempts, Balancer, BudgetTerms, CacheMemory, Choice, Ejection, Failure, HandOver, LoadReport, NoChoice,
-    Normalisation, Part, PeakEwma, Prompt, Query, RetryBudget, Sample, ServerKey, SplitLots, StickyKey,
-    Tuning, Work, by_weight, rendezvous_weight,
+    AffinityKey, Attempts, Balancer, FailureKind, KvTransferBreaker, LoadReport, Normalisation, Observation,
+    OutlierEjection, PeakEwma, Phase, PrefixCacheTracker, Prompt, RetryBudget, RetryBudgetConfig, Selection,
+    SelectionError, SelectionQuery, ServerKey, TrafficSplitter, Tuning, WorkSize, by_weight,
+    rendezvous_weight,
 };
 use std::time::Duration;
 
 const SERVICES: [&str; 2] = ["service", "other"];
 const ZONES: [&str; 3] = ["home", "away", "far"];
 const MODELS: [Option<&str>; 3] = [Some("m"), None, Some("n")];
-const PARTS: [Part; 3] = [Part::Prefill, Part::Decode, Part::Whole];
-const FAILURES: [Failure; 4] = [Failure::Connect, Failure::Broken, Failure::Timeout, Failure::Status];
+const PHASES: [Phase; 3] = [Phase::Prefill, Phase::Decode, Phase::Full];
+const FAILURES: [FailureKind; 4] =
+    [FailureKind::Connect, FailureKind::ConnectionBroken, FailureKind::Timeout, FailureKind::ServerError];
 const STEPS: usize = 1_500;
 
 /// FNV-1a over 64-bit numbers.
@@ -55,10 +57,10 @@
     }
 }
 
-fn refusal_number(refusal: NoChoice) -> u64 {
+fn refusal_number(refusal: SelectionError) -> u64 {
     match refusal {
-        NoChoice::Absent => 1,
-        NoChoice::Full => 2,
+        SelectionError::NoServer => 1,
+        SelectionError::Saturated => 2,
     }
 }
 
@@ -66,19 +68,19 @@
 fn tuning(seed: u64) -> Tuning {
     let is_set = |bit: u32| seed >> bit & 1 == 1;
     Tuning {
-        draws_two: seed % 7 != 3,
+        uses_two_choices: seed % 7 != 3,
         counts_in_flight: seed % 5 != 2,
-        rises_at_once: !is_set(0),
+        is_peak_sensitive: !is_set(0),
         starts_at_median: !is_set(1),
         samples_failures: !is_set(2),
-        steers: seed % 9 != 4,
-        prefers_home: seed % 6 != 1,
-        ejects: seed % 8 != 5,
+        uses_prefix_affinity: seed % 9 != 4,
+        prefers_local_zone: seed % 6 != 1,
+        ejects_outliers: seed % 8 != 5,
         normalisation: if is_set(3) { Normalisation::Plain } else { Normalisation::ByTokens },
-        sticky_key: if is_set(4) { StickyKey::MostTokens } else { StickyKey::LastShared },
-        in_flight_floor: if is_set(5) { 2 } else { 16 },
-        in_flight_factor: if is_set(5) { 0.05 } else { 8.0 },
-        cache_parts: if is_set(1) { 6 } else { 512 },
+        affinity_key: if is_set(4) { AffinityKey::MostTokens } else { AffinityKey::LastShared },
+        min_in_flight_limit: if is_set(5) { 2 } else { 16 },
+        in_flight_limit_factor: if is_set(5) { 0.05 } else { 8.0 },
+        prefix_cache_capacity: if is_set(1) { 6 } else { 512 },
         ..Tuning::default()
     }
 }
@@ -90,7 +92,7 @@
     now: Duration,
     sequence: u64,
     listed: Vec<ServerEntry>,
-    started: Vec<(ServerKey, Part)>,
+    started: Vec<(ServerKey, Phase)>,
 }
 
 impl World {
@@ -136,13 +138,13 @@
         SERVICES[usize::from(self.rng.u8(..5) == 0)]
     }
 
-    fn part(&mut self) -> Part {
-        PARTS[self.rng.usize(..3)]
+    fn phase(&mut self) -> Phase {
+        PHASES[self.rng.usize(..3)]
     }
 
     /// The keys of the listed servers, in the order of their ids.
     fn keys(&self) -> Vec<ServerKey> {
-        let mut keys: Vec<ServerKey> = self.balancer.keys().collect();
+        let mut keys: Vec<ServerKey> = self.balancer.server_keys().collect();
         keys.sort_unstable();
         keys
     }
@@ -236,92 +238,92 @@
     }
 
     fn choose(&mut self) {
-        let (service, part, prompt) = (self.service(), self.part(), self.prompt());
+        let (service, phase, prompt) = (self.service(), self.phase(), self.prompt());
         let keys = self.keys();
         let excluded: Vec<ServerKey> = keys.into_iter().filter(|_| self.rng.u8(..12) == 0).collect();
-        let query = Query {
+        let query = SelectionQuery {
             service,
-            part,
+            phase,
             model: MODELS[self.rng.usize(..6) / 4 + self.rng.usize(..2) / 2],
             prompt: &prompt,
-            zone: ZONES[self.rng.usize(..2)],
+            preferred_zone: ZONES[self.rng.usize(..2)],
             excluded: &excluded,
             objective: ms(50 + self.rng.u64(..400)),
         };
-        match self.balancer.choose(self.now, &query) {
+        match self.balancer.select(self.now, &query) {
             Ok(choice) => {
                 self.chosen(&choice);
                 if self.rng.u8(..4) != 0 {
-                    self.balancer.started(choice.key, part);
-                    self.started.push((choice.key, part));
-                    self.digest.number(self.balancer.in_flight(choice.key, part).into());
+                    self.balancer.record_start(choice.key, phase);
+                    self.started.push((choice.key, phase));
+                    self.digest.number(self.balancer.in_flight(choice.key, phase).into());
                 }
             }
             Err(refusal) => self.digest.number(refusal_number(refusal)),
         }
     }
 
-    fn chosen(&mut self, choice: &Choice) {
+    fn chosen(&mut self, choice: &Selection) {
         self.digest.text(&choice.id);
         self.digest.text(&choice.zone);
         self.digest.number(choice.address.port().into());
         self.digest.time(choice.estimate);
         self.digest.bool(choice.is_busy);
-        self.digest.number(choice.tokens.into());
+        self.digest.number(choice.prefill_tokens.into());
     }
 
     fn end(&mut self) {
         if self.started.is_empty() {
             return;
         }
-        let (key, part) = self.started.swap_remove(self.rng.usize(..self.started.len()));
-        self.balancer.ended(key, part);
-        self.digest.number(self.balancer.in_flight(key, part).into());
+        let (key, phase) = self.started.swap_remove(self.rng.usize(..self.started.len()));
+        self.balancer.record_end(key, phase);
+        self.digest.number(self.balancer.in_flight(key, phase).into());
     }
 
     fn observe(&mut self) {
-        let (Some(key), part) = (self.key(), self.part()) else { return };
+        let (Some(key), phase) = (self.key(), self.phase()) else { return };
         let took = Duration::from_micros(self.rng.u64(500..400_000));
-        let work = Work { tokens: f64::from(self.rng.u32(..4_000)) };
+        let work = WorkSize { tokens: f64::from(self.rng.u32(..4_000)) };
         let sample = match self.rng.u8(..10) {
-            0 => Sample::Void,
-            1 => Sample::Rejected,
+            0 => Observation::Inconclusive,
+            1 => Observation::Rejected,
             2 | 3 => {
-                let failure = FAILURES[self.rng.usize(..4)];
-                Sample::Failed { failure, took, timeout: ms(self.rng.u64(..900)), work }
+                let kind = FAILURES[self.rng.usize(..4)];
+                Observation::Failure { kind, elapsed: took, timeout: ms(self.rng.u64(..900)), work }
             }
-            _ => Sample::Answered { took, work },
+            _ => Observation::Success { elapsed: took, work },
         };
-        self.balancer.observed(self.now, key, part, sample);
+        self.balancer.record_observation(self.now, key, phase, sample);
     }
 
     fn report(&mut self) {
         let Some(key) = self.key() else { return };
         if self.rng.u8(..12) == 0 {
-            return self.balancer.misdirected(self.now, key);
+            return self.balancer.record_misdirected(self.now, key);
         }
         let (running, waiting) = (self.rng.u32(..40), self.rng.u32(..6).saturating_sub(3));
         let text = format!("{running}, {waiting},{}", self.rng.u32(..48));
         if let Some(report) = LoadReport::parse(&text, self.now) {
-            self.digest.bool(report.is_full());
+            self.digest.bool(report.is_saturated());
             self.digest.bool(report.is_busy());
-            self.balancer.reported(key, report);
+            self.balancer.record_load_report(key, report);
         }
     }
 
     fn read_prompt(&mut self) {
         let prompt = self.prompt();
         if let Some(key) = self.key() {
-            self.balancer.read_prompt(self.now, key, &prompt);
+            self.balancer.record_prefill(self.now, key, &prompt);
         }
     }
 
     fn spend(&mut self) {
         let service = self.service();
         if self.rng.bool() {
-            return self.balancer.requested(self.now, service);
+            return self.balancer.record_request(self.now, service);
         }
-        let is_spent = self.balancer.try_spend(self.now, service);
+        let is_spent = self.balancer.try_withdraw_retry(self.now, service);
         self.digest.bool(is_spent);
     }
 
@@ -329,9 +331,9 @@
         let service = self.service();
         if self.rng.bool() {
             let succeeded = self.rng.u8(..3) == 0;
-            return self.balancer.handed_over(self.now, service, succeeded);
+            return self.balancer.record_kv_transfer(self.now, service, succeeded);
         }
-        let may_pair = self.balancer.try_pair(self.now, service);
+        let may_pair = self.balancer.try_kv_transfer(self.now, service);
         self.digest.bool(may_pair);
     }
 
@@ -340,30 +342,30 @@
             0 => self.balancer.set_live_proxies(self.rng.u32(..24)),
             1 => {
                 let ratio = f64::from(self.rng.u32(..40)) / 100.0;
-                let terms = BudgetTerms { ratio, slack: 24.0, window: ms(4_000), share: 0.9 };
-                self.balancer.set_terms(terms);
+                let terms = RetryBudgetConfig { ratio, reserve: 24.0, window: ms(4_000), local_share: 0.9 };
+                self.balancer.set_retry_budget(terms);
             }
             _ => self.balancer.retain_services(|service| service == "service"),
         }
-        self.digest.number(self.balancer.proxies().into());
-        self.digest.number(self.balancer.known_proxies().into());
+        self.digest.number(self.balancer.proxy_count().into());
+        self.digest.number(self.balancer.reported_proxy_count().into());
     }
 
     fn inspect(&mut self) {
-        for load in self.balancer.loads() {
+        for load in self.balancer.in_flight_loads() {
             self.digest.text(&load.service);
             self.digest.number(load.prefill.into());
             self.digest.number(load.decode.into());
         }
         for service in SERVICES {
-            self.digest.bool(self.balancer.has_stages(service));
+            self.digest.bool(self.balancer.is_disaggregated(service));
         }
         for key in self.keys() {
-            self.digest.text(self.balancer.id(key).expect("listed"));
+            self.digest.text(self.balancer.server_id(key).expect("listed"));
             self.digest.bool(self.balancer.is_listed(key));
-            for part in PARTS {
-                self.digest.bool(self.balancer.is_usable(self.now, key, part));
-                self.digest.number(self.balancer.in_flight(key, part).into());
+            for phase in PHASES {
+                self.digest.bool(self.balancer.is_eligible(self.now, key, phase));
+                self.digest.number(self.balancer.in_flight(key, phase).into());
             }
         }
         self.digest.bool(self.balancer.has_servers());
@@ -448,9 +450,9 @@
     for _ in 0..400 {
         now += Duration::from_micros(rng.u64(..900_000));
         let tau = ms(rng.u64(..8_000));
-        average.fold(now, tau, rng.f64() * 500.0 - 1.0, rng.bool());
+        average.observe(now, tau, rng.f64() * 500.0 - 1.0, rng.bool());
         digest.float(average.value().unwrap_or(-1.0));
-        digest.float(average.current(now + ms(rng.u64(..5_000)), tau, rng.f64() * 100.0));
+        digest.float(average.decayed(now + ms(rng.u64(..5_000)), tau, rng.f64() * 100.0));
     }
 }
 
@@ -459,23 +461,23 @@
     for _ in 0..600 {
         now += ms(rng.u64(..120));
         if rng.u8(..3) > 0 {
-            budget.request(now, &terms());
+            budget.deposit(now, &terms());
         } else {
-            digest.bool(budget.try_spend(now, &terms(), rng.u32(..40)));
+            digest.bool(budget.try_withdraw(now, &terms(), rng.u32(..40)));
         }
     }
 }
 
 fn ejections(rng: &mut Rng, digest: &mut Digest) {
-    let (mut ejection, mut now, tuning) = (Ejection::default(), ms(0), Tuning::default());
+    let (mut ejection, mut now, tuning) = (OutlierEjection::default(), ms(0), Tuning::default());
     for _ in 0..400 {
         now += ms(rng.u64(..700));
         match rng.u8(..12) {
-            0 => ejection.succeeded(),
-            1..4 => ejection.started(),
-            4..6 => ejection.ended(),
+            0 => ejection.record_success(),
+            1..4 => ejection.record_start(),
+            4..6 => ejection.record_inconclusive(),
             _ => {
-                let should_eject = ejection.failed(FAILURES[rng.usize(..4)], &tuning);
+                let should_eject = ejection.record_failure(FAILURES[rng.usize(..4)], &tuning);
                 digest.bool(should_eject);
                 if should_eject {
                     ejection.eject(now, &tuning);
@@ -488,26 +490,26 @@
 }
 
 fn hand_overs(rng: &mut Rng, digest: &mut Digest) {
-    let (mut hand_over, mut now) = (HandOver::default(), ms(0));
+    let (mut breaker, mut now) = (KvTransferBreaker::default(), ms(0));
     for _ in 0..400 {
         now += ms(rng.u64(..200));
         if rng.bool() {
-            hand_over.ended(now, rng.u8(..3) == 0);
+            breaker.record(now, rng.u8(..3) == 0);
         }
-        digest.bool(hand_over.try_pair(now));
+        digest.bool(breaker.try_acquire(now));
     }
 }
 
 fn caches(rng: &mut Rng, digest: &mut Digest) {
-    let (mut cache, mut now) = (CacheMemory::default(), ms(0));
+    let (mut cache, mut now) = (PrefixCacheTracker::default(), ms(0));
     for _ in 0..400 {
         now += ms(1 + rng.u64(..50));
         let text = format!("aa:{},{:x}:40,{:x}:{}", rng.u16(..), rng.u8(..16), rng.u16(..64), rng.u32(..));
         let prompt = Prompt::parse(Some(&text), Some("70,8"));
-        digest.number(prompt.tokens_in.into());
-        digest.number(cache.kept_tokens(now, &prompt, ms(600)).into());
+        digest.number(prompt.input_tokens.into());
+        digest.number(cache.cached_tokens(now, &prompt, ms(600)).into());
         if rng.bool() {
-            cache.used(now, &prompt, 24);
+            cache.record_prefill(now, &prompt, 24);
         }
         digest.number(cache.len() as u64);
         digest.bool(cache.is_empty());
@@ -515,9 +517,9 @@
 }
 
 fn splits(rng: &mut Rng, digest: &mut Digest) {
-    let mut lots = SplitLots::new(rng.f64() * 9.0 - 4.0);
+    let mut splitter = TrafficSplitter::new(rng.f64() * 9.0 - 4.0);
     for _ in 0..400 {
-        let lot = lots.draw();
+        let lot = splitter.next_sample();
         digest.float(lot);
         let weights: Vec<f64> = (0..rng.usize(..6)).map(|_| rng.f64() * 3.0 - 1.0).collect();
         digest.number(by_weight(weights.into_iter(), lot).map_or(u64::MAX, |index| index as u64));
@@ -530,33 +532,33 @@
         let mut attempts = Attempts::new(rng.bool(), rng.u32(..5), rng.u32(..4));
         for _ in 0..8 {
             // Only what the proxy does: a run follows a permission to run.
-            if rng.bool() && attempts.may_run() {
-                attempts.arrived();
-                if rng.bool() { attempts.ran() } else { attempts.rejected() }
+            if rng.bool() && attempts.may_execute() {
+                attempts.record_delivery();
+                if rng.bool() { attempts.record_execution() } else { attempts.record_rejection() }
             } else if attempts.may_prefill() {
-                attempts.arrived();
-                if rng.bool() { attempts.prefilled() } else { attempts.prefill_broke() }
+                attempts.record_delivery();
+                if rng.bool() { attempts.record_prefill() } else { attempts.record_prefill_failure() }
             }
             let flags = [
-                attempts.may_run(),
+                attempts.may_execute(),
                 attempts.may_prefill(),
-                attempts.needs_budget(),
+                attempts.needs_retry_budget(),
                 attempts.has_free_prefill(),
-                attempts.is_unrun(),
-                attempts.was_offered(),
+                attempts.is_unexecuted(),
+                attempts.was_attempted(),
             ];
             flags.into_iter().for_each(|flag| digest.bool(flag));
-            digest.number(attempts.runs().into());
+            digest.number(attempts.executions().into());
         }
     }
 }
 
 fn units(rng: &mut Rng, digest: &mut Digest) {
     for seed in 0..16 {
-        for part in PARTS {
-            digest.float(Work { tokens: rng.f64() * 9_000.0 }.units(part, &tuning(seed)));
+        for phase in PHASES {
+            digest.float(WorkSize { tokens: rng.f64() * 9_000.0 }.units(phase, &tuning(seed)));
             for stage in [None, Some(Stage::Prefill), Some(Stage::Decode)] {
-                digest.bool(part.fits(stage));
+                digest.bool(phase.fits(stage));
             }
         }
     }
--- a/crates/routing/tests/limits.rs
+++ b/crates/routing/tests/limits.rs
@@ -5,8 +5,8 @@
 use common::*;
 use lugwharf_protocol::{ServerDelta, TablePosition};
 use lugwharf_routing::{
-    Attempts, Balancer, Ejection, Failure, HandOver, LoadReport, Part, RetryBudget, Sample, SplitLots,
-    Tuning, Work, by_weight,
+    Attempts, Balancer, FailureKind, KvTransferBreaker, LoadReport, Observation, OutlierEjection, Phase,
+    RetryBudget, TrafficSplitter, Tuning, WorkSize, by_weight,
 };
 use rstest::rstest;
 use std::time::Duration;
@@ -20,11 +20,11 @@
         let now = ms(step * 100);
         // A pause in the middle: what was earned before it is not kept.
         if !(200..400).contains(&step) {
-            budget.request(now, &terms);
+            budget.deposit(now, &terms);
             requests.push(now);
         }
         for _ in 0..3 {
-            if budget.try_spend(now, &terms, 16) {
+            if budget.try_withdraw(now, &terms, 16) {
                 extras.push(now);
             }
         }
@@ -36,7 +36,7 @@
         // The rule counts requests of this window, the one before and the one half a window before, whichever has most.
         let before = [Duration::ZERO, terms.window / 2, terms.window].map(|shift| from.saturating_sub(shift));
         let counted = before.iter().map(|from| within(&requests, *from)).fold(0.0, f64::max);
-        let allowed = terms.ratio * counted + terms.slack / 16.0;
+        let allowed = terms.ratio * counted + terms.reserve / 16.0;
         assert!(within(&extras, from) <= allowed, "from {from:?}: {} > {allowed}", within(&extras, from));
     }
     assert!(extras.len() > 50, "{} extras: the budget is used", extras.len());
@@ -48,8 +48,8 @@
     let mut spent = 0;
     for proxy in &mut proxies {
         proxy.set_live_proxies(6);
-        proxy.requested(ms(0), SERVICE);
-        spent += (0..100).filter(|_| proxy.try_spend(ms(1), SERVICE)).count();
+        proxy.record_request(ms(0), SERVICE);
+        spent += (0..100).filter(|_| proxy.try_withdraw_retry(ms(1), SERVICE)).count();
     }
     assert!(spent as f64 <= 0.2 * 12.0 + 32.0, "{spent} extras");
 }
@@ -65,58 +65,58 @@
 #[case::a_first_reading_is_free(false, 1, &["prefilled"], true, false)]
 #[case::a_second_one_counts_as_a_run(false, 2, &["prefilled"], true, true)]
 #[case::and_leaves_room_for_the_run(false, 2, &["prefilled", "prefilled"], true, false)]
-#[case::a_reading_that_broke_may_have_been_taken_up(false, 1, &["prefill_broke"], true, false)]
+#[case::a_reading_that_broke_may_have_been_taken_up(false, 1, &["record_prefill_failure"], true, false)]
 fn what_may_still_be_sent(
-    #[case] idempotent: bool, #[case] most: u32, #[case] steps: &[&str], #[case] may_run: bool,
+    #[case] idempotent: bool, #[case] most: u32, #[case] steps: &[&str], #[case] may_execute: bool,
     #[case] may_prefill: bool,
 ) {
     let mut attempts = Attempts::new(idempotent, most, 3);
     for step in steps {
-        attempts.arrived();
+        attempts.record_delivery();
         match *step {
-            "ran" => attempts.ran(),
-            "rejected" => attempts.rejected(),
-            "prefilled" => attempts.prefilled(),
-            "prefill_broke" => attempts.prefill_broke(),
+            "ran" => attempts.record_execution(),
+            "rejected" => attempts.record_rejection(),
+            "prefilled" => attempts.record_prefill(),
+            "record_prefill_failure" => attempts.record_prefill_failure(),
             other => panic!("no such step: {other}"),
         }
     }
-    assert_eq!((attempts.may_run(), attempts.may_prefill()), (may_run, may_prefill));
+    assert_eq!((attempts.may_execute(), attempts.may_prefill()), (may_execute, may_prefill));
 }
 
 #[test]
 fn only_the_first_arrival_and_the_first_reading_are_free() {
     let mut attempts = Attempts::new(false, 2, 3);
-    assert!(!attempts.needs_budget());
-    attempts.arrived();
-    attempts.prefilled();
-    assert!(!attempts.needs_budget(), "a reading that was taken up does not count");
-    attempts.arrived();
-    assert!(attempts.needs_budget());
+    assert!(!attempts.needs_retry_budget());
+    attempts.record_delivery();
+    attempts.record_prefill();
+    assert!(!attempts.needs_retry_budget(), "a reading that was taken up does not count");
+    attempts.record_delivery();
+    assert!(attempts.needs_retry_budget());
     let mut attempts = Attempts::new(false, 2, 3);
-    attempts.arrived();
-    attempts.rejected();
-    assert!(attempts.needs_budget(), "a reading that was turned away counts");
+    attempts.record_delivery();
+    attempts.record_rejection();
+    assert!(attempts.needs_retry_budget(), "a reading that was turned away counts");
 }
 
 #[test]
 fn an_ejected_server_comes_back_by_single_trials_that_double_its_time() {
     let tuning = Tuning::default();
-    let mut ejection = Ejection::default();
-    assert!(!ejection.failed(Failure::Broken, &tuning), "one is chance");
-    assert!(ejection.failed(Failure::Broken, &tuning));
+    let mut ejection = OutlierEjection::default();
+    assert!(!ejection.record_failure(FailureKind::ConnectionBroken, &tuning), "one is chance");
+    assert!(ejection.record_failure(FailureKind::ConnectionBroken, &tuning));
     let mut now = ms(0);
     for expected in [500, 1_000, 2_000, 4_000, 8_000, 8_000] {
         ejection.eject(now, &tuning);
         assert!(ejection.is_ejected(now + ms(expected - 1)));
         now += ms(expected);
         assert!(!ejection.is_ejected(now), "after {expected} ms");
-        ejection.started();
+        ejection.record_start();
         assert!(ejection.is_ejected(now), "one trial at a time");
-        assert!(ejection.failed(Failure::Broken, &tuning));
+        assert!(ejection.record_failure(FailureKind::ConnectionBroken, &tuning));
     }
-    ejection.succeeded();
-    assert_eq!(ejection, Ejection::default());
+    ejection.record_success();
+    assert_eq!(ejection, OutlierEjection::default());
 }
 
 #[test]
@@ -124,11 +124,11 @@
     let mut balancer = balancer(Tuning::default(), plain(4));
     let keys = ["a", "b", "c", "d"].map(|id| key_of(&mut balancer, id));
     for key in keys {
-        let (took, timeout, work) = (ms(1), ms(1), Work::default());
-        let failed = Sample::Failed { failure: Failure::Connect, took, timeout, work };
-        balancer.observed(ms(0), key, Part::Whole, failed);
+        let (elapsed, timeout, work) = (ms(1), ms(1), WorkSize::default());
+        let failed = Observation::Failure { kind: FailureKind::Connect, elapsed, timeout, work };
+        balancer.record_observation(ms(0), key, Phase::Full, failed);
     }
-    let mut chosen: Vec<_> = (0..100).map(|_| choose(&mut balancer, ms(1)).expect("a choice").key).collect();
+    let mut chosen: Vec<_> = (0..100).map(|_| select(&mut balancer, ms(1)).expect("a choice").key).collect();
     chosen.sort_unstable();
     chosen.dedup();
     assert_eq!(chosen, keys[2..], "the first two are ejected, the others can't be");
@@ -138,16 +138,16 @@
 fn where_only_ejected_servers_are_left_they_are_used() {
     let mut balancer = balancer(Tuning::default(), plain(2));
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
-    let (took, timeout, work) = (ms(1), ms(1), Work::default());
-    balancer.observed(
+    let (elapsed, timeout, work) = (ms(1), ms(1), WorkSize::default());
+    balancer.record_observation(
         ms(0),
         a,
-        Part::Whole,
-        Sample::Failed { failure: Failure::Connect, took, timeout, work },
+        Phase::Full,
+        Observation::Failure { kind: FailureKind::Connect, elapsed, timeout, work },
     );
     let prompt = Default::default();
-    let ask = Ask { part: Part::Whole, prompt: &prompt, excluded: &[b], zone: "home" };
-    assert_eq!(choose_with(&mut balancer, ms(1), &ask).expect("a choice").key, a);
+    let ask = Ask { phase: Phase::Full, prompt: &prompt, excluded: &[b], zone: "home" };
+    assert_eq!(select_with(&mut balancer, ms(1), &ask).expect("a choice").key, a);
 }
 
 #[rstest]
@@ -165,15 +165,15 @@
 fn changes_keep_what_is_known_of_those_that_stay() {
     let mut balancer = balancer(Tuning::default(), plain(2));
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
-    balancer.started(a, Part::Whole);
+    balancer.record_start(a, Phase::Full);
     let removed = vec!["b".to_owned()];
     let delta = ServerDelta { position: position(1, 2), is_full: false, entries: plain(1), removed };
     assert!(balancer.apply(ms(0), &delta));
-    assert_eq!(balancer.in_flight(a, Part::Whole), 1);
+    assert_eq!(balancer.in_flight(a, Phase::Full), 1);
     assert!(!balancer.is_listed(b));
     assert!(balancer.apply(ms(0), &whole(position(1, 3), plain(2))));
     assert_ne!(key_of(&mut balancer, "b"), b, "one that comes back is another one");
-    balancer.ended(b, Part::Whole);
+    balancer.record_end(b, Phase::Full);
     let mut moved = plain(2);
     moved[0].address.set_port(9);
     assert!(balancer.apply(ms(0), &whole(position(1, 4), moved)));
@@ -211,9 +211,9 @@
     let proxies = 300 / requests;
     let mut all = 0;
     for proxy in 0..proxies {
-        let mut lots = SplitLots::new(f64::from(proxy) * 0.377);
-        let draws =
-            (0..requests).filter(|_| by_weight([1.0 - weight, weight].into_iter(), lots.draw()) == Some(1));
+        let mut splitter = TrafficSplitter::new(f64::from(proxy) * 0.377);
+        let draws = (0..requests)
+            .filter(|_| by_weight([1.0 - weight, weight].into_iter(), splitter.next_sample()) == Some(1));
         let drawn = draws.count() as f64;
         assert!(
             (drawn - weight * f64::from(requests)).abs() <= 2.0,
@@ -227,18 +227,18 @@
 
 #[test]
 fn pairs_are_given_up_once_most_hand_overs_fail_but_for_trials() {
-    let mut hand_over = HandOver::default();
+    let mut breaker = KvTransferBreaker::default();
     let (mut now, mut failures) = (ms(0), 0);
-    while hand_over.try_pair(now) {
-        hand_over.ended(now, false);
+    while breaker.try_acquire(now) {
+        breaker.record(now, false);
         failures += 1;
     }
     assert_eq!(failures, 3);
     let trials = (0..50).filter(|_| {
         now += ms(100);
-        hand_over.try_pair(now)
+        breaker.try_acquire(now)
     });
     assert_eq!(trials.count(), 10, "one each half second");
-    hand_over.ended(now, true);
-    assert!(hand_over.try_pair(now), "one success brings the share down to under a half");
+    breaker.record(now, true);
+    assert!(breaker.try_acquire(now), "one success brings the share down to under a half");
 }
--- a/crates/routing/tests/score.rs
+++ b/crates/routing/tests/score.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use lugwharf_protocol::{ServerState, Stage};
-use lugwharf_routing::{Failure, Part, PeakEwma, Sample, Tuning, Work};
+use lugwharf_routing::{FailureKind, Observation, PeakEwma, Phase, Tuning, WorkSize};
 use rstest::rstest;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 fn the_average_rises_at_once_and_falls_by_time(#[case] samples: &[(u64, f64)], #[case] expected: f64) {
     let mut average = PeakEwma::default();
     for (at, sample) in samples {
-        average.fold(ms(*at), TAU, *sample, true);
+        average.observe(ms(*at), TAU, *sample, true);
     }
     let value = average.value().expect("a value");
     assert!((value - expected).abs() < 1e-3, "{value} instead of {expected}");
@@ -30,46 +30,46 @@
 #[test]
 fn old_news_fades_towards_what_is_typical() {
     let mut average = PeakEwma::default();
-    assert_eq!(average.current(ms(0), TAU, 7.0), 7.0, "no samples: typical");
-    average.fold(ms(0), TAU, 1_000.0, true);
-    assert_eq!(average.current(ms(0), TAU, 7.0), 1_000.0);
-    assert!(average.current(ms(100_000), TAU, 7.0) < 8.0);
+    assert_eq!(average.decayed(ms(0), TAU, 7.0), 7.0, "no samples: typical");
+    average.observe(ms(0), TAU, 1_000.0, true);
+    assert_eq!(average.decayed(ms(0), TAU, 7.0), 1_000.0);
+    assert!(average.decayed(ms(100_000), TAU, 7.0) < 8.0);
 }
 
-fn answered(took: u64) -> Sample {
-    Sample::Answered { took: ms(took), work: Work::default() }
+fn answered(took: u64) -> Observation {
+    Observation::Success { elapsed: ms(took), work: WorkSize::default() }
 }
 
 #[test]
 fn the_lower_product_of_latency_and_in_flight_wins() {
     let mut balancer = balancer(Tuning::default(), plain(2));
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
-    balancer.observed(ms(0), a, Part::Whole, answered(10));
-    balancer.observed(ms(0), b, Part::Whole, answered(25));
+    balancer.record_observation(ms(0), a, Phase::Full, answered(10));
+    balancer.record_observation(ms(0), b, Phase::Full, answered(25));
     // 10 x 1 < 25 x 1; 10 x 2 < 25 x 1; 10 x 3 > 25 x 1.
     for (in_flight, expected) in [(0, a), (1, a), (2, b)] {
-        assert_eq!(balancer.in_flight(a, Part::Whole), in_flight);
-        assert_eq!(choose(&mut balancer, ms(0)).expect("a choice").key, expected, "{in_flight} in flight");
-        balancer.started(a, Part::Whole);
+        assert_eq!(balancer.in_flight(a, Phase::Full), in_flight);
+        assert_eq!(select(&mut balancer, ms(0)).expect("a choice").key, expected, "{in_flight} in flight");
+        balancer.record_start(a, Phase::Full);
     }
-    balancer.ended(a, Part::Whole);
-    balancer.ended(a, Part::Whole);
-    assert_eq!(choose(&mut balancer, ms(0)).expect("a choice").key, a, "what has ended counts no more");
+    balancer.record_end(a, Phase::Full);
+    balancer.record_end(a, Phase::Full);
+    assert_eq!(select(&mut balancer, ms(0)).expect("a choice").key, a, "what has ended counts no more");
 }
 
 #[test]
 fn a_failure_enters_as_the_longer_of_its_time_and_the_time_out() {
-    for (took, timeout, expected) in [(5, 400, 400), (700, 400, 700)] {
+    for (elapsed, timeout, expected) in [(5, 400, 400), (700, 400, 700)] {
         let mut balancer = balancer(Tuning::default(), plain(1));
         let a = key_of(&mut balancer, "a");
-        let failed = Sample::Failed {
-            failure: Failure::Timeout,
-            took: ms(took),
+        let failed = Observation::Failure {
+            kind: FailureKind::Timeout,
+            elapsed: ms(elapsed),
             timeout: ms(timeout),
-            work: Work::default(),
+            work: WorkSize::default(),
         };
-        balancer.observed(ms(0), a, Part::Whole, failed);
-        assert_eq!(choose(&mut balancer, ms(0)).expect("a choice").estimate, ms(expected));
+        balancer.record_observation(ms(0), a, Phase::Full, failed);
+        assert_eq!(select(&mut balancer, ms(0)).expect("a choice").estimate, ms(expected));
     }
 }
 
@@ -78,15 +78,15 @@
     let tuning = Tuning::default();
     let mut balancer = balancer(tuning.clone(), plain(2));
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
-    balancer.observed(ms(0), a, Part::Whole, answered(20));
-    balancer.observed(ms(0), b, Part::Whole, answered(40));
-    assert_eq!(choose(&mut balancer, ms(0)).expect("a choice").key, a);
-    balancer.observed(ms(1), a, Part::Whole, Sample::Rejected);
-    assert_eq!(choose(&mut balancer, ms(2)).expect("a choice").key, b, "a is full");
-    let later = choose(&mut balancer, ms(2) + tuning.report_age).expect("a choice");
+    balancer.record_observation(ms(0), a, Phase::Full, answered(20));
+    balancer.record_observation(ms(0), b, Phase::Full, answered(40));
+    assert_eq!(select(&mut balancer, ms(0)).expect("a choice").key, a);
+    balancer.record_observation(ms(1), a, Phase::Full, Observation::Rejected);
+    assert_eq!(select(&mut balancer, ms(2)).expect("a choice").key, b, "a is full");
+    let later = select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a choice");
     assert_eq!((later.key, later.is_busy), (a, false));
-    balancer.observed(ms(2), a, Part::Whole, Sample::Void);
-    assert_eq!(choose(&mut balancer, ms(2) + tuning.report_age).expect("a choice").key, a);
+    balancer.record_observation(ms(2), a, Phase::Full, Observation::Inconclusive);
+    assert_eq!(select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a choice").key, a);
 }
 
 #[test]
@@ -94,11 +94,11 @@
     let mut balancer = balancer(Tuning::default(), plain(3));
     let keys = ["a", "b", "c"].map(|id| key_of(&mut balancer, id));
     for (key, took) in keys.iter().zip([10, 20, 1_000]) {
-        balancer.observed(ms(0), *key, Part::Whole, answered(took));
+        balancer.record_observation(ms(0), *key, Phase::Full, answered(took));
     }
     let mut wins: HashMap<_, u32> = HashMap::new();
     for _ in 0..3_000 {
-        *wins.entry(choose(&mut balancer, ms(0)).expect("a choice").key).or_default() += 1;
+        *wins.entry(select(&mut balancer, ms(0)).expect("a choice").key).or_default() += 1;
     }
     assert_eq!(wins.get(&keys[2]), None, "seed {SEED}: the worst can't be drawn twice");
     // The best is in two of three pairs.
@@ -111,7 +111,7 @@
 #[case::one(1, Some("a"))]
 fn pools_of_one_or_none(#[case] servers: u8, #[case] expected: Option<&str>) {
     let mut balancer = balancer(Tuning::default(), plain(servers));
-    let chosen = choose(&mut balancer, ms(0)).ok();
+    let chosen = select(&mut balancer, ms(0)).ok();
     assert_eq!(chosen.as_ref().map(|choice| &*choice.id), expected);
 }
 
@@ -120,12 +120,12 @@
     let mut balancer = balancer(Tuning::default(), plain(4));
     for (id, took) in [("a", 10), ("b", 30), ("c", 90)] {
         let key = key_of(&mut balancer, id);
-        balancer.observed(ms(0), key, Part::Whole, answered(took));
+        balancer.record_observation(ms(0), key, Phase::Full, answered(took));
     }
     let others = ["a", "b", "c"].map(|id| key_of(&mut balancer, id));
     let prompt = Default::default();
-    let ask = Ask { part: Part::Whole, prompt: &prompt, excluded: &others, zone: "home" };
-    let newcomer = choose_with(&mut balancer, ms(0), &ask).expect("the newcomer");
+    let ask = Ask { phase: Phase::Full, prompt: &prompt, excluded: &others, zone: "home" };
+    let newcomer = select_with(&mut balancer, ms(0), &ask).expect("the newcomer");
     assert_eq!((&*newcomer.id, newcomer.estimate), ("d", ms(30)));
 }
 
@@ -133,24 +133,24 @@
 fn parts_have_their_own_averages_and_counts() {
     let mut balancer = balancer(Tuning::default(), plain(1));
     let a = key_of(&mut balancer, "a");
-    balancer.observed(ms(0), a, Part::Prefill, answered(500));
-    balancer.started(a, Part::Prefill);
-    assert_eq!(balancer.in_flight(a, Part::Decode), 0);
-    assert!(choose(&mut balancer, ms(0)).expect("a choice").estimate < ms(10));
+    balancer.record_observation(ms(0), a, Phase::Prefill, answered(500));
+    balancer.record_start(a, Phase::Prefill);
+    assert_eq!(balancer.in_flight(a, Phase::Decode), 0);
+    assert!(select(&mut balancer, ms(0)).expect("a choice").estimate < ms(10));
 }
 
 #[rstest]
-#[case(Part::Prefill, Stage::Prefill, true)]
-#[case(Part::Prefill, Stage::Decode, false)]
-#[case(Part::Decode, Stage::Decode, true)]
-#[case(Part::Decode, Stage::Prefill, false)]
-#[case(Part::Whole, Stage::Decode, true)]
-#[case(Part::Whole, Stage::Prefill, false)]
-fn a_part_goes_only_to_servers_of_its_stage(#[case] part: Part, #[case] stage: Stage, #[case] fits: bool) {
+#[case(Phase::Prefill, Stage::Prefill, true)]
+#[case(Phase::Prefill, Stage::Decode, false)]
+#[case(Phase::Decode, Stage::Decode, true)]
+#[case(Phase::Decode, Stage::Prefill, false)]
+#[case(Phase::Full, Stage::Decode, true)]
+#[case(Phase::Full, Stage::Prefill, false)]
+fn a_part_goes_only_to_servers_of_its_stage(#[case] phase: Phase, #[case] stage: Stage, #[case] fits: bool) {
     let mut balancer = balancer(Tuning::default(), vec![entry("a", "home", Some(stage))]);
     let prompt = Default::default();
-    let ask = Ask { part, prompt: &prompt, excluded: &[], zone: "home" };
-    assert_eq!(choose_with(&mut balancer, ms(0), &ask).is_ok(), fits);
+    let ask = Ask { phase, prompt: &prompt, excluded: &[], zone: "home" };
+    assert_eq!(select_with(&mut balancer, ms(0), &ask).is_ok(), fits);
 }
 
 #[test]
@@ -160,7 +160,7 @@
     let mut other = entry("b", "home", None);
     other.models[0].name = "other".to_owned();
     let mut balancer = balancer(Tuning::default(), vec![draining, other]);
-    assert!(choose(&mut balancer, ms(0)).is_err());
+    assert!(select(&mut balancer, ms(0)).is_err());
 }
 
 #[test]
@@ -168,18 +168,18 @@
     let tuning = Tuning::default();
     let mut balancer = balancer(tuning.clone(), plain(1));
     let a = key_of(&mut balancer, "a");
-    balancer.misdirected(ms(0), a);
-    assert!(choose(&mut balancer, ms(1)).is_err());
-    assert!(!balancer.is_usable(ms(1), a, Part::Whole));
+    balancer.record_misdirected(ms(0), a);
+    assert!(select(&mut balancer, ms(1)).is_err());
+    assert!(!balancer.is_eligible(ms(1), a, Phase::Full));
     // The same entry again is no news.
     assert!(balancer.apply(ms(2), &whole(position(1, 2), plain(1))));
-    assert!(choose(&mut balancer, ms(2)).is_err());
+    assert!(select(&mut balancer, ms(2)).is_err());
     let mut changed = plain(1);
     changed[0].slots = 3;
     assert!(balancer.apply(ms(3), &whole(position(1, 3), changed)));
-    assert!(choose(&mut balancer, ms(3)).is_ok());
-    balancer.misdirected(ms(4), a);
-    assert!(choose(&mut balancer, ms(4) + tuning.misdirected).is_ok());
+    assert!(select(&mut balancer, ms(3)).is_ok());
+    balancer.record_misdirected(ms(4), a);
+    assert!(select(&mut balancer, ms(4) + tuning.misdirected_backoff).is_ok());
 }
 
 #[test]
@@ -187,33 +187,33 @@
     let entries = vec![entry("a", "home", None), entry("b", "away", None), entry("c", "away", None)];
     let mut balancer = balancer(Tuning::default(), entries);
     let a = key_of(&mut balancer, "a");
-    balancer.observed(ms(0), a, Part::Whole, answered(100));
+    balancer.record_observation(ms(0), a, Phase::Full, answered(100));
     for id in ["b", "c"] {
         let key = key_of(&mut balancer, id);
-        balancer.observed(ms(0), key, Part::Whole, answered(10));
+        balancer.record_observation(ms(0), key, Phase::Full, answered(10));
     }
     for _ in 0..50 {
         assert_eq!(
-            choose(&mut balancer, ms(0)).expect("a choice").key,
+            select(&mut balancer, ms(0)).expect("a choice").key,
             a,
             "100 ms are within half of 300 ms"
         );
     }
-    balancer.observed(ms(0), a, Part::Whole, answered(1_000));
-    let away = (0..50).filter(|_| choose(&mut balancer, ms(0)).expect("a choice").key != a).count();
+    balancer.record_observation(ms(0), a, Phase::Full, answered(1_000));
+    let away = (0..50).filter(|_| select(&mut balancer, ms(0)).expect("a choice").key != a).count();
     assert_eq!(away, 50, "seed {SEED}: any pair holds a faster one");
 }
 
 #[test]
 fn own_requests_in_flight_are_bounded() {
-    let tuning = Tuning { in_flight_floor: 2, in_flight_factor: 0.0, ..Tuning::default() };
+    let tuning = Tuning { min_in_flight_limit: 2, in_flight_limit_factor: 0.0, ..Tuning::default() };
     let mut balancer = balancer(tuning, plain(1));
     let a = key_of(&mut balancer, "a");
     for _ in 0..2 {
-        assert!(choose(&mut balancer, ms(0)).is_ok());
-        balancer.started(a, Part::Whole);
+        assert!(select(&mut balancer, ms(0)).is_ok());
+        balancer.record_start(a, Phase::Full);
     }
-    assert_eq!(choose(&mut balancer, ms(0)), Err(lugwharf_routing::NoChoice::Full));
-    balancer.ended(a, Part::Whole);
-    assert!(choose(&mut balancer, ms(0)).is_ok());
+    assert_eq!(select(&mut balancer, ms(0)), Err(lugwharf_routing::SelectionError::Saturated));
+    balancer.record_end(a, Phase::Full);
+    assert!(select(&mut balancer, ms(0)).is_ok());
 }
--- a/crates/routing/tests/sticky.rs
+++ b/crates/routing/tests/sticky.rs
@@ -5,7 +5,8 @@
 use common::*;
 use lugwharf_protocol::{ServerEntry, Stage};
 use lugwharf_routing::{
-    Balancer, CacheMemory, Part, Prompt, PromptPart, Sample, Tuning, Work, rendezvous_weight,
+    Balancer, Observation, Phase, PrefixCacheTracker, Prompt, PromptSegment, Tuning, WorkSize,
+    rendezvous_weight,
 };
 use rstest::rstest;
 use std::collections::HashSet;
@@ -20,9 +21,9 @@
     Prompt::parse(Some(&prefix), Some("1400,20"))
 }
 
-fn choose_for(balancer: &mut Balancer, prompt: &Prompt) -> lugwharf_routing::Choice {
-    let ask = Ask { part: Part::Prefill, prompt, excluded: &[], zone: "home" };
-    choose_with(balancer, ms(0), &ask).expect("a choice")
+fn choose_for(balancer: &mut Balancer, prompt: &Prompt) -> lugwharf_routing::Selection {
+    let ask = Ask { phase: Phase::Prefill, prompt, excluded: &[], zone: "home" };
+    select_with(balancer, ms(0), &ask).expect("a choice")
 }
 
 #[rstest]
@@ -34,8 +35,8 @@
     #[case] prefix: &str, #[case] counts: &str, #[case] parts: &[(u64, u32)], #[case] tokens: u32,
 ) {
     let prompt = Prompt::parse(Some(prefix), Some(counts));
-    let parts: Vec<PromptPart> = parts.iter().map(|&(id, tokens)| PromptPart { id, tokens }).collect();
-    assert_eq!((prompt.parts, prompt.tokens_in), (parts, tokens));
+    let parts: Vec<PromptSegment> = parts.iter().map(|&(id, tokens)| PromptSegment { id, tokens }).collect();
+    assert_eq!((prompt.segments, prompt.input_tokens), (parts, tokens));
 }
 
 #[test]
@@ -70,22 +71,22 @@
 fn parts_that_are_kept_lower_the_estimate() {
     let mut balancer = balancer(Tuning::default(), servers(1));
     let key = key_of(&mut balancer, "s0");
-    let sample = Sample::Answered { took: ms(100), work: Work { tokens: 1_400.0 } };
-    balancer.observed(ms(0), key, Part::Prefill, sample);
+    let sample = Observation::Success { elapsed: ms(100), work: WorkSize { tokens: 1_400.0 } };
+    balancer.record_observation(ms(0), key, Phase::Prefill, sample);
     let all = choose_for(&mut balancer, &prompt("b1", "c1"));
-    assert_eq!(all.tokens, 1_400);
+    assert_eq!(all.prefill_tokens, 1_400);
     assert!(all.estimate.abs_diff(ms(100)) < ms(1), "{:?}", all.estimate);
-    balancer.read_prompt(ms(0), key, &prompt("b1", "c1"));
+    balancer.record_prefill(ms(0), key, &prompt("b1", "c1"));
     let shared = choose_for(&mut balancer, &prompt("b1", "c2"));
-    assert_eq!(shared.tokens, 200);
+    assert_eq!(shared.prefill_tokens, 200);
     assert!(shared.estimate < ms(50), "{:?}", shared.estimate);
 }
 
 #[test]
 fn a_kept_part_counts_only_behind_kept_parts_and_while_it_is_young() {
-    let mut cache = CacheMemory::default();
-    cache.used(ms(0), &prompt("b1", "c1"), 100);
-    let kept = |cache: &CacheMemory, at, of: &Prompt| cache.kept_tokens(ms(at), of, ms(8_000));
+    let mut cache = PrefixCacheTracker::default();
+    cache.record_prefill(ms(0), &prompt("b1", "c1"), 100);
+    let kept = |cache: &PrefixCacheTracker, at, of: &Prompt| cache.cached_tokens(ms(at), of, ms(8_000));
     assert_eq!(kept(&cache, 0, &prompt("b1", "c1")), 1_400);
     assert_eq!(kept(&cache, 0, &prompt("b2", "c1")), 800, "c1 stands behind a part that is not kept");
     assert_eq!(kept(&cache, 8_001, &prompt("b1", "c1")), 0);
@@ -93,12 +94,16 @@
 
 #[test]
 fn what_is_remembered_is_bounded_and_the_oldest_goes() {
-    let mut cache = CacheMemory::default();
+    let mut cache = PrefixCacheTracker::default();
     for number in 0..1_000u64 {
-        cache.used(ms(number), &prompt(&format!("{number:x}"), "ffff"), 64);
+        cache.record_prefill(ms(number), &prompt(&format!("{number:x}"), "ffff"), 64);
         assert!(cache.len() <= 64, "{}", cache.len());
     }
-    assert_eq!(cache.kept_tokens(ms(1_000), &prompt("3e7", "ffff"), ms(8_000)), 1_400, "the newest is kept");
+    assert_eq!(
+        cache.cached_tokens(ms(1_000), &prompt("3e7", "ffff"), ms(8_000)),
+        1_400,
+        "the newest is kept"
+    );
 }
 
 #[test]
@@ -106,14 +111,14 @@
     let mut balancer = balancer(Tuning::default(), servers(9));
     let steered: HashSet<_> =
         (0..20).map(|own| choose_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key).collect();
-    let keys: Vec<_> = balancer.keys().collect();
+    let keys: Vec<_> = balancer.server_keys().collect();
     for key in keys {
-        let sample = Sample::Answered { took: ms(50), work: Work { tokens: 1_400.0 } };
-        balancer.observed(ms(0), key, Part::Prefill, sample);
+        let sample = Observation::Success { elapsed: ms(50), work: WorkSize { tokens: 1_400.0 } };
+        balancer.record_observation(ms(0), key, Phase::Prefill, sample);
     }
     // Both of the key's servers are crowded, whichever the second is.
     for key in &steered {
-        (0..7).for_each(|_| balancer.started(*key, Part::Prefill));
+        (0..7).for_each(|_| balancer.record_start(*key, Phase::Prefill));
     }
     let other = (0..50).filter(|own| {
         let key = choose_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key;
@@ -129,10 +134,10 @@
     let name = |number| format!("s{number}");
     let servers = (0..9).map(|number| entry(&name(number), zoned(number), Some(Stage::Prefill)));
     let mut balancer = balancer(Tuning::default(), servers.collect());
-    let keys: Vec<_> = balancer.keys().collect();
+    let keys: Vec<_> = balancer.server_keys().collect();
     for key in keys {
-        let sample = Sample::Answered { took: ms(50), work: Work { tokens: 1_400.0 } };
-        balancer.observed(ms(0), key, Part::Prefill, sample);
+        let sample = Observation::Success { elapsed: ms(50), work: WorkSize { tokens: 1_400.0 } };
+        balancer.record_observation(ms(0), key, Phase::Prefill, sample);
     }
     for subject in 0..50 {
         let chosen: HashSet<_> = (0..10)
