--- a/crates/routing/src/attempts.rs
+++ b/crates/routing/src/attempts.rs
@@ -1,27 +1,33 @@
 //! What may still be sent for one request.
 //!
-//! A request that is not is_idempotent goes to another server only while it is proven that it has not run. The servers that may
-//! have run it are bounded by the route's `MaxAttempts`; sends that provably did not run are bounded by
-//! [`Tuning::rejections`](crate::Tuning::rejections). Every arrival beyond the first is paid from the retry budget.
+//! A request that is not idempotent is retried only while it is proven that no server has executed it. Executions, proven or
+//! possible, are bounded by the route's `MaxAttempts`; rejections, which prove that nothing was executed, by
+//! [`Tuning::max_rejections`](crate::Tuning::max_rejections). Every delivery beyond the first is paid from the
+//! [retry budget](crate::RetryBudget).
+//!
+//! The first prefill of a generation is free: it is a half of the first delivery, whose other half is the decode. Further
+//! prefills count as executions towards the route's bound, though they generate nothing.
 
 use lugwharf_invariants::{Invariant, check};
 
-/// The sends of one request.
+/// The attempts of one request so far, and their bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempts {
     is_idempotent: bool,
     max_executions: u32,
     max_rejections: u32,
+    /// Servers that have executed the request, or may have.
     executions: u32,
-    /// Readings of its prompt beyond the first: they count like executions, but are none.
+    /// Prefills beyond the first.
     extra_prefills: u32,
+    /// Requests that were sent completely, or may have been.
     deliveries: u32,
     rejections: u32,
     is_next_prefill_free: bool,
 }
 
 impl Attempts {
-    /// For a request whose route allows `max_executions` servers.
+    /// No attempts yet, for a route that allows `max_executions` (at least 1 is assumed).
     pub fn new(is_idempotent: bool, max_executions: u32, max_rejections: u32) -> Attempts {
         Attempts {
             is_idempotent,
@@ -35,55 +41,55 @@
         }
     }
 
-    /// Whether it may be sent to a server that may run it.
+    /// Whether the request may be sent to a server that may execute it.
     pub fn may_execute(&self) -> bool {
-        self.has_room(0) && (self.executions == 0 || self.is_idempotent)
+        self.is_within_bounds(0) && (self.executions == 0 || self.is_idempotent)
     }
 
-    /// Whether its prompt may be read once more: a first reading is free, a further one counts as a run, and the run itself
-    /// has to fit behind it.
+    /// Whether the prompt may be sent to a prefill server: behind a prefill that counts, an execution must still fit.
     pub fn may_prefill(&self) -> bool {
         let reserved = if self.is_next_prefill_free { 0 } else { 1 };
-        self.has_room(reserved) && (self.executions == 0 || self.is_idempotent)
+        self.is_within_bounds(reserved) && (self.executions == 0 || self.is_idempotent)
     }
 
-    fn has_room(&self, reserved: u32) -> bool {
+    /// Whether one more execution is allowed behind `reserved` others.
+    fn is_within_bounds(&self, reserved: u32) -> bool {
         self.executions + self.extra_prefills + reserved < self.max_executions
             && self.rejections <= self.max_rejections
     }
 
-    /// Whether the next arrival has to be paid for.
+    /// Whether the next delivery has to be withdrawn from the retry budget.
     pub fn needs_retry_budget(&self) -> bool {
         self.deliveries > 0
     }
 
-    /// A whole request has gone out, or may have.
+    /// The complete request has been sent, or may have been.
     pub fn record_delivery(&mut self) {
         self.deliveries += 1;
     }
 
-    /// The server said that it did not run it, or nothing of it arrived whole.
+    /// The server proved that it did not execute the request.
     pub fn record_rejection(&mut self) {
         self.rejections += 1;
     }
 
-    /// It has run, or may have.
+    /// A server has executed the request, or may have.
     pub fn record_execution(&mut self) {
         self.executions += 1;
         check(Invariant::AttemptsBounded, self.executions <= self.max_executions, || format!("{self:?}"));
     }
 
-    /// The servers that have run it, or may have.
+    /// Servers that have executed the request, or may have.
     pub fn executions(&self) -> u32 {
         self.executions
     }
 
-    /// Whether the next reading that is taken up is the first, and no arrival.
+    /// Whether the next prefill that succeeds is the first, which is not counted as a delivery.
     pub fn has_free_prefill(&self) -> bool {
         self.is_next_prefill_free
     }
 
-    /// A reading of its prompt was taken up; the first one is no arrival.
+    /// A prefill has succeeded. Call it after [`Attempts::record_delivery`], which it takes back for the free one.
     pub fn record_prefill(&mut self) {
         if std::mem::replace(&mut self.is_next_prefill_free, false) {
             self.deliveries = self.deliveries.saturating_sub(1);
@@ -92,17 +98,17 @@
         }
     }
 
-    /// A reading of its prompt broke: it may have been taken up.
+    /// A prefill has failed and may have been executed: the next one is not free.
     pub fn record_prefill_failure(&mut self) {
         self.is_next_prefill_free = false;
     }
 
-    /// Whether it is proven that no server has run it.
+    /// Whether it is proven that no server has executed the request.
     pub fn is_unexecuted(&self) -> bool {
         self.executions == 0
     }
 
-    /// Whether it was offered to a server at all.
+    /// Whether any server was sent the request or its prompt.
     pub fn was_attempted(&self) -> bool {
         self.deliveries > 0 || !self.is_next_prefill_free
     }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! Applies changes of the platform's list.
+//! Applies updates of the endpoint list.
 
 use crate::balancer::Balancer;
 use crate::server::{Server, ServerKey};
@@ -8,14 +8,14 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Takes a change over. One that is older than what is held is ignored; returns whether it was taken. What is known of
-    /// servers that stay is kept.
+    /// Applies an update of the endpoint list, unless it is older than the list in use. Returns whether it was applied. What is
+    /// known about servers that stay is retained.
     pub fn apply(&mut self, now: Duration, delta: &ServerDelta) -> bool {
         if delta.position < self.position {
             return false;
         }
         if delta.is_full {
-            self.remove_absent(&delta.entries);
+            self.remove_unlisted(&delta.entries);
         }
         for id in &delta.removed {
             self.remove(id);
@@ -27,7 +27,7 @@
         true
     }
 
-    /// The position in the list's history.
+    /// The position of the list in its history; it never decreases.
     pub fn position(&self) -> TablePosition {
         self.position
     }
@@ -37,15 +37,16 @@
         !self.servers.is_empty()
     }
 
-    /// The keys of all listed servers.
+    /// The keys of all listed servers, in no order.
     pub fn server_keys(&self) -> impl Iterator<Item = ServerKey> + '_ {
         self.servers.keys().copied()
     }
 
-    fn remove_absent(&mut self, entries: &[ServerEntry]) {
+    fn remove_unlisted(&mut self, entries: &[ServerEntry]) {
         let listed: HashSet<&str> = entries.iter().map(|entry| entry.id.as_str()).collect();
-        let absent: Vec<Rc<str>> = self.by_id.keys().filter(|id| !listed.contains(&***id)).cloned().collect();
-        for id in absent {
+        let unlisted: Vec<Rc<str>> =
+            self.by_id.keys().filter(|id| !listed.contains(&***id)).cloned().collect();
+        for id in unlisted {
             self.remove(&id);
         }
     }
@@ -59,32 +60,32 @@
     }
 
     fn upsert(&mut self, now: Duration, entry: &ServerEntry) {
-        let zone = self.zone(&entry.zone);
+        let zone = self.intern_zone(&entry.zone);
         if let Some(key) = self.by_id.get(entry.id.as_str()).copied() {
             let server = self.servers.get_mut(&key);
-            let same = |server: &&mut Server| {
+            let is_same_endpoint = |server: &&mut Server| {
                 server.entry.service == entry.service && server.entry.address == entry.address
             };
-            if let Some(server) = server.filter(same) {
+            if let Some(server) = server.filter(is_same_endpoint) {
                 return server.update(entry.clone(), zone);
             }
-            // An incarnation that has moved is another one for every purpose here.
+            // Latency, load and connections belong to an address: the same id at another one starts anew.
             self.remove(&entry.id);
         }
-        self.add(now, entry, zone);
+        self.insert(now, entry, zone);
     }
 
-    fn add(&mut self, now: Duration, entry: &ServerEntry, zone: Rc<str>) {
+    fn insert(&mut self, now: Duration, entry: &ServerEntry, zone: Rc<str>) {
         let key = ServerKey(self.next_key);
         self.next_key = self.next_key.wrapping_add(1);
         let server = Server::new(entry.clone(), zone, now);
         self.by_id.insert(server.id.clone(), key);
         self.servers.insert(key, server);
-        self.pool(&entry.service).servers.push(key);
+        self.pool_mut(&entry.service).servers.push(key);
     }
 
-    /// Zones are few and repeat: each name is held once.
-    fn zone(&mut self, name: &str) -> Rc<str> {
+    /// Zones are few and repeat, so that each name is stored once.
+    fn intern_zone(&mut self, name: &str) -> Rc<str> {
         if let Some(zone) = self.zones.get(name) {
             return zone.clone();
         }
--- a/crates/routing/src/in_flight_loads.rs
+++ b/crates/routing/src/in_flight_loads.rs
@@ -1,12 +1,13 @@
-//! What this proxy has under way, by service.
+//! The load of this proxy by service, which the planner of stages sums over the fleet.
 
 use crate::balancer::Balancer;
-use crate::observation::Phase;
+use crate::phase::Phase;
 use lugwharf_protocol::ServiceLoad;
 use std::collections::BTreeMap;
 
 impl Balancer {
-    /// The requests in flight at each service whose servers have stages.
+    /// The requests in flight at each service that has prefill and decode servers, sorted by name. Full requests count as
+    /// decode.
     pub fn in_flight_loads(&self) -> Vec<ServiceLoad> {
         let mut loads: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
         for server in self.servers.values().filter(|server| server.entry.stage.is_some()) {
--- a/crates/routing/src/kv_transfer.rs
+++ b/crates/routing/src/kv_transfer.rs
@@ -1,18 +1,19 @@
-//! Whether the memory of prompts can be handed over between the servers of a service.
+//! A circuit breaker for KV cache transfers between the prefill and decode servers of a service.
 //!
-//! Where handles lapse or links between servers are down, each attempt at a pair costs an extra arrival. Once most hand-overs
-//! fail, requests go to decode servers alone, but for a trial now and then.
+//! Where KV handles expire or the links between servers are down, each attempt at a transfer costs one more delivery. Once most
+//! transfers fail, requests go to decode servers alone, but for one trial every 500 ms (the half-open state of a circuit
+//! breaker).
 
 use std::time::Duration;
 
-/// Weight of one hand-over in the share of failed ones.
+/// The weight of one transfer in the average of failures.
 const EWMA_GAIN: f64 = 0.25;
-/// Above this share pairs are given up.
+/// Above this share of failures the breaker opens. With the gain above, three failures in a row are enough.
 const MAX_FAILED_SHARE: f64 = 0.5;
-/// The time between trials.
+/// The time between trials while the breaker is open.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The hand-overs of one service.
+/// The circuit breaker of one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct KvTransferBreaker {
     failed_share: f64,
@@ -20,7 +21,7 @@
 }
 
 impl KvTransferBreaker {
-    /// A hand-over has ended.
+    /// Records the outcome of a transfer.
     pub fn record(&mut self, now: Duration, succeeded: bool) {
         let failed = if succeeded { 0.0 } else { 1.0 };
         self.failed_share += (failed - self.failed_share) * EWMA_GAIN;
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Whether a pair is worth trying now. A trial counts as begun.
+    /// Whether a transfer may be attempted now. While the breaker is open a `true` uses up the trial that is due.
     pub fn try_acquire(&mut self, now: Duration) -> bool {
         if self.failed_share <= MAX_FAILED_SHARE {
             return true;
--- a/crates/routing/src/observation.rs
+++ b/crates/routing/src/observation.rs
@@ -1,57 +1,24 @@
-//! What a round-trip time means: the one place where measurements become samples of a server's average.
+//! What one attempt showed about its server. This is the one place where durations become latency samples.
 //!
-//! | part | time from sending to | unit |
+//! | phase | time from sending the request to | unit of the sample |
 //! | --- | --- | --- |
-//! | [`Phase::Prefill`] | the handle | ms, or ms for each unit of work ([`Normalisation::ByTokens`]) |
+//! | [`Phase::Prefill`] | the KV handle | ms, or ms per [unit of work](WorkSize::units) with [`Normalisation::ByTokens`] |
 //! | [`Phase::Decode`] | the first event | ms |
-//! | [`Phase::Full`] | the end of the answer, or the first event of a stream | ms |
+//! | [`Phase::Full`] | the end of the response, or the first event of a stream | ms |
 
+use crate::phase::Phase;
 use crate::tuning::{Normalisation, Tuning};
-use lugwharf_protocol::Stage;
 use std::time::Duration;
 
-/// What a server does for a request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Phase {
-    /// Reads the prompt.
-    Prefill,
-    /// Makes the tokens.
-    Decode,
-    /// All of it.
-    Full,
-}
-
-impl Phase {
-    /// How many parts there are.
-    pub const COUNT: usize = 3;
-
-    pub(crate) fn index(self) -> usize {
-        match self {
-            Phase::Prefill => 0,
-            Phase::Decode => 1,
-            Phase::Full => 2,
-        }
-    }
-
-    /// Whether a server listed with `stage` does this part.
-    pub fn fits(self, stage: Option<Stage>) -> bool {
-        match (self, stage) {
-            (_, None) => true,
-            (Phase::Prefill, Some(stage)) => stage == Stage::Prefill,
-            (Phase::Decode | Phase::Full, Some(stage)) => stage == Stage::Decode,
-        }
-    }
-}
-
-/// The size of a piece of work.
+/// The amount of work of one attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkSize {
-    /// Tokens that have to be read.
+    /// Prompt tokens that have to be prefilled.
     pub tokens: f64,
 }
 
 impl WorkSize {
-    /// Units of work: 1 for the fixed part, and 1 for each [`Tuning::base_tokens`].
+    /// Units of work: 1 for the fixed cost of an attempt, and 1 more for each [`Tuning::prefill_base_tokens`] of a prefill.
     pub fn units(self, phase: Phase, tuning: &Tuning) -> f64 {
         match (phase, tuning.normalisation) {
             (Phase::Prefill, Normalisation::ByTokens) => {
@@ -62,56 +29,58 @@
     }
 }
 
-/// Why a send failed.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureKind {
-    /// No connection came up.
+    /// No connection could be established.
     Connect,
-    /// The connection broke, or what came was no answer to the request.
+    /// The connection broke, or the bytes received are no response to the request.
     ConnectionBroken,
-    /// The time was over.
+    /// The attempt's deadline passed.
     Timeout,
-    /// The server gave a failure of its own.
+    /// The server answered with a failure of its own.
     ServerError,
 }
 
-/// What a send showed of its server.
+/// What one attempt showed about its server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// It did its part.
+    /// The server did its work.
     Success {
-        /// The time that counts for the part.
+        /// The time that counts for the phase; see the table of the module.
         elapsed: Duration,
-        /// The size.
+        /// The amount of work.
         work: WorkSize,
     },
-    /// It failed.
+    /// The server failed.
     Failure {
-        /// How.
+        /// Why.
         kind: FailureKind,
-        /// The time until then.
+        /// The time until the failure.
         elapsed: Duration,
-        /// What the send's time was bounded by; prices the failure.
+        /// The time that the attempt had. A failure costs at least this much, so that failing fast doesn't look fast.
         timeout: Duration,
-        /// The size.
+        /// The amount of work.
         work: WorkSize,
     },
-    /// It turned the request away because it is full.
+    /// The server rejected the request because it is saturated.
     Rejected,
-    /// Nothing was sent, or what came tells nothing of the server.
+    /// Nothing was sent, or the outcome says nothing about the server.
     Inconclusive,
 }
 
-/// The time that enters the average, in ms for each unit: a failure enters as `max(measured, timeout)`. A refusal enters
-/// no time.
-pub(crate) fn value(sample: Observation, phase: Phase, tuning: &Tuning) -> Option<f64> {
-    let (elapsed, work) = match sample {
-        Observation::Success { elapsed, work } => (elapsed, work),
-        Observation::Failure { elapsed, timeout, work, .. } if tuning.samples_failures => {
-            (elapsed.max(timeout), work)
-        }
-        Observation::Failure { .. } => return None,
-        Observation::Rejected | Observation::Inconclusive => return None,
-    };
-    Some(elapsed.as_secs_f64() * 1e3 / work.units(phase, tuning))
+impl Observation {
+    /// The latency sample in ms per unit of work; `None` if the observation carries no latency.
+    ///
+    /// A failure counts as `max(elapsed, timeout)`, or not at all if [`Tuning::samples_failures`] is off.
+    pub(crate) fn latency_sample(self, phase: Phase, tuning: &Tuning) -> Option<f64> {
+        let (elapsed, work) = match self {
+            Observation::Success { elapsed, work } => (elapsed, work),
+            Observation::Failure { elapsed, timeout, work, .. } if tuning.samples_failures => {
+                (elapsed.max(timeout), work)
+            }
+            Observation::Failure { .. } | Observation::Rejected | Observation::Inconclusive => return None,
+        };
+        Some(elapsed.as_secs_f64() * 1e3 / work.units(phase, tuning))
+    }
 }
--- a/crates/routing/src/peak_ewma.rs
+++ b/crates/routing/src/peak_ewma.rs
@@ -1,8 +1,16 @@
-//! The peak-sensitive moving average of a round-trip time.
+//! Peak-sensitive exponentially weighted moving average of latency, after Finagle's `PeakEwma` (also in tower and
+//! linkerd2-proxy).
 
 use std::time::Duration;
 
-/// The average with the time of its last update. Values are in ms, or in ms for each unit of work.
+/// The least decay constant; guards against a division by zero. In seconds.
+const MIN_DECAY_SECONDS: f64 = 1e-3;
+
+/// A moving average that rises at once and falls slowly.
+///
+/// Use it to rank servers by latency: a latency peak must move traffic away within one sample, while a recovery may be
+/// believed gradually. Values are in ms, or in ms per unit of work; samples are spaced irregularly, so that the weight of the
+/// past is `exp(-elapsed / decay)`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct PeakEwma {
     value: Option<f64>,
@@ -10,13 +18,13 @@
 }
 
 impl PeakEwma {
-    /// Folds a sample in: one above the average replaces it at once if it `is_peak_sensitive`, a lower one pulls it down by timed
-    /// decay, `exp(-dt / decay)`.
+    /// Adds a sample. A sample above the average replaces it if `is_peak_sensitive`; any other one is averaged in. Samples that
+    /// are negative or not finite are ignored.
     pub fn observe(&mut self, now: Duration, decay: Duration, sample: f64, is_peak_sensitive: bool) {
         if !sample.is_finite() || sample < 0.0 {
             return;
         }
-        let weight = self.decay_weight(now, decay);
+        let weight = self.past_weight(now, decay);
         self.value = Some(match self.value {
             Some(value) if sample < value || !is_peak_sensitive => value * weight + sample * (1.0 - weight),
             _ => sample,
@@ -24,22 +32,23 @@
         self.updated_at = now;
     }
 
-    /// The average as it was last folded.
+    /// The average at the last sample; `None` without samples.
     pub fn value(&self) -> Option<f64> {
         self.value
     }
 
-    /// The average as of now. Old news fades towards `baseline`, so that a server that was slow once is tried again; one
-    /// without samples counts as baseline.
+    /// The average at `now`. It decays towards `baseline`, so that a server that was slow once is tried again; without samples
+    /// it is the baseline.
     pub fn decayed(&self, now: Duration, decay: Duration, baseline: f64) -> f64 {
         match self.value {
-            Some(value) => baseline + (value - baseline) * self.decay_weight(now, decay),
+            Some(value) => baseline + (value - baseline) * self.past_weight(now, decay),
             None => baseline,
         }
     }
 
-    fn decay_weight(&self, now: Duration, decay: Duration) -> f64 {
-        let age = now.saturating_sub(self.updated_at).as_secs_f64();
-        (-age / decay.as_secs_f64().max(1e-3)).exp()
+    /// The weight of the past, from 1 at the last sample down to 0.
+    fn past_weight(&self, now: Duration, decay: Duration) -> f64 {
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
+        (-elapsed / decay.as_secs_f64().max(MIN_DECAY_SECONDS)).exp()
     }
 }
--- /dev/null
+++ b/crates/routing/src/phase.rs
@@ -0,0 +1,40 @@
+//! The phases of serving a generation.
+
+use lugwharf_protocol::Stage;
+
+/// What a server does for one attempt of a request.
+///
+/// Prefill and decode have different costs, so latency averages and in-flight counts are kept for each phase.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Phase {
+    /// Computes the KV cache of the prompt, and generates no tokens.
+    Prefill,
+    /// Fetches the KV cache from a prefill server and generates the tokens.
+    Decode,
+    /// All of the request at one server. Requests that are no generations have only this phase.
+    Full,
+}
+
+impl Phase {
+    /// The number of phases.
+    pub const COUNT: usize = 3;
+
+    /// The place of the phase in arrays with one element for each phase.
+    pub(crate) fn index(self) -> usize {
+        match self {
+            Phase::Prefill => 0,
+            Phase::Decode => 1,
+            Phase::Full => 2,
+        }
+    }
+
+    /// Whether a server that is listed with `stage` serves this phase. A server without a stage serves all of them; a decode
+    /// server can also run a full request.
+    pub fn fits(self, stage: Option<Stage>) -> bool {
+        match (self, stage) {
+            (_, None) => true,
+            (Phase::Prefill, Some(stage)) => stage == Stage::Prefill,
+            (Phase::Decode | Phase::Full, Some(stage)) => stage == Stage::Decode,
+        }
+    }
+}
--- a/crates/routing/src/prefix_cache.rs
+++ b/crates/routing/src/prefix_cache.rs
@@ -1,49 +1,51 @@
-//! Which parts of prompts a server probably keeps: those that were sent to it lately. Bounded, oldest out first.
+//! An estimate of what a server has in its KV cache.
 
 use crate::prompt::{Prompt, PromptSegment};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Parts with the time of their last use.
+/// Tracks which prompt segments one server probably has in its prefix cache: those that this proxy sent there recently.
+///
+/// Servers don't report their caches, and other proxies fill them too, so this is an underestimate. Its size is bounded; the
+/// older half is dropped on overflow.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCacheTracker {
+    /// The last use of each segment, by its id.
     last_used: HashMap<u64, Duration>,
 }
 
 impl PrefixCacheTracker {
-    /// All parts of `prompt` were read by the server; at capacity `capacity` parts are remembered.
+    /// The server has prefilled all segments of `prompt`. At most `capacity` segments are tracked.
     pub fn record_prefill(&mut self, now: Duration, prompt: &Prompt, capacity: usize) {
         for segment in &prompt.segments {
             self.last_used.insert(segment.id, now);
         }
         if self.last_used.len() > capacity {
-            self.forget_older_half();
+            self.drop_older_half();
         }
     }
 
-    /// Tokens of `prompt` that need not be read again: of its parts from the first on, as long as each is kept.
+    /// Tokens of `prompt` that need no prefill: those of its leading segments, as long as each was used within `ttl`. A KV
+    /// cache is only valid behind the same prefix, so that the first miss ends the run.
     pub fn cached_tokens(&self, now: Duration, prompt: &Prompt, ttl: Duration) -> u32 {
         let is_cached = |segment: &&PromptSegment| {
             self.last_used.get(&segment.id).is_some_and(|used_at| now.saturating_sub(*used_at) <= ttl)
         };
-        prompt
-            .segments
-            .iter()
-            .take_while(is_cached)
-            .fold(0, |sum, segment| sum.saturating_add(segment.tokens))
+        let cached = prompt.segments.iter().take_while(is_cached);
+        cached.fold(0, |sum, segment| sum.saturating_add(segment.tokens))
     }
 
-    /// Parts remembered.
+    /// The number of tracked segments.
     pub fn len(&self) -> usize {
         self.last_used.len()
     }
 
-    /// Whether nothing is remembered.
+    /// Whether no segment is tracked.
     pub fn is_empty(&self) -> bool {
         self.last_used.is_empty()
     }
 
-    fn forget_older_half(&mut self) {
+    fn drop_older_half(&mut self) {
         let mut times: Vec<Duration> = self.last_used.values().copied().collect();
         let middle = times.len() / 2;
         let (_, median, _) = times.select_nth_unstable(middle);
--- a/crates/routing/src/prompt.rs
+++ b/crates/routing/src/prompt.rs
@@ -1,30 +1,31 @@
-//! What a request tells of its prompt: its segments in order and its token counts.
+//! What a request says about its prompt: segments and token counts.
 
-/// One part of a prompt.
+/// The segments that are parsed. More are ignored, which only makes the estimate of cached tokens coarser.
+const MAX_SEGMENTS: usize = 32;
+
+/// A segment of a prompt, such as a system prompt, a document or one turn of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptSegment {
-    /// Stands for the part's id.
+    /// Identifies the content: the id of the header as a number, or a hash of it.
     pub id: u64,
-    /// Its tokens.
+    /// The length in tokens.
     pub tokens: u32,
 }
 
-/// The segments that are looked at; more are left out, which only makes the estimate coarser.
-const MAX_SEGMENTS: usize = 32;
-
-/// A prompt as `Prompt-Prefix` and `Token-Counts` describe it.
+/// A prompt as the headers `Prompt-Prefix` and `Token-Counts` describe it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its segments in order; the last one is the request's own or its session's.
+    /// The segments in order. The last one belongs to this request or its session alone.
     pub segments: Vec<PromptSegment>,
-    /// Tokens of the whole prompt.
+    /// Tokens of the complete prompt.
     pub input_tokens: u32,
-    /// The most tokens that are to be made.
+    /// The most tokens to generate.
     pub max_output_tokens: u32,
 }
 
 impl Prompt {
-    /// Reads the values of the headers; what can't be read counts as absent.
+    /// Parses `Prompt-Prefix: ID:TOKENS,…` and `Token-Counts: INPUT,OUTPUT`. What can't be parsed counts as absent; segments
+    /// behind one that can't be parsed too, since a cache is only valid behind the same prefix.
     pub fn parse(prefix: Option<&str>, counts: Option<&str>) -> Prompt {
         let mut prompt =
             Prompt { segments: prefix.map(parse_segments).unwrap_or_default(), ..Prompt::default() };
@@ -32,16 +33,23 @@
             prompt.input_tokens = input_tokens.trim().parse().unwrap_or(0);
             prompt.max_output_tokens = max_output_tokens.trim().parse().unwrap_or(0);
         }
-        let segment_tokens =
-            prompt.segments.iter().fold(0u32, |sum, segment| sum.saturating_add(segment.tokens));
-        prompt.input_tokens = prompt.input_tokens.max(segment_tokens);
+        prompt.input_tokens = prompt.input_tokens.max(sum_tokens(&prompt.segments));
         prompt
     }
 
-    /// The segments that are shared with other requests.
+    /// The segments that other requests may share: all but the last one.
     pub fn shared_prefix(&self) -> &[PromptSegment] {
         self.segments.split_last().map_or(&[], |(_, shared)| shared)
     }
+
+    /// Tokens of the segments that other requests may share.
+    pub(crate) fn shared_prefix_tokens(&self) -> u32 {
+        sum_tokens(self.shared_prefix())
+    }
+}
+
+fn sum_tokens(segments: &[PromptSegment]) -> u32 {
+    segments.iter().fold(0, |sum: u32, segment| sum.saturating_add(segment.tokens))
 }
 
 fn parse_segments(text: &str) -> Vec<PromptSegment> {
@@ -52,7 +60,7 @@
     text.split(',').take(MAX_SEGMENTS).map_while(segment).collect()
 }
 
-/// The id as a number where it is hex of at most 64 bits, else a hash of it.
+/// The id as a number if it is hexadecimal with at most 64 bits, else a hash of it.
 fn segment_id(text: &str) -> u64 {
     u64::from_str_radix(text, 16).unwrap_or_else(|_| crate::rendezvous::hash(text.as_bytes()))
 }
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -1,19 +1,23 @@
-//! Rendezvous hashing: each key ranks all servers by itself, and a server that goes changes only its own keys.
+//! Rendezvous hashing, or highest random weight (Thaler and Ravishankar, Using Name-Based Mappings to Increase Hit Rates, 1998).
+//!
+//! Each key ranks all servers by itself, so that proxies agree on a key's server without talking to each other, and a server
+//! that leaves moves only its own keys.
 
-const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
-const PRIME: u64 = 0x0100_0000_01b3;
+/// Parameters of 64-bit FNV-1a.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// FNV-1a: short, and the same on all machines.
+/// The 64-bit FNV-1a hash. It is the same on all machines and in all versions, which proxies rely on to agree.
 pub(crate) fn hash(bytes: &[u8]) -> u64 {
-    bytes.iter().fold(OFFSET, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
+    bytes.iter().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// The rank of a server, given by a hash of its id, for a key; the highest comes first.
+/// The weight of a server for a key; the server with the highest weight owns the key. `server` is a hash of the server's id.
 pub fn weight(key: u64, server: u64) -> u64 {
     mix(key ^ mix(server))
 }
 
-/// The finalizer of splitmix64.
+/// The finalizer of SplitMix64: every input bit affects every output bit.
 fn mix(value: u64) -> u64 {
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,16 +1,21 @@
 //! A proxy's share of the fleet's retry budget for one service.
 //!
-//! The rule: in any window the service gets at most `ratio x requests + slack` arrivals beyond each request's first. A proxy
-//! spends at most `share x (ratio x own requests in the window + slack / proxies)`. This is safe as long as
-//! `share x proxies alive <= proxies assumed`, so also while the size of the fleet is stale by a factor of `1 / share`.
+//! A budget ties retries to requests, so that retries can't multiply the load of a service that already fails: each request
+//! deposits, each retry withdraws (Finagle's `RetryBudget`, `tower::retry::budget`; gRPC's retry throttling has the same aim).
+//!
+//! The fleet's rule: in any window a service gets at most `ratio x requests + reserve` deliveries beyond the first one of each
+//! request. A proxy withdraws at most `local_share x (ratio x own requests in the window + reserve / proxies)`. This obeys the
+//! rule as long as `local_share x proxies alive <= proxies assumed`: the number of proxies may be stale by a factor of
+//! `1 / local_share`.
 
 use std::time::Duration;
 
 /// Buckets of one window.
 const BUCKETS: usize = 20;
-/// One more, so that the spans that are looked at cover the window whole, however the buckets lie in it.
-const BUCKETS_RETAINED: usize = BUCKETS + 1;
+/// One bucket more than a window has, so that the retained buckets cover a complete window wherever it starts.
+const RETAINED_BUCKETS: usize = BUCKETS + 1;
 
+/// The counts of a twentieth of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     number: u64,
@@ -18,39 +23,39 @@
     retries: u32,
 }
 
-/// The figures of the rule and this proxy's share.
+/// The fleet's rule and the share of this proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Extra arrivals for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Extra arrivals allowed beside.
+    /// Retries allowed in each window beside those, for the complete fleet: a service with few requests may retry too.
     pub reserve: f64,
-    /// The window.
+    /// The length of the sliding window.
     pub window: Duration,
-    /// The part of all this that is used.
+    /// The share of the rule that proxies use, from 0 to 1. Below 1 it absorbs a stale number of proxies.
     pub local_share: f64,
 }
 
-/// Requests and extra arrivals of one service at this proxy.
+/// The requests and retries of one service at this proxy, in a sliding window.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    buckets: [Bucket; BUCKETS_RETAINED],
+    buckets: [Bucket; RETAINED_BUCKETS],
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { buckets: [Bucket::default(); BUCKETS_RETAINED] }
+        RetryBudget { buckets: [Bucket::default(); RETAINED_BUCKETS] }
     }
 }
 
 impl RetryBudget {
-    /// Counts a client's request.
+    /// Deposits for one request of a client.
     pub fn deposit(&mut self, now: Duration, config: &RetryBudgetConfig) {
         let bucket = self.bucket(now, config);
         bucket.requests = bucket.requests.saturating_add(1);
     }
 
-    /// Spends one extra arrival, if there is one to spend among `proxies`.
+    /// Withdraws one retry and returns whether there was one left. `proxies` is the number of proxies that share the reserve.
     pub fn try_withdraw(&mut self, now: Duration, config: &RetryBudgetConfig, proxies: u32) -> bool {
         let (requests, retries) = self.window_counts(now, config);
         let reserve = config.reserve / f64::from(proxies.max(1));
@@ -63,20 +68,23 @@
         true
     }
 
-    /// Requests of the window, short by up to one bucket, and retries, over by up to one: both err to the safe side.
+    /// Requests and retries in the window. Requests are short by up to one bucket and retries over by up to one: both err on
+    /// the safe side.
     fn window_counts(&self, now: Duration, config: &RetryBudgetConfig) -> (u32, u32) {
         let current = bucket_number(now, config);
         let oldest = current.saturating_sub(BUCKETS as u64);
-        let kept = self.buckets.iter().filter(|bucket| bucket.number >= oldest && bucket.number <= current);
-        kept.fold((0, 0), |(requests, retries), bucket| {
-            let is_within_window = bucket.number > oldest || oldest == 0;
-            (requests + if is_within_window { bucket.requests } else { 0 }, retries + bucket.retries)
+        let in_window =
+            self.buckets.iter().filter(|bucket| bucket.number >= oldest && bucket.number <= current);
+        in_window.fold((0, 0), |(requests, retries), bucket| {
+            let is_complete = bucket.number > oldest || oldest == 0;
+            (requests + if is_complete { bucket.requests } else { 0 }, retries + bucket.retries)
         })
     }
 
+    /// The bucket of `now`, cleared if it held an older one.
     fn bucket(&mut self, now: Duration, config: &RetryBudgetConfig) -> &mut Bucket {
         let number = bucket_number(now, config);
-        let bucket = &mut self.buckets[(number % BUCKETS_RETAINED as u64) as usize];
+        let bucket = &mut self.buckets[(number % RETAINED_BUCKETS as u64) as usize];
         if bucket.number != number {
             *bucket = Bucket { number, ..Bucket::default() };
         }
--- /dev/null
+++ b/crates/routing/src/selection.rs
@@ -0,0 +1,153 @@
+//! The selection of a server for one attempt.
+//!
+//! The steps, in this order: which servers are eligible; a winner by [power of two choices](crate::p2c), in the
+//! [local zone first](crate::locality); and for prefills a winner by [prefix affinity](crate::prefix_affinity), which is taken
+//! unless the other one is clearly better.
+
+use crate::balancer::Balancer;
+use crate::phase::Phase;
+use crate::prompt::Prompt;
+use crate::scoring::{Candidate, Scorer};
+use crate::server::ServerKey;
+use crate::service_pool::OPTIMISTIC_LATENCY_MS;
+use crate::{locality, prefix_affinity};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// The largest estimate, in ms: some 11 days, far beyond any deadline and within the range of [`Duration`].
+const MAX_ESTIMATE_MS: f64 = 1e9;
+
+/// What a server is selected for.
+#[derive(Clone, Copy, Debug)]
+pub struct SelectionQuery<'a> {
+    /// The service.
+    pub service: &'a str,
+    /// What the server is to do.
+    pub phase: Phase,
+    /// The model that the server must have loaded; any server if absent.
+    pub model: Option<&'a str>,
+    /// The prompt; empty if the request has none.
+    pub prompt: &'a Prompt,
+    /// The zone whose servers are preferred.
+    pub preferred_zone: &'a str,
+    /// Servers that must not be selected, such as those of earlier attempts.
+    pub excluded: &'a [ServerKey],
+    /// The latency objective of the request. Other zones are considered if the local one would use up a share of it.
+    pub objective: Duration,
+}
+
+/// The server selected for an attempt.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Selection {
+    /// The server.
+    pub key: ServerKey,
+    /// Its id, which names the incarnation.
+    pub id: Rc<str>,
+    /// Its address.
+    pub address: SocketAddr,
+    /// Its zone.
+    pub zone: Rc<str>,
+    /// The expected latency of the attempt.
+    pub estimate: Duration,
+    /// Whether the server has recently reported queued requests, or at least half of its slots taken.
+    pub is_busy: bool,
+    /// Tokens of the prompt that the server probably has to prefill.
+    pub prefill_tokens: u32,
+}
+
+/// Why no server was selected.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum SelectionError {
+    /// No server that may be selected serves the phase and model.
+    NoServer,
+    /// All servers that could be selected are at their in-flight limit.
+    Saturated,
+}
+
+impl Balancer {
+    /// Selects a server for one attempt. The caller reports its start by [`Balancer::record_start`].
+    pub fn select(&mut self, now: Duration, query: &SelectionQuery<'_>) -> Result<Selection, SelectionError> {
+        let mut eligible = std::mem::take(&mut self.eligible);
+        let selected = self.select_among(now, query, &mut eligible);
+        eligible.clear();
+        self.eligible = eligible;
+        selected
+    }
+
+    fn select_among(
+        &mut self, now: Duration, query: &SelectionQuery<'_>, eligible: &mut Vec<ServerKey>,
+    ) -> Result<Selection, SelectionError> {
+        self.collect_eligible(now, query, eligible)?;
+        let median_latency = self.median_latency(now, query);
+        let scorer = Scorer { servers: &self.servers, tuning: &self.tuning, query, now, median_latency };
+        let drawn = locality::draw_local_first(&scorer, &mut self.rng, eligible);
+        let drawn = drawn.ok_or(SelectionError::NoServer)?;
+        let affine = prefix_affinity::pick(&scorer, eligible);
+        let is_good = |affine: &Candidate| affine.score <= drawn.score * self.tuning.affinity_tolerance;
+        let selected = affine.filter(is_good).unwrap_or(drawn);
+        scorer.describe(selected).ok_or(SelectionError::NoServer)
+    }
+
+    /// Collects the servers that may be selected. Ejected ones stand in if there is no other: a server that may work is better
+    /// than none.
+    fn collect_eligible(
+        &self, now: Duration, query: &SelectionQuery<'_>, eligible: &mut Vec<ServerKey>,
+    ) -> Result<(), SelectionError> {
+        let proxies = self.proxy_count();
+        let mut ejected = Vec::new();
+        let mut has_saturated = false;
+        for &key in self.service_servers(query.service) {
+            let Some(server) = self.servers.get(&key) else { continue };
+            if query.excluded.contains(&key) || !server.accepts(query.phase, query.model, now) {
+                continue;
+            }
+            let in_flight = server.phases[query.phase.index()].in_flight;
+            if in_flight >= server.in_flight_limit(proxies, &self.tuning) {
+                has_saturated = true;
+            } else if server.ejection.is_ejected(now) {
+                ejected.push(key);
+            } else {
+                eligible.push(key);
+            }
+        }
+        if eligible.is_empty() {
+            eligible.append(&mut ejected);
+        }
+        match eligible.is_empty() {
+            false => Ok(()),
+            true if has_saturated => Err(SelectionError::Saturated),
+            true => Err(SelectionError::NoServer),
+        }
+    }
+
+    /// What a server without samples is assumed to take, in ms per unit of work: the median of the service, lest a new server
+    /// gets all requests at once.
+    fn median_latency(&mut self, now: Duration, query: &SelectionQuery<'_>) -> f64 {
+        if !self.tuning.starts_at_median {
+            return OPTIMISTIC_LATENCY_MS;
+        }
+        let Some(pool) = self.services.get_mut(query.service) else { return OPTIMISTIC_LATENCY_MS };
+        let servers = &self.servers;
+        let latency = |key: &ServerKey| servers.get(key)?.phases[query.phase.index()].latency.value();
+        pool.median_latency(now, query.phase, |keys| keys.iter().filter_map(latency))
+    }
+}
+
+impl Scorer<'_> {
+    fn describe(&self, selected: Candidate) -> Option<Selection> {
+        let server = self.servers.get(&selected.key)?;
+        let estimate_ms = selected.estimate_ms;
+        let estimate_ms =
+            if estimate_ms.is_finite() { estimate_ms.clamp(0.0, MAX_ESTIMATE_MS) } else { MAX_ESTIMATE_MS };
+        Some(Selection {
+            key: selected.key,
+            id: server.id.clone(),
+            address: server.entry.address,
+            zone: server.zone.clone(),
+            estimate: Duration::from_secs_f64(estimate_ms / 1e3),
+            is_busy: server.fresh_load_report(self.now, self.tuning).is_some_and(|report| report.is_busy()),
+            prefill_tokens: self.tokens_to_prefill(server),
+        })
+    }
+}
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -1,23 +1,27 @@
-//! What is known of one server: its entry in the list and, for each part, its average and own requests in flight.
+//! The state of one server: its entry in the endpoint list and, for each phase, latency and requests in flight.
 
 use crate::load_report::LoadReport;
-use crate::observation::Phase;
 use crate::outlier_ejection::OutlierEjection;
 use crate::peak_ewma::PeakEwma;
+use crate::phase::Phase;
 use crate::prefix_cache::PrefixCacheTracker;
 use crate::tuning::Tuning;
 use lugwharf_protocol::{ServerEntry, ServerState};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Stands for one listed incarnation of a server; never used again for another one.
+/// The least latency, in ms. A latency of zero would make a score of zero, which no number of requests in flight would raise.
+const MIN_LATENCY_MS: f64 = 0.1;
+
+/// Identifies one listed incarnation of a server. Keys are never reused for another incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerKey(pub(crate) u32);
 
-/// A server's state in one part.
+/// A server's state in one phase.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PhaseState {
     pub latency: PeakEwma,
+    /// Requests of this proxy.
     pub in_flight: u32,
 }
 
@@ -25,6 +29,7 @@
 #[derive(Debug)]
 pub(crate) struct Server {
     pub entry: ServerEntry,
+    /// The incarnation, as in the entry.
     pub id: Rc<str>,
     pub zone: Rc<str>,
     pub id_hash: u64,
@@ -53,7 +58,7 @@
         }
     }
 
-    /// Takes a newer entry of the same incarnation over.
+    /// Replaces the entry by a newer one of the same incarnation. A new stage clears the latencies, which it changes.
     pub fn update(&mut self, entry: ServerEntry, zone: Rc<str>) {
         if self.entry == entry {
             return;
@@ -67,12 +72,13 @@
         self.entry = entry;
     }
 
-    /// It said that it is another server, or has another part.
+    /// The server answered 421: it is not the incarnation of the entry, or does not serve its stage or model.
     pub fn mark_misdirected(&mut self, now: Duration, tuning: &Tuning) {
         self.misdirected_until = now + tuning.misdirected_backoff;
     }
 
-    /// Whether a request for `part` may be sent there, by the list and what the server itself has said.
+    /// Whether an attempt may be sent there, by the endpoint list and by what the server itself has answered. Ejection and the
+    /// in-flight limit are not considered.
     pub fn accepts(&self, phase: Phase, model: Option<&str>, now: Duration) -> bool {
         self.entry.state == ServerState::Ready
             && now >= self.misdirected_until
@@ -80,28 +86,31 @@
             && self.has_model(model)
     }
 
+    /// Whether the server has the model loaded. A server that lists no models serves all.
     fn has_model(&self, model: Option<&str>) -> bool {
         let Some(model) = model else { return true };
         self.entry.models.is_empty() || self.entry.models.iter().any(|entry| entry.name == model)
     }
 
-    /// It turned a request away: counts as full, where its own report does not say so.
+    /// The server rejected a request: it counts as saturated, also where its own report does not say so.
     pub fn mark_overloaded(&mut self, now: Duration, tuning: &Tuning) {
         if self.fresh_load_report(now, tuning).is_some_and(|report| report.is_saturated()) {
             return;
         }
-        let own = self.phases.iter().map(|phase| phase.in_flight).sum();
+        let running = self.phases.iter().map(|phase| phase.in_flight).sum();
         self.load_report =
-            Some(LoadReport { running: own, waiting: 1, slots: self.entry.slots, received_at: now });
+            Some(LoadReport { running, waiting: 1, slots: self.entry.slots, received_at: now });
     }
 
-    /// Its report, while it is fresh.
+    /// The last load report, if it is not older than [`Tuning::load_report_ttl`].
     pub fn fresh_load_report(&self, now: Duration, tuning: &Tuning) -> Option<LoadReport> {
         self.load_report.filter(|report| now.saturating_sub(report.received_at) <= tuning.load_report_ttl)
     }
 
-    /// `ewma x (in_flight + 1) / weight`, in ms for each unit of work. The list carries no weights, so the weight is 1. The
-    /// requests of others that the server has reported lately enter the requests in flight by a share.
+    /// The score in ms per unit of work, the lower the better: `latency x (own + others + 1) x penalties`.
+    ///
+    /// `own` are the requests of this proxy in flight in the phase; `others` is a share of the load that the server has reported
+    /// beyond those. The endpoint list has no weights.
     pub fn score(&self, phase: Phase, median_latency: f64, now: Duration, tuning: &Tuning) -> f64 {
         let state = &self.phases[phase.index()];
         let latency = self.latency(phase, median_latency, now, tuning);
@@ -110,24 +119,21 @@
             let all = report.running.saturating_add(report.waiting);
             f64::from(all.saturating_sub(state.in_flight)) * tuning.load_report_weight
         });
-        let full =
-            if report.is_some_and(|report| report.is_saturated()) { tuning.saturation_penalty } else { 1.0 };
-        let cold = if now < self.warmup_until { tuning.warmup_penalty } else { 1.0 };
+        let is_saturated = report.is_some_and(|report| report.is_saturated());
+        let saturation = if is_saturated { tuning.saturation_penalty } else { 1.0 };
+        let warmup = if now < self.warmup_until { tuning.warmup_penalty } else { 1.0 };
         let own = if tuning.counts_in_flight { f64::from(state.in_flight) } else { 0.0 };
-        latency * (own + others + 1.0) * full * cold
+        latency * (own + others + 1.0) * saturation * warmup
     }
 
-    /// The average as of now, in ms for each unit of work.
+    /// The latency of the phase at `now`, in ms per unit of work.
     pub fn latency(&self, phase: Phase, median_latency: f64, now: Duration, tuning: &Tuning) -> f64 {
         self.phases[phase.index()].latency.decayed(now, tuning.ewma_decay, median_latency).max(MIN_LATENCY_MS)
     }
 
-    /// The bound on own requests in flight there.
+    /// The most requests that this proxy may have in flight there in one phase.
     pub fn in_flight_limit(&self, proxies: u32, tuning: &Tuning) -> u32 {
         let share = f64::from(self.entry.slots) * tuning.in_flight_limit_factor / f64::from(proxies.max(1));
         (share.ceil() as u32).max(tuning.min_in_flight_limit)
     }
 }
-
-/// Guards against a product of zero, which no number of requests in flight would raise. In ms.
-const MIN_LATENCY_MS: f64 = 0.1;
--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -1,12 +1,12 @@
-//! Every figure of the decisions that may be tuned, and a switch for each mechanism, in one place.
+//! The constants of the routing decisions, and a switch for each mechanism, in one place.
 //!
-//! A settings file may set them by their names (durations in ms, as `tau_ms`); an unknown name is an error. What is switched
-//! off takes its mechanism out and leaves the rest as it is, so that a run shows what the mechanism is worth.
+//! A tuning file sets them by their encoded names (durations in ms, as `tau_ms`); an unknown name is an error. A switch that is
+//! off removes its mechanism and leaves the rest as it is, so that a run without it shows the mechanism's value.
 
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Durations as numbers of ms.
+/// Durations encoded as numbers of ms.
 mod millis {
     use serde::{Deserialize, Deserializer};
     use std::time::Duration;
@@ -16,132 +16,136 @@
     }
 }
 
-/// What a round-trip time is divided by before it enters a server's average.
+/// How the latency of a prefill is normalised before it enters the average of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Normalisation {
-    /// By nothing: requests count alike.
+    /// Not at all: long and short prompts count alike.
     Plain,
-    /// By the tokens that had to be read, on top of a fixed part.
+    /// Divided by the [units of work](crate::WorkSize::units), which grow with the tokens to prefill.
     ByTokens,
 }
 
-/// Which part of a prompt steers the draw of servers that read prompts.
+/// Which segment stands for the prefix of a prompt in prefix affinity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AffinityKey {
-    /// The last part that is shared with other requests.
+    /// The last segment that is shared with other requests.
     LastShared,
-    /// The shared part with the most tokens.
+    /// The shared segment with the most tokens.
     MostTokens,
 }
 
-/// The figures.
+/// The constants of the routing decisions. Defaults are given at each.
+// Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-    /// Whether two candidates are drawn; else one server at random.
+    /// Whether two candidates are drawn and compared; else one server is drawn at random. Default: on.
     #[serde(rename = "draws_two")]
     pub uses_two_choices: bool,
-    /// Whether own requests in flight enter the score.
+    /// Whether requests of this proxy in flight enter the score. Default: on.
     pub counts_in_flight: bool,
-    /// Whether a sample above the average replaces it at once; else it is folded in as a lower one.
+    /// Whether a sample above the average replaces it; else it is averaged in as any other. Default: on.
     #[serde(rename = "rises_at_once")]
     pub is_peak_sensitive: bool,
-    /// Whether a server without samples starts at the median of the known ones; else as the fastest.
+    /// Whether a server without samples is assumed to have the median latency of its service; else 1 ms. Default: on.
     pub starts_at_median: bool,
-    /// Whether failures enter the average as the time that they had.
+    /// Whether a failure counts as a latency sample of at least the attempt's timeout. Default: on.
     pub samples_failures: bool,
-    /// Whether shared parts of prompts steer the draw.
+    /// Whether prefills are routed by prefix affinity. Default: on.
     #[serde(rename = "steers")]
     pub uses_prefix_affinity: bool,
-    /// Whether servers of the own zone come first.
+    /// Whether servers of the local zone are preferred. Default: on.
     #[serde(rename = "prefers_home")]
     pub prefers_local_zone: bool,
-    /// Whether servers that fail in a row are left out for a while.
+    /// Whether servers that fail in a row are ejected. Default: on.
     #[serde(rename = "ejects")]
     pub ejects_outliers: bool,
-    /// Whether requests that can't make it are refused before they are sent.
+    /// Whether a request is rejected before it is sent if the selected server is busy and the estimate exceeds the time left.
+    /// Default: on.
     #[serde(rename = "refuses_early")]
     pub sheds_hopeless_requests: bool,
-    /// Whether requests to model servers carry the rank of their route, and prompts that of their length.
+    /// Whether requests to model servers carry the priority of their route, and prefills one by their length. Default: on.
     #[serde(rename = "passes_priority")]
     pub forwards_priority: bool,
-    /// Whether streams that were cut go on at another server.
+    /// Whether streams that broke off are resumed at another server. Default: on.
     pub resumes_streams: bool,
-    /// Whether connections to servers are kept between requests.
+    /// Whether connections to servers are reused. Default: on.
     #[serde(rename = "keeps_connections")]
     pub reuses_connections: bool,
-    /// The longest prompt that a decode server reads by itself while there are prefill servers, in tokens: it reads between
-    /// the tokens of others, whose streams pause meanwhile.
+    /// The longest prompt that a decode server prefills itself while there are prefill servers, in tokens. A prefill there runs
+    /// between the decode steps of other requests, whose streams pause meanwhile. Default: 2048.
     #[serde(rename = "decode_reads_at_most")]
     pub max_decode_prefill_tokens: u32,
-    /// Whether it reads longer ones too where hand-overs of memory fail.
+    /// Whether a decode server prefills longer prompts too where KV cache transfers fail. Default: off.
     #[serde(rename = "decode_reads_after_failures")]
     pub decode_prefills_after_failures: bool,
-    /// Time constant of the decay of a server's average.
+    /// The time constant of the latency average's exponential decay. Default: 2500 ms.
     #[serde(rename = "tau_ms", with = "millis")]
     pub ewma_decay: Duration,
-    /// What a prefill's time is divided by.
+    /// How the latency of prefills is normalised. Default: by tokens.
     pub normalisation: Normalisation,
-    /// Tokens that cost as much as a prefill's fixed part.
+    /// Tokens whose prefill costs as much as the fixed cost of an attempt. Default: 512.
     #[serde(rename = "base_tokens")]
     pub prefill_base_tokens: f64,
-    /// What steers the draw of prefill servers.
+    /// Which segment stands for the prefix of a prompt. Default: the last shared one.
     #[serde(rename = "sticky_key")]
     pub affinity_key: AffinityKey,
-    /// The steered candidate is taken while its estimate is at most so many times that of a random pair.
+    /// The server picked by prefix affinity is taken while its score is at most this multiple of that of the drawn one.
+    /// Default: 1.5.
     #[serde(rename = "sticky_tolerance")]
     pub affinity_tolerance: f64,
-    /// For how long a part that was sent to a server is taken to be kept there.
+    /// How long a segment is assumed to stay in a server's prefix cache after its last use. Default: 8000 ms.
     #[serde(rename = "cache_age_ms", with = "millis")]
     pub prefix_cache_ttl: Duration,
-    /// Parts remembered for each server.
+    /// The prompt segments tracked for each server. Default: 512.
     #[serde(rename = "cache_parts")]
     pub prefix_cache_capacity: usize,
-    /// A server of another zone is taken only if its estimate is better by this factor.
+    /// A server of another zone is taken only if its score is lower by this factor. Default: 1.25.
     pub cross_zone_factor: f64,
-    /// The share of the objective that the estimate at home may take before other zones are drawn from.
+    /// The share of the latency objective that the estimate in the local zone may use up before other zones are considered.
+    /// Default: 0.5.
     #[serde(rename = "home_share")]
     pub local_zone_objective_share: f64,
-    /// How long a server's own report of its load counts.
+    /// How long a server's load report is used. Default: 1500 ms.
     #[serde(rename = "report_age_ms", with = "millis")]
     pub load_report_ttl: Duration,
-    /// How much of the requests of others that a server reports enters the score; 0 for none.
+    /// The weight of reported requests of other proxies in the score, from 0 (ignored) to 1 (as own ones). Default: 0.25.
     #[serde(rename = "report_weight")]
     pub load_report_weight: f64,
-    /// The price factor of a server whose report tells of requests that wait or of no free slot.
+    /// The factor on the score of a server whose load report says that it is saturated. Default: 3.
     #[serde(rename = "full_factor")]
     pub saturation_penalty: f64,
-    /// The price factor of a server that is still cold.
+    /// The factor on the score of a server that is warming up (slow start). Default: 1.5.
     #[serde(rename = "cold_factor")]
     pub warmup_penalty: f64,
-    /// Own requests in flight to one server, as a multiple of its slots over the live proxies. Generous, since the server itself
-    /// refuses what it can't take; it bounds what a silent server collects.
+    /// The limit on requests of this proxy in flight at a server, as a multiple of the server's slots over the live proxies.
+    /// Generous, since servers reject what they can't take; it bounds what an unresponsive server collects. Default: 8.
     #[serde(rename = "in_flight_factor")]
     pub in_flight_limit_factor: f64,
-    /// The least bound on own requests in flight to one server.
+    /// The least limit on requests of this proxy in flight at a server. Default: 16.
     #[serde(rename = "in_flight_floor")]
     pub min_in_flight_limit: u32,
-    /// The first time for which a server is ejected; it doubles with each failed trial.
+    /// The length of a server's first ejection; it doubles with each failed trial. Default: 500 ms.
     #[serde(rename = "eject_first_ms", with = "millis")]
     pub base_ejection_time: Duration,
-    /// The longest.
+    /// The longest ejection. Default: 8000 ms.
     #[serde(rename = "eject_most_ms", with = "millis")]
     pub max_ejection_time: Duration,
-    /// Soft failures in a row that eject; a refused connection counts as all of them.
+    /// Consecutive failures by which a server is ejected; a refused connection counts as all of them. Default: 2.
     #[serde(rename = "eject_strikes")]
     pub ejection_threshold: u8,
-    /// How long a server that said it is another one, or has another part, is left out.
+    /// How long a server that answered 421 is not selected, unless its entry changes. Default: 4000 ms.
     #[serde(rename = "misdirected_ms", with = "millis")]
     pub misdirected_backoff: Duration,
-    /// The part of the fleet's retry budget that is shared out by own requests.
+    /// The share of the fleet's retry budget that proxies use; below 1 to absorb a stale number of proxies. Default: 0.5.
     #[serde(rename = "budget_share")]
     pub retry_budget_share: f64,
-    /// Proxies that are assumed where the fleet's size is not known.
+    /// The number of proxies that is assumed while the fleet's size is not known. Default: 16.
     #[serde(rename = "proxies_guess")]
     pub assumed_proxies: u32,
-    /// Sends that provably did not run, beyond the first, for one request.
+    /// Rejections of one request, each proof that it was not executed, after which it is not sent again. Default: 3.
     #[serde(rename = "rejections")]
     pub max_rejections: u32,
 }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -38,13 +38,13 @@
     TablePosition { epoch, sequence }
 }
 
-pub fn whole(position: TablePosition, entries: Vec<ServerEntry>) -> ServerDelta {
+pub fn full_list(position: TablePosition, entries: Vec<ServerEntry>) -> ServerDelta {
     ServerDelta { position, is_full: true, entries, removed: Vec::new() }
 }
 
 pub fn balancer(tuning: Tuning, entries: Vec<ServerEntry>) -> Balancer {
     let mut balancer = Balancer::new(tuning, terms(), SEED);
-    assert!(balancer.apply(Duration::ZERO, &whole(position(1, 1), entries)));
+    assert!(balancer.apply(Duration::ZERO, &full_list(position(1, 1), entries)));
     balancer
 }
 
@@ -53,7 +53,7 @@
     (0..count).map(|number| entry(&char::from(b'a' + number).to_string(), "home", None)).collect()
 }
 
-pub struct Ask<'a> {
+pub struct TestQuery<'a> {
     pub phase: Phase,
     pub prompt: &'a Prompt,
     pub excluded: &'a [ServerKey],
@@ -61,15 +61,15 @@
 }
 
 pub fn select_with(
-    balancer: &mut Balancer, now: Duration, ask: &Ask<'_>,
+    balancer: &mut Balancer, now: Duration, query: &TestQuery<'_>,
 ) -> Result<Selection, SelectionError> {
     let query = SelectionQuery {
         service: SERVICE,
-        phase: ask.phase,
+        phase: query.phase,
         model: Some("m"),
-        prompt: ask.prompt,
-        preferred_zone: ask.zone,
-        excluded: ask.excluded,
+        prompt: query.prompt,
+        preferred_zone: query.zone,
+        excluded: query.excluded,
         objective: ms(300),
     };
     balancer.select(now, &query)
@@ -77,10 +77,14 @@
 
 pub fn select(balancer: &mut Balancer, now: Duration) -> Result<Selection, SelectionError> {
     let prompt = Prompt::default();
-    select_with(balancer, now, &Ask { phase: Phase::Full, prompt: &prompt, excluded: &[], zone: "home" })
+    select_with(
+        balancer,
+        now,
+        &TestQuery { phase: Phase::Full, prompt: &prompt, excluded: &[], zone: "home" },
+    )
 }
 
-/// The key of a server, found by drawing until it comes up.
+/// The key of a listed server.
 pub fn key_of(balancer: &mut Balancer, id: &str) -> ServerKey {
     let keys: Vec<ServerKey> = balancer.server_keys().collect();
     keys.into_iter().find(|key| balancer.server_id(*key) == Some(id)).expect("listed")
--- a/crates/routing/tests/digest.rs
+++ b/crates/routing/tests/digest.rs
@@ -196,7 +196,7 @@
         self.sequence += 1;
         let count = self.rng.u8(6..16);
         self.listed = (0..count).map(|number| self.entry(number)).collect();
-        self.apply(&whole(position(1, self.sequence), self.listed.clone()));
+        self.apply(&full_list(position(1, self.sequence), self.listed.clone()));
     }
 
     fn change_list(&mut self) {
@@ -223,7 +223,7 @@
                 entries.push(self.listed[at].clone());
             }
             (None, 0) => {
-                let stale = whole(position(0, 99), Vec::new());
+                let stale = full_list(position(0, 99), Vec::new());
                 return self.apply(&stale);
             }
             (None, _) => {
--- a/crates/routing/tests/switches.rs
+++ b/crates/routing/tests/mechanism_switches.rs
@@ -1,19 +1,19 @@
-//! Each switch of the tuning takes its mechanism out, and nothing else is needed for that.
+//! Each switch of the tuning turns its mechanism off by itself.
 
 mod common;
 
-use common::{Ask, balancer, entry, key_of, ms, plain, select, select_with};
+use common::{TestQuery, balancer, entry, key_of, ms, plain, select, select_with};
 use lugwharf_protocol::Stage;
 use lugwharf_routing::{FailureKind, Observation, Phase, Prompt, ServerKey, Tuning, WorkSize};
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-const DRAWS: usize = 400;
+const SELECTIONS: usize = 400;
 
-/// How often each server is chosen.
-fn draws(balancer: &mut lugwharf_routing::Balancer) -> BTreeMap<ServerKey, usize> {
+/// How often each server is selected.
+fn selections(balancer: &mut lugwharf_routing::Balancer) -> BTreeMap<ServerKey, usize> {
     let mut counts = BTreeMap::new();
-    for _ in 0..DRAWS {
+    for _ in 0..SELECTIONS {
         *counts.entry(select(balancer, ms(1)).expect("a server").key).or_insert(0) += 1;
     }
     counts
@@ -23,22 +23,22 @@
     Observation::Success { elapsed: ms(took), work: WorkSize::default() }
 }
 
-/// With two candidates the slowest of three is never chosen, with one as often as the others.
+/// With two choices the slowest of three is never selected, with one as often as the others.
 #[rstest]
 #[case::two(true, 0)]
-#[case::one(false, DRAWS / 5)]
-fn switch_uses_two_choices(#[case] uses_two_choices: bool, #[case] least: usize) {
+#[case::one(false, SELECTIONS / 5)]
+fn switch_uses_two_choices(#[case] uses_two_choices: bool, #[case] min: usize) {
     let mut balancer = balancer(Tuning { uses_two_choices, ..Tuning::default() }, plain(3));
     let slow = key_of(&mut balancer, "a");
     for (id, took) in [("a", 900), ("b", 10), ("c", 10)] {
         let key = key_of(&mut balancer, id);
         balancer.record_observation(ms(0), key, Phase::Full, answered(took));
     }
-    let count = draws(&mut balancer).get(&slow).copied().unwrap_or(0);
-    assert!(if uses_two_choices { count == 0 } else { count >= least }, "{count}");
+    let count = selections(&mut balancer).get(&slow).copied().unwrap_or(0);
+    assert!(if uses_two_choices { count == 0 } else { count >= min }, "{count}");
 }
 
-/// Of two equal servers the one with requests in flight loses, unless they don't count.
+/// Of two equal servers the one with requests in flight loses, unless these don't enter the score.
 #[rstest]
 #[case::counts(true)]
 #[case::does_not(false)]
@@ -46,25 +46,25 @@
     let mut balancer = balancer(Tuning { counts_in_flight, ..Tuning::default() }, plain(2));
     let busy = key_of(&mut balancer, "a");
     (0..3).for_each(|_| balancer.record_start(busy, Phase::Full));
-    let count = draws(&mut balancer).get(&busy).copied().unwrap_or(0);
+    let count = selections(&mut balancer).get(&busy).copied().unwrap_or(0);
     assert_eq!(count > 0, !counts_in_flight, "{count}");
 }
 
-/// One slow answer after many fast ones prices a server at once, or hardly.
+/// One slow response after fast ones raises the average of a server at once, or slowly.
 #[rstest]
 #[case::at_once(true)]
-#[case::smoothly(false)]
+#[case::slowly(false)]
 fn switch_is_peak_sensitive(#[case] is_peak_sensitive: bool) {
     let mut balancer = balancer(Tuning { is_peak_sensitive, ..Tuning::default() }, plain(2));
     let (spiky, steady) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
     balancer.record_observation(ms(0), spiky, Phase::Full, answered(10));
     balancer.record_observation(ms(0), steady, Phase::Full, answered(50));
     balancer.record_observation(ms(0), spiky, Phase::Full, answered(900));
-    let count = draws(&mut balancer).get(&spiky).copied().unwrap_or(0);
+    let count = selections(&mut balancer).get(&spiky).copied().unwrap_or(0);
     assert_eq!(count > 0, !is_peak_sensitive, "{count}");
 }
 
-/// A failure prices a server, unless it is no sample.
+/// A failure raises the average of a server, unless failures are not sampled.
 #[rstest]
 #[case::samples(true)]
 #[case::does_not(false)]
@@ -80,11 +80,11 @@
         Phase::Full,
         Observation::Failure { kind: FailureKind::ServerError, elapsed, timeout, work },
     );
-    let count = draws(&mut balancer).get(&failed).copied().unwrap_or(0);
+    let count = selections(&mut balancer).get(&failed).copied().unwrap_or(0);
     assert_eq!(count > 0, !samples_failures, "{count}");
 }
 
-/// A server without samples counts as the median of the others, or as the fastest.
+/// A server without samples is assumed to have the median latency of the others, or the lowest.
 #[rstest]
 #[case::median(true)]
 #[case::fastest(false)]
@@ -96,19 +96,19 @@
         balancer.record_observation(ms(0), key, Phase::Full, answered(took));
     }
     balancer.record_start(unknown, Phase::Full);
-    let count = draws(&mut balancer).get(&unknown).copied().unwrap_or(0);
+    let count = selections(&mut balancer).get(&unknown).copied().unwrap_or(0);
     assert_eq!(count > 0, !starts_at_median, "{count}");
 }
 
 #[rstest]
-#[case::home_first(true)]
+#[case::local_first(true)]
 #[case::anywhere(false)]
 fn switch_prefers_local_zone(#[case] prefers_local_zone: bool) {
     let entries = vec![entry("a", "home", None), entry("b", "away", None), entry("c", "away", None)];
     let mut balancer = balancer(Tuning { prefers_local_zone, ..Tuning::default() }, entries);
     let home = key_of(&mut balancer, "a");
-    let count = draws(&mut balancer).get(&home).copied().unwrap_or(0);
-    assert_eq!(count == DRAWS, prefers_local_zone, "{count}");
+    let count = selections(&mut balancer).get(&home).copied().unwrap_or(0);
+    assert_eq!(count == SELECTIONS, prefers_local_zone, "{count}");
 }
 
 #[rstest]
@@ -125,11 +125,11 @@
         Phase::Full,
         Observation::Failure { kind: FailureKind::Connect, elapsed, timeout, work },
     );
-    let count = draws(&mut balancer).get(&failing).copied().unwrap_or(0);
+    let count = selections(&mut balancer).get(&failing).copied().unwrap_or(0);
     assert_eq!(count > 0, !ejects_outliers, "{count}");
 }
 
-/// Requests with one shared part go to one server where all are alike, or anywhere.
+/// Requests with one shared segment go to one server if all are equal, or to any.
 #[rstest]
 #[case::uses_prefix_affinity(true)]
 #[case::does_not(false)]
@@ -137,10 +137,10 @@
     let entries = (0..9).map(|number| entry(&format!("s{number}"), "home", Some(Stage::Prefill))).collect();
     let mut balancer = balancer(Tuning { uses_prefix_affinity, ..Tuning::default() }, entries);
     let prompt = Prompt::parse(Some("a1:1000,b1:10"), Some("1010,5"));
-    let ask = Ask { phase: Phase::Prefill, prompt: &prompt, excluded: &[], zone: "home" };
-    let mut chosen: Vec<ServerKey> =
-        (0..50).map(|_| select_with(&mut balancer, ms(1), &ask).expect("a server").key).collect();
-    chosen.sort();
-    chosen.dedup();
-    assert_eq!(chosen.len() == 1, uses_prefix_affinity, "{}", chosen.len());
+    let query = TestQuery { phase: Phase::Prefill, prompt: &prompt, excluded: &[], zone: "home" };
+    let mut selected: Vec<ServerKey> =
+        (0..50).map(|_| select_with(&mut balancer, ms(1), &query).expect("a server").key).collect();
+    selected.sort();
+    selected.dedup();
+    assert_eq!(selected.len() == 1, uses_prefix_affinity, "{}", selected.len());
 }
--- /dev/null
+++ b/crates/routing/tests/outlier_ejection.rs
@@ -0,0 +1,58 @@
+//! Outlier ejection: its times, its trials, and its bound on a pool.
+
+mod common;
+
+use common::{TestQuery, balancer, key_of, ms, plain, select, select_with};
+use lugwharf_routing::{FailureKind, Observation, OutlierEjection, Phase, Tuning, WorkSize};
+
+#[test]
+fn failed_trials_double_the_ejection_time_and_a_success_clears_it() {
+    let tuning = Tuning::default();
+    let mut ejection = OutlierEjection::default();
+    assert!(!ejection.record_failure(FailureKind::ConnectionBroken, &tuning), "one failure may be chance");
+    assert!(ejection.record_failure(FailureKind::ConnectionBroken, &tuning));
+    let mut now = ms(0);
+    for expected in [500, 1_000, 2_000, 4_000, 8_000, 8_000] {
+        ejection.eject(now, &tuning);
+        assert!(ejection.is_ejected(now + ms(expected - 1)));
+        now += ms(expected);
+        assert!(!ejection.is_ejected(now), "after {expected} ms");
+        ejection.record_start();
+        assert!(ejection.is_ejected(now), "one trial at a time");
+        assert!(ejection.record_failure(FailureKind::ConnectionBroken, &tuning));
+    }
+    ejection.record_success();
+    assert_eq!(ejection, OutlierEjection::default());
+}
+
+#[test]
+fn at_most_half_of_a_pool_is_ejected() {
+    let mut balancer = balancer(Tuning::default(), plain(4));
+    let keys = ["a", "b", "c", "d"].map(|id| key_of(&mut balancer, id));
+    for key in keys {
+        let (elapsed, timeout, work) = (ms(1), ms(1), WorkSize::default());
+        let failed = Observation::Failure { kind: FailureKind::Connect, elapsed, timeout, work };
+        balancer.record_observation(ms(0), key, Phase::Full, failed);
+    }
+    let mut selected: Vec<_> =
+        (0..100).map(|_| select(&mut balancer, ms(1)).expect("a selection").key).collect();
+    selected.sort_unstable();
+    selected.dedup();
+    assert_eq!(selected, keys[2..], "the first two are ejected, the others are not");
+}
+
+#[test]
+fn ejected_servers_are_selected_if_no_other_is_eligible() {
+    let mut balancer = balancer(Tuning::default(), plain(2));
+    let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
+    let (elapsed, timeout, work) = (ms(1), ms(1), WorkSize::default());
+    balancer.record_observation(
+        ms(0),
+        a,
+        Phase::Full,
+        Observation::Failure { kind: FailureKind::Connect, elapsed, timeout, work },
+    );
+    let prompt = Default::default();
+    let query = TestQuery { phase: Phase::Full, prompt: &prompt, excluded: &[b], zone: "home" };
+    assert_eq!(select_with(&mut balancer, ms(1), &query).expect("a selection").key, a);
+}
--- a/crates/routing/tests/sticky.rs
+++ b/crates/routing/tests/prefix_affinity.rs
@@ -1,8 +1,8 @@
-//! Shared parts of prompts steer the draw of prefill servers.
+//! Prompts, the tracking of prefix caches, rendezvous hashing and prefix affinity.
 
 mod common;
 
-use common::*;
+use common::{SEED, TestQuery, balancer, entry, key_of, ms, select_with};
 use lugwharf_protocol::{ServerEntry, Stage};
 use lugwharf_routing::{
     Balancer, Observation, Phase, PrefixCacheTracker, Prompt, PromptSegment, Tuning, WorkSize,
@@ -16,48 +16,48 @@
     (0..count).map(|number| entry(&name(number), "home", Some(Stage::Prefill))).collect()
 }
 
-fn prompt(subject: &str, own: &str) -> Prompt {
-    let prefix = format!("aa:800,{subject}:400,{own}:200");
-    Prompt::parse(Some(&prefix), Some("1400,20"))
+fn prompt(prefix: &str, own: &str) -> Prompt {
+    let text = format!("aa:800,{prefix}:400,{own}:200");
+    Prompt::parse(Some(&text), Some("1400,20"))
 }
 
-fn choose_for(balancer: &mut Balancer, prompt: &Prompt) -> lugwharf_routing::Selection {
-    let ask = Ask { phase: Phase::Prefill, prompt, excluded: &[], zone: "home" };
-    select_with(balancer, ms(0), &ask).expect("a choice")
+fn select_for(balancer: &mut Balancer, prompt: &Prompt) -> lugwharf_routing::Selection {
+    let query = TestQuery { phase: Phase::Prefill, prompt, excluded: &[], zone: "home" };
+    select_with(balancer, ms(0), &query).expect("a selection")
 }
 
 #[rstest]
-#[case::whole("5c1e:800,91bd:410,e440:250", "1460,80", &[(0x5c1e, 800), (0x91bd, 410), (0xe440, 250)], 1460)]
+#[case::complete("5c1e:800,91bd:410,e440:250", "1460,80", &[(0x5c1e, 800), (0x91bd, 410), (0xe440, 250)], 1460)]
 #[case::without_counts("5c1e:800", "", &[(0x5c1e, 800)], 800)]
 #[case::broken_behind("5c1e:800,nonsense,91bd:1", "900,1", &[(0x5c1e, 800)], 900)]
 #[case::nothing("", "x", &[], 0)]
-fn prompts_are_read_as_far_as_they_can_be(
-    #[case] prefix: &str, #[case] counts: &str, #[case] parts: &[(u64, u32)], #[case] tokens: u32,
+fn prompts_are_parsed_as_far_as_they_are_valid(
+    #[case] prefix: &str, #[case] counts: &str, #[case] segments: &[(u64, u32)], #[case] tokens: u32,
 ) {
     let prompt = Prompt::parse(Some(prefix), Some(counts));
-    let parts: Vec<PromptSegment> = parts.iter().map(|&(id, tokens)| PromptSegment { id, tokens }).collect();
-    assert_eq!((prompt.segments, prompt.input_tokens), (parts, tokens));
+    let segments: Vec<PromptSegment> =
+        segments.iter().map(|&(id, tokens)| PromptSegment { id, tokens }).collect();
+    assert_eq!((prompt.segments, prompt.input_tokens), (segments, tokens));
 }
 
 #[test]
-fn the_same_subject_goes_to_the_same_two_servers() {
+fn shared_prefix_goes_to_the_same_two_servers() {
     let mut balancer = balancer(Tuning::default(), servers(9));
-    let chosen: HashSet<_> =
-        (0..100).map(|own| choose_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key).collect();
-    assert!(chosen.len() <= 2, "seed {SEED}: {chosen:?}");
+    let selected: HashSet<_> =
+        (0..100).map(|own| select_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key).collect();
+    assert!(selected.len() <= 2, "seed {SEED}: {selected:?}");
 }
 
 #[test]
-fn subjects_spread_over_all_servers() {
+fn prefixes_spread_over_all_servers() {
     let mut balancer = balancer(Tuning::default(), servers(9));
-    let chosen: HashSet<_> = (0..200)
-        .map(|subject| choose_for(&mut balancer, &prompt(&format!("{subject:x}"), "f")).key)
-        .collect();
-    assert_eq!(chosen.len(), 9, "seed {SEED}");
+    let selected: HashSet<_> =
+        (0..200).map(|number| select_for(&mut balancer, &prompt(&format!("{number:x}"), "f")).key).collect();
+    assert_eq!(selected.len(), 9, "seed {SEED}");
 }
 
 #[test]
-fn a_server_that_goes_moves_only_its_own_keys() {
+fn removed_server_moves_only_its_own_keys() {
     let servers: Vec<u64> = (0..9u64).map(|server| server * 7_919 + 13).collect();
     let best = |key: u64, of: &[u64]| of.iter().copied().max_by_key(|server| rendezvous_weight(key, *server));
     for key in 0..500 {
@@ -68,32 +68,32 @@
 }
 
 #[test]
-fn parts_that_are_kept_lower_the_estimate() {
+fn cached_segments_lower_the_estimate() {
     let mut balancer = balancer(Tuning::default(), servers(1));
     let key = key_of(&mut balancer, "s0");
     let sample = Observation::Success { elapsed: ms(100), work: WorkSize { tokens: 1_400.0 } };
     balancer.record_observation(ms(0), key, Phase::Prefill, sample);
-    let all = choose_for(&mut balancer, &prompt("b1", "c1"));
+    let all = select_for(&mut balancer, &prompt("b1", "c1"));
     assert_eq!(all.prefill_tokens, 1_400);
     assert!(all.estimate.abs_diff(ms(100)) < ms(1), "{:?}", all.estimate);
     balancer.record_prefill(ms(0), key, &prompt("b1", "c1"));
-    let shared = choose_for(&mut balancer, &prompt("b1", "c2"));
+    let shared = select_for(&mut balancer, &prompt("b1", "c2"));
     assert_eq!(shared.prefill_tokens, 200);
     assert!(shared.estimate < ms(50), "{:?}", shared.estimate);
 }
 
 #[test]
-fn a_kept_part_counts_only_behind_kept_parts_and_while_it_is_young() {
+fn segment_is_cached_only_behind_cached_segments_and_within_its_ttl() {
     let mut cache = PrefixCacheTracker::default();
     cache.record_prefill(ms(0), &prompt("b1", "c1"), 100);
-    let kept = |cache: &PrefixCacheTracker, at, of: &Prompt| cache.cached_tokens(ms(at), of, ms(8_000));
-    assert_eq!(kept(&cache, 0, &prompt("b1", "c1")), 1_400);
-    assert_eq!(kept(&cache, 0, &prompt("b2", "c1")), 800, "c1 stands behind a part that is not kept");
-    assert_eq!(kept(&cache, 8_001, &prompt("b1", "c1")), 0);
+    let cached = |cache: &PrefixCacheTracker, at, of: &Prompt| cache.cached_tokens(ms(at), of, ms(8_000));
+    assert_eq!(cached(&cache, 0, &prompt("b1", "c1")), 1_400);
+    assert_eq!(cached(&cache, 0, &prompt("b2", "c1")), 800, "c1 is behind a segment that is not cached");
+    assert_eq!(cached(&cache, 8_001, &prompt("b1", "c1")), 0);
 }
 
 #[test]
-fn what_is_remembered_is_bounded_and_the_oldest_goes() {
+fn tracked_segments_are_bounded_and_the_oldest_are_dropped() {
     let mut cache = PrefixCacheTracker::default();
     for number in 0..1_000u64 {
         cache.record_prefill(ms(number), &prompt(&format!("{number:x}"), "ffff"), 64);
@@ -102,34 +102,34 @@
     assert_eq!(
         cache.cached_tokens(ms(1_000), &prompt("3e7", "ffff"), ms(8_000)),
         1_400,
-        "the newest is kept"
+        "the newest is tracked"
     );
 }
 
 #[test]
-fn a_crowded_sticky_server_gives_way_to_a_random_pair() {
+fn loaded_affinity_server_loses_to_the_drawn_one() {
     let mut balancer = balancer(Tuning::default(), servers(9));
-    let steered: HashSet<_> =
-        (0..20).map(|own| choose_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key).collect();
+    let affine: HashSet<_> =
+        (0..20).map(|own| select_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key).collect();
     let keys: Vec<_> = balancer.server_keys().collect();
     for key in keys {
         let sample = Observation::Success { elapsed: ms(50), work: WorkSize { tokens: 1_400.0 } };
         balancer.record_observation(ms(0), key, Phase::Prefill, sample);
     }
-    // Both of the key's servers are crowded, whichever the second is.
-    for key in &steered {
+    // Both servers of the prefix are loaded, whichever the second is.
+    for key in &affine {
         (0..7).for_each(|_| balancer.record_start(*key, Phase::Prefill));
     }
     let other = (0..50).filter(|own| {
-        let key = choose_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key;
-        !steered.contains(&key)
+        let key = select_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key;
+        !affine.contains(&key)
     });
     assert!(other.count() >= 40, "seed {SEED}");
 }
 
-/// Other proxies have sent the same parts to the first server of the pair, which this one can't know.
+/// Other proxies send the same prefix to the first server of its pair, which this proxy can't observe.
 #[test]
-fn a_subject_that_is_new_here_goes_to_the_first_server_of_its_pair_in_any_zone() {
+fn unknown_prefix_goes_to_its_first_server_in_any_zone() {
     let zoned = |number: u8| if number < 3 { "home" } else { "away" };
     let name = |number| format!("s{number}");
     let servers = (0..9).map(|number| entry(&name(number), zoned(number), Some(Stage::Prefill)));
@@ -139,10 +139,10 @@
         let sample = Observation::Success { elapsed: ms(50), work: WorkSize { tokens: 1_400.0 } };
         balancer.record_observation(ms(0), key, Phase::Prefill, sample);
     }
-    for subject in 0..50 {
-        let chosen: HashSet<_> = (0..10)
-            .map(|own| choose_for(&mut balancer, &prompt(&format!("{subject:x}"), &format!("{own:x}"))).key)
+    for number in 0..50 {
+        let selected: HashSet<_> = (0..10)
+            .map(|own| select_for(&mut balancer, &prompt(&format!("{number:x}"), &format!("{own:x}"))).key)
             .collect();
-        assert_eq!(chosen.len(), 1, "seed {SEED}, subject {subject}");
+        assert_eq!(selected.len(), 1, "seed {SEED}, prefix {number}");
     }
 }
--- a/crates/routing/tests/score.rs
+++ b/crates/routing/tests/scoring.rs
@@ -1,8 +1,8 @@
-//! Conformance with the design: two distinct random candidates, the score, instant rise, timed decay, priced failures.
+//! Peak EWMA, the score, power of two choices, locality and eligibility.
 
 mod common;
 
-use common::*;
+use common::{SEED, TestQuery, balancer, entry, full_list, key_of, ms, plain, position, select, select_with};
 use lugwharf_protocol::{ServerState, Stage};
 use lugwharf_routing::{FailureKind, Observation, PeakEwma, Phase, Tuning, WorkSize};
 use rstest::rstest;
@@ -15,10 +15,10 @@
 #[case::the_first_sample_is_the_average(&[(0, 100.0)], 100.0)]
 #[case::a_higher_sample_replaces_it_at_once(&[(0, 100.0), (1, 250.0)], 250.0)]
 #[case::a_lower_sample_at_the_same_time_changes_nothing(&[(0, 100.0), (0, 10.0)], 100.0)]
-#[case::a_lower_sample_after_tau_takes_over_by_1_less_1_over_e(&[(0, 100.0), (10_000, 0.0)], 36.787_944)]
+#[case::a_lower_sample_after_tau_has_the_weight_1_less_1_over_e(&[(0, 100.0), (10_000, 0.0)], 36.787_944)]
 #[case::a_lower_sample_long_after_replaces_it(&[(0, 100.0), (1_000_000, 10.0)], 10.0)]
-#[case::nonsense_is_left_out(&[(0, 100.0), (1, f64::NAN), (2, f64::INFINITY), (3, -1.0)], 100.0)]
-fn the_average_rises_at_once_and_falls_by_time(#[case] samples: &[(u64, f64)], #[case] expected: f64) {
+#[case::samples_that_are_no_latency_are_ignored(&[(0, 100.0), (1, f64::NAN), (2, f64::INFINITY), (3, -1.0)], 100.0)]
+fn average_rises_at_once_and_decays_over_time(#[case] samples: &[(u64, f64)], #[case] expected: f64) {
     let mut average = PeakEwma::default();
     for (at, sample) in samples {
         average.observe(ms(*at), TAU, *sample, true);
@@ -28,9 +28,9 @@
 }
 
 #[test]
-fn old_news_fades_towards_what_is_typical() {
+fn old_average_decays_towards_the_baseline() {
     let mut average = PeakEwma::default();
-    assert_eq!(average.decayed(ms(0), TAU, 7.0), 7.0, "no samples: typical");
+    assert_eq!(average.decayed(ms(0), TAU, 7.0), 7.0, "no samples: the baseline");
     average.observe(ms(0), TAU, 1_000.0, true);
     assert_eq!(average.decayed(ms(0), TAU, 7.0), 1_000.0);
     assert!(average.decayed(ms(100_000), TAU, 7.0) < 8.0);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_lower_product_of_latency_and_in_flight_wins() {
+fn lower_product_of_latency_and_in_flight_wins() {
     let mut balancer = balancer(Tuning::default(), plain(2));
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
     balancer.record_observation(ms(0), a, Phase::Full, answered(10));
@@ -49,16 +49,16 @@
     // 10 x 1 < 25 x 1; 10 x 2 < 25 x 1; 10 x 3 > 25 x 1.
     for (in_flight, expected) in [(0, a), (1, a), (2, b)] {
         assert_eq!(balancer.in_flight(a, Phase::Full), in_flight);
-        assert_eq!(select(&mut balancer, ms(0)).expect("a choice").key, expected, "{in_flight} in flight");
+        assert_eq!(select(&mut balancer, ms(0)).expect("a selection").key, expected, "{in_flight} in flight");
         balancer.record_start(a, Phase::Full);
     }
     balancer.record_end(a, Phase::Full);
     balancer.record_end(a, Phase::Full);
-    assert_eq!(select(&mut balancer, ms(0)).expect("a choice").key, a, "what has ended counts no more");
+    assert_eq!(select(&mut balancer, ms(0)).expect("a selection").key, a, "ended requests are not in flight");
 }
 
 #[test]
-fn a_failure_enters_as_the_longer_of_its_time_and_the_time_out() {
+fn failure_is_sampled_as_the_longer_of_elapsed_time_and_timeout() {
     for (elapsed, timeout, expected) in [(5, 400, 400), (700, 400, 700)] {
         let mut balancer = balancer(Tuning::default(), plain(1));
         let a = key_of(&mut balancer, "a");
@@ -69,28 +69,28 @@
             work: WorkSize::default(),
         };
         balancer.record_observation(ms(0), a, Phase::Full, failed);
-        assert_eq!(select(&mut balancer, ms(0)).expect("a choice").estimate, ms(expected));
+        assert_eq!(select(&mut balancer, ms(0)).expect("a selection").estimate, ms(expected));
     }
 }
 
 #[test]
-fn a_refusal_enters_no_time_but_counts_as_full_for_a_while() {
+fn rejection_is_no_latency_sample_but_marks_the_server_saturated_for_a_while() {
     let tuning = Tuning::default();
     let mut balancer = balancer(tuning.clone(), plain(2));
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
     balancer.record_observation(ms(0), a, Phase::Full, answered(20));
     balancer.record_observation(ms(0), b, Phase::Full, answered(40));
-    assert_eq!(select(&mut balancer, ms(0)).expect("a choice").key, a);
+    assert_eq!(select(&mut balancer, ms(0)).expect("a selection").key, a);
     balancer.record_observation(ms(1), a, Phase::Full, Observation::Rejected);
-    assert_eq!(select(&mut balancer, ms(2)).expect("a choice").key, b, "a is full");
-    let later = select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a choice");
+    assert_eq!(select(&mut balancer, ms(2)).expect("a selection").key, b, "a is saturated");
+    let later = select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a selection");
     assert_eq!((later.key, later.is_busy), (a, false));
     balancer.record_observation(ms(2), a, Phase::Full, Observation::Inconclusive);
-    assert_eq!(select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a choice").key, a);
+    assert_eq!(select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a selection").key, a);
 }
 
 #[test]
-fn the_candidates_are_distinct_so_the_worst_of_three_never_wins() {
+fn candidates_are_distinct_so_the_worst_of_three_never_wins() {
     let mut balancer = balancer(Tuning::default(), plain(3));
     let keys = ["a", "b", "c"].map(|id| key_of(&mut balancer, id));
     for (key, took) in keys.iter().zip([10, 20, 1_000]) {
@@ -98,7 +98,7 @@
     }
     let mut wins: HashMap<_, u32> = HashMap::new();
     for _ in 0..3_000 {
-        *wins.entry(select(&mut balancer, ms(0)).expect("a choice").key).or_default() += 1;
+        *wins.entry(select(&mut balancer, ms(0)).expect("a selection").key).or_default() += 1;
     }
     assert_eq!(wins.get(&keys[2]), None, "seed {SEED}: the worst can't be drawn twice");
     // The best is in two of three pairs.
@@ -109,14 +109,14 @@
 #[rstest]
 #[case::none(0, None)]
 #[case::one(1, Some("a"))]
-fn pools_of_one_or_none(#[case] servers: u8, #[case] expected: Option<&str>) {
+fn selection_from_pools_of_one_or_none(#[case] servers: u8, #[case] expected: Option<&str>) {
     let mut balancer = balancer(Tuning::default(), plain(servers));
     let chosen = select(&mut balancer, ms(0)).ok();
     assert_eq!(chosen.as_ref().map(|choice| &*choice.id), expected);
 }
 
 #[test]
-fn a_server_without_samples_starts_at_the_median_of_the_others() {
+fn server_without_samples_starts_at_the_median_of_the_others() {
     let mut balancer = balancer(Tuning::default(), plain(4));
     for (id, took) in [("a", 10), ("b", 30), ("c", 90)] {
         let key = key_of(&mut balancer, id);
@@ -124,19 +124,19 @@
     }
     let others = ["a", "b", "c"].map(|id| key_of(&mut balancer, id));
     let prompt = Default::default();
-    let ask = Ask { phase: Phase::Full, prompt: &prompt, excluded: &others, zone: "home" };
-    let newcomer = select_with(&mut balancer, ms(0), &ask).expect("the newcomer");
-    assert_eq!((&*newcomer.id, newcomer.estimate), ("d", ms(30)));
+    let query = TestQuery { phase: Phase::Full, prompt: &prompt, excluded: &others, zone: "home" };
+    let new_server = select_with(&mut balancer, ms(0), &query).expect("the new server");
+    assert_eq!((&*new_server.id, new_server.estimate), ("d", ms(30)));
 }
 
 #[test]
-fn parts_have_their_own_averages_and_counts() {
+fn phases_have_their_own_averages_and_counts() {
     let mut balancer = balancer(Tuning::default(), plain(1));
     let a = key_of(&mut balancer, "a");
     balancer.record_observation(ms(0), a, Phase::Prefill, answered(500));
     balancer.record_start(a, Phase::Prefill);
     assert_eq!(balancer.in_flight(a, Phase::Decode), 0);
-    assert!(select(&mut balancer, ms(0)).expect("a choice").estimate < ms(10));
+    assert!(select(&mut balancer, ms(0)).expect("a selection").estimate < ms(10));
 }
 
 #[rstest]
@@ -146,15 +146,17 @@
 #[case(Phase::Decode, Stage::Prefill, false)]
 #[case(Phase::Full, Stage::Decode, true)]
 #[case(Phase::Full, Stage::Prefill, false)]
-fn a_part_goes_only_to_servers_of_its_stage(#[case] phase: Phase, #[case] stage: Stage, #[case] fits: bool) {
+fn phase_is_served_only_by_servers_of_its_stage(
+    #[case] phase: Phase, #[case] stage: Stage, #[case] fits: bool,
+) {
     let mut balancer = balancer(Tuning::default(), vec![entry("a", "home", Some(stage))]);
     let prompt = Default::default();
-    let ask = Ask { phase, prompt: &prompt, excluded: &[], zone: "home" };
-    assert_eq!(select_with(&mut balancer, ms(0), &ask).is_ok(), fits);
+    let query = TestQuery { phase, prompt: &prompt, excluded: &[], zone: "home" };
+    assert_eq!(select_with(&mut balancer, ms(0), &query).is_ok(), fits);
 }
 
 #[test]
-fn draining_servers_and_other_models_are_never_chosen() {
+fn draining_servers_and_other_models_are_not_eligible() {
     let mut draining = entry("a", "home", None);
     draining.state = ServerState::Draining;
     let mut other = entry("b", "home", None);
@@ -164,26 +166,26 @@
 }
 
 #[test]
-fn a_misdirected_server_is_left_out_until_its_entry_changes_or_a_while_has_passed() {
+fn misdirected_server_is_not_eligible_until_its_entry_changes_or_the_backoff_passed() {
     let tuning = Tuning::default();
     let mut balancer = balancer(tuning.clone(), plain(1));
     let a = key_of(&mut balancer, "a");
     balancer.record_misdirected(ms(0), a);
     assert!(select(&mut balancer, ms(1)).is_err());
     assert!(!balancer.is_eligible(ms(1), a, Phase::Full));
-    // The same entry again is no news.
-    assert!(balancer.apply(ms(2), &whole(position(1, 2), plain(1))));
+    // The same entry again changes nothing.
+    assert!(balancer.apply(ms(2), &full_list(position(1, 2), plain(1))));
     assert!(select(&mut balancer, ms(2)).is_err());
     let mut changed = plain(1);
     changed[0].slots = 3;
-    assert!(balancer.apply(ms(3), &whole(position(1, 3), changed)));
+    assert!(balancer.apply(ms(3), &full_list(position(1, 3), changed)));
     assert!(select(&mut balancer, ms(3)).is_ok());
     balancer.record_misdirected(ms(4), a);
     assert!(select(&mut balancer, ms(4) + tuning.misdirected_backoff).is_ok());
 }
 
 #[test]
-fn home_comes_first_while_it_is_fast_enough() {
+fn local_zone_is_preferred_while_it_is_fast_enough() {
     let entries = vec![entry("a", "home", None), entry("b", "away", None), entry("c", "away", None)];
     let mut balancer = balancer(Tuning::default(), entries);
     let a = key_of(&mut balancer, "a");
@@ -194,18 +196,18 @@
     }
     for _ in 0..50 {
         assert_eq!(
-            select(&mut balancer, ms(0)).expect("a choice").key,
+            select(&mut balancer, ms(0)).expect("a selection").key,
             a,
             "100 ms are within half of 300 ms"
         );
     }
     balancer.record_observation(ms(0), a, Phase::Full, answered(1_000));
-    let away = (0..50).filter(|_| select(&mut balancer, ms(0)).expect("a choice").key != a).count();
-    assert_eq!(away, 50, "seed {SEED}: any pair holds a faster one");
+    let away = (0..50).filter(|_| select(&mut balancer, ms(0)).expect("a selection").key != a).count();
+    assert_eq!(away, 50, "seed {SEED}: each pair has a faster one");
 }
 
 #[test]
-fn own_requests_in_flight_are_bounded() {
+fn requests_in_flight_are_limited_per_server() {
     let tuning = Tuning { min_in_flight_limit: 2, in_flight_limit_factor: 0.0, ..Tuning::default() };
     let mut balancer = balancer(tuning, plain(1));
     let a = key_of(&mut balancer, "a");
