--- a/crates/agent/src/feed.rs
+++ b/crates/agent/src/feed.rs
@@ -84,5 +84,5 @@
 }
 
 fn ended() -> FrameError {
-    FrameError::Link(io::Error::other("the owner of the tables has ended"))
+    FrameError::Io(io::Error::other("the owner of the tables has ended"))
 }
--- a/crates/agent/src/link.rs
+++ b/crates/agent/src/link.rs
@@ -43,7 +43,7 @@
         &mut self, request: &AgentRequest, limit: Duration,
     ) -> Result<ControlReply, FrameError> {
         let mut stream =
-            self.stream.take().ok_or_else(|| FrameError::Link(io::ErrorKind::NotConnected.into()))?;
+            self.stream.take().ok_or_else(|| FrameError::Io(io::ErrorKind::NotConnected.into()))?;
         let exchange = timeout(limit + WHOLE_REPLY_WITHIN, exchange(&mut stream, request, limit)).await;
         let reply = exchange.map_err(|_| timed_out("waiting for the rest of a reply"))??;
         self.stream = Some(stream);
@@ -57,9 +57,9 @@
     let written = timeout(limit, write_frame(stream, request)).await;
     written.map_err(|_| timed_out("sending a request"))??;
     let reply = read_frame(&mut Patience::new(stream, limit, PAUSE)).await?;
-    reply.ok_or_else(|| FrameError::Link(io::ErrorKind::UnexpectedEof.into()))
+    reply.ok_or_else(|| FrameError::Io(io::ErrorKind::UnexpectedEof.into()))
 }
 
 fn timed_out(step: &'static str) -> FrameError {
-    FrameError::Link(io::Error::new(io::ErrorKind::TimedOut, format!("timed out {step}")))
+    FrameError::Io(io::Error::new(io::ErrorKind::TimedOut, format!("timed out {step}")))
 }
--- a/crates/agent/src/link_tests.rs
+++ b/crates/agent/src/link_tests.rs
@@ -88,7 +88,7 @@
 #[tokio::test]
 async fn a_link_that_ends_ends_the_call() {
     let (result, _) = call(Sent::End).await;
-    assert!(matches!(result, Err(FrameError::Link(_))), "{result:?}");
+    assert!(matches!(result, Err(FrameError::Io(_))), "{result:?}");
 }
 
 /// The first call is given up, or cut short by its caller; its reply comes then, where the next call's is due.
@@ -115,5 +115,5 @@
     // The peer may find the link closed already.
     drop(peer.write_all(&encode(&reply()).expect("a frame")).await);
     let second = link.call(&request(), LIMIT).await;
-    assert!(matches!(second, Err(FrameError::Link(_))), "{second:?}");
+    assert!(matches!(second, Err(FrameError::Io(_))), "{second:?}");
 }
--- a/crates/agent/src/uplink_tests.rs
+++ b/crates/agent/src/uplink_tests.rs
@@ -162,7 +162,7 @@
 #[case::for_preferred(Ok(Left::ForPreferred), false)]
 #[case::out_of_touch(Ok(Left::OutOfTouch), true)]
 #[case::ending(Ok(Left::Ending), true)]
-#[case::failed(Err(FrameError::Link(std::io::ErrorKind::TimedOut.into())), true)]
+#[case::failed(Err(FrameError::Io(std::io::ErrorKind::TimedOut.into())), true)]
 fn a_process_that_is_left_for_a_better_one_is_still_fit(
     #[case] left: Result<Left, FrameError>, #[case] unfit: bool,
 ) {
--- a/crates/protocol/src/agent.rs
+++ b/crates/protocol/src/agent.rs
@@ -1,77 +1,79 @@
-//! The link between an agent and a control process: the agent asks for what it is missing.
+//! The messages between an agent and a control process. The agent pulls what it lacks; each pull is its heartbeat as well.
 
 use crate::table::{ConfigRecord, FleetSummary, ServerDelta, TablePosition};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a process has of each table. Two vectors are compared part by part.
+/// The version of each table that a process has. Two vectors are compared component by component.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct VersionVector {
-    /// The number of the configuration; 0 for none.
+    /// The version of the configuration; 0 for none.
     pub config: u64,
-    /// The position in the list of servers.
+    /// The position in the server table.
     pub servers: TablePosition,
-    /// Live proxies, as last told.
+    /// The number of live proxies, as last reported.
     pub live_proxies: u32,
 }
 
-/// What the proxies of one or more fronts have under way at a service.
+/// Requests in flight from the proxies of one or more front-end nodes to one service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ServiceLoad {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Prompts that are being read, or wait for it.
+    /// Requests in their prefill phase, queued ones included.
     pub prefill: u32,
-    /// Answers that are being made, or wait for it.
+    /// Requests in their decode phase, queued ones included.
     pub decode: u32,
 }
 
-/// What comes to an agent port.
+/// A request to an agent port.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub enum AgentRequest {
-    /// Asks for whatever is newer than `have`; also this front's heartbeat.
+    /// Asks for everything newer than `have`; also the heartbeat of this front-end node.
     Pull {
-        /// The name of the front.
+        /// The name of the front-end node.
         node: String,
-        /// Counts the starts of the agent's process: its start time in ms of the steady clock is enough, as it is only
-        /// compared with itself.
+        /// Distinguishes the starts of the agent's process. It is only compared for equality, so any number that differs from
+        /// start to start will do.
         incarnation: u64,
-        /// What the proxy beside it has.
+        /// What the agent has.
         have: VersionVector,
-        /// If nothing is newer, the answer may wait for so long, in ms.
+        /// How long the reply may be delayed while nothing is newer (a long poll), in ms.
         wait_ms: u32,
-        /// What the proxy beside it has under way.
+        /// Requests in flight at the proxy of this node.
         loads: Vec<ServiceLoad>,
     },
-    /// A control process names those that it knows to a seed that may hold no replica. Earlier versions close the link.
+    /// A control process announces the control processes that it knows to a seed that may host no replica. Versions that
+    /// don't know this request close the connection.
     Announce {
-        /// Their agent addresses.
+        /// The agent addresses of these control processes.
         control: Vec<SocketAddr>,
     },
 }
 
-/// What is newer than the asker's vector.
+/// Everything that is newer than the version vector of the receiver. What is not newer is absent.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct Update {
-    /// The vector after this update.
+    /// The version vector of the receiver once it has applied this update.
     pub vector: VersionVector,
-    /// The newest committed configuration, if it is newer.
+    /// The newest committed configuration.
     pub config: Option<ConfigRecord>,
-    /// Changes of the list of servers, if any.
+    /// Changes of the server table.
     pub servers: Option<ServerDelta>,
-    /// The fleet, if it changed.
+    /// The summary of the fleet.
     pub fleet: Option<FleetSummary>,
 }
 
-/// What a control process answers. Encoded names are fixed; see docs/GLOSSARY.md.
+/// The reply of a control process, to either request. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub enum ControlReply {
-    /// What is newer; parts that are not are absent.
+    /// What is newer.
     Update {
-        /// Whether this control process is in touch with a majority of its view. An agent leaves one that is not.
+        /// Whether this control process is in contact with a majority of its view. An agent leaves one that is not, since
+        /// what it sends may be out of date.
         #[serde(rename = "in_touch")]
         has_quorum: bool,
-        /// Agent addresses of all control processes of the view.
+        /// The agent addresses of all control processes of the view.
         control: Vec<SocketAddr>,
         /// What is newer.
         update: Update,
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! The messages between the processes of lugwharf: typed, in CBOR, one frame each.
+//! The messages between the processes of lugwharf, and their framing: one CBOR value a frame.
 //!
 //! | link | from, to | messages |
 //! | --- | --- | --- |
@@ -7,9 +7,14 @@
 //!
 //! Links between control processes carry the messages of the crates `chain`, `election` and `distribution` in the same
 //! frames.
+//!
+//! Processes of two versions share a deployment during a rolling upgrade. The names of fields and variants are encoded, so a
+//! renamed one keeps its encoded name by `#[serde(rename)]`; unknown fields are ignored. `tests/encoded_forms.rs` fixes every
+//! message byte for byte.
 #![forbid(unsafe_code)]
 
 mod agent;
+mod byte_string;
 mod connect;
 mod feed;
 mod frame;
--- a/crates/protocol/src/packed.rs
+++ b/crates/protocol/src/packed.rs
@@ -1,8 +1,8 @@
-//! The form in which a change of the list of servers crosses a link.
+//! The encoded form of a [`ServerDelta`].
 //!
-//! A whole list goes to every front at once after a restart of everything, so that its size decides how soon a large fleet
-//! serves again. Entries are arrays instead of maps, and what many of them share (services, zones, sets of models) is sent
-//! once and named by its index: some 33 bytes for an entry instead of 143.
+//! A full list goes to every front-end node at once after a restart of the whole system, so its size decides how soon a large
+//! fleet serves again. Entries are arrays instead of maps, and values that many entries share (services, zones, sets of
+//! models) are sent once and referred to by index: some 33 bytes an entry instead of 143.
 
 use crate::table::{ModelEntry, ServerDelta, ServerEntry, ServerState, Stage, TablePosition};
 use serde::de::Error as _;
@@ -12,36 +12,90 @@
 use std::hash::Hash;
 use std::net::SocketAddr;
 
-/// A change of the list, with what its entries share taken out.
+/// A [`ServerDelta`] with shared values factored out. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Serialize, Deserialize)]
 struct PackedDelta<'a> {
     position: TablePosition,
     #[serde(rename = "whole")]
     is_full: bool,
+    /// Services and zones, each once.
     names: Vec<Cow<'a, str>>,
-    models: Vec<Cow<'a, [ModelEntry]>>,
-    rows: Vec<Row<'a>>,
+    /// Sets of models, each once.
+    #[serde(rename = "models")]
+    model_sets: Vec<Cow<'a, [ModelEntry]>>,
+    rows: Vec<PackedServer<'a>>,
     removed: Cow<'a, [String]>,
 }
 
-/// One server: id, service, address, zone, slots, whether it takes requests, `warmup_remaining_ms`, part, models. Service, zone and
-/// models are indices.
-#[derive(Serialize, Deserialize)]
-struct Row<'a>(Cow<'a, str>, usize, SocketAddr, usize, u32, bool, u64, Option<bool>, usize);
+/// One server, encoded as an array of its fields in this order.
+struct PackedServer<'a> {
+    id: Cow<'a, str>,
+    /// An index into [`PackedDelta::names`].
+    service: usize,
+    address: SocketAddr,
+    /// An index into [`PackedDelta::names`].
+    zone: usize,
+    slots: u32,
+    is_ready: bool,
+    warmup_remaining_ms: u64,
+    /// Whether its stage is prefill; absent where it has no stage.
+    is_prefill: Option<bool>,
+    /// An index into [`PackedDelta::model_sets`].
+    model_set: usize,
+}
+
+/// The fields of a [`PackedServer`] in their encoded order.
+type PackedRow<'a> = (Cow<'a, str>, usize, SocketAddr, usize, u32, bool, u64, Option<bool>, usize);
+
+impl Serialize for PackedServer<'_> {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        let row = (
+            &self.id,
+            self.service,
+            self.address,
+            self.zone,
+            self.slots,
+            self.is_ready,
+            self.warmup_remaining_ms,
+            self.is_prefill,
+            self.model_set,
+        );
+        row.serialize(serializer)
+    }
+}
 
-/// Values by the order in which they came up first.
-struct Indexed<T> {
+impl<'de> Deserialize<'de> for PackedServer<'_> {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let (id, service, address, zone, slots, is_ready, warmup_remaining_ms, is_prefill, model_set) =
+            PackedRow::deserialize(deserializer)?;
+        Ok(PackedServer {
+            id,
+            service,
+            address,
+            zone,
+            slots,
+            is_ready,
+            warmup_remaining_ms,
+            is_prefill,
+            model_set,
+        })
+    }
+}
+
+/// Distinct values, numbered in the order of their first use.
+struct Interner<T> {
     values: Vec<T>,
-    places: HashMap<T, usize>,
+    indices: HashMap<T, usize>,
 }
 
-impl<T: Copy + Eq + Hash> Indexed<T> {
+impl<T: Copy + Eq + Hash> Interner<T> {
     fn new() -> Self {
-        Indexed { values: Vec::new(), places: HashMap::new() }
+        Interner { values: Vec::new(), indices: HashMap::new() }
     }
 
-    fn place(&mut self, value: T) -> usize {
-        *self.places.entry(value).or_insert_with(|| {
+    /// The index of `value`, which is added if it is new.
+    fn intern(&mut self, value: T) -> usize {
+        *self.indices.entry(value).or_insert_with(|| {
             self.values.push(value);
             self.values.len() - 1
         })
@@ -49,45 +103,49 @@
 }
 
 fn pack(delta: &ServerDelta) -> PackedDelta<'_> {
-    let mut names = Indexed::new();
-    let mut models = Indexed::new();
-    let rows = delta.entries.iter().map(|entry| {
-        let service = names.place(entry.service.as_str());
-        let zone = names.place(entry.zone.as_str());
-        let models = models.place(entry.models.as_slice());
-        let ready = entry.state == ServerState::Ready;
-        let prefill = entry.stage.map(|stage| stage == Stage::Prefill);
-        let id = Cow::Borrowed(entry.id.as_str());
-        Row(id, service, entry.address, zone, entry.slots, ready, entry.warmup_remaining_ms, prefill, models)
-    });
-    let rows = rows.collect();
+    let mut names = Interner::new();
+    let mut model_sets = Interner::new();
+    let mut rows = Vec::with_capacity(delta.entries.len());
+    for entry in &delta.entries {
+        rows.push(PackedServer {
+            id: Cow::Borrowed(entry.id.as_str()),
+            service: names.intern(entry.service.as_str()),
+            address: entry.address,
+            zone: names.intern(entry.zone.as_str()),
+            slots: entry.slots,
+            is_ready: entry.state == ServerState::Ready,
+            warmup_remaining_ms: entry.warmup_remaining_ms,
+            is_prefill: entry.stage.map(|stage| stage == Stage::Prefill),
+            model_set: model_sets.intern(entry.models.as_slice()),
+        });
+    }
     PackedDelta {
         position: delta.position,
         is_full: delta.is_full,
         names: names.values.into_iter().map(Cow::Borrowed).collect(),
-        models: models.values.into_iter().map(Cow::Borrowed).collect(),
+        model_sets: model_sets.values.into_iter().map(Cow::Borrowed).collect(),
         rows,
         removed: Cow::Borrowed(&delta.removed),
     }
 }
 
+/// The delta; `None` if an index refers to no value.
 fn unpack(packed: PackedDelta<'_>) -> Option<ServerDelta> {
-    let PackedDelta { position, is_full, names, models, rows, removed } = packed;
-    let entry = |row: Row<'_>| {
-        let Row(id, service, address, zone, slots, ready, warmup_remaining_ms, prefill, held) = row;
+    let PackedDelta { position, is_full, names, model_sets, rows, removed } = packed;
+    let unpack_server = |server: PackedServer<'_>| {
         Some(ServerEntry {
-            id: id.into_owned(),
-            service: names.get(service)?.to_string(),
-            address,
-            zone: names.get(zone)?.to_string(),
-            slots,
-            state: if ready { ServerState::Ready } else { ServerState::Draining },
-            warmup_remaining_ms,
-            stage: prefill.map(|prefill| if prefill { Stage::Prefill } else { Stage::Decode }),
-            models: models.get(held)?.to_vec(),
+            id: server.id.into_owned(),
+            service: names.get(server.service)?.to_string(),
+            address: server.address,
+            zone: names.get(server.zone)?.to_string(),
+            slots: server.slots,
+            state: if server.is_ready { ServerState::Ready } else { ServerState::Draining },
+            warmup_remaining_ms: server.warmup_remaining_ms,
+            stage: server.is_prefill.map(|prefill| if prefill { Stage::Prefill } else { Stage::Decode }),
+            models: model_sets.get(server.model_set)?.to_vec(),
         })
     };
-    let entries = rows.into_iter().map(entry).collect::<Option<Vec<ServerEntry>>>()?;
+    let entries = rows.into_iter().map(unpack_server).collect::<Option<Vec<ServerEntry>>>()?;
     Some(ServerDelta { position, is_full, entries, removed: removed.into_owned() })
 }
 
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: what is written is read, and nothing unreadable does harm.
+//! Framing: messages survive a round trip, and truncated, oversized and malformed frames are errors.
 
 use lugwharf_protocol::{
     AgentRequest, ConfigRecord, FeedMessage, FrameError, MAX_FRAME_BYTES, Update, VersionVector, decode,
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test]
-async fn what_is_written_is_read() {
+async fn a_written_frame_is_read_back() {
     let mut link = Vec::new();
     write_frame(&mut link, &update()).await.expect("written");
     write_frame(&mut link, &update()).await.expect("written");
@@ -25,9 +25,9 @@
     assert_eq!(read_frame::<Update>(&mut link).await.expect("an end"), None);
 }
 
-/// Processes of two versions share a machine during an upgrade: the name of the kind stands in front of an update.
+/// Processes of two versions share a machine during an upgrade: the name of the variant is encoded in front of an update.
 #[test]
-fn an_update_for_a_proxy_is_told_by_its_name() {
+fn a_feed_update_is_encoded_under_its_variant_name() {
     let frame = encode(&FeedMessage::Update(update())).expect("encoded");
     // A map of one pair, then a text of six bytes.
     const HEAD: &[u8] = b"\xa1\x66Update";
@@ -37,33 +37,33 @@
 }
 
 #[tokio::test]
-async fn a_configuration_takes_little_more_than_its_bytes() {
-    let mut whole = update();
-    whole.config = Some(ConfigRecord { version: 1, bytes: vec![200; 100_000] });
-    assert!(encode(&whole).expect("encoded").len() < 100_300);
+async fn a_configuration_is_encoded_as_a_byte_string() {
+    let mut large = update();
+    large.config = Some(ConfigRecord { version: 1, bytes: vec![200; 100_000] });
+    assert!(encode(&large).expect("encoded").len() < 100_300);
 }
 
 #[tokio::test]
-async fn a_frame_that_was_cut_short_is_an_error() {
+async fn a_truncated_frame_is_an_io_error() {
     let bytes = encode(&update()).expect("encoded");
     for length in 4..bytes.len() {
         let mut link = &bytes[..length];
-        assert!(matches!(read_frame::<Update>(&mut link).await, Err(FrameError::Link(_))), "{length}");
+        assert!(matches!(read_frame::<Update>(&mut link).await, Err(FrameError::Io(_))), "{length}");
     }
 }
 
 #[tokio::test]
-async fn a_length_past_all_bounds_is_refused_unread() {
+async fn a_length_above_the_maximum_is_rejected_before_reading() {
     let length = (MAX_FRAME_BYTES as u32 + 1).to_be_bytes();
     assert!(matches!(read_frame::<Update>(&mut &length[..]).await, Err(FrameError::TooLong(_))));
 }
 
 #[tokio::test]
-async fn bytes_that_are_no_message_are_unreadable() {
+async fn malformed_bytes_are_a_decode_error() {
     for body in [&b"GET / HTTP/1.1\r\n\r\n"[..], &[], &[0xff; 64], &[0xbf, 0x61]] {
         let mut frame = (body.len() as u32).to_be_bytes().to_vec();
         frame.extend_from_slice(body);
         let read = read_frame::<AgentRequest>(&mut frame.as_slice()).await;
-        assert!(matches!(read, Err(FrameError::Unreadable(_))), "{body:?}: {read:?}");
+        assert!(matches!(read, Err(FrameError::Decode(_))), "{body:?}: {read:?}");
     }
 }
--- a/crates/protocol/tests/packed.rs
+++ b/crates/protocol/tests/packed.rs
@@ -1,4 +1,4 @@
-//! Lists of servers on a link: what is sent is read, in few bytes, and nothing unreadable does harm.
+//! Encoded server lists: they survive a round trip in few bytes, and malformed ones are rejected without a panic.
 
 use lugwharf_protocol::{
     ModelEntry, ServerDelta, ServerEntry, ServerState, Stage, TablePosition, decode, encode,
@@ -37,22 +37,22 @@
 #[case::nothing(0)]
 #[case::one(1)]
 #[case::many(60)]
-fn what_is_sent_is_read(#[case] servers: u16) {
+fn a_delta_survives_a_round_trip(#[case] servers: u16) {
     let frame = encode(&delta(servers)).expect("encoded");
     assert_eq!(decode::<ServerDelta>(&frame[LENGTH_BYTES..]).expect("decoded"), delta(servers));
 }
 
-/// Each front takes the whole list after a restart of everything: at 3,000 servers and 300 fronts that has to fit into a
-/// second of the links of a small core.
+/// Each front-end node pulls the full list after a restart of the whole system: at 3,000 servers and 300 nodes that has to fit
+/// into a second of the links of a small control plane.
 #[test]
-fn an_entry_of_a_long_list_takes_few_bytes() {
+fn an_entry_of_a_long_list_takes_at_most_50_bytes() {
     let servers = 3_000;
     let bytes = encode(&delta(servers)).expect("encoded").len();
     assert!(bytes <= usize::from(servers) * 50, "{} bytes an entry", bytes / usize::from(servers));
 }
 
 #[test]
-fn a_list_that_was_cut_or_changed_is_refused_or_read_without_a_panic() {
+fn a_truncated_delta_is_rejected_and_a_changed_one_never_panics() {
     let frame = encode(&delta(8)).expect("encoded");
     let body = &frame[LENGTH_BYTES..];
     for length in 0..body.len() {
