--- a/crates/store/src/checksum.rs
+++ b/crates/store/src/checksum.rs
@@ -1,6 +1,8 @@
-//! CRC-32C (Castagnoli), reflected, as in RFC 3720.
+//! CRC-32C (Castagnoli), reflected, as in RFC 3720 (iSCSI).
 
+/// The polynomial 0x1EDC6F41 with its bits reversed.
 const POLYNOMIAL: u32 = 0x82f6_3b78;
+/// The remainder of each byte, for one look-up a byte.
 const TABLE: [u32; 256] = table();
 
 const fn table() -> [u32; 256] {
@@ -27,11 +29,11 @@
     value
 }
 
-/// The checksum of several pieces, as if they were one.
-pub fn crc32c(pieces: &[&[u8]]) -> u32 {
+/// The checksum of the concatenation of several slices.
+pub fn crc32c(slices: &[&[u8]]) -> u32 {
     let mut state = u32::MAX;
-    for piece in pieces {
-        for byte in *piece {
+    for slice in slices {
+        for byte in *slice {
             let index = (state ^ u32::from(*byte)) & 0xff;
             state = (state >> 8) ^ TABLE[index as usize];
         }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,53 +1,53 @@
-//! The few operations on files that the log needs, and their real implementation.
+//! The operations on files that the log needs, and their implementation on the file system.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// A folder on a disk. Renames and removals last only once the folder was synced.
+/// A directory on a disk. Renames and removals are durable only once the directory was synced.
 pub trait Disk {
     /// An open file.
     type File: DiskFile;
 
-    /// The content of a file, `None` if there is none.
+    /// The content of a file; `None` if it does not exist.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
     /// Opens a file that exists.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Makes a file, or empties it. The name lasts once the file was synced.
+    /// Creates a file, or truncates it to nothing. Its name is durable once the file was synced.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Renames a file over another.
+    /// Renames a file, and replaces the one that has the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes renames and removals last.
+    /// Makes renames and removals durable.
     fn sync_directory(&self) -> io::Result<()>;
 }
 
 /// An open file.
 pub trait DiskFile {
-    /// Writes all bytes at an offset.
+    /// Writes all bytes at an offset; the file grows as needed.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
-    /// Sets the length.
+    /// Truncates or extends the file to a length in bytes.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
 
-    /// Makes the content last.
+    /// Makes the content and the length durable (`fdatasync`).
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A folder of the file system.
+/// A directory of the file system.
 #[derive(Clone, Debug)]
 pub struct Directory {
     path: PathBuf,
 }
 
 impl Directory {
-    /// The folder at a path; it must exist.
+    /// The directory at a path; it must exist before the first operation.
     pub fn new(path: &Path) -> Directory {
         Directory { path: path.to_owned() }
     }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,4 +1,4 @@
-//! The layout of the file: a header, then frames. All numbers are little-endian.
+//! The layout of the file: a header, then frames. All numbers are little-endian. `tests/file_format.rs` fixes it byte for byte.
 //!
 //! | header | bytes | | frame | bytes |
 //! | --- | --- | --- | --- | --- |
@@ -11,19 +11,20 @@
 
 use crate::checksum::crc32c;
 
-/// Magic and version of the file.
+/// Seven bytes that identify the file as a log, then the version of its format.
 const MAGIC: [u8; 8] = *b"LWHLOG\x00\x01";
+/// The first bytes of each frame, by which frames after an invalid one are found.
 const MARKER: [u8; 4] = *b"LwF1";
 /// The length of the file's header.
 pub const HEADER_BYTES: usize = 20;
 const FRAME_HEADER_BYTES: usize = 24;
 const CHECKSUM_END: usize = 8;
 const LENGTH_BYTES: usize = 4;
-/// The longest frame that is written: half of the smallest disk. A length that is no length leads beyond the file, or to a
-/// checksum that does not fit.
+/// The maximum length of the records of a frame as framed: half of the smallest disk. A garbled length needs no check against
+/// it, since it leads beyond the end of the file or to a wrong checksum.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// The header of a file of this generation.
+/// Encodes the header of a file of this generation.
 pub fn encode_header(generation: u64) -> Vec<u8> {
     let mut header = MAGIC.to_vec();
     header.extend(generation.to_le_bytes());
@@ -32,14 +33,14 @@
     header
 }
 
-/// The generation of a file, `None` if its header is not sound.
+/// The generation of a file; `None` if its header is not valid.
 pub fn decode_header(file: &[u8]) -> Option<u64> {
     let generation = u64_at(file, MAGIC.len())?;
     let header = file.get(..HEADER_BYTES)?;
     (header == encode_header(generation)).then_some(generation)
 }
 
-/// One frame with these records.
+/// Encodes one frame with these records.
 pub fn encode_frame(generation: u64, sequence: u64, records: &[Vec<u8>]) -> Vec<u8> {
     let length = framed_bytes(records);
     let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + length);
@@ -57,22 +58,22 @@
     frame
 }
 
-/// How many bytes the records take in a frame.
+/// The length of the records in a frame, in bytes.
 pub fn framed_bytes(records: &[Vec<u8>]) -> usize {
     records.iter().map(|record| LENGTH_BYTES + record.len()).sum()
 }
 
-/// A sound frame.
+/// A valid frame.
 pub struct Frame {
     /// Its sequence number.
     pub sequence: u64,
     /// Its records.
     pub records: Vec<Vec<u8>>,
-    /// Its length in the file.
+    /// Its length in the file, in bytes.
     pub bytes: usize,
 }
 
-/// The frame at the beginning of these bytes, `None` if there is no sound one.
+/// Decodes the frame at the beginning of these bytes; `None` if there is no valid one.
 pub fn decode_frame(generation: u64, bytes: &[u8]) -> Option<Frame> {
     if bytes.get(..MARKER.len())? != MARKER {
         return None;
@@ -101,36 +102,37 @@
     bytes.is_empty().then_some(records)
 }
 
-/// What a file holds.
-pub struct Parsed {
-    /// The records of all sound frames.
+/// The content of a file after its header.
+pub struct ParsedLog {
+    /// The records of all valid frames in sequence.
     pub records: Vec<Vec<u8>>,
-    /// Where the last sound frame ends.
-    pub good_bytes: usize,
+    /// The offset of the end of the last valid frame.
+    pub valid_bytes: usize,
     /// The sequence number of the next frame.
     pub next_sequence: u64,
-    /// Whether sound frames follow behind one that is not.
+    /// Whether valid frames follow an invalid one.
     pub is_corrupt: bool,
 }
 
-/// Reads the frames of a file behind its header.
-pub fn parse(generation: u64, file: &[u8]) -> Parsed {
+/// Reads the frames of a file after its header, up to the first invalid one.
+pub fn parse(generation: u64, file: &[u8]) -> ParsedLog {
     let mut parsed =
-        Parsed { records: Vec::new(), good_bytes: HEADER_BYTES, next_sequence: 1, is_corrupt: false };
-    while let Some(frame) = file.get(parsed.good_bytes..).and_then(|rest| decode_frame(generation, rest)) {
+        ParsedLog { records: Vec::new(), valid_bytes: HEADER_BYTES, next_sequence: 1, is_corrupt: false };
+    while let Some(frame) = file.get(parsed.valid_bytes..).and_then(|bytes| decode_frame(generation, bytes)) {
         if frame.sequence != parsed.next_sequence {
             break;
         }
         parsed.records.extend(frame.records);
-        parsed.good_bytes += frame.bytes;
+        parsed.valid_bytes += frame.bytes;
         parsed.next_sequence += 1;
     }
-    parsed.is_corrupt = later_frame(generation, file, parsed.good_bytes, parsed.next_sequence);
+    parsed.is_corrupt = has_later_frame(generation, file, parsed.valid_bytes, parsed.next_sequence);
     parsed
 }
 
-/// Whether a frame that comes after the expected one lies somewhere behind an offset.
-fn later_frame(generation: u64, file: &[u8], offset: usize, expected: u64) -> bool {
+/// Whether a valid frame with a higher sequence number than the expected one begins anywhere at or after `offset`. The expected
+/// number itself does not count: a torn frame may contain a record with the bytes of such a frame.
+fn has_later_frame(generation: u64, file: &[u8], offset: usize, expected: u64) -> bool {
     let Some(rest) = file.get(offset..) else { return false };
     let starts = rest.windows(MARKER.len()).enumerate().filter(|(_, window)| **window == MARKER);
     starts
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,12 +1,20 @@
-//! An append-only log of checksummed records in one folder.
+//! An append-only log of checksummed records in one directory: the write-ahead log of the control plane.
 //!
-//! The file begins with a magic, a version and a generation, and goes on with frames. One [`Log::append`] writes one
-//! frame, and a frame counts only as a whole, so the records of one append survive together or not at all. At most the
-//! last frame can be unsynced, since nothing is appended behind a frame that was not synced; so a damaged frame with
-//! sound ones behind it is damage, and one at the end is a tail that power loss tore.
+//! The file begins with a header (magic, format version, generation), then frames follow. One [`Log::append`] writes one frame,
+//! and a frame is valid only if it is complete, so the records of one append survive together or not at all. Nothing is
+//! appended after a frame that was not synced, so at most the last frame can be unsynced. Therefore an invalid frame with
+//! valid ones after it is corruption, and an invalid frame at the end is the torn tail of a loss of power.
 //!
-//! A rewrite makes a new file, syncs it, renames it over the old one and syncs the folder. Until the folder is synced
-//! nothing is appended, since the name may still fall back to the old file.
+//! A rewrite creates a new file, syncs it, renames it over the old one and syncs the directory. Until the directory is synced
+//! nothing is appended, since the name may still refer to the old file after a loss of power.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `log` | opening and recovery, appends, rewrites |
+//! | `frame` | the layout of the file |
+//! | `checksum` | CRC-32C |
+//! | `disk` | the operations on files that the log needs, and the file system |
+//! | [`simulated`] | a disk in memory with faults, for tests |
 #![forbid(unsafe_code)]
 
 mod checksum;
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,35 +1,36 @@
-//! The log itself.
+//! The log: opening and recovery, appends, rewrites.
 
 use crate::disk::{Directory, Disk, DiskFile};
 use crate::error::StoreError;
 use crate::frame::{self, HEADER_BYTES, MAX_FRAME_BYTES};
 use std::path::Path;
 
-/// The file that counts.
+/// The name of the log's file.
 const LOG: &str = "log";
-/// A file on its way to become the log.
-const NEW: &str = "log.new";
-/// A damaged log that was set aside.
-const QUARANTINED: &str = "log.damaged";
+/// A new file that is to be renamed to [`LOG`] once it is complete and synced.
+const NEW_LOG: &str = "log.new";
+/// A corrupt log, kept for analysis.
+const QUARANTINED_LOG: &str = "log.damaged";
 
-/// A frame of a rewrite is no longer than this or than its only record, in bytes: what a rewrite holds in memory at once.
-const REWRITE_FRAME_BYTES: usize = 1024 * 1024;
+/// The maximum length of a frame of a rewrite, unless it has one longer record: bounds the memory that a rewrite needs at
+/// once.
+const MAX_REWRITE_FRAME_BYTES: usize = 1024 * 1024;
 
-/// A tail that was cut off at the opening.
+/// The end of a file that was cut off at the opening: an append that was not synced completely before a loss of power.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TornTail {
-    /// Where it began.
+    /// The offset at which it began.
     pub offset: u64,
-    /// How many bytes it had.
+    /// Its length.
     pub bytes: u64,
 }
 
-/// What the log held at its opening.
+/// The content of a log at its opening.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovered {
     /// The records, oldest first.
     pub records: Vec<Vec<u8>>,
-    /// What was cut off.
+    /// What was cut off, if anything.
     pub torn_tail: Option<TornTail>,
 }
 
@@ -38,51 +39,55 @@
 pub struct Log<D: Disk = Directory> {
     disk: D,
     file: D::File,
+    /// Counts the rewrites, from 1; part of each frame's checksum.
     generation: u64,
+    /// The sequence number of the next frame.
     next_sequence: u64,
-    good_bytes: u64,
-    /// Bytes of a failed append may lie behind the good ones.
-    unclean: bool,
-    /// The name may still fall back to the file before the last rewrite.
-    directory_unsynced: bool,
-    /// The name may stand for another file than the open one.
-    misnamed: bool,
+    /// The length of the file up to the last frame that was synced.
+    valid_bytes: u64,
+    /// Whether bytes of a failed append may follow the valid ones.
+    has_failed_append: bool,
+    /// Whether the name may still refer to the previous file after a loss of power, since the directory was not synced after
+    /// the last rewrite.
+    needs_directory_sync: bool,
+    /// Whether the name may refer to another file than the open one, since a rename failed.
+    is_poisoned: bool,
 }
 
 impl Log<Directory> {
-    /// Opens the log in a folder of the file system, or makes an empty one.
-    pub fn open(folder: &Path) -> Result<(Log, Recovered), StoreError> {
-        Log::open_on(Directory::new(folder))
+    /// Opens the log in a directory of the file system, which must exist, or creates an empty one.
+    pub fn open(directory: &Path) -> Result<(Log, Recovered), StoreError> {
+        Log::open_on(Directory::new(directory))
     }
 
-    /// Sets a damaged log aside, so that the next opening begins with an empty one.
-    pub fn quarantine(folder: &Path) -> Result<(), StoreError> {
-        Log::quarantine_on(&Directory::new(folder))
+    /// Renames a corrupt log, so that the next opening creates an empty one.
+    pub fn quarantine(directory: &Path) -> Result<(), StoreError> {
+        Log::quarantine_on(&Directory::new(directory))
     }
 }
 
 impl<D: Disk> Log<D> {
-    /// Opens the log on a disk, or makes an empty one.
+    /// Opens the log on a disk, or creates an empty one.
     pub fn open_on(disk: D) -> Result<(Log<D>, Recovered), StoreError> {
         if let Some(bytes) = disk.read(LOG)? {
-            // A rewrite that did not come to its renaming. It may stay if it cannot be removed.
-            let _ = disk.remove(NEW);
+            // A rewrite that ended before its rename. It may stay if it can't be removed: the next rewrite truncates it.
+            let _ = disk.remove(NEW_LOG);
             return Log::open_existing(disk, &bytes);
         }
-        let unnamed = disk.read(NEW)?.filter(|bytes| frame::decode_header(bytes).is_some());
-        let Some(bytes) = unnamed else { return Log::create(disk) };
-        disk.rename(NEW, LOG)?;
+        let new_log = disk.read(NEW_LOG)?.filter(|bytes| frame::decode_header(bytes).is_some());
+        let Some(bytes) = new_log else { return Log::create(disk) };
+        disk.rename(NEW_LOG, LOG)?;
         disk.sync_directory()?;
         Log::open_existing(disk, &bytes)
     }
 
-    /// Sets a damaged log aside.
+    /// Renames a corrupt log on a disk, so that the next opening creates an empty one.
     pub fn quarantine_on(disk: &D) -> Result<(), StoreError> {
-        if disk.read(NEW)?.is_some() {
-            disk.remove(NEW)?;
+        if disk.read(NEW_LOG)?.is_some() {
+            disk.remove(NEW_LOG)?;
         }
         if disk.read(LOG)?.is_some() {
-            disk.rename(LOG, QUARANTINED)?;
+            disk.rename(LOG, QUARANTINED_LOG)?;
         }
         disk.sync_directory()?;
         Ok(())
@@ -91,106 +96,105 @@
     fn open_existing(disk: D, bytes: &[u8]) -> Result<(Log<D>, Recovered), StoreError> {
         let generation = frame::decode_header(bytes).ok_or(StoreError::UnknownFormat)?;
         let parsed = frame::parse(generation, bytes);
-        let good_bytes = parsed.good_bytes as u64;
+        let valid_bytes = parsed.valid_bytes as u64;
         if parsed.is_corrupt {
-            return Err(StoreError::Corrupt { offset: good_bytes });
+            return Err(StoreError::Corrupt { offset: valid_bytes });
         }
         let mut file = disk.open(LOG)?;
-        let surplus = bytes.len() as u64 - good_bytes;
-        let torn_tail = (surplus > 0).then_some(TornTail { offset: good_bytes, bytes: surplus });
-        // What was read may lie in a cache only, if a process died before its sync; so it is synced before it counts.
+        let surplus = bytes.len() as u64 - valid_bytes;
+        let torn_tail = (surplus > 0).then_some(TornTail { offset: valid_bytes, bytes: surplus });
         if torn_tail.is_some() {
-            file.set_length(good_bytes)?;
+            file.set_length(valid_bytes)?;
         }
+        // What was read may be in a cache only, if a process died before its sync; so it is synced before anyone relies on it.
         file.sync()?;
         disk.sync_directory()?;
-        let log = Log {
-            disk,
-            file,
-            generation,
-            next_sequence: parsed.next_sequence,
-            good_bytes,
-            unclean: false,
-            directory_unsynced: false,
-            misnamed: false,
-        };
+        let log = Log::new(disk, file, generation, parsed.next_sequence, valid_bytes);
         Ok((log, Recovered { records: parsed.records, torn_tail }))
     }
 
     fn create(disk: D) -> Result<(Log<D>, Recovered), StoreError> {
         let generation = 1;
-        let mut file = disk.create(NEW)?;
+        let mut file = disk.create(NEW_LOG)?;
         file.write_at(0, &frame::encode_header(generation))?;
         file.sync()?;
-        disk.rename(NEW, LOG)?;
+        disk.rename(NEW_LOG, LOG)?;
         disk.sync_directory()?;
-        let log = Log {
+        let log = Log::new(disk, file, generation, 1, HEADER_BYTES as u64);
+        Ok((log, Recovered { records: Vec::new(), torn_tail: None }))
+    }
+
+    /// A log whose file and name are synced.
+    fn new(disk: D, file: D::File, generation: u64, next_sequence: u64, valid_bytes: u64) -> Log<D> {
+        Log {
             disk,
             file,
             generation,
-            next_sequence: 1,
-            good_bytes: HEADER_BYTES as u64,
-            unclean: false,
-            directory_unsynced: false,
-            misnamed: false,
-        };
-        Ok((log, Recovered { records: Vec::new(), torn_tail: None }))
+            next_sequence,
+            valid_bytes,
+            has_failed_append: false,
+            needs_directory_sync: false,
+            is_poisoned: false,
+        }
     }
 
-    /// Appends records and syncs them. After an error nothing is known of what lies on disk behind the records before;
-    /// the next append first takes it away, and fails while it cannot.
+    /// Appends records as one frame and syncs them: they survive together or not at all.
+    ///
+    /// After an error it is unknown which bytes follow the earlier records on disk. The next append truncates them first, and
+    /// fails while it can't.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StoreError> {
         check_length(records)?;
         self.repair()?;
         let frame = frame::encode_frame(self.generation, self.next_sequence, records);
-        self.unclean = true;
-        self.file.write_at(self.good_bytes, &frame)?;
+        self.has_failed_append = true;
+        self.file.write_at(self.valid_bytes, &frame)?;
         self.file.sync()?;
-        self.unclean = false;
-        self.good_bytes += frame.len() as u64;
+        self.has_failed_append = false;
+        self.valid_bytes += frame.len() as u64;
         self.next_sequence += 1;
         Ok(())
     }
 
-    /// Replaces all records. After an error the log holds either the old records or the new ones.
+    /// Replaces all records. After an error the log contains either the old records or the new ones.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), StoreError> {
-        let frames = into_frames(records);
-        for frame in &frames {
-            check_length(frame)?;
+        let batches = split_into_frames(records);
+        for batch in &batches {
+            check_length(batch)?;
         }
         let generation = self.generation + 1;
-        let (file, good_bytes) = match self.write_new(generation, &frames) {
+        let (file, valid_bytes) = match self.write_new_log(generation, &batches) {
             Ok(written) => written,
             Err(error) => {
-                // The space is wanted back; the old log goes on.
-                let _ = self.disk.remove(NEW);
+                // Only to free the space; the old log stays in use either way.
+                let _ = self.disk.remove(NEW_LOG);
                 return Err(error);
             }
         };
-        self.misnamed = true;
-        self.disk.rename(NEW, LOG)?;
-        self.misnamed = false;
+        self.is_poisoned = true;
+        self.disk.rename(NEW_LOG, LOG)?;
+        self.is_poisoned = false;
         self.file = file;
         self.generation = generation;
-        self.next_sequence = frames.len() as u64 + 1;
-        self.good_bytes = good_bytes;
-        self.unclean = false;
-        self.directory_unsynced = true;
+        self.next_sequence = batches.len() as u64 + 1;
+        self.valid_bytes = valid_bytes;
+        self.has_failed_append = false;
+        self.needs_directory_sync = true;
         self.disk.sync_directory()?;
-        self.directory_unsynced = false;
+        self.needs_directory_sync = false;
         Ok(())
     }
 
-    /// The length of the file in bytes, without what a failed append may have left.
+    /// The length of the file in bytes, without those of a failed append.
     pub fn len_bytes(&self) -> u64 {
-        self.good_bytes
+        self.valid_bytes
     }
 
-    /// Writes and syncs a file of these frames, one in memory at a time. Returns it with its length in bytes.
-    fn write_new(&self, generation: u64, frames: &[&[Vec<u8>]]) -> Result<(D::File, u64), StoreError> {
-        let mut file = self.disk.create(NEW)?;
+    /// Writes and syncs a new file with one frame for each batch, one frame in memory at a time. Returns it with its length
+    /// in bytes.
+    fn write_new_log(&self, generation: u64, batches: &[&[Vec<u8>]]) -> Result<(D::File, u64), StoreError> {
+        let mut file = self.disk.create(NEW_LOG)?;
         let mut offset = 0;
-        for (sequence, records) in (1..).zip(frames) {
+        for (sequence, records) in (1..).zip(batches) {
             let mut content = if offset == 0 { frame::encode_header(generation) } else { Vec::new() };
             content.extend(frame::encode_frame(generation, sequence, records));
             file.write_at(offset, &content)?;
@@ -200,40 +204,41 @@
         Ok((file, offset))
     }
 
+    /// Makes the file safe to append to after an error.
     fn repair(&mut self) -> Result<(), StoreError> {
-        if self.misnamed {
+        if self.is_poisoned {
             return Err(StoreError::Poisoned);
         }
-        if self.directory_unsynced {
+        if self.needs_directory_sync {
             self.disk.sync_directory()?;
-            self.directory_unsynced = false;
+            self.needs_directory_sync = false;
         }
-        if self.unclean {
-            self.file.set_length(self.good_bytes)?;
+        if self.has_failed_append {
+            self.file.set_length(self.valid_bytes)?;
             self.file.sync()?;
-            self.unclean = false;
+            self.has_failed_append = false;
         }
         Ok(())
     }
 }
 
-/// Cuts the records of a rewrite into frames, at least one. They need no frame in common, since all of them count with
-/// the renaming.
-fn into_frames(records: &[Vec<u8>]) -> Vec<&[Vec<u8>]> {
-    let mut frames = Vec::new();
-    let mut rest = records;
+/// Splits the records of a rewrite into the batches of its frames, at least one. They need not share a frame to survive
+/// together, since all of them become valid with the rename.
+fn split_into_frames(records: &[Vec<u8>]) -> Vec<&[Vec<u8>]> {
+    let mut batches = Vec::new();
+    let mut remaining = records;
     loop {
         let mut bytes = 0;
         let fits = |record: &&Vec<u8>| {
             bytes += record.len();
-            bytes <= REWRITE_FRAME_BYTES
+            bytes <= MAX_REWRITE_FRAME_BYTES
         };
-        let count = rest.iter().take_while(fits).count().max(1).min(rest.len());
-        let (frame, left) = rest.split_at(count);
-        frames.push(frame);
-        rest = left;
-        if rest.is_empty() {
-            return frames;
+        let count = remaining.iter().take_while(fits).count().max(1).min(remaining.len());
+        let (batch, rest) = remaining.split_at(count);
+        batches.push(batch);
+        remaining = rest;
+        if remaining.is_empty() {
+            return batches;
         }
     }
 }
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/simulated.rs
@@ -1,23 +1,23 @@
-//! A disk in memory that loses power, fills up and fails, for tests.
+//! A disk in memory that loses power, fills up and fails, for tests. Its faults are drawn from the caller's seeded generator.
 //!
-//! | what | survives a loss of power |
+//! | change | survives a loss of power |
 //! | --- | --- |
 //! | content covered by a sync of its file | always |
-//! | a later write or change of length | present, missing or torn, each by itself |
+//! | a later write or change of length | present, lost or torn, each by itself |
 //! | the name of a new file | once the file was synced |
-//! | a rename, a removal, the name of an unsynced file | each by itself, always once the folder was synced |
+//! | a rename, a removal, the name of an unsynced file | each by itself; always once the directory was synced |
 
 use crate::disk::{Disk, DiskFile};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A write is torn at this granularity, in bytes.
+/// The granularity at which a write is torn.
 const SECTOR_BYTES: usize = 64;
-/// One loss of power in four takes all unsynced writes.
+/// One loss of power in this many loses all unsynced changes.
 const TOTAL_LOSS_ONE_IN: u8 = 4;
 
-/// A handle to a simulated disk; clones stand for the same disk.
+/// A handle to a simulated disk; clones refer to the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
     state: Arc<Mutex<State>>,
@@ -25,18 +25,24 @@
 
 #[derive(Debug, Default)]
 struct State {
+    /// All files ever created; indices are stable.
     inodes: Vec<Inode>,
+    /// The directory as processes see it: index of the inode by name.
     names: BTreeMap<String, usize>,
+    /// The directory as it is after a loss of all unsynced changes.
     durable_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
+    /// Whether every write and sync fails.
     refuses: bool,
-    /// How many more operations succeed before one fails.
+    /// How many more operations succeed before one fails; `None` for all.
     fails_after: Option<usize>,
 }
 
 #[derive(Debug, Default)]
 struct Inode {
+    /// The content as processes see it.
     content: Vec<u8>,
+    /// The content at the last sync.
     durable: Vec<u8>,
     unsynced: Vec<ContentChange>,
 }
@@ -49,7 +55,7 @@
 
 #[derive(Clone, Debug)]
 enum NameChange {
-    Made { name: String, inode: usize },
+    Created { name: String, inode: usize },
     Renamed { from: String, to: String, inode: usize },
     Removed { name: String },
 }
@@ -67,28 +73,28 @@
         SimulatedDisk::default()
     }
 
-    /// Whether every write and sync is refused from now on.
+    /// Sets whether every write and sync fails from now on, as on a full disk.
     pub fn set_refuses(&self, refuses: bool) {
         lock(&self.state).refuses = refuses;
     }
 
-    /// Lets this many operations succeed, the next one fail and all after it succeed. A write that fails is written to
-    /// its half.
+    /// Lets this many operations succeed, the next one fail and all later ones succeed. The first half of a failed write is
+    /// written.
     pub fn fail_after(&self, operations: usize) {
         lock(&self.state).fails_after = Some(operations);
     }
 
-    /// Loses power: unsynced changes are kept, lost or torn.
+    /// Loses power: each unsynced change is kept, lost or torn.
     pub fn lose_power(&self, rng: &mut fastrand::Rng) {
         lock(&self.state).lose_power(rng);
     }
 
-    /// Loses all that the disk holds.
+    /// Erases the disk.
     pub fn wipe(&self) {
         *lock(&self.state) = State::default();
     }
 
-    /// Overwrites one byte of a file, as damage would.
+    /// Changes one byte of a file, as a media error would.
     pub fn corrupt(&self, name: &str, offset: usize) {
         let mut state = lock(&self.state);
         let Some(inode) = state.names.get(name).copied() else { return };
@@ -97,7 +103,7 @@
         inode.durable = inode.content.clone();
     }
 
-    /// Cuts a file, as a torn write would.
+    /// Truncates a file, as a torn write would.
     pub fn truncate(&self, name: &str, length: usize) {
         let mut state = lock(&self.state);
         let Some(inode) = state.names.get(name).copied() else { return };
@@ -120,7 +126,7 @@
 }
 
 impl State {
-    fn permit(&mut self) -> io::Result<()> {
+    fn check_fault(&mut self) -> io::Result<()> {
         if self.refuses {
             return Err(refused());
         }
@@ -129,8 +135,8 @@
                 self.fails_after = None;
                 Err(refused())
             }
-            Some(left) => {
-                self.fails_after = Some(left - 1);
+            Some(remaining) => {
+                self.fails_after = Some(remaining - 1);
                 Ok(())
             }
             None => Ok(()),
@@ -138,13 +144,13 @@
     }
 
     fn lose_power(&mut self, rng: &mut fastrand::Rng) {
-        let total = rng.u8(..TOTAL_LOSS_ONE_IN) == 0;
+        let loses_all = rng.u8(..TOTAL_LOSS_ONE_IN) == 0;
         for inode in &mut self.inodes {
-            inode.lose_power(rng, total);
+            inode.lose_power(rng, loses_all);
         }
         let changes = std::mem::take(&mut self.unsynced_names);
         for change in changes {
-            if !total && rng.bool() {
+            if !loses_all && rng.bool() {
                 apply_name(&mut self.durable_names, &change);
             }
         }
@@ -153,14 +159,14 @@
 }
 
 impl Inode {
-    fn change(&mut self, change: ContentChange) {
+    fn apply(&mut self, change: ContentChange) {
         apply_content(&mut self.content, &change);
         self.unsynced.push(change);
     }
 
-    fn lose_power(&mut self, rng: &mut fastrand::Rng, total: bool) {
+    fn lose_power(&mut self, rng: &mut fastrand::Rng, loses_all: bool) {
         for change in std::mem::take(&mut self.unsynced) {
-            if total {
+            if loses_all {
                 continue;
             }
             match rng.u8(..3) {
@@ -186,6 +192,7 @@
     }
 }
 
+/// Applies a part of a write: a prefix, or some of its sectors. A change of length is lost.
 fn apply_torn(content: &mut Vec<u8>, change: &ContentChange, rng: &mut fastrand::Rng) {
     let ContentChange::Write { offset, bytes } = change else { return };
     if rng.bool() {
@@ -195,16 +202,16 @@
     }
     for (index, sector) in bytes.chunks(SECTOR_BYTES).enumerate() {
         if rng.bool() {
-            let piece =
+            let sector_write =
                 ContentChange::Write { offset: offset + index * SECTOR_BYTES, bytes: sector.to_vec() };
-            apply_content(content, &piece);
+            apply_content(content, &sector_write);
         }
     }
 }
 
 fn apply_name(names: &mut BTreeMap<String, usize>, change: &NameChange) {
     match change {
-        NameChange::Made { name, inode } => {
+        NameChange::Created { name, inode } => {
             names.insert(name.clone(), *inode);
         }
         NameChange::Renamed { from, to, inode } => {
@@ -235,21 +242,21 @@
 
     fn create(&self, name: &str) -> io::Result<SimulatedFile> {
         let mut state = lock(&self.state);
-        state.permit()?;
+        state.check_fault()?;
         if let Some(inode) = state.names.get(name).copied() {
-            state.inodes[inode].change(ContentChange::Length(0));
+            state.inodes[inode].apply(ContentChange::Length(0));
             return Ok(SimulatedFile { state: self.state.clone(), inode });
         }
         let inode = state.inodes.len();
         state.inodes.push(Inode::default());
         state.names.insert(name.to_owned(), inode);
-        state.unsynced_names.push(NameChange::Made { name: name.to_owned(), inode });
+        state.unsynced_names.push(NameChange::Created { name: name.to_owned(), inode });
         Ok(SimulatedFile { state: self.state.clone(), inode })
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.permit()?;
+        state.check_fault()?;
         let inode = state.names.get(from).copied().ok_or_else(|| missing(from))?;
         let change = NameChange::Renamed { from: from.to_owned(), to: to.to_owned(), inode };
         apply_name(&mut state.names, &change);
@@ -259,7 +266,7 @@
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.permit()?;
+        state.check_fault()?;
         if !state.names.contains_key(name) {
             return Err(missing(name));
         }
@@ -271,7 +278,7 @@
 
     fn sync_directory(&self) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.permit()?;
+        state.check_fault()?;
         state.durable_names = state.names.clone();
         state.unsynced_names.clear();
         Ok(())
@@ -281,32 +288,32 @@
 impl DiskFile for SimulatedFile {
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut state = lock(&self.state);
-        let permitted = state.permit();
-        let written = if permitted.is_ok() { bytes } else { &bytes[..bytes.len() / 2] };
+        let checked = state.check_fault();
+        let written = if checked.is_ok() { bytes } else { &bytes[..bytes.len() / 2] };
         let change = ContentChange::Write { offset: offset as usize, bytes: written.to_vec() };
-        state.inodes[self.inode].change(change);
-        permitted
+        state.inodes[self.inode].apply(change);
+        checked
     }
 
     fn set_length(&mut self, length: u64) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.permit()?;
-        state.inodes[self.inode].change(ContentChange::Length(length as usize));
+        state.check_fault()?;
+        state.inodes[self.inode].apply(ContentChange::Length(length as usize));
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.permit()?;
+        state.check_fault()?;
         let inode = &mut state.inodes[self.inode];
         inode.durable = inode.content.clone();
         inode.unsynced.clear();
-        let made =
-            |change: &NameChange| matches!(change, NameChange::Made { inode, .. } if *inode == self.inode);
-        let (lasting, rest) = std::mem::take(&mut state.unsynced_names).into_iter().partition(made);
+        let is_creation =
+            |change: &NameChange| matches!(change, NameChange::Created { inode, .. } if *inode == self.inode);
+        let (durable, rest) = std::mem::take(&mut state.unsynced_names).into_iter().partition(is_creation);
         state.unsynced_names = rest;
-        let lasting: Vec<NameChange> = lasting;
-        for change in &lasting {
+        let durable: Vec<NameChange> = durable;
+        for change in &durable {
             apply_name(&mut state.durable_names, change);
         }
         Ok(())
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -1,4 +1,4 @@
-//! The log on a sound disk, cut at every byte, damaged at every byte, and on a disk that refuses.
+//! The log on a healthy disk, truncated at every byte, corrupted at every byte, and on a disk that fails.
 
 use lugwharf_store::simulated::SimulatedDisk;
 use lugwharf_store::{Directory, Disk, Log, Recovered, StoreError, crc32c};
@@ -35,55 +35,55 @@
     Log::open_on(disk.clone()).unwrap().1
 }
 
-/// The records of the batches that lie wholly within a file of this length.
-fn whole_batches(length: usize) -> Vec<Vec<u8>> {
+/// The records of the batches whose frames are complete in a file of this length.
+fn complete_batches(length: usize) -> Vec<Vec<u8>> {
     let mut end = HEADER_BYTES;
-    let whole = batches().into_iter().take_while(|batch| {
+    let complete = batches().into_iter().take_while(|batch| {
         end += frame_bytes(batch);
         end <= length
     });
-    whole.flatten().collect()
+    complete.flatten().collect()
 }
 
 #[test]
-fn checksum_is_crc32c() {
+fn the_checksum_is_crc32c() {
     assert_eq!(crc32c(&[b"123456789"]), 0xe306_9283);
     assert_eq!(crc32c(&[b"1234", b"56789"]), 0xe306_9283);
 }
 
 #[test]
-fn an_empty_disk_gives_an_empty_log() {
+fn opening_on_an_empty_disk_creates_an_empty_log() {
     let recovered = reopen(&SimulatedDisk::new());
     assert_eq!(recovered, Recovered { records: Vec::new(), torn_tail: None });
 }
 
 #[test]
-fn records_come_back_in_order() {
+fn records_are_recovered_in_order() {
     let recovered = reopen(&written());
     assert_eq!(recovered.records, batches().concat());
     assert_eq!(recovered.torn_tail, None);
 }
 
 #[test]
-fn a_tail_cut_at_any_byte_loses_only_itself() {
+fn a_file_truncated_at_any_byte_loses_only_the_torn_frame() {
     let total = HEADER_BYTES + batches().iter().map(|batch| frame_bytes(batch)).sum::<usize>();
     for length in HEADER_BYTES..=total {
         let disk = written();
         disk.truncate("log", length);
         let (mut log, recovered) = Log::open_on(disk.clone()).unwrap();
-        let kept = whole_batches(length);
-        assert_eq!(recovered.records, kept, "cut at {length}");
+        let intact = complete_batches(length);
+        assert_eq!(recovered.records, intact, "cut at {length}");
         assert_eq!(recovered.torn_tail.is_some(), log.len_bytes() != length as u64, "cut at {length}");
 
         log.append(&[b"next".to_vec()]).unwrap();
         let recovered = reopen(&disk);
-        assert_eq!(recovered.records, [kept, vec![b"next".to_vec()]].concat(), "cut at {length}");
+        assert_eq!(recovered.records, [intact, vec![b"next".to_vec()]].concat(), "cut at {length}");
         assert_eq!(recovered.torn_tail, None, "cut at {length}");
     }
 }
 
 #[test]
-fn damage_at_any_byte_is_seen() {
+fn corruption_at_any_byte_is_detected() {
     let total = HEADER_BYTES + batches().iter().map(|batch| frame_bytes(batch)).sum::<usize>();
     let last = total - frame_bytes(&batches()[3]);
     for offset in 0..total {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_damaged_log_can_be_set_aside() {
+fn a_corrupt_log_can_be_quarantined() {
     let disk = written();
     disk.corrupt("log", HEADER_BYTES + 10);
     assert!(Log::open_on(disk.clone()).is_err());
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_later_goes_on() {
+fn a_full_disk_fails_appends_until_it_has_space() {
     let disk = written();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     disk.set_refuses(true);
@@ -131,7 +131,7 @@
 #[rstest]
 #[case::write(0)]
 #[case::sync(1)]
-fn what_a_failed_append_leaves_is_taken_away(#[case] operation: usize) {
+fn the_next_append_truncates_what_a_failed_one_left(#[case] operation: usize) {
     let disk = written();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     disk.fail_after(operation);
@@ -155,8 +155,8 @@
 }
 
 #[test]
-fn a_failed_rewrite_leaves_the_old_log_in_use() {
-    // Making, writing and syncing the new file.
+fn a_failed_rewrite_keeps_the_old_log_in_use() {
+    // Creating, writing and syncing the new file.
     for operation in 0..3 {
         let disk = written();
         let (mut log, _) = Log::open_on(disk.clone()).unwrap();
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn after_a_failed_renaming_only_a_rewrite_helps() {
+fn a_failed_rename_poisons_the_log_until_a_rewrite() {
     let disk = written();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     disk.fail_after(3);
@@ -180,14 +180,14 @@
 }
 
 #[test]
-fn too_long_an_append_is_refused() {
+fn an_append_above_the_frame_limit_is_rejected() {
     let (mut log, _) = Log::open_on(SimulatedDisk::new()).unwrap();
     assert!(matches!(log.append(&[vec![0; 65 << 20]]), Err(StoreError::TooLong { .. })));
     log.append(&[b"fits".to_vec()]).unwrap();
 }
 
 #[test]
-fn a_folder_of_the_file_system_holds_a_log() {
+fn a_directory_of_the_file_system_stores_a_log() {
     let path = std::env::temp_dir().join(format!("lugwharf-store-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
@@ -205,7 +205,7 @@
 
 /// Far below the limit of a frame, and above what a wrong factor in it would allow.
 #[test]
-fn a_long_record_comes_back() {
+fn a_long_record_is_recovered() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     let long = vec![3; 3 << 20];
@@ -215,7 +215,7 @@
 
 /// The longest frame, whose disk refuses it: the log itself has no objection.
 #[test]
-fn the_longest_append_is_not_too_long() {
+fn the_longest_frame_passes_the_length_check() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     disk.set_refuses(true);
@@ -224,9 +224,9 @@
     assert!(matches!(log.append(&[vec![0; longest + 1]]), Err(StoreError::TooLong { .. })));
 }
 
-/// Its frames carry the number in their checksums, so that none of an earlier file is taken for one of this.
+/// The checksums of frames cover the generation, so that no frame of an earlier file passes for one of this file.
 #[test]
-fn each_rewrite_makes_a_generation_of_its_own() {
+fn each_rewrite_increments_the_generation() {
     const GENERATION: std::ops::Range<usize> = 8..16;
     let disk = written();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
@@ -241,7 +241,7 @@
 
 /// The torn last frame holds a record that looks like the frame which was expected there.
 #[test]
-fn a_torn_tail_that_holds_the_bytes_of_a_frame_is_no_damage() {
+fn a_torn_tail_that_contains_the_expected_frame_is_not_corruption() {
     let source = SimulatedDisk::new();
     Log::open_on(source.clone()).unwrap().0.append(&[b"inner".to_vec()]).unwrap();
     let inner = source.read("log").unwrap().unwrap()[HEADER_BYTES..].to_vec();
--- a/crates/store/tests/power_loss.rs
+++ b/crates/store/tests/power_loss.rs
@@ -1,4 +1,4 @@
-//! Loss of power at every operation: what was synced is there, what was not comes back whole or not at all.
+//! Loss of power at every operation: synced records are durable, unsynced ones are recovered completely or not at all.
 
 use lugwharf_store::Log;
 use lugwharf_store::simulated::SimulatedDisk;
@@ -21,41 +21,41 @@
 fn play(seed: u64, fails_after: usize) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let disk = SimulatedDisk::new();
-    let mut held: Vec<Vec<u8>> = Vec::new();
+    let mut expected: Vec<Vec<u8>> = Vec::new();
     for _ in 0..4 {
         let (mut log, recovered) = Log::open_on(disk.clone()).unwrap();
-        assert_eq!(recovered.records, held, "seed {seed}, failure after {fails_after}");
+        assert_eq!(recovered.records, expected, "seed {seed}, failure after {fails_after}");
         for _ in 0..rng.usize(0..5) {
-            step(&mut log, &mut held, &mut rng).unwrap();
+            step(&mut log, &mut expected, &mut rng).unwrap();
         }
         disk.fail_after(fails_after);
-        let mut attempted = held.clone();
+        let mut attempted = expected.clone();
         while step(&mut log, &mut attempted, &mut rng).is_ok() {
-            held = attempted.clone();
+            expected = attempted.clone();
         }
         disk.lose_power(&mut rng);
         let (_, recovered) = Log::open_on(disk.clone()).unwrap();
-        let sound = recovered.records == held || recovered.records == attempted;
+        let sound = recovered.records == expected || recovered.records == attempted;
         assert!(sound, "seed {seed}, failure after {fails_after}");
-        held = recovered.records;
+        expected = recovered.records;
     }
 }
 
-/// Appends or rewrites. `held` is what the log holds if the step is done.
+/// Appends or rewrites. `expected` becomes what the log contains if the step succeeds.
 fn step(
-    log: &mut Log<SimulatedDisk>, held: &mut Vec<Vec<u8>>, rng: &mut fastrand::Rng,
+    log: &mut Log<SimulatedDisk>, expected: &mut Vec<Vec<u8>>, rng: &mut fastrand::Rng,
 ) -> Result<(), lugwharf_store::StoreError> {
     let added = batch(rng);
     if rng.u8(..4) == 0 {
-        *held = added.clone();
+        *expected = added.clone();
         return log.rewrite(&added);
     }
-    held.extend(added.clone());
+    expected.extend(added.clone());
     log.append(&added)
 }
 
 #[test]
-fn power_is_lost_at_every_operation() {
+fn synced_records_survive_a_power_loss_at_every_operation() {
     for seed in 0..SEEDS {
         for fails_after in 0..MAX_OPERATIONS {
             play(seed, fails_after);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn power_is_lost_at_the_first_opening() {
+fn a_log_is_usable_after_a_power_loss_at_its_creation() {
     for seed in 0..SEEDS {
         for fails_after in 0..MAX_OPERATIONS {
             let mut rng = fastrand::Rng::with_seed(seed);
@@ -84,9 +84,9 @@
 }
 
 /// A process that dies between the write and the sync leaves bytes that only a cache holds. Its successor reads them,
-/// so it must not rest on them before they are synced.
+/// so it must sync them before it relies on them.
 #[test]
-fn what_is_read_at_the_opening_survives_a_later_loss_of_power() {
+fn recovered_records_are_synced_before_they_are_returned() {
     for seed in 0..SEEDS {
         let mut rng = fastrand::Rng::with_seed(seed);
         let disk = SimulatedDisk::new();
@@ -100,9 +100,9 @@
     }
 }
 
-/// After a rewrite whose folder was not synced, nothing is appended until it is.
+/// After a rewrite whose directory was not synced, nothing is appended until it is.
 #[test]
-fn an_append_behind_an_unsynced_renaming_lasts() {
+fn an_append_after_an_unsynced_rename_is_durable() {
     for seed in 0..SEEDS {
         let mut rng = fastrand::Rng::with_seed(seed);
         let disk = SimulatedDisk::new();
@@ -116,13 +116,13 @@
     }
 }
 
-/// A log of several frames is rewritten as a whole or not at all.
+/// A rewrite of several frames takes effect completely or not at all.
 #[test]
-fn power_is_lost_at_every_operation_of_a_long_rewrite() {
+fn a_long_rewrite_is_atomic_at_every_operation_that_fails() {
     let long: Vec<Vec<u8>> = (1..=3).map(|number| vec![number; 700 << 10]).collect();
     let (mut old, mut new) = (0, 0);
     for seed in 0..8 {
-        // Making the file, three frames, its sync, the renaming, the sync of the folder, nothing.
+        // Creating the file, three frames, its sync, the rename, the sync of the directory, none.
         for fails_after in 0..8 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let disk = SimulatedDisk::new();
--- a/crates/store/tests/simulated.rs
+++ b/crates/store/tests/simulated.rs
@@ -7,7 +7,7 @@
 use std::io::ErrorKind;
 
 const SEEDS: u64 = 400;
-/// A piece of a write that lasts or is lost as a whole.
+/// The unit of a write that is kept or lost.
 const SECTOR_BYTES: usize = 64;
 
 /// The content of a file after a loss of power, over many seeds.
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn what_was_synced_stays() {
+fn synced_content_survives() {
     let synced = outcomes(|disk| {
         let mut file = disk.create("file").unwrap();
         file.write_at(0, &content()).unwrap();
@@ -55,7 +55,7 @@
     }
 }
 
-/// A hole is a whole sector, in its place.
+/// A lost sector is a hole in its place.
 #[test]
 fn a_write_is_torn_at_sectors() {
     let outcomes = outcomes(|disk| {
@@ -87,7 +87,7 @@
 #[rstest]
 #[case::unsynced(false, &[None, Some(1)])]
 #[case::synced(true, &[Some(1)])]
-fn a_renaming_lasts_with_the_folder(#[case] synced: bool, #[case] wanted: &[Option<usize>]) {
+fn a_rename_is_durable_once_the_directory_is_synced(#[case] synced: bool, #[case] wanted: &[Option<usize>]) {
     let outcomes = outcomes(|disk| {
         let mut file = disk.create("new").unwrap();
         file.write_at(0, &[7]).unwrap();
@@ -104,7 +104,7 @@
 #[rstest]
 #[case::unsynced(false, 2)]
 #[case::synced(true, 1)]
-fn a_removal_lasts_with_the_folder(#[case] synced: bool, #[case] wanted: usize) {
+fn a_removal_is_durable_once_the_directory_is_synced(#[case] synced: bool, #[case] wanted: usize) {
     let outcomes = outcomes(|disk| {
         let mut file = disk.create("file").unwrap();
         file.sync().unwrap();
@@ -118,12 +118,12 @@
     assert_eq!(outcomes.len(), wanted);
 }
 
-/// One loss in four takes all that was not synced; the others take some of it. Writes and names alike: a log that rests on
-/// the luck of a single change is found out.
+/// One power loss in four loses all unsynced changes, of content and of names; the others lose some. So a log that depends on
+/// the fate of a single change is found out.
 #[rstest]
 #[case::writes(true)]
 #[case::names(false)]
-fn one_loss_in_four_takes_everything(#[case] writes: bool) {
+fn one_power_loss_in_four_loses_all_unsynced_changes(#[case] writes: bool) {
     const CHANGES: usize = 12;
     let play = |seed| {
         let disk = SimulatedDisk::new();
@@ -149,13 +149,13 @@
 }
 
 #[test]
-fn what_is_missing_can_not_be_removed() {
+fn removing_a_missing_file_fails() {
     let missing = SimulatedDisk::new().remove("file").map_err(|error| error.kind());
     assert_eq!(missing, Err(ErrorKind::NotFound));
 }
 
 #[test]
-fn a_wiped_disk_holds_nothing() {
+fn a_wiped_disk_is_empty() {
     let disk = SimulatedDisk::new();
     disk.create("file").unwrap().sync().unwrap();
     disk.wipe();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_write_that_fails_is_written_to_its_half() {
+fn the_first_half_of_a_failed_write_is_written() {
     let disk = SimulatedDisk::new();
     let mut file = disk.create("file").unwrap();
     disk.fail_after(0);
@@ -175,7 +175,7 @@
 #[rstest]
 #[case::within(0, 2)]
 #[case::to_the_end(3, 2)]
-fn a_write_over_others_leaves_the_rest(#[case] offset: u64, #[case] length: usize) {
+fn an_overwrite_keeps_the_other_bytes(#[case] offset: u64, #[case] length: usize) {
     let disk = SimulatedDisk::new();
     let mut file = disk.create("file").unwrap();
     file.write_at(0, &[1; 5]).unwrap();
@@ -185,7 +185,7 @@
     assert_eq!(disk.read("file").unwrap(), Some(wanted));
 }
 
-/// A folder for one case.
+/// A directory for one case.
 struct Scratch(std::path::PathBuf);
 
 impl Scratch {
@@ -203,31 +203,31 @@
     }
 }
 
-/// Else a log that can't be read would be taken for none, and an empty one begun.
+/// Otherwise an unreadable log would count as absent, and an empty one would be created.
 #[test]
-fn a_file_that_can_not_be_read_is_not_taken_for_none() {
+fn an_unreadable_file_is_an_error_and_not_absent() {
     let scratch = Scratch::new("unreadable");
-    let folder = Directory::new(&scratch.0);
-    assert!(matches!(folder.read("log"), Ok(None)));
+    let directory = Directory::new(&scratch.0);
+    assert!(matches!(directory.read("log"), Ok(None)));
     std::os::unix::fs::symlink("log", scratch.0.join("log")).unwrap();
-    assert!(folder.read("log").is_err());
+    assert!(directory.read("log").is_err());
 }
 
 #[test]
-fn a_file_is_cut_and_removed() {
+fn a_file_of_the_file_system_is_truncated_and_removed() {
     let scratch = Scratch::new("cut");
-    let folder = Directory::new(&scratch.0);
-    let mut file = folder.create("log").unwrap();
+    let directory = Directory::new(&scratch.0);
+    let mut file = directory.create("log").unwrap();
     file.write_at(0, b"abcdef").unwrap();
     file.set_length(3).unwrap();
-    assert_eq!(folder.read("log").unwrap(), Some(b"abc".to_vec()));
-    folder.remove("log").unwrap();
-    assert!(matches!(folder.read("log"), Ok(None)));
+    assert_eq!(directory.read("log").unwrap(), Some(b"abc".to_vec()));
+    directory.remove("log").unwrap();
+    assert!(matches!(directory.read("log"), Ok(None)));
 }
 
 /// That a sync reaches the disk shows only where power is lost; that it reaches the system shows where that refuses.
 #[test]
-fn a_sync_that_the_system_refuses_fails() {
+fn an_error_of_fsync_is_returned() {
     let scratch = Scratch::new("sync");
     std::os::unix::fs::symlink("/dev/null", scratch.0.join("log")).unwrap();
     let mut device = Directory::new(&scratch.0).open("log").unwrap();
