--- a/crates/agent/src/backoff_tests.rs
+++ b/crates/agent/src/backoff_tests.rs
@@ -1,4 +1,4 @@
-//! How long an agent pauses.
+//! The pauses of the backoff.
 
 use crate::backoff::Backoff;
 use std::time::Duration;
@@ -10,16 +10,19 @@
 }
 
 #[test]
-fn pauses_grow_and_stay_within_their_bounds() {
+fn pauses_double_up_to_the_maximum_with_jitter() {
     let mut backoff = Backoff::new(SEED);
-    for longest in [100, 200, 400, 600, 600, 600] {
+    for max_pause in [100, 200, 400, 600, 600, 600] {
         let pause = backoff.next();
-        assert!(pause >= ms(longest / 2) && pause <= ms(longest), "seed {SEED}: {pause:?} for {longest} ms");
+        assert!(
+            pause >= ms(max_pause / 2) && pause <= ms(max_pause),
+            "seed {SEED}: {pause:?} for {max_pause} ms"
+        );
     }
 }
 
 #[test]
-fn a_success_makes_them_short_again() {
+fn a_reset_returns_to_the_shortest_pause() {
     let mut backoff = Backoff::new(SEED);
     for _ in 0..5 {
         backoff.next();
@@ -29,7 +32,7 @@
 }
 
 #[test]
-fn fronts_do_not_come_at_the_same_time() {
+fn different_seeds_draw_different_pauses() {
     let pauses: std::collections::BTreeSet<Duration> =
         (0..50).map(|seed| Backoff::new(seed).next()).collect();
     assert!(pauses.len() > 45, "{}", pauses.len());
--- a/crates/agent/src/link_tests.rs
+++ b/crates/agent/src/control_connection_tests.rs
@@ -1,7 +1,6 @@
-//! Which replies come in time. The peer decides; the clock is paused, so that a limit passes as soon as nothing else can
-//! happen.
+//! The time limits of a call. The clock is paused, so that a limit passes as soon as nothing else can happen.
 
-use crate::link::Link;
+use crate::control_connection::ControlConnection;
 use lugwharf_protocol::{AgentRequest, ControlReply, FrameError, Update, VersionVector, encode, read_frame};
 use rstest::rstest;
 use std::time::Duration;
@@ -9,7 +8,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::oneshot;
 
-const LIMIT: Duration = Duration::from_millis(900);
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(900);
 
 fn request() -> AgentRequest {
     AgentRequest::Pull {
@@ -25,95 +24,97 @@
     ControlReply::Update { has_quorum: true, control: Vec::new(), update: Update::default() }
 }
 
-/// How much of a reply the peer sends before it stays silent.
+/// How much of a reply the peer sends before it goes silent.
 #[derive(Clone, Copy, Debug)]
-enum Sent {
+enum PeerSends {
     AllButOneByte,
     Nothing,
-    /// It closes the link instead.
-    End,
+    /// It closes the connection instead.
+    Close,
 }
 
-async fn call(sent: Sent) -> (Result<ControlReply, FrameError>, Duration) {
+async fn call(sends: PeerSends) -> (Result<ControlReply, FrameError>, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let (keep, kept) = oneshot::channel::<()>();
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a link");
+        let (mut stream, _) = listener.accept().await.expect("a connection");
         read_frame::<AgentRequest>(&mut stream).await.expect("a request");
         let bytes = encode(&reply()).expect("a frame");
-        let end = match sent {
-            Sent::AllButOneByte => bytes.len() - 1,
-            Sent::Nothing => 0,
-            Sent::End => return,
+        let end = match sends {
+            PeerSends::AllButOneByte => bytes.len() - 1,
+            PeerSends::Nothing => 0,
+            PeerSends::Close => return,
         };
         stream.write_all(&bytes[..end]).await.expect("a write");
-        // Holds the link open until the test ends.
+        // Keeps the connection open until the test ends.
         drop(kept.await);
     });
-    let mut link = Link::open(address, None).await.expect("a link");
+    let mut connection = ControlConnection::open(address, None).await.expect("a connection");
     tokio::time::pause();
     let begun = tokio::time::Instant::now();
-    let result = link.call(&request(), LIMIT).await;
+    let result = connection.call(&request(), FIRST_BYTE_TIMEOUT).await;
     drop(keep);
     (result, begun.elapsed())
 }
 
 #[tokio::test]
-async fn a_whole_reply_is_taken() {
+async fn complete_replies_are_returned() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a link");
+        let (mut stream, _) = listener.accept().await.expect("a connection");
         while let Ok(Some(_)) = read_frame::<AgentRequest>(&mut stream).await {
             stream.write_all(&encode(&reply()).expect("a frame")).await.expect("a write");
         }
     });
-    let mut link = Link::open(address, None).await.expect("a link");
+    let mut connection = ControlConnection::open(address, None).await.expect("a connection");
     for _ in 0..3 {
-        assert_eq!(link.call(&request(), Duration::from_secs(60)).await.expect("a reply"), reply());
+        assert_eq!(connection.call(&request(), Duration::from_secs(60)).await.expect("a reply"), reply());
     }
 }
 
 #[rstest]
-#[case::silent(Sent::Nothing, LIMIT)]
-#[case::stuck(Sent::AllButOneByte, Duration::from_secs(2))]
+#[case::silent(PeerSends::Nothing, FIRST_BYTE_TIMEOUT)]
+#[case::stuck(PeerSends::AllButOneByte, Duration::from_secs(2))]
 #[tokio::test]
-async fn a_reply_that_does_not_come_whole_ends_the_call(#[case] sent: Sent, #[case] longest: Duration) {
-    let (result, took) = call(sent).await;
+async fn a_reply_that_stalls_times_out(#[case] sends: PeerSends, #[case] max_time: Duration) {
+    let (result, took) = call(sends).await;
     assert!(result.is_err());
-    assert!(took <= longest + LIMIT, "{took:?}");
+    assert!(took <= max_time + FIRST_BYTE_TIMEOUT, "{took:?}");
 }
 
 #[tokio::test]
-async fn a_link_that_ends_ends_the_call() {
-    let (result, _) = call(Sent::End).await;
+async fn a_closed_connection_fails_the_call() {
+    let (result, _) = call(PeerSends::Close).await;
     assert!(matches!(result, Err(FrameError::Io(_))), "{result:?}");
 }
 
-/// The first call is given up, or cut short by its caller; its reply comes then, where the next call's is due.
+/// The first call times out or is cancelled. Its reply comes then, where the reply to the next call is due.
 #[rstest]
-#[case::over_time(true)]
-#[case::dropped(false)]
+#[case::timed_out(true)]
+#[case::cancelled(false)]
 #[tokio::test]
-async fn a_late_reply_is_not_taken_for_the_next_calls(#[case] waits: bool) {
+async fn a_late_reply_is_not_taken_for_the_reply_to_the_next_call(#[case] times_out: bool) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let mut link = Link::open(listener.local_addr().expect("an address"), None).await.expect("a link");
-    let (mut peer, _) = listener.accept().await.expect("a link");
-    if waits {
+    let mut connection = ControlConnection::open(listener.local_addr().expect("an address"), None)
+        .await
+        .expect("a connection");
+    let (mut peer, _) = listener.accept().await.expect("a connection");
+    if times_out {
         tokio::time::pause();
-        assert!(link.call(&request(), LIMIT).await.is_err());
+        assert!(connection.call(&request(), FIRST_BYTE_TIMEOUT).await.is_err());
         tokio::time::resume();
     } else {
         let asked = async { read_frame::<AgentRequest>(&mut peer).await };
         let first = request();
         tokio::select! {
-            reply = link.call(&first, Duration::from_secs(60)) => panic!("{reply:?}"),
+            reply = connection.call(&first, Duration::from_secs(60)) => panic!("{reply:?}"),
             request = asked => assert!(request.expect("a request").is_some()),
         }
     }
-    // The peer may find the link closed already.
+    // The peer may find the connection closed already.
     drop(peer.write_all(&encode(&reply()).expect("a frame")).await);
-    let second = link.call(&request(), LIMIT).await;
+    let second = connection.call(&request(), FIRST_BYTE_TIMEOUT).await;
     assert!(matches!(second, Err(FrameError::Io(_))), "{second:?}");
 }
--- /dev/null
+++ b/crates/agent/src/control_link_tests.rs
@@ -0,0 +1,182 @@
+//! Whose updates an agent applies. Scripted control processes reply on loopback, one pass at a time.
+
+use super::{ControlLink, StopReason, is_unfit};
+use crate::ControlPlaneStatus;
+use crate::table_owner::{Command, PullReport};
+use lugwharf_protocol::{
+    AgentRequest, ConfigRecord, ControlReply, FrameError, Update, VersionVector, encode, read_frame,
+};
+use rstest::rstest;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex};
+use tokio::io::AsyncWriteExt;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use tokio::task::JoinHandle;
+
+/// How a control process replies to one pull.
+#[derive(Clone, Copy, Debug)]
+enum Reply {
+    /// It has a quorum and a configuration of this version.
+    Quorum(u64),
+    /// It has no quorum and a configuration of this version.
+    NoQuorum(u64),
+    /// It does not; the connection stays open.
+    None,
+}
+
+impl Reply {
+    fn message(self) -> Option<ControlReply> {
+        let (has_quorum, version) = match self {
+            Reply::Quorum(version) => (true, version),
+            Reply::NoQuorum(version) => (false, version),
+            Reply::None => return None,
+        };
+        let vector = VersionVector { config: version, ..VersionVector::default() };
+        let config = Some(ConfigRecord { version, bytes: b"{}".to_vec() });
+        let update = Update { vector, config, ..Update::default() };
+        Some(ControlReply::Update { has_quorum, control: Vec::new(), update })
+    }
+}
+
+/// Replies to the pulls of one connection after the other as scripted, then closes each connection at once.
+async fn serve(listener: TcpListener, replies: Vec<Reply>) {
+    let mut replies = replies.into_iter();
+    let mut silent = Vec::new();
+    while let Ok((mut stream, _)) = listener.accept().await {
+        while let Ok(Some(_)) = read_frame::<AgentRequest>(&mut stream).await {
+            let Some(reply) = replies.next() else { break };
+            let Some(reply) = reply.message() else {
+                silent.push(stream);
+                break;
+            };
+            stream.write_all(&encode(&reply).expect("a frame")).await.expect("a write");
+        }
+    }
+}
+
+/// A control link, the versions that it applies, and the control processes that it knows.
+struct Harness {
+    link: ControlLink,
+    applied: Arc<Mutex<Vec<u64>>>,
+    processes: Vec<JoinHandle<()>>,
+}
+
+impl Drop for Harness {
+    fn drop(&mut self) {
+        self.processes.iter().for_each(JoinHandle::abort);
+    }
+}
+
+/// Control processes with these scripts, in the order in which the link tries them.
+async fn harness(scripts: Vec<Vec<Reply>>) -> Harness {
+    let mut listeners = Vec::new();
+    for _ in &scripts {
+        listeners.push(TcpListener::bind("127.0.0.1:0").await.expect("a listener"));
+    }
+    let address = |listener: &TcpListener| listener.local_addr().expect("an address");
+    let seeds: Vec<SocketAddr> = listeners.iter().map(address).collect();
+    let (commands, queue) = mpsc::channel(4);
+    let applied = Arc::new(Mutex::new(Vec::new()));
+    let control = Vec::new();
+    let metrics = Arc::default();
+    let (node, incarnation, source) = ("front-1".to_owned(), 1, None);
+    let control_plane = ControlPlaneStatus::default();
+    let link = ControlLink { node, incarnation, seeds, control, source, metrics, commands, control_plane };
+    let candidates = link.candidates();
+    listeners.sort_by_key(|listener| candidates.iter().position(|known| *known == address(listener)));
+    let servers = listeners.into_iter().zip(scripts);
+    let mut processes: Vec<_> =
+        servers.map(|(listener, script)| tokio::spawn(serve(listener, script))).collect();
+    processes.push(tokio::spawn(own_tables(queue, applied.clone())));
+    Harness { link, applied, processes }
+}
+
+/// Records which versions are applied, and always reports empty tables.
+async fn own_tables(mut queue: mpsc::Receiver<Command>, applied: Arc<Mutex<Vec<u64>>>) {
+    while let Some(command) = queue.recv().await {
+        match command {
+            Command::Report { reply } => {
+                let _ = reply.send(PullReport { have: VersionVector::default(), loads: Vec::new() });
+            }
+            Command::Apply { update, reply } => {
+                applied.lock().expect("a list").push(update.vector.config);
+                let _ = reply.send(update.vector);
+            }
+            Command::RecordLoads(_) | Command::AwaitUpdate { .. } | Command::Summarize { .. } => {}
+        }
+    }
+}
+
+const STALE: Reply = Reply::NoQuorum(3);
+const FRESH: Reply = Reply::Quorum(5);
+
+#[rstest]
+#[case::one_with_a_quorum(vec![vec![FRESH]], true, &[5])]
+#[case::one_without_a_quorum_is_skipped(vec![vec![STALE], vec![FRESH]], true, &[5])]
+#[case::also_after_one_with_a_quorum(vec![vec![FRESH], vec![STALE]], true, &[5])]
+#[case::also_between_silent_ones(vec![vec![Reply::None], vec![STALE], vec![Reply::None], vec![FRESH]], true, &[5])]
+#[case::the_only_one_is_the_fallback(vec![vec![STALE]], false, &[3])]
+#[case::the_only_one_that_replies(vec![vec![Reply::None], vec![STALE], vec![]], false, &[3])]
+#[case::the_newest_of_several_fallbacks(vec![vec![STALE], vec![Reply::NoQuorum(4)], vec![Reply::NoQuorum(2)]], false, &[4])]
+#[case::none_replies(vec![vec![Reply::None], vec![]], false, &[])]
+#[case::one_that_loses_its_quorum(vec![vec![FRESH, Reply::NoQuorum(6)], vec![]], true, &[5])]
+#[tokio::test]
+async fn a_pass_applies(#[case] scripts: Vec<Vec<Reply>>, #[case] served: bool, #[case] versions: &[u64]) {
+    let mut harness = harness(scripts).await;
+    assert_eq!(harness.link.try_all().await, served);
+    assert_eq!(*harness.applied.lock().expect("a list"), versions);
+}
+
+#[tokio::test]
+async fn the_next_pass_falls_back_to_a_process_that_lost_its_quorum() {
+    let lost = Reply::NoQuorum(6);
+    let mut harness = harness(vec![vec![FRESH, lost, lost], vec![]]).await;
+    assert!(harness.link.try_all().await);
+    assert!(!harness.link.try_all().await);
+    assert_eq!(*harness.applied.lock().expect("a list"), [5, 6]);
+}
+
+/// Redirects lead to the followed process, and nowhere once it is no longer followed.
+#[tokio::test]
+async fn publishes_the_followed_process_until_it_stops_following() {
+    let mut harness = harness(vec![vec![FRESH, STALE], vec![]]).await;
+    let mut followed = harness.link.control_plane.followed.subscribe();
+    let process = harness.link.candidates()[0];
+    let watching = tokio::spawn(async move {
+        let mut seen = Vec::new();
+        while followed.changed().await.is_ok() {
+            seen.push(*followed.borrow_and_update());
+        }
+        seen
+    });
+    assert!(harness.link.try_all().await);
+    drop(harness);
+    let seen = watching.await.expect("what was published");
+    assert_eq!(seen.last(), Some(&None));
+    assert!(seen.contains(&Some(process)), "{seen:?}");
+}
+
+/// While the agent moves on to its preferred process, the earlier one stays published.
+#[rstest]
+#[case::return_to_preferred(Ok(StopReason::ReturnToPreferred), false)]
+#[case::no_quorum(Ok(StopReason::NoQuorum), true)]
+#[case::shutting_down(Ok(StopReason::ShuttingDown), true)]
+#[case::failed(Err(FrameError::Io(std::io::ErrorKind::TimedOut.into())), true)]
+fn only_a_process_left_for_the_preferred_one_stays_fit(
+    #[case] stopped: Result<StopReason, FrameError>, #[case] unfit: bool,
+) {
+    assert_eq!(is_unfit(&stopped), unfit);
+}
+
+/// After a start only the seeds are known, and they may host no replica.
+#[tokio::test]
+async fn tries_announced_processes_before_the_seeds() {
+    let mut harness = harness(vec![vec![], vec![]]).await;
+    let announced: SocketAddr = "127.0.0.9:1".parse().expect("an address");
+    harness.link.control = vec!["127.0.0.8:1".parse().expect("an address")];
+    let known = harness.link.control[0];
+    harness.link.control_plane.announced.send_replace(vec![announced, known]);
+    let candidates = harness.link.candidates();
+    assert_eq!((candidates[0], candidates[1], candidates.len()), (known, announced, 4));
+}
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -1,8 +1,8 @@
-//! What a machine without a replica tells on the agent port: where the control processes are.
+//! The agent port of a machine without a replica: tells where the control processes are.
 //!
-//! The settings of a process may name machines that hold no replica, as operators' lists name all that serve control. Control
-//! processes announce themselves to such a machine, and an agent that asks it learns those that it knows. Nothing else is
-//! told, and always as out of touch, so that nobody takes anything out of date from here.
+//! The seeds in the settings of a process may be machines that host no replica, since operators list every machine that serves
+//! control. Control processes announce themselves to such a machine, and an agent that pulls from it learns the ones that it
+//! knows. It sends no tables, and always reports that it has no quorum, so that nobody takes anything out of date from it.
 
 use crate::ControlPlaneStatus;
 use lugwharf_protocol::{
@@ -17,75 +17,76 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-/// Links that may be open at once. Askers leave once they have their answer.
-const MOST_LINKS: usize = 64;
-/// A link on which no request came for so long is closed.
-const SILENT: Duration = Duration::from_secs(2);
-/// The wait after an accept that failed, as when there are no descriptors left.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(50);
+/// Connections that may be open at once; peers disconnect once they have their reply. Further ones are closed at once.
+const MAX_CONNECTIONS: usize = 64;
+/// A connection without a request for this long is closed; also the limit on writing a reply.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The pause after a failed accept, as when no descriptors are left.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// Announced addresses that are retained.
+const MAX_ANNOUNCED: usize = 64;
 
-/// Addresses that are kept of announcements at most.
-const MOST_ANNOUNCED: usize = 64;
-
-/// Answers askers for as long as the process runs.
+/// Serves requests for as long as the process runs.
 pub async fn serve(listener: TcpListener, control_plane: ControlPlaneStatus) {
-    let room = Arc::new(Semaphore::new(MOST_LINKS));
+    let capacity = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok((stream, address)) = listener.accept().await else {
-            sleep(ACCEPT_AGAIN).await;
+            sleep(ACCEPT_RETRY_PAUSE).await;
             continue;
         };
-        let Ok(place) = room.clone().try_acquire_owned() else { continue };
+        let Ok(permit) = capacity.clone().try_acquire_owned() else { continue };
         let control_plane = control_plane.clone();
         tokio::spawn(async move {
-            if let Err(error) = answer(stream, &control_plane).await {
-                debug!("link", kv: { outcome = "closed", kind = "directory", from: = address, error: = error });
+            if let Err(error) = serve_connection(stream, &control_plane).await {
+                debug!("link", kv: { outcome = "closed", kind = "discovery", from: = address, error: = error });
             }
-            drop(place);
+            drop(permit);
         });
     }
 }
 
-async fn answer(mut stream: TcpStream, control_plane: &ControlPlaneStatus) -> Result<(), FrameError> {
+async fn serve_connection(
+    mut stream: TcpStream, control_plane: &ControlPlaneStatus,
+) -> Result<(), FrameError> {
     loop {
-        let request = timeout(SILENT, read_frame::<AgentRequest>(&mut stream)).await;
+        let request = timeout(IDLE_TIMEOUT, read_frame::<AgentRequest>(&mut stream)).await;
         let request = request.map_err(io::Error::from)??;
         let have = match request {
             None => return Ok(()),
             Some(AgentRequest::Pull { have, .. }) => have,
             Some(AgentRequest::Announce { control }) => {
-                learn(control_plane, control);
+                record_announcement(control_plane, control);
                 VersionVector::default()
             }
         };
-        let control = known(control_plane);
+        let control = known_and_announced(control_plane);
         let update = Update { vector: have, ..Update::default() };
         let reply = ControlReply::Update { has_quorum: false, control, update };
-        timeout(SILENT, write_frame(&mut stream, &reply)).await.map_err(io::Error::from)??;
+        timeout(IDLE_TIMEOUT, write_frame(&mut stream, &reply)).await.map_err(io::Error::from)??;
     }
 }
 
-/// What the agent knows, and what was announced beside.
-fn known(control_plane: &ControlPlaneStatus) -> Vec<SocketAddr> {
-    let mut known = control_plane.known.borrow().clone();
+/// The control processes that the agent of this machine knows, then the announced ones.
+fn known_and_announced(control_plane: &ControlPlaneStatus) -> Vec<SocketAddr> {
+    let mut addresses = control_plane.known.borrow().clone();
     for address in control_plane.announced.borrow().iter() {
-        if !known.contains(address) {
-            known.push(*address);
+        if !addresses.contains(address) {
+            addresses.push(*address);
         }
     }
-    known.truncate(MOST_ANNOUNCED);
-    known
+    addresses.truncate(MAX_ANNOUNCED);
+    addresses
 }
 
-/// The newest announcement comes first, and what was announced before stays as far as there is room.
-fn learn(control_plane: &ControlPlaneStatus, control: Vec<SocketAddr>) {
-    let announced = control_plane.announced.borrow().clone();
-    let mut newest = control;
-    newest.truncate(MOST_ANNOUNCED);
-    for address in announced {
-        if newest.len() < MOST_ANNOUNCED && !newest.contains(&address) {
-            newest.push(address);
+/// Puts the newest announcement first; earlier ones stay as far as there is room.
+fn record_announcement(control_plane: &ControlPlaneStatus, control: Vec<SocketAddr>) {
+    let earlier = control_plane.announced.borrow().clone();
+    let mut announced = control;
+    announced.truncate(MAX_ANNOUNCED);
+    for address in earlier {
+        if announced.len() < MAX_ANNOUNCED && !announced.contains(&address) {
+            announced.push(address);
         }
     }
-    control_plane.announced.send_replace(newest);
+    control_plane.announced.send_replace(announced);
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,29 +1,38 @@
-//! The agent: keeps the link of a front to the control plane and feeds the proxy of the same machine over loopback.
+//! The agent: connects a front-end node to the control plane and feeds the proxy of the same machine over loopback.
 //!
-//! Three tasks share nothing but queues. `owner` holds the tables; `uplink` pulls what they are missing from one
-//! control process at a time and moves on when that one fails or has lost touch; `feed` serves the proxy.
+//! The tasks share nothing but queues and the published [`ControlPlaneStatus`].
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `table_owner` | the task that owns the tables; executes the commands of the others |
+//! | `control_link` | the task that pulls from one control process at a time, and moves on when it fails or has no quorum |
+//! | `control_connection`, `stall_timeout` | one connection to a control process and its time limits |
+//! | `backoff`, `fallback` | the pause between passes; the newest update without a quorum |
+//! | `feed` | the task that sends updates to the proxy and receives its reports |
+//! | [`discovery`] | the agent port of a machine without a replica |
+//! | `metrics` | counts and their text |
 #![forbid(unsafe_code)]
 
 mod backoff;
 #[cfg(test)]
 mod backoff_tests;
+mod control_connection;
+#[cfg(test)]
+mod control_connection_tests;
+mod control_link;
 pub mod discovery;
 #[cfg(test)]
 mod discovery_tests;
+mod fallback;
 mod feed;
-mod figures;
-mod last_resort;
-mod link;
-#[cfg(test)]
-mod link_tests;
-mod owner;
-mod patience;
-mod uplink;
+mod metrics;
+mod stall_timeout;
+mod table_owner;
 
 use eyre::{Result, WrapErr};
-use figures::Figures;
 use lugwharf_settings::Settings;
 use lugwharf_telemetry::MetricsEndpoint;
+use metrics::AgentMetrics;
 use spdlog::prelude::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,52 +40,54 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-/// Commands that may wait for the owner of the tables; there is one feed and one uplink, so few are ever under way.
-const QUEUE: usize = 64;
+/// Commands that may be queued for the owner of the tables. There is one feed and one control link, so few are ever queued.
+const COMMAND_QUEUE: usize = 64;
 
-/// What the command line may choose.
+/// What the caller of [`run`] may choose.
 #[derive(Clone, Debug, Default)]
 pub struct AgentOptions {
     /// The port of `GET /metrics`; not served if absent.
     pub metrics_port: Option<u16>,
-    /// What is told of the control plane to others on this machine.
+    /// Where the agent publishes what it knows of the control plane.
     pub control_plane: ControlPlaneStatus,
 }
 
-/// What the agent knows of the control plane, kept up to date.
+/// What the agent knows of the control plane, published for others in this process. Clones share the same channels.
 #[derive(Clone, Debug, Default)]
 pub struct ControlPlaneStatus {
-    /// The agent address of the control process that is followed.
+    /// The agent address of the control process that the agent follows, if any.
     pub followed: watch::Sender<Option<SocketAddr>>,
-    /// The agent addresses of all control processes that are known.
+    /// The agent addresses of the control processes of the view.
     pub known: watch::Sender<Vec<SocketAddr>>,
-    /// The agent addresses that control processes have announced to this machine, the newest first.
+    /// The agent addresses that control processes have announced to this machine, newest first.
     pub announced: watch::Sender<Vec<SocketAddr>>,
 }
 
-/// Runs until SIGTERM.
+/// Runs the agent until SIGTERM. SIGHUP reads the settings file again and takes over its seeds.
 pub async fn run(settings: Settings, options: AgentOptions) -> Result<()> {
     let mut hangup = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
     let mut terminate = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
     let feed_address = settings.feed_address();
     let listener =
         TcpListener::bind(feed_address).await.wrap_err_with(|| format!("listening on {feed_address}"))?;
-    let (commands, queue) = mpsc::channel(QUEUE);
-    tokio::spawn(owner::run(queue));
+    let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE);
+    tokio::spawn(table_owner::run(command_queue));
     tokio::spawn(feed::serve(listener, commands.clone()));
     let (reload, reloads) = mpsc::channel(1);
-    let figures = Arc::<Figures>::default();
-    let metrics_endpoint =
-        MetricsEndpoint::listen_if_enabled(settings.listen_ip(), options.metrics_port).await;
-    if let Some(endpoint) = metrics_endpoint {
-        tokio::spawn(figures::serve(endpoint, figures.clone(), commands.clone()));
+    let metrics = Arc::<AgentMetrics>::default();
+    let endpoint = MetricsEndpoint::listen_if_enabled(settings.listen_ip(), options.metrics_port).await;
+    if let Some(endpoint) = endpoint {
+        tokio::spawn(metrics::serve(endpoint, metrics.clone(), commands.clone()));
     }
-    tokio::spawn(uplink::run(settings, figures, commands, reloads, options.control_plane));
+    tokio::spawn(control_link::run(settings, metrics, commands, reloads, options.control_plane));
     loop {
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = hangup.recv() => match Settings::read(&Settings::path()) {
-                Ok(settings) => drop(reload.try_send(settings)),
+                Ok(settings) => {
+                    // Fails while an earlier reload is still queued: the control link takes it between two passes.
+                    let _ = reload.try_send(settings);
+                }
                 Err(error) => warn!("settings", kv: { outcome = "not_reloaded", error: = error }),
             },
         }
--- /dev/null
+++ b/crates/agent/src/metrics.rs
@@ -0,0 +1,105 @@
+//! The metrics of the agent and their text. `docs/OPERATING.md` lists the names.
+
+use crate::table_owner::{Command, TableSummary};
+use lugwharf_telemetry::{Exposition, MetricsEndpoint};
+use std::sync::Arc;
+use std::sync::atomic::{AtomicU64, Ordering};
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::Instant;
+
+/// The beginning of all names.
+const PREFIX: &str = "lugwharf_agent";
+
+/// How a pull from a control process ended, or the attempt to connect to it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PullOutcome {
+    /// It replied and has a quorum.
+    Served,
+    /// It replied that it has no quorum.
+    NoQuorum,
+    /// There was no reply, or a malformed one.
+    Failed,
+    /// No control process has a quorum: the newest update of one without was applied.
+    Fallback,
+}
+
+impl PullOutcome {
+    const ALL: [PullOutcome; 4] =
+        [PullOutcome::Served, PullOutcome::NoQuorum, PullOutcome::Failed, PullOutcome::Fallback];
+
+    /// The value of the label `outcome`. Alarms are written against these names, so they stay as they are.
+    fn label(self) -> &'static str {
+        match self {
+            PullOutcome::Served => "served",
+            PullOutcome::NoQuorum => "out_of_touch",
+            PullOutcome::Failed => "failed",
+            PullOutcome::Fallback => "last_resort",
+        }
+    }
+}
+
+/// Counts since the start of the process, shared by its tasks.
+#[derive(Debug, Default)]
+pub struct AgentMetrics {
+    pulls: [AtomicU64; PullOutcome::ALL.len()],
+    /// How often the agent began to follow a control process.
+    followed: AtomicU64,
+}
+
+impl AgentMetrics {
+    /// Counts a pull that has ended.
+    pub fn record_pull(&self, outcome: PullOutcome) {
+        self.pulls[outcome as usize].fetch_add(1, Ordering::Relaxed);
+    }
+
+    /// Counts that the agent began to follow a control process.
+    pub fn record_followed(&self) {
+        self.followed.fetch_add(1, Ordering::Relaxed);
+    }
+
+    /// The text in the OpenMetrics format.
+    fn render(&self, started_at: Instant, tables: &TableSummary) -> String {
+        let mut text = Exposition::new(PREFIX);
+        let pulls = PullOutcome::ALL.into_iter().zip(&self.pulls);
+        let pulls = pulls.map(|(outcome, count)| (outcome.label(), count.load(Ordering::Relaxed)));
+        text.outcomes("pulls", "Pulls from control processes by outcome", pulls);
+        text.counter(
+            "followed",
+            "Times that a control process was followed anew",
+            self.followed.load(Ordering::Relaxed),
+        );
+        let vector = tables.vector;
+        let gauges = [
+            ("uptime_seconds", "Time since the start of the process", started_at.elapsed().as_secs()),
+            ("config_version", "Version of the newest configuration; 0 for none", vector.config),
+            ("list_epoch", "Epoch of the server table", vector.servers.epoch),
+            ("list_sequence", "Sequence of the server table in its epoch", vector.servers.sequence),
+            ("live_proxies", "Live proxies of the fleet as last reported", vector.live_proxies.into()),
+            ("servers", "Servers in the server table", tables.servers as u64),
+            ("feeds", "Feeds of proxies that wait for an update", tables.waiting_feeds as u64),
+        ];
+        for (name, help, value) in gauges {
+            text.gauge(name, help, value);
+        }
+        text.finish()
+    }
+}
+
+/// Answers requests for the metrics for as long as the process runs.
+pub async fn serve(endpoint: MetricsEndpoint, metrics: Arc<AgentMetrics>, commands: mpsc::Sender<Command>) {
+    let started_at = Instant::now();
+    let MetricsEndpoint { mut requests } = endpoint;
+    while let Some(request) = requests.recv().await {
+        let (reply, summary) = oneshot::channel();
+        if commands.send(Command::Summarize { reply }).await.is_err() {
+            return;
+        }
+        let Ok(summary) = summary.await else { return };
+        // The collector may have disconnected.
+        let _ = request.send(metrics.render(started_at, &summary));
+    }
+}
+
+#[cfg(test)]
+#[path = "metrics_tests.rs"]
+mod metrics_tests;
--- a/crates/agent/src/figures_tests.rs
+++ b/crates/agent/src/metrics_tests.rs
@@ -1,21 +1,21 @@
 //! The text of the metrics, word for word: alarms and boards are written against these names.
 
-use super::{Figures, PullOutcome};
-use crate::owner::Holdings;
+use super::{AgentMetrics, PullOutcome};
+use crate::table_owner::TableSummary;
 use lugwharf_protocol::{TablePosition, VersionVector};
 use tokio::time::Instant;
 
 #[tokio::test(start_paused = true)]
 async fn the_metrics_are_written_under_their_names() {
-    let figures = Figures::default();
-    for outcome in [PullOutcome::Served, PullOutcome::Served, PullOutcome::OutOfTouch, PullOutcome::Failed] {
-        figures.pulled(outcome);
+    let metrics = AgentMetrics::default();
+    for outcome in [PullOutcome::Served, PullOutcome::Served, PullOutcome::NoQuorum, PullOutcome::Failed] {
+        metrics.record_pull(outcome);
     }
-    figures.pulled(PullOutcome::LastResort);
-    figures.followed();
+    metrics.record_pull(PullOutcome::Fallback);
+    metrics.record_followed();
     let servers = TablePosition { epoch: 5, sequence: 6 };
     let vector = VersionVector { config: 7, servers, live_proxies: 8 };
-    let text = figures.render(Instant::now(), &Holdings { vector, servers: 9, feeds: 10 });
+    let text = metrics.render(Instant::now(), &TableSummary { vector, servers: 9, waiting_feeds: 10 });
     // Counts of one label come in no order, and the help texts are for people.
     let mut lines: Vec<&str> = text.lines().filter(|line| !line.starts_with("# HELP")).collect();
     lines.sort_unstable();
--- /dev/null
+++ b/crates/agent/src/stall_timeout.rs
@@ -0,0 +1,47 @@
+//! A time limit on each pause of a reader, instead of on the complete read.
+
+use std::future::Future;
+use std::io;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::io::{AsyncRead, ReadBuf};
+use tokio::time::{Instant, Sleep, sleep};
+
+#[cfg(test)]
+#[path = "stall_timeout_tests.rs"]
+mod stall_timeout_tests;
+
+/// A reader that fails with `TimedOut` once no bytes have come for too long.
+pub struct StallTimeoutReader<'a, R> {
+    reader: &'a mut R,
+    /// The longest time between two reads that return bytes.
+    stall_timeout: Duration,
+    deadline: Pin<Box<Sleep>>,
+}
+
+impl<'a, R> StallTimeoutReader<'a, R> {
+    /// Wraps `reader`: the first bytes must come within `first_byte_timeout`, and each further ones within `stall_timeout`
+    /// after the ones before.
+    pub fn new(reader: &'a mut R, first_byte_timeout: Duration, stall_timeout: Duration) -> Self {
+        StallTimeoutReader { reader, stall_timeout, deadline: Box::pin(sleep(first_byte_timeout)) }
+    }
+}
+
+impl<R: AsyncRead + Unpin> AsyncRead for StallTimeoutReader<'_, R> {
+    fn poll_read(
+        self: Pin<&mut Self>, context: &mut Context<'_>, buffer: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let this = self.get_mut();
+        let filled_before = buffer.filled().len();
+        let read = Pin::new(&mut *this.reader).poll_read(context, buffer);
+        if read.is_ready() {
+            if buffer.filled().len() > filled_before {
+                let deadline = Instant::now() + this.stall_timeout;
+                this.deadline.as_mut().reset(deadline);
+            }
+            return read;
+        }
+        this.deadline.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
+    }
+}
