--- a/crates/chain/examples/history_log.rs
+++ b/crates/chain/examples/history_log.rs
@@ -4,7 +4,7 @@
 //! told otherwise. One replica on a real folder, which is made anew in the system's folder for such files. The log is
 //! read back in a process of its own, so that its memory is measured alone.
 
-use lugwharf_chain::{Action, Answer, Event, Replica, ReplicaSettings, Ticket};
+use lugwharf_chain::{Action, Event, OperatorRequestId, OperatorResponse, Replica, ReplicaSettings};
 use lugwharf_store::Log;
 use std::error::Error;
 use std::net::SocketAddr;
@@ -43,24 +43,24 @@
     }
 
     /// Carries out what the replica wants until it rests. Returns the answer to a call, if there is one.
-    fn carry_out(&mut self, mut actions: Vec<Action>) -> Outcome<Option<Answer>> {
+    fn carry_out(&mut self, mut actions: Vec<Action>) -> Outcome<Option<OperatorResponse>> {
         let mut answered = None;
         while !actions.is_empty() {
             let mut out = Vec::new();
             for action in actions {
                 match action {
-                    Action::Store { batch, records } => {
+                    Action::Persist { batch, records } => {
                         self.log.append(&records)?;
                         self.written_bytes += records.iter().map(Vec::len).sum::<usize>() as u64;
-                        self.replica.handle(self.now, Event::Stored { batch }, &mut out);
+                        self.replica.handle(self.now, Event::Persisted { batch }, &mut out);
                     }
-                    Action::Rewrite { batch, records } => {
+                    Action::RewriteLog { batch, records } => {
                         self.log.rewrite(&records)?;
                         self.written_bytes += self.log.len_bytes();
                         self.rewrites += 1;
-                        self.replica.handle(self.now, Event::Stored { batch }, &mut out);
+                        self.replica.handle(self.now, Event::Persisted { batch }, &mut out);
                     }
-                    Action::Answer { answer, .. } => answered = Some(answer),
+                    Action::Respond { response, .. } => answered = Some(response),
                     _ => {}
                 }
             }
@@ -69,7 +69,7 @@
         Ok(answered)
     }
 
-    fn handle(&mut self, event: Event) -> Outcome<Option<Answer>> {
+    fn handle(&mut self, event: Event) -> Outcome<Option<OperatorResponse>> {
         let mut out = Vec::new();
         self.replica.handle(self.now, event, &mut out);
         self.carry_out(out)
@@ -81,17 +81,22 @@
     }
 
     fn run_until_serving(&mut self) -> Outcome<()> {
-        while !self.replica.status().serving {
+        while !self.replica.status().is_serving {
             self.tick()?;
         }
         Ok(())
     }
 
     fn take(&mut self, version: u64, bytes: Arc<[u8]>) -> Outcome<()> {
-        let event =
-            Event::Submit { ticket: Ticket(version), base: version - 1, version, request: None, bytes };
+        let event = Event::Submit {
+            id: OperatorRequestId(version),
+            base: version - 1,
+            version,
+            request_hash: None,
+            bytes,
+        };
         match self.handle(event)? {
-            Some(Answer::Accepted { .. }) => self.tick(),
+            Some(OperatorResponse::Accepted { .. }) => self.tick(),
             other => Err(format!("version {version}: {other:?}").into()),
         }
     }
@@ -141,7 +146,7 @@
     let begun = Instant::now();
     let machine = Machine::open(folder)?;
     let took = begun.elapsed();
-    let newest = machine.replica.status().committed;
+    let newest = machine.replica.status().committed_version;
     println!("reading the file alone: {:.1} ms", reading.as_secs_f64() * 1_000.0);
     println!("start:   {:.1} ms, newest committed {newest:?}", took.as_secs_f64() * 1_000.0);
     println!("peak memory of the start: {} KiB, {before} KiB before it", peak_memory()?);
--- a/crates/chain/src/accepted_tests.rs
+++ b/crates/chain/src/accepted_tests.rs
@@ -1,6 +1,6 @@
 //! A replica says whether it has accepted a proposal for the view after its own.
 
-use crate::model::{Ballot, MemberId, View};
+use crate::model::{MemberId, ProposalNumber, View};
 use crate::record::Record;
 use crate::{Replica, ReplicaSettings};
 use std::net::SocketAddr;
@@ -19,9 +19,9 @@
         chain,
         source: Some(member(1)),
         lineage: Vec::new(),
-        base: 0,
-        tolerated: 1,
-        required: 3,
+        last_known_served: 0,
+        fault_tolerance: 1,
+        min_members: 3,
     }
 }
 
@@ -33,14 +33,14 @@
 
 #[test]
 fn an_accepted_view_is_told_after_a_restart_and_no_more_once_it_is_agreed() {
-    let identity = Record::Identity { disk: 1, founding: None };
-    let ballot = Ballot { round: 1, proposer: member(2) };
+    let identity = Record::Identity { disk: 1, bootstrap_seeds: None };
+    let proposal = ProposalNumber { round: 1, proposer: member(2) };
     let mut records = vec![identity, Record::Decided { view: view(1) }];
-    assert!(!recovered(&records).status().accepted_next);
-    records.push(Record::Promise { instance: 2, ballot });
-    assert!(!recovered(&records).status().accepted_next, "a promise chooses no view");
-    records.push(Record::Accept { ballot, view: view(2) });
-    assert!(recovered(&records).status().accepted_next);
+    assert!(!recovered(&records).status().has_accepted_next_view);
+    records.push(Record::Promise { instance: 2, proposal });
+    assert!(!recovered(&records).status().has_accepted_next_view, "a promise chooses no view");
+    records.push(Record::Accept { proposal, view: view(2) });
+    assert!(recovered(&records).status().has_accepted_next_view);
     records.push(Record::Decided { view: view(2) });
-    assert!(!recovered(&records).status().accepted_next);
+    assert!(!recovered(&records).status().has_accepted_next_view);
 }
--- a/crates/chain/src/ballot_tests.rs
+++ b/crates/chain/src/ballot_tests.rs
@@ -1,17 +1,17 @@
-//! A ballot bears one value: the proposer's own promise is on disk before anybody else hears of the ballot.
+//! A proposal bears one value: the proposer's own promise is on disk before anybody else hears of the proposal.
 
 use crate::Message;
 use crate::consensus::{Acceptor, Held};
-use crate::model::{Ballot, View};
+use crate::model::{ProposalNumber, View};
 use crate::test_driver::{Driver, disk_of, member, view};
 use rstest::rstest;
 
-fn ballots(driver: &Driver) -> Vec<Ballot> {
-    let ballot = |message: &Message| match message {
-        Message::Prepare { ballot, .. } => Some(*ballot),
+fn proposal_numbers(driver: &Driver) -> Vec<ProposalNumber> {
+    let proposal = |message: &Message| match message {
+        Message::Prepare { proposal, .. } => Some(*proposal),
         _ => None,
     };
-    driver.sent.iter().filter_map(|(_, message)| ballot(message)).collect()
+    driver.sent.iter().filter_map(|(_, message)| proposal(message)).collect()
 }
 
 #[rstest]
@@ -20,9 +20,9 @@
 fn nobody_hears_of_a_ballot_that_a_loss_of_power_can_take_away(#[case] members: u8) {
     let mut driver = Driver::start(1, disk_of(1, members), members);
     driver.until_it_proposes(2);
-    assert_eq!(ballots(&driver), Vec::new(), "before the own promise is on disk");
+    assert_eq!(proposal_numbers(&driver), Vec::new(), "before the own promise is on disk");
     driver.sync();
-    assert_eq!(ballots(&driver).len(), usize::from(members) - 1, "each other member is asked");
+    assert_eq!(proposal_numbers(&driver).len(), usize::from(members) - 1, "each other member is asked");
 }
 
 #[rstest]
@@ -32,32 +32,32 @@
     let mut first = Driver::start(1, disk_of(1, members), members);
     first.until_it_proposes(2);
     first.sync();
-    let before = ballots(&first);
+    let before = proposal_numbers(&first);
     let mut second = Driver::start(1, first.synced, members);
     second.until_it_proposes(2);
     second.sync();
-    let after = ballots(&second);
+    let after = proposal_numbers(&second);
     assert!(!before.is_empty() && !after.is_empty());
-    assert!(after.iter().all(|ballot| before.iter().all(|used| ballot > used)), "{before:?} {after:?}");
+    assert!(after.iter().all(|proposal| before.iter().all(|used| proposal > used)), "{before:?} {after:?}");
 }
 
 #[test]
 fn an_acceptor_tells_two_values_under_one_ballot_apart() {
-    let ballot = Ballot { round: 3, proposer: member(1) };
-    let acceptor = Acceptor { promised: Some(ballot), accepted: Some(Box::new((ballot, view(2, 3)))) };
+    let proposal = ProposalNumber { round: 3, proposer: member(1) };
+    let acceptor = Acceptor { promised: Some(proposal), accepted: Some(Box::new((proposal, view(2, 3)))) };
     let other = View { chain: vec![member(1), member(2)], ..view(2, 3) };
-    let higher = Ballot { round: 4, proposer: member(1) };
-    assert_eq!(acceptor.compare(ballot, &view(2, 3)), Held::Same);
-    assert_eq!(acceptor.compare(ballot, &other), Held::OtherValue);
+    let higher = ProposalNumber { round: 4, proposer: member(1) };
+    assert_eq!(acceptor.compare(proposal, &view(2, 3)), Held::Same);
+    assert_eq!(acceptor.compare(proposal, &other), Held::OtherValue);
     assert_eq!(acceptor.compare(higher, &other), Held::Lower);
 }
 
-/// A second value under a ballot that was accepted for another one gets no answer and is not stored.
+/// A second value under a proposal that was accepted for another one gets no answer and is not stored.
 #[test]
 fn an_acceptor_takes_no_second_value_under_one_ballot() {
     let mut driver = Driver::start(1, disk_of(1, 3), 3);
-    let ballot = Ballot { round: 3, proposer: member(2) };
-    let accept = |view: View| Message::Accept { ballot, view };
+    let proposal = ProposalNumber { round: 3, proposer: member(2) };
+    let accept = |view: View| Message::Accept { proposal, view };
     driver.receive(2, accept(view(2, 3)));
     driver.sync();
     let accepted = |driver: &Driver| driver.count(|message| matches!(message, Message::Accepted { .. }));
--- a/crates/chain/src/consensus.rs
+++ b/crates/chain/src/consensus.rs
@@ -1,7 +1,7 @@
 //! Single-decree consensus on the next view: the state of an acceptor and of a proposer.
 
-use crate::message::Holding;
-use crate::model::{Ancestor, Ballot, MemberId, View};
+use crate::message::HistoryPosition;
+use crate::model::{Ancestor, MemberId, ProposalNumber, View};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,22 +13,22 @@
 #[derive(Clone, Debug, Default)]
 pub struct Acceptor {
     /// The highest proposal it takes part in.
-    pub promised: Option<Ballot>,
+    pub promised: Option<ProposalNumber>,
     /// The view that it has accepted, and in which proposal.
-    pub accepted: Option<Box<(Ballot, View)>>,
+    pub accepted: Option<Box<(ProposalNumber, View)>>,
 }
 
 impl Acceptor {
     /// Whether a proposal may be promised or accepted.
-    pub fn admits(&self, ballot: Ballot) -> bool {
-        self.promised.is_none_or(|promised| ballot >= promised)
+    pub fn admits(&self, proposal: ProposalNumber) -> bool {
+        self.promised.is_none_or(|promised| proposal >= promised)
     }
 
     /// How an admitted proposal compares to what was accepted.
-    pub fn compare(&self, ballot: Ballot, view: &View) -> Held {
+    pub fn compare(&self, proposal: ProposalNumber, view: &View) -> Held {
         match &self.accepted {
-            Some(held) if held.0 == ballot && held.1 == *view => Held::Same,
-            Some(held) if held.0 == ballot => Held::OtherValue,
+            Some(held) if held.0 == proposal && held.1 == *view => Held::Same,
+            Some(held) if held.0 == proposal => Held::OtherValue,
             _ => Held::Lower,
         }
     }
@@ -41,19 +41,19 @@
     Lower,
     /// This very proposal was accepted.
     Same,
-    /// Another value was accepted under the same ballot. No sound proposer does that.
+    /// Another value was accepted under the same proposal. No sound proposer does that.
     OtherValue,
 }
 
 /// A promise as its proposer keeps it.
 #[derive(Clone, Debug)]
-pub struct PromiseHeld {
+pub struct ReceivedPromise {
     /// Who promised.
     pub member: MemberId,
     /// What the acceptor has accepted in a lower proposal.
-    pub accepted: Option<Box<(Ballot, View)>>,
+    pub accepted: Option<Box<(ProposalNumber, View)>>,
     /// The history that it holds.
-    pub holding: Holding,
+    pub position: HistoryPosition,
 }
 
 /// How far a proposal is.
@@ -62,7 +62,7 @@
     /// Promises are gathered.
     Preparing {
         /// The promises so far.
-        promises: BTreeMap<SocketAddr, PromiseHeld>,
+        promises: BTreeMap<SocketAddr, ReceivedPromise>,
         /// Since when they are a majority.
         majority_since: Option<Duration>,
     },
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// Its number.
-    pub ballot: Ballot,
+    pub proposal: ProposalNumber,
     /// When it is given up.
     pub deadline: Duration,
     /// How far it is.
@@ -104,10 +104,10 @@
 }
 
 impl Proposer {
-    /// The proposer of a process that starts again: it goes on above every ballot that it may have used before, since its
+    /// The proposer of a process that starts again: it goes on above every proposal that it may have used before, since its
     /// own promise was on disk before anybody else heard of one.
-    pub fn recover(promised: Option<Ballot>) -> Proposer {
-        Proposer { highest_round: promised.map_or(0, |ballot| ballot.round), ..Proposer::default() }
+    pub fn recover(promised: Option<ProposalNumber>) -> Proposer {
+        Proposer { highest_round: promised.map_or(0, |proposal| proposal.round), ..Proposer::default() }
     }
 }
 
@@ -117,53 +117,55 @@
     /// These views, newest first.
     pub ancestors: Vec<Ancestor>,
     /// The last one before those.
-    pub base: u64,
+    pub last_known_served: u64,
 }
 
 impl Lineage {
     /// The lineage of the view after `view`, as promises of a majority tell. `served` says that `view` is known to have
     /// served.
     ///
-    /// A view has not served and never will if a replica of its chain has promised a later one without holding its
+    /// A view has not served and never will if a replica of its chain has promised a later one without position its
     /// history.
-    pub fn after(view: &View, served: bool, promises: &BTreeMap<SocketAddr, PromiseHeld>) -> Lineage {
+    pub fn after(view: &View, served: bool, promises: &BTreeMap<SocketAddr, ReceivedPromise>) -> Lineage {
         if served {
-            return Lineage { ancestors: Vec::new(), base: view.number };
+            return Lineage { ancestors: Vec::new(), last_known_served: view.number };
         }
         let present = Ancestor { number: view.number, chain: view.chain.clone() };
         let present = Some(present).filter(|_| view.may_serve());
         let all = present.into_iter().chain(view.lineage.iter().cloned());
         let never_served = |ancestor: &Ancestor| {
             let mut replicas = promises.values().filter(|promise| ancestor.chain.contains(&promise.member));
-            replicas.any(|promise| promise.holding.installed < ancestor.number)
+            replicas.any(|promise| promise.position.installed_view < ancestor.number)
         };
         let mut ancestors: Vec<Ancestor> = all.filter(|ancestor| !never_served(ancestor)).collect();
-        let mut base = view.base;
+        let mut last_known_served = view.last_known_served;
         if ancestors.len() > MAX_ANCESTORS {
             // Those cut off are not told apart any more: the newest of them counts as one that has served.
-            base = ancestors[MAX_ANCESTORS].number;
+            last_known_served = ancestors[MAX_ANCESTORS].number;
             ancestors.truncate(MAX_ANCESTORS);
         }
-        Lineage { ancestors, base }
+        Lineage { ancestors, last_known_served }
     }
 
     /// The oldest view whose history holds all that was ever acknowledged.
     pub fn floor(&self) -> u64 {
-        self.ancestors.first().map_or(self.base, |ancestor| ancestor.number)
+        self.ancestors.first().map_or(self.last_known_served, |ancestor| ancestor.number)
     }
 }
 
 /// The promisers whose history holds all that was ever acknowledged.
-pub fn holders(floor: u64, promises: &BTreeMap<SocketAddr, PromiseHeld>) -> Vec<MemberId> {
-    let holds = |promise: &&PromiseHeld| promise.holding.installed >= floor;
+pub fn holders(floor: u64, promises: &BTreeMap<SocketAddr, ReceivedPromise>) -> Vec<MemberId> {
+    let holds = |promise: &&ReceivedPromise| promise.position.installed_view >= floor;
     promises.values().filter(holds).map(|promise| promise.member).collect()
 }
 
 /// The replica of a chain that the others take the history from: the holder with the newest history.
 pub fn choose_source(
-    floor: u64, chain: &[MemberId], promises: &BTreeMap<SocketAddr, PromiseHeld>,
+    floor: u64, chain: &[MemberId], promises: &BTreeMap<SocketAddr, ReceivedPromise>,
 ) -> Option<MemberId> {
-    let fit = |promise: &&PromiseHeld| chain.contains(&promise.member) && promise.holding.installed >= floor;
-    let newest = |promise: &&PromiseHeld| (promise.holding.installed, promise.holding.last_index);
+    let fit = |promise: &&ReceivedPromise| {
+        chain.contains(&promise.member) && promise.position.installed_view >= floor
+    };
+    let newest = |promise: &&ReceivedPromise| (promise.position.installed_view, promise.position.last_index);
     promises.values().filter(fit).max_by_key(newest).map(|promise| promise.member)
 }
--- a/crates/chain/src/consensus_tests.rs
+++ b/crates/chain/src/consensus_tests.rs
@@ -1,8 +1,8 @@
 //! Where the next view takes the history from.
 
-use crate::consensus::{Acceptor, Lineage, PromiseHeld, choose_source};
-use crate::message::Holding;
-use crate::model::{Ancestor, Ballot, MemberId, View};
+use crate::consensus::{Acceptor, Lineage, ReceivedPromise, choose_source};
+use crate::message::HistoryPosition;
+use crate::model::{Ancestor, MemberId, ProposalNumber, View};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,9 +21,9 @@
         members,
         source: Some(member(1, 1)),
         lineage: vec![Ancestor { number: 4, chain: vec![member(2, 2), member(3, 3)] }],
-        base: 3,
-        tolerated: 1,
-        required: 3,
+        last_known_served: 3,
+        fault_tolerance: 1,
+        min_members: 3,
     }
 }
 
@@ -43,10 +43,10 @@
 ) {
     let promise = |&(number, installed, last_index): &(u8, u64, u64)| {
         let member = member(number, u64::from(number));
-        let holding = Holding { installed, last_index };
-        (member.address, PromiseHeld { member, accepted: None, holding })
+        let position = HistoryPosition { installed_view: installed, last_index };
+        (member.address, ReceivedPromise { member, accepted: None, position })
     };
-    let promises: BTreeMap<SocketAddr, PromiseHeld> = promises.iter().map(promise).collect();
+    let promises: BTreeMap<SocketAddr, ReceivedPromise> = promises.iter().map(promise).collect();
     let all = view().members;
     let chosen = choose_source(Lineage::after(&view(), false, &promises).floor(), &all, &promises);
     assert_eq!(chosen, source.map(|number| member(number, u64::from(number))));
@@ -55,8 +55,9 @@
 #[test]
 fn a_disk_that_was_lost_is_no_source() {
     let held = member(1, 1);
-    let holding = Holding { installed: 5, last_index: 9 };
-    let promises = BTreeMap::from([(held.address, PromiseHeld { member: held, accepted: None, holding })]);
+    let position = HistoryPosition { installed_view: 5, last_index: 9 };
+    let promises =
+        BTreeMap::from([(held.address, ReceivedPromise { member: held, accepted: None, position })]);
     let chain = [member(1, 77), member(2, 2)];
     assert_eq!(choose_source(Lineage::after(&view(), false, &promises).floor(), &chain, &promises), None);
 }
@@ -64,7 +65,7 @@
 #[test]
 fn a_view_that_served_ends_the_lineage() {
     let lineage = Lineage::after(&view(), true, &BTreeMap::new());
-    assert_eq!(lineage, Lineage { ancestors: Vec::new(), base: 5 });
+    assert_eq!(lineage, Lineage { ancestors: Vec::new(), last_known_served: 5 });
 }
 
 #[test]
@@ -72,7 +73,7 @@
     let ancestor = |number| Ancestor { number, chain: view().members };
     let long = View { number: 60, lineage: (4..60).rev().map(ancestor).collect(), ..view() };
     let lineage = Lineage::after(&long, false, &BTreeMap::new());
-    assert_eq!((lineage.ancestors.len(), lineage.floor(), lineage.base), (16, 60, 44));
+    assert_eq!((lineage.ancestors.len(), lineage.floor(), lineage.last_known_served), (16, 60, 44));
 }
 
 #[rstest]
@@ -85,11 +86,11 @@
 #[case::two_machines_in_all(2, 1, 2, 2, true)]
 #[case::a_single_machine(1, 0, 1, 1, true)]
 fn how_long_a_chain_must_be(
-    #[case] required: u32, #[case] tolerated: u32, #[case] members: usize, #[case] replicas: usize,
-    #[case] suffices: bool,
+    #[case] required: u32, #[case] fault_tolerance: u32, #[case] members: usize, #[case] replicas: usize,
+    #[case] is_sufficient: bool,
 ) {
-    let view = View { required, tolerated, ..view() };
-    assert_eq!(view.suffices(members, replicas), suffices);
+    let view = View { min_members: required, fault_tolerance, ..view() };
+    assert_eq!(view.is_sufficient(members, replicas), is_sufficient);
 }
 
 /// An acceptor takes part in no proposal below the one that it has promised.
@@ -99,7 +100,8 @@
 #[case::the_same(3, 2, true)]
 #[case::higher(4, 1, true)]
 fn a_lower_proposal_is_not_admitted(#[case] round: u64, #[case] proposer: u8, #[case] admitted: bool) {
-    let ballot = |round, proposer: u8| Ballot { round, proposer: member(proposer, u64::from(proposer)) };
-    let acceptor = Acceptor { promised: Some(ballot(3, 2)), accepted: None };
-    assert_eq!(acceptor.admits(ballot(round, proposer)), admitted);
+    let proposal =
+        |round, proposer: u8| ProposalNumber { round, proposer: member(proposer, u64::from(proposer)) };
+    let acceptor = Acceptor { promised: Some(proposal(3, 2)), accepted: None };
+    assert_eq!(acceptor.admits(proposal(round, proposer)), admitted);
 }
--- a/crates/chain/src/digest.rs
+++ b/crates/chain/src/digest.rs
@@ -32,14 +32,14 @@
 impl Blake3 {
     /// The hash of these bytes.
     pub fn of(bytes: &[u8]) -> Blake3 {
-        Blake3::of_pieces([bytes])
+        Blake3::of_parts([bytes])
     }
 
-    /// The hash of several pieces, as if they were one.
-    pub fn of_pieces<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Blake3 {
+    /// The hash of several chunks, as if they were one.
+    pub fn of_parts<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> Blake3 {
         let mut hasher = blake3::Hasher::new();
-        for piece in pieces {
-            hasher.update(piece);
+        for chunk in chunks {
+            hasher.update(chunk);
         }
         let mut halves = [[0; size_of::<u64>()]; 2];
         hasher.finalize_xof().fill(halves.as_flattened_mut());
@@ -54,7 +54,7 @@
     }
 }
 
-/// What a change is recognised by: the hashes of its configuration, and the hash of the request that it was computed from
+/// What a change is recognised by: the hashes of its configuration, and the hash of the request_hash that it was computed from
 /// where the operator did not send the configuration whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Digest {
@@ -62,24 +62,24 @@
     pub fnv: Fnv,
     /// Missing if an earlier version wrote the entry and its bytes were gone when this version first read it.
     pub blake3: Option<Blake3>,
-    /// Of the request, where it alters named items of its base.
-    pub request: Option<Blake3>,
+    /// Of the request_hash, where it alters named items of its base.
+    pub request_hash: Option<Blake3>,
 }
 
 impl Digest {
     /// The digest of these bytes.
     pub fn of(bytes: &[u8]) -> Digest {
-        Digest { fnv: Fnv::of(bytes), blake3: Some(Blake3::of(bytes)), request: None }
+        Digest { fnv: Fnv::of(bytes), blake3: Some(Blake3::of(bytes)), request_hash: None }
     }
 
-    /// The digest of the bytes that a request with this hash led to.
-    pub fn of_request(bytes: &[u8], request: Option<Blake3>) -> Digest {
-        Digest { request, ..Digest::of(bytes) }
+    /// The digest of the bytes that a request_hash with this hash led to.
+    pub fn of_request(bytes: &[u8], request_hash: Option<Blake3>) -> Digest {
+        Digest { request_hash, ..Digest::of(bytes) }
     }
 
-    /// Whether both stand for the same change: one request leads to the same bytes on the same base, whoever computes them.
+    /// Whether both stand for the same change: one request_hash leads to the same bytes on the same base, whoever computes them.
     pub fn matches(&self, other: &Digest) -> bool {
-        let same_request = self.request.is_some() && self.request == other.request;
+        let same_request = self.request_hash.is_some() && self.request_hash == other.request_hash;
         same_request || self.has_same_bytes(other)
     }
 
--- a/crates/chain/src/digest_tests.rs
+++ b/crates/chain/src/digest_tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn pieces_hash_as_one() {
-    assert_eq!(Blake3::of_pieces([&b"one"[..], b"", b"two"]), Blake3::of(b"onetwo"));
+    assert_eq!(Blake3::of_parts([&b"one"[..], b"", b"two"]), Blake3::of(b"onetwo"));
 }
 
 fn of_earlier_version(text: &str) -> Digest {
--- a/crates/chain/src/earlier_version_tests.rs
+++ b/crates/chain/src/earlier_version_tests.rs
@@ -3,7 +3,7 @@
 use crate::digest::{Digest, Fnv};
 use crate::history::History;
 use crate::message::{Heartbeat, Message};
-use crate::model::{Entry, Mark};
+use crate::model::{Entry, EntryHeader};
 use crate::record::Record;
 use rstest::rstest;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     "a166417070656e64a165656e747279a2646d61726ba465696e646578026776657273696f6e1464626173650a66646967657374821ba68d9d5edd8b58221b836dbc798fff24016562797465734374776f",
     "a166417070656e64a165656e747279a2646d61726ba465696e646578036776657273696f6e181e64626173651466646967657374821bc7a4c2350083d94f1b7081694153737d4b656279746573457468726565",
 ];
-/// View 4: the same three marks, with the bytes of the last two.
+/// View 4: the same three headers, with the bytes of the last two.
 const INSTALL: &str = "a167496e7374616c6ca2647669657704687472616e73666572a365616674657200656d61726b7383a465696e646578016776657273696f6e0a64626173650066646967657374821ba68d369a048b58221b836dbc796631923fa465696e646578026776657273696f6e1464626173650a66646967657374821ba68d9d5edd8b58221b836dbc798fff2401a465696e646578036776657273696f6e181e64626173651466646967657374821bc7a4c2350083d94f1b7081694153737d4b66626f6469657382a265696e646578026562797465734374776fa265696e64657803656279746573457468726565";
 /// Version 40 on 30 ("four").
 const SUBMIT: &str = "a1665375626d6974a56463616c6ca26b696e6361726e6174696f6e05667469636b6574066462617365181e6776657273696f6e182866646967657374821b696a39325d7572771bb806e974e023434565627974657344666f7572";
@@ -56,15 +56,15 @@
 }
 
 fn installed() -> History {
-    let Record::Install { view: 4, transfer } = record(INSTALL) else { panic!("no history") };
+    let Record::Install { view: 4, suffix } = record(INSTALL) else { panic!("no history") };
     let mut history = History::default();
-    assert!(history.install(&transfer));
+    assert!(history.install(&suffix));
     history
 }
 
 #[test]
 fn the_identity_is_read() {
-    assert!(matches!(record(IDENTITY), Record::Identity { disk: 7, founding: Some(_) }));
+    assert!(matches!(record(IDENTITY), Record::Identity { disk: 7, bootstrap_seeds: Some(_) }));
 }
 
 /// Digests of kept bytes are worked out anew; where the bytes are gone, a resend is recognised by the older hash.
@@ -72,7 +72,7 @@
 #[case::appended(appended(), [true, true, true])]
 #[case::installed(installed(), [false, true, true])]
 fn a_log_is_read(#[case] history: History, #[case] completed: [bool; 3]) {
-    let known = |index: u64| history.mark(index).expect("a mark").digest.blake3.is_some();
+    let known = |index: u64| history.header(index).expect("a header").digest.blake3.is_some();
     assert_eq!([1, 2, 3].map(known), completed);
     for (version, text) in [(10, "one"), (20, "two"), (30, "three")] {
         assert!(history.find(version, version - 10, Digest::of(text.as_bytes())).is_some(), "{text}");
@@ -87,21 +87,21 @@
     };
     assert_eq!((digest, bytes.as_ref()), (Fnv::of(b"four"), &b"four"[..]));
     let Message::Replicate { view: 4, entry } = message(REPLICATE) else { panic!("no entry") };
-    assert!(entry.mark.digest.fits(b"four"));
-    let Message::Committed { mark } = message(COMMITTED) else { panic!("no mark") };
-    assert!(mark.is_same(&entry.mark));
+    assert!(entry.header.digest.fits(b"four"));
+    let Message::Committed { header } = message(COMMITTED) else { panic!("no header") };
+    assert!(header.is_same(&entry.header));
     assert!(matches!(message(STATE_REQUEST), Message::StateRequest { view: 4, after: 1, .. }));
-    let Message::State { view: 4, transfer } = message(STATE) else { panic!("no history") };
-    assert_eq!((transfer.marks.len(), transfer.bodies.len()), (3, 2));
-    let Message::Heartbeat(Heartbeat { committed: Some(mark), .. }) = message(HEARTBEAT) else {
+    let Message::State { view: 4, suffix } = message(STATE) else { panic!("no history") };
+    assert_eq!((suffix.headers.len(), suffix.bodies.len()), (3, 2));
+    let Message::Heartbeat(Heartbeat { committed: Some(header), .. }) = message(HEARTBEAT) else {
         panic!("no heartbeat")
     };
-    assert_eq!((mark.index, mark.version), (3, 30));
+    assert_eq!((header.index, header.version), (3, 30));
 }
 
-/// A mark as the earlier version reads it.
+/// A header as the earlier version reads it.
 #[derive(Deserialize)]
-struct EarlierMark {
+struct EarlierEntryHeader {
     index: u64,
     version: u64,
     base: u64,
@@ -111,19 +111,19 @@
 /// A heartbeat as the earlier version reads it, as far as it matters here.
 #[derive(Deserialize)]
 struct EarlierHeartbeat {
-    committed: Option<EarlierMark>,
+    committed: Option<EarlierEntryHeader>,
     synced: u64,
 }
 
 #[test]
 fn an_earlier_version_reads_this_one() {
-    let mark = Mark { index: 3, version: 30, base: 20, digest: Digest::of(b"three") };
-    let read: EarlierMark = reread(&mark);
+    let header = EntryHeader { index: 3, version: 30, base: 20, digest: Digest::of(b"three") };
+    let read: EarlierEntryHeader = reread(&header);
     assert_eq!((read.index, read.version, read.base), (3, 30, 20));
     assert_eq!(read.digest, Fnv::of(b"three"));
     let Message::Heartbeat(beat) = message(HEARTBEAT) else { panic!("no heartbeat") };
-    let read: EarlierHeartbeat = reread(&Heartbeat { committed: Some(mark), ..beat });
-    assert_eq!((read.synced, read.committed.map(|mark| mark.index)), (3, Some(3)));
+    let read: EarlierHeartbeat = reread(&Heartbeat { committed: Some(header), ..beat });
+    assert_eq!((read.synced, read.committed.map(|header| header.index)), (3, Some(3)));
 }
 
 /// What an earlier version tells of an entry is less than what is held here, and still the same entry.
@@ -131,10 +131,10 @@
 fn a_commit_told_by_an_earlier_version_is_recognised() {
     let mut history = appended();
     let digest = Digest::of(b"four");
-    let mark = Mark { index: 4, version: 40, base: 30, digest };
-    assert!(history.append(Entry { mark, bytes: b"four"[..].into() }));
-    let Message::Committed { mark } = message(COMMITTED) else { panic!("no mark") };
-    assert_eq!(mark.digest.blake3, None);
-    assert!(history.holds(&mark));
-    assert!(!history.holds(&Mark { base: 20, ..mark }));
+    let header = EntryHeader { index: 4, version: 40, base: 30, digest };
+    assert!(history.append(Entry { header, bytes: b"four"[..].into() }));
+    let Message::Committed { header } = message(COMMITTED) else { panic!("no header") };
+    assert_eq!(header.digest.blake3, None);
+    assert!(history.holds(&header));
+    assert!(!history.holds(&EntryHeader { base: 20, ..header }));
 }
--- a/crates/chain/src/entry_tests.rs
+++ b/crates/chain/src/entry_tests.rs
@@ -1,9 +1,9 @@
 //! Which entries a replica stores that are sent to it, down the chain and outside it, and which history it sends.
 
 use crate::digest::Digest;
-use crate::model::{Ballot, CommittedConfig, Entry, Mark, MemberId, Transfer, View};
+use crate::model::{CommittedConfig, Entry, EntryHeader, HistorySuffix, MemberId, ProposalNumber, View};
 use crate::record::Record;
-use crate::transfer::{Piece, PieceRequest};
+use crate::transfer::{Chunk, ChunkRequest};
 use crate::{Action, Event, Message, Replica, ReplicaSettings};
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -23,9 +23,9 @@
         chain: chain.iter().copied().map(member).collect(),
         source: Some(member(source)),
         lineage: Vec::new(),
-        base: number - 1,
-        tolerated: 1,
-        required: 3,
+        last_known_served: number - 1,
+        fault_tolerance: 1,
+        min_members: 3,
     }
 }
 
@@ -33,9 +33,9 @@
 fn member_two(chain: &[u8]) -> Replica {
     let view = view(1, chain, 1);
     let records = [
-        Record::Identity { disk: 2, founding: None },
+        Record::Identity { disk: 2, bootstrap_seeds: None },
         Record::Decided { view },
-        Record::Install { view: 1, transfer: Transfer::default() },
+        Record::Install { view: 1, suffix: HistorySuffix::default() },
     ];
     let records: Vec<Vec<u8>> = records.iter().map(Record::encode).collect();
     let settings = ReplicaSettings::new(member(2).address, Vec::new(), false, 1, 7);
@@ -50,7 +50,7 @@
     let mut out = Vec::new();
     replica.handle(Duration::ZERO, Event::Message { from: member(1).address, message }, &mut out);
     let batches = out.into_iter().filter_map(|action| match action {
-        Action::Store { batch, records } => Some((batch, records)),
+        Action::Persist { batch, records } => Some((batch, records)),
         _ => None,
     });
     let mut entries = Vec::new();
@@ -60,27 +60,29 @@
             Record::Append { entry } => Some(entry),
             _ => None,
         }));
-        replica.handle(Duration::ZERO, Event::Stored { batch }, &mut Vec::new());
+        replica.handle(Duration::ZERO, Event::Persisted { batch }, &mut Vec::new());
     }
     entries
 }
 
-fn mark() -> Mark {
-    Mark { index: 1, version: 5, base: 0, digest: Digest::of(TEXT) }
+fn header() -> EntryHeader {
+    EntryHeader { index: 1, version: 5, base: 0, digest: Digest::of(TEXT) }
 }
 
-fn mark_of_earlier_version() -> Mark {
-    Mark { digest: Digest { blake3: None, ..Digest::of(TEXT) }, ..mark() }
+fn mark_of_earlier_version() -> EntryHeader {
+    EntryHeader { digest: Digest { blake3: None, ..Digest::of(TEXT) }, ..header() }
 }
 
 #[rstest]
-#[case::sound(mark(), TEXT, 1)]
+#[case::sound(header(), TEXT, 1)]
 #[case::of_an_earlier_version(mark_of_earlier_version(), TEXT, 1)]
-#[case::other_bytes(mark(), b"test", 0)]
+#[case::other_bytes(header(), b"test", 0)]
 #[case::other_bytes_of_an_earlier_version(mark_of_earlier_version(), b"test", 0)]
-fn an_entry_is_stored_if_its_bytes_fit(#[case] mark: Mark, #[case] bytes: &[u8], #[case] entries: usize) {
+fn an_entry_is_stored_if_its_bytes_fit(
+    #[case] header: EntryHeader, #[case] bytes: &[u8], #[case] entries: usize,
+) {
     let mut replica = member_two(&[1, 2, 3]);
-    let entry = Entry { mark, bytes: bytes.into() };
+    let entry = Entry { header, bytes: bytes.into() };
     assert_eq!(stored(&mut replica, Message::Replicate { view: 1, entry }).len(), entries);
 }
 
@@ -90,40 +92,40 @@
 
 /// Outside the chain the newest entry is put together from its commit and its configuration, whichever comes first.
 #[rstest]
-#[case::commit_first([Message::Committed { mark: mark() }, config(5, TEXT)], 1)]
-#[case::configuration_first([config(5, TEXT), Message::Committed { mark: mark() }], 1)]
-#[case::other_bytes([Message::Committed { mark: mark() }, config(5, b"test")], 0)]
-#[case::entries_are_missing_before([Message::Committed { mark: Mark { index: 2, ..mark() } }, config(5, TEXT)], 0)]
-#[case::another_version([Message::Committed { mark: mark() }, config(6, TEXT)], 0)]
+#[case::commit_first([Message::Committed { header: header() }, config(5, TEXT)], 1)]
+#[case::configuration_first([config(5, TEXT), Message::Committed { header: header() }], 1)]
+#[case::other_bytes([Message::Committed { header: header() }, config(5, b"test")], 0)]
+#[case::entries_are_missing_before([Message::Committed { header: EntryHeader { index: 2, ..header() } }, config(5, TEXT)], 0)]
+#[case::another_version([Message::Committed { header: header() }, config(6, TEXT)], 0)]
 fn a_committed_entry_outside_the_chain(#[case] messages: [Message; 2], #[case] entries: usize) {
     let mut replica = member_two(&[1, 3]);
     let all: Vec<Entry> = messages.into_iter().flat_map(|message| stored(&mut replica, message)).collect();
     assert_eq!(all.len(), entries);
-    assert!(all.iter().all(|entry| entry.mark == mark() && entry.bytes.as_ref() == TEXT));
-    assert_eq!(replica.status().held, entries as u64);
+    assert!(all.iter().all(|entry| entry.header == header() && entry.bytes.as_ref() == TEXT));
+    assert_eq!(replica.status().durable_commit_index, entries as u64);
 }
 
 /// A proposer goes by what a promise says of the history, so that it stays as it is until the next view.
 #[test]
 fn nothing_is_stored_outside_the_chain_behind_a_promise() {
     let mut replica = member_two(&[1, 3]);
-    let ballot = Ballot { round: 1, proposer: member(1) };
-    stored(&mut replica, Message::Prepare { instance: 2, ballot });
-    assert!(stored(&mut replica, Message::Committed { mark: mark() }).is_empty());
+    let proposal = ProposalNumber { round: 1, proposer: member(1) };
+    stored(&mut replica, Message::Prepare { instance: 2, proposal });
+    assert!(stored(&mut replica, Message::Committed { header: header() }).is_empty());
     assert!(stored(&mut replica, config(5, TEXT)).is_empty());
-    assert_eq!(replica.status().held, 0);
+    assert_eq!(replica.status().durable_commit_index, 0);
 }
 
-/// The piece that member 2 sends to member 3.
-fn piece(replica: &mut Replica, request: Message) -> Piece {
+/// The chunk that member 2 sends to member 3.
+fn chunk(replica: &mut Replica, request: Message) -> Chunk {
     let mut out = Vec::new();
     let from = member(3).address;
     replica.handle(Duration::ZERO, Event::Message { from, message: request }, &mut out);
-    let pieces = out.into_iter().filter_map(|action| match action {
-        Action::Send { message: Message::StatePiece { piece, .. }, .. } => Some(piece),
+    let chunks = out.into_iter().filter_map(|action| match action {
+        Action::Send { message: Message::StateChunk { chunk, .. }, .. } => Some(chunk),
         _ => None,
     });
-    pieces.last().expect("a piece")
+    chunks.last().expect("a chunk")
 }
 
 /// A replica that has begun to take over the history of one view does not get the rest of it as the history of the next
@@ -131,13 +133,13 @@
 #[test]
 fn a_history_of_an_earlier_view_is_not_sent_on() {
     let mut replica = member_two(&[1, 2, 3]);
-    let begun = Some(PieceRequest { stream: None, offset: 0 });
-    let first = piece(&mut replica, Message::StateRequest { view: 1, after: 0, piece: begun });
-    let entry = Entry { mark: mark(), bytes: TEXT.into() };
+    let begun = Some(ChunkRequest { stream: None, offset: 0 });
+    let first = chunk(&mut replica, Message::StateRequest { view: 1, after: 0, chunk: begun });
+    let entry = Entry { header: header(), bytes: TEXT.into() };
     assert_eq!(stored(&mut replica, Message::Replicate { view: 1, entry }).len(), 1);
     stored(&mut replica, Message::Decided { view: view(2, &[2, 3], 2) });
-    let rest = Some(PieceRequest { stream: Some(first.stream), offset: 1 });
-    let second = piece(&mut replica, Message::StateRequest { view: 2, after: 0, piece: rest });
+    let rest = Some(ChunkRequest { stream: Some(first.stream), offset: 1 });
+    let second = chunk(&mut replica, Message::StateRequest { view: 2, after: 0, chunk: rest });
     assert_ne!(second.stream, first.stream);
     assert_eq!(second.offset, 0);
 }
@@ -146,20 +148,20 @@
 #[test]
 fn the_committed_history_is_not_sent_for_that_of_a_view() {
     let mut replica = member_two(&[1, 2, 3]);
-    let entry = Entry { mark: mark(), bytes: TEXT.into() };
+    let entry = Entry { header: header(), bytes: TEXT.into() };
     stored(&mut replica, Message::Replicate { view: 1, entry: entry.clone() });
-    stored(&mut replica, Message::Committed { mark: mark() });
-    let next = Mark { index: 2, version: 6, base: 5, ..mark() };
-    stored(&mut replica, Message::Replicate { view: 1, entry: Entry { mark: next, ..entry } });
-    let begin = PieceRequest { stream: None, offset: 0 };
+    stored(&mut replica, Message::Committed { header: header() });
+    let next = EntryHeader { index: 2, version: 6, base: 5, ..header() };
+    stored(&mut replica, Message::Replicate { view: 1, entry: Entry { header: next, ..entry } });
+    let begin = ChunkRequest { stream: None, offset: 0 };
     let mut out = Vec::new();
-    let message = Message::HistoryRequest { after: 0, piece: begin };
+    let message = Message::HistoryRequest { after: 0, chunk: begin };
     replica.handle(Duration::ZERO, Event::Message { from: member(3).address, message }, &mut out);
-    let Some(Action::Send { message: Message::HistoryPiece { piece: committed }, .. }) = out.pop() else {
+    let Some(Action::Send { message: Message::HistoryChunk { chunk: committed }, .. }) = out.pop() else {
         panic!("no history")
     };
-    let rest = Some(PieceRequest { stream: Some(committed.stream), offset: 1 });
-    let state = piece(&mut replica, Message::StateRequest { view: 1, after: 0, piece: rest });
+    let rest = Some(ChunkRequest { stream: Some(committed.stream), offset: 1 });
+    let state = chunk(&mut replica, Message::StateRequest { view: 1, after: 0, chunk: rest });
     assert_ne!(state.stream, committed.stream);
     assert_eq!(state.offset, 0);
 }
--- a/crates/chain/src/guard_tests.rs
+++ b/crates/chain/src/guard_tests.rs
@@ -1,17 +1,19 @@
 //! One test for each guard of a replica that nothing else notices; `docs/design/guards-chain.md` has the table.
 
-use crate::message::Outcome;
-use crate::model::{Ballot, MemberId, View};
+use crate::message::RequestOutcome;
+use crate::model::{MemberId, ProposalNumber, View};
 use crate::record::Record;
 use crate::test_driver::{
     Driver, QUESTION, address, disk_of, entry, is_outcome, member, serving, submit, view,
 };
-use crate::transfer::{Assembly, PieceRequest, Progress, Stream};
-use crate::{Answer, Body, CallId, Event, Heartbeat, Message, Ticket, Transfer};
+use crate::transfer::{Assembly, ChunkRequest, Progress, Stream};
+use crate::{
+    EntryBody, Event, Heartbeat, HistorySuffix, Message, OperatorRequestId, OperatorResponse, RequestId,
+};
 use rstest::rstest;
 use std::net::SocketAddr;
 
-const PROPOSAL: Ballot = Ballot { round: 9, proposer: PROPOSER };
+const PROPOSAL: ProposalNumber = ProposalNumber { round: 9, proposer: PROPOSER };
 const PROPOSER: MemberId = MemberId {
     address: std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::new(10, 0, 0, 3)), 7000),
     disk: 3,
@@ -20,7 +22,7 @@
 const LONG: u32 = 100;
 
 fn prepare() -> Message {
-    Message::Prepare { instance: 2, ballot: PROPOSAL }
+    Message::Prepare { instance: 2, proposal: PROPOSAL }
 }
 
 fn replicate(index: u64) -> Message {
@@ -68,7 +70,7 @@
 
 #[test]
 fn a_sealed_replica_confirms_no_view() {
-    let confirm = Message::Confirm { view: 1, question: QUESTION };
+    let confirm = Message::Confirm { view: 1, request_id: QUESTION };
     let mut driver = serving(2);
     driver.receive(3, confirm.clone());
     assert_eq!(driver.count(is_confirmed), 1);
@@ -80,18 +82,18 @@
 /// A head that has promised the next view judges nothing and a tail answers nothing, also what had come before.
 #[rstest]
 #[case::the_head(1, submit(1, 0))]
-#[case::the_tail(3, Message::Read { call: QUESTION, relayed: false })]
+#[case::the_tail(3, Message::Read { request_id: QUESTION, forwarded: false })]
 fn a_sealed_end_is_silent(#[case] me: u8, #[case] asked: Message) {
     let mut driver = serving(me);
-    let proposal = Ballot { round: 9, proposer: member(2) };
-    driver.receive(2, Message::Prepare { instance: 2, ballot: proposal });
+    let proposal = ProposalNumber { round: 9, proposer: member(2) };
+    driver.receive(2, Message::Prepare { instance: 2, proposal });
     driver.sync();
     let records = driver.synced.len();
     driver.receive(2, asked);
     driver.sync();
     for number in 1..=3 {
-        let question = CallId { incarnation: 0, ticket: 1 };
-        driver.receive(number, Message::Confirmed { view: 1, question });
+        let request_id = RequestId { incarnation: 0, sequence: 1 };
+        driver.receive(number, Message::Confirmed { view: 1, request_id });
     }
     assert_eq!((driver.count(is_outcome), driver.synced.len()), (0, records));
 }
@@ -99,7 +101,7 @@
 /// A machine whose disk was lost stands at the address of a member and is none.
 #[rstest]
 #[case::a_proposal(prepare(), is_promise)]
-#[case::a_question(Message::Confirm { view: 1, question: QUESTION }, is_confirmed)]
+#[case::a_question(Message::Confirm { view: 1, request_id: QUESTION }, is_confirmed)]
 #[case::an_entry(replicate(1), is_replicated)]
 fn a_new_disk_does_not_answer_for_the_lost_one(
     #[case] asked: Message, #[case] answers: fn(&Message) -> bool,
@@ -120,13 +122,13 @@
     driver.until_it_proposes(3);
     driver.sync();
     let prepared = driver.sent.iter().find_map(|(_, message)| match message {
-        Message::Prepare { ballot, .. } => Some(*ballot),
+        Message::Prepare { proposal, .. } => Some(*proposal),
         _ => None,
     });
-    let ballot = prepared.expect("a proposal");
+    let proposal = prepared.expect("a proposal");
     let sender = MemberId { address: address(2), disk };
-    let holding = crate::Holding { installed: 1, last_index: 0 };
-    driver.receive(2, Message::Promise { sender, instance: 2, ballot, accepted: None, holding });
+    let position = crate::HistoryPosition { installed_view: 1, last_index: 0 };
+    driver.receive(2, Message::Promise { sender, instance: 2, proposal, accepted: None, position });
     driver.run(10, &[2]);
     let is_accept = |message: &Message| matches!(message, Message::Accept { .. });
     assert_eq!(driver.count(is_accept).min(1), accepts);
@@ -135,7 +137,7 @@
 /// What a loss of power takes away was never said.
 #[rstest]
 #[case::a_promise(3, prepare(), is_promise)]
-#[case::an_acceptance(3, Message::Accept { ballot: PROPOSAL, view: view(2, 3) }, |message: &Message| matches!(message, Message::Accepted { .. }))]
+#[case::an_acceptance(3, Message::Accept { proposal: PROPOSAL, view: view(2, 3) }, |message: &Message| matches!(message, Message::Accepted { .. }))]
 #[case::an_entry(1, replicate(1), is_replicated)]
 fn nothing_is_said_before_it_is_on_disk(
     #[case] from: u8, #[case] message: Message, #[case] answers: fn(&Message) -> bool,
@@ -156,7 +158,7 @@
 fn a_tail_commits_what_it_has_stored(#[case] serves: bool) {
     let mut driver = if serves { serving(3) } else { Driver::start(3, disk_of(3, 3), 3) };
     if !serves {
-        let silent = crate::Heartbeat { installed: 0, ..driver.heartbeat_of(1, &[2]) };
+        let silent = crate::Heartbeat { installed_view: 0, ..driver.heartbeat_of(1, &[2]) };
         driver.receive(1, Message::Heartbeat(silent));
         driver.run(1, &[2]);
     }
@@ -174,38 +176,38 @@
 #[case::another_view(3, 2, 0)]
 fn the_history_goes_to_members_of_its_view(
     #[case] from: u8, #[case] number: u64, #[case] answers: usize,
-    #[values(None, Some(Assembly::new(0).wanted()))] piece: Option<PieceRequest>,
+    #[values(None, Some(Assembly::new(0).wanted()))] chunk: Option<ChunkRequest>,
 ) {
     let mut driver = serving(1);
-    driver.receive(from, Message::StateRequest { view: number, after: 0, piece });
-    let is_state = |message: &Message| matches!(message, Message::State { .. } | Message::StatePiece { .. });
+    driver.receive(from, Message::StateRequest { view: number, after: 0, chunk });
+    let is_state = |message: &Message| matches!(message, Message::State { .. } | Message::StateChunk { .. });
     assert_eq!(driver.count(is_state), answers);
 }
 
 /// A process that serves calls of the operator passes on an outcome only for the call of this run that it belongs to.
 #[rstest]
-#[case::its_own(0, 1, Some(Answer::Conflict { current: 7 }))]
+#[case::its_own(0, 1, Some(OperatorResponse::Conflict { current: 7 }))]
 #[case::of_the_run_before(1, 1, None)]
 #[case::of_another_call(0, 2, None)]
 fn an_outcome_answers_its_own_call(
-    #[case] other_run: u64, #[case] ticket: u64, #[case] answer: Option<Answer>,
+    #[case] other_run: u64, #[case] ticket: u64, #[case] answer: Option<OperatorResponse>,
 ) {
     let mut driver = serving(2);
     let event = Event::Submit {
-        ticket: Ticket(1),
+        id: OperatorRequestId(1),
         base: 3,
         version: 4,
-        request: None,
+        request_hash: None,
         bytes: b"{}".as_slice().into(),
     };
     driver.handle(event);
     let passed = driver.sent.iter().find_map(|(_, message)| match message {
-        Message::Submit { call, .. } => Some(*call),
+        Message::Submit { request_id, .. } => Some(*request_id),
         _ => None,
     });
     let incarnation = passed.expect("a call for the head").incarnation.wrapping_add(other_run);
-    let outcome = crate::Outcome::Conflict { current: 7 };
-    driver.receive(1, Message::Outcome { call: CallId { incarnation, ticket }, outcome });
+    let outcome = crate::RequestOutcome::Conflict { current: 7 };
+    driver.receive(1, Message::Outcome { request_id: RequestId { incarnation, sequence: ticket }, outcome });
     assert_eq!(driver.answers.first().cloned(), answer);
 }
 
@@ -217,35 +219,35 @@
         driver.receive(1, replicate(index));
         driver.sync();
     }
-    driver.receive(3, Message::Committed { mark: entry(1).mark });
-    let piece = Assembly::new(0).wanted();
-    driver.receive(9, Message::HistoryRequest { after: 0, piece });
-    let pieces = driver.sent.iter().filter_map(|(_, message)| match message {
-        Message::HistoryPiece { piece } => Some(piece),
+    driver.receive(3, Message::Committed { header: entry(1).header });
+    let chunk = Assembly::new(0).wanted();
+    driver.receive(9, Message::HistoryRequest { after: 0, chunk });
+    let chunks = driver.sent.iter().filter_map(|(_, message)| match message {
+        Message::HistoryChunk { chunk } => Some(chunk),
         _ => None,
     });
     let mut assembly = Assembly::new(0);
-    let last = pieces.map(|piece| assembly.take(piece)).last();
-    let Some(Progress::Complete(transfer)) = last else { panic!("no history: {last:?}") };
-    assert_eq!(transfer.marks, [entry(1).mark]);
+    let last = chunks.map(|chunk| assembly.take(chunk)).last();
+    let Some(Progress::Complete(suffix)) = last else { panic!("no history: {last:?}") };
+    assert_eq!(suffix.headers, [entry(1).header]);
 }
 
 /// A learner that is behind, and the history up to entry 2 that it asked for.
 fn learner_behind() -> (Driver, Message) {
     let mut driver = Driver::start(9, disk_of(9, 3), 3);
     driver.run(3, &[1, 2, 3]);
-    let ahead = Heartbeat { held: Some(2), ..driver.heartbeat_of(3, &[1, 2]) };
+    let ahead = Heartbeat { durable_commit_index: Some(2), ..driver.heartbeat_of(3, &[1, 2]) };
     for _ in 0..10 {
         driver.receive(3, Message::Heartbeat(ahead.clone()));
-        driver.receive(3, Message::Committed { mark: entry(2).mark });
+        driver.receive(3, Message::Committed { header: entry(2).header });
         driver.run(1, &[1, 2]);
     }
     assert!(driver.count(|message| matches!(message, Message::HistoryRequest { after: 0, .. })) > 0);
-    let bodies = (1..=2).map(|index| Body { index, bytes: entry(index).bytes }).collect();
-    let marks = vec![entry(1).mark, entry(2).mark];
-    let stream = Stream::new(Transfer { after: 0, marks, bodies });
-    let piece = stream.piece(Assembly::new(0).wanted(), usize::MAX);
-    (driver, Message::HistoryPiece { piece })
+    let bodies = (1..=2).map(|index| EntryBody { index, bytes: entry(index).bytes }).collect();
+    let headers = vec![entry(1).header, entry(2).header];
+    let stream = Stream::new(HistorySuffix { after: 0, headers, bodies });
+    let chunk = stream.chunk(Assembly::new(0).wanted(), usize::MAX);
+    (driver, Message::HistoryChunk { chunk })
 }
 
 /// A learner says that it holds an entry once it is on its disk.
@@ -254,12 +256,12 @@
     let (mut driver, history) = learner_behind();
     driver.receive(3, history);
     let status = driver.replica.status();
-    assert_eq!((status.committed, status.held), (Some(2), 0));
+    assert_eq!((status.committed_version, status.durable_commit_index), (Some(2), 0));
     driver.sync();
-    assert_eq!(driver.replica.status().held, 2);
+    assert_eq!(driver.replica.status().durable_commit_index, 2);
     let again = Driver::start(9, driver.synced, 3);
     assert_eq!(
-        again.replica.status().committed,
+        again.replica.status().committed_version,
         Some(1),
         "its last entry may not be committed, as far as it knows"
     );
@@ -271,7 +273,7 @@
     let (mut driver, history) = learner_behind();
     driver.receive(2, history);
     driver.sync();
-    assert_eq!(driver.replica.status().held, 0);
+    assert_eq!(driver.replica.status().durable_commit_index, 0);
 }
 
 /// What it asked for as a learner is nothing to it once it has a place in the chain.
@@ -285,7 +287,7 @@
     driver.receive(3, Message::Decided { view: next });
     driver.receive(3, history);
     driver.sync();
-    assert_eq!(driver.replica.status().committed, None);
+    assert_eq!(driver.replica.status().committed_version, None);
 }
 
 /// An entry that was never committed is on the disk at the place of one that was: it is not counted as held.
@@ -293,7 +295,7 @@
 fn a_learner_does_not_count_the_entry_that_gave_way() {
     let mut other = entry(1);
     other.bytes = b"never committed".as_slice().into();
-    other.mark.digest = crate::Digest::of(&other.bytes);
+    other.header.digest = crate::Digest::of(&other.bytes);
     let mut records = disk_of(3, 3);
     records.push(Record::Append { entry: other }.encode());
     let next = View { chain: vec![member(1), member(2)], ..view(2, 3) };
@@ -301,19 +303,27 @@
     let mut driver = Driver::start(3, records, 3);
     driver.run(3, &[1, 2]);
     for _ in 0..10 {
-        let ahead = Heartbeat { view: 2, installed: 2, held: Some(2), ..driver.heartbeat_of(2, &[1]) };
+        let ahead = Heartbeat {
+            view: 2,
+            installed_view: 2,
+            durable_commit_index: Some(2),
+            ..driver.heartbeat_of(2, &[1])
+        };
         driver.receive(2, Message::Heartbeat(ahead));
-        driver.receive(2, Message::Committed { mark: entry(2).mark });
+        driver.receive(2, Message::Committed { header: entry(2).header });
         driver.run(1, &[1]);
     }
-    let bodies = (1..=2).map(|index| Body { index, bytes: entry(index).bytes }).collect();
-    let marks = vec![entry(1).mark, entry(2).mark];
-    let stream = Stream::new(Transfer { after: 0, marks, bodies });
-    let piece = stream.piece(Assembly::new(0).wanted(), usize::MAX);
-    driver.receive(2, Message::HistoryPiece { piece });
-    assert_eq!((driver.replica.status().committed, driver.replica.status().held), (Some(2), 0));
+    let bodies = (1..=2).map(|index| EntryBody { index, bytes: entry(index).bytes }).collect();
+    let headers = vec![entry(1).header, entry(2).header];
+    let stream = Stream::new(HistorySuffix { after: 0, headers, bodies });
+    let chunk = stream.chunk(Assembly::new(0).wanted(), usize::MAX);
+    driver.receive(2, Message::HistoryChunk { chunk });
+    assert_eq!(
+        (driver.replica.status().committed_version, driver.replica.status().durable_commit_index),
+        (Some(2), 0)
+    );
     driver.sync();
-    assert_eq!(driver.replica.status().held, 2);
+    assert_eq!(driver.replica.status().durable_commit_index, 2);
 }
 
 /// A replica whose disk refuses batches could not store its promise, so that it goes on with the present view.
@@ -322,9 +332,9 @@
     let mut driver = serving(2);
     driver.receive(1, replicate(1));
     let (batch, _) = driver.unsynced.pop().expect("an entry for the disk");
-    driver.handle(Event::StoreFailed { batch });
+    driver.handle(Event::PersistFailed { batch });
     driver.receive(3, prepare());
-    driver.receive(3, Message::Confirm { view: 1, question: QUESTION });
+    driver.receive(3, Message::Confirm { view: 1, request_id: QUESTION });
     assert_eq!(driver.count(is_confirmed), 1);
 }
 
@@ -337,15 +347,15 @@
     #[case] other_run: u64, #[case] other_view: u64, #[case] answers: usize,
 ) {
     let mut driver = serving(3);
-    driver.receive(2, Message::Read { call: QUESTION, relayed: false });
+    driver.receive(2, Message::Read { request_id: QUESTION, forwarded: false });
     let asked = driver.sent.iter().find_map(|(_, message)| match message {
-        Message::Confirm { question, .. } => Some(*question),
+        Message::Confirm { request_id, .. } => Some(*request_id),
         _ => None,
     });
-    let question = asked.expect("a question");
-    let incarnation = question.incarnation.wrapping_add(other_run);
-    let question = CallId { incarnation, ..question };
-    driver.receive(1, Message::Confirmed { view: 1 + other_view, question });
+    let request_id = asked.expect("a request_id");
+    let incarnation = request_id.incarnation.wrapping_add(other_run);
+    let request_id = RequestId { incarnation, ..request_id };
+    driver.receive(1, Message::Confirmed { view: 1 + other_view, request_id });
     assert_eq!(driver.count(is_outcome), answers);
 }
 
@@ -357,9 +367,9 @@
     let beat = Heartbeat { sender, ..driver.heartbeat_of(1, &[2]) };
     driver.receive(1, Message::Heartbeat(beat));
     driver.run(1, &[2]);
-    assert!(!driver.replica.status().serving);
+    assert!(!driver.replica.status().is_serving);
     driver.run(1, &[1, 2]);
-    assert!(driver.replica.status().serving);
+    assert!(driver.replica.status().is_serving);
 }
 
 /// A proposal is agreed by the members that accept it, not by whoever says so.
@@ -371,16 +381,16 @@
     driver.until_it_proposes(3);
     driver.sync();
     let prepared = driver.sent.iter().find_map(|(_, message)| match message {
-        Message::Prepare { ballot, .. } => Some(*ballot),
+        Message::Prepare { proposal, .. } => Some(*proposal),
         _ => None,
     });
-    let ballot = prepared.expect("a proposal");
-    let holding = crate::Holding { installed: 1, last_index: 0 };
+    let proposal = prepared.expect("a proposal");
+    let position = crate::HistoryPosition { installed_view: 1, last_index: 0 };
     let sender = member(2);
-    driver.receive(2, Message::Promise { sender, instance: 2, ballot, accepted: None, holding });
+    driver.receive(2, Message::Promise { sender, instance: 2, proposal, accepted: None, position });
     driver.run(10, &[2]);
     driver.sync();
-    driver.receive(from, Message::Accepted { instance: 2, ballot });
+    driver.receive(from, Message::Accepted { instance: 2, proposal });
     assert_eq!(driver.replica.status().view == 2, agreed);
 }
 
@@ -402,8 +412,8 @@
 #[case::one_too_far(3)]
 fn only_the_next_view_is_voted_on(#[case] instance: u64) {
     let mut driver = serving(2);
-    driver.receive(3, Message::Prepare { instance, ballot: PROPOSAL });
-    driver.receive(3, Message::Accept { ballot: PROPOSAL, view: View { number: instance, ..view(2, 3) } });
+    driver.receive(3, Message::Prepare { instance, proposal: PROPOSAL });
+    driver.receive(3, Message::Accept { proposal: PROPOSAL, view: View { number: instance, ..view(2, 3) } });
     driver.sync();
     let voted = |message: &Message| is_promise(message) || matches!(message, Message::Accepted { .. });
     assert_eq!(driver.count(voted), 0);
@@ -417,7 +427,7 @@
 /// A call of another process goes on to the head or the tail once, and its outcome back to that process.
 #[rstest]
 #[case::a_change(submit(1, 0), 1)]
-#[case::a_read(Message::Read { call: QUESTION, relayed: false }, 3)]
+#[case::a_read(Message::Read { request_id: QUESTION, forwarded: false }, 3)]
 fn a_call_is_passed_on_once(#[case] asked: Message, #[case] end: u8) {
     let mut driver = serving(2);
     let origin = address(9);
@@ -430,13 +440,13 @@
     driver.sent.clear();
     driver.receive(if end == 1 { 3 } else { 1 }, message.clone());
     assert_eq!(driver.count(is_call), 0);
-    let outcome = Outcome::Accepted;
-    driver.receive(end, Message::Outcome { call: QUESTION, outcome });
+    let outcome = RequestOutcome::Accepted;
+    driver.receive(end, Message::Outcome { request_id: QUESTION, outcome });
     let back = driver.sent.iter().find(|(_, message)| is_outcome(message)).map(|(to, _)| *to);
     assert_eq!(back, Some(origin));
     // Nor does a second outcome.
     driver.sent.clear();
-    driver.receive(end, Message::Outcome { call: QUESTION, outcome });
+    driver.receive(end, Message::Outcome { request_id: QUESTION, outcome });
     assert_eq!(driver.count(is_outcome), 0);
     driver.receive(end, asked);
     assert_eq!(driver.count(is_call), 0, "an end that asks gets nothing back from itself");
--- a/crates/chain/src/history_tests.rs
+++ b/crates/chain/src/history_tests.rs
@@ -2,13 +2,13 @@
 
 use crate::digest::Digest;
 use crate::history::History;
-use crate::model::{Entry, Mark, Transfer};
+use crate::model::{Entry, EntryHeader, HistorySuffix};
 use crate::settings::HistoryLimits;
 use rstest::rstest;
 
 fn entry(index: u64, version: u64, base: u64, text: &str) -> Entry {
-    let mark = Mark { index, version, base, digest: Digest::of(text.as_bytes()) };
-    Entry { mark, bytes: text.as_bytes().into() }
+    let header = EntryHeader { index, version, base, digest: Digest::of(text.as_bytes()) };
+    Entry { header, bytes: text.as_bytes().into() }
 }
 
 fn history(entries: u64) -> History {
@@ -37,7 +37,7 @@
     #[case] version: u64, #[case] base: u64, #[case] text: &str, #[case] index: Option<u64>,
 ) {
     let found = history(3).find(version, base, Digest::of(text.as_bytes()));
-    assert_eq!(found.map(|mark| mark.index), index);
+    assert_eq!(found.map(|header| header.index), index);
 }
 
 #[test]
@@ -46,7 +46,7 @@
     assert!(history.config(3).is_none());
     assert!(history.config(4).is_some());
     assert!(history.config(5).is_some());
-    assert!(history.mark(1).is_some());
+    assert!(history.header(1).is_some());
 }
 
 #[rstest]
@@ -57,8 +57,8 @@
 fn a_history_is_taken_over(#[case] held: u64, #[case] committed: u64) {
     let source = history(5);
     let mut replica = history(held);
-    assert!(replica.install(&source.transfer(committed)));
-    assert_eq!(replica.transfer(0).marks, source.transfer(0).marks);
+    assert!(replica.install(&source.suffix(committed)));
+    assert_eq!(replica.suffix(0).headers, source.suffix(0).headers);
     assert_eq!(replica.config(5), source.config(5));
     assert_eq!(replica.last(), source.last());
 }
@@ -67,34 +67,34 @@
 fn an_entry_that_was_never_committed_gives_way() {
     let mut replica = history(3);
     assert!(replica.append(entry(4, 41, 30, "lost")));
-    assert!(replica.install(&history(4).transfer(3)));
+    assert!(replica.install(&history(4).suffix(3)));
     assert_eq!(replica.last_version(), 40);
 }
 
 #[test]
 fn a_gap_is_refused() {
     let mut replica = history(2);
-    assert!(!replica.install(&history(6).transfer(4)));
-    let mut torn = history(6).transfer(2);
-    torn.marks.remove(1);
+    assert!(!replica.install(&history(6).suffix(4)));
+    let mut torn = history(6).suffix(2);
+    torn.headers.remove(1);
     assert!(!replica.install(&torn));
     assert_eq!(replica.last_index(), 2);
 }
 
 #[test]
 fn a_history_without_its_beginning_replaces_all() {
-    let mut transfer = history(6).transfer(0);
-    transfer.marks.drain(..3);
+    let mut suffix = history(6).suffix(0);
+    suffix.headers.drain(..3);
     let mut replica = history(2);
-    assert!(replica.install(&transfer));
-    assert_eq!(replica.mark(3), None);
+    assert!(replica.install(&suffix));
+    assert_eq!(replica.header(3), None);
     assert_eq!(replica.last_index(), 6);
-    let nothing = Transfer { after: 6, marks: Vec::new(), bodies: Vec::new() };
+    let nothing = HistorySuffix { after: 6, headers: Vec::new(), bodies: Vec::new() };
     assert!(replica.install(&nothing));
     assert_eq!(replica.last_index(), 6);
 }
 
-/// Entries 1 to 6 have versions 10 to 60; the marks of the last three are kept.
+/// Entries 1 to 6 have versions 10 to 60; the headers of the last three are kept.
 #[rstest]
 #[case::of_a_dropped_mark(30, 20, true)]
 #[case::between_dropped_marks(15, 10, true)]
@@ -103,8 +103,8 @@
 #[case::builds_on_a_later_version(30, 60, false)]
 #[case::new(70, 60, false)]
 fn a_change_that_may_have_been_dropped(#[case] version: u64, #[case] base: u64, #[case] dropped: bool) {
-    let mut short = History::new(HistoryLimits { marks: 3, bodies: 2 });
-    assert!(short.install(&history(6).transfer(0)));
+    let mut short = History::new(HistoryLimits { max_headers: 3, max_bodies: 2 });
+    assert!(short.install(&history(6).suffix(0)));
     assert_eq!(short.may_have_dropped(version, base), dropped);
     assert!(!history(6).may_have_dropped(version, base));
 }
--- a/crates/chain/src/journal.rs
+++ b/crates/chain/src/journal.rs
@@ -1,7 +1,7 @@
 //! Batches records for the disk, one batch at a time, and holds back what may be said only once they are synced.
 
 use crate::message::Message;
-use crate::model::Mark;
+use crate::model::EntryHeader;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
         /// The view in which it was added.
         view: u64,
         /// The entry.
-        mark: Mark,
+        header: EntryHeader,
     },
 }
 
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -23,8 +23,8 @@
 //!
 //! # Why nothing acknowledged is lost
 //!
-//! An acknowledged entry is on the disks of all replicas of the chain of a view that served, at least `tolerated + 1`.
-//! Each majority of the members shares a member with the chain ([`View::suffices`]). So a proposer of the next view
+//! An acknowledged entry is on the disks of all replicas of the chain of a view that served, at least `fault_tolerance + 1`.
+//! Each majority of the members shares a member with the chain ([`View::is_sufficient`]). So a proposer of the next view
 //! hears from a replica of the chain: either it holds the view's history, and is fit as a source, or it does not, and then
 //! the view has not served and, since that replica is sealed, never will. In the second case the same is asked of the view
 //! before, and so on; a view carries along which of those before it may have served ([`View::lineage`]). Each replica that
@@ -85,10 +85,16 @@
 mod transfer_tests;
 mod wire_bytes;
 
-pub use api::{Action, Answer, Event, LeaveState, LogLine, Reason, RecoverError, Status, Ticket};
+pub use api::{
+    Action, Event, LeaveState, LogEvent, OperatorRequestId, OperatorResponse, RecoverError, ReplicaStatus,
+    ViewChangeReason,
+};
 pub use digest::{Blake3, Digest, Fnv};
-pub use message::{Heartbeat, Holding, Link, Message, Outcome};
-pub use model::{Ancestor, Ballot, Body, CallId, CommittedConfig, Entry, Mark, MemberId, Transfer, View};
+pub use message::{Heartbeat, HistoryPosition, Link, Message, RequestOutcome};
+pub use model::{
+    Ancestor, CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix, MemberId, ProposalNumber,
+    RequestId, View,
+};
 pub use replica::Replica;
 pub use settings::{HistoryLimits, ReplicaSettings};
-pub use transfer::{Piece, PieceRequest};
+pub use transfer::{Chunk, ChunkRequest};
--- a/crates/chain/src/message.rs
+++ b/crates/chain/src/message.rs
@@ -1,177 +1,202 @@
-//! What replicas say to each other. Each message names the view or instance that it belongs to, so that a late one is
-//! recognised as stale.
+//! The messages between replicas. Each names the view or the Paxos instance that it belongs to, so that a receiver
+//! recognises a late one as stale. Messages may be lost, repeated or delayed; between two processes they arrive in order as
+//! long as their connection lasts.
+//!
+//! Names of fields and variants are part of the encoding (CBOR maps with text keys), and a rolling upgrade mixes two versions
+//! of the program. Encoded names are therefore fixed by `serde(rename)` where the code uses another term; see
+//! `docs/GLOSSARY.md`. `encoding_tests.rs` pins the bytes.
 
 use crate::digest::{Blake3, Fnv};
-use crate::model::{Ballot, CallId, CommittedConfig, Entry, Mark, MemberId, Transfer, View};
-use crate::transfer::{Piece, PieceRequest};
+use crate::model::{
+    CommittedConfig, Entry, EntryHeader, HistorySuffix, MemberId, ProposalNumber, RequestId, View,
+};
+use crate::transfer::{Chunk, ChunkRequest};
 use crate::wire_bytes;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A message between two replicas.
+/// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// The sender is alive; see [`Heartbeat`].
     Heartbeat(Heartbeat),
-    /// Asks for the newest view if it is above this number.
+    /// Asks for the receiver's newest view if its number is above this one. Answered with [`Message::Decided`].
     ViewRequest {
-        /// The newest view that the sender knows.
+        /// The number of the newest view that the sender knows.
         above: u64,
     },
-    /// A view that was agreed.
+    /// A view was decided.
     Decided {
         /// The view.
         view: View,
     },
-    /// Phase 1 of agreeing on view `instance`: asks for a promise.
+    /// Paxos phase 1a: asks for a promise in the instance that decides view `instance`.
     Prepare {
-        /// The number of the view.
+        /// The number of the view to decide.
         instance: u64,
         /// The proposal.
-        ballot: Ballot,
+        #[serde(rename = "ballot")]
+        proposal: ProposalNumber,
     },
-    /// The sender takes part in no lower proposal, and in the view before no more.
+    /// Paxos phase 1b: the sender accepts no lower proposal, and has stopped taking part in the view before `instance`.
     Promise {
-        /// Who promises.
+        /// The acceptor. The proposer needs its disk as well as its address, since only the former identifies a member.
         sender: MemberId,
-        /// The number of the view.
+        /// The number of the view to decide.
         instance: u64,
         /// The proposal.
-        ballot: Ballot,
+        #[serde(rename = "ballot")]
+        proposal: ProposalNumber,
         /// What the sender has accepted in a lower proposal.
-        accepted: Option<Box<(Ballot, View)>>,
-        /// The history that the sender holds.
-        holding: Holding,
+        accepted: Option<Box<(ProposalNumber, View)>>,
+        /// How far the history reaches that the sender holds. The proposer chooses the source of the view by it.
+        #[serde(rename = "holding")]
+        position: HistoryPosition,
     },
     /// The sender has promised a higher proposal.
     Rejected {
-        /// The number of the view.
+        /// The number of the view to decide.
         instance: u64,
         /// The proposal that is rejected.
-        ballot: Ballot,
-        /// The one that was promised.
-        promised: Ballot,
+        #[serde(rename = "ballot")]
+        proposal: ProposalNumber,
+        /// The higher one.
+        promised: ProposalNumber,
     },
-    /// Phase 2: asks to accept a view.
+    /// Paxos phase 2a: asks to accept a view. The instance is the number of the view.
     Accept {
         /// The proposal.
-        ballot: Ballot,
+        #[serde(rename = "ballot")]
+        proposal: ProposalNumber,
         /// The view.
         view: View,
     },
-    /// The sender has accepted.
+    /// Paxos phase 2b: the sender has accepted the proposal.
     Accepted {
-        /// The number of the view.
+        /// The number of the view to decide.
         instance: u64,
         /// The proposal.
-        ballot: Ballot,
+        #[serde(rename = "ballot")]
+        proposal: ProposalNumber,
     },
-    /// Asks the source of a view for the history.
+    /// Asks the source of a view for its history.
     StateRequest {
         /// The number of the view.
         view: u64,
-        /// The sender holds the committed history up to this entry.
+        /// The sender holds the committed history up to this index.
         after: u64,
-        /// The piece that it wants. Earlier versions want the whole.
-        #[serde(default)]
-        piece: Option<PieceRequest>,
+        /// The chunk to send. `None` from earlier versions, which want the history in one message.
+        #[serde(default, rename = "piece")]
+        chunk: Option<ChunkRequest>,
     },
-    /// The history of a view, as a whole: to and from earlier versions.
+    /// The history of a view in one message; only to and from earlier versions.
     State {
         /// The number of the view.
         view: u64,
         /// What the receiver lacks.
-        transfer: Transfer,
+        #[serde(rename = "transfer")]
+        suffix: HistorySuffix,
     },
-    /// A piece of the history of a view.
-    StatePiece {
+    /// A chunk of the history of a view.
+    #[serde(rename = "StatePiece")]
+    StateChunk {
         /// The number of the view.
         view: u64,
-        /// The piece.
-        piece: Piece,
+        /// The chunk.
+        #[serde(rename = "piece")]
+        chunk: Chunk,
     },
-    /// Asks a process that holds it for the committed history behind an entry.
+    /// Asks for the committed history behind an index, as a learner does.
     HistoryRequest {
-        /// The sender holds the committed history up to this entry.
+        /// The sender holds the committed history up to this index.
         after: u64,
-        /// The piece that it wants.
-        piece: PieceRequest,
+        /// The chunk to send.
+        #[serde(rename = "piece")]
+        chunk: ChunkRequest,
     },
-    /// A piece of the committed history, for a process that has no place in the chain.
-    HistoryPiece {
-        /// The piece.
-        piece: Piece,
+    /// A chunk of the committed history, for a process that is not in the chain.
+    #[serde(rename = "HistoryPiece")]
+    HistoryChunk {
+        /// The chunk.
+        #[serde(rename = "piece")]
+        chunk: Chunk,
     },
-    /// An entry, from a replica to its successor.
+    /// An entry, from a replica to its successor in the chain.
     Replicate {
         /// The number of the view.
         view: u64,
         /// The entry.
         entry: Entry,
     },
-    /// The sender has synced all entries up to this one; to its predecessor.
+    /// The sender has synced all entries up to this index; to its predecessor in the chain.
     Replicated {
         /// The number of the view.
         view: u64,
-        /// The entry.
+        /// The last synced index.
         index: u64,
     },
     /// An entry is committed.
     Committed {
-        /// The entry.
-        mark: Mark,
+        /// The header of the entry.
+        #[serde(rename = "mark")]
+        header: EntryHeader,
     },
-    /// Asks a member whether a view is still in force.
+    /// Asks a member whether a view is still in force, as read-index asks in Raft (Ongaro's thesis, section 6.4).
     Confirm {
         /// The number of the view.
         view: u64,
-        /// Names the question.
-        question: CallId,
+        /// The round of confirmation.
+        #[serde(rename = "question")]
+        request_id: RequestId,
     },
     /// The sender has promised no later view.
     Confirmed {
         /// The number of the view.
         view: u64,
-        /// The question.
-        question: CallId,
+        /// The round of confirmation.
+        #[serde(rename = "question")]
+        request_id: RequestId,
     },
-    /// A change, for the head.
+    /// A configuration change, for the head.
     Submit {
-        /// The call.
-        call: CallId,
-        /// The version that it builds on.
+        /// The request.
+        #[serde(rename = "call")]
+        request_id: RequestId,
+        /// The version that the change builds on.
         base: u64,
-        /// Its own version.
+        /// The version of the change.
         version: u64,
-        /// Of the bytes, for a head of an earlier version. This version takes the digest of the bytes that it gets.
+        /// The hash of the bytes, for a head of an earlier version. A head of this version hashes what it receives.
         digest: Fnv,
         /// The configuration, byte for byte.
         #[serde(with = "wire_bytes")]
         bytes: Arc<[u8]>,
-        /// As in [`crate::Event::Submit`]; earlier versions neither send nor read it.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        request: Option<Blake3>,
-        /// Whether the sender passes it on for another process. Such a call is not passed on again.
-        #[serde(default)]
-        relayed: bool,
+        /// As in [`crate::Event::Submit`]. Earlier versions neither send nor read it.
+        #[serde(default, skip_serializing_if = "Option::is_none", rename = "request")]
+        request_hash: Option<Blake3>,
+        /// Whether the sender forwards it for another process. A forwarded request is not forwarded again.
+        #[serde(default, rename = "relayed")]
+        forwarded: bool,
     },
     /// A read, for the tail.
     Read {
-        /// The call.
-        call: CallId,
+        /// The request.
+        #[serde(rename = "call")]
+        request_id: RequestId,
         /// As in [`Message::Submit`].
-        #[serde(default)]
-        relayed: bool,
+        #[serde(default, rename = "relayed")]
+        forwarded: bool,
     },
-    /// How a call came out.
+    /// The outcome of a [`Message::Submit`] or [`Message::Read`].
     Outcome {
-        /// The call.
-        call: CallId,
-        /// How it came out.
-        outcome: Outcome,
+        /// The request.
+        #[serde(rename = "call")]
+        request_id: RequestId,
+        /// Its outcome.
+        outcome: RequestOutcome,
     },
-    /// Asks for the newest committed configuration if it is above this version.
+    /// Asks for the newest committed configuration if its version is above this one.
     ConfigRequest {
         /// The newest version that the sender knows, 0 for none.
         above: u64,
@@ -183,18 +208,19 @@
     },
 }
 
-/// How a call came out at the head or the tail.
+/// The outcome of a request at the head or the tail. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// The change is committed.
     Accepted,
-    /// Another version than the base is current.
+    /// The base of the change is not the current version.
     Conflict {
         /// The current version.
         current: u64,
     },
-    /// The version is not above the current one.
-    Outdated {
+    /// The change builds on the current version, but its own version is not above it.
+    #[serde(rename = "Outdated")]
+    StaleVersion {
         /// The current version.
         current: u64,
     },
@@ -205,53 +231,60 @@
     },
 }
 
-/// The history that a replica holds.
+/// How far the history of a replica reaches. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Holding {
-    /// The newest view whose history it holds.
-    pub installed: u64,
-    /// Its last entry.
+pub struct HistoryPosition {
+    /// The number of the newest view whose history the replica holds.
+    #[serde(rename = "installed")]
+    pub installed_view: u64,
+    /// The index of its last entry.
     pub last_index: u64,
 }
 
-/// A link as its end sees it.
+/// The state of a link as one of its ends sees it. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Link {
-    /// The other end, heard lately.
+    /// The other end, from which a heartbeat was received lately.
     pub peer: SocketAddr,
-    /// Whether the other end says that it hears this one.
-    pub two_way: bool,
+    /// Whether the other end reports that it receives heartbeats from this one.
+    #[serde(rename = "two_way")]
+    pub bidirectional: bool,
 }
 
-/// A sign of life, with what others need for judging the view.
+/// A heartbeat: the state of a process, as far as others need it to judge the view. Encoded names are fixed; see
+/// docs/GLOSSARY.md.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Who sends it.
+    /// The sender.
     pub sender: MemberId,
     /// Drawn at random at the start of the process.
     pub incarnation: u64,
-    /// Whether it may take part in founding the system.
-    pub founder: bool,
-    /// Whether it may become a member.
+    /// Whether the sender may take part in bootstrapping the first view.
+    #[serde(rename = "founder")]
+    pub may_bootstrap: bool,
+    /// Whether the sender may become a member.
     pub counts_for_quorum: bool,
-    /// The newest view that it knows.
+    /// The number of the newest view that it knows.
     pub view: u64,
-    /// The newest view whose history it holds on disk.
-    pub installed: u64,
-    /// Whether it has promised a later view than the newest it knows.
+    /// The number of the newest view whose history it holds on disk.
+    #[serde(rename = "installed")]
+    pub installed_view: u64,
+    /// Whether it has promised a later view than the newest that it knows.
     pub sealed: bool,
-    /// The last entry of its history on disk.
-    pub synced: u64,
+    /// The index of the last entry on its disk.
+    #[serde(rename = "synced")]
+    pub synced_index: u64,
     /// The newest committed entry that it knows.
-    pub committed: Option<Mark>,
-    /// Its disk holds the committed history up to this entry. `None` from processes of before this was told.
-    #[serde(default)]
-    pub held: Option<u64>,
-    /// Whether it is about to end and asks to be left out.
-    #[serde(default)]
-    pub leaving: bool,
-    /// Whether its disk takes batches.
-    pub disk_well: bool,
-    /// The peers that it hears.
+    pub committed: Option<EntryHeader>,
+    /// Its disk holds the committed history up to this index. `None` from earlier versions, which do not report it.
+    #[serde(default, rename = "held")]
+    pub durable_commit_index: Option<u64>,
+    /// Whether it is shutting down and asks to be left out of the next view.
+    #[serde(default, rename = "leaving")]
+    pub is_leaving: bool,
+    /// Whether its disk accepts batches in time.
+    #[serde(rename = "disk_well")]
+    pub disk_healthy: bool,
+    /// The peers that it received heartbeats from lately.
     pub links: Vec<Link>,
 }
--- a/crates/chain/src/model.rs
+++ b/crates/chain/src/model.rs
@@ -1,4 +1,6 @@
-//! What replicas agree on: members, views, ballots and the entries of the history.
+//! The data that replicas agree on: members, views, proposal numbers and the entries of the history.
+//!
+//! Encoded names are fixed by `serde(rename)` where the code uses another term; see docs/GLOSSARY.md.
 
 use crate::digest::{Blake3, Digest, Fnv};
 use crate::wire_bytes;
@@ -6,7 +8,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A member of the core: a machine together with its disk. A machine with a new disk is another member.
+/// The identity of a member: an address together with a disk. A machine with a new disk is another member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
     /// The peer address of the process.
@@ -16,30 +18,33 @@
 }
 
 /// With fewer members than this, the restart of one would leave no majority.
-const FEWEST_SEATS: usize = 3;
+const MIN_TARGET_MEMBERS: usize = 3;
 
-/// One agreed configuration of the core. View `n + 1` is agreed by a majority of the members of view `n`.
+/// One decided configuration of the core: its members and its chain. View `n + 1` is decided by the members of view `n`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// Counts views from 1. View 0 stands for the seeds before anything was agreed.
+    /// Counts views from 1. View 0 stands for the seeds before anything was decided.
     pub number: u64,
-    /// The acceptors of the next view.
+    /// The members: the acceptors of the next view.
     pub members: Vec<MemberId>,
-    /// The replicas, head first. Each is a member.
+    /// The replicas of the chain, head first. Each is a member.
     pub chain: Vec<MemberId>,
-    /// The replica of this chain that the others take the history from.
+    /// The replica of this chain from which the others take the history.
     pub source: Option<MemberId>,
     /// The views before this one that may have been the last to serve, newest first.
     pub lineage: Vec<Ancestor>,
-    /// The last view before those that may have served, 0 for none.
-    pub base: u64,
+    /// The number of the newest view before the lineage that counts as one that has served, 0 for none.
+    #[serde(rename = "base")]
+    pub last_known_served: u64,
     /// How many machines may lose their disks at once.
-    pub tolerated: u32,
-    /// How many members a view needs before it serves.
-    pub required: u32,
+    #[serde(rename = "tolerated")]
+    pub fault_tolerance: u32,
+    /// How many members a view needs before it may serve.
+    #[serde(rename = "required")]
+    pub min_members: u32,
 }
 
-/// A view that may have served, and whose history may be the newest that counts.
+/// A view that may have served, and whose history may be the newest with acknowledged entries.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ancestor {
     /// The number of the view.
@@ -49,15 +54,15 @@
 }
 
 impl View {
-    /// How many members are a majority.
+    /// The number of members that makes a majority.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// How many members a view has where there are enough processes: an odd number, since one more would not let one more
-    /// be lost.
-    pub fn seats(&self) -> usize {
-        (self.required as usize).max(FEWEST_SEATS)
+    /// The number of members that a view has where there are enough processes. It is odd: one more member would not let the
+    /// view bear one more loss.
+    pub fn target_member_count(&self) -> usize {
+        (self.min_members as usize).max(MIN_TARGET_MEMBERS)
     }
 
     /// The member at an address.
@@ -70,8 +75,8 @@
         self.member_at(address).is_some()
     }
 
-    /// Whether a process votes on the next view. Before anything was agreed, the seeds do, whatever their disks.
-    pub fn admits(&self, member: MemberId) -> bool {
+    /// Whether a process is an acceptor of the next view. Before anything was decided the seeds are, whatever their disks.
+    pub fn has_acceptor(&self, member: MemberId) -> bool {
         if self.number == 0 { self.has_member_at(member.address) } else { self.members.contains(&member) }
     }
 
@@ -80,44 +85,46 @@
         self.chain.iter().position(|replica| *replica == member)
     }
 
-    /// The replica that takes writes.
+    /// The replica that takes changes.
     pub fn head(&self) -> Option<MemberId> {
         self.chain.first().copied()
     }
 
-    /// The replica that commits and answers reads.
+    /// The replica that commits changes and answers reads.
     pub fn tail(&self) -> Option<MemberId> {
         self.chain.last().copied()
     }
 
-    /// Whether a chain of `length` replicas among `members` members may serve: every acknowledged change outlives
-    /// the tolerated loss of disks, and each majority of the members contains a replica of the chain.
-    pub fn suffices(&self, members: usize, length: usize) -> bool {
-        let required = self.required as usize;
-        let replicas = (self.tolerated as usize + 1).min(required).max(members.div_ceil(2)).max(1);
-        members >= required && length >= replicas
+    /// Whether a chain of `chain_length` replicas among `member_count` members is sufficient to serve: every acknowledged
+    /// change survives the loss of [`View::fault_tolerance`] disks, and each majority of the members contains a replica of
+    /// the chain.
+    pub fn is_sufficient(&self, member_count: usize, chain_length: usize) -> bool {
+        let min_members = self.min_members as usize;
+        let durable = (self.fault_tolerance as usize + 1).min(min_members);
+        let min_replicas = durable.max(member_count.div_ceil(2)).max(1);
+        member_count >= min_members && chain_length >= min_replicas
     }
 
     /// Whether this view may serve once its chain holds the history.
     pub fn may_serve(&self) -> bool {
-        self.suffices(self.members.len(), self.chain.len())
+        self.is_sufficient(self.members.len(), self.chain.len())
     }
 }
 
-/// The number of a proposal for one view. Ordered by round, then by proposer.
+/// The number of a Paxos proposal, unique across proposers. Ordered by round, then by proposer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Ballot {
-    /// Counts attempts from 1.
+pub struct ProposalNumber {
+    /// Counts the attempts from 1.
     pub round: u64,
-    /// Who proposes.
+    /// The proposer.
     pub proposer: MemberId,
 }
 
-/// What identifies an entry of the history.
+/// The header of an entry: what identifies it without its bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "EncodedMark", into = "EncodedMark")]
-pub struct Mark {
-    /// Its place in the history, from 1.
+#[serde(from = "EncodedEntryHeader", into = "EncodedEntryHeader")]
+pub struct EntryHeader {
+    /// The position in the history, from 1.
     pub index: u64,
     /// The version that the operator gave it.
     pub version: u64,
@@ -127,46 +134,48 @@
     pub digest: Digest,
 }
 
-impl Mark {
-    /// Whether both are the same change at the same place. Not `==`: an earlier version tells less of a digest.
-    pub fn is_same(&self, other: &Mark) -> bool {
-        let fields = |mark: &Mark| (mark.index, mark.version, mark.base);
+impl EntryHeader {
+    /// Whether both are the same change at the same index. Not `==`, since a header from an earlier version has a digest with
+    /// fewer hashes.
+    pub fn is_same(&self, other: &EntryHeader) -> bool {
+        let fields = |header: &EntryHeader| (header.index, header.version, header.base);
         fields(self) == fields(other) && self.digest.matches(&other.digest)
     }
 }
 
-/// A mark in logs and messages. Earlier versions write and read it without `blake3` or without `request`.
+/// The encoded form of a header. Earlier versions write and read it without `blake3` or without `request`.
 #[derive(Serialize, Deserialize)]
-struct EncodedMark {
+struct EncodedEntryHeader {
     index: u64,
     version: u64,
     base: u64,
     digest: Fnv,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     blake3: Option<Blake3>,
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    request: Option<Blake3>,
+    #[serde(default, skip_serializing_if = "Option::is_none", rename = "request")]
+    request_hash: Option<Blake3>,
 }
 
-impl From<EncodedMark> for Mark {
-    fn from(encoded: EncodedMark) -> Mark {
-        let EncodedMark { index, version, base, digest: fnv, blake3, request } = encoded;
-        Mark { index, version, base, digest: Digest { fnv, blake3, request } }
+impl From<EncodedEntryHeader> for EntryHeader {
+    fn from(encoded: EncodedEntryHeader) -> EntryHeader {
+        let EncodedEntryHeader { index, version, base, digest: fnv, blake3, request_hash } = encoded;
+        EntryHeader { index, version, base, digest: Digest { fnv, blake3, request_hash } }
     }
 }
 
-impl From<Mark> for EncodedMark {
-    fn from(mark: Mark) -> EncodedMark {
-        let Mark { index, version, base, digest: Digest { fnv, blake3, request } } = mark;
-        EncodedMark { index, version, base, digest: fnv, blake3, request }
+impl From<EntryHeader> for EncodedEntryHeader {
+    fn from(header: EntryHeader) -> EncodedEntryHeader {
+        let EntryHeader { index, version, base, digest: Digest { fnv, blake3, request_hash } } = header;
+        EncodedEntryHeader { index, version, base, digest: fnv, blake3, request_hash }
     }
 }
 
-/// An entry of the history on its way from replica to replica.
+/// An entry of the history with its bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// What identifies it.
-    pub mark: Mark,
+    #[serde(rename = "mark")]
+    pub header: EntryHeader,
     /// The configuration, byte for byte.
     #[serde(with = "wire_bytes")]
     pub bytes: Arc<[u8]>,
@@ -174,8 +183,8 @@
 
 /// The bytes of one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Body {
-    /// The place of the entry.
+pub struct EntryBody {
+    /// The index of the entry.
     pub index: u64,
     /// The configuration, byte for byte.
     #[serde(with = "wire_bytes")]
@@ -184,13 +193,14 @@
 
 /// The part of a history that another replica lacks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Transfer {
-    /// The entries up to this one stay. If the first mark does not follow it, nothing stays.
+pub struct HistorySuffix {
+    /// The receiver keeps its entries up to this index. If the first header does not follow it, the receiver keeps none.
     pub after: u64,
-    /// The entries behind it.
-    pub marks: Vec<Mark>,
+    /// The headers of the entries behind it.
+    #[serde(rename = "marks")]
+    pub headers: Vec<EntryHeader>,
     /// The bytes of the newest of them.
-    pub bodies: Vec<Body>,
+    pub bodies: Vec<EntryBody>,
 }
 
 /// A committed configuration.
@@ -205,11 +215,12 @@
     pub bytes: Arc<[u8]>,
 }
 
-/// One call of the operator at one process. The incarnation tells apart calls from before and after a restart.
+/// The identity of a request between replicas. The incarnation tells requests before a restart from those after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct CallId {
+pub struct RequestId {
     /// Drawn at random at the start of the process.
     pub incarnation: u64,
-    /// The ticket of the call within that process.
-    pub ticket: u64,
+    /// Counts the requests of that process.
+    #[serde(rename = "ticket")]
+    pub sequence: u64,
 }
--- a/crates/chain/src/peers.rs
+++ b/crates/chain/src/peers.rs
@@ -110,7 +110,8 @@
     }
 
     fn refresh_one(&mut self, address: SocketAddr, now: Duration) {
-        let well = self.two_way(address, now) && self.beat(address).is_some_and(|beat| beat.disk_well);
+        let well =
+            self.bidirectional(address, now) && self.beat(address).is_some_and(|beat| beat.disk_healthy);
         let Some(peer) = self.peers.get_mut(&address) else { return };
         peer.well_since = if well { peer.well_since.or(Some(now)) } else { None };
         if peer.well_since.is_some_and(|since| now > since + STRIKES_LAST) {
@@ -158,7 +159,8 @@
 
     /// The peers that hold more of the committed history than up to `after`, those that hold most of it first.
     pub fn longer_histories(&self, after: u64, now: Duration) -> Vec<SocketAddr> {
-        let held = |address: &SocketAddr| self.fresh_beat(*address, now).and_then(|beat| beat.held);
+        let held =
+            |address: &SocketAddr| self.fresh_beat(*address, now).and_then(|beat| beat.durable_commit_index);
         let longer = |address: &&SocketAddr| held(address).is_some_and(|held| held > after);
         let mut holders: Vec<SocketAddr> = self.peers.keys().filter(longer).copied().collect();
         holders.sort_by_key(|address| std::cmp::Reverse(held(address)));
@@ -166,16 +168,16 @@
     }
 
     /// Whether a peer was heard lately and says that it hears this process.
-    pub fn two_way(&self, address: SocketAddr, now: Duration) -> bool {
+    pub fn bidirectional(&self, address: SocketAddr, now: Duration) -> bool {
         self.fresh_beat(address, now).is_some_and(|beat| beat.links.iter().any(|link| link.peer == self.me))
     }
 
     /// Whether `end` says that its link to `peer` works both ways.
     pub fn claims(&self, end: SocketAddr, peer: SocketAddr, now: Duration) -> bool {
         if end == self.me {
-            return self.two_way(peer, now);
+            return self.bidirectional(peer, now);
         }
-        let wanted = Link { peer, two_way: true };
+        let wanted = Link { peer, bidirectional: true };
         self.fresh_beat(end, now).is_some_and(|beat| beat.links.contains(&wanted))
     }
 
@@ -199,7 +201,9 @@
     /// The links that this process says it has.
     pub fn links(&self, now: Duration) -> Vec<Link> {
         let fresh = self.peers.keys().filter(|address| self.fresh(**address, now));
-        fresh.map(|address| Link { peer: *address, two_way: self.two_way(*address, now) }).collect()
+        fresh
+            .map(|address| Link { peer: *address, bidirectional: self.bidirectional(*address, now) })
+            .collect()
     }
 
     /// The peers that were heard lately.
--- a/crates/chain/src/planner.rs
+++ b/crates/chain/src/planner.rs
@@ -1,6 +1,6 @@
 //! Which view would suit what is known of the peers now.
 
-use crate::api::Reason;
+use crate::api::ViewChangeReason;
 use crate::message::Heartbeat;
 use crate::model::{MemberId, View};
 use crate::peers::Peers;
@@ -27,9 +27,9 @@
     /// This process.
     pub me: MemberId,
     /// Whether its disk takes batches.
-    pub disk_well: bool,
-    /// Whether this process may take part in founding the system.
-    pub founder: bool,
+    pub disk_healthy: bool,
+    /// Whether this process may take part in bootstrapping.
+    pub may_bootstrap: bool,
     /// Whether it is about to end.
     pub leaving: bool,
     /// The newest view whose history it holds.
@@ -48,7 +48,7 @@
     /// The view that suits now, its chain with one of the holders if that can be. `None` if this process is not fit to
     /// propose one.
     pub fn plan(&self, holders: &[MemberId]) -> Option<Plan> {
-        if !self.disk_well || self.leaving || !self.reaches_majority() {
+        if !self.disk_healthy || self.leaving || !self.reaches_majority() {
             return None;
         }
         let members = if self.view.number == 0 { self.founders() } else { self.members(holders) };
@@ -60,20 +60,20 @@
     }
 
     /// Why the present view should give way to this plan.
-    pub fn reason(&self, plan: &Plan) -> Option<Reason> {
+    pub fn reason(&self, plan: &Plan) -> Option<ViewChangeReason> {
         if !self.admissible(plan) {
             return None;
         }
         if self.view.number == 0 {
-            return Some(Reason::Founding);
+            return Some(ViewChangeReason::Bootstrap);
         }
         if self.chain_broken() {
-            return Some(Reason::ChainBroken);
+            return Some(ViewChangeReason::ChainBroken);
         }
         if plan.members != self.view.members {
-            return Some(Reason::MembersChange);
+            return Some(ViewChangeReason::MembershipChange);
         }
-        (plan.chain.len() > self.view.chain.len()).then_some(Reason::ChainGrows)
+        (plan.chain.len() > self.view.chain.len()).then_some(ViewChangeReason::ChainExtension)
     }
 
     /// Whether the plan may follow the present view: a view that may serve gives way only to one that may.
@@ -81,14 +81,14 @@
         if self.view.number == 0 {
             return plan.members.len() >= self.view.majority();
         }
-        let suffices = self.view.suffices(plan.members.len(), plan.chain.len());
-        suffices || (!self.view.may_serve() && plan.members.len() >= self.view.members.len())
+        let is_sufficient = self.view.is_sufficient(plan.members.len(), plan.chain.len());
+        is_sufficient || (!self.view.may_serve() && plan.members.len() >= self.view.members.len())
     }
 
     fn reaches_majority(&self) -> bool {
         let members = self.view.members.iter();
         let reached = members.filter(|member| {
-            member.address == self.me.address || self.peers.two_way(member.address, self.now)
+            member.address == self.me.address || self.peers.bidirectional(member.address, self.now)
         });
         self.view.has_member_at(self.me.address) && reached.count() >= self.view.majority()
     }
@@ -101,10 +101,10 @@
         let seeds = self.view.members.iter().map(|member| member.address);
         let founds = |address: SocketAddr| {
             if address == self.me.address {
-                return self.founder;
+                return self.may_bootstrap;
             }
             let beat = self.peers.fresh_beat(address, self.now);
-            self.peers.two_way(address, self.now) && beat.is_some_and(|beat| beat.founder)
+            self.peers.bidirectional(address, self.now) && beat.is_some_and(|beat| beat.may_bootstrap)
         };
         seeds.filter(|address| founds(*address)).filter_map(|address| self.identity(address)).collect()
     }
@@ -116,7 +116,7 @@
         let newcomers = self.newcomers();
         if !newcomers.is_empty() {
             members.extend(newcomers);
-        } else if members.len() > self.view.seats() {
+        } else if members.len() > self.view.target_member_count() {
             if let Some(position) = self.surplus(holders) {
                 members.remove(position);
             }
@@ -130,7 +130,7 @@
     fn newcomers(&self) -> Vec<MemberId> {
         let members = self.view.members.len();
         let mut newcomers = self.standbys();
-        newcomers.truncate(self.view.seats().saturating_sub(members));
+        newcomers.truncate(self.view.target_member_count().saturating_sub(members));
         // Of a view that serves, an even number of members would bear no more losses than one less.
         if self.view.may_serve() && (members + newcomers.len()).is_multiple_of(2) {
             newcomers.pop();
@@ -166,7 +166,7 @@
     fn spared(&self, member: MemberId, holders: &[MemberId]) -> bool {
         let stays = |other: &&MemberId| **other != member && self.holds(**other, holders);
         let copies = self.view.members.iter().filter(stays).count();
-        self.lost_disk(member) || copies > self.view.tolerated as usize
+        self.lost_disk(member) || copies > self.view.fault_tolerance as usize
     }
 
     /// Whether a member holds the history: as promises tell, or as was heard where there are none yet.
@@ -178,7 +178,7 @@
             return self.installed == self.view.number;
         }
         let beat = self.peers.fresh_beat(member.address, self.now);
-        beat.is_some_and(|beat| beat.sender == member && beat.installed == self.view.number)
+        beat.is_some_and(|beat| beat.sender == member && beat.installed_view == self.view.number)
     }
 
     /// Whether another disk answers at a member's address.
@@ -202,20 +202,20 @@
     /// Whether a process that is no member may become one: it counts, is well, stays, and holds the committed history.
     fn stands_by(&self, identity: MemberId) -> bool {
         let beat = self.peers.fresh_beat(identity.address, self.now);
-        let fit = beat.is_some_and(|beat| beat.counts_for_quorum && !beat.leaving && self.caught_up(beat));
+        let fit = beat.is_some_and(|beat| beat.counts_for_quorum && !beat.is_leaving && self.caught_up(beat));
         let member = self.view.members.contains(&identity);
         fit && !member && self.peers.well_for(identity.address, self.settings.rejoin_after, self.now)
     }
 
     /// Whether a process holds the committed history, but for the newest entries: those it gets when it takes its place.
     fn caught_up(&self, beat: &Heartbeat) -> bool {
-        beat.held.is_none_or(|held| held + CATCH_UP_SLACK >= self.committed)
+        beat.durable_commit_index.is_none_or(|held| held + CATCH_UP_SLACK >= self.committed)
     }
 
     /// Whether a member has lost its disk, leaves or is gone.
     fn vacated(&self, member: MemberId) -> bool {
         let beat = self.peers.fresh_beat(member.address, self.now);
-        let leaves = beat.is_some_and(|beat| beat.leaving);
+        let leaves = beat.is_some_and(|beat| beat.is_leaving);
         self.lost_disk(member) || leaves || self.gone(member)
     }
 
@@ -237,10 +237,10 @@
 
     fn unfit(&self, replica: MemberId) -> bool {
         if replica.address == self.me.address {
-            return replica != self.me || !self.disk_well;
+            return replica != self.me || !self.disk_healthy;
         }
         match self.peers.fresh_beat(replica.address, self.now) {
-            Some(beat) => beat.sender != replica || !beat.disk_well || beat.leaving,
+            Some(beat) => beat.sender != replica || !beat.disk_healthy || beat.is_leaving,
             None => !self.peers.heard_by_others(replica.address, self.now),
         }
     }
@@ -285,7 +285,7 @@
     }
 
     fn longest_chain(&self, members: usize) -> usize {
-        (self.view.required as usize).max(members.div_ceil(2))
+        (self.view.min_members as usize).max(members.div_ceil(2))
     }
 
     /// What makes one chain better than another, the most important first.
@@ -307,9 +307,9 @@
             return true;
         }
         let beat = self.peers.fresh_beat(member.address, self.now);
-        let Some(beat) = beat.filter(|beat| beat.sender == member && beat.disk_well) else { return false };
+        let Some(beat) = beat.filter(|beat| beat.sender == member && beat.disk_healthy) else { return false };
         // One that leaves is wanted only for a history that nobody else holds.
-        if beat.leaving && holders != [member] {
+        if beat.is_leaving && holders != [member] {
             return false;
         }
         let in_chain = self.view.position(member).is_some();
--- a/crates/chain/src/planner_tests.rs
+++ b/crates/chain/src/planner_tests.rs
@@ -1,6 +1,6 @@
 //! Which view suits what is heard of the others.
 
-use crate::api::Reason;
+use crate::api::ViewChangeReason;
 use crate::message::{Heartbeat, Link};
 use crate::model::{MemberId, View};
 use crate::peers::Peers;
@@ -31,9 +31,9 @@
         chain: chain.iter().copied().map(member).collect(),
         source: None,
         lineage: Vec::new(),
-        base: 3,
-        tolerated: 1,
-        required: 3,
+        last_known_served: 3,
+        fault_tolerance: 1,
+        min_members: 3,
     }
 }
 
@@ -43,7 +43,7 @@
     peer: u8,
     disk: u64,
     hears: &'static [u8],
-    disk_well: bool,
+    disk_healthy: bool,
     counts: bool,
     held: u64,
     /// Whether it holds the history of the view.
@@ -56,7 +56,7 @@
         peer,
         disk: u64::from(peer),
         hears,
-        disk_well: true,
+        disk_healthy: true,
         counts: true,
         held: COMMITTED,
         holds: true,
@@ -78,14 +78,14 @@
 }
 
 /// What process 1 plans after the peers have said this for a long time.
-fn plan(view: &View, said: &[Says]) -> Option<(Vec<MemberId>, Vec<MemberId>, Option<Reason>)> {
+fn plan(view: &View, said: &[Says]) -> Option<(Vec<MemberId>, Vec<MemberId>, Option<ViewChangeReason>)> {
     plan_with(view, said, &[])
 }
 
 /// The same, for a chain that needs one of these holders.
 fn plan_with(
     view: &View, said: &[Says], holders: &[MemberId],
-) -> Option<(Vec<MemberId>, Vec<MemberId>, Option<Reason>)> {
+) -> Option<(Vec<MemberId>, Vec<MemberId>, Option<ViewChangeReason>)> {
     let settings = ReplicaSettings::new(address(1), Vec::new(), false, 1, 1);
     let mut peers = Peers::new(address(1), settings.suspect_after);
     for member in &view.members {
@@ -100,8 +100,8 @@
     let planner = Planner {
         view,
         me: member(1),
-        disk_well: true,
-        founder: false,
+        disk_healthy: true,
+        may_bootstrap: false,
         leaving: false,
         installed: 4,
         committed: COMMITTED,
@@ -115,20 +115,20 @@
 }
 
 fn heartbeat(says: &Says) -> Heartbeat {
-    let link = |number: &u8| Link { peer: address(*number), two_way: true };
+    let link = |number: &u8| Link { peer: address(*number), bidirectional: true };
     Heartbeat {
         sender: MemberId { address: address(says.peer), disk: says.disk },
         incarnation: 1,
-        founder: false,
+        may_bootstrap: false,
         counts_for_quorum: says.counts,
         view: 4,
-        installed: if says.holds { 4 } else { 3 },
+        installed_view: if says.holds { 4 } else { 3 },
         sealed: false,
-        synced: 0,
+        synced_index: 0,
         committed: None,
-        held: Some(says.held),
-        leaving: says.leaving,
-        disk_well: says.disk_well,
+        durable_commit_index: Some(says.held),
+        is_leaving: says.leaving,
+        disk_healthy: says.disk_healthy,
         links: says.hears.iter().map(link).collect(),
     }
 }
@@ -139,12 +139,13 @@
 
 #[rstest]
 #[case::all_is_well(&[1, 2, 3], &[says(2, &[1, 3]), says(3, &[1, 2])], &[1, 2, 3], None)]
-#[case::one_is_silent(&[1, 2, 3], &[says(2, &[1])], &[1, 2], Some(Reason::ChainBroken))]
-#[case::one_comes_back(&[1, 2], &[says(2, &[1, 3]), says(3, &[1, 2])], &[1, 2, 3], Some(Reason::ChainGrows))]
-#[case::one_is_not_heard_by_another(&[1, 2, 3], &[says(2, &[1]), says(3, &[1])], &[1, 2], Some(Reason::ChainBroken))]
+#[case::one_is_silent(&[1, 2, 3], &[says(2, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
+#[case::one_comes_back(&[1, 2], &[says(2, &[1, 3]), says(3, &[1, 2])], &[1, 2, 3], Some(ViewChangeReason::ChainExtension))]
+#[case::one_is_not_heard_by_another(&[1, 2, 3], &[says(2, &[1]), says(3, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
 #[case::a_chain_that_others_see_whole(&[2, 3], &[says(2, &[1, 3])], &[1, 2], None)]
 fn the_chain_follows_the_links(
-    #[case] chain: &[u8], #[case] said: &[Says], #[case] planned: &[u8], #[case] reason: Option<Reason>,
+    #[case] chain: &[u8], #[case] said: &[Says], #[case] planned: &[u8],
+    #[case] reason: Option<ViewChangeReason>,
 ) {
     let mut planned = members(planned);
     let view = view(&[1, 2, 3], chain);
@@ -161,14 +162,14 @@
 
 #[test]
 fn a_full_disk_leaves_the_chain() {
-    let full = Says { disk_well: false, ..says(3, &[1, 2]) };
+    let full = Says { disk_healthy: false, ..says(3, &[1, 2]) };
     let (_, chain, reason) = plan(&view(&[1, 2, 3], &[3, 2, 1]), &[says(2, &[1, 3]), full]).unwrap();
-    assert_eq!((chain, reason), (members(&[2, 1]), Some(Reason::ChainBroken)));
+    assert_eq!((chain, reason), (members(&[2, 1]), Some(ViewChangeReason::ChainBroken)));
 }
 
 #[test]
 fn a_chain_that_would_be_too_short_is_not_proposed() {
-    let full = Says { disk_well: false, ..says(2, &[1]) };
+    let full = Says { disk_healthy: false, ..says(2, &[1]) };
     let (_, _, reason) = plan(&view(&[1, 2, 3], &[1, 2, 3]), &[full]).unwrap();
     assert_eq!(reason, None);
 }
@@ -178,7 +179,7 @@
     let new = Says { disk: 77, ..says(3, &[1, 2]) };
     let (planned, _, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &[says(2, &[1, 3]), new]).unwrap();
     assert_eq!(planned, vec![member(1), member(2), MemberId { address: address(3), disk: 77 }]);
-    assert_eq!(reason, Some(Reason::MembersChange));
+    assert_eq!(reason, Some(ViewChangeReason::MembershipChange));
 }
 
 #[rstest]
@@ -206,7 +207,7 @@
 fn a_replica_that_leaves_is_not_in_the_next_chain() {
     let said = [says(2, &[1, 3]), leaves(says(3, &[1, 2]))];
     let planned = plan(&view(&[1, 2, 3], &[1, 2, 3]), &said).unwrap();
-    assert_eq!(planned, (members(&[1, 2, 3]), members(&[1, 2]), Some(Reason::ChainBroken)));
+    assert_eq!(planned, (members(&[1, 2, 3]), members(&[1, 2]), Some(ViewChangeReason::ChainBroken)));
 }
 
 /// Of two replicas that can't be in one chain, the one is taken that the other processes reach too.
@@ -233,7 +234,7 @@
 fn a_place_changes_hands_once_enough_others_hold_the_history(#[case] holds: bool, #[case] planned: &[u8]) {
     let said = [Says { holds, ..says(3, &[1, 4]) }, says(4, &[1, 3])];
     let (seen, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &said).unwrap();
-    assert_eq!((seen, reason), (members(planned), Some(Reason::ChainBroken)));
+    assert_eq!((seen, reason), (members(planned), Some(ViewChangeReason::ChainBroken)));
     assert!(chain.len() >= 2 && !chain.contains(&member(2)), "{chain:?}");
 }
 
@@ -258,7 +259,7 @@
 fn an_even_number_of_members_gets_odd() {
     let all: Vec<Says> = (2..=4).map(|peer| says(peer, &[1, 2, 3, 4])).collect();
     let (planned, _, reason) = plan(&view(&[1, 2, 3, 4], &[1, 2, 4]), &all).unwrap();
-    assert_eq!((planned, reason), (members(&[1, 2, 4]), Some(Reason::MembersChange)));
+    assert_eq!((planned, reason), (members(&[1, 2, 4]), Some(ViewChangeReason::MembershipChange)));
 }
 
 /// A view that serves with one member takes in none or two.
@@ -266,7 +267,7 @@
 #[case::one_learner(&[says(2, &[1])], &[1])]
 #[case::two_learners(&[says(2, &[1, 3]), says(3, &[1, 2])], &[1, 2, 3])]
 fn places_are_filled_to_an_odd_number(#[case] said: &[Says], #[case] planned: &[u8]) {
-    let single = View { tolerated: 0, required: 1, ..view(&[1], &[1]) };
+    let single = View { fault_tolerance: 0, min_members: 1, ..view(&[1], &[1]) };
     let (seen, _, _) = plan(&single, said).unwrap();
     assert_eq!(seen, members(planned));
 }
--- a/crates/chain/src/record.rs
+++ b/crates/chain/src/record.rs
@@ -1,81 +1,90 @@
 //! The records of a replica's log.
+//!
+//! The state of a replica is the sum of its records, in order. Encoded names are fixed; see docs/GLOSSARY.md.
 
-use crate::model::{Ballot, Entry, Transfer, View};
+use crate::model::{Entry, HistorySuffix, ProposalNumber, View};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One record. The state of a replica is what its records add up to, in order.
+/// One record of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The first record of a disk.
+    /// The identity of the disk; always the first record.
     Identity {
         /// Drawn at random when the disk was empty.
         disk: u64,
-        /// The seeds, if the replica may take part in founding the system.
-        founding: Option<Vec<SocketAddr>>,
+        /// The seeds, if the replica may take part in bootstrapping the first view.
+        #[serde(rename = "founding")]
+        bootstrap_seeds: Option<Vec<SocketAddr>>,
     },
-    /// A promise for the view after the newest one.
+    /// A promise in the instance that decides the view after the newest one.
     Promise {
-        /// The number of the view.
+        /// The number of the view to decide.
         instance: u64,
-        /// The proposal.
-        ballot: Ballot,
+        /// The promised proposal.
+        #[serde(rename = "ballot")]
+        proposal: ProposalNumber,
     },
-    /// A view was accepted in a proposal.
+    /// A view was accepted.
     Accept {
-        /// The proposal.
-        ballot: Ballot,
+        /// The proposal in which it was accepted.
+        #[serde(rename = "ballot")]
+        proposal: ProposalNumber,
         /// The view.
         view: View,
     },
-    /// A view was agreed.
+    /// A view was decided.
     Decided {
         /// The view.
         view: View,
     },
-    /// The history of a view was taken over.
+    /// The history of a view was installed.
     Install {
         /// The number of the view.
         view: u64,
-        /// The change to the history.
-        transfer: Transfer,
+        /// The entries that replace what was held behind their first.
+        #[serde(rename = "transfer")]
+        suffix: HistorySuffix,
     },
-    /// An entry was added to the history.
+    /// An entry was appended to the history.
     Append {
         /// The entry.
         entry: Entry,
     },
 }
 
-/// A record is no longer than this and one configuration, so that no step of a rewrite holds the whole history twice.
-const LONG_RECORD_BYTES: usize = 1024 * 1024;
-/// The marks of one record: as encoded well below that.
-const MARKS_PER_RECORD: usize = 1_000;
+/// An installation with longer bodies is split into several records, so that a rewrite never holds two encoded copies of the
+/// whole history in memory. A record is then no longer than this and one configuration.
+const MAX_UNSPLIT_BODY_BYTES: usize = 1024 * 1024;
+/// The most headers in one record. Their encoding is well below [`MAX_UNSPLIT_BODY_BYTES`].
+const MAX_HEADERS_PER_RECORD: usize = 1_000;
 
 impl Record {
-    /// The records for taking over a history that was not held before as the one of `view`; `before` was held. They
-    /// count only together. A short history makes one record.
-    pub fn installation(before: u64, view: u64, transfer: &Transfer) -> Vec<Record> {
-        let body_bytes: usize = transfer.bodies.iter().map(|body| body.bytes.len()).sum();
-        if transfer.marks.len() <= MARKS_PER_RECORD && body_bytes <= LONG_RECORD_BYTES {
-            return vec![Record::Install { view, transfer: transfer.clone() }];
+    /// The records that install `suffix` as the history of `view`, on a replica whose installed view was `installed_before`.
+    ///
+    /// A short suffix makes one record. A longer one makes several, of which only the last one names `view`: after a crash in
+    /// between, the replica does not claim to hold the history of `view`.
+    pub fn installation(installed_before: u64, view: u64, suffix: &HistorySuffix) -> Vec<Record> {
+        let body_bytes: usize = suffix.bodies.iter().map(|body| body.bytes.len()).sum();
+        if suffix.headers.len() <= MAX_HEADERS_PER_RECORD && body_bytes <= MAX_UNSPLIT_BODY_BYTES {
+            return vec![Record::Install { view, suffix: suffix.clone() }];
         }
-        let mut after = transfer.after;
+        let mut after = suffix.after;
         let mut records = Vec::new();
-        for marks in transfer.marks.chunks(MARKS_PER_RECORD) {
-            let part = Transfer { after, marks: marks.to_vec(), bodies: Vec::new() };
-            records.push(Record::Install { view: before, transfer: part });
-            after = marks.last().map_or(after, |mark| mark.index);
+        for headers in suffix.headers.chunks(MAX_HEADERS_PER_RECORD) {
+            let part = HistorySuffix { after, headers: headers.to_vec(), bodies: Vec::new() };
+            records.push(Record::Install { view: installed_before, suffix: part });
+            after = headers.last().map_or(after, |header| header.index);
         }
-        for body in &transfer.bodies {
-            let part = Transfer { after, marks: Vec::new(), bodies: vec![body.clone()] };
-            records.push(Record::Install { view: before, transfer: part });
+        for body in &suffix.bodies {
+            let part = HistorySuffix { after, headers: Vec::new(), bodies: vec![body.clone()] };
+            records.push(Record::Install { view: installed_before, suffix: part });
         }
-        records.push(Record::Install { view, transfer: Transfer { after, ..Transfer::default() } });
+        records.push(Record::Install { view, suffix: HistorySuffix { after, ..HistorySuffix::default() } });
         records
     }
 
-    /// The record's bytes.
+    /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         // Writing to a vector fails for no value of these types.
@@ -84,7 +93,7 @@
         bytes
     }
 
-    /// Reads a record; the error says what is wrong.
+    /// Decodes a record. The error is the decoder's message.
     pub fn decode(bytes: &[u8]) -> Result<Record, String> {
         ciborium::from_reader(bytes).map_err(|error| error.to_string())
     }
--- a/crates/chain/src/replica/acceptor.rs
+++ b/crates/chain/src/replica/acceptor.rs
@@ -1,10 +1,10 @@
 //! The acceptor of the next view, and what follows once a view is agreed.
 
 use super::Replica;
-use crate::api::{Action, LogLine};
+use crate::api::{Action, LogEvent};
 use crate::consensus::{Acceptor, Held};
-use crate::message::{Holding, Message};
-use crate::model::{Ballot, View};
+use crate::message::{HistoryPosition, Message};
+use crate::model::{ProposalNumber, View};
 use crate::record::Record;
 use lugwharf_invariants::{Invariant, check};
 use std::net::SocketAddr;
@@ -20,66 +20,70 @@
         if instance > next {
             self.send(from, Message::ViewRequest { above: self.view.number });
         }
-        instance == next && self.is_acceptor() && self.disk_well()
+        instance == next && self.is_acceptor() && self.disk_healthy()
     }
 
-    fn reject(&mut self, to: SocketAddr, instance: u64, ballot: Ballot) {
+    fn reject(&mut self, to: SocketAddr, instance: u64, proposal: ProposalNumber) {
         if let Some(promised) = self.acceptor.promised {
-            self.send(to, Message::Rejected { instance, ballot, promised });
+            self.send(to, Message::Rejected { instance, proposal, promised });
         }
     }
 
-    pub(super) fn on_prepare(&mut self, from: SocketAddr, instance: u64, ballot: Ballot) {
+    pub(super) fn on_prepare(&mut self, from: SocketAddr, instance: u64, proposal: ProposalNumber) {
         if instance == 0 || !self.votes_on(from, instance) {
             return;
         }
-        if !self.acceptor.admits(ballot) {
-            return self.reject(from, instance, ballot);
+        if !self.acceptor.admits(proposal) {
+            return self.reject(from, instance, proposal);
         }
-        self.promise(instance, ballot);
+        self.promise(instance, proposal);
         let accepted = self.acceptor.accepted.clone();
-        let holding =
-            Holding { installed: self.installation.installed, last_index: self.history.last_index() };
+        let position = HistoryPosition {
+            installed_view: self.installation.installed,
+            last_index: self.history.last_index(),
+        };
         let sender = self.identity;
-        self.send_synced(from, Message::Promise { sender, instance, ballot, accepted, holding });
+        self.send_synced(from, Message::Promise { sender, instance, proposal, accepted, position });
     }
 
-    pub(super) fn on_accept(&mut self, from: SocketAddr, ballot: Ballot, view: View) {
+    pub(super) fn on_accept(&mut self, from: SocketAddr, proposal: ProposalNumber, view: View) {
         let instance = view.number;
         if instance == 0 || !self.votes_on(from, instance) {
             return;
         }
-        if !self.acceptor.admits(ballot) {
-            return self.reject(from, instance, ballot);
+        if !self.acceptor.admits(proposal) {
+            return self.reject(from, instance, proposal);
         }
-        match self.acceptor.compare(ballot, &view) {
+        match self.acceptor.compare(proposal, &view) {
             Held::Same => {}
             Held::Lower => {
-                self.seal(ballot);
-                self.acceptor.accepted = Some(Box::new((ballot, view.clone())));
-                self.record(&Record::Accept { ballot, view });
+                self.seal(proposal);
+                self.acceptor.accepted = Some(Box::new((proposal, view.clone())));
+                self.record(&Record::Accept { proposal, view });
             }
             Held::OtherValue => {
-                check(Invariant::OneValuePerBallot, false, || format!("view {instance}, ballot {ballot:?}"));
-                return self.log(LogLine::BallotReused { number: instance });
+                check(Invariant::OneValuePerBallot, false, || {
+                    format!("view {instance}, proposal {proposal:?}")
+                });
+                return self.log(LogEvent::ProposalNumberReused { number: instance });
             }
         }
-        self.send_synced(from, Message::Accepted { instance, ballot });
+        self.send_synced(from, Message::Accepted { instance, proposal });
     }
 
     /// Takes part in no proposal below this one, and in the present view no more.
-    pub(super) fn promise(&mut self, instance: u64, ballot: Ballot) {
-        if self.acceptor.promised != Some(ballot) {
-            self.seal(ballot);
-            self.record(&Record::Promise { instance, ballot });
+    pub(super) fn promise(&mut self, instance: u64, proposal: ProposalNumber) {
+        if self.acceptor.promised != Some(proposal) {
+            self.seal(proposal);
+            self.record(&Record::Promise { instance, proposal });
         }
     }
 
     /// Ends this process's part in the present view.
-    fn seal(&mut self, ballot: Ballot) {
-        self.acceptor.promised = Some(ballot);
-        self.proposer.highest_round = self.proposer.highest_round.max(ballot.round);
-        if ballot.proposer != self.identity {
+    fn seal(&mut self, proposal: ProposalNumber) {
+        self.acceptor.promised = Some(proposal);
+        self.proposer.highest_round = self.proposer.highest_round.max(proposal.round);
+        if proposal.proposer != self.identity {
             self.yield_to_other();
         }
     }
--- a/crates/chain/src/replica/calls.rs
+++ b/crates/chain/src/replica/calls.rs
@@ -1,10 +1,10 @@
 //! The operator's calls at this process: each is passed to the head or the tail and answered within a bounded time.
 
 use super::Replica;
-use crate::api::{Answer, Ticket};
+use crate::api::{OperatorRequestId, OperatorResponse};
 use crate::digest::{Blake3, Digest};
-use crate::message::{Message, Outcome};
-use crate::model::{CallId, Mark};
+use crate::message::{Message, RequestOutcome};
+use crate::model::{EntryHeader, RequestId};
 use lugwharf_invariants::{Invariant, check};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -37,32 +37,33 @@
 /// The calls under way.
 #[derive(Debug, Default)]
 pub struct Calls {
-    calls: BTreeMap<Ticket, Call>,
+    calls: BTreeMap<OperatorRequestId, Call>,
 }
 
 impl Replica {
     pub(super) fn submit(
-        &mut self, ticket: Ticket, base: u64, version: u64, request: Option<Blake3>, bytes: Arc<[u8]>,
+        &mut self, ticket: OperatorRequestId, base: u64, version: u64, request_hash: Option<Blake3>,
+        bytes: Arc<[u8]>,
     ) {
-        let digest = Digest::of_request(&bytes, request);
+        let digest = Digest::of_request(&bytes, request_hash);
         let held = self.history.find(version, base, digest);
-        if held.is_some_and(|mark| mark.index <= self.committed) {
-            return self.answer(ticket, Answer::Accepted { version });
+        if held.is_some_and(|header| header.index <= self.committed) {
+            return self.answer(ticket, OperatorResponse::Accepted { version });
         }
         self.begin_call(ticket, Wish::Submit { base, version, digest, bytes });
     }
 
-    pub(super) fn read(&mut self, ticket: Ticket) {
+    pub(super) fn read(&mut self, ticket: OperatorRequestId) {
         self.begin_call(ticket, Wish::Read { at_least: None });
     }
 
-    pub(super) fn abandon(&mut self, ticket: Ticket) {
+    pub(super) fn abandon(&mut self, ticket: OperatorRequestId) {
         self.calls.calls.remove(&ticket);
     }
 
-    fn begin_call(&mut self, ticket: Ticket, wish: Wish) {
+    fn begin_call(&mut self, ticket: OperatorRequestId, wish: Wish) {
         if self.calls.calls.len() >= MAX_CALLS {
-            return self.answer(ticket, Answer::Unavailable);
+            return self.answer(ticket, OperatorResponse::Unavailable);
         }
         let known = self.newest.as_ref().map_or(0, |config| config.version);
         self.calls.calls.insert(ticket, Call { wish, begun: self.now, known, passed: None });
@@ -73,18 +74,18 @@
 
     /// Passes on what is due, and gives up what is too old.
     pub(super) fn drive_calls(&mut self) {
-        let tickets: Vec<Ticket> = self.calls.calls.keys().copied().collect();
+        let tickets: Vec<OperatorRequestId> = self.calls.calls.keys().copied().collect();
         for ticket in tickets {
             self.drive_call(ticket);
         }
     }
 
-    fn drive_call(&mut self, ticket: Ticket) {
+    fn drive_call(&mut self, ticket: OperatorRequestId) {
         let Some(call) = self.calls.calls.get(&ticket) else { return };
-        let patience = if self.in_touch() { self.settings.call_timeout } else { OUT_OF_TOUCH_TIMEOUT };
+        let patience = if self.has_quorum() { self.settings.request_timeout } else { OUT_OF_TOUCH_TIMEOUT };
         if self.now >= call.begun + patience {
             self.calls.calls.remove(&ticket);
-            return self.answer(ticket, Answer::Unavailable);
+            return self.answer(ticket, OperatorResponse::Unavailable);
         }
         if let Wish::Read { at_least: Some(version) } = call.wish {
             return self.answer_read(ticket, version);
@@ -102,41 +103,49 @@
         }
     }
 
-    fn pass(&mut self, ticket: Ticket, to: SocketAddr) {
+    fn pass(&mut self, ticket: OperatorRequestId, to: SocketAddr) {
         let Some(call) = self.calls.calls.get_mut(&ticket) else { return };
         call.passed = Some((to, self.view.number, self.now));
-        let id = CallId { incarnation: self.incarnation, ticket: ticket.0 };
+        let id = RequestId { incarnation: self.incarnation, sequence: ticket.0 };
         let message = match &call.wish {
             Wish::Submit { base, version, digest, bytes } => Message::Submit {
-                call: id,
+                request_id: id,
                 base: *base,
                 version: *version,
                 digest: digest.fnv,
                 bytes: bytes.clone(),
-                request: digest.request,
-                relayed: false,
+                request_hash: digest.request_hash,
+                forwarded: false,
             },
-            Wish::Read { .. } => Message::Read { call: id, relayed: false },
+            Wish::Read { .. } => Message::Read { request_id: id, forwarded: false },
         };
         let way = self.way_to(to);
         self.send(way, message);
     }
 
-    pub(super) fn on_outcome(&mut self, from: SocketAddr, call: CallId, outcome: Outcome) {
-        if call.incarnation != self.incarnation {
-            return self.relay_outcome(call, outcome);
+    pub(super) fn on_outcome(&mut self, from: SocketAddr, request_id: RequestId, outcome: RequestOutcome) {
+        if request_id.incarnation != self.incarnation {
+            return self.relay_outcome(request_id, outcome);
         }
-        let ticket = Ticket(call.ticket);
+        let ticket = OperatorRequestId(request_id.sequence);
         let Some(open) = self.calls.calls.get_mut(&ticket) else { return };
         let answer = match (outcome, &mut open.wish) {
-            (Outcome::Accepted, Wish::Submit { version, .. }) => Answer::Accepted { version: *version },
-            (Outcome::Conflict { current }, Wish::Submit { .. }) => Answer::Conflict { current },
-            (Outcome::Outdated { current }, Wish::Submit { .. }) => Answer::Outdated { current },
-            (Outcome::Newest { version: Some(version) }, Wish::Read { at_least }) => {
+            (RequestOutcome::Accepted, Wish::Submit { version, .. }) => {
+                OperatorResponse::Accepted { version: *version }
+            }
+            (RequestOutcome::Conflict { current }, Wish::Submit { .. }) => {
+                OperatorResponse::Conflict { current }
+            }
+            (RequestOutcome::StaleVersion { current }, Wish::Submit { .. }) => {
+                OperatorResponse::StaleVersion { current }
+            }
+            (RequestOutcome::Newest { version: Some(version) }, Wish::Read { at_least }) => {
                 *at_least = Some(version);
                 return self.fetch(from, ticket, version);
             }
-            (Outcome::Newest { version: None }, Wish::Read { .. }) => Answer::Config(self.newest.clone()),
+            (RequestOutcome::Newest { version: None }, Wish::Read { .. }) => {
+                OperatorResponse::Config(self.newest.clone())
+            }
             _ => return,
         };
         self.calls.calls.remove(&ticket);
@@ -144,17 +153,17 @@
     }
 
     /// Answers a read once a configuration that is new enough is known here.
-    fn answer_read(&mut self, ticket: Ticket, at_least: u64) {
+    fn answer_read(&mut self, ticket: OperatorRequestId, at_least: u64) {
         let known = self.newest.clone().filter(|config| config.version >= at_least);
         if known.is_some() {
             let call = self.calls.calls.remove(&ticket);
             let before = call.map_or(0, |call| call.known);
             check(Invariant::ReadIsNewest, at_least >= before, || format!("{at_least} after {before}"));
-            self.answer(ticket, Answer::Config(known));
+            self.answer(ticket, OperatorResponse::Config(known));
         }
     }
 
-    fn fetch(&mut self, from: SocketAddr, ticket: Ticket, at_least: u64) {
+    fn fetch(&mut self, from: SocketAddr, ticket: OperatorRequestId, at_least: u64) {
         self.answer_read(ticket, at_least);
         if self.calls.calls.contains_key(&ticket) {
             let above = self.newest.as_ref().map_or(0, |config| config.version);
@@ -163,18 +172,18 @@
     }
 
     /// An entry is committed: the calls that submitted it are accepted.
-    pub(super) fn finish_calls(&mut self, mark: Mark) {
+    pub(super) fn finish_calls(&mut self, header: EntryHeader) {
         let submitted = |call: &Call| match call.wish {
             Wish::Submit { base, version, digest, .. } => {
-                (mark.base, mark.version) == (base, version) && mark.digest.matches(&digest)
+                (header.base, header.version) == (base, version) && header.digest.matches(&digest)
             }
             Wish::Read { .. } => false,
         };
         let finished = self.calls.calls.iter().filter(|(_, call)| submitted(call));
-        let tickets: Vec<Ticket> = finished.map(|(ticket, _)| *ticket).collect();
+        let tickets: Vec<OperatorRequestId> = finished.map(|(ticket, _)| *ticket).collect();
         for ticket in tickets {
             self.calls.calls.remove(&ticket);
-            self.answer(ticket, Answer::Accepted { version: mark.version });
+            self.answer(ticket, OperatorResponse::Accepted { version: header.version });
         }
     }
 }
--- a/crates/chain/src/replica/contact.rs
+++ b/crates/chain/src/replica/contact.rs
@@ -34,7 +34,7 @@
     }
 
     pub(super) fn beat_all(&mut self) {
-        self.contact.next_beat = self.now + self.settings.heartbeat;
+        self.contact.next_beat = self.now + self.settings.heartbeat_interval;
         self.contact.beats += 1;
         let all = self.contact.beats % UNHEARD_ONE_IN == 1;
         let wanted = |address: SocketAddr, heard: bool| heard || all || self.view.has_member_at(address);
@@ -50,16 +50,16 @@
         Heartbeat {
             sender: self.identity,
             incarnation: self.incarnation,
-            founder: self.founding.is_some(),
+            may_bootstrap: self.bootstrap_seeds.is_some(),
             counts_for_quorum: self.settings.counts_for_quorum,
             view: self.view.number,
-            installed: self.installation.synced,
+            installed_view: self.installation.synced,
             sealed: self.sealed(),
-            synced: self.synced,
+            synced_index: self.synced,
             committed: self.newest_mark,
-            held: Some(self.held()),
-            leaving: self.leaving,
-            disk_well: self.disk_well(),
+            durable_commit_index: Some(self.durable_commit_index()),
+            is_leaving: self.leaving,
+            disk_healthy: self.disk_healthy(),
             links: self.peers.links(self.now),
         }
     }
@@ -84,8 +84,8 @@
             self.send(from, Message::ViewRequest { above: self.view.number });
         }
         self.check_serving();
-        if let Some(mark) = committed {
-            self.learn_commit(from, mark);
+        if let Some(header) = committed {
+            self.learn_commit(from, header);
         }
     }
 
--- a/crates/chain/src/replica/follow.rs
+++ b/crates/chain/src/replica/follow.rs
@@ -4,20 +4,20 @@
 //! and one entry of an earlier view whose fate it has not heard of. Which view's history it holds (`installed`) does not
 //! change, so it is no source of a view for what it has stored here. It costs the chain nothing while a change is on its
 //! way: the newest entry is put together from the commit and the configuration, which it gets in any case. What is
-//! missing before that comes in pieces, one with each tick.
+//! missing before that comes in chunks, one with each tick.
 
 use super::Replica;
 use crate::journal::Effect;
 use crate::message::Message;
-use crate::model::{Entry, Transfer};
+use crate::model::{Entry, HistorySuffix};
 use crate::record::Record;
-use crate::transfer::{Assembly, Piece, PieceRequest, Portion, Progress, Streams};
+use crate::transfer::{Assembly, Chunk, ChunkRequest, Portion, Progress, Streams};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// The configuration comes by itself within this, unless more than one entry is missing.
 const BEHIND_FOR: Duration = Duration::from_millis(100);
-/// A piece that has not come within this is asked for again, from another process.
+/// A chunk that has not come within this is asked for again, from another process.
 const REQUEST_AGAIN: Duration = Duration::from_millis(300);
 
 /// How far this process is with what it lacks.
@@ -44,7 +44,7 @@
 
 impl Replica {
     /// The last committed entry of the history on disk.
-    pub(super) fn held(&self) -> u64 {
+    pub(super) fn durable_commit_index(&self) -> u64 {
         self.synced.min(self.committed)
     }
 
@@ -52,7 +52,7 @@
     fn follows(&self) -> bool {
         let outside = self.view.number > 0 && self.view.position(self.identity).is_none();
         let wanted = self.is_member() || self.settings.counts_for_quorum;
-        outside && wanted && !self.sealed() && self.disk_well()
+        outside && wanted && !self.sealed() && self.disk_healthy()
     }
 
     fn is_behind(&self) -> bool {
@@ -61,22 +61,22 @@
 
     /// Stores the newest committed entry if it follows what is held and its configuration is here.
     pub(super) fn follow_newest(&mut self) {
-        let Some(mark) = self.newest_mark.filter(|_| self.is_behind() && self.follows()) else { return };
+        let Some(header) = self.newest_mark.filter(|_| self.is_behind() && self.follows()) else { return };
         let last = self.history.last_index();
-        if last != self.committed || mark.index != last + 1 {
+        if last != self.committed || header.index != last + 1 {
             return;
         }
-        let Some(config) = self.newest.clone().filter(|config| config.version == mark.version) else {
+        let Some(config) = self.newest.clone().filter(|config| config.version == header.version) else {
             return;
         };
-        if !mark.digest.fits(&config.bytes) {
+        if !header.digest.fits(&config.bytes) {
             return;
         }
-        let entry = Entry { mark, bytes: config.bytes.clone() };
+        let entry = Entry { header, bytes: config.bytes.clone() };
         if self.history.append(entry.clone()) {
             self.record(&Record::Append { entry });
-            self.journal.then(Effect::Followed { index: mark.index });
-            self.commit(mark);
+            self.journal.then(Effect::Followed { index: header.index });
+            self.commit(header);
         }
     }
 
@@ -100,9 +100,9 @@
         let Some(source) = self.choose_history_source() else { return };
         let committed = self.committed;
         let assembly = self.follower.assembly.get_or_insert_with(|| Assembly::new(committed));
-        let (after, piece) = (assembly.after, assembly.wanted());
+        let (after, chunk) = (assembly.after, assembly.wanted());
         self.follower.requested = Some((source, self.now));
-        self.send(source, Message::HistoryRequest { after, piece });
+        self.send(source, Message::HistoryRequest { after, chunk });
     }
 
     /// A process that holds more than this one; the next one after each that was given up.
@@ -111,31 +111,31 @@
         sources.get(self.follower.given_up.checked_rem(sources.len())?).copied()
     }
 
-    pub(super) fn on_history_request(&mut self, from: SocketAddr, after: u64, piece: PieceRequest) {
-        let held = self.held();
+    pub(super) fn on_history_request(&mut self, from: SocketAddr, after: u64, chunk: ChunkRequest) {
+        let held = self.durable_commit_index();
         if held <= after {
             return;
         }
-        let portion = Portion { piece_bytes: self.settings.piece_bytes, pieces: 1 };
-        let make = || self.history.transfer_up_to(after, held);
-        for piece in self.follower.streams.pieces(self.now, piece, portion, make) {
-            self.send(from, Message::HistoryPiece { piece });
+        let portion = Portion { chunk_bytes: self.settings.chunk_bytes, chunks: 1 };
+        let make = || self.history.suffix_up_to(after, held);
+        for chunk in self.follower.streams.chunks(self.now, chunk, portion, make) {
+            self.send(from, Message::HistoryChunk { chunk });
         }
     }
 
-    /// The next piece is asked for with the next tick.
-    pub(super) fn on_history_piece(&mut self, from: SocketAddr, piece: &Piece) {
+    /// The next chunk is asked for with the next tick.
+    pub(super) fn on_history_piece(&mut self, from: SocketAddr, chunk: &Chunk) {
         let awaited = self.follower.requested.is_some_and(|(source, _)| source == from);
         if !awaited || !self.follows() {
             return;
         }
         let Some(assembly) = self.follower.assembly.as_mut() else { return };
-        match assembly.take(piece) {
+        match assembly.take(chunk) {
             Progress::Ignored => {}
             Progress::Continues => self.follower.requested = None,
-            Progress::Complete(transfer) => {
+            Progress::Complete(suffix) => {
                 self.follower.clear();
-                self.follow(&transfer);
+                self.follow(&suffix);
             }
             Progress::Broken => {
                 self.follower.clear();
@@ -145,15 +145,15 @@
     }
 
     /// Takes over committed entries.
-    fn follow(&mut self, transfer: &Transfer) {
-        let Some(last) = transfer.marks.last().copied() else { return };
-        let useful = transfer.after <= self.committed && last.index > self.committed;
-        if !useful || !self.history.install(transfer) {
+    fn follow(&mut self, suffix: &HistorySuffix) {
+        let Some(last) = suffix.headers.last().copied() else { return };
+        let useful = suffix.after <= self.committed && last.index > self.committed;
+        if !useful || !self.history.install(suffix) {
             return;
         }
-        self.synced = self.synced.min(transfer.after);
+        self.synced = self.synced.min(suffix.after);
         let installed = self.installation.installed;
-        for record in Record::installation(installed, installed, transfer) {
+        for record in Record::installation(installed, installed, suffix) {
             self.record(&record);
         }
         self.journal.then(Effect::Followed { index: last.index });
--- a/crates/chain/src/replica/head.rs
+++ b/crates/chain/src/replica/head.rs
@@ -14,8 +14,8 @@
 
 use super::Replica;
 use crate::digest::{Blake3, Digest};
-use crate::message::{Message, Outcome};
-use crate::model::{CallId, Entry, Mark};
+use crate::message::{Message, RequestOutcome};
+use crate::model::{Entry, EntryHeader, RequestId};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,10 +29,10 @@
 /// A change as a process passes it on to the head.
 #[derive(Debug)]
 pub(super) struct SubmittedChange {
-    pub(super) call: CallId,
+    pub(super) request_id: RequestId,
     pub(super) base: u64,
     pub(super) version: u64,
-    pub(super) request: Option<Blake3>,
+    pub(super) request_hash: Option<Blake3>,
     pub(super) bytes: Arc<[u8]>,
 }
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 struct Waiting {
     origin: SocketAddr,
-    call: CallId,
+    request_id: RequestId,
     base: u64,
     version: u64,
     digest: Digest,
@@ -64,7 +64,7 @@
 }
 
 enum Judgement {
-    Decided(Outcome),
+    Decided(RequestOutcome),
     Write,
     Wait,
     Confirm,
@@ -72,16 +72,16 @@
 
 impl Replica {
     pub(super) fn on_submit(&mut self, origin: SocketAddr, change: SubmittedChange) {
-        let SubmittedChange { call, base, version, request, bytes } = change;
-        let known = self.head.waiting.iter().any(|waiting| waiting.call == call);
+        let SubmittedChange { request_id, base, version, request_hash, bytes } = change;
+        let known = self.head.waiting.iter().any(|waiting| waiting.request_id == request_id);
         let mine = self.view.head() == Some(self.identity) && !self.sealed();
         if !mine || known || self.head.waiting.len() >= MAX_WAITING {
             return;
         }
         // What another process says of the bytes is not relied on.
-        let digest = Digest::of_request(&bytes, request);
+        let digest = Digest::of_request(&bytes, request_hash);
         let arrived = self.now;
-        let waiting = Waiting { origin, call, base, version, digest, bytes, arrived, round: None };
+        let waiting = Waiting { origin, request_id, base, version, digest, bytes, arrived, round: None };
         self.head.waiting.push_back(waiting);
         self.judge_changes();
     }
@@ -97,14 +97,14 @@
                 continue;
             }
             if let Some(outcome) = self.settle_change(&mut waiting) {
-                self.send(waiting.origin, Message::Outcome { call: waiting.call, outcome });
+                self.send(waiting.origin, Message::Outcome { request_id: waiting.request_id, outcome });
             } else {
                 self.head.waiting.push_back(waiting);
             }
         }
     }
 
-    fn settle_change(&mut self, waiting: &mut Waiting) -> Option<Outcome> {
+    fn settle_change(&mut self, waiting: &mut Waiting) -> Option<RequestOutcome> {
         match self.judge(waiting) {
             Judgement::Decided(outcome) => return Some(outcome),
             Judgement::Write => self.write(waiting),
@@ -116,10 +116,10 @@
 
     fn judge(&self, waiting: &Waiting) -> Judgement {
         let committed = self.history.find(waiting.version, waiting.base, waiting.digest);
-        if committed.is_some_and(|mark| mark.index <= self.committed) {
-            return Judgement::Decided(Outcome::Accepted);
+        if committed.is_some_and(|header| header.index <= self.committed) {
+            return Judgement::Decided(RequestOutcome::Accepted);
         }
-        if self.history.last_index() > self.committed || !self.disk_well() {
+        if self.history.last_index() > self.committed || !self.disk_healthy() {
             return Judgement::Wait;
         }
         let current = self.history.last_version();
@@ -129,23 +129,23 @@
             return if waiting.bytes.is_empty() { Judgement::Wait } else { Judgement::Write };
         }
         if waiting.base == current {
-            return Judgement::Decided(Outcome::Outdated { current });
+            return Judgement::Decided(RequestOutcome::StaleVersion { current });
         }
         match waiting.round {
-            _ if waiting.base < current => Judgement::Decided(Outcome::Conflict { current }),
-            Some(round) if self.confirmed(round) => Judgement::Decided(Outcome::Conflict { current }),
+            _ if waiting.base < current => Judgement::Decided(RequestOutcome::Conflict { current }),
+            Some(round) if self.confirmed(round) => Judgement::Decided(RequestOutcome::Conflict { current }),
             Some(_) => Judgement::Wait,
             None => Judgement::Confirm,
         }
     }
 
     fn write(&mut self, waiting: &Waiting) {
-        let mark = Mark {
+        let header = EntryHeader {
             index: self.history.last_index() + 1,
             version: waiting.version,
             base: waiting.base,
             digest: waiting.digest,
         };
-        self.append(Entry { mark, bytes: waiting.bytes.clone() });
+        self.append(Entry { header, bytes: waiting.bytes.clone() });
     }
 }
--- a/crates/chain/src/replica/install.rs
+++ b/crates/chain/src/replica/install.rs
@@ -1,12 +1,12 @@
 //! Taking over the history of a new view, and when a view serves.
 
 use super::Replica;
-use crate::api::LogLine;
+use crate::api::LogEvent;
 use crate::journal::Effect;
 use crate::message::Message;
-use crate::model::Transfer;
+use crate::model::HistorySuffix;
 use crate::record::Record;
-use crate::transfer::{Assembly, Piece, PieceRequest, Portion, Progress, Streams};
+use crate::transfer::{Assembly, Chunk, ChunkRequest, Portion, Progress, Streams};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -47,9 +47,9 @@
         // The histories of two views may differ, also where a receiver has begun with the one of the view before.
         self.installation.streams = Streams::default();
         if self.view.source == Some(self.identity) {
-            debug_assert!(self.installation.installed >= self.view.base);
+            debug_assert!(self.installation.installed >= self.view.last_known_served);
             let after = self.history.last_index();
-            self.install(&Transfer { after, ..Transfer::default() });
+            self.install(&HistorySuffix { after, ..HistorySuffix::default() });
         } else {
             self.install_when_due();
         }
@@ -63,7 +63,7 @@
 
     pub(super) fn install_when_due(&mut self) {
         let due = self.installation.requested.is_none_or(|requested| self.now >= requested + REQUEST_AGAIN);
-        if !due || !self.lacks_history() || !self.disk_well() {
+        if !due || !self.lacks_history() || !self.disk_healthy() {
             return;
         }
         self.request_history();
@@ -74,69 +74,69 @@
         self.installation.requested = Some(self.now);
         let committed = self.committed;
         let assembly = self.installation.assembly.get_or_insert_with(|| Assembly::new(committed));
-        let (after, piece) = (assembly.after, Some(assembly.wanted()));
-        self.send(source.address, Message::StateRequest { view: self.view.number, after, piece });
+        let (after, chunk) = (assembly.after, Some(assembly.wanted()));
+        self.send(source.address, Message::StateRequest { view: self.view.number, after, chunk });
     }
 
     pub(super) fn on_state_request(
-        &mut self, from: SocketAddr, view: u64, after: u64, piece: Option<PieceRequest>,
+        &mut self, from: SocketAddr, view: u64, after: u64, chunk: Option<ChunkRequest>,
     ) {
         let held = self.installation.installed == view && self.view.number == view;
         if !held || !self.view.has_member_at(from) {
             return;
         }
-        let make = || self.history.transfer(after);
-        let Some(wanted) = piece else {
-            let transfer = make();
-            return self.send(from, Message::State { view, transfer });
+        let make = || self.history.suffix(after);
+        let Some(wanted) = chunk else {
+            let suffix = make();
+            return self.send(from, Message::State { view, suffix });
         };
-        let portion = Portion { piece_bytes: self.settings.piece_bytes, pieces: PIECES_AT_ONCE };
-        for piece in self.installation.streams.pieces(self.now, wanted, portion, make) {
-            self.send(from, Message::StatePiece { view, piece });
+        let portion = Portion { chunk_bytes: self.settings.chunk_bytes, chunks: PIECES_AT_ONCE };
+        for chunk in self.installation.streams.chunks(self.now, wanted, portion, make) {
+            self.send(from, Message::StateChunk { view, chunk });
         }
     }
 
-    pub(super) fn on_state(&mut self, view: u64, transfer: &Transfer) {
+    pub(super) fn on_state(&mut self, view: u64, suffix: &HistorySuffix) {
         if self.takes_state(view) {
-            self.install(transfer);
+            self.install(suffix);
         }
     }
 
-    pub(super) fn on_state_piece(&mut self, from: SocketAddr, view: u64, piece: &Piece) {
+    pub(super) fn on_state_piece(&mut self, from: SocketAddr, view: u64, chunk: &Chunk) {
         let from_source = self.view.source.is_some_and(|source| source.address == from);
         if !self.takes_state(view) || !from_source {
             return;
         }
         let Some(assembly) = self.installation.assembly.as_mut() else { return };
-        match assembly.take(piece) {
-            Progress::Continues if piece.last => self.request_history(),
+        match assembly.take(chunk) {
+            Progress::Continues if chunk.last => self.request_history(),
             Progress::Ignored | Progress::Continues => {}
-            Progress::Complete(transfer) => self.install(&transfer),
+            Progress::Complete(suffix) => self.install(&suffix),
             // Asked for anew once the request is due again.
             Progress::Broken => self.installation.assembly = None,
         }
     }
 
     fn takes_state(&self, view: u64) -> bool {
-        view == self.view.number && self.lacks_history() && self.disk_well()
+        view == self.view.number && self.lacks_history() && self.disk_healthy()
     }
 
-    fn install(&mut self, transfer: &Transfer) {
+    fn install(&mut self, suffix: &HistorySuffix) {
         let before = self.history.last();
-        if !self.history.install(transfer) {
-            debug_assert!(false, "a history that does not fit: {transfer:?} behind {before:?}");
+        if !self.history.install(suffix) {
+            debug_assert!(false, "a history that does not fit: {suffix:?} behind {before:?}");
             return;
         }
         let view = self.view.number;
         let installed = std::mem::replace(&mut self.installation.installed, view);
         self.installation.assembly = None;
-        self.synced = self.synced.min(transfer.after);
-        for record in Record::installation(installed, view, transfer) {
+        self.synced = self.synced.min(suffix.after);
+        for record in Record::installation(installed, view, suffix) {
             self.record(&record);
         }
         self.journal.then(Effect::Installed { view, last_index: self.history.last_index() });
-        if let Some(lost) = before.filter(|mark| !self.history.holds(mark)) {
-            self.log(LogLine::Superseded(lost));
+        if let Some(lost) = before.filter(|header| !self.history.holds(header)) {
+            self.log(LogEvent::Superseded(lost));
         }
         self.catch_up_commit();
     }
@@ -169,11 +169,11 @@
                 return self.installation.synced == number;
             }
             let beat = self.peers.beat(replica.address);
-            beat.is_some_and(|beat| beat.sender == *replica && beat.installed == number)
+            beat.is_some_and(|beat| beat.sender == *replica && beat.installed_view == number)
         };
         if self.view.chain.iter().all(holds) {
             self.installation.serving = true;
-            self.log(LogLine::Serving { number, replicas: self.view.chain.len() });
+            self.log(LogEvent::Serving { number, replicas: self.view.chain.len() });
             self.commit_when_tail();
             self.judge_changes();
             self.answer_reads();
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -27,12 +27,12 @@
 mod replication;
 mod tail;
 
-use crate::api::{Action, Event, LogLine, RecoverError, Status, Ticket};
-use crate::consensus::{Acceptor, PromiseHeld, Proposer};
+use crate::api::{Action, Event, LogEvent, OperatorRequestId, OperatorResponse, RecoverError, ReplicaStatus};
+use crate::consensus::{Acceptor, Proposer, ReceivedPromise};
 use crate::history::History;
 use crate::journal::{Batch, Effect, Journal};
 use crate::message::Message;
-use crate::model::{CommittedConfig, Mark, MemberId, View};
+use crate::model::{CommittedConfig, EntryHeader, MemberId, View};
 use crate::peers::Peers;
 use crate::planner::Planner;
 use crate::record::Record;
@@ -59,8 +59,8 @@
     rng: fastrand::Rng,
     identity: MemberId,
     incarnation: u64,
-    /// The seeds, if this process may take part in founding the system.
-    founding: Option<Vec<SocketAddr>>,
+    /// The seeds, if this process may take part in bootstrapping.
+    bootstrap_seeds: Option<Vec<SocketAddr>>,
     /// Whether the identity is on disk; nothing is said before.
     ready: bool,
     started: Duration,
@@ -87,7 +87,7 @@
     /// All entries up to this one are known to be committed.
     committed: u64,
     /// The newest committed entry known, though it may not be in the history held here.
-    newest_mark: Option<Mark>,
+    newest_mark: Option<EntryHeader>,
     /// The newest committed configuration known.
     newest: Option<Arc<CommittedConfig>>,
 
@@ -98,7 +98,7 @@
     head: Head,
     tail: Tail,
     calls: Calls,
-    relayed: Relayed,
+    forwarded: Relayed,
 }
 
 impl Replica {
@@ -119,14 +119,14 @@
             Event::Tick => self.tick(),
             Event::Message { from, message } => self.receive(from, message),
             Event::LinkDown { peer } => self.peers.link_down(peer),
-            Event::Submit { ticket, base, version, request, bytes } => {
-                self.submit(ticket, base, version, request, bytes);
+            Event::Submit { id, base, version, request_hash, bytes } => {
+                self.submit(id, base, version, request_hash, bytes);
             }
-            Event::Read { ticket } => self.read(ticket),
-            Event::Abandon { ticket } => self.abandon(ticket),
+            Event::Read { id } => self.read(id),
+            Event::Cancel { id } => self.abandon(id),
             Event::Leave => self.leave(),
-            Event::Stored { batch } => self.stored(batch),
-            Event::StoreFailed { batch } => self.journal.failed(now, batch),
+            Event::Persisted { batch } => self.stored(batch),
+            Event::PersistFailed { batch } => self.journal.failed(now, batch),
         }
         self.settle();
         out.append(&mut self.out);
@@ -141,23 +141,23 @@
     }
 
     /// A summary.
-    pub fn status(&self) -> Status {
+    pub fn status(&self) -> ReplicaStatus {
         let addresses = |members: &[MemberId]| members.iter().map(|member| member.address).collect();
-        Status {
+        ReplicaStatus {
             identity: self.identity,
             view: self.view.number,
             members: addresses(&self.view.members),
             chain: addresses(&self.view.chain),
             position: self.view.position(self.identity),
-            member: self.is_member(),
-            committed: self.newest.as_ref().map(|config| config.version),
-            serving: self.installation.serving,
-            newest_index: self.newest_mark.map_or(0, |mark| mark.index),
-            in_touch: self.in_touch(),
-            accepted_next: self.acceptor.accepted.is_some(),
-            disk_well: self.disk_well(),
+            is_member: self.is_member(),
+            committed_version: self.newest.as_ref().map(|config| config.version),
+            is_serving: self.installation.serving,
+            committed_index: self.newest_mark.map_or(0, |header| header.index),
+            has_quorum: self.has_quorum(),
+            has_accepted_next_view: self.acceptor.accepted.is_some(),
+            disk_healthy: self.disk_healthy(),
             learners: self.learners(),
-            held: self.held(),
+            durable_commit_index: self.durable_commit_index(),
             leave: self.leave_state(),
             uptime: self.now.saturating_sub(self.started),
         }
@@ -192,10 +192,10 @@
     }
 
     fn note_disk(&mut self) {
-        let well = self.disk_well();
+        let well = self.disk_healthy();
         if well != self.disk_was_well {
             self.disk_was_well = well;
-            self.log(if well { LogLine::DiskWell } else { LogLine::DiskTrouble });
+            self.log(if well { LogEvent::DiskHealthy } else { LogEvent::DiskFault });
             self.beat_soon();
         }
     }
@@ -208,36 +208,38 @@
             Message::Heartbeat(beat) => self.on_heartbeat(from, beat),
             Message::ViewRequest { above } => self.on_view_request(from, above),
             Message::Decided { view } => self.on_decided(view),
-            Message::Prepare { instance, ballot } => self.on_prepare(from, instance, ballot),
-            Message::Promise { sender, instance, ballot, accepted, holding } => {
-                self.on_promise(instance, ballot, PromiseHeld { member: sender, accepted, holding });
+            Message::Prepare { instance, proposal } => self.on_prepare(from, instance, proposal),
+            Message::Promise { sender, instance, proposal, accepted, position } => {
+                self.on_promise(instance, proposal, ReceivedPromise { member: sender, accepted, position });
             }
-            Message::Rejected { instance, ballot, promised } => self.on_rejected(instance, ballot, promised),
-            Message::Accept { ballot, view } => self.on_accept(from, ballot, view),
-            Message::Accepted { instance, ballot } => self.on_accepted(from, instance, ballot),
-            Message::StateRequest { view, after, piece } => self.on_state_request(from, view, after, piece),
-            Message::State { view, transfer } => self.on_state(view, &transfer),
-            Message::StatePiece { view, piece } => self.on_state_piece(from, view, &piece),
-            Message::HistoryRequest { after, piece } => self.on_history_request(from, after, piece),
-            Message::HistoryPiece { piece } => self.on_history_piece(from, &piece),
+            Message::Rejected { instance, proposal, promised } => {
+                self.on_rejected(instance, proposal, promised)
+            }
+            Message::Accept { proposal, view } => self.on_accept(from, proposal, view),
+            Message::Accepted { instance, proposal } => self.on_accepted(from, instance, proposal),
+            Message::StateRequest { view, after, chunk } => self.on_state_request(from, view, after, chunk),
+            Message::State { view, suffix } => self.on_state(view, &suffix),
+            Message::StateChunk { view, chunk } => self.on_state_piece(from, view, &chunk),
+            Message::HistoryRequest { after, chunk } => self.on_history_request(from, after, chunk),
+            Message::HistoryChunk { chunk } => self.on_history_piece(from, &chunk),
             Message::Replicate { view, entry } => self.on_replicate(from, view, entry),
             Message::Replicated { view, index } => self.on_replicated(from, view, index),
-            Message::Committed { mark } => self.learn_commit(from, mark),
-            Message::Confirm { view, question } => self.on_confirm(from, view, question),
-            Message::Confirmed { view, question } => self.on_confirmed(from, view, question),
-            Message::Submit { call, base, version, digest: _, bytes, request, relayed } => {
-                let change = SubmittedChange { call, base, version, request, bytes };
+            Message::Committed { header } => self.learn_commit(from, header),
+            Message::Confirm { view, request_id } => self.on_confirm(from, view, request_id),
+            Message::Confirmed { view, request_id } => self.on_confirmed(from, view, request_id),
+            Message::Submit { request_id, base, version, digest: _, bytes, request_hash, forwarded } => {
+                let change = SubmittedChange { request_id, base, version, request_hash, bytes };
                 let is_head = self.view.head() == Some(self.identity);
-                match relayed || is_head {
+                match forwarded || is_head {
                     true => self.on_submit(from, change),
                     false => self.relay_submit(from, change),
                 }
             }
-            Message::Read { call, relayed: false } if self.view.tail() != Some(self.identity) => {
-                self.relay_read(from, call);
+            Message::Read { request_id, forwarded: false } if self.view.tail() != Some(self.identity) => {
+                self.relay_read(from, request_id);
             }
-            Message::Read { call, relayed: _ } => self.on_read(from, call),
-            Message::Outcome { call, outcome } => self.on_outcome(from, call, outcome),
+            Message::Read { request_id, forwarded: _ } => self.on_read(from, request_id),
+            Message::Outcome { request_id, outcome } => self.on_outcome(from, request_id, outcome),
             Message::ConfigRequest { above } => self.on_config_request(from, above),
             Message::Config { config } => self.on_config(config),
         }
@@ -255,7 +257,7 @@
                 Effect::Send { to, message } => self.send(to, message),
                 Effect::Installed { view, last_index } => self.on_installed(view, last_index),
                 Effect::Followed { index } => self.on_followed(index),
-                Effect::Appended { view, mark } => self.on_appended(view, mark),
+                Effect::Appended { view, header } => self.on_appended(view, header),
             }
         }
     }
@@ -281,7 +283,7 @@
         if self.journal.idle() && self.journal.log_bytes() > self.rewrite_above {
             let snapshot = self.snapshot();
             let live: usize = snapshot.iter().map(Vec::len).sum();
-            self.rewrite_above = self.settings.rewrite_above.max(2 * live);
+            self.rewrite_above = self.settings.rewrite_threshold_bytes.max(2 * live);
             if self.journal.log_bytes() > self.rewrite_above {
                 let batch = self.journal.begin_rewrite(self.now, snapshot);
                 return self.launch(batch);
@@ -295,7 +297,7 @@
     fn launch(&mut self, batch: Batch) {
         let Batch { number: batch, records, rewrite } = batch;
         let store =
-            if rewrite { Action::Rewrite { batch, records } } else { Action::Store { batch, records } };
+            if rewrite { Action::RewriteLog { batch, records } } else { Action::Persist { batch, records } };
         self.out.push(store);
     }
 
@@ -316,15 +318,15 @@
         self.journal.then(Effect::Send { to, message });
     }
 
-    fn log(&mut self, line: LogLine) {
+    fn log(&mut self, line: LogEvent) {
         self.out.push(Action::Log(line));
     }
 
-    fn answer(&mut self, ticket: Ticket, answer: crate::api::Answer) {
-        self.out.push(Action::Answer { ticket, answer });
+    fn answer(&mut self, id: OperatorRequestId, response: OperatorResponse) {
+        self.out.push(Action::Respond { id, response });
     }
 
-    fn disk_well(&self) -> bool {
+    fn disk_healthy(&self) -> bool {
         self.journal.well(self.now, self.settings.suspect_after)
     }
 
@@ -340,7 +342,7 @@
 
     /// Whether this process votes on the next view.
     fn is_acceptor(&self) -> bool {
-        if self.view.number == 0 { self.founding.is_some() } else { self.is_member() }
+        if self.view.number == 0 { self.bootstrap_seeds.is_some() } else { self.is_member() }
     }
 
     /// The position in the chain, if this process holds the view's history and takes part.
@@ -361,20 +363,20 @@
         Planner {
             view: &self.view,
             me: self.identity,
-            disk_well: self.disk_well(),
-            founder: self.founding.is_some(),
+            disk_healthy: self.disk_healthy(),
+            may_bootstrap: self.bootstrap_seeds.is_some(),
             leaving: self.leaving,
             installed: self.installation.synced,
-            committed: self.newest_mark.map_or(0, |mark| mark.index),
+            committed: self.newest_mark.map_or(0, |header| header.index),
             peers: &self.peers,
             settings: &self.settings,
             now: self.now,
         }
     }
 
-    fn in_touch(&self) -> bool {
+    fn has_quorum(&self) -> bool {
         let me = self.identity.address;
-        let reached = |address: SocketAddr| address == me || self.peers.two_way(address, self.now);
+        let reached = |address: SocketAddr| address == me || self.peers.bidirectional(address, self.now);
         let count = self.view.members.iter().filter(|member| reached(member.address)).count();
         self.view.number > 0 && count >= self.view.majority()
     }
--- a/crates/chain/src/replica/proposer.rs
+++ b/crates/chain/src/replica/proposer.rs
@@ -1,10 +1,10 @@
 //! The proposer of the next view.
 
 use super::Replica;
-use crate::api::{LogLine, Reason};
-use crate::consensus::{self, Attempt, Lineage, Phase, PromiseHeld};
+use crate::api::{LogEvent, ViewChangeReason};
+use crate::consensus::{self, Attempt, Lineage, Phase, ReceivedPromise};
 use crate::message::Message;
-use crate::model::{Ballot, MemberId, View};
+use crate::model::{MemberId, ProposalNumber, View};
 use crate::planner::Plan;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// A proposal that stopped the present view should be finished by its proposer within this.
 const UNFINISHED_AFTER: Duration = Duration::from_millis(500);
-/// A view should serve within this: a transfer and a sync on a slow disk, with room.
+/// A view should serve within this: a suffix and a sync on a slow disk, with room.
 const STUCK_AFTER: Duration = Duration::from_millis(1_500);
 /// At the first start, seeds that are silent are waited for this long.
 const FOUNDING_PATIENCE: Duration = Duration::from_millis(1_000);
@@ -52,7 +52,7 @@
     }
 
     /// A view that should follow the present one, and why.
-    fn desired(&self) -> Option<(Plan, Reason)> {
+    fn desired(&self) -> Option<(Plan, ViewChangeReason)> {
         let planner = self.planner();
         let plan = planner.plan(&[])?;
         if self.view.number == 0 && !self.founders_complete(&plan) {
@@ -70,16 +70,16 @@
     }
 
     /// Whether the present view was stopped, or never came to serve.
-    fn stopped(&self) -> Option<Reason> {
+    fn stopped(&self) -> Option<ViewChangeReason> {
         if self.contact_sealed_for(UNFINISHED_AFTER) {
-            return Some(Reason::Unfinished);
+            return Some(ViewChangeReason::UnfinishedProposal);
         }
         // A process outside the chain may not hear all of it.
         let stuck = self.view.position(self.identity).is_some()
             && self.view.may_serve()
             && !self.installation.serving
             && self.now >= self.view_since + STUCK_AFTER;
-        stuck.then_some(Reason::Stuck)
+        stuck.then_some(ViewChangeReason::Stalled)
     }
 
     fn contact_sealed_for(&self, time: Duration) -> bool {
@@ -97,20 +97,20 @@
         self.proposer.sealed_since = if any { since.or(Some(self.now)) } else { None };
     }
 
-    fn begin_attempt(&mut self, reason: Reason) {
+    fn begin_attempt(&mut self, reason: ViewChangeReason) {
         let round = self.proposer.highest_round + 1;
         self.proposer.highest_round = round;
-        let ballot = Ballot { round, proposer: self.identity };
+        let proposal = ProposalNumber { round, proposer: self.identity };
         let deadline = self.now + ATTEMPT_TIMEOUT;
         let phase = Phase::Preparing { promises: BTreeMap::new(), majority_since: None };
-        self.proposer.attempt = Some(Attempt { ballot, deadline, phase });
+        self.proposer.attempt = Some(Attempt { proposal, deadline, phase });
         let instance = self.view.number + 1;
-        self.log(LogLine::Proposing { number: instance, reason });
-        self.promise(instance, ballot);
-        // Nobody hears of a ballot before this process's own promise is on disk: after a restart it goes on above that
-        // promise, so that no ballot is ever used for a second proposal.
+        self.log(LogEvent::Proposing { number: instance, reason });
+        self.promise(instance, proposal);
+        // Nobody hears of a proposal before this process's own promise is on disk: after a restart it goes on above that
+        // promise, so that no proposal is ever used for a second proposal.
         for member in self.view.members.clone() {
-            self.send_synced(member.address, Message::Prepare { instance, ballot });
+            self.send_synced(member.address, Message::Prepare { instance, proposal });
         }
     }
 
@@ -129,12 +129,13 @@
         self.proposer.not_before = self.now + pause;
     }
 
-    pub(super) fn on_promise(&mut self, instance: u64, ballot: Ballot, promise: PromiseHeld) {
+    pub(super) fn on_promise(&mut self, instance: u64, proposal: ProposalNumber, promise: ReceivedPromise) {
         let majority = self.view.majority();
-        if instance != self.view.number + 1 || !self.view.admits(promise.member) {
+        if instance != self.view.number + 1 || !self.view.has_acceptor(promise.member) {
             return;
         }
-        let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else {
+        let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.proposal == proposal)
+        else {
             return;
         };
         let Phase::Preparing { promises, majority_since } = &mut attempt.phase else { return };
@@ -156,16 +157,16 @@
             return;
         }
         let Some(view) = self.choose(promises) else { return };
-        let ballot = attempt.ballot;
+        let proposal = attempt.proposal;
         let phase = Phase::Accepting { view: Box::new(view.clone()), accepted: BTreeSet::new() };
-        self.proposer.attempt = Some(Attempt { ballot, deadline: self.now + ATTEMPT_TIMEOUT, phase });
+        self.proposer.attempt = Some(Attempt { proposal, deadline: self.now + ATTEMPT_TIMEOUT, phase });
         for member in self.view.members.clone() {
-            self.send(member.address, Message::Accept { ballot, view: view.clone() });
+            self.send(member.address, Message::Accept { proposal, view: view.clone() });
         }
     }
 
     /// The view that may be proposed after these promises: one that may have been agreed already, else a new one.
-    fn choose(&self, promises: &BTreeMap<SocketAddr, PromiseHeld>) -> Option<View> {
+    fn choose(&self, promises: &BTreeMap<SocketAddr, ReceivedPromise>) -> Option<View> {
         let accepted = promises.values().filter_map(|promise| promise.accepted.as_ref());
         if let Some(held) = accepted.max_by_key(|held| held.0) {
             return Some(held.1.clone());
@@ -182,28 +183,29 @@
             chain: plan.chain,
             source: Some(source),
             lineage: lineage.ancestors,
-            base: lineage.base,
-            tolerated: self.view.tolerated,
-            required: self.view.required,
+            last_known_served: lineage.last_known_served,
+            fault_tolerance: self.view.fault_tolerance,
+            min_members: self.view.min_members,
         })
     }
 
-    pub(super) fn on_rejected(&mut self, instance: u64, ballot: Ballot, promised: Ballot) {
+    pub(super) fn on_rejected(&mut self, instance: u64, proposal: ProposalNumber, promised: ProposalNumber) {
         if instance != self.view.number + 1 {
             return;
         }
         self.proposer.highest_round = self.proposer.highest_round.max(promised.round);
-        if self.proposer.attempt.as_ref().is_some_and(|attempt| attempt.ballot == ballot) {
+        if self.proposer.attempt.as_ref().is_some_and(|attempt| attempt.proposal == proposal) {
             self.fail_attempt();
         }
     }
 
-    pub(super) fn on_accepted(&mut self, from: SocketAddr, instance: u64, ballot: Ballot) {
+    pub(super) fn on_accepted(&mut self, from: SocketAddr, instance: u64, proposal: ProposalNumber) {
         let majority = self.view.majority();
         if instance != self.view.number + 1 || !self.view.has_member_at(from) {
             return;
         }
-        let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.ballot == ballot) else {
+        let Some(attempt) = self.proposer.attempt.as_mut().filter(|attempt| attempt.proposal == proposal)
+        else {
             return;
         };
         let Phase::Accepting { view, accepted } = &mut attempt.phase else { return };
--- a/crates/chain/src/replica/recovery.rs
+++ b/crates/chain/src/replica/recovery.rs
@@ -2,7 +2,7 @@
 
 use super::{Replica, calls::Calls, contact::Contact, follow::Follower, head::Head};
 use super::{install::Installation, relay::Relayed, replication::Successor, tail::Tail};
-use crate::api::{LogLine, RecoverError};
+use crate::api::{LogEvent, RecoverError};
 use crate::consensus::{Acceptor, Proposer};
 use crate::digest::Fnv;
 use crate::history::History;
@@ -32,24 +32,24 @@
 impl Recovered {
     fn apply(&mut self, record: Record) -> Result<(), RecoverError> {
         match record {
-            Record::Identity { disk, founding } => self.identity = Some((disk, founding)),
-            Record::Promise { instance, ballot } => self.promise(instance, ballot),
-            Record::Accept { ballot, view } => {
-                self.promise(view.number, ballot);
-                self.acceptor.accepted = Some(Box::new((ballot, view)));
+            Record::Identity { disk, bootstrap_seeds } => self.identity = Some((disk, bootstrap_seeds)),
+            Record::Promise { instance, proposal } => self.promise(instance, proposal),
+            Record::Accept { proposal, view } => {
+                self.promise(view.number, proposal);
+                self.acceptor.accepted = Some(Box::new((proposal, view)));
             }
             Record::Decided { view } => {
                 self.view = Some(view);
                 self.acceptor = Acceptor::default();
             }
-            Record::Install { view, transfer } => {
-                if !self.history.install(&transfer) {
-                    return Err(RecoverError::Gap { index: transfer.after });
+            Record::Install { view, suffix } => {
+                if !self.history.install(&suffix) {
+                    return Err(RecoverError::Gap { index: suffix.after });
                 }
                 self.installed = view;
             }
             Record::Append { entry } => {
-                let index = entry.mark.index;
+                let index = entry.header.index;
                 if !self.history.append(entry) {
                     return Err(RecoverError::Gap { index });
                 }
@@ -58,9 +58,9 @@
         Ok(())
     }
 
-    fn promise(&mut self, instance: u64, ballot: crate::model::Ballot) {
+    fn promise(&mut self, instance: u64, proposal: crate::model::ProposalNumber) {
         debug_assert_eq!(instance, self.view.as_ref().map_or(0, |view| view.number) + 1);
-        self.acceptor.promised = Some(ballot);
+        self.acceptor.promised = Some(proposal);
     }
 }
 
@@ -83,22 +83,23 @@
 
 fn assemble(settings: ReplicaSettings, recovered: Recovered, log_bytes: usize, now: Duration) -> Replica {
     // Processes that are given the same seed must still not back off in step.
-    let own = Fnv::of(settings.me.to_string().as_bytes());
+    let own = Fnv::of(settings.local_address.to_string().as_bytes());
     let mut rng = fastrand::Rng::with_seed(settings.seed ^ own.0);
     let incarnation = rng.u64(..);
     let empty = recovered.identity.is_none();
-    let (disk, founding) = recovered.identity.unwrap_or_else(|| (rng.u64(1..), founding(&settings)));
-    let identity = MemberId { address: settings.me, disk };
-    let view = recovered.view.unwrap_or_else(|| view_zero(&settings, founding.as_deref()));
+    let (disk, bootstrap_seeds) =
+        recovered.identity.unwrap_or_else(|| (rng.u64(1..), bootstrap_seeds(&settings)));
+    let identity = MemberId { address: settings.local_address, disk };
+    let view = recovered.view.unwrap_or_else(|| view_zero(&settings, bootstrap_seeds.as_deref()));
     let last_index = recovered.history.last_index();
     let mut replica = Replica {
-        peers: Peers::new(settings.me, settings.suspect_after),
-        rewrite_above: settings.rewrite_above,
+        peers: Peers::new(settings.local_address, settings.suspect_after),
+        rewrite_above: settings.rewrite_threshold_bytes,
         settings,
         rng,
         identity,
         incarnation,
-        founding,
+        bootstrap_seeds,
         ready: false,
         started: now,
         now,
@@ -124,24 +125,24 @@
         head: Head::default(),
         tail: Tail::default(),
         calls: Calls::default(),
-        relayed: Relayed::default(),
+        forwarded: Relayed::default(),
     };
     replica.start(empty);
     replica
 }
 
-fn founding(settings: &ReplicaSettings) -> Option<Vec<SocketAddr>> {
+fn bootstrap_seeds(settings: &ReplicaSettings) -> Option<Vec<SocketAddr>> {
     let mut seeds = settings.seeds.clone();
     seeds.sort();
     seeds.dedup();
-    let founds = settings.bootstrap && settings.counts_for_quorum && seeds.contains(&settings.me);
+    let founds = settings.bootstrap && settings.counts_for_quorum && seeds.contains(&settings.local_address);
     founds.then_some(seeds)
 }
 
-/// The seeds as the acceptors of the first view; nobody, for a process that may not found the system.
-fn view_zero(settings: &ReplicaSettings, founding: Option<&[SocketAddr]>) -> View {
-    let seeds = founding.unwrap_or_default();
-    let wanted = 2 * settings.tolerated + 1;
+/// The seeds as the acceptors of the first view; nobody, for a process that may not bootstrap.
+fn view_zero(settings: &ReplicaSettings, bootstrap_seeds: Option<&[SocketAddr]>) -> View {
+    let seeds = bootstrap_seeds.unwrap_or_default();
+    let wanted = 2 * settings.fault_tolerance + 1;
     let required = if seeds.len() < FULL_SEEDS { wanted.min(seeds.len()) } else { wanted };
     View {
         number: 0,
@@ -149,21 +150,22 @@
         chain: Vec::new(),
         source: None,
         lineage: Vec::new(),
-        base: 0,
-        tolerated: settings.tolerated as u32,
-        required: required as u32,
+        last_known_served: 0,
+        fault_tolerance: settings.fault_tolerance as u32,
+        min_members: required as u32,
     }
 }
 
 impl Replica {
     fn start(&mut self, empty: bool) {
         if empty {
-            let record = Record::Identity { disk: self.identity.disk, founding: self.founding.clone() };
+            let record =
+                Record::Identity { disk: self.identity.disk, bootstrap_seeds: self.bootstrap_seeds.clone() };
             self.record(&record);
         }
         self.journal.then(Effect::Ready);
-        let founder = self.founding.is_some();
-        self.log(LogLine::Started { identity: self.identity, founder, view: self.view.number });
+        let may_bootstrap = self.bootstrap_seeds.is_some();
+        self.log(LogEvent::Started { identity: self.identity, may_bootstrap, view: self.view.number });
         self.publish(self.committed);
         let known = self.settings.seeds.clone().into_iter();
         let members = self.view.members.clone().into_iter().map(|member| member.address);
@@ -174,19 +176,21 @@
 
     /// The records that stand for the whole state.
     pub(super) fn snapshot(&self) -> Vec<Vec<u8>> {
-        let mut records =
-            vec![Record::Identity { disk: self.identity.disk, founding: self.founding.clone() }];
+        let mut records = vec![Record::Identity {
+            disk: self.identity.disk,
+            bootstrap_seeds: self.bootstrap_seeds.clone(),
+        }];
         let installed = self.installation.installed;
-        records.extend(Record::installation(installed, installed, &self.history.transfer(0)));
+        records.extend(Record::installation(installed, installed, &self.history.suffix(0)));
         if self.view.number > 0 {
             records.push(Record::Decided { view: self.view.as_ref().clone() });
         }
         let instance = self.view.number + 1;
         if let Some(held) = &self.acceptor.accepted {
-            records.push(Record::Accept { ballot: held.0, view: held.1.clone() });
+            records.push(Record::Accept { proposal: held.0, view: held.1.clone() });
         }
-        if let Some(ballot) = self.acceptor.promised {
-            records.push(Record::Promise { instance, ballot });
+        if let Some(proposal) = self.acceptor.promised {
+            records.push(Record::Promise { instance, proposal });
         }
         records.iter().map(Record::encode).collect()
     }
--- a/crates/chain/src/replica/relay.rs
+++ b/crates/chain/src/replica/relay.rs
@@ -7,8 +7,8 @@
 
 use super::{Replica, head::SubmittedChange};
 use crate::digest::Digest;
-use crate::message::{Message, Outcome};
-use crate::model::CallId;
+use crate::message::{Message, RequestOutcome};
+use crate::model::RequestId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,17 +23,19 @@
 /// Where outcomes are brought, by call.
 #[derive(Debug, Default)]
 pub struct Relayed {
-    origins: BTreeMap<CallId, (SocketAddr, Duration)>,
+    origins: BTreeMap<RequestId, (SocketAddr, Duration)>,
 }
 
 impl Replica {
     /// Whom to send what is for `end`: `end` itself, or a peer that reaches it where this process does not.
     pub(super) fn way_to(&self, end: SocketAddr) -> SocketAddr {
-        if end == self.identity.address || self.peers.two_way(end, self.now) {
+        if end == self.identity.address || self.peers.bidirectional(end, self.now) {
             return end;
         }
         let reaches = |peer: &SocketAddr| {
-            *peer != end && self.peers.two_way(*peer, self.now) && self.peers.claims(*peer, end, self.now)
+            *peer != end
+                && self.peers.bidirectional(*peer, self.now)
+                && self.peers.claims(*peer, end, self.now)
         };
         let peers: Vec<SocketAddr> =
             self.peers.fresh_addresses(self.now).into_iter().filter(reaches).collect();
@@ -43,32 +45,34 @@
     }
 
     pub(super) fn relay_submit(&mut self, origin: SocketAddr, change: SubmittedChange) {
-        let SubmittedChange { call, base, version, request, bytes } = change;
+        let SubmittedChange { request_id, base, version, request_hash, bytes } = change;
         let Some(head) = self.view.head().map(|head| head.address) else { return };
         let digest = Digest::of(&bytes).fnv;
-        let message = Message::Submit { call, base, version, digest, bytes, request, relayed: true };
-        self.relay(origin, call, head, message);
+        let message =
+            Message::Submit { request_id, base, version, digest, bytes, request_hash, forwarded: true };
+        self.relay(origin, request_id, head, message);
     }
 
-    pub(super) fn relay_read(&mut self, origin: SocketAddr, call: CallId) {
+    pub(super) fn relay_read(&mut self, origin: SocketAddr, request_id: RequestId) {
         let Some(tail) = self.view.tail().map(|tail| tail.address) else { return };
-        self.relay(origin, call, tail, Message::Read { call, relayed: true });
+        self.relay(origin, request_id, tail, Message::Read { request_id, forwarded: true });
     }
 
-    fn relay(&mut self, origin: SocketAddr, call: CallId, end: SocketAddr, message: Message) {
+    fn relay(&mut self, origin: SocketAddr, request_id: RequestId, end: SocketAddr, message: Message) {
         let now = self.now;
-        self.relayed.origins.retain(|_, (_, since)| now < *since + FORGET_AFTER);
-        if origin == end || !self.peers.two_way(end, now) || self.relayed.origins.len() >= MAX_RELAYED {
+        self.forwarded.origins.retain(|_, (_, since)| now < *since + FORGET_AFTER);
+        if origin == end || !self.peers.bidirectional(end, now) || self.forwarded.origins.len() >= MAX_RELAYED
+        {
             return;
         }
-        self.relayed.origins.insert(call, (origin, now));
+        self.forwarded.origins.insert(request_id, (origin, now));
         self.send(end, message);
     }
 
     /// Brings an outcome to the process that was called.
-    pub(super) fn relay_outcome(&mut self, call: CallId, outcome: Outcome) {
-        if let Some((origin, _)) = self.relayed.origins.remove(&call) {
-            self.send(origin, Message::Outcome { call, outcome });
+    pub(super) fn relay_outcome(&mut self, request_id: RequestId, outcome: RequestOutcome) {
+        if let Some((origin, _)) = self.forwarded.origins.remove(&request_id) {
+            self.send(origin, Message::Outcome { request_id, outcome });
         }
     }
 }
--- a/crates/chain/src/replica/replication.rs
+++ b/crates/chain/src/replica/replication.rs
@@ -1,10 +1,10 @@
 //! Entries down the chain, commits back up.
 
 use super::Replica;
-use crate::api::{Action, LogLine};
+use crate::api::{Action, LogEvent};
 use crate::journal::Effect;
 use crate::message::Message;
-use crate::model::{CommittedConfig, Entry, Mark, MemberId};
+use crate::model::{CommittedConfig, Entry, EntryHeader, MemberId};
 use crate::record::Record;
 use lugwharf_invariants::{Invariant, check};
 use std::net::SocketAddr;
@@ -38,21 +38,21 @@
 
     /// Adds an entry to the history. Returns whether it follows the last.
     pub(super) fn append(&mut self, entry: Entry) -> bool {
-        let mark = entry.mark;
+        let header = entry.header;
         if !self.history.append(entry.clone()) {
             return false;
         }
         self.record(&Record::Append { entry });
-        self.journal.then(Effect::Appended { view: self.view.number, mark });
+        self.journal.then(Effect::Appended { view: self.view.number, header });
         true
     }
 
-    pub(super) fn on_appended(&mut self, view: u64, mark: Mark) {
+    pub(super) fn on_appended(&mut self, view: u64, header: EntryHeader) {
         // Outside the chain a committed entry may have taken its place.
-        if view != self.installation.installed || !self.history.holds(&mark) {
+        if view != self.installation.installed || !self.history.holds(&header) {
             return;
         }
-        self.synced = self.synced.max(mark.index);
+        self.synced = self.synced.max(header.index);
         if self.active_position().is_none() {
             return;
         }
@@ -90,8 +90,9 @@
             return;
         }
         if let Some(successor) = self.neighbour(1) {
-            let beat = self.peers.beat(successor.address).filter(|beat| beat.installed == self.view.number);
-            self.successor.synced = self.successor.synced.max(beat.map_or(0, |beat| beat.synced));
+            let beat =
+                self.peers.beat(successor.address).filter(|beat| beat.installed_view == self.view.number);
+            self.successor.synced = self.successor.synced.max(beat.map_or(0, |beat| beat.synced_index));
             self.replicate();
         }
     }
@@ -104,10 +105,10 @@
         if predecessor.is_none_or(|predecessor| predecessor.address != from) {
             return;
         }
-        if entry.mark.index <= self.synced {
+        if entry.header.index <= self.synced {
             return self.acknowledge();
         }
-        if self.disk_well() && entry.mark.digest.fits(&entry.bytes) {
+        if self.disk_healthy() && entry.header.digest.fits(&entry.bytes) {
             // An entry that does not follow is a repeat of one on its way to the disk.
             self.append(entry);
         }
@@ -123,35 +124,42 @@
     /// The tail commits what it has synced.
     pub(super) fn commit_when_tail(&mut self) {
         let commits = self.is_active_tail() && self.installation.serving && self.synced > self.committed;
-        let Some(mark) = self.history.mark(self.synced).filter(|_| commits) else { return };
-        let (replicas, tolerated) = (self.view.chain.len(), self.view.tolerated as usize);
-        check(Invariant::AcknowledgedOnEnoughDisks, replicas > tolerated && self.view.may_serve(), || {
-            format!("{mark:?} in view {} with {replicas} replicas, {tolerated} tolerated", self.view.number)
-        });
-        self.commit(mark);
+        let Some(header) = self.history.header(self.synced).filter(|_| commits) else { return };
+        let (replicas, fault_tolerance) = (self.view.chain.len(), self.view.fault_tolerance as usize);
+        check(
+            Invariant::AcknowledgedOnEnoughDisks,
+            replicas > fault_tolerance && self.view.may_serve(),
+            || {
+                format!(
+                    "{header:?} in view {} with {replicas} replicas, fault tolerance {fault_tolerance}",
+                    self.view.number
+                )
+            },
+        );
+        self.commit(header);
         let addresses: Vec<SocketAddr> = self.peers.fresh_addresses(self.now);
         for address in addresses {
-            self.send(address, Message::Committed { mark });
+            self.send(address, Message::Committed { header });
         }
     }
 
     /// An entry of the history held here is committed.
-    pub(super) fn commit(&mut self, mark: Mark) {
-        if mark.index <= self.committed {
+    pub(super) fn commit(&mut self, header: EntryHeader) {
+        if header.index <= self.committed {
             return;
         }
-        self.committed = mark.index;
-        self.log(LogLine::Committed(mark));
-        self.publish(mark.index);
-        self.finish_calls(mark);
+        self.committed = header.index;
+        self.log(LogEvent::Committed(header));
+        self.publish(header.index);
+        self.finish_calls(header);
         self.judge_changes();
     }
 
     /// Makes a committed entry of the history known, if it is the newest.
     pub(super) fn publish(&mut self, index: u64) {
-        let Some(mark) = self.history.mark(index) else { return };
+        let Some(header) = self.history.header(index) else { return };
         if self.newest_mark.is_none_or(|newest| newest.index < index) {
-            self.newest_mark = Some(mark);
+            self.newest_mark = Some(header);
         }
         if let Some(config) = self.history.config(index) {
             self.publish_config(config);
@@ -174,13 +182,13 @@
     }
 
     /// Some process says that an entry is committed.
-    pub(super) fn learn_commit(&mut self, from: SocketAddr, mark: Mark) {
-        if self.newest_mark.is_none_or(|newest| newest.index < mark.index) {
-            self.newest_mark = Some(mark);
+    pub(super) fn learn_commit(&mut self, from: SocketAddr, header: EntryHeader) {
+        if self.newest_mark.is_none_or(|newest| newest.index < header.index) {
+            self.newest_mark = Some(header);
         }
         self.catch_up_commit();
-        self.finish_calls(mark);
-        if self.newest.as_ref().is_none_or(|newest| newest.version < mark.version) {
+        self.finish_calls(header);
+        if self.newest.as_ref().is_none_or(|newest| newest.version < header.version) {
             let above = self.newest.as_ref().map_or(0, |newest| newest.version);
             self.send(from, Message::ConfigRequest { above });
         }
@@ -189,8 +197,8 @@
 
     /// Commits what is known to be committed and held here.
     pub(super) fn catch_up_commit(&mut self) {
-        if let Some(mark) = self.newest_mark.filter(|mark| self.history.holds(mark)) {
-            self.commit(mark);
+        if let Some(header) = self.newest_mark.filter(|header| self.history.holds(header)) {
+            self.commit(header);
         }
     }
 
