--- a/crates/chain/src/replica/tail.rs
+++ b/crates/chain/src/replica/tail.rs
@@ -1,16 +1,16 @@
 //! Reads at the tail, and whether a view is still in force.
 //!
-//! A view is in force for what began before a question if, after the question, a majority of its members says that it
+//! A view is in force for what began before a request_id if, after the request_id, a majority of its members says that it
 //! has promised no later view: a later view needs promises of a majority, and both would share a member.
 
 use super::Replica;
-use crate::message::{Message, Outcome};
-use crate::model::CallId;
+use crate::message::{Message, RequestOutcome};
+use crate::model::RequestId;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A question that was not answered by a majority is repeated after this.
+/// A request_id that was not answered by a majority is repeated after this.
 const ASK_AGAIN: Duration = Duration::from_millis(150);
 /// More reads at a time than the operator has under way, by far.
 const MAX_READS: usize = 64;
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 struct PendingRead {
     origin: SocketAddr,
-    call: CallId,
+    request_id: RequestId,
     round: u64,
 }
 
@@ -48,14 +48,14 @@
 }
 
 impl Replica {
-    pub(super) fn on_read(&mut self, origin: SocketAddr, call: CallId) {
-        let known = self.tail.reads.iter().any(|read| read.call == call);
+    pub(super) fn on_read(&mut self, origin: SocketAddr, request_id: RequestId) {
+        let known = self.tail.reads.iter().any(|read| read.request_id == request_id);
         let mine = self.view.tail() == Some(self.identity) && !self.sealed();
         if !mine || known || self.tail.reads.len() >= MAX_READS {
             return;
         }
         let round = self.want_confirmation();
-        self.tail.reads.push(PendingRead { origin, call, round });
+        self.tail.reads.push(PendingRead { origin, request_id, round });
         self.answer_reads();
     }
 
@@ -83,11 +83,11 @@
 
     fn ask(&mut self) {
         self.tail.asked = self.now;
-        let question = CallId { incarnation: self.incarnation, ticket: self.tail.begun };
+        let request_id = RequestId { incarnation: self.incarnation, sequence: self.tail.begun };
         let view = self.view.number;
         for member in self.view.members.clone() {
             if !self.tail.confirmers.contains(&member.address) {
-                self.send(member.address, Message::Confirm { view, question });
+                self.send(member.address, Message::Confirm { view, request_id });
             }
         }
     }
@@ -98,19 +98,19 @@
         }
     }
 
-    pub(super) fn on_confirm(&mut self, from: SocketAddr, view: u64, question: CallId) {
+    pub(super) fn on_confirm(&mut self, from: SocketAddr, view: u64, request_id: RequestId) {
         if view > self.view.number {
             self.send(from, Message::ViewRequest { above: self.view.number });
         }
         if view == self.view.number && self.is_member() && !self.sealed() {
-            self.send(from, Message::Confirmed { view, question });
+            self.send(from, Message::Confirmed { view, request_id });
         }
     }
 
-    pub(super) fn on_confirmed(&mut self, from: SocketAddr, view: u64, question: CallId) {
+    pub(super) fn on_confirmed(&mut self, from: SocketAddr, view: u64, request_id: RequestId) {
         let open = self.tail.begun > self.tail.confirmed;
-        let current = CallId { incarnation: self.incarnation, ticket: self.tail.begun };
-        if !open || view != self.view.number || question != current || !self.view.has_member_at(from) {
+        let current = RequestId { incarnation: self.incarnation, sequence: self.tail.begun };
+        if !open || view != self.view.number || request_id != current || !self.view.has_member_at(from) {
             return;
         }
         self.tail.confirmers.insert(from);
@@ -133,10 +133,10 @@
             std::mem::take(&mut self.tail.reads).into_iter().partition(|read| read.round <= confirmed);
         self.tail.reads = waiting;
         let ready: Vec<PendingRead> = ready;
-        let version = self.history.mark(self.committed).map(|mark| mark.version);
+        let version = self.history.header(self.committed).map(|header| header.version);
         for read in ready {
-            let outcome = Outcome::Newest { version };
-            self.send(read.origin, Message::Outcome { call: read.call, outcome });
+            let outcome = RequestOutcome::Newest { version };
+            self.send(read.origin, Message::Outcome { request_id: read.request_id, outcome });
         }
     }
 }
--- a/crates/chain/src/settings.rs
+++ b/crates/chain/src/settings.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Heartbeats are frequent enough that three may be missed before a peer is suspected.
-const HEARTBEAT: Duration = Duration::from_millis(200);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Well above a sync on a disk 25 times slower than usual (125 ms), well below the bound on acknowledgements (4 s).
 const SUSPECT_AFTER: Duration = Duration::from_millis(700);
 /// A member that was never heard for this long gives its place to a learner. Below the time in which a newcomer counts (4 s).
@@ -12,29 +12,29 @@
 /// A member that came back is taken into the chain after it has been calm for this long.
 const REJOIN_AFTER: Duration = Duration::from_millis(500);
 /// The operator moves on to another machine after a second of silence.
-const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 /// A sixteenth of the smallest disk.
-const REWRITE_ABOVE: usize = 8 * 1024 * 1024;
+const REWRITE_THRESHOLD_BYTES: usize = 8 * 1024 * 1024;
 
-/// A few of them fit into the queue of a link without holding up heartbeats.
-const PIECE_BYTES: usize = 256 * 1024;
+/// A few of them fit into the queue of a link without position up heartbeats.
+const CHUNK_BYTES: usize = 256 * 1024;
 /// How many entries are kept to recognise resends: days of hundreds of changes.
-const MAX_MARKS: usize = 10_000;
+const MAX_HEADERS: usize = 10_000;
 /// The last entry may be uncommitted, the one before it is then current.
-const KEPT_BODIES: usize = 2;
+const MAX_BODIES: usize = 2;
 
 /// How much of the history a replica keeps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistoryLimits {
-    /// The newest entries that are known by their marks, at least 2.
-    pub marks: usize,
+    /// The newest entries that are known by their headers, at least 2.
+    pub max_headers: usize,
     /// The newest of those whose bytes are kept, at least 2.
-    pub bodies: usize,
+    pub max_bodies: usize,
 }
 
 impl Default for HistoryLimits {
     fn default() -> HistoryLimits {
-        HistoryLimits { marks: MAX_MARKS, bodies: KEPT_BODIES }
+        HistoryLimits { max_headers: MAX_HEADERS, max_bodies: MAX_BODIES }
     }
 }
 
@@ -42,17 +42,17 @@
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
     /// The peer address of this process.
-    pub me: SocketAddr,
+    pub local_address: SocketAddr,
     /// Peer addresses of processes that serve control. May include this process and may be out of date.
     pub seeds: Vec<SocketAddr>,
     /// Whether this is the first start of the whole system.
     pub bootstrap: bool,
     /// How many machines may lose their disks at once.
-    pub tolerated: usize,
+    pub fault_tolerance: usize,
     /// Whether this process may become a member. Others learn what is committed and pass calls on.
     pub counts_for_quorum: bool,
     /// The time between two heartbeats to a peer.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// A peer that is silent, or a disk that hangs, for this long leaves the chain.
     pub suspect_after: Duration,
     /// A member that was not heard for this long since the start may be replaced by a learner; one that was heard and went silent
@@ -61,13 +61,13 @@
     /// A replica that is well again for this long is taken back into the chain.
     pub rejoin_after: Duration,
     /// A call of the operator that is not decided after this long is answered with unavailable.
-    pub call_timeout: Duration,
+    pub request_timeout: Duration,
     /// The log is rewritten when it is longer than this and than twice what it needs to hold, in bytes.
-    pub rewrite_above: usize,
+    pub rewrite_threshold_bytes: usize,
     /// How much of the history is kept.
     pub history: HistoryLimits,
-    /// A history goes to another replica in pieces of so many bytes.
-    pub piece_bytes: usize,
+    /// A history goes to another replica in chunks of so many bytes.
+    pub chunk_bytes: usize,
     /// Seed of the random numbers. Must differ from start to start: the identity of a new disk comes from it.
     pub seed: u64,
 }
@@ -75,22 +75,22 @@
 impl ReplicaSettings {
     /// Settings with the usual timings.
     pub fn new(
-        me: SocketAddr, seeds: Vec<SocketAddr>, bootstrap: bool, tolerated: usize, seed: u64,
+        local_address: SocketAddr, seeds: Vec<SocketAddr>, bootstrap: bool, fault_tolerance: usize, seed: u64,
     ) -> ReplicaSettings {
         ReplicaSettings {
-            me,
+            local_address,
             seeds,
             bootstrap,
-            tolerated,
+            fault_tolerance,
             counts_for_quorum: true,
-            heartbeat: HEARTBEAT,
+            heartbeat_interval: HEARTBEAT_INTERVAL,
             suspect_after: SUSPECT_AFTER,
             replace_after: REPLACE_AFTER,
             rejoin_after: REJOIN_AFTER,
-            call_timeout: CALL_TIMEOUT,
-            rewrite_above: REWRITE_ABOVE,
+            request_timeout: REQUEST_TIMEOUT,
+            rewrite_threshold_bytes: REWRITE_THRESHOLD_BYTES,
             history: HistoryLimits::default(),
-            piece_bytes: PIECE_BYTES,
+            chunk_bytes: CHUNK_BYTES,
             seed,
         }
     }
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -44,12 +44,12 @@
         /// Its JSON; empty as in [`lugwharf_chain::Event::Submit`].
         bytes: Arc<[u8]>,
         /// Where the answer goes.
-        reply: oneshot::Sender<lugwharf_chain::Answer>,
+        reply: oneshot::Sender<lugwharf_chain::OperatorResponse>,
     },
     /// The operator asks for the newest configuration.
     Read {
         /// Where the answer goes.
-        reply: oneshot::Sender<lugwharf_chain::Answer>,
+        reply: oneshot::Sender<lugwharf_chain::OperatorResponse>,
     },
     /// Somebody asks how this process is.
     Status {
--- a/crates/control/src/logs.rs
+++ b/crates/control/src/logs.rs
@@ -1,7 +1,7 @@
 //! Lines of the log that tell of a configuration's way and of the replica. The names of events and fields are a promise to
 //! whoever searches the logs; `docs/OPERATING.md` lists them.
 
-use lugwharf_chain::{Blake3, LogLine, Reason};
+use lugwharf_chain::{Blake3, LogEvent, ViewChangeReason};
 use spdlog::prelude::*;
 use std::fmt;
 
@@ -15,49 +15,49 @@
 }
 
 /// Writes what the replica has to say.
-pub fn chain(logger: &Logger, line: &LogLine) {
+pub fn chain(logger: &Logger, line: &LogEvent) {
     match line {
-        LogLine::Started { identity, founder, view } => {
+        LogEvent::Started { identity, may_bootstrap, view } => {
             let disk = format!("{:016x}", identity.disk);
             info!(logger: logger, "replica", kv: {
-                outcome = "started", address: = identity.address, disk = disk.as_str(), founder = *founder, view = *view
+                outcome = "started", address: = identity.address, disk = disk.as_str(), may_bootstrap = *may_bootstrap, view = *view
             });
         }
-        LogLine::Proposing { number, reason } => {
+        LogEvent::Proposing { number, reason } => {
             let reason = reason_name(*reason);
             info!(logger: logger, "view", kv: { outcome = "proposed", view = *number, reason });
         }
-        LogLine::Serving { number, replicas } => {
+        LogEvent::Serving { number, replicas } => {
             info!(logger: logger, "view", kv: { outcome = "serving", view = *number, replicas = *replicas });
         }
-        LogLine::Committed(mark) => {
+        LogEvent::Committed(header) => {
             debug!(logger: logger, "entry", kv: {
-                outcome = "committed", index = mark.index, version = mark.version, base = mark.base,
-                hash: = mark.digest
+                outcome = "committed", index = header.index, version = header.version, base = header.base,
+                hash: = header.digest
             });
         }
-        LogLine::BallotReused { number } => {
-            error!(logger: logger, "view", kv: { outcome = "ballot_reused", view = *number });
+        LogEvent::ProposalNumberReused { number } => {
+            error!(logger: logger, "view", kv: { outcome = "proposal_number_reused", view = *number });
         }
-        LogLine::DiskTrouble => warn!(logger: logger, "disk", kv: { outcome = "trouble" }),
+        LogEvent::DiskFault => warn!(logger: logger, "disk", kv: { outcome = "fault" }),
         // The end of a warning is worth the same level.
-        LogLine::DiskWell => warn!(logger: logger, "disk", kv: { outcome = "well" }),
-        LogLine::Superseded(mark) => {
+        LogEvent::DiskHealthy => warn!(logger: logger, "disk", kv: { outcome = "healthy" }),
+        LogEvent::Superseded(header) => {
             warn!(logger: logger, "entry", kv: {
-                outcome = "superseded", index = mark.index, version = mark.version, base = mark.base,
-                hash: = mark.digest
+                outcome = "superseded", index = header.index, version = header.version, base = header.base,
+                hash: = header.digest
             });
         }
     }
 }
 
-fn reason_name(reason: Reason) -> &'static str {
+fn reason_name(reason: ViewChangeReason) -> &'static str {
     match reason {
-        Reason::Founding => "founding",
-        Reason::ChainBroken => "chain_broken",
-        Reason::MembersChange => "members_change",
-        Reason::ChainGrows => "chain_grows",
-        Reason::Unfinished => "unfinished",
-        Reason::Stuck => "stuck",
+        ViewChangeReason::Bootstrap => "bootstrap",
+        ViewChangeReason::ChainBroken => "chain_broken",
+        ViewChangeReason::MembershipChange => "membership_change",
+        ViewChangeReason::ChainExtension => "chain_extension",
+        ViewChangeReason::UnfinishedProposal => "unfinished_proposal",
+        ViewChangeReason::Stalled => "stalled",
     }
 }
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -5,7 +5,7 @@
 use crate::logs::Hash;
 use crate::metrics::{self, Refusals};
 use eyre::Result;
-use lugwharf_chain::{Answer, Blake3, CommittedConfig};
+use lugwharf_chain::{Blake3, CommittedConfig, OperatorResponse};
 use lugwharf_config::{ConfigFault, Configuration, ConfigurationPatch};
 use lugwharf_protocol::MAX_FRAME_BYTES;
 use serde::Serialize;
@@ -234,13 +234,13 @@
     let Change { base, request, .. } = *change;
     let command = Command::Submit { base, version, request, bytes: change.bytes.clone(), reply };
     match ask(commands, command, answer, until).await? {
-        Answer::Accepted { version } => Ok(Reply::json(json(&Accepted { version }))),
-        Answer::Conflict { current } => {
+        OperatorResponse::Accepted { version } => Ok(Reply::json(json(&Accepted { version }))),
+        OperatorResponse::Conflict { current } => {
             Err(OperatorError::new(ErrorKind::Conflict, "another version is current")
                 .at("If-Match")
                 .with_current(current))
         }
-        Answer::Outdated { current } => {
+        OperatorResponse::StaleVersion { current } => {
             Err(OperatorError::new(ErrorKind::Outdated, "must be above the current version")
                 .at("/Version")
                 .with_current(current))
@@ -269,7 +269,7 @@
 ) -> Result<Option<Arc<CommittedConfig>>, OperatorError> {
     let (reply, answer) = oneshot::channel();
     match ask(commands, Command::Read { reply }, answer, until).await? {
-        Answer::Config(newest) => Ok(newest),
+        OperatorResponse::Config(newest) => Ok(newest),
         _ => Err(unavailable()),
     }
 }
--- a/crates/control/src/owner.rs
+++ b/crates/control/src/owner.rs
@@ -12,7 +12,7 @@
 use crate::reader;
 use crate::storage::{self, Batch};
 use eyre::{Result, WrapErr, eyre};
-use lugwharf_chain::{self as chain, Answer, Replica};
+use lugwharf_chain::{self as chain, OperatorResponse, Replica};
 use lugwharf_distribution::Tables;
 use lugwharf_election::{self as election, Elector};
 use lugwharf_invariants::{Invariant, check};
@@ -94,7 +94,7 @@
     peers: Peers,
     batches: Sender<Batch>,
     /// Operator calls by ticket.
-    calls: BTreeMap<u64, oneshot::Sender<Answer>>,
+    calls: BTreeMap<u64, oneshot::Sender<OperatorResponse>>,
     next_ticket: u64,
     role: watch::Sender<Option<HeldRole>>,
     /// When the others were last told what this process has.
@@ -208,11 +208,11 @@
             Command::Pull { request, reply } => self.pull(request, reply),
             Command::Submit { base, version, request, bytes, reply } => {
                 let ticket = self.open_call(reply);
-                self.chain(chain::Event::Submit { ticket, base, version, request, bytes });
+                self.chain(chain::Event::Submit { id: ticket, base, version, request_hash: request, bytes });
             }
             Command::Read { reply } => {
                 let ticket = self.open_call(reply);
-                self.chain(chain::Event::Read { ticket });
+                self.chain(chain::Event::Read { id: ticket });
             }
             Command::Status { reply } => drop(reply.send(self.status())),
             Command::Metrics { reply } => drop(reply.send(self.metrics_text())),
@@ -257,8 +257,8 @@
     fn written(&mut self, written: Written) {
         let Written { owner, number, synced } = written;
         match owner {
-            RecordOwner::Chain if synced => self.chain(chain::Event::Stored { batch: number }),
-            RecordOwner::Chain => self.chain(chain::Event::StoreFailed { batch: number }),
+            RecordOwner::Chain if synced => self.chain(chain::Event::Persisted { batch: number }),
+            RecordOwner::Chain => self.chain(chain::Event::PersistFailed { batch: number }),
             RecordOwner::Election => {
                 let batch = election::BatchId(number);
                 self.elect(match synced {
@@ -284,13 +284,13 @@
                     note_passed_on(to, &message);
                     self.peers.send(to, PeerBody::Chain(message));
                 }
-                chain::Action::Store { batch, records } => {
+                chain::Action::Persist { batch, records } => {
                     self.store(RecordOwner::Chain, batch, records, false);
                 }
-                chain::Action::Rewrite { batch, records } => {
+                chain::Action::RewriteLog { batch, records } => {
                     self.store(RecordOwner::Chain, batch, records, true);
                 }
-                chain::Action::Answer { ticket, answer } => self.answer_call(ticket, answer),
+                chain::Action::Respond { id, response } => self.answer_call(id, response),
                 chain::Action::Committed { config } => self.committed(&config),
                 // The view is read from the replica's status after each event.
                 chain::Action::ViewChanged(_) => {}
@@ -335,7 +335,7 @@
             debug!("config", kv: { outcome = "forwarded", version = *version, base = *base, hash: = Hash(bytes), to: = to });
         }
         chain::Message::Replicate { entry, .. } => {
-            let (version, base) = (entry.mark.version, entry.mark.base);
+            let (version, base) = (entry.header.version, entry.header.base);
             debug!("config", kv: { outcome = "replicated", version, base, hash: = Hash(&entry.bytes), to: = to });
         }
         _ => {}
--- a/crates/control/src/owner/calls.rs
+++ b/crates/control/src/owner/calls.rs
@@ -1,20 +1,20 @@
 //! Calls of the operator that wait for the replica's answer.
 
 use super::Owner;
-use lugwharf_chain::{Answer, Event, Ticket};
+use lugwharf_chain::{Event, OperatorRequestId, OperatorResponse};
 use tokio::sync::oneshot;
 
 impl Owner {
     /// Takes a call in.
-    pub(super) fn open_call(&mut self, reply: oneshot::Sender<Answer>) -> Ticket {
+    pub(super) fn open_call(&mut self, reply: oneshot::Sender<OperatorResponse>) -> OperatorRequestId {
         let ticket = self.next_ticket;
         self.next_ticket += 1;
         self.calls.insert(ticket, reply);
-        Ticket(ticket)
+        OperatorRequestId(ticket)
     }
 
     /// Answers a call. Its caller may have gone.
-    pub(super) fn answer_call(&mut self, ticket: Ticket, answer: Answer) {
+    pub(super) fn answer_call(&mut self, ticket: OperatorRequestId, answer: OperatorResponse) {
         if let Some(reply) = self.calls.remove(&ticket.0) {
             drop(reply.send(answer));
         }
@@ -26,7 +26,7 @@
         let gone: Vec<u64> = gone.map(|(ticket, _)| *ticket).collect();
         for ticket in gone {
             self.calls.remove(&ticket);
-            self.chain(Event::Abandon { ticket: Ticket(ticket) });
+            self.chain(Event::Cancel { id: OperatorRequestId(ticket) });
         }
     }
 }
--- a/crates/control/src/owner/departure.rs
+++ b/crates/control/src/owner/departure.rs
@@ -49,7 +49,7 @@
     fn seen(&self, held: bool) -> Seen {
         let status = self.replica.status();
         let membership = match status.leave {
-            _ if !status.member => Membership::Left,
+            _ if !status.is_member => Membership::Left,
             chain::LeaveState::Left => Membership::Left,
             chain::LeaveState::Leaving => Membership::Leaving,
             chain::LeaveState::Staying | chain::LeaveState::OutOfChain => Membership::Staying,
--- a/crates/control/src/owner/tables.rs
+++ b/crates/control/src/owner/tables.rs
@@ -62,8 +62,8 @@
     }
 
     /// Whether agents may rely on this process; else they are told to ask another one.
-    pub(super) fn serves_agents(&self, now: Duration, replica: &chain::Status) -> bool {
-        replica.in_touch && !self.standstill.is_in_doubt(now) && self.departure.is_none()
+    pub(super) fn serves_agents(&self, now: Duration, replica: &chain::ReplicaStatus) -> bool {
+        replica.has_quorum && !self.standstill.is_in_doubt(now) && self.departure.is_none()
     }
 
     /// The agent addresses of control processes.
@@ -93,7 +93,7 @@
         self.count_proxies(now);
         let fronts = self.census.live_count(now);
         let status = self.replica.status();
-        let processes = match status.member {
+        let processes = match status.is_member {
             true => self.processes.all(now, self.me, &status.members),
             false => Vec::new(),
         };
@@ -112,7 +112,7 @@
     fn count_proxies(&mut self, now: Duration) {
         let counted = self.census.total(now);
         let status = self.replica.status();
-        let total = match status.member {
+        let total = match status.is_member {
             true => counted,
             false => self.processes.live_proxies(now, &status.members),
         };
@@ -145,7 +145,7 @@
     /// process is kept listed by hearsay that goes round.
     fn learn_processes(&mut self, now: Duration, from: SocketAddr, processes: &[SocketAddr]) {
         let status = self.replica.status();
-        if !status.member && status.members.contains(&from) {
+        if !status.is_member && status.members.contains(&from) {
             self.processes.named(now, processes);
         }
     }
--- a/crates/control/src/owner/view.rs
+++ b/crates/control/src/owner/view.rs
@@ -15,13 +15,13 @@
         }
         // Told before anybody hears of the acceptance, which waits for the disk: from then on this process helps nobody to
         // hold the role in this view, as the next one may elect another.
-        if status.accepted_next && self.sealed_view < status.view {
+        if status.has_accepted_next_view && self.sealed_view < status.view {
             self.sealed_view = status.view;
             self.elect(election::Event::ViewSealed { number: status.view });
         }
     }
 
-    fn enter_view(&mut self, status: &chain::Status) {
+    fn enter_view(&mut self, status: &chain::ReplicaStatus) {
         self.elected_view = status.view;
         self.metrics.view_changes.inc();
         info!("view", kv: {
@@ -31,7 +31,7 @@
         // Links to others are opened again when something is sent there.
         let all = self.processes.all(self.now(), self.me, &status.members);
         self.peers.retain(|address| all.contains(address));
-        let (number, members, is_voter) = (status.view, status.members.clone(), status.member);
+        let (number, members, is_voter) = (status.view, status.members.clone(), status.is_member);
         self.elect(election::Event::ViewInstalled { number, members, is_voter });
     }
 }
