--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -1,46 +1,48 @@
-//! What a table remembers of its past: removed servers and where earlier epochs ended.
+//! What a table remembers of its past: removed servers, and where earlier epochs ended.
 
 use lugwharf_protocol::TablePosition;
 use std::collections::VecDeque;
 
-/// Removed servers that are remembered. A release of the largest services removes some thousand servers; a holder that
-/// is further behind gets the whole list, which is then hardly longer than the differences.
+/// The most removed servers that are remembered. A release of the largest services removes some thousand servers. A reader
+/// that is further behind gets the full list, which is then hardly longer than a delta.
 pub const MAX_TOMBSTONES: usize = 4_096;
-/// Earlier epochs whose ends are remembered. A holder that has not heard of so many changes of the writer gets the
-/// whole list.
+/// The most earlier epochs whose ends are remembered. A reader that has missed so many changes of the writer gets the full
+/// list.
 pub const MAX_EPOCH_CHANGES: usize = 32;
 
-/// The epoch of a list that a process read for itself before it heard of any holder of the reader's role. Two processes
-/// may have different lists at one position of it, so that no differences are made from there.
+/// The epoch of a list that a process read for itself, before it knew any holder of the list watcher's role.
+///
+/// Two processes may have different lists at one position of this epoch, so that no delta starts there. Every fencing token
+/// is larger.
 pub const PROVISIONAL_EPOCH: u64 = 0;
 
-/// The past of one table, bounded.
+/// The past of one table; its size is bounded.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
-    /// Differences reach back to holders at this position or later.
+    /// Deltas start at this position or a later one.
     floor: TablePosition,
     /// The last position of each earlier epoch, as the writer of the next one saw it; ascending.
     epoch_ends: VecDeque<TablePosition>,
-    /// Removed ids and the position of their removal; ascending.
+    /// Removed ids and the positions of their removals; ascending.
     tombstones: VecDeque<(TablePosition, String)>,
 }
 
 impl History {
-    /// A history that begins at `floor`, as after a whole list was taken over.
+    /// A history that starts at `floor`, as after a full list was applied.
     pub(crate) fn starting_at(floor: TablePosition) -> Self {
         Self { floor, ..Self::default() }
     }
 
-    /// Notes that the epoch of `last` ended there and another one follows.
-    pub(crate) fn end_epoch(&mut self, last: TablePosition) {
+    /// Records that the epoch of `last` ended there and another one follows.
+    pub(crate) fn record_epoch_end(&mut self, last: TablePosition) {
         self.epoch_ends.push_back(last);
         if self.epoch_ends.len() > MAX_EPOCH_CHANGES {
             self.epoch_ends.pop_front();
         }
     }
 
-    /// Notes that `id` was removed by the change that led to `position`.
-    pub(crate) fn bury(&mut self, position: TablePosition, id: String) {
+    /// Records that the change to `position` removed `id`. The floor rises over a tombstone that is forgotten.
+    pub(crate) fn record_removal(&mut self, position: TablePosition, id: String) {
         self.tombstones.push_back((position, id));
         if self.tombstones.len() <= MAX_TOMBSTONES {
             return;
@@ -50,14 +52,15 @@
         }
     }
 
-    /// Ids removed after `have`.
+    /// The ids that were removed after `have`. An id may occur several times, and may have been added again.
     pub(crate) fn removed_after(&self, have: TablePosition) -> impl Iterator<Item = &String> {
         self.tombstones.iter().filter(move |(position, _)| *position > have).map(|(_, id)| id)
     }
 
-    /// Whether `have` is a position that this table's content went through and differences reach back to it. A position
-    /// of an earlier epoch beyond the end of that epoch belongs to a change that the next writer never saw.
-    pub(crate) fn reaches(&self, have: TablePosition, current: TablePosition) -> bool {
+    /// Whether this table's content went through `have` and a delta can start there.
+    ///
+    /// A position of an earlier epoch beyond the end of that epoch belongs to a change that the next writer never saw.
+    pub(crate) fn covers(&self, have: TablePosition, current: TablePosition) -> bool {
         if have.epoch == PROVISIONAL_EPOCH || have < self.floor {
             return false;
         }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,15 +1,17 @@
-//! The tables that are brought to the data plane and what a holder of an older version is missing.
+//! The tables that are distributed to the data plane, and the updates that bring another process up to date.
 //!
-//! Sans I/O: a table takes listings or deltas and answers positions with deltas. One process, the holder of the reader
-//! role, writes the list of servers; every other process takes it over from one that is ahead of it and hands it on:
-//! control process to control process, control process to agent, agent to proxy. A process asks one peer at a time and
-//! applies the answer before it asks again; differences are only sound under that order.
+//! Sans I/O: a table is written from lists or updates, and answers a position with a delta. One process, the holder of the
+//! list watcher's role, writes the list of servers. Every other process pulls it from a peer that is ahead and serves it in
+//! turn: control process to control process, control process to agent, agent to proxy. A process pulls from one peer at a
+//! time and applies the response before it pulls again; a delta is only sound under that order.
 #![forbid(unsafe_code)]
 
+mod error;
 mod history;
 mod server_table;
 mod tables;
 
+pub use error::{ApplyError, StaleEpoch};
 pub use history::{MAX_EPOCH_CHANGES, MAX_TOMBSTONES, PROVISIONAL_EPOCH};
-pub use server_table::{ApplyError, ServerTable, StaleEpoch};
+pub use server_table::ServerTable;
 pub use tables::Tables;
--- a/crates/distribution/src/server_table.rs
+++ b/crates/distribution/src/server_table.rs
@@ -1,47 +1,27 @@
-//! The list of servers with enough history to send differences.
+//! The list of servers, with enough history to make deltas.
 
+use crate::error::{ApplyError, StaleEpoch};
 use crate::history::History;
 use lugwharf_protocol::{ServerDelta, ServerEntry, ServerState, TablePosition};
 use std::collections::BTreeMap;
 
-/// A listing was read under a fencing token that is no longer the newest.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a listing of epoch {listing} after one of epoch {table}")]
-pub struct StaleEpoch {
-    /// The epoch of the listing.
-    pub listing: u64,
-    /// The epoch of the table.
-    pub table: u64,
-}
-
-/// Why a delta was not taken over.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ApplyError {
-    /// Differences came to a table that holds nothing. Ask again with the default position, for the whole.
-    #[error("differences up to {to:?} do not follow {have:?}")]
-    Gap {
-        /// Where the table is.
-        have: TablePosition,
-        /// Where the delta leads.
-        to: TablePosition,
-    },
-}
-
+/// An entry and when it last changed.
 #[derive(Clone, Debug)]
-struct Held {
+struct VersionedEntry {
     entry: ServerEntry,
-    /// The position at which it took its present form; for a table that takes deltas over, the position after the delta.
-    changed: TablePosition,
+    /// The position at which the entry took its present form; in a table that applies deltas, the position after the delta.
+    changed_at: TablePosition,
 }
 
-/// The list of servers with enough history to send differences.
+/// The list of servers, with enough history to make deltas.
 ///
-/// Positions are ordered by epoch, then sequence. A new epoch continues the content that its writer held, so that a
-/// holder of an earlier epoch's position is still served with differences if the content went through that position.
+/// Positions are ordered by epoch, then sequence. A new epoch continues with the content that its writer held, so that a
+/// reader at a position of an earlier epoch still gets a delta if the content went through that position.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     position: TablePosition,
-    held: BTreeMap<String, Held>,
+    /// The entries by server id.
+    servers: BTreeMap<String, VersionedEntry>,
     history: History,
 }
 
@@ -56,97 +36,107 @@
         self.position
     }
 
-    /// Servers in the list.
+    /// The number of servers in the list.
     pub fn len(&self) -> usize {
-        self.held.len()
+        self.servers.len()
     }
 
     /// Whether the list has no server.
     pub fn is_empty(&self) -> bool {
-        self.held.is_empty()
+        self.servers.is_empty()
     }
 
-    /// All servers, by id.
+    /// All servers, in the order of their ids.
     pub fn entries(&self) -> impl Iterator<Item = &ServerEntry> {
-        self.held.values().map(|held| &held.entry)
+        self.servers.values().map(|versioned| &versioned.entry)
     }
 
     /// The server with this id.
     pub fn get(&self, id: &str) -> Option<&ServerEntry> {
-        self.held.get(id).map(|held| &held.entry)
+        self.servers.get(id).map(|versioned| &versioned.entry)
     }
 
-    /// Takes over a whole listing that the holder of the reader role has read under the fencing token `epoch`. Returns
-    /// whether the position moved: at any difference, and at the first listing of an epoch also without one, so that
-    /// every holder refuses what an earlier writer may still send. One table writes under one epoch: a process that was
-    /// started anew needs a new token.
+    /// Replaces the content by a complete list that the holder of the list watcher's role has read under the fencing token
+    /// `epoch`; returns whether the position advanced.
+    ///
+    /// The position advances at any difference, and at the first list of an epoch also without one, so that every reader
+    /// rejects what an earlier writer may still send. One table writes under one epoch: a process that has restarted needs a
+    /// new token.
+    ///
+    /// A different `warmup_remaining_ms` alone is no change: it counts down from read to read, so that each read would change every
+    /// young server. The latest value is stored for those who pull later.
+    ///
+    /// An id that is listed twice, as when the list shifts between two pages, is draining if either line says so; else the
+    /// later line stands.
     ///
-    /// A different `warmup_remaining_ms` alone is no change: it counts down from reading to reading, so that each reading
-    /// would change every young server. The latest value is kept for those who ask later.
+    /// # Errors
     ///
-    /// An id listed twice, as when the list shifts between two pages, counts as draining if either line says so; else
-    /// the later line stands.
+    /// [`StaleEpoch`] if the table has content of a later epoch; nothing is changed then.
     pub fn replace(&mut self, epoch: u64, listing: Vec<ServerEntry>) -> Result<bool, StaleEpoch> {
         if epoch < self.position.epoch {
             return Err(StaleEpoch { listing: epoch, table: self.position.epoch });
         }
         let next = self.next_position(epoch);
-        let listing = by_id(listing);
-        let gone: Vec<String> = self.held.keys().filter(|id| !listing.contains_key(*id)).cloned().collect();
-        let mut changed = epoch > self.position.epoch || !gone.is_empty();
-        self.remove(gone, next);
+        let listing = merge_by_id(listing);
+        let removed: Vec<String> =
+            self.servers.keys().filter(|id| !listing.contains_key(*id)).cloned().collect();
+        let mut has_changed = epoch > self.position.epoch || !removed.is_empty();
+        self.remove(removed, next);
         for (id, entry) in listing {
-            changed |= self.put(id, entry, next);
+            has_changed |= self.upsert(id, entry, next);
         }
-        if changed {
-            self.move_to(next);
+        if has_changed {
+            self.advance_to(next);
         }
-        Ok(changed)
+        Ok(has_changed)
     }
 
-    /// Takes over a delta that another process made by [`ServerTable::delta_since`] for a position that this table had
-    /// reached. Returns whether the table moved; a delta that leads to its own position or an older one does not move
-    /// it.
+    /// Applies a delta that another process made by [`ServerTable::delta_since`] for a position that this table had reached;
+    /// returns whether the position advanced. A delta to the table's own position or an earlier one has no effect.
+    ///
+    /// # Errors
+    ///
+    /// [`ApplyError::Gap`] if the delta is incremental and the table holds nothing; nothing is changed then.
     pub fn apply(&mut self, delta: &ServerDelta) -> Result<bool, ApplyError> {
         if delta.position <= self.position {
             return Ok(false);
         }
         if delta.is_full {
-            self.take_whole(delta);
+            self.apply_full(delta);
             return Ok(true);
         }
         if self.position == TablePosition::default() {
             return Err(ApplyError::Gap { have: self.position, to: delta.position });
         }
-        // Removals and entries are noted also where they make no difference here: a server that left and came back
-        // since this table's position may be missing at one that asks this table.
+        // Removals and entries are recorded also if they make no difference here: a server that was removed and added again
+        // since this table's position may be missing at a process that pulls from this one.
         self.remove(delta.removed.clone(), delta.position);
         for entry in &delta.entries {
-            self.held.insert(entry.id.clone(), Held { entry: entry.clone(), changed: delta.position });
+            self.insert(entry.id.clone(), entry.clone(), delta.position);
         }
-        self.move_to(delta.position);
+        self.advance_to(delta.position);
         Ok(true)
     }
 
-    /// What a holder of `have` is missing. `None` if it has the same or is ahead of this table; differences if the
-    /// history reaches back to `have`, else the whole list.
+    /// What a reader at position `have` is missing: `None` if it is not behind this table, an incremental delta if the
+    /// history covers `have`, else a full one.
     pub fn delta_since(&self, have: TablePosition) -> Option<ServerDelta> {
         if have >= self.position {
             return None;
         }
-        if !self.history.reaches(have, self.position) {
-            return Some(self.whole());
+        if !self.history.covers(have, self.position) {
+            return Some(self.full_delta());
         }
-        let changed = self.held.values().filter(|held| held.changed > have);
-        let entries = changed.map(|held| held.entry.clone()).collect();
-        let removed = self.history.removed_after(have).filter(|id| !self.held.contains_key(*id));
+        let changed = self.servers.values().filter(|versioned| versioned.changed_at > have);
+        let entries = changed.map(|versioned| versioned.entry.clone()).collect();
+        let removed = self.history.removed_after(have).filter(|id| !self.servers.contains_key(*id));
         let mut removed: Vec<String> = removed.cloned().collect();
         removed.sort_unstable();
         removed.dedup();
         Some(ServerDelta { position: self.position, is_full: false, entries, removed })
     }
 
-    fn whole(&self) -> ServerDelta {
+    fn full_delta(&self) -> ServerDelta {
         let entries = self.entries().cloned().collect();
         ServerDelta { position: self.position, is_full: true, entries, removed: Vec::new() }
     }
@@ -157,23 +147,28 @@
         TablePosition { epoch, sequence }
     }
 
-    fn take_whole(&mut self, delta: &ServerDelta) {
-        let changed = delta.position;
-        let entries = delta.entries.iter().cloned();
-        self.held = entries.map(|entry| (entry.id.clone(), Held { entry, changed })).collect();
+    fn apply_full(&mut self, delta: &ServerDelta) {
+        self.servers.clear();
+        for entry in &delta.entries {
+            self.insert(entry.id.clone(), entry.clone(), delta.position);
+        }
         self.history = History::starting_at(delta.position);
         self.position = delta.position;
     }
 
-    /// Stores a listed entry; returns whether it differs from what was held.
-    fn put(&mut self, id: String, entry: ServerEntry, changed: TablePosition) -> bool {
-        match self.held.get_mut(&id) {
-            Some(held) if is_same(&held.entry, &entry) => {
-                held.entry.warmup_remaining_ms = entry.warmup_remaining_ms;
+    fn insert(&mut self, id: String, entry: ServerEntry, changed_at: TablePosition) {
+        self.servers.insert(id, VersionedEntry { entry, changed_at });
+    }
+
+    /// Inserts or updates a listed entry; returns whether it differs from the one before.
+    fn upsert(&mut self, id: String, entry: ServerEntry, changed_at: TablePosition) -> bool {
+        match self.servers.get_mut(&id) {
+            Some(versioned) if is_equal_except_warmup(&versioned.entry, &entry) => {
+                versioned.entry.warmup_remaining_ms = entry.warmup_remaining_ms;
                 false
             }
             _ => {
-                self.held.insert(id, Held { entry, changed });
+                self.insert(id, entry, changed_at);
                 true
             }
         }
@@ -181,36 +176,37 @@
 
     fn remove(&mut self, ids: Vec<String>, position: TablePosition) {
         for id in ids {
-            self.held.remove(&id);
-            self.history.bury(position, id);
+            self.servers.remove(&id);
+            self.history.record_removal(position, id);
         }
     }
 
-    fn move_to(&mut self, next: TablePosition) {
+    fn advance_to(&mut self, next: TablePosition) {
         if next.epoch != self.position.epoch && self.position != TablePosition::default() {
-            self.history.end_epoch(self.position);
+            self.history.record_epoch_end(self.position);
         }
         self.position = next;
     }
 }
 
-/// Whether two entries are alike apart from the time for which the server is still slow.
-fn is_same(held: &ServerEntry, listed: &ServerEntry) -> bool {
-    held.id == listed.id
-        && held.service == listed.service
-        && held.address == listed.address
-        && held.zone == listed.zone
-        && held.slots == listed.slots
-        && held.state == listed.state
-        && held.stage == listed.stage
-        && held.models == listed.models
+/// Whether two entries are equal apart from the remaining warm-up time.
+fn is_equal_except_warmup(current: &ServerEntry, listed: &ServerEntry) -> bool {
+    current.id == listed.id
+        && current.service == listed.service
+        && current.address == listed.address
+        && current.zone == listed.zone
+        && current.slots == listed.slots
+        && current.state == listed.state
+        && current.stage == listed.stage
+        && current.models == listed.models
 }
 
-fn by_id(listing: Vec<ServerEntry>) -> BTreeMap<String, ServerEntry> {
+/// The entries by id; of an id that is listed twice, draining wins, else the later entry.
+fn merge_by_id(listing: Vec<ServerEntry>) -> BTreeMap<String, ServerEntry> {
     let mut entries: BTreeMap<String, ServerEntry> = BTreeMap::new();
     for mut entry in listing {
-        let listed_as = entries.get(&entry.id).map(|earlier| earlier.state);
-        if listed_as == Some(ServerState::Draining) {
+        let earlier_state = entries.get(&entry.id).map(|earlier| earlier.state);
+        if earlier_state == Some(ServerState::Draining) {
             entry.state = ServerState::Draining;
         }
         entries.insert(entry.id.clone(), entry);
--- a/crates/distribution/src/tables.rs
+++ b/crates/distribution/src/tables.rs
@@ -1,14 +1,17 @@
-//! All tables of one process and the vector over them.
+//! All tables of one process, and the version vector over them.
 
-use crate::server_table::{ApplyError, ServerTable};
+use crate::error::ApplyError;
+use crate::server_table::ServerTable;
 use lugwharf_protocol::{ConfigRecord, FleetSummary, ServerDelta, Update, VersionVector};
 use std::sync::Arc;
 
-/// All tables of one process. The configuration and the list of servers only go forward.
+/// All tables of one process: the configuration, the list of servers and the number of live proxies. The first two only
+/// advance.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
     config: Option<Arc<ConfigRecord>>,
     servers: ServerTable,
+    /// 0 while it is unknown.
     live_proxies: u32,
 }
 
@@ -18,7 +21,7 @@
         Self::default()
     }
 
-    /// What this process has.
+    /// The versions that this process has.
     pub fn vector(&self) -> VersionVector {
         VersionVector {
             config: self.config.as_ref().map_or(0, |config| config.version),
@@ -27,13 +30,13 @@
         }
     }
 
-    /// Takes over a committed configuration if it is newer; returns whether it was.
+    /// Replaces the configuration by a committed one if that is newer; returns whether it was.
     pub fn advance_config(&mut self, config: Arc<ConfigRecord>) -> bool {
-        let newer = config.version > self.vector().config;
-        if newer {
+        let is_newer = config.version > self.vector().config;
+        if is_newer {
             self.config = Some(config);
         }
-        newer
+        is_newer
     }
 
     /// The newest configuration.
@@ -46,32 +49,33 @@
         &self.servers
     }
 
-    /// The list of servers, to write to it.
+    /// The list of servers, for its writer.
     pub fn servers_mut(&mut self) -> &mut ServerTable {
         &mut self.servers
     }
 
-    /// Live proxies, as last told; 0 where nothing is known.
+    /// The number of live proxies as last reported; 0 while it is unknown.
     pub fn live_proxies(&self) -> u32 {
         self.live_proxies
     }
 
-    /// Sets the number of live proxies; 0 (nothing known) leaves the last number in place.
+    /// Sets the number of live proxies; 0, which means unknown, leaves the last number in place.
     pub fn set_live_proxies(&mut self, live_proxies: u32) {
         if live_proxies > 0 {
             self.live_proxies = live_proxies;
         }
     }
 
-    /// What a holder of `have` is missing; `None` if nothing. The vector in the update is what it holds afterwards.
+    /// What a reader with the versions `have` is missing; `None` if nothing. The vector in the update is what the reader has
+    /// after it has applied the update.
     pub fn update_since(&self, have: &VersionVector) -> Option<Update> {
         let config = self.config.as_ref().filter(|config| config.version > have.config);
         let servers = self.servers.delta_since(have.servers);
-        let fleet_changed = self.live_proxies > 0 && self.live_proxies != have.live_proxies;
-        if config.is_none() && servers.is_none() && !fleet_changed {
+        let has_other_fleet = self.live_proxies > 0 && self.live_proxies != have.live_proxies;
+        if config.is_none() && servers.is_none() && !has_other_fleet {
             return None;
         }
-        let fleet = fleet_changed.then_some(FleetSummary { live_proxies: self.live_proxies });
+        let fleet = has_other_fleet.then_some(FleetSummary { live_proxies: self.live_proxies });
         let vector = VersionVector {
             config: config.map_or(have.config, |config| config.version),
             servers: servers.as_ref().map_or(have.servers, |delta| delta.position),
@@ -80,15 +84,20 @@
         Some(Update { vector, config: config.map(|config| ConfigRecord::clone(config)), servers, fleet })
     }
 
-    /// Takes over what is newer in an update; returns whether anything was. A gap in the list of servers does not keep
-    /// the other parts from being taken over; ask again with the vector as it then is.
+    /// Applies the newer tables of an update; returns whether there was any.
+    ///
+    /// # Errors
+    ///
+    /// [`ApplyError::Gap`] if the delta of the servers does not follow. The other tables are applied nevertheless; pull again
+    /// with the vector as it then is.
     pub fn apply(&mut self, update: &Update) -> Result<bool, ApplyError> {
-        let mut changed = self.apply_config(update.config.as_ref());
-        changed |= self.apply_fleet(update.fleet);
-        changed |= self.apply_servers(update.servers.as_ref())?;
-        Ok(changed)
+        let mut has_changed = self.apply_config(update.config.as_ref());
+        has_changed |= self.apply_fleet(update.fleet);
+        has_changed |= self.apply_servers(update.servers.as_ref())?;
+        Ok(has_changed)
     }
 
+    /// Applies a configuration if it is newer; the check here spares a copy of one that is not.
     fn apply_config(&mut self, config: Option<&ConfigRecord>) -> bool {
         let newer = config.filter(|config| config.version > self.vector().config);
         newer.is_some_and(|config| self.advance_config(Arc::new(config.clone())))
--- a/crates/distribution/tests/server_table.rs
+++ b/crates/distribution/tests/server_table.rs
@@ -1,4 +1,4 @@
-//! What a holder of an older position is sent.
+//! What a reader at an older position is sent.
 
 use fastrand::Rng;
 use lugwharf_distribution::{
@@ -26,7 +26,7 @@
     ids.iter().map(|id| entry(id)).collect()
 }
 
-fn draining(id: &str) -> ServerEntry {
+fn draining_entry(id: &str) -> ServerEntry {
     ServerEntry { state: ServerState::Draining, ..entry(id) }
 }
 
@@ -34,7 +34,7 @@
     TablePosition { epoch, sequence }
 }
 
-fn written(listings: &[(u64, &[&str])]) -> ServerTable {
+fn table_of(listings: &[(u64, &[&str])]) -> ServerTable {
     let mut table = ServerTable::new();
     for (epoch, ids) in listings {
         table.replace(*epoch, entries(ids)).unwrap();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn counts_changes_from_one_in_each_epoch() {
+fn sequence_starts_at_one_in_each_epoch() {
     let mut table = ServerTable::new();
     assert_eq!(table.replace(3, entries(&["a"])), Ok(true));
     assert_eq!(table.position(), at(3, 1));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn takes_a_countdown_for_no_change_but_keeps_it() {
+fn warmup_countdown_is_stored_but_is_no_change() {
     let mut table = ServerTable::new();
     table.replace(1, vec![ServerEntry { warmup_remaining_ms: 900, ..entry("a") }]).unwrap();
     assert_eq!(table.replace(1, vec![ServerEntry { warmup_remaining_ms: 400, ..entry("a") }]), Ok(false));
@@ -70,26 +70,26 @@
 }
 
 #[rstest]
-#[case::draining_first(vec![draining("a"), entry("a")])]
-#[case::draining_last(vec![entry("a"), draining("a")])]
-fn counts_an_id_listed_twice_as_draining(#[case] listing: Vec<ServerEntry>) {
+#[case::draining_first(vec![draining_entry("a"), entry("a")])]
+#[case::draining_last(vec![entry("a"), draining_entry("a")])]
+fn id_listed_twice_is_draining_if_either_line_is(#[case] listing: Vec<ServerEntry>) {
     let mut table = ServerTable::new();
     table.replace(1, listing).unwrap();
     assert_eq!(table.get("a").map(|entry| entry.state), Some(ServerState::Draining));
 }
 
 #[rstest]
-#[case::nothing_held(at(0, 0), true, &["b", "c"], &[])]
+#[case::empty(at(0, 0), true, &["b", "c"], &[])]
 #[case::first(at(1, 1), false, &["c"], &["a"])]
 #[case::before_removal(at(1, 2), false, &[], &["a"])]
 #[case::unknown_older_epoch(at(0, 9), true, &["b", "c"], &[])]
-fn sends_what_is_missing(
-    #[case] have: TablePosition, #[case] whole: bool, #[case] new: &[&str], #[case] removed: &[&str],
+fn delta_holds_what_is_missing(
+    #[case] have: TablePosition, #[case] is_full: bool, #[case] new: &[&str], #[case] removed: &[&str],
 ) {
-    let table = written(&[(1, &["a", "b"]), (1, &["a", "b", "c"]), (1, &["b", "c"])]);
+    let table = table_of(&[(1, &["a", "b"]), (1, &["a", "b", "c"]), (1, &["b", "c"])]);
     let delta = table.delta_since(have).unwrap();
     assert_eq!(delta.position, at(1, 3));
-    assert_eq!(delta.is_full, whole);
+    assert_eq!(delta.is_full, is_full);
     assert_eq!(ids(&delta.entries), new);
     assert_eq!(delta.removed, removed);
 }
@@ -98,18 +98,18 @@
 #[case::same(at(1, 2))]
 #[case::ahead(at(1, 3))]
 #[case::later_epoch(at(2, 1))]
-fn sends_nothing_to_a_holder_that_is_not_behind(#[case] have: TablePosition) {
-    let table = written(&[(1, &["a"]), (1, &["a", "b"])]);
+fn reader_that_is_not_behind_gets_no_delta(#[case] have: TablePosition) {
+    let table = table_of(&[(1, &["a"]), (1, &["a", "b"])]);
     assert_eq!(table.delta_since(have), None);
 }
 
 #[test]
-fn sends_no_unchanged_entry_at_a_change_of_reader() {
-    let mut reader = written(&[(1, &["a", "b"]), (1, &["a", "b", "c"])]);
+fn delta_across_epochs_holds_no_unchanged_entry() {
+    let mut writer = table_of(&[(1, &["a", "b"]), (1, &["a", "b", "c"])]);
     let mut successor = ServerTable::new();
-    successor.apply(&reader.delta_since(at(0, 0)).unwrap()).unwrap();
-    reader.replace(1, entries(&["a", "b", "c", "d"])).unwrap();
-    successor.apply(&reader.delta_since(successor.position()).unwrap()).unwrap();
+    successor.apply(&writer.delta_since(at(0, 0)).unwrap()).unwrap();
+    writer.replace(1, entries(&["a", "b", "c", "d"])).unwrap();
+    successor.apply(&writer.delta_since(successor.position()).unwrap()).unwrap();
     let behind = at(1, 2);
     let level = successor.position();
     successor.replace(7, entries(&["a", "b", "c", "d"])).unwrap();
@@ -123,38 +123,38 @@
 }
 
 #[test]
-fn sends_the_whole_to_a_holder_of_what_the_next_reader_never_saw() {
-    let mut reader = written(&[(1, &["a", "b"])]);
+fn reader_beyond_the_end_of_an_epoch_gets_the_full_list() {
+    let mut writer = table_of(&[(1, &["a", "b"])]);
     let mut successor = ServerTable::new();
-    successor.apply(&reader.delta_since(at(0, 0)).unwrap()).unwrap();
-    reader.replace(1, entries(&["a"])).unwrap();
+    successor.apply(&writer.delta_since(at(0, 0)).unwrap()).unwrap();
+    writer.replace(1, entries(&["a"])).unwrap();
     successor.replace(2, entries(&["a", "b"])).unwrap();
-    assert!(successor.delta_since(reader.position()).unwrap().is_full);
+    assert!(successor.delta_since(writer.position()).unwrap().is_full);
     assert!(!successor.delta_since(at(1, 1)).unwrap().is_full);
-    assert_eq!(reader.apply(&successor.delta_since(reader.position()).unwrap()), Ok(true));
-    assert!(reader.entries().eq(successor.entries()));
+    assert_eq!(writer.apply(&successor.delta_since(writer.position()).unwrap()), Ok(true));
+    assert!(writer.entries().eq(successor.entries()));
 }
 
 #[test]
-fn refuses_what_an_earlier_reader_still_sends() {
-    let old = written(&[(1, &["a"]), (1, &["a", "b"])]);
-    let mut table = written(&[(2, &["c"])]);
+fn delta_of_an_earlier_writer_is_ignored() {
+    let old = table_of(&[(1, &["a"]), (1, &["a", "b"])]);
+    let mut table = table_of(&[(2, &["c"])]);
     assert_eq!(table.apply(&old.delta_since(at(0, 0)).unwrap()), Ok(false));
     assert_eq!(table.apply(&old.delta_since(at(1, 1)).unwrap()), Ok(false));
     assert_eq!(table.position(), at(2, 1));
 }
 
 #[test]
-fn asks_for_the_whole_where_differences_do_not_follow() {
-    let source = written(&[(1, &["a"]), (1, &["a", "b"])]);
+fn incremental_delta_to_an_empty_table_is_a_gap() {
+    let source = table_of(&[(1, &["a"]), (1, &["a", "b"])]);
     let mut table = ServerTable::new();
-    let differences = source.delta_since(at(1, 1)).unwrap();
-    assert_eq!(table.apply(&differences), Err(ApplyError::Gap { have: at(0, 0), to: at(1, 2) }));
+    let incremental = source.delta_since(at(1, 1)).unwrap();
+    assert_eq!(table.apply(&incremental), Err(ApplyError::Gap { have: at(0, 0), to: at(1, 2) }));
     assert_eq!(table.apply(&source.delta_since(table.position()).unwrap()), Ok(true));
 }
 
 #[test]
-fn forgets_old_removals_and_then_sends_the_whole() {
+fn full_list_is_sent_where_removals_are_forgotten() {
     let mut table = ServerTable::new();
     let many: Vec<ServerEntry> = (0..=MAX_TOMBSTONES).map(|number| entry(&number.to_string())).collect();
     table.replace(1, many).unwrap();
@@ -166,8 +166,8 @@
 }
 
 #[test]
-fn forgets_old_epochs_and_then_sends_the_whole() {
-    let mut table = written(&[(1, &["a"])]);
+fn full_list_is_sent_where_epochs_are_forgotten() {
+    let mut table = table_of(&[(1, &["a"])]);
     let epochs = MAX_EPOCH_CHANGES as u64;
     (2..=1 + epochs).for_each(|epoch| assert_eq!(table.replace(epoch, entries(&["a"])), Ok(true)));
     assert!(!table.delta_since(at(1, 1)).unwrap().is_full);
@@ -175,37 +175,37 @@
     assert!(table.delta_since(at(1, 1)).unwrap().is_full);
 }
 
-/// Several processes pull from each other in any order while the reader role moves: whoever reaches the position of
+/// Several processes pull from each other in any order while the writer changes: a process that reaches the position of
 /// the writer has its content.
 #[test]
-fn brings_every_holder_to_the_same_content() {
+fn tables_at_the_same_position_have_the_same_content() {
     for seed in 0..400 {
-        play(seed);
+        simulate_pulls(seed);
     }
 }
 
-fn play(seed: u64) {
+fn simulate_pulls(seed: u64) {
     const PROCESSES: usize = 5;
     const IDS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
     let mut random = Rng::with_seed(seed);
     let mut tables: Vec<ServerTable> = (0..PROCESSES).map(|_| ServerTable::new()).collect();
     let mut contents: std::collections::BTreeMap<TablePosition, Vec<String>> = Default::default();
-    let (mut epoch, mut reader) = (1, 0);
+    let (mut epoch, mut writer) = (1, 0);
     for _ in 0..300 {
         match random.u8(..10) {
-            0 => (epoch, reader) = (epoch + 1, random.usize(..PROCESSES)),
+            0 => (epoch, writer) = (epoch + 1, random.usize(..PROCESSES)),
             1..=3 => {
                 let listed: Vec<&str> = IDS.into_iter().filter(|_| random.bool()).collect();
-                if tables[reader].replace(epoch, entries(&listed)) == Ok(true) {
-                    let content = tables[reader].entries().map(|entry| entry.id.clone()).collect();
-                    contents.insert(tables[reader].position(), content);
+                if tables[writer].replace(epoch, entries(&listed)) == Ok(true) {
+                    let content = tables[writer].entries().map(|entry| entry.id.clone()).collect();
+                    contents.insert(tables[writer].position(), content);
                 }
             }
             4 if random.u8(..8) == 0 => {
                 let restarted = random.usize(..PROCESSES);
                 tables[restarted] = ServerTable::new();
-                // A writer that starts anew has to be elected anew.
-                epoch += u64::from(restarted == reader);
+                // A writer that has restarted has to be elected again.
+                epoch += u64::from(restarted == writer);
             }
             _ => {
                 let (from, to) = (random.usize(..PROCESSES), random.usize(..PROCESSES));
@@ -215,61 +215,61 @@
             }
         }
         for table in tables.iter().filter(|table| table.position() != TablePosition::default()) {
-            let held: Vec<String> = table.entries().map(|entry| entry.id.clone()).collect();
-            assert_eq!(Some(&held), contents.get(&table.position()), "seed {seed} at {:?}", table.position());
+            let ids: Vec<String> = table.entries().map(|entry| entry.id.clone()).collect();
+            assert_eq!(Some(&ids), contents.get(&table.position()), "seed {seed} at {:?}", table.position());
         }
     }
 }
 
 /// Two processes that have just started read the list for themselves, a moment apart: their lists differ at one position.
 #[test]
-fn a_holder_of_a_provisional_list_gets_the_whole_of_the_first_that_was_read_under_a_token() {
-    let one = written(&[(PROVISIONAL_EPOCH, &["a", "gone"])]);
-    let mut other = written(&[(PROVISIONAL_EPOCH, &["a", "b"])]);
+fn reader_of_a_provisional_list_gets_the_first_full_list_of_an_epoch() {
+    let one = table_of(&[(PROVISIONAL_EPOCH, &["a", "gone"])]);
+    let mut other = table_of(&[(PROVISIONAL_EPOCH, &["a", "b"])]);
     assert_eq!(one.position(), other.position());
     assert_eq!(one.delta_since(TablePosition::default()).map(|delta| delta.is_full), Some(true));
     other.replace(7, entries(&["a", "b", "c"])).expect("a later epoch");
-    let delta = other.delta_since(one.position()).expect("something newer");
+    let delta = other.delta_since(one.position()).expect("a delta");
     assert!(delta.is_full);
-    let mut holder = one.clone();
-    assert_eq!(holder.apply(&delta), Ok(true));
-    let held: Vec<&str> = holder.entries().map(|entry| entry.id.as_str()).collect();
-    assert_eq!(held, ["a", "b", "c"]);
+    let mut reader = one.clone();
+    assert_eq!(reader.apply(&delta), Ok(true));
+    let ids: Vec<&str> = reader.entries().map(|entry| entry.id.as_str()).collect();
+    assert_eq!(ids, ["a", "b", "c"]);
 }
 
 #[test]
-fn names_no_removal_that_its_holder_has_seen() {
-    let table = written(&[(1, &["a", "b"]), (1, &["b"]), (1, &["b", "c"])]);
+fn delta_holds_no_removal_that_the_reader_has_seen() {
+    let table = table_of(&[(1, &["a", "b"]), (1, &["b"]), (1, &["b", "c"])]);
     assert_eq!(table.delta_since(at(1, 2)).map(|delta| delta.removed), Some(Vec::new()));
 }
 
 #[test]
-fn tells_an_empty_list_from_one_with_servers() {
-    let mut table = written(&[(1, &["a"])]);
+fn is_empty_only_without_servers() {
+    let mut table = table_of(&[(1, &["a"])]);
     assert!(!table.is_empty());
     table.replace(1, Vec::new()).unwrap();
     assert!(table.is_empty());
 }
 
-/// A field that is not compared would keep its old value at every holder.
+/// A field that is not compared would keep its old value at every reader.
 #[rstest]
 #[case::service(ServerEntry { service: "other".to_owned(), ..entry("a") })]
 #[case::address(ServerEntry { address: SocketAddr::from(([127, 0, 0, 2], 80)), ..entry("a") })]
 #[case::zone(ServerEntry { zone: "other".to_owned(), ..entry("a") })]
 #[case::slots(ServerEntry { slots: 5, ..entry("a") })]
-#[case::state(draining("a"))]
+#[case::state(draining_entry("a"))]
 #[case::stage(ServerEntry { stage: Some(Stage::Decode), ..entry("a") })]
 #[case::models(ServerEntry { models: vec![ModelEntry { name: "m".to_owned(), version: 1 }], ..entry("a") })]
-fn takes_any_other_difference_for_a_change(#[case] listed: ServerEntry) {
-    let mut table = written(&[(1, &["a"])]);
+fn any_other_difference_is_a_change(#[case] listed: ServerEntry) {
+    let mut table = table_of(&[(1, &["a"])]);
     assert_eq!(table.replace(1, vec![listed.clone()]), Ok(true));
     assert_eq!(table.delta_since(at(1, 1)).map(|delta| delta.entries), Some(vec![listed]));
 }
 
 /// Only ends of epochs count against the bound, not each change within one.
 #[test]
-fn remembers_an_earlier_epoch_over_many_changes_of_the_next() {
-    let mut table = written(&[(1, &["a"]), (2, &["a"])]);
+fn changes_within_an_epoch_do_not_forget_earlier_epochs() {
+    let mut table = table_of(&[(1, &["a"]), (2, &["a"])]);
     for change in 0..2 * MAX_EPOCH_CHANGES {
         let listed: &[&str] = if change % 2 == 0 { &["a", "b"] } else { &["a"] };
         assert_eq!(table.replace(2, entries(listed)), Ok(true));
--- a/crates/distribution/tests/tables.rs
+++ b/crates/distribution/tests/tables.rs
@@ -1,4 +1,4 @@
-//! The vector over all tables and the updates made for it.
+//! The version vector over all tables, and the updates that are made for it.
 
 use lugwharf_distribution::Tables;
 use lugwharf_protocol::{ConfigRecord, FleetSummary, ServerDelta, TablePosition, Update, VersionVector};
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn takes_only_newer_configurations() {
+fn only_a_newer_configuration_is_applied() {
     let mut tables = Tables::new();
     assert!(tables.advance_config(config(4)));
     assert!(!tables.advance_config(config(4)));
@@ -28,14 +28,15 @@
 }
 
 #[rstest]
-#[case::level(7, 3, 5, None)]
+#[case::up_to_date(7, 3, 5, None)]
 #[case::ahead(8, 4, 5, None)]
 #[case::old_config(6, 3, 5, Some((true, false, false)))]
 #[case::old_servers(7, 2, 5, Some((false, true, false)))]
 #[case::other_count(7, 3, 6, Some((false, false, true)))]
 #[case::nothing(0, 0, 0, Some((true, true, true)))]
-fn sends_only_what_is_newer(
-    #[case] version: u64, #[case] epoch: u64, #[case] live: u32, #[case] parts: Option<(bool, bool, bool)>,
+fn update_holds_only_what_is_newer(
+    #[case] version: u64, #[case] epoch: u64, #[case] live: u32,
+    #[case] tables_sent: Option<(bool, bool, bool)>,
 ) {
     let servers = TablePosition { epoch, sequence: epoch.min(1) };
     let have = VersionVector { config: version, servers, live_proxies: live };
@@ -43,23 +44,23 @@
     let sent = update
         .as_ref()
         .map(|update| (update.config.is_some(), update.servers.is_some(), update.fleet.is_some()));
-    assert_eq!(sent, parts);
+    assert_eq!(sent, tables_sent);
 }
 
 #[test]
-fn brings_another_process_to_the_vector_of_the_update() {
+fn applied_update_leads_to_its_vector() {
     let source = tables(7, 3, 5);
-    let mut taker = tables(6, 2, 9);
-    let update = source.update_since(&taker.vector()).unwrap();
-    assert_eq!(taker.apply(&update), Ok(true));
-    assert_eq!(taker.vector(), update.vector);
-    assert_eq!(taker.vector(), source.vector());
-    assert_eq!(taker.apply(&update), Ok(false));
-    assert_eq!(source.update_since(&taker.vector()), None);
+    let mut reader = tables(6, 2, 9);
+    let update = source.update_since(&reader.vector()).unwrap();
+    assert_eq!(reader.apply(&update), Ok(true));
+    assert_eq!(reader.vector(), update.vector);
+    assert_eq!(reader.vector(), source.vector());
+    assert_eq!(reader.apply(&update), Ok(false));
+    assert_eq!(source.update_since(&reader.vector()), None);
 }
 
 #[test]
-fn takes_the_other_parts_over_where_the_servers_do_not_follow() {
+fn other_tables_are_applied_despite_a_gap_in_the_servers() {
     let position = TablePosition { epoch: 2, sequence: 5 };
     let update = Update {
         config: Some(ConfigRecord { version: 3, bytes: Vec::new() }),
@@ -73,31 +74,31 @@
 }
 
 #[test]
-fn keeps_the_last_count_where_nothing_is_known() {
+fn unknown_count_leaves_the_last_one_in_place() {
     let mut tables = tables(1, 1, 5);
     tables.set_live_proxies(0);
     assert_eq!(tables.live_proxies(), 5);
 }
 
 #[test]
-fn shows_the_list_that_was_written() {
+fn written_list_is_readable() {
     let tables = tables(1, 4, 5);
     assert_eq!(tables.servers().position(), TablePosition { epoch: 4, sequence: 1 });
 }
 
 #[test]
-fn tells_no_count_where_it_knows_none() {
+fn unknown_count_is_not_sent() {
     let have = VersionVector { live_proxies: 5, ..tables(7, 3, 0).vector() };
     assert_eq!(tables(7, 3, 0).update_since(&have), None);
 }
 
-/// Whoever waits for a change has to be woken by each of them.
+/// A process that waits for a change has to be woken by each of them.
 #[rstest]
 #[case::config(8, 3, 5)]
 #[case::servers(7, 4, 5)]
 #[case::fleet(7, 3, 6)]
-fn says_that_it_changed_for_each_part(#[case] version: u64, #[case] epoch: u64, #[case] live: u32) {
-    let mut taker = tables(7, 3, 5);
-    let update = tables(version, epoch, live).update_since(&taker.vector()).unwrap();
-    assert_eq!(taker.apply(&update), Ok(true));
+fn apply_reports_a_change_of_each_table(#[case] version: u64, #[case] epoch: u64, #[case] live: u32) {
+    let mut reader = tables(7, 3, 5);
+    let update = tables(version, epoch, live).update_since(&reader.vector()).unwrap();
+    assert_eq!(reader.apply(&update), Ok(true));
 }
