--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,8 +1,8 @@
-//! Named invariants that are checked in running code, in release builds too.
+//! Named invariants that are checked at run time, in release builds too.
 //!
-//! A check that fails is counted under its name and reported with its facts; it never ends a process in service. Where a
-//! violation has to stop everything at once, in tests and simulations, [`fail_at_once`] makes it panic. That is the
-//! default in builds with debug assertions; the programs call [`count_only`] when they start.
+//! A violation is counted under the name of the invariant and reported with its facts; it never ends a process in service. In
+//! tests and simulations it panics instead, so that the run stops where it happened: this is the default in builds with debug
+//! assertions, and [`fail_at_once`] sets it. The programs call [`count_only`] when they start.
 //!
 //! ```
 //! use lugwharf_invariants::{Invariant, check};
--- a/crates/invariants/tests/counting.rs
+++ b/crates/invariants/tests/counting.rs
@@ -1,18 +1,18 @@
-//! Violations in a process in service: counted, reported a few times, and survived.
+//! Violations in a process in service: they are counted, the first ones are reported, and the process survives.
 
 use lugwharf_invariants::{Invariant, Violation, check, count, count_only, report_to, total};
 use std::sync::Mutex;
 
 static REPORTED: Mutex<Vec<Violation>> = Mutex::new(Vec::new());
 
-fn note(violation: &Violation) {
+fn record(violation: &Violation) {
     REPORTED.lock().expect("no panic in between").push(violation.clone());
 }
 
 #[test]
 fn violations_are_counted_by_name_and_only_the_first_are_reported() {
     count_only();
-    report_to(note);
+    report_to(record);
     check(Invariant::RetriesPaid, true, || unreachable!("facts are not asked where it holds"));
     assert_eq!((count(Invariant::RetriesPaid), total()), (0, 0));
     for turn in 1..=15 {
--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -1,46 +1,47 @@
-//! The bounds of the rules in force, as the deployment states them.
+//! The time limits and quotas that the deployment states, by which its guarantees are judged.
 
 use crate::SettingsError;
 use serde::Deserialize;
 
-/// Times and shares within which the system has to act. Fields that a deployment leaves out take the defaults.
+/// Time limits and quotas within which the system has to act. Fields that a deployment leaves out take the defaults.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Bounds {
-    /// How far the operator's list of seeds lags, in s.
+    /// How far the operator's list of seeds may be out of date, in s. Default 3.
     pub seed_lag_s: f64,
-    /// An address of a server that has ended may serve another service after this, in s.
+    /// The address of a server that has ended may belong to another service after this, in s. Default 2.
     pub reuse_after_s: f64,
-    /// A machine counts as in touch once nothing has troubled it for so long, in ms.
+    /// A machine counts as connected once it had no fault for so long, in ms. Default 3,000.
     pub contact_ms: u64,
-    /// The operator is owed an acknowledgement within this, in ms.
+    /// A change must be acknowledged to the operator within this, in ms. Default 4,000.
     pub ack_ms: u64,
-    /// A machine counts as lost for so long after it is back, in s.
+    /// A machine that has come back counts as lost for so long, in s. Default 4.
     pub catch_up_s: f64,
-    /// No request may reach a server later than this after the list showed it as leaving, in ms.
+    /// No request may reach a server later than this after the list showed it as draining, in ms. Default 3,000.
     pub drain_ms: u64,
-    /// SIGKILL comes so long after SIGTERM, in s.
+    /// The time between SIGTERM and SIGKILL, in s. Default 8.
     pub grace_s: f64,
-    /// A request that was read may be lost by a shutdown only within this, in ms.
+    /// A shutdown may lose a request only if it was received within this before its end, in ms. Default 200.
     pub loss_slack_ms: u64,
-    /// An acknowledged configuration is in force everywhere within this, in ms.
+    /// An acknowledged configuration must be in force at every proxy within this, in ms. Default 2,000.
     pub config_ms: u64,
-    /// How far the time of day may be off between machines, in ms.
+    /// The maximum clock skew between machines, in ms. Default 5,000.
     pub max_skew_ms: u64,
-    /// Repeats that a service may get, as a share of its requests.
+    /// The retries that a service may get, as a share of its requests. Default 0.2.
     pub retry_budget: f64,
-    /// The window in which repeats are counted, in s.
+    /// The window in which retries are counted, in s. Default 10.
     pub budget_window_s: f64,
-    /// Repeats that are allowed in a window beyond the share.
+    /// The retries that are allowed in a window beyond that share. Default 20.
     pub budget_slack: f64,
-    /// A stream's event is late once it takes longer than this through the system, in ms.
+    /// The maximum time of a stream's event through the system, in ms. Default 120.
     pub transit_ms: u64,
-    /// A shared part of a prompt is priced if it is read again within this, in s.
+    /// A shared prefix of prompts counts as reusable if it is used again within this, in s. Default 8. The key in the file is
+    /// lower case, unlike the others.
     #[serde(rename = "again_s")]
     pub again_s: f64,
-    /// Whether servers refuse orders with a lower fencing token than they have seen.
+    /// Whether servers reject orders with a lower fencing token than they have seen. Default true.
     pub fenced: bool,
-    /// Two holders of one role must not take turns within this, in ms.
+    /// Two holders of one singleton role must not alternate within this, in ms. Default 3,000.
     pub lease_ms: u64,
 }
 
@@ -70,13 +71,13 @@
 
 impl Bounds {
     pub(crate) fn check(&self) -> Result<(), SettingsError> {
-        let shares = [
+        let non_negative = [
             ("Bounds.RetryBudget", self.retry_budget),
             ("Bounds.BudgetWindowS", self.budget_window_s),
             ("Bounds.BudgetSlack", self.budget_slack),
             ("Bounds.GraceS", self.grace_s),
         ];
-        for (field, value) in shares {
+        for (field, value) in non_negative {
             if !value.is_finite() || value < 0.0 {
                 return Err(SettingsError::Invalid {
                     field,
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,8 @@
-//! The settings file of a process: where it runs, what it listens on, its limits and the bounds in force.
+//! The settings file of a process: where it runs, which addresses it listens on, its resource limits and the time limits of the
+//! deployment.
 //!
-//! The file is TOML; its path stands in the environment variable [`PATH_VARIABLE`]. Unknown fields are ignored, since new
-//! ones may appear at any time. Every fault names the field.
+//! The file is TOML; the environment variable [`PATH_VARIABLE`] names it. Unknown keys are ignored, since deployments may add
+//! some at any time. Every error names the key. `tests/outside_form.rs` fixes all keys, defaults and error texts.
 #![forbid(unsafe_code)]
 
 mod bounds;
@@ -15,7 +16,7 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
 
-/// The environment variable that holds the path of the settings file.
+/// The environment variable that contains the path of the settings file.
 pub const PATH_VARIABLE: &str = "LUGWHARF_BOOT";
 /// The path that is used when the variable is not set.
 pub const DEFAULT_PATH: &str = "/etc/lugwharf/settings.toml";
@@ -28,43 +29,43 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the file system.
         source: std::io::Error,
     },
-    /// The text is not TOML, or a field has the wrong type or is missing.
+    /// The text is not TOML, or a key has the wrong type or is missing.
     #[error("{0}")]
     Malformed(String),
-    /// A field has a value that no process can work with.
+    /// A key has a value that no process can work with.
     #[error("{field}: {reason}")]
     Invalid {
-        /// The field as the file names it.
+        /// The key as the file spells it, with its table.
         field: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with its value.
         reason: &'static str,
     },
 }
 
-/// The addresses a process listens on, by what it serves.
+/// The addresses that a process listens on, by what it serves there.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Listen {
-    /// Clients' requests.
+    /// The requests of clients.
     pub front: Option<SocketAddr>,
-    /// The platform's readiness checks.
+    /// The readiness checks of the platform.
     pub ready: Option<SocketAddr>,
-    /// The operator's API.
+    /// The API of the operator.
     pub control: Option<SocketAddr>,
 }
 
-/// What the machine grants this process.
+/// The resource limits of this process.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Limits {
-    /// Memory in MB; a process over it is killed.
+    /// Memory, in MB; a process above it is killed. Default 256.
     pub memory_mb: u64,
-    /// Descriptors, of which 200 are reserved for files outside the data directory.
+    /// File descriptors, of which 200 are reserved for files outside the data directory. Default 1,024.
     pub max_fds: usize,
-    /// Bytes that `DataDir` may hold, in MB; 0 where there is no disk.
+    /// The maximum size of `DataDir`, in MB; 0 (the default) where there is no disk.
     pub disk_mb: u64,
 }
 
@@ -74,44 +75,44 @@
     }
 }
 
-/// What may be lost at once while every guarantee still holds.
+/// The faults that the deployment tolerates with every guarantee intact.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct FaultTolerance {
-    /// Machines that count for the quorum.
+    /// f: how many machines that count for the quorum may be lost at once. Default 0.
     pub machines: usize,
 }
 
-/// The platform's list service.
+/// The service of the platform that lists the servers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct Cloud {
-    /// Where it answers.
+    /// The address that it serves.
     pub address: SocketAddr,
-    /// Calls a second that it takes from the whole fleet.
-    #[serde(default = "default_rate")]
+    /// The requests a second that it accepts from the whole fleet. Default 10.
+    #[serde(default = "default_rate_per_s")]
     pub rate_per_s: f64,
-    /// How far the list lags behind, in ms.
+    /// How far the list may be out of date, in ms. Default 0.
     #[serde(default)]
     pub lag_ms: u64,
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
-fn default_rate() -> f64 {
+fn default_rate_per_s() -> f64 {
     10.0
 }
 
-/// What a front does for callers of control.
+/// How the agent of a machine serves the API of the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlPlacement {
-    /// Nothing.
+    /// Not at all.
     None,
-    /// It sends those who call this address on to a control process.
+    /// It listens on this address and redirects callers to a control process.
     Gateway(SocketAddr),
-    /// It hosts a replica.
+    /// It hosts a replica of the control plane.
     Replica,
 }
 
@@ -121,75 +122,76 @@
 pub struct Settings {
     /// The name of the machine.
     pub node: String,
-    /// The role of the process, as the deploy file names it.
+    /// The role of the process, as the deploy file names it. Only `lugwharf check-settings` prints it. Default empty.
     #[serde(default)]
     pub role: String,
     /// The address of the machine.
     pub ip: IpAddr,
-    /// The address that this process listens on and connects from in place of [`Settings::ip`], where other machines reach
-    /// it under an address that is not its own, as behind an address translation.
+    /// The address that this process listens on and connects from instead of [`Settings::ip`], where other machines reach it
+    /// under an address that is not its own, as behind network address translation.
     #[serde(default)]
     pub bind: Option<IpAddr>,
-    /// Its zone.
+    /// The zone of the machine. Default empty.
     #[serde(default)]
     pub zone: String,
-    /// Its region.
+    /// The region of the machine. Default empty.
     #[serde(default)]
     pub region: String,
-    /// First and last of the ports that are free for internal traffic.
+    /// The first and the last port that are free for internal traffic.
     pub port_range: (u16, u16),
-    /// Control addresses of some machines that serve control.
+    /// The operator API addresses of some machines that serve it, to join the control plane by.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole system, with empty disks.
+    /// Whether this is the first start of the whole system, with empty disks. Default false.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether the loss of this machine is counted; only such machines become members of a view.
-    #[serde(default = "yes")]
+    /// Whether the loss of this machine counts for [`FaultTolerance`]. Only such machines become members of a view. Default
+    /// true.
+    #[serde(default = "default_true")]
     pub counts_for_quorum: bool,
-    /// Where files last, if anywhere.
+    /// The directory for durable files, if the machine has a disk.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
-    /// Region by zone.
+    /// The region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
-    /// Addresses to listen on.
+    /// The addresses to listen on.
     #[serde(default)]
     pub listen: Listen,
-    /// What the machine grants.
+    /// The resource limits.
     #[serde(default)]
     pub limits: Limits,
-    /// What may be lost at once.
+    /// The tolerated faults.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
-    /// The bounds of the rules.
+    /// The time limits and quotas.
     #[serde(default)]
     pub bounds: Bounds,
-    /// The platform's list, where the deployment has one.
+    /// The list service of the platform, where the deployment has one.
     #[serde(default)]
     pub cloud: Option<Cloud>,
-    /// Where the agent feeds the proxy of its machine, if not at its port on 127.0.0.1. Needed where several machines
-    /// share one loopback interface.
+    /// The address on which the agent feeds the proxy of its machine, if not its port on 127.0.0.1. Needed where several
+    /// machines share one loopback interface.
     #[serde(default)]
     pub feed_address: Option<SocketAddr>,
 }
 
 impl Settings {
-    /// Reads settings from TOML text.
+    /// Parses and checks settings in TOML.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|e| SettingsError::Malformed(one_line(&e)))?;
         settings.check()?;
         Ok(settings)
     }
 
-    /// Reads the file at `path`.
+    /// Reads, parses and checks the file at `path`.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| SettingsError::Unreadable { path: path.to_owned(), source })?;
         Settings::parse(&text)
     }
 
-    /// The path of this process's settings file.
+    /// The path of the settings file of this process: from the environment, or the default.
     pub fn path() -> PathBuf {
         std::env::var_os(PATH_VARIABLE).map_or_else(|| PathBuf::from(DEFAULT_PATH), PathBuf::from)
     }
@@ -201,11 +203,11 @@
 
     /// The ports of the internal protocols.
     pub fn internal_ports(&self) -> InternalPorts {
-        InternalPorts::of(self.port_range)
+        InternalPorts::in_range(self.port_range)
     }
 
-    /// What a process that is no control process of its own does for callers of control. A machine that counts hosts a
-    /// replica, wherever the deployment puts it; any other machine that serves control sends callers on.
+    /// How an agent serves the API of the operator. A machine that counts for the quorum hosts a replica, wherever the
+    /// deployment puts it; any other machine that serves the API redirects callers. An error if a replica would have no disk.
     pub fn control_placement(&self) -> Result<ControlPlacement, SettingsError> {
         let Some(address) = self.listen.control else { return Ok(ControlPlacement::None) };
         if !self.counts_for_quorum {
@@ -218,7 +220,7 @@
         Ok(ControlPlacement::Replica)
     }
 
-    /// Where the agent feeds the proxy of its machine.
+    /// The address on which the agent feeds the proxy of its machine.
     pub fn feed_address(&self) -> SocketAddr {
         let port = self.internal_ports().feed;
         self.feed_address.unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, port)))
@@ -230,7 +232,7 @@
             return invalid("Node", "must not be empty");
         }
         let (first, last) = self.port_range;
-        if first == 0 || last < first.saturating_add(InternalPorts::NEEDED - 1) {
+        if first == 0 || last < first.saturating_add(InternalPorts::COUNT - 1) {
             return invalid("PortRange", "holds too few ports");
         }
         if let Some(cloud) = &self.cloud
@@ -242,9 +244,9 @@
     }
 }
 
-/// The parser's message without its excerpt, so that a fault takes one line in the log.
+/// The message of the parser on one line, for the log.
 fn one_line(error: &toml::de::Error) -> String {
-    let whole = error.to_string();
-    let parts: Vec<&str> = whole.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
-    parts.join(" ")
+    let message = error.to_string();
+    let lines: Vec<&str> = message.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
+    lines.join(" ")
 }
--- a/crates/settings/tests/outside_form.rs
+++ b/crates/settings/tests/outside_form.rs
@@ -1,5 +1,4 @@
-//! The settings file as deployments write it: every key, every default, and what is said of a file that can't be used, word for
-//! word.
+//! The settings file as deployments write it: every key, every default and every error text, literally.
 
 use lugwharf_settings::{
     Bounds, Cloud, DEFAULT_PATH, FaultTolerance, Limits, Listen, PATH_VARIABLE, Settings,
@@ -253,20 +252,20 @@
     "Bounds.BudgetSlack: must be a finite number of at least 0"
 )]
 #[case::grace("GraceS = 7.5", "GraceS = -1.0", "Bounds.GraceS: must be a finite number of at least 0")]
-fn an_unusable_file_is_told_word_for_word(#[case] from: &str, #[case] to: &str, #[case] told: &str) {
+fn the_error_of_an_unusable_file_is_unchanged(#[case] from: &str, #[case] to: &str, #[case] message: &str) {
     assert!(EVERY_KEY.contains(from), "{from}");
     let error = Settings::parse(&EVERY_KEY.replacen(from, to, 1)).expect_err("unusable");
-    assert_eq!(error.to_string(), told);
+    assert_eq!(error.to_string(), message);
 }
 
 #[test]
-fn a_missing_file_is_told_word_for_word() {
+fn the_error_of_a_missing_file_is_unchanged() {
     let error = Settings::read(Path::new("/nonexistent/settings.toml")).expect_err("no file");
     assert_eq!(error.to_string(), "/nonexistent/settings.toml: No such file or directory (os error 2)");
 }
 
 #[test]
-fn control_without_a_disk_is_told_word_for_word() {
+fn the_error_of_control_without_a_disk_is_unchanged() {
     let text = EVERY_KEY.replace("CountsForQuorum = false", "").replace("DataDir = \"/data\"", "");
     let error = Settings::parse(&text).expect("settings").control_placement().expect_err("no disk");
     assert_eq!(error.to_string(), "DataDir: is missing on a machine that counts and serves control");
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: what it may look like, and what is said of one that can't be used.
+//! Parsing of settings files, their errors, and where control runs.
 
 use lugwharf_settings::{ControlPlacement, InternalPorts, Settings, SettingsError};
 use rstest::rstest;
@@ -33,7 +33,7 @@
 "#;
 
 #[test]
-fn a_whole_file_is_read_and_unknown_fields_are_ignored() {
+fn a_complete_file_is_parsed_and_unknown_keys_are_ignored() {
     let settings = Settings::parse(TEXT).expect("readable");
     assert_eq!(settings.node, "front-a-1");
     assert_eq!(settings.seeds.len(), 2);
@@ -51,7 +51,7 @@
 #[case("PortRange = [7720, 7735]", "PortRange = [0, 9]", "PortRange")]
 #[case("RatePerS = 47.0", "RatePerS = 0.0", "Cloud.RatePerS")]
 #[case("BudgetSlack = 58", "BudgetSlack = -1", "Bounds.BudgetSlack")]
-fn a_value_nobody_can_work_with_names_its_field(#[case] from: &str, #[case] to: &str, #[case] field: &str) {
+fn an_invalid_value_is_reported_with_its_key(#[case] from: &str, #[case] to: &str, #[case] field: &str) {
     match Settings::parse(&TEXT.replace(from, to)) {
         Err(SettingsError::Invalid { field: named, .. }) => assert_eq!(named, field),
         other => panic!("{other:?}"),
@@ -63,7 +63,7 @@
 #[case("PortRange = [7720, 7735]", "")]
 #[case("Bootstrap = true", "Bootstrap = 3")]
 #[case("[Listen]", "[Listen")]
-fn a_malformed_file_is_one_line(#[case] from: &str, #[case] to: &str) {
+fn the_error_of_a_malformed_file_is_one_line(#[case] from: &str, #[case] to: &str) {
     match Settings::parse(&TEXT.replace(from, to)) {
         Err(error @ SettingsError::Malformed(_)) => {
             let text = error.to_string();
@@ -75,7 +75,7 @@
 
 const ADDRESS: &str = "10.1.0.13:8166";
 
-/// A machine that serves control as the settings say, if at all.
+/// The control placement of a machine with these changes to its settings.
 fn placement(changes: &[(&str, &str)]) -> Result<ControlPlacement, SettingsError> {
     let text = changes.iter().fold(TEXT.to_owned(), |text, (from, to)| text.replace(from, to));
     Settings::parse(&text).expect("readable").control_placement()
@@ -91,12 +91,14 @@
 #[case::it_does_not_count(&[SERVES, DOES_NOT_COUNT], ControlPlacement::Gateway(ADDRESS.parse().expect("an address")))]
 #[case::a_disk_alone_does_not_count(&[SERVES, DOES_NOT_COUNT, HAS_A_DISK], ControlPlacement::Gateway(ADDRESS.parse().expect("an address")))]
 #[case::it_counts(&[SERVES, COUNTS, HAS_A_DISK], ControlPlacement::Replica)]
-fn the_settings_say_where_control_runs(#[case] changes: &[(&str, &str)], #[case] wanted: ControlPlacement) {
+fn control_placement_follows_from_the_settings(
+    #[case] changes: &[(&str, &str)], #[case] wanted: ControlPlacement,
+) {
     assert_eq!(placement(changes).expect("a placement"), wanted);
 }
 
 #[test]
-fn control_on_a_machine_that_counts_needs_a_disk() {
+fn a_replica_without_a_data_directory_is_rejected() {
     match placement(&[SERVES, COUNTS]) {
         Err(SettingsError::Invalid { field, .. }) => assert_eq!(field, "DataDir"),
         other => panic!("{other:?}"),
