--- a/crates/proxy/src/feed.rs
+++ b/crates/proxy/src/agent_feed.rs
@@ -1,6 +1,6 @@
 //! The link to the agent on this machine. The proxy connects, tells what it has, and takes over what the agent sends.
 
-use crate::state::Shared;
+use crate::state::ProxyState;
 use lugwharf_protocol::{FeedMessage, FrameError, ProxyReport, read_frame, write_frame};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,10 +18,10 @@
 const REPORT_EVERY: Duration = Duration::from_secs(1);
 
 /// Keeps the link up for as long as the process runs.
-pub async fn follow(shared: Rc<Shared>, agent: SocketAddr) {
+pub async fn follow(state: Rc<ProxyState>, agent: SocketAddr) {
     let mut is_up = true;
     loop {
-        match session(&shared, agent).await {
+        match session(&state, agent).await {
             Ok(()) => spdlog::warn!("feed outcome=closed"),
             Err(error) if std::mem::replace(&mut is_up, false) => {
                 spdlog::warn!("feed outcome=down error={error}")
@@ -33,23 +33,23 @@
 }
 
 /// One connection, until it ends.
-async fn session(shared: &Shared, agent: SocketAddr) -> Result<(), FrameError> {
+async fn session(state: &ProxyState, agent: SocketAddr) -> Result<(), FrameError> {
     let link = TcpStream::connect(agent).await?;
     drop(link.set_nodelay(true));
     let (reader, writer) = link.into_split();
     let applied = Notify::new();
     tokio::select! {
-        read = read_updates(shared, reader, &applied) => read,
-        written = write_reports(shared, writer, &applied) => written,
+        read = read_updates(state, reader, &applied) => read,
+        written = write_reports(state, writer, &applied) => written,
     }
 }
 
 /// Takes over what the agent sends until it ends.
 async fn read_updates(
-    shared: &Shared, mut reader: OwnedReadHalf, applied: &Notify,
+    state: &ProxyState, mut reader: OwnedReadHalf, applied: &Notify,
 ) -> Result<(), FrameError> {
     while let Some(FeedMessage::Update(update)) = read_frame::<FeedMessage>(&mut reader).await? {
-        shared.apply(&update);
+        state.apply(&update);
         applied.notify_one();
     }
     Ok(())
@@ -57,11 +57,11 @@
 
 /// Tells what this process has: at the start, after each update, and now and then for the load's sake.
 async fn write_reports(
-    shared: &Shared, mut writer: OwnedWriteHalf, applied: &Notify,
+    state: &ProxyState, mut writer: OwnedWriteHalf, applied: &Notify,
 ) -> Result<(), FrameError> {
     loop {
-        let loads = shared.balancer.borrow().in_flight_loads();
-        write_frame(&mut writer, &ProxyReport { have: shared.have(), loads }).await?;
+        let loads = state.balancer.borrow().in_flight_loads();
+        write_frame(&mut writer, &ProxyReport { have: state.have(), loads }).await?;
         tokio::select! {
             () = applied.notified() => {}
             () = sleep(REPORT_EVERY) => {}
--- a/crates/proxy/src/feed_tests.rs
+++ b/crates/proxy/src/agent_feed_tests.rs
@@ -1,8 +1,8 @@
 //! The link to the agent over its restarts: what belongs to one link never reaches the next one.
 
-use crate::feed::follow;
-use crate::state::Shared;
-use crate::upstream::fixtures::{entry, listener, shared};
+use crate::agent_feed::follow;
+use crate::outbound::fixtures::{entry, listener, state};
+use crate::state::ProxyState;
 use lugwharf_protocol::{
     ConfigRecord, FeedMessage, ProxyReport, ServerDelta, TablePosition, Update, encode, read_frame,
     write_frame,
@@ -26,13 +26,13 @@
     (link, report)
 }
 
-async fn with_agent(body: impl AsyncFnOnce(&TcpListener, &Rc<Shared>)) {
+async fn with_agent(body: impl AsyncFnOnce(&TcpListener, &Rc<ProxyState>)) {
     let agent = listener().await;
     let address = agent.local_addr().expect("an address");
-    let shared = shared(address);
+    let state = state(address);
     let local = LocalSet::new();
-    local.spawn_local(follow(shared.clone(), address));
-    local.run_until(body(&agent, &shared)).await;
+    local.spawn_local(follow(state.clone(), address));
+    local.run_until(body(&agent, &state)).await;
 }
 
 /// A message that was cut with its link is not joined with what the next link brings.
@@ -42,7 +42,7 @@
 #[case::all_but_the_last_byte(usize::MAX)]
 #[tokio::test]
 async fn half_a_message_ends_with_its_link(#[case] end: usize) {
-    with_agent(async |agent, shared| {
+    with_agent(async |agent, state| {
         let (mut old, report) = link(agent).await;
         assert_eq!(report.have.config, 0);
         let bytes = encode(&config(7)).expect("a frame");
@@ -50,10 +50,10 @@
         old.write_all(&bytes[..end]).await.expect("sent");
         drop(old);
         let (mut new, report) = link(agent).await;
-        assert_eq!(report.have.config, 0, "nothing of it was taken");
+        assert_eq!(report.have.config, 0, "nothing of it was accepted");
         write_frame(&mut new, &config(8)).await.expect("sent");
         let report: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
-        assert_eq!((report.have.config, shared.have().config), (8, 8));
+        assert_eq!((report.have.config, state.have().config), (8, 8));
     })
     .await;
 }
@@ -61,7 +61,7 @@
 /// An agent that has restarted knows less for a while: what it tells then takes nothing back.
 #[tokio::test]
 async fn what_an_earlier_agent_told_is_not_taken_back() {
-    with_agent(async |agent, shared| {
+    with_agent(async |agent, state| {
         let (mut old, report) = link(agent).await;
         write_frame(&mut old, &config(7)).await.expect("sent");
         let after: ProxyReport = read_frame(&mut old).await.expect("a report").expect("a report");
@@ -80,7 +80,7 @@
         write_frame(&mut new, &config(6)).await.expect("sent");
         let after: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
         assert_eq!(after.have.config, 7);
-        assert!(shared.balancer.borrow().has_servers());
+        assert!(state.balancer.borrow().has_servers());
     })
     .await;
 }
@@ -88,9 +88,9 @@
 /// A list that an older link brought and a newer one brings again changes nothing: servers keep their connections.
 #[tokio::test]
 async fn the_same_list_again_keeps_servers_as_they_are() {
-    with_agent(async |agent, shared| {
+    with_agent(async |agent, state| {
         let (old, report) = link(agent).await;
-        let before: Vec<_> = shared.balancer.borrow().server_keys().collect();
+        let before: Vec<_> = state.balancer.borrow().server_keys().collect();
         drop(old);
         let (mut new, _) = link(agent).await;
         let position = report.have.servers;
@@ -101,7 +101,7 @@
             .expect("sent");
         let after: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
         assert_eq!(after.have.servers, position);
-        assert_eq!(shared.balancer.borrow().server_keys().collect::<Vec<_>>(), before);
+        assert_eq!(state.balancer.borrow().server_keys().collect::<Vec<_>>(), before);
     })
     .await;
 }
--- a/crates/proxy/src/wire/body.rs
+++ b/crates/proxy/src/http/body.rs
@@ -1,21 +1,21 @@
 //! Takes a body out of the bytes of a connection.
 
-use crate::wire::framing::Framing;
+use crate::http::framing::Framing;
 use bytes::{Buf, Bytes, BytesMut};
 
 /// The longest line with a chunk's size, with its extensions, in bytes.
-const MOST_SIZE_LINE: usize = 256;
+const MAX_SIZE_LINE_BYTES: usize = 256;
 /// The most hex digits of a chunk's size.
-const MOST_SIZE_DIGITS: usize = 12;
+const MAX_SIZE_DIGITS: usize = 12;
 /// The most bytes of trailers.
-const MOST_TRAILERS: usize = 4 * 1024;
+const MAX_TRAILER_BYTES: usize = 4 * 1024;
 
 /// The bytes are no body of the framing that was announced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("a broken body")]
-pub struct BodyFault;
+pub struct BodyError;
 
-/// What could be taken from the buffer.
+/// What could be accepted from the buffer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decoded {
     /// The next bytes of the body.
@@ -70,7 +70,7 @@
     }
 
     /// Takes what it can off the front of `buffer`.
-    pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Decoded, BodyFault> {
+    pub fn decode(&mut self, buffer: &mut BytesMut) -> Result<Decoded, BodyError> {
         loop {
             match self.state {
                 State::Done => return Ok(Decoded::End),
@@ -87,7 +87,7 @@
                     return Ok(Decoded::Data(data));
                 }
                 State::Size => {
-                    let Some(line) = line(buffer, MOST_SIZE_LINE)? else { return Ok(Decoded::More) };
+                    let Some(line) = line(buffer, MAX_SIZE_LINE_BYTES)? else { return Ok(Decoded::More) };
                     let size = chunk_size(&line)?;
                     self.state = if size == 0 { State::Trailers(0) } else { State::Chunk(size) };
                 }
@@ -96,13 +96,15 @@
                         return Ok(Decoded::More);
                     }
                     if !buffer.starts_with(b"\r\n") {
-                        return Err(BodyFault);
+                        return Err(BodyError);
                     }
                     buffer.advance(2);
                     self.state = State::Size;
                 }
                 State::Trailers(seen) => {
-                    let Some(line) = line(buffer, MOST_TRAILERS - seen)? else { return Ok(Decoded::More) };
+                    let Some(line) = line(buffer, MAX_TRAILER_BYTES - seen)? else {
+                        return Ok(Decoded::More);
+                    };
                     self.state =
                         if line.is_empty() { State::Done } else { State::Trailers(seen + line.len() + 2) };
                 }
@@ -121,25 +123,25 @@
 }
 
 /// A line without its end.
-fn line(buffer: &mut BytesMut, most: usize) -> Result<Option<BytesMut>, BodyFault> {
+fn line(buffer: &mut BytesMut, most: usize) -> Result<Option<BytesMut>, BodyError> {
     let Some(end) = buffer.iter().position(|byte| *byte == b'\n') else {
-        return if buffer.len() > most { Err(BodyFault) } else { Ok(None) };
+        return if buffer.len() > most { Err(BodyError) } else { Ok(None) };
     };
     if end == 0 || end > most || buffer.get(end - 1) != Some(&b'\r') {
-        return Err(BodyFault);
+        return Err(BodyError);
     }
     let mut line = buffer.split_to(end + 1);
     line.truncate(end - 1);
     Ok(Some(line))
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, BodyFault> {
+fn chunk_size(line: &[u8]) -> Result<u64, BodyError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let digits = digits.trim_ascii_end();
     let is_hex = !digits.is_empty() && digits.iter().all(u8::is_ascii_hexdigit);
-    if !is_hex || digits.len() > MOST_SIZE_DIGITS {
-        return Err(BodyFault);
+    if !is_hex || digits.len() > MAX_SIZE_DIGITS {
+        return Err(BodyError);
     }
-    let text = std::str::from_utf8(digits).map_err(|_| BodyFault)?;
-    u64::from_str_radix(text, 16).map_err(|_| BodyFault)
+    let text = std::str::from_utf8(digits).map_err(|_| BodyError)?;
+    u64::from_str_radix(text, 16).map_err(|_| BodyError)
 }
--- a/crates/proxy/src/wire/body_tests.rs
+++ b/crates/proxy/src/http/body_tests.rs
@@ -1,4 +1,4 @@
-use crate::wire::{BodyDecoder, Decoded, Framing};
+use crate::http::{BodyDecoder, Decoded, Framing};
 use bytes::BytesMut;
 use rstest::rstest;
 
--- a/crates/proxy/src/wire/framing.rs
+++ b/crates/proxy/src/http/framing.rs
@@ -1,10 +1,10 @@
 //! How long a message's body is. Guards against messages that say it in two ways, by which a request could be smuggled inside
 //! another one.
 
-use crate::wire::head::{Headers, RequestHead, ResponseHead};
+use crate::http::head::{Headers, RequestHead, ResponseHead};
 
 /// The most digits of a length.
-const LENGTH_DIGITS: usize = 15;
+const MAX_LENGTH_DIGITS: usize = 15;
 
 /// How a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -22,13 +22,13 @@
 /// The end of a body can't be told for sure.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the length of the body is not clear")]
-pub struct FramingFault;
+pub struct FramingError;
 
 /// The framing of a request's body.
-pub fn request_framing(head: &RequestHead) -> Result<Framing, FramingFault> {
+pub fn request_framing(head: &RequestHead) -> Result<Framing, FramingError> {
     match (is_chunked(&head.headers, head.is_http10)?, length(&head.headers)?) {
         (true, None) => Ok(Framing::Chunked),
-        (true, Some(_)) => Err(FramingFault),
+        (true, Some(_)) => Err(FramingError),
         (false, None | Some(0)) => Ok(Framing::Empty),
         (false, Some(length)) => Ok(Framing::Length(length)),
     }
@@ -36,7 +36,7 @@
 
 /// The framing of a response's body. Without a length it ends with the connection: complete at an orderly end, broken off at a
 /// reset.
-pub fn response_framing(head: &ResponseHead, to_head: bool) -> Result<Framing, FramingFault> {
+pub fn response_framing(head: &ResponseHead, to_head: bool) -> Result<Framing, FramingError> {
     let (chunked, length) = (is_chunked(&head.headers, head.is_http10)?, length(&head.headers)?);
     if to_head || matches!(head.status, 204 | 304) {
         return Ok(Framing::Empty);
@@ -46,29 +46,30 @@
         (false, Some(0)) => Ok(Framing::Empty),
         (false, Some(length)) => Ok(Framing::Length(length)),
         (false, None) => Ok(Framing::UntilEnd),
-        (true, Some(_)) => Err(FramingFault),
+        (true, Some(_)) => Err(FramingError),
     }
 }
 
-fn is_chunked(headers: &Headers, is_http10: bool) -> Result<bool, FramingFault> {
+fn is_chunked(headers: &Headers, is_http10: bool) -> Result<bool, FramingError> {
     let mut values = headers.all("transfer-encoding");
     let Some(value) = values.next() else { return Ok(false) };
     let alone = values.next().is_none();
     if alone && !is_http10 && value.trim_ascii().eq_ignore_ascii_case(b"chunked") {
         Ok(true)
     } else {
-        Err(FramingFault)
+        Err(FramingError)
     }
 }
 
-fn length(headers: &Headers) -> Result<Option<u64>, FramingFault> {
+fn length(headers: &Headers) -> Result<Option<u64>, FramingError> {
     let mut values = headers.all("content-length");
     let Some(value) = values.next() else { return Ok(None) };
     let value = value.trim_ascii();
-    let digits = !value.is_empty() && value.len() <= LENGTH_DIGITS && value.iter().all(u8::is_ascii_digit);
+    let digits =
+        !value.is_empty() && value.len() <= MAX_LENGTH_DIGITS && value.iter().all(u8::is_ascii_digit);
     if values.next().is_some() || !digits {
-        return Err(FramingFault);
+        return Err(FramingError);
     }
-    let text = std::str::from_utf8(value).map_err(|_| FramingFault)?;
-    text.parse().map(Some).map_err(|_| FramingFault)
+    let text = std::str::from_utf8(value).map_err(|_| FramingError)?;
+    text.parse().map(Some).map_err(|_| FramingError)
 }
--- a/crates/proxy/src/wire/head.rs
+++ b/crates/proxy/src/http/head.rs
@@ -3,11 +3,11 @@
 use bytes::{Bytes, BytesMut};
 
 /// Fields that a head may have.
-const MOST_FIELDS: usize = 96;
+const MAX_FIELDS: usize = 96;
 
 /// Why a head can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum HeadFault {
+pub enum HeadError {
     /// It is no HTTP/1 head.
     #[error("not a head of HTTP/1")]
     Malformed,
@@ -136,12 +136,12 @@
 }
 
 /// Takes a request's head off the front of `buffer`. `None` while it is not whole.
-pub fn parse_request(buffer: &mut BytesMut) -> Result<Option<RequestHead>, HeadFault> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+pub fn parse_request(buffer: &mut BytesMut) -> Result<Option<RequestHead>, HeadError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
     let httparse::Status::Complete(length) = request.parse(buffer).map_err(fault)? else { return Ok(None) };
     if has_bare_newline(buffer.get(..length).unwrap_or_default()) {
-        return Err(HeadFault::Malformed);
+        return Err(HeadError::Malformed);
     }
     let base = buffer.as_ptr() as usize;
     let method = span(base, request.method.unwrap_or_default().as_bytes());
@@ -153,8 +153,8 @@
 }
 
 /// Takes a response's head off the front of `buffer`. `None` while it is not whole.
-pub fn parse_response(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, HeadFault> {
-    let mut fields = [httparse::EMPTY_HEADER; MOST_FIELDS];
+pub fn parse_response(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, HeadError> {
+    let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = httparse::Response::new(&mut fields);
     let httparse::Status::Complete(length) = response.parse(buffer).map_err(fault)? else { return Ok(None) };
     let base = buffer.as_ptr() as usize;
@@ -165,10 +165,10 @@
     Ok(Some(ResponseHead { headers, status, reason, is_http10 }))
 }
 
-fn fault(error: httparse::Error) -> HeadFault {
+fn fault(error: httparse::Error) -> HeadError {
     match error {
-        httparse::Error::TooManyHeaders => HeadFault::TooManyFields,
-        _ => HeadFault::Malformed,
+        httparse::Error::TooManyHeaders => HeadError::TooManyFields,
+        _ => HeadError::Malformed,
     }
 }
 
--- a/crates/proxy/src/wire/mod.rs
+++ b/crates/proxy/src/http/mod.rs
@@ -14,6 +14,6 @@
 
 pub use body::{BodyDecoder, Decoded};
 pub use framing::{Framing, request_framing, response_framing};
-pub use head::{HeadFault, RequestHead, ResponseHead, parse_request, parse_response};
+pub use head::{HeadError, RequestHead, ResponseHead, parse_request, parse_response};
 pub use socket::{Fill, fill, is_ended, is_quiet, prepare, read_now};
 pub use write::{chunk, field, is_hop_by_hop, last_chunk, length_field, number};
--- a/crates/proxy/src/clients.rs
+++ b/crates/proxy/src/inbound/connections.rs
@@ -12,11 +12,11 @@
 const CLIENTS_TENTHS: usize = 6;
 /// Descriptors reserved by the platform.
 const RESERVED: usize = 200;
-const FEWEST_CLIENTS: usize = 16;
+const MIN_CLIENT_CONNECTIONS: usize = 16;
 
 /// One client's connection as others see it.
 #[derive(Debug, Default)]
-pub struct Slot {
+pub struct ConnectionSlot {
     /// Since when no request is open on it.
     pub idle_since: Cell<Option<Instant>>,
     /// Told when it is to be closed as soon as nothing is owed on it.
@@ -25,19 +25,24 @@
 
 /// All clients' connections.
 #[derive(Debug)]
-pub struct Clients {
-    slots: RefCell<BTreeMap<u64, Rc<Slot>>>,
+pub struct ClientConnections {
+    slots: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
     next: Cell<u64>,
     most: usize,
     /// Told when a connection has ended.
     ended: Notify,
 }
 
-impl Clients {
+impl ClientConnections {
     /// For a process that may hold `descriptors`.
-    pub fn new(descriptors: usize) -> Rc<Clients> {
-        let most = (descriptors.saturating_sub(RESERVED) * CLIENTS_TENTHS / 10).max(FEWEST_CLIENTS);
-        Rc::new(Clients { slots: RefCell::default(), next: Cell::new(0), most, ended: Notify::new() })
+    pub fn new(descriptors: usize) -> Rc<ClientConnections> {
+        let most = (descriptors.saturating_sub(RESERVED) * CLIENTS_TENTHS / 10).max(MIN_CLIENT_CONNECTIONS);
+        Rc::new(ClientConnections {
+            slots: RefCell::default(),
+            next: Cell::new(0),
+            most,
+            ended: Notify::new(),
+        })
     }
 
     /// Connections that are open.
@@ -48,7 +53,8 @@
     /// Asks all to close that have rested for so long.
     pub fn close_idle(&self, rested: Duration) {
         let slots = self.slots.borrow();
-        let rests = |slot: &&Rc<Slot>| slot.idle_since.get().is_some_and(|since| since.elapsed() >= rested);
+        let rests =
+            |slot: &&Rc<ConnectionSlot>| slot.idle_since.get().is_some_and(|since| since.elapsed() >= rested);
         slots.values().filter(rests).for_each(|slot| slot.close.notify_one());
     }
 
@@ -57,9 +63,9 @@
         self.ended.notified().await;
     }
 
-    /// Counts one more; its number gives it back to [`Clients::remove`].
-    pub fn add(&self) -> (u64, Rc<Slot>) {
-        let (number, slot) = (self.next.get(), Rc::<Slot>::default());
+    /// Counts one more; its number gives it back to [`ClientConnections::remove`].
+    pub fn add(&self) -> (u64, Rc<ConnectionSlot>) {
+        let (number, slot) = (self.next.get(), Rc::<ConnectionSlot>::default());
         slot.idle_since.set(Some(Instant::now()));
         self.next.set(number + 1);
         self.slots.borrow_mut().insert(number, slot.clone());
@@ -75,12 +81,12 @@
     }
 
     /// Whether one more may be let in.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.count() < self.most
     }
 
     /// The connection that has rested for longest gives way.
-    pub fn evict(&self) -> bool {
+    pub fn evict_idlest(&self) -> bool {
         let slots = self.slots.borrow();
         let idle = slots.values().filter_map(|slot| Some((slot.idle_since.get()?, slot)));
         let oldest = idle.min_by_key(|(since, _)| *since);
@@ -92,9 +98,9 @@
     }
 
     /// Waits until one more may be let in.
-    pub async fn make_room(&self) {
-        while !self.has_room() {
-            if self.evict() {
+    pub async fn wait_for_capacity(&self) {
+        while !self.has_capacity() {
+            if self.evict_idlest() {
                 tokio::task::yield_now().await;
             } else {
                 self.ended().await;
--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/inbound/error_response.rs
@@ -1,15 +1,15 @@
 //! The answers of this program itself: a closed list of kinds, with a table from kind to answer.
 
-use crate::wire::{length_field, number};
+use crate::http::{length_field, number};
 use std::time::Duration;
 
 #[cfg(test)]
-#[path = "answer_tests.rs"]
-mod answer_tests;
+#[path = "error_response_tests.rs"]
+mod error_response_tests;
 
 /// Why a request gets an answer that no server gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
+pub enum RequestError {
     /// It is no request, or its length is not clear.
     Malformed,
     /// Its head is larger than clients may send.
@@ -17,7 +17,7 @@
     /// Its body is larger than clients may send.
     BodyTooLarge,
     /// It did not come whole in time.
-    Slow,
+    RequestTimeout,
     /// No route matches.
     NoRoute,
     /// There is no configuration yet.
@@ -25,18 +25,18 @@
     /// No server can take it now; it has not run.
     Unavailable,
     /// The servers are full; it has not run.
-    Full,
+    Saturated,
     /// Its time is over and it has not run.
-    Unserved,
+    DeadlineBeforeExecution,
     /// Its time is over; it may have run.
-    Deadline,
+    DeadlineExceeded,
     /// A server failed; it may have run.
-    Broken,
+    BadGateway,
 }
 
 /// One line of the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Line {
+pub struct ErrorResponse {
     /// The status.
     pub status: u16,
     /// Its text.
@@ -56,55 +56,55 @@
 /// After a time that is over the client has hardly any left.
 const AGAIN_AT_ONCE: Duration = Duration::from_millis(50);
 
-impl Refusal {
+impl RequestError {
     /// All kinds, in the order of their numbers.
-    pub const ALL: [Refusal; 11] = [
-        Refusal::Malformed,
-        Refusal::HeadTooLarge,
-        Refusal::BodyTooLarge,
-        Refusal::Slow,
-        Refusal::NoRoute,
-        Refusal::NotReady,
-        Refusal::Unavailable,
-        Refusal::Full,
-        Refusal::Unserved,
-        Refusal::Deadline,
-        Refusal::Broken,
+    pub const ALL: [RequestError; 11] = [
+        RequestError::Malformed,
+        RequestError::HeadTooLarge,
+        RequestError::BodyTooLarge,
+        RequestError::RequestTimeout,
+        RequestError::NoRoute,
+        RequestError::NotReady,
+        RequestError::Unavailable,
+        RequestError::Saturated,
+        RequestError::DeadlineBeforeExecution,
+        RequestError::DeadlineExceeded,
+        RequestError::BadGateway,
     ];
 
     /// The answer for this kind.
-    pub fn line(self) -> Line {
-        let line = |status, reason| Line { status, reason, retry_after: None, closes: false };
-        let closing = |status, reason| Line { closes: true, ..line(status, reason) };
-        let later = |after| Line { retry_after: Some(after), ..line(503, "Service Unavailable") };
+    pub fn line(self) -> ErrorResponse {
+        let line = |status, reason| ErrorResponse { status, reason, retry_after: None, closes: false };
+        let closing = |status, reason| ErrorResponse { closes: true, ..line(status, reason) };
+        let later = |after| ErrorResponse { retry_after: Some(after), ..line(503, "Service Unavailable") };
         match self {
-            Refusal::Malformed => closing(400, "Bad Request"),
-            Refusal::HeadTooLarge => closing(431, "Request Header Fields Too Large"),
-            Refusal::BodyTooLarge => closing(413, "Content Too Large"),
-            Refusal::Slow => closing(408, "Request Timeout"),
-            Refusal::NoRoute => line(404, "Not Found"),
-            Refusal::NotReady | Refusal::Unavailable => later(AGAIN_WHEN_ABSENT),
-            Refusal::Full => later(AGAIN_WHEN_FULL),
-            Refusal::Unserved => later(AGAIN_AT_ONCE),
-            Refusal::Deadline => line(504, "Gateway Timeout"),
-            Refusal::Broken => line(502, "Bad Gateway"),
+            RequestError::Malformed => closing(400, "Bad Request"),
+            RequestError::HeadTooLarge => closing(431, "Request Header Fields Too Large"),
+            RequestError::BodyTooLarge => closing(413, "Content Too Large"),
+            RequestError::RequestTimeout => closing(408, "Request Timeout"),
+            RequestError::NoRoute => line(404, "Not Found"),
+            RequestError::NotReady | RequestError::Unavailable => later(AGAIN_WHEN_ABSENT),
+            RequestError::Saturated => later(AGAIN_WHEN_FULL),
+            RequestError::DeadlineBeforeExecution => later(AGAIN_AT_ONCE),
+            RequestError::DeadlineExceeded => line(504, "Gateway Timeout"),
+            RequestError::BadGateway => line(502, "Bad Gateway"),
         }
     }
 
     /// The name in logs.
     pub fn name(self) -> &'static str {
         match self {
-            Refusal::Malformed => "malformed",
-            Refusal::HeadTooLarge => "head_too_large",
-            Refusal::BodyTooLarge => "body_too_large",
-            Refusal::Slow => "slow",
-            Refusal::NoRoute => "no_route",
-            Refusal::NotReady => "not_ready",
-            Refusal::Unavailable => "unavailable",
-            Refusal::Full => "full",
-            Refusal::Unserved => "unserved",
-            Refusal::Deadline => "deadline",
-            Refusal::Broken => "broken",
+            RequestError::Malformed => "malformed",
+            RequestError::HeadTooLarge => "head_too_large",
+            RequestError::BodyTooLarge => "body_too_large",
+            RequestError::RequestTimeout => "slow",
+            RequestError::NoRoute => "no_route",
+            RequestError::NotReady => "not_ready",
+            RequestError::Unavailable => "unavailable",
+            RequestError::Saturated => "full",
+            RequestError::DeadlineBeforeExecution => "unserved",
+            RequestError::DeadlineExceeded => "deadline",
+            RequestError::BadGateway => "broken",
         }
     }
 
@@ -118,14 +118,14 @@
         out.extend_from_slice(b"\r\n");
         if let Some(after) = line.retry_after {
             let seconds = after.as_secs_f64() * (0.5 + jitter);
-            crate::wire::field(out, "Retry-After", format!("{seconds:.3}").as_bytes());
+            crate::http::field(out, "Retry-After", format!("{seconds:.3}").as_bytes());
         }
         if let Some(id) = request_id {
-            crate::wire::field(out, "Request-Id", id);
+            crate::http::field(out, "Request-Id", id);
         }
         length_field(out, 0);
         if close {
-            crate::wire::field(out, "Connection", b"close");
+            crate::http::field(out, "Connection", b"close");
         }
         out.extend_from_slice(b"\r\n");
     }
--- /dev/null
+++ b/crates/proxy/src/inbound/error_response_tests.rs
@@ -0,0 +1,69 @@
+//! The table from kind to answer.
+
+use super::RequestError;
+use rstest::rstest;
+
+/// The answers that promise that nothing has run, and never will.
+const PROMISES: [u16; 4] = [408, 421, 429, 503];
+
+/// Each kind, with whether the request may have run.
+#[rstest]
+#[case(RequestError::Malformed, 400, false)]
+#[case(RequestError::HeadTooLarge, 431, false)]
+#[case(RequestError::BodyTooLarge, 413, false)]
+#[case(RequestError::RequestTimeout, 408, false)]
+#[case(RequestError::NoRoute, 404, false)]
+#[case(RequestError::NotReady, 503, false)]
+#[case(RequestError::Unavailable, 503, false)]
+#[case(RequestError::Saturated, 503, false)]
+#[case(RequestError::DeadlineBeforeExecution, 503, false)]
+#[case(RequestError::DeadlineExceeded, 504, true)]
+#[case(RequestError::BadGateway, 502, true)]
+fn each_kind_has_its_status(#[case] refusal: RequestError, #[case] status: u16, #[case] may_have_run: bool) {
+    let line = refusal.line();
+    assert_eq!(line.status, status);
+    assert!(!(may_have_run && PROMISES.contains(&status)));
+    assert_eq!(line.retry_after.is_some(), status == 503, "whoever may come again is told when");
+    assert_eq!(line.closes, matches!(status, 400 | 408 | 413 | 431), "what follows can't be read");
+}
+
+fn written(refusal: RequestError, request_id: Option<&str>, close: bool, jitter: f64) -> String {
+    let mut out = Vec::new();
+    refusal.write(&mut out, request_id.map(str::as_bytes), close, jitter);
+    String::from_utf8(out).expect("text")
+}
+
+/// The whole answer of each kind, byte for byte, with a request's id on a connection that stays, and its name in logs.
+#[rstest]
+#[case(RequestError::Malformed, "malformed", "400 Bad Request\r\n")]
+#[case(RequestError::HeadTooLarge, "head_too_large", "431 Request Header Fields Too Large\r\n")]
+#[case(RequestError::BodyTooLarge, "body_too_large", "413 Content Too Large\r\n")]
+#[case(RequestError::RequestTimeout, "slow", "408 Request Timeout\r\n")]
+#[case(RequestError::NoRoute, "no_route", "404 Not Found\r\n")]
+#[case(RequestError::NotReady, "not_ready", "503 Service Unavailable\r\nRetry-After: 1.200\r\n")]
+#[case(RequestError::Unavailable, "unavailable", "503 Service Unavailable\r\nRetry-After: 1.200\r\n")]
+#[case(RequestError::Saturated, "full", "503 Service Unavailable\r\nRetry-After: 0.150\r\n")]
+#[case(
+    RequestError::DeadlineBeforeExecution,
+    "unserved",
+    "503 Service Unavailable\r\nRetry-After: 0.050\r\n"
+)]
+#[case(RequestError::DeadlineExceeded, "deadline", "504 Gateway Timeout\r\n")]
+#[case(RequestError::BadGateway, "broken", "502 Bad Gateway\r\n")]
+fn bytes_of_each_kind(#[case] refusal: RequestError, #[case] name: &str, #[case] start: &str) {
+    assert_eq!(refusal.name(), name);
+    let expected = format!("HTTP/1.1 {start}Request-Id: r1\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(written(refusal, Some("r1"), false, 0.5), expected);
+    let expected = format!("HTTP/1.1 {start}Content-Length: 0\r\nConnection: close\r\n\r\n");
+    assert_eq!(written(refusal, None, true, 0.5), expected);
+}
+
+#[rstest]
+#[case(0.0, "0.075")]
+#[case(0.25, "0.112")]
+#[case(0.999, "0.225")]
+fn the_time_to_come_again_is_spread_by_the_jitter(#[case] jitter: f64, #[case] seconds: &str) {
+    let expected =
+        format!("HTTP/1.1 503 Service Unavailable\r\nRetry-After: {seconds}\r\nContent-Length: 0\r\n\r\n");
+    assert_eq!(written(RequestError::Saturated, None, false, jitter), expected);
+}
--- a/crates/proxy/src/listener.rs
+++ b/crates/proxy/src/inbound/listener.rs
@@ -1,8 +1,8 @@
 //! Lets clients in.
 
-use crate::client;
-use crate::clients::Clients;
-use crate::state::Shared;
+use crate::inbound::connection;
+use crate::inbound::connections::ClientConnections;
+use crate::state::ProxyState;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -12,20 +12,20 @@
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 
 /// Lets clients in for as long as it is polled.
-pub async fn listen(shared: &Rc<Shared>, clients: &Rc<Clients>, listener: &TcpListener) {
+pub async fn listen(state: &Rc<ProxyState>, clients: &Rc<ClientConnections>, listener: &TcpListener) {
     let mut is_failing = false;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 is_failing = false;
-                clients.make_room().await;
-                admit(shared, clients, stream);
+                clients.wait_for_capacity().await;
+                admit(state, clients, stream);
             }
             Err(error) => {
                 if !std::mem::replace(&mut is_failing, true) {
                     spdlog::warn!("accept outcome=failed error={error}");
                 }
-                clients.evict();
+                clients.evict_idlest();
                 sleep(ACCEPT_AGAIN).await;
             }
         }
@@ -33,26 +33,26 @@
 }
 
 /// Serves whoever the system has accepted by now, also those that the runtime has not heard of.
-pub fn admit_waiting(shared: &Rc<Shared>, clients: &Rc<Clients>, listener: TcpListener) {
+pub fn admit_accepted(state: &Rc<ProxyState>, clients: &Rc<ClientConnections>, listener: TcpListener) {
     let Ok(listener) = listener.into_std() else { return };
-    while clients.has_room()
+    while clients.has_capacity()
         && let Ok((stream, _)) = listener.accept()
     {
         if stream.set_nonblocking(true).is_ok()
             && let Ok(stream) = TcpStream::from_std(stream)
         {
-            admit(shared, clients, stream);
+            admit(state, clients, stream);
         }
     }
 }
 
-fn admit(shared: &Rc<Shared>, clients: &Rc<Clients>, stream: TcpStream) {
+fn admit(state: &Rc<ProxyState>, clients: &Rc<ClientConnections>, stream: TcpStream) {
     drop(stream.set_nodelay(true));
-    shared.note_admitted();
+    state.record_admission();
     let (number, slot) = clients.add();
-    let (shared, clients) = (shared.clone(), clients.clone());
+    let (state, clients) = (state.clone(), clients.clone());
     tokio::task::spawn_local(async move {
-        client::serve(&shared, stream, &slot).await;
+        connection::serve(&state, stream, &slot).await;
         clients.remove(number);
     });
 }
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/inbound/request.rs
@@ -1,6 +1,6 @@
 //! A client's whole request and the terms that it sets.
 
-use crate::wire::RequestHead;
+use crate::http::RequestHead;
 use bytes::Bytes;
 use lugwharf_routing::Prompt;
 use std::time::Duration;
@@ -26,7 +26,7 @@
     }
 
     /// When the client stops to wait, as far as it tells.
-    pub fn patience(&self) -> Option<Duration> {
+    pub fn client_timeout(&self) -> Option<Duration> {
         let value = self.head.headers.get_text("deadline-ms")?;
         let ms: f64 = value.parse().ok()?;
         (ms.is_finite() && ms >= 0.0).then(|| Duration::from_secs_f64((ms / 1e3).min(86_400.0)))
--- a/crates/proxy/src/reply.rs
+++ b/crates/proxy/src/inbound/response_writer.rs
@@ -1,9 +1,9 @@
 //! Writes answers to a client.
 
-use crate::answer::Refusal;
-use crate::state::Shared;
-use crate::trace::RequestTrace;
-use crate::wire::{RequestHead, ResponseHead, chunk, field, is_hop_by_hop, last_chunk, length_field, number};
+use crate::http::{RequestHead, ResponseHead, chunk, field, is_hop_by_hop, last_chunk, length_field, number};
+use crate::inbound::error_response::RequestError;
+use crate::state::ProxyState;
+use crate::telemetry::request_trace::RequestTrace;
 use lugwharf_invariants::{Invariant, check};
 use std::io;
 use std::time::Duration;
@@ -18,18 +18,18 @@
 
 /// How an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ended {
+pub enum ResponseEnd {
     /// It is whole, and the connection may carry another request.
-    Whole,
+    Complete,
     /// It is whole, and says that the connection closes behind it.
-    Close,
+    CompleteAndClose,
     /// It is not whole.
-    Broken,
+    Incomplete,
 }
 
 /// How the body of an answer goes to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyKind {
+pub enum BodyEncoding {
     /// So many bytes, or none for an answer to `HEAD`, which may still tell a length.
     Length(u64),
     /// In chunks.
@@ -39,9 +39,9 @@
 }
 
 /// The writer of one answer.
-pub struct Reply<'a, 'b> {
+pub struct ResponseWriter<'a, 'b> {
     write: &'a mut WriteHalf<'b>,
-    shared: &'a Shared,
+    state: &'a ProxyState,
     wants_close: bool,
     is_http10: bool,
     /// The id of the request, which each answer of a server bears.
@@ -55,25 +55,25 @@
     scratch: Vec<u8>,
 }
 
-impl<'a, 'b> Reply<'a, 'b> {
+impl<'a, 'b> ResponseWriter<'a, 'b> {
     /// For one request.
     pub fn new(
-        write: &'a mut WriteHalf<'b>, shared: &'a Shared, head: &'a RequestHead, trace: &'a RequestTrace,
+        write: &'a mut WriteHalf<'b>, state: &'a ProxyState, head: &'a RequestHead, trace: &'a RequestTrace,
     ) -> Self {
-        Reply {
+        ResponseWriter {
             wants_close: head.wants_close(),
             is_http10: head.is_http10,
             request_id: head.headers.get("request-id"),
             trace: Some(trace),
-            ..Reply::closing(write, shared)
+            ..ResponseWriter::closing(write, state)
         }
     }
 
     /// For bytes that make no request: the connection closes behind the answer.
-    pub fn closing(write: &'a mut WriteHalf<'b>, shared: &'a Shared) -> Self {
-        Reply {
+    pub fn closing(write: &'a mut WriteHalf<'b>, state: &'a ProxyState) -> Self {
+        ResponseWriter {
             write,
-            shared,
+            state,
             wants_close: true,
             is_http10: false,
             request_id: None,
@@ -101,39 +101,41 @@
     }
 
     fn closes(&self) -> bool {
-        self.wants_close || self.shared.is_draining()
+        self.wants_close || self.state.is_draining()
     }
 
-    fn ended(&self) -> Ended {
-        if self.closes() { Ended::Close } else { Ended::Whole }
+    fn ended(&self) -> ResponseEnd {
+        if self.closes() { ResponseEnd::CompleteAndClose } else { ResponseEnd::Complete }
     }
 
     /// Answers by itself.
-    pub async fn refuse(&mut self, refusal: Refusal) -> Ended {
+    pub async fn refuse(&mut self, refusal: RequestError) -> ResponseEnd {
         if self.has_begun {
-            return Ended::Broken;
+            return ResponseEnd::Incomplete;
         }
         self.wants_close |= refusal.line().closes;
-        let (close, jitter) = (self.closes(), self.shared.lot());
+        let (close, jitter) = (self.closes(), self.state.random_fraction());
         let mut out = std::mem::take(&mut self.scratch);
         self.note_head(refusal.line().status);
         refusal.write(&mut out, self.request_id, close, jitter);
         let written = self.send(&out, Instant::now() + SHORT_WRITE).await;
-        if written.is_ok() { self.ended() } else { Ended::Broken }
+        if written.is_ok() { self.ended() } else { ResponseEnd::Incomplete }
     }
 
     /// Passes a whole answer on.
-    pub async fn whole(&mut self, head: &ResponseHead, kind: BodyKind, body: &[u8], by: Instant) -> Ended {
+    pub async fn whole(
+        &mut self, head: &ResponseHead, kind: BodyEncoding, body: &[u8], by: Instant,
+    ) -> ResponseEnd {
         let mut out = std::mem::take(&mut self.scratch);
         self.write_head(&mut out, head, kind);
         out.extend_from_slice(body);
         let by = (by + UNREAD).max(Instant::now() + SHORT_WRITE);
         let written = self.send(&out, by).await;
-        if written.is_ok() { self.ended() } else { Ended::Broken }
+        if written.is_ok() { self.ended() } else { ResponseEnd::Incomplete }
     }
 
-    /// Begins an answer whose body follows piece by piece. The head goes out with the first piece or [`Reply::flush`].
-    pub fn begin(&mut self, head: &ResponseHead, kind: BodyKind) {
+    /// Begins an answer whose body follows piece by piece. The head goes out with the first piece or [`ResponseWriter::flush`].
+    pub fn begin(&mut self, head: &ResponseHead, kind: BodyEncoding) {
         let mut out = std::mem::take(&mut self.scratch);
         self.write_head(&mut out, head, kind);
         self.scratch = out;
@@ -153,7 +155,7 @@
     }
 
     /// Holds a piece of the body until the next flush.
-    pub fn hold(&mut self, kind: BodyKind, data: &[u8]) {
+    pub fn hold(&mut self, kind: BodyEncoding, data: &[u8]) {
         if self.is_chunked(kind) {
             chunk(&mut self.scratch, data);
         } else {
@@ -162,32 +164,34 @@
     }
 
     /// Passes a piece of the body on.
-    pub async fn piece(&mut self, kind: BodyKind, data: &[u8], by: Instant) -> io::Result<()> {
+    pub async fn piece(&mut self, kind: BodyEncoding, data: &[u8], by: Instant) -> io::Result<()> {
         self.hold(kind, data);
         self.flush(by).await
     }
 
     /// Ends the body.
-    pub async fn end(&mut self, kind: BodyKind, by: Instant) -> Ended {
+    pub async fn end(&mut self, kind: BodyEncoding, by: Instant) -> ResponseEnd {
         if self.is_chunked(kind) {
             last_chunk(&mut self.scratch);
         }
         let written = self.flush(by).await;
-        if written.is_ok() { self.ended() } else { Ended::Broken }
+        if written.is_ok() { self.ended() } else { ResponseEnd::Incomplete }
     }
 
-    /// Clients of HTTP/1.0 know no chunks: their body ends with the connection.
-    fn is_chunked(&self, kind: BodyKind) -> bool {
-        kind == BodyKind::Chunked && !self.is_http10
+    /// ClientConnections of HTTP/1.0 know no chunks: their body ends with the connection.
+    fn is_chunked(&self, kind: BodyEncoding) -> bool {
+        kind == BodyEncoding::Chunked && !self.is_http10
     }
 
-    fn write_head(&mut self, out: &mut Vec<u8>, head: &ResponseHead, kind: BodyKind) {
-        if kind == BodyKind::Chunked && self.is_http10 {
+    fn write_head(&mut self, out: &mut Vec<u8>, head: &ResponseHead, kind: BodyEncoding) {
+        if kind == BodyEncoding::Chunked && self.is_http10 {
             self.wants_close = true;
         }
         self.note_head(head.status);
-        let is_own = self.request_id.is_none_or(|id| head.headers.get("request-id") == Some(id));
-        check(Invariant::AnswerOfItsRequest, is_own, || format!("an answer to {:?}", self.request_text()));
+        let is_response_to_this = self.request_id.is_none_or(|id| head.headers.get("request-id") == Some(id));
+        check(Invariant::AnswerOfItsRequest, is_response_to_this, || {
+            format!("an answer to {:?}", self.request_text())
+        });
         out.extend_from_slice(b"HTTP/1.1 ");
         number(out, head.status.into());
         out.extend_from_slice(b" ");
@@ -197,9 +201,9 @@
             field(out, name, value);
         }
         match kind {
-            BodyKind::Length(length) => length_field(out, length),
-            BodyKind::Chunked if !self.is_http10 => field(out, "Transfer-Encoding", b"chunked"),
-            BodyKind::Chunked | BodyKind::Empty => {}
+            BodyEncoding::Length(length) => length_field(out, length),
+            BodyEncoding::Chunked if !self.is_http10 => field(out, "Transfer-Encoding", b"chunked"),
+            BodyEncoding::Chunked | BodyEncoding::Empty => {}
         }
         if self.closes() {
             self.wants_close = true;
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,64 +1,40 @@
 //! The data plane: takes clients' requests, chooses servers, and brings answers back.
 //!
-//! | module | job |
+//! | module | execution |
 //! | --- | --- |
 //! | `listener`, `clients`, `client` | clients' connections |
 //! | `intake` | the reading of a request, and whether its client is still there |
-//! | `service`, `job` | one request under way |
+//! | `service`, `execution` | one request under way |
 //! | `forward`, `generate`, `handle` | an answer from one server, or from a pair |
 //! | `relay`, `events`, `reply` | answers and streams to the client |
 //! | `upstream` | connections to servers, one exchange |
 //! | `wire` | HTTP/1.1 |
 //! | `state`, `routes`, `feed` | the tables and their feed by the agent |
-//! | `outcome`, `trace`, `figures` | how requests end, and what tells of it |
+//! | `outcome`, `trace`, `metrics` | how requests end, and what tells of it |
 //! | `ready`, `shutdown` | readiness, and the end |
 //!
 //! All of it runs on one thread. Decisions are made by `lugwharf_routing`.
 #![forbid(unsafe_code)]
 
-mod answer;
-mod client;
-mod clients;
-mod events;
+mod agent_feed;
 #[cfg(test)]
-mod events_tests;
-mod feed;
-#[cfg(test)]
-mod feed_tests;
-mod figures;
-#[cfg(test)]
-mod figures_tests;
-mod flight;
-mod forward;
-mod generate;
-mod handle;
-mod intake;
-mod job;
-mod listener;
-mod outcome;
-mod ready;
-mod relay;
-mod reply;
-mod request;
+mod agent_feed_tests;
+mod http;
+mod inbound;
+mod outbound;
+mod readiness;
 mod routes;
-mod service;
 mod shutdown;
+mod stack;
 mod state;
-mod trace;
-#[cfg(test)]
-mod trace_tests;
-mod upstream;
-mod verdict;
-#[cfg(test)]
-mod verdict_tests;
-mod wire;
+mod telemetry;
 
-use clients::Clients;
 use eyre::{OptionExt, WrapErr};
+use inbound::connections::ClientConnections;
 use lugwharf_routing::Tuning;
 use lugwharf_settings::Settings;
 use lugwharf_telemetry::MetricsEndpoint;
-use state::Shared;
+use state::ProxyState;
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -75,7 +51,7 @@
 /// What the command line may choose.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyOptions {
-    /// The figures of the decisions.
+    /// The metrics of the decisions.
     pub tuning: Tuning,
     /// Where the settings file stands, to be read again at SIGHUP. The usual place if absent.
     pub settings_path: Option<PathBuf>,
@@ -112,26 +88,26 @@
     let ready = TcpListener::bind(ready).await.wrap_err_with(|| format!("Listen.Ready {ready}"))?;
     let hang_up = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
     let path = options.settings_path.unwrap_or_else(Settings::path);
-    let shared = Shared::new(&settings, options.tuning, seed(&settings));
-    let clients = Clients::new(settings.limits.max_fds);
+    let state = ProxyState::new(&settings, options.tuning, seed(&settings));
+    let clients = ClientConnections::new(settings.limits.max_fds);
     let grace = Duration::from_secs_f64(settings.bounds.grace_s.min(3_600.0));
     let local = LocalSet::new();
-    local.spawn_local(feed::follow(shared.clone(), settings.feed_address()));
-    local.spawn_local(ready::listen(shared.clone(), ready));
-    local.spawn_local(sweep(shared.clone()));
+    local.spawn_local(agent_feed::follow(state.clone(), settings.feed_address()));
+    local.spawn_local(readiness::listen(state.clone(), ready));
+    local.spawn_local(sweep(state.clone()));
     if let Some(port) = options.metrics_port
         && let Some(endpoint) = MetricsEndpoint::listen(SocketAddr::new(settings.listen_ip(), port)).await
     {
-        local.spawn_local(figures::serve(shared.clone(), clients.clone(), endpoint));
+        local.spawn_local(telemetry::metrics::serve(state.clone(), clients.clone(), endpoint));
     }
-    local.spawn_local(follow_settings(shared.clone(), hang_up, path));
+    local.spawn_local(follow_settings(state.clone(), hang_up, path));
     let serving = async move {
         tokio::select! {
             () = stop => {}
-            () = listener::listen(&shared, &clients, &front) => {}
+            () = inbound::listener::listen(&state, &clients, &front) => {}
         }
         spdlog::info!("shutdown outcome=begun");
-        shutdown::drain(&shared, &clients, front, grace).await;
+        shutdown::drain(&state, &clients, front, grace).await;
     };
     local.run_until(serving).await;
     Ok(())
@@ -143,21 +119,21 @@
     settings.node.bytes().fold(rng.u64(..), |seed, byte| seed.rotate_left(7) ^ u64::from(byte))
 }
 
-async fn sweep(shared: Rc<Shared>) {
+async fn sweep(state: Rc<ProxyState>) {
     let mut ticks = interval(SWEEP);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        shared.pool.sweep();
+        state.pool.sweep();
     }
 }
 
 /// Reads the settings file again at each SIGHUP. A file that can't be used changes nothing.
-async fn follow_settings(shared: Rc<Shared>, mut hang_up: Signal, path: PathBuf) {
+async fn follow_settings(state: Rc<ProxyState>, mut hang_up: Signal, path: PathBuf) {
     while hang_up.recv().await.is_some() {
         match Settings::read(&path) {
             Ok(settings) => {
-                shared.reload(&settings);
+                state.reload(&settings);
                 spdlog::info!("settings outcome=reloaded");
             }
             Err(error) => spdlog::error!("settings outcome=unusable error={error}"),
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/outbound/connection.rs
@@ -3,7 +3,7 @@
 //! Whether an answer that comes on it can be told from answers to earlier requests decides whether it may carry another one: see
 //! [`Connection::must_close`] and [`ConnectionId`].
 
-use crate::wire::{self, BodyDecoder, Decoded, Fill, HeadFault, ResponseHead};
+use crate::http::{self, BodyDecoder, Decoded, Fill, HeadError, ResponseHead};
 use bytes::{Bytes, BytesMut};
 use std::cell::Cell;
 use std::io;
@@ -14,37 +14,37 @@
 use tokio::time::Instant;
 
 /// The most bytes of an answer's head.
-const MOST_HEAD: usize = 32 * 1024;
+const MAX_HEAD_BYTES: usize = 32 * 1024;
 
 /// Free bytes that a read finds at least.
 const READ_ROOM: usize = 2 * 1024;
 
 /// Whether more may come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrival {
+pub enum StreamState {
     /// The connection is open.
     Open,
     /// It has ended, orderly or not.
-    Ended,
+    ResponseEnd,
 }
 
 /// Why an answer could not be read.
 #[derive(Debug, thiserror::Error)]
-pub enum ReadFault {
+pub enum ReadError {
     /// The connection broke.
     #[error("the connection broke: {0}")]
-    Broken(#[from] io::Error),
+    Io(#[from] io::Error),
     /// It ended too early.
     #[error("the connection ended inside an answer")]
-    Ended,
+    ResponseEnd,
     /// What came is no answer.
     #[error("no answer of HTTP/1.1")]
-    NoAnswer,
+    InvalidResponse,
 }
 
-impl From<HeadFault> for ReadFault {
-    fn from(_: HeadFault) -> Self {
-        ReadFault::NoAnswer
+impl From<HeadError> for ReadError {
+    fn from(_: HeadError) -> Self {
+        ReadError::InvalidResponse
     }
 }
 
@@ -54,20 +54,20 @@
 
 /// Counts a connection as open while it exists.
 #[derive(Debug)]
-pub struct OpenCount {
+pub struct ConnectionPermit {
     id: ConnectionId,
     count: Rc<Cell<u32>>,
 }
 
-impl OpenCount {
+impl ConnectionPermit {
     /// Counts one more.
-    pub fn new(id: ConnectionId, count: &Rc<Cell<u32>>) -> OpenCount {
+    pub fn new(id: ConnectionId, count: &Rc<Cell<u32>>) -> ConnectionPermit {
         count.set(count.get() + 1);
-        OpenCount { id, count: count.clone() }
+        ConnectionPermit { id, count: count.clone() }
     }
 }
 
-impl Drop for OpenCount {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         self.count.set(self.count.get().saturating_sub(1));
     }
@@ -84,28 +84,28 @@
     pub idle_since: Instant,
     /// Since when its server may have been done with it: the last answer's head had come. The rest of the answer may have waited
     /// for a slow client while the server was done.
-    pub doubtful_since: Instant,
+    pub maybe_closed_since: Instant,
     /// The server closes it then, as far as it told.
-    pub closes_at: Option<Instant>,
-    /// It carries no further request: the last one did not go out whole, or an answer that is still owed on it could be taken
+    pub server_closes_at: Option<Instant>,
+    /// It carries no further request: the last one did not go out whole, or an answer that is still owed on it could be accepted
     /// for another request's.
     pub must_close: bool,
-    open: OpenCount,
+    open: ConnectionPermit,
 }
 
 impl Connection {
     /// Connects.
-    pub async fn open(address: SocketAddr, open: OpenCount) -> io::Result<Connection> {
+    pub async fn open(address: SocketAddr, open: ConnectionPermit) -> io::Result<Connection> {
         let stream = TcpStream::connect(address).await?;
-        wire::prepare(&stream);
+        http::prepare(&stream);
         let (buffer, idle_since) = (BytesMut::new(), Instant::now());
         Ok(Connection {
             stream,
             buffer,
             is_reused: false,
             idle_since,
-            doubtful_since: idle_since,
-            closes_at: None,
+            maybe_closed_since: idle_since,
+            server_closes_at: None,
             must_close: false,
             open,
         })
@@ -118,22 +118,22 @@
 
     /// Whether nothing has come that belongs to no request, not even the connection's end.
     pub fn is_clean(&self) -> bool {
-        self.buffer.is_empty() && wire::is_quiet(&self.stream)
+        self.buffer.is_empty() && http::is_quiet(&self.stream)
     }
 
     /// Whether it may rest until another request: nothing has come that no answer has used.
-    fn may_rest(&self) -> bool {
+    fn can_be_reused(&self) -> bool {
         !self.must_close && self.buffer.is_empty()
     }
 
     /// Whether anything has come that no answer has used so far.
-    pub fn has_bytes(&self) -> bool {
+    pub fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     /// Begins to rest and gives the buffer back, if it may carry another request.
     pub fn rest(mut self) -> Option<Connection> {
-        if !self.may_rest() {
+        if !self.can_be_reused() {
             return None;
         }
         self.buffer = BytesMut::new();
@@ -148,26 +148,26 @@
     }
 
     /// Reads the head of the next answer.
-    pub async fn read_head(&mut self) -> Result<ResponseHead, ReadFault> {
+    pub async fn read_head(&mut self) -> Result<ResponseHead, ReadError> {
         loop {
             if !self.buffer.is_empty()
-                && let Some(head) = wire::parse_response(&mut self.buffer)?
+                && let Some(head) = http::parse_response(&mut self.buffer)?
             {
                 match head.status {
-                    101 => return Err(ReadFault::NoAnswer),
+                    101 => return Err(ReadError::InvalidResponse),
                     100..200 => continue,
                     _ => return Ok(head),
                 }
             }
-            if self.buffer.len() > MOST_HEAD {
-                return Err(ReadFault::NoAnswer);
+            if self.buffer.len() > MAX_HEAD_BYTES {
+                return Err(ReadError::InvalidResponse);
             }
             self.fill().await?;
         }
     }
 
     /// The next bytes of a body; `None` at its end.
-    pub async fn read_body(&mut self, decoder: &mut BodyDecoder) -> Result<Option<Bytes>, ReadFault> {
+    pub async fn read_body(&mut self, decoder: &mut BodyDecoder) -> Result<Option<Bytes>, ReadError> {
         loop {
             match self.decode(decoder)? {
                 Decoded::Data(data) => return Ok(Some(data)),
@@ -178,32 +178,32 @@
     }
 
     /// Waits for more bytes of a body, or for the orderly end of the connection where that ends the body.
-    pub async fn fill_body(&mut self, decoder: &mut BodyDecoder) -> Result<(), ReadFault> {
+    pub async fn fill_body(&mut self, decoder: &mut BodyDecoder) -> Result<(), ReadError> {
         match self.fill().await {
-            Err(ReadFault::Ended) if decoder.end() => Ok(()),
+            Err(ReadError::ResponseEnd) if decoder.end() => Ok(()),
             filled => filled,
         }
     }
 
     /// What of a body has been read already.
-    pub fn decode(&mut self, decoder: &mut BodyDecoder) -> Result<Decoded, ReadFault> {
-        decoder.decode(&mut self.buffer).map_err(|_| ReadFault::NoAnswer)
+    pub fn decode(&mut self, decoder: &mut BodyDecoder) -> Result<Decoded, ReadError> {
+        decoder.decode(&mut self.buffer).map_err(|_| ReadError::InvalidResponse)
     }
 
     /// Takes in what has come, without waiting for more. The runtime may not have heard of it, so the socket is asked as well.
-    pub fn take_in(&mut self) -> Arrival {
+    pub fn read_available(&mut self) -> StreamState {
         let mut asks_socket = false;
-        while self.buffer.len() <= MOST_HEAD {
+        while self.buffer.len() <= MAX_HEAD_BYTES {
             let read = if asks_socket { self.read_socket() } else { self.read_ready() };
             match read {
-                Ok(0) => return Arrival::Ended,
+                Ok(0) => return StreamState::ResponseEnd,
                 Ok(_) => {}
-                Err(error) if error.kind() != io::ErrorKind::WouldBlock => return Arrival::Ended,
-                Err(_) if asks_socket => return Arrival::Open,
+                Err(error) if error.kind() != io::ErrorKind::WouldBlock => return StreamState::ResponseEnd,
+                Err(_) if asks_socket => return StreamState::Open,
                 Err(_) => asks_socket = true,
             }
         }
-        Arrival::Open
+        StreamState::Open
     }
 
     fn read_ready(&mut self) -> io::Result<usize> {
@@ -213,19 +213,19 @@
 
     fn read_socket(&mut self) -> io::Result<usize> {
         let mut bytes = [0; READ_ROOM];
-        let length = wire::read_now(&self.stream, &mut bytes)?;
+        let length = http::read_now(&self.stream, &mut bytes)?;
         self.buffer.extend_from_slice(bytes.get(..length).unwrap_or_default());
         Ok(length)
     }
 
     /// The head of the answer that has come, left where it is; `None` while it is not whole.
-    pub fn peek_head(&self) -> Result<Option<ResponseHead>, ReadFault> {
+    pub fn peek_head(&self) -> Result<Option<ResponseHead>, ReadError> {
         let mut copy = self.buffer.clone();
         while !copy.is_empty() {
-            match wire::parse_response(&mut copy)? {
+            match http::parse_response(&mut copy)? {
                 Some(head) if (100..200).contains(&head.status) => {}
                 Some(head) => return Ok(Some(head)),
-                None if copy.len() > MOST_HEAD => return Err(ReadFault::NoAnswer),
+                None if copy.len() > MAX_HEAD_BYTES => return Err(ReadError::InvalidResponse),
                 None => return Ok(None),
             }
         }
@@ -252,10 +252,10 @@
     }
 
     /// Waits for more bytes.
-    async fn fill(&mut self) -> Result<(), ReadFault> {
-        match wire::fill(&mut self.stream, &mut self.buffer).await? {
+    async fn fill(&mut self) -> Result<(), ReadError> {
+        match http::fill(&mut self.stream, &mut self.buffer).await? {
             Fill::Bytes => Ok(()),
-            Fill::End => Err(ReadFault::Ended),
+            Fill::End => Err(ReadError::ResponseEnd),
         }
     }
 }
--- a/crates/proxy/src/upstream/fixtures.rs
+++ b/crates/proxy/src/outbound/fixtures.rs
@@ -1,10 +1,10 @@
 //! What the tests of this folder share: a process that knows one server, and requests to it.
 
-use crate::request::ClientRequest;
-use crate::state::Shared;
-use crate::upstream::connection::Connection;
-use crate::upstream::outbound::Outbound;
-use crate::wire::parse_request;
+use crate::http::parse_request;
+use crate::inbound::request::ClientRequest;
+use crate::outbound::connection::Connection;
+use crate::outbound::request::OutboundRequest;
+use crate::state::ProxyState;
 use bytes::{Bytes, BytesMut};
 use lugwharf_protocol::{ServerDelta, ServerEntry, ServerState, TablePosition, Update};
 use lugwharf_routing::{Selection, ServerKey, Tuning};
@@ -21,7 +21,7 @@
 }
 
 /// A process that knows the server at `address`.
-pub fn shared(address: SocketAddr) -> Rc<Shared> {
+pub fn state(address: SocketAddr) -> Rc<ProxyState> {
     let text = r#"
         Node = "front-1"
         Ip = "127.0.0.1"
@@ -29,16 +29,16 @@
         PortRange = [20000, 20010]
     "#;
     let settings = Settings::parse(text).expect("settings");
-    let shared = Shared::new(&settings, Tuning::default(), 1);
-    list(&shared, 1, vec![entry(address)]);
-    shared
+    let state = ProxyState::new(&settings, Tuning::default(), 1);
+    list(&state, 1, vec![entry(address)]);
+    state
 }
 
 /// Has the process hear of a list.
-pub fn list(shared: &Shared, sequence: u64, entries: Vec<ServerEntry>) {
+pub fn list(state: &ProxyState, sequence: u64, entries: Vec<ServerEntry>) {
     let position = TablePosition { epoch: 1, sequence };
     let servers = Some(ServerDelta { position, is_full: true, entries, removed: Vec::new() });
-    shared.apply(&Update { servers, ..Update::default() });
+    state.apply(&Update { servers, ..Update::default() });
 }
 
 pub fn entry(address: SocketAddr) -> ServerEntry {
@@ -56,14 +56,14 @@
 }
 
 /// The key of the only server.
-pub fn key(shared: &Shared) -> ServerKey {
-    shared.balancer.borrow().server_keys().next().expect("a server")
+pub fn key(state: &ProxyState) -> ServerKey {
+    state.balancer.borrow().server_keys().next().expect("a server")
 }
 
 /// The choice of the only server.
-pub fn choice(shared: &Shared, address: SocketAddr) -> Selection {
+pub fn choice(state: &ProxyState, address: SocketAddr) -> Selection {
     Selection {
-        key: key(shared),
+        key: key(state),
         id: "i-a".into(),
         address,
         zone: "home".into(),
@@ -74,16 +74,21 @@
 }
 
 /// A connection of the process to the server, and the server's end.
-pub async fn connected(shared: &Shared, listener: &TcpListener) -> (Connection, TcpStream) {
+pub async fn connected(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
     let address = listener.local_addr().expect("an address");
-    let open = shared.pool.open_count(key(shared), None, 1).expect("room");
+    let open = state.pool.try_reserve(key(state), None, 1).expect("room");
     let (connection, accepted) = tokio::join!(Connection::open(address, open), listener.accept());
     (connection.expect("a connection"), accepted.expect("a connection").0)
 }
 
 /// A request with further lines in its head.
-pub fn outbound(method: &str, more: &str, body: Vec<u8>) -> Outbound {
+pub fn outbound(method: &str, more: &str, body: Vec<u8>) -> OutboundRequest {
     let text = format!("{method} /r/x HTTP/1.1\r\nHost: h\r\n{more}\r\n");
     let head = parse_request(&mut BytesMut::from(text.as_str())).expect("a head").expect("a whole head");
-    Outbound::new(&ClientRequest { head, has_body: true, body: Bytes::from(body), arrived: Instant::now() })
+    OutboundRequest::new(&ClientRequest {
+        head,
+        has_body: true,
+        body: Bytes::from(body),
+        arrived: Instant::now(),
+    })
 }
--- a/crates/proxy/src/upstream/outbound.rs
+++ b/crates/proxy/src/outbound/request.rs
@@ -1,8 +1,8 @@
 //! A client's request as it goes on to servers.
 
-use crate::request::ClientRequest;
-use crate::upstream::connection::ConnectionId;
-use crate::wire::{RequestHead, ResponseHead, field, is_hop_by_hop, length_field, number};
+use crate::http::{RequestHead, ResponseHead, field, is_hop_by_hop, length_field, number};
+use crate::inbound::request::ClientRequest;
+use crate::outbound::connection::ConnectionId;
 use bytes::Bytes;
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 /// What a send adds to the client's request.
 #[derive(Clone, Debug, Default)]
-pub struct Extra {
+pub struct AttemptHeaders {
     /// Only the prompt is to be read.
     pub is_prefill: bool,
     /// Where the memory of the prompt is.
@@ -25,7 +25,7 @@
 
 /// The parts of a request that are alike in all its sends.
 #[derive(Clone, Debug)]
-pub struct Outbound {
+pub struct OutboundRequest {
     /// The request line and the fields that go along, without the empty line.
     head: Vec<u8>,
     /// The body.
@@ -36,15 +36,15 @@
     pub is_head: bool,
     /// Connections that have carried it. No other send of it goes on one of these: its answers all bear one id, and a late
     /// second copy of the first one's would pass for the other's.
-    pub carriers: Vec<ConnectionId>,
+    pub used_connections: Vec<ConnectionId>,
     /// The client's own `Last-Event-Id` stands apart, since a resumed stream replaces it.
     last_event_id: Option<Vec<u8>>,
     priority: Option<Vec<u8>>,
 }
 
-impl Outbound {
+impl OutboundRequest {
     /// Takes over what goes along.
-    pub fn new(request: &ClientRequest) -> Outbound {
+    pub fn new(request: &ClientRequest) -> OutboundRequest {
         let head = &request.head;
         let mut out = Vec::with_capacity(512);
         out.extend_from_slice(head.method().as_bytes());
@@ -58,12 +58,12 @@
             length_field(&mut out, request.body.len() as u64);
         }
         let own = |name| head.headers.get(name).map(<[u8]>::to_vec);
-        Outbound {
+        OutboundRequest {
             head: out,
             body: request.body.clone(),
             request_id: own("request-id"),
             is_head: head.method() == "HEAD",
-            carriers: Vec::new(),
+            used_connections: Vec::new(),
             last_event_id: own("last-event-id"),
             priority: own("priority"),
         }
@@ -71,12 +71,12 @@
 
     /// Whether its connection may carry other requests before and after it. Answers are told apart by their ids, and surplus
     /// ones read over by their lengths: without an id, or with an answer whose length has no body, neither holds.
-    pub fn shares_connections(&self) -> bool {
+    pub fn may_share_connections(&self) -> bool {
         self.request_id.is_some() && !self.is_head
     }
 
     /// Whether an answer is to this request.
-    pub fn is_own(&self, head: &ResponseHead) -> bool {
+    pub fn is_response_to_this(&self, head: &ResponseHead) -> bool {
         match &self.request_id {
             Some(id) => head.headers.get("request-id").is_some_and(|other| other == id.as_slice()),
             None => true,
@@ -84,7 +84,7 @@
     }
 
     /// The head of one send.
-    pub fn encode(&self, instance: &str, left: Duration, extra: &Extra) -> Vec<u8> {
+    pub fn encode(&self, instance: &str, left: Duration, extra: &AttemptHeaders) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.head.len() + self.body.len().min(INLINE_BODY) + 192);
         out.extend_from_slice(&self.head);
         field(&mut out, "Expect-Instance", instance.as_bytes());
@@ -114,7 +114,7 @@
 pub const INLINE_BODY: usize = 16 * 1024;
 
 fn goes_along(head: &RequestHead, name: &str) -> bool {
-    let is_own = OWN_FIELDS.iter().any(|own| own.eq_ignore_ascii_case(name));
+    let is_response_to_this = OWN_FIELDS.iter().any(|own| own.eq_ignore_ascii_case(name));
     let is_apart = name.eq_ignore_ascii_case("last-event-id") || name.eq_ignore_ascii_case("priority");
-    !is_own && !is_apart && !is_hop_by_hop(name) && !head.headers.has_token("connection", name)
+    !is_response_to_this && !is_apart && !is_hop_by_hop(name) && !head.headers.has_token("connection", name)
 }
--- a/crates/proxy/src/upstream/outbound_tests.rs
+++ b/crates/proxy/src/outbound/request_tests.rs
@@ -1,8 +1,8 @@
 //! The heads of requests to servers, byte for byte.
 
-use crate::request::ClientRequest;
-use crate::upstream::outbound::{Extra, Outbound};
-use crate::wire::parse_request;
+use crate::http::parse_request;
+use crate::inbound::request::ClientRequest;
+use crate::outbound::request::{AttemptHeaders, OutboundRequest};
 use bytes::{Bytes, BytesMut};
 use rstest::rstest;
 use std::time::Duration;
@@ -18,27 +18,31 @@
 const ALONG: &str = "POST /v1/x?y=1 HTTP/1.1\r\nHost: app.example\r\nRequest-Id: r1\r\nX-Own: a  b\r\n\
     Expect-Version: 2\r\nPrompt-Prefix: aa:1\r\nModel: m\r\n";
 
-fn outbound(head: &str, body: Option<&'static str>) -> Outbound {
+fn outbound(head: &str, body: Option<&'static str>) -> OutboundRequest {
     let head = parse_request(&mut BytesMut::from(head)).expect("a head").expect("a whole head");
     let has_body = body.is_some();
     let body = Bytes::from_static(body.unwrap_or_default().as_bytes());
-    Outbound::new(&ClientRequest { head, body, has_body, arrived: Instant::now() })
+    OutboundRequest::new(&ClientRequest { head, body, has_body, arrived: Instant::now() })
 }
 
-fn prefill() -> Extra {
-    Extra { is_prefill: true, priority: Some(2), ..Extra::default() }
+fn prefill() -> AttemptHeaders {
+    AttemptHeaders { is_prefill: true, priority: Some(2), ..AttemptHeaders::default() }
 }
 
-fn decode() -> Extra {
-    Extra { kv_from: Some("127.0.0.1:9/k-1".to_owned()), priority: Some(7), ..Extra::default() }
+fn decode() -> AttemptHeaders {
+    AttemptHeaders {
+        kv_from: Some("127.0.0.1:9/k-1".to_owned()),
+        priority: Some(7),
+        ..AttemptHeaders::default()
+    }
 }
 
-fn resumed() -> Extra {
-    Extra { last_event_id: Some(b"12".to_vec()), ..decode() }
+fn resumed() -> AttemptHeaders {
+    AttemptHeaders { last_event_id: Some(b"12".to_vec()), ..decode() }
 }
 
-fn plain() -> Extra {
-    Extra::default()
+fn plain() -> AttemptHeaders {
+    AttemptHeaders::default()
 }
 
 #[rstest]
@@ -56,10 +60,10 @@
     "Expect-Instance: i-1\r\nDeadline-Ms: 250\r\nKv-From: 127.0.0.1:9/k-1\r\nLast-Event-Id: 12\r\nPriority: 7\r\n\r\n"
 )]
 #[case::priority_beyond_the_scale(
-    Extra { priority: Some(12), ..plain() },
+    AttemptHeaders { priority: Some(12), ..plain() },
     "Expect-Instance: i-1\r\nDeadline-Ms: 250\r\nLast-Event-Id: 4\r\nPriority: 9\r\n\r\n"
 )]
-fn head_of_a_request_with_a_body(#[case] extra: Extra, #[case] added: &str) {
+fn head_of_a_request_with_a_body(#[case] extra: AttemptHeaders, #[case] added: &str) {
     let head = outbound(CLIENT, Some("hello")).encode("i-1", Duration::from_micros(250_900), &extra);
     assert_eq!(String::from_utf8(head).expect("text"), format!("{ALONG}Content-Length: 5\r\n{added}"));
 }
@@ -69,7 +73,7 @@
 #[case::empty(Some(""), "Content-Length: 0\r\n")]
 fn head_of_a_request_without_bytes_of_a_body(#[case] body: Option<&'static str>, #[case] length: &str) {
     let outbound = outbound("GET / HTTP/1.0\r\nhost: h\r\n\r\n", body);
-    let head = outbound.encode("i-1", Duration::ZERO, &Extra::default());
+    let head = outbound.encode("i-1", Duration::ZERO, &AttemptHeaders::default());
     let expected =
         format!("GET / HTTP/1.1\r\nhost: h\r\n{length}Expect-Instance: i-1\r\nDeadline-Ms: 0\r\n\r\n");
     assert_eq!(String::from_utf8(head).expect("text"), expected);
--- a/crates/proxy/src/upstream/writing.rs
+++ b/crates/proxy/src/outbound/request_writer.rs
@@ -4,39 +4,41 @@
 //! ended before its last byte was out has not run only if nothing of an answer has come. The answer's side of the connection is
 //! watched until then.
 
-use crate::upstream::connection::{Arrival, Connection};
-use crate::upstream::outbound::{INLINE_BODY, Outbound};
+use crate::outbound::connection::{Connection, StreamState};
+use crate::outbound::request::{INLINE_BODY, OutboundRequest};
 use std::io;
 use std::time::Duration;
 use tokio::time::timeout;
 
 /// How the writing of a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteOutcome {
     /// All of it is out.
-    Whole,
+    Complete,
     /// The server has begun to answer, or what came can't be told from an answer. The rest is not written, and the connection
     /// carries nothing more.
-    Early,
+    EarlyResponse,
 }
 
 /// Writes one request.
-pub struct Writer<'a> {
+pub struct RequestWriter<'a> {
     connection: &'a mut Connection,
-    outbound: &'a Outbound,
+    outbound: &'a OutboundRequest,
     /// Not any more once another request's answer has come: it is read over later.
     watches: bool,
 }
 
-impl<'a> Writer<'a> {
+impl<'a> RequestWriter<'a> {
     /// For one send.
-    pub fn new(connection: &'a mut Connection, outbound: &'a Outbound) -> Writer<'a> {
-        Writer { connection, outbound, watches: true }
+    pub fn new(connection: &'a mut Connection, outbound: &'a OutboundRequest) -> RequestWriter<'a> {
+        RequestWriter { connection, outbound, watches: true }
     }
 
-    /// Writes the head and the body, the last byte of all only after `hold_back`. An error means that the server has not got the
+    /// Writes the head and the body, the last byte of all only after `last_byte_delay`. An error means that the server has not got the
     /// whole request and has not begun to answer, and never will, since the caller gives the connection up.
-    pub async fn write(&mut self, mut head: Vec<u8>, hold_back: Option<Duration>) -> io::Result<Written> {
+    pub async fn write(
+        &mut self, mut head: Vec<u8>, last_byte_delay: Option<Duration>,
+    ) -> io::Result<WriteOutcome> {
         let body = &self.outbound.body;
         let (first, second) = if body.len() <= INLINE_BODY {
             head.extend_from_slice(body);
@@ -45,25 +47,29 @@
             (head, &body[..])
         };
         if second.is_empty() {
-            return self.write_last(&first, hold_back).await;
+            return self.write_last(&first, last_byte_delay).await;
         }
         match self.write_part(&first).await? {
-            Written::Whole => self.write_last(second, hold_back).await,
-            Written::Early => Ok(Written::Early),
+            WriteOutcome::Complete => self.write_last(second, last_byte_delay).await,
+            WriteOutcome::EarlyResponse => Ok(WriteOutcome::EarlyResponse),
         }
     }
 
-    async fn write_last(&mut self, bytes: &[u8], hold_back: Option<Duration>) -> io::Result<Written> {
-        let Some((hold_back, (last, most))) = hold_back.zip(bytes.split_last()) else {
+    async fn write_last(
+        &mut self, bytes: &[u8], last_byte_delay: Option<Duration>,
+    ) -> io::Result<WriteOutcome> {
+        let Some((last_byte_delay, (last, most))) = last_byte_delay.zip(bytes.split_last()) else {
             return self.write_part(bytes).await;
         };
-        if self.write_part(most).await? == Written::Early || self.begins_within(hold_back).await? {
+        if self.write_part(most).await? == WriteOutcome::EarlyResponse
+            || self.begins_within(last_byte_delay).await?
+        {
             return self.early();
         }
         self.write_part(&[*last]).await
     }
 
-    async fn write_part(&mut self, mut bytes: &[u8]) -> io::Result<Written> {
+    async fn write_part(&mut self, mut bytes: &[u8]) -> io::Result<WriteOutcome> {
         while !bytes.is_empty() {
             let ready = self.connection.ready(self.watches).await?;
             if self.watches && ready.is_readable() && self.has_begun()? {
@@ -77,7 +83,7 @@
                 Err(error) => return self.failed(error),
             }
         }
-        Ok(Written::Whole)
+        Ok(WriteOutcome::Complete)
     }
 
     /// Whether the server begins to answer within that time.
@@ -97,8 +103,8 @@
 
     /// Whether an answer to this request has begun, as far as can be told.
     fn has_begun(&mut self) -> io::Result<bool> {
-        if self.connection.take_in() == Arrival::Ended {
-            return if self.connection.has_bytes() {
+        if self.connection.read_available() == StreamState::ResponseEnd {
+            return if self.connection.has_unread_bytes() {
                 Ok(true)
             } else {
                 Err(io::ErrorKind::ConnectionReset.into())
@@ -106,7 +112,7 @@
         }
         match self.connection.peek_head() {
             Ok(None) => Ok(false),
-            Ok(Some(head)) if self.connection.is_reused && !self.outbound.is_own(&head) => {
+            Ok(Some(head)) if self.connection.is_reused && !self.outbound.is_response_to_this(&head) => {
                 self.watches = false;
                 Ok(false)
             }
@@ -115,13 +121,13 @@
     }
 
     /// An answer may have come before the connection broke.
-    fn failed(&mut self, error: io::Error) -> io::Result<Written> {
-        self.connection.take_in();
-        if self.connection.has_bytes() { self.early() } else { Err(error) }
+    fn failed(&mut self, error: io::Error) -> io::Result<WriteOutcome> {
+        self.connection.read_available();
+        if self.connection.has_unread_bytes() { self.early() } else { Err(error) }
     }
 
-    fn early(&mut self) -> io::Result<Written> {
+    fn early(&mut self) -> io::Result<WriteOutcome> {
         self.connection.must_close = true;
-        Ok(Written::Early)
+        Ok(WriteOutcome::EarlyResponse)
     }
 }
--- a/crates/proxy/src/ready.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,7 +1,7 @@
 //! The platform's readiness checks.
 
-use crate::state::Shared;
-use crate::wire::{self, Fill};
+use crate::http::{self, Fill};
+use crate::state::ProxyState;
 use bytes::BytesMut;
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,30 +11,30 @@
 
 /// A connection of checks may rest for so long; they come once a second.
 const IDLE: Duration = Duration::from_secs(10);
-const MOST_HEAD: usize = 4 * 1024;
+const MAX_HEAD_BYTES: usize = 4 * 1024;
 const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
 
 /// Answers checks for as long as the process runs.
-pub async fn listen(shared: Rc<Shared>, listener: TcpListener) {
+pub async fn listen(state: Rc<ProxyState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let shared = shared.clone();
-                tokio::task::spawn_local(async move { serve(&shared, stream).await });
+                let state = state.clone();
+                tokio::task::spawn_local(async move { serve(&state, stream).await });
             }
             Err(_) => sleep(ACCEPT_AGAIN).await,
         }
     }
 }
 
-async fn serve(shared: &Shared, mut stream: TcpStream) {
+async fn serve(state: &ProxyState, mut stream: TcpStream) {
     drop(stream.set_nodelay(true));
     let mut buffer = BytesMut::new();
     loop {
-        let head = match wire::parse_request(&mut buffer) {
+        let head = match http::parse_request(&mut buffer) {
             Ok(Some(head)) => head,
-            Ok(None) if buffer.len() < MOST_HEAD => {
-                match timeout(IDLE, wire::fill(&mut stream, &mut buffer)).await {
+            Ok(None) if buffer.len() < MAX_HEAD_BYTES => {
+                match timeout(IDLE, http::fill(&mut stream, &mut buffer)).await {
                     Ok(Ok(Fill::Bytes)) => continue,
                     _ => return,
                 }
@@ -43,7 +43,7 @@
         };
         let path = head.target().split('?').next().unwrap_or_default();
         let is_check = path == "/ready";
-        let status = match (is_check, shared.is_ready()) {
+        let status = match (is_check, state.is_ready()) {
             (false, _) => "404 Not Found",
             (true, true) => "200 OK",
             (true, false) => "503 Service Unavailable",
--- a/crates/proxy/src/routes.rs
+++ b/crates/proxy/src/routes.rs
@@ -15,11 +15,12 @@
 }
 
 impl Routes {
-    /// Prepares a configuration. `first_lot` gives a random number from 0 to below 1 for each split.
-    pub fn new(configuration: Configuration, first_lot: impl Fn() -> f64) -> Routes {
+    /// Prepares a configuration. `first_sample` gives a random number from 0 to below 1 for each split.
+    pub fn new(configuration: Configuration, first_sample: impl Fn() -> f64) -> Routes {
         let table = RouteTable::new(&configuration);
         let split = configuration.routes.iter().filter(|route| !route.traffic_split.is_empty());
-        let splits = split.map(|route| (route.name.clone(), RefCell::new(TrafficSplitter::new(first_lot()))));
+        let splits =
+            split.map(|route| (route.name.clone(), RefCell::new(TrafficSplitter::new(first_sample()))));
         Routes { table, splits: splits.collect(), configuration }
     }
 
@@ -28,8 +29,8 @@
         if let Some(service) = &route.service {
             return Some(service);
         }
-        let lot = self.splits.get(&route.name)?.borrow_mut().next_sample();
-        let index = by_weight(route.traffic_split.iter().map(|split| split.weight), lot)?;
+        let random_fraction = self.splits.get(&route.name)?.borrow_mut().next_sample();
+        let index = by_weight(route.traffic_split.iter().map(|split| split.weight), random_fraction)?;
         route.traffic_split.get(index).map(|split| split.service.as_str())
     }
 
--- a/crates/proxy/src/job.rs
+++ b/crates/proxy/src/stack/execution.rs
@@ -1,15 +1,17 @@
 //! One request under way: its route, its time, its sends.
 
-use crate::answer::Refusal;
-use crate::flight::Flight;
-use crate::outcome::SendOutcome;
-use crate::request::ClientRequest;
+use crate::http::RequestHead;
+use crate::inbound::error_response::RequestError;
+use crate::inbound::request::ClientRequest;
+use crate::outbound::{
+    AttemptHeaders, ExchangeError, ExchangeTerms, OutboundRequest, ServerResponse, exchange,
+};
 use crate::routes::Routes;
-use crate::state::Shared;
-use crate::trace::{RequestTrace, SendTrace};
-use crate::upstream::{Answered, Extra, Fault, Outbound, Terms, exchange};
-use crate::verdict::judge;
-use crate::wire::RequestHead;
+use crate::stack::in_flight::InFlightAttempt;
+use crate::stack::response_class::classify;
+use crate::state::ProxyState;
+use crate::telemetry::outcome::AttemptLabel;
+use crate::telemetry::request_trace::{AttemptTrace, RequestTrace};
 use lugwharf_config::{Route, RouteKind};
 use lugwharf_invariants::{Invariant, check};
 use lugwharf_routing::{
@@ -22,14 +24,14 @@
 /// A final answer is on its way this much before the client stops to wait.
 const RETURN_MARGIN: Duration = Duration::from_millis(25);
 /// Sends of one request that may come to nothing since no connection came up or the server has just left the list.
-const MOST_UNSENT: u32 = 5;
+const MAX_UNSENT_ATTEMPTS: u32 = 5;
 /// The objective where the route states none.
 const DEFAULT_OBJECTIVE: Duration = Duration::from_millis(500);
 
 /// A request with all that its sends need.
-pub struct Job<'a> {
+pub struct RequestExecution<'a> {
     /// What all tasks share.
-    pub shared: &'a Rc<Shared>,
+    pub state: &'a Rc<ProxyState>,
     /// The request.
     pub request: &'a ClientRequest,
     /// What explains its end.
@@ -48,7 +50,7 @@
     pub prompt: Prompt,
     /// Servers that it is not sent to again.
     pub tried: Vec<ServerKey>,
-    outbound: Outbound,
+    outbound: OutboundRequest,
     max_connections: Option<u32>,
     is_model: bool,
     unsent: u32,
@@ -61,21 +63,21 @@
 }
 
 /// How a send ended.
-pub enum Sent {
+pub enum AttemptOutcome {
     /// An answer came.
-    Answered(Box<Answered>, Flight),
+    Response(Box<ServerResponse>, InFlightAttempt),
     /// Nothing went out; another server may be asked.
-    Unsent,
+    NotSent,
     /// The time was over before anything went out.
-    Late,
+    TooLate,
     /// It may have run; then the server failed.
-    Broken,
+    ConnectionBroken,
     /// It may have run; then its time was over.
     TimedOut,
 }
 
 /// A choice with the send's terms.
-pub struct Ask<'a> {
+pub struct ServerQuery<'a> {
     /// What the server is to do.
     pub part: Phase,
     /// The zone that is preferred.
@@ -84,34 +86,35 @@
     pub excluded: &'a [ServerKey],
 }
 
-impl<'a> Job<'a> {
+impl<'a> RequestExecution<'a> {
     /// Prepares a request; what can't be served is refused.
     pub fn new(
-        shared: &'a Rc<Shared>, request: &'a ClientRequest, routes: &'a Rc<Routes>, trace: &'a RequestTrace,
-    ) -> Result<Job<'a>, Refusal> {
+        state: &'a Rc<ProxyState>, request: &'a ClientRequest, routes: &'a Rc<Routes>,
+        trace: &'a RequestTrace,
+    ) -> Result<RequestExecution<'a>, RequestError> {
         let route = find(&request.head, routes)?;
-        let service = routes.target(route).ok_or(Refusal::Unavailable)?;
+        let service = routes.target(route).ok_or(RequestError::Unavailable)?;
         let definition = routes.service(service);
         let timeout = time_limit(route);
-        let patience = request.patience().unwrap_or(timeout).min(timeout);
+        let client_timeout = request.client_timeout().unwrap_or(timeout).min(timeout);
         let idempotent = route.is_idempotent() || route.route_kind == RouteKind::Streaming && route.resumable;
-        let now = shared.now();
-        trace.begin(shared, routes, service, objective(route), patience);
-        let mut balancer = shared.balancer.borrow_mut();
+        let now = state.now();
+        trace.begin(state, routes, service, objective(route), client_timeout);
+        let mut balancer = state.balancer.borrow_mut();
         balancer.record_request(now, service);
         let rejections = balancer.tuning().max_rejections;
-        Ok(Job {
-            shared,
+        Ok(RequestExecution {
+            state,
             request,
             trace,
             route,
             service,
-            by: request.arrived + patience.saturating_sub(RETURN_MARGIN),
+            by: request.arrived + client_timeout.saturating_sub(RETURN_MARGIN),
             attempts: Attempts::new(idempotent, route.max_attempts, rejections),
             idempotent,
             prompt: request.prompt(),
             tried: Vec::new(),
-            outbound: Outbound::new(request),
+            outbound: OutboundRequest::new(request),
             max_connections: definition.and_then(|service| service.max_conns),
             is_model: definition.is_some_and(|service| service.engine.is_some()),
             unsent: 0,
@@ -123,7 +126,7 @@
 
     /// Whether its service splits generations between prefill and decode servers.
     pub fn is_split(&self) -> bool {
-        self.is_model && self.shared.balancer.borrow().is_disaggregated(self.service)
+        self.is_model && self.state.balancer.borrow().is_disaggregated(self.service)
     }
 
     /// The time within which an answer earns its full worth.
@@ -137,13 +140,13 @@
     }
 
     /// What a send adds, before it is told more.
-    pub fn extra(&self) -> Extra {
-        let passes = self.is_model && self.shared.balancer.borrow().tuning().forwards_priority;
-        Extra { priority: passes.then(|| self.route.priority.min(9)), ..Extra::default() }
+    pub fn extra(&self) -> AttemptHeaders {
+        let passes = self.is_model && self.state.balancer.borrow().tuning().forwards_priority;
+        AttemptHeaders { priority: passes.then(|| self.route.priority.min(9)), ..AttemptHeaders::default() }
     }
 
     /// Chooses a server.
-    pub fn choose(&self, ask: &Ask<'_>) -> Result<Selection, SelectionError> {
+    pub fn choose(&self, ask: &ServerQuery<'_>) -> Result<Selection, SelectionError> {
         let query = SelectionQuery {
             service: self.service,
             phase: ask.part,
@@ -153,12 +156,12 @@
             excluded: ask.excluded,
             objective: self.objective(),
         };
-        self.shared.balancer.borrow_mut().select(self.shared.now(), &query)
+        self.state.balancer.borrow_mut().select(self.state.now(), &query)
     }
 
     /// Refused early: the server chosen is more than half full by its own report, and would take longer than there is time.
     pub fn is_hopeless(&self, choice: &Selection) -> bool {
-        let refuses = self.shared.balancer.borrow().tuning().sheds_hopeless_requests;
+        let refuses = self.state.balancer.borrow().tuning().sheds_hopeless_requests;
         refuses && choice.is_busy && choice.estimate > self.left()
     }
 
@@ -167,43 +170,55 @@
         if !self.attempts.needs_retry_budget() || self.paid {
             return true;
         }
-        self.paid = self.shared.balancer.borrow_mut().try_withdraw_retry(self.shared.now(), self.service);
+        self.paid = self.state.balancer.borrow_mut().try_withdraw_retry(self.state.now(), self.service);
         if !self.paid {
-            self.trace.budget_denied(self.shared);
+            self.trace.record_budget_denial(self.state);
         }
         self.paid
     }
 
     /// Whether another send may come to nothing.
     pub fn may_try(&self) -> bool {
-        self.unsent < MOST_UNSENT
+        self.unsent < MAX_UNSENT_ATTEMPTS
     }
 
     /// Sends it to a server, and counts.
-    pub async fn send(&mut self, choice: &Selection, part: Phase, extra: &Extra, by: Instant) -> Sent {
+    pub async fn send(
+        &mut self, choice: &Selection, part: Phase, extra: &AttemptHeaders, by: Instant,
+    ) -> AttemptOutcome {
         let may_be_sent = self.idempotent || self.attempts.is_unexecuted();
         check(Invariant::UnrepeatableSentOnce, may_be_sent, || {
             format!("request {} to {} as {part:?}", self.request.id(), choice.id)
         });
-        let mut flight = Flight::new(self.shared, choice, part, by);
+        let mut in_flight = InFlightAttempt::new(self.state, choice, part, by);
         let objective = self.objective();
-        let terms =
-            Terms { part, by, objective, idempotent: self.idempotent, max_connections: self.max_connections };
-        let (begun, left, carriers) =
-            (self.request.arrived.elapsed(), self.left(), self.outbound.carriers.len());
-        let result = exchange(self.shared, choice, &mut self.outbound, extra, terms).await;
+        let terms = ExchangeTerms {
+            part,
+            by,
+            objective,
+            idempotent: self.idempotent,
+            max_connections: self.max_connections,
+        };
+        let (begun, left, used_connections) =
+            (self.request.arrived.elapsed(), self.left(), self.outbound.used_connections.len());
+        let result = exchange(self.state, choice, &mut self.outbound, extra, terms).await;
         let outcome = match &result {
             Ok(answered) => {
-                let (status, verdict) = (answered.head.status, judge(&answered.head));
-                SendOutcome::Answered { status, verdict }
+                let (status, class) = (answered.head.status, classify(&answered.head));
+                AttemptLabel::Response { status, class }
             }
-            Err(fault) => SendOutcome::Failed(*fault),
+            Err(fault) => AttemptLabel::Failed(*fault),
         };
-        self.shared.figures.send_ended(outcome);
-        self.trace.sent(SendTrace {
+        self.state.metrics.send_ended(outcome);
+        self.trace.sent(AttemptTrace {
             server: choice.id.clone(),
             part,
-            connection: self.outbound.carriers.get(carriers..).and_then(<[_]>::last).map(|id| id.0),
+            connection: self
+                .outbound
+                .used_connections
+                .get(used_connections..)
+                .and_then(<[_]>::last)
+                .map(|id| id.0),
             begun,
             took: self.request.arrived.elapsed().saturating_sub(begun),
             left,
@@ -214,31 +229,31 @@
         match result {
             Ok(answered) => {
                 self.arrived();
-                Sent::Answered(Box::new(answered), flight)
+                AttemptOutcome::Response(Box::new(answered), in_flight)
             }
-            Err(Fault::Connect) => {
-                flight.failed(FailureKind::Connect);
+            Err(ExchangeError::Connect) => {
+                in_flight.failed(FailureKind::Connect);
                 self.unsent += 1;
-                Sent::Unsent
+                AttemptOutcome::NotSent
             }
-            Err(Fault::Moot) => {
-                flight.void();
+            Err(ExchangeError::Aborted) => {
+                in_flight.void();
                 self.unsent += 1;
-                Sent::Unsent
+                AttemptOutcome::NotSent
             }
-            Err(Fault::Late) => {
-                flight.void();
-                Sent::Late
+            Err(ExchangeError::TooLate) => {
+                in_flight.void();
+                AttemptOutcome::TooLate
             }
-            Err(Fault::Broken) => {
-                flight.failed(FailureKind::ConnectionBroken);
+            Err(ExchangeError::ConnectionBroken) => {
+                in_flight.failed(FailureKind::ConnectionBroken);
                 self.arrived();
-                Sent::Broken
+                AttemptOutcome::ConnectionBroken
             }
-            Err(Fault::Timeout) => {
-                flight.failed(FailureKind::Timeout);
+            Err(ExchangeError::Timeout) => {
+                in_flight.failed(FailureKind::Timeout);
                 self.arrived();
-                Sent::TimedOut
+                AttemptOutcome::TimedOut
             }
         }
     }
@@ -249,16 +264,16 @@
         if self.request.head.headers.has("expect-version") {
             return;
         }
-        self.shared.balancer.borrow_mut().record_misdirected(self.shared.now(), choice.key);
+        self.state.balancer.borrow_mut().record_misdirected(self.state.now(), choice.key);
     }
 
     /// The answer where nothing more is sent.
-    pub fn give_up(&self, unrun: Refusal) -> Refusal {
+    pub fn give_up(&self, unrun: RequestError) -> RequestError {
         match (self.attempts.is_unexecuted(), self.left().is_zero()) {
-            (true, true) => Refusal::Unserved,
+            (true, true) => RequestError::DeadlineBeforeExecution,
             (true, false) => unrun,
-            (false, true) => Refusal::Deadline,
-            (false, false) => Refusal::Broken,
+            (false, true) => RequestError::DeadlineExceeded,
+            (false, false) => RequestError::BadGateway,
         }
     }
 
@@ -269,7 +284,7 @@
         self.attempts.record_delivery();
     }
 
-    /// A server has taken up the last send, which had the prompt read. The first such call is free: what was paid for it, after
+    /// A server has accepted up the last send, which had the prompt read. The first such call is free: what was paid for it, after
     /// another one was rejected, pays for the next arrival.
     pub fn prefilled(&mut self) {
         self.paid = self.attempts.has_free_prefill() && self.paid_last;
@@ -292,21 +307,21 @@
 }
 
 /// The route of a request.
-pub fn find<'a>(head: &RequestHead, routes: &'a Routes) -> Result<&'a Route, Refusal> {
+pub fn find<'a>(head: &RequestHead, routes: &'a Routes) -> Result<&'a Route, RequestError> {
     let mut hosts = head.headers.all("host");
-    let host = hosts.next().and_then(|host| std::str::from_utf8(host).ok()).ok_or(Refusal::Malformed)?;
+    let host = hosts.next().and_then(|host| std::str::from_utf8(host).ok()).ok_or(RequestError::Malformed)?;
     let target = head.target();
     if hosts.next().is_some() || !target.starts_with('/') {
-        return Err(Refusal::Malformed);
+        return Err(RequestError::Malformed);
     }
-    routes.find(host.trim(), target).ok_or(Refusal::NoRoute)
+    routes.find(host.trim(), target).ok_or(RequestError::NoRoute)
 }
 
-impl From<SelectionError> for Refusal {
-    fn from(none: SelectionError) -> Refusal {
+impl From<SelectionError> for RequestError {
+    fn from(none: SelectionError) -> RequestError {
         match none {
-            SelectionError::NoServer => Refusal::Unavailable,
-            SelectionError::Saturated => Refusal::Full,
+            SelectionError::NoServer => RequestError::Unavailable,
+            SelectionError::Saturated => RequestError::Saturated,
         }
     }
 }
--- a/crates/proxy/src/flight.rs
+++ b/crates/proxy/src/stack/in_flight.rs
@@ -1,6 +1,6 @@
-//! One send in flight, as the balancer counts it.
+//! One send in in_flight, as the balancer counts it.
 
-use crate::state::Shared;
+use crate::state::ProxyState;
 use lugwharf_routing::{FailureKind, Observation, Phase, Selection, ServerKey, WorkSize};
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 /// before the time is over.
 const SILENCE: Duration = Duration::from_millis(1_000);
 
-/// Counts as in flight while it exists.
-pub struct Flight {
-    shared: Rc<Shared>,
+/// Counts as in in_flight while it exists.
+pub struct InFlightAttempt {
+    state: Rc<ProxyState>,
     key: ServerKey,
     part: Phase,
     work: WorkSize,
@@ -21,14 +21,14 @@
     is_seen: bool,
 }
 
-impl Flight {
+impl InFlightAttempt {
     /// A server was chosen, and has until `by`.
-    pub fn new(shared: &Rc<Shared>, choice: &Selection, part: Phase, by: Instant) -> Flight {
-        shared.balancer.borrow_mut().record_start(choice.key, part);
+    pub fn new(state: &Rc<ProxyState>, choice: &Selection, part: Phase, by: Instant) -> InFlightAttempt {
+        state.balancer.borrow_mut().record_start(choice.key, part);
         let begun = Instant::now();
         let work = WorkSize { tokens: choice.prefill_tokens.into() };
         let timeout = by.saturating_duration_since(begun);
-        Flight { shared: shared.clone(), key: choice.key, part, work, begun, timeout, is_seen: false }
+        InFlightAttempt { state: state.clone(), key: choice.key, part, work, begun, timeout, is_seen: false }
     }
 
     /// The server did its part, so long after it was sent the request.
@@ -54,17 +54,17 @@
 
     fn observe(&mut self, sample: Observation) {
         self.is_seen = true;
-        let now = self.shared.now();
-        self.shared.balancer.borrow_mut().record_observation(now, self.key, self.part, sample);
+        let now = self.state.now();
+        self.state.balancer.borrow_mut().record_observation(now, self.key, self.part, sample);
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightAttempt {
     fn drop(&mut self) {
         if !self.is_seen && self.begun.elapsed() >= SILENCE {
             self.timeout = self.begun.elapsed();
             self.failed(FailureKind::Timeout);
         }
-        self.shared.balancer.borrow_mut().record_end(self.key, self.part);
+        self.state.balancer.borrow_mut().record_end(self.key, self.part);
     }
 }
--- a/crates/proxy/src/handle.rs
+++ b/crates/proxy/src/stack/kv_handle.rs
@@ -2,13 +2,13 @@
 //! if nobody takes it.
 
 #[cfg(test)]
-#[path = "handle_tests.rs"]
-mod handle_tests;
+#[path = "kv_handle_tests.rs"]
+mod kv_handle_tests;
 
-use crate::figures::increment;
-use crate::state::Shared;
-use crate::upstream::{Connection, MOST_SURPLUS, read_over};
-use crate::wire::field;
+use crate::http::field;
+use crate::outbound::{Connection, MAX_STRAY_BYTES, discard_response};
+use crate::state::ProxyState;
+use crate::telemetry::metrics::increment;
 use lugwharf_routing::{Phase, Selection};
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,18 +17,18 @@
 /// Freeing a handle may take so long; then it lapses by itself.
 const FREE_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// A handle that nobody has taken yet.
-pub struct Handle {
-    shared: Rc<Shared>,
+/// A handle that nobody has accepted yet.
+pub struct KvHandle {
+    state: Rc<ProxyState>,
     server: Selection,
     id: String,
     is_taken: bool,
 }
 
-impl Handle {
+impl KvHandle {
     /// `server` holds the memory.
-    pub fn new(shared: &Rc<Shared>, server: Selection, id: String) -> Handle {
-        Handle { shared: shared.clone(), server, id, is_taken: false }
+    pub fn new(state: &Rc<ProxyState>, server: Selection, id: String) -> KvHandle {
+        KvHandle { state: state.clone(), server, id, is_taken: false }
     }
 
     /// What `Kv-From` says.
@@ -41,23 +41,23 @@
         &self.server.zone
     }
 
-    /// A decode server has taken it.
-    pub fn taken(mut self) {
+    /// A decode server has accepted it.
+    pub fn accepted(mut self) {
         self.is_taken = true;
     }
 }
 
-impl Drop for Handle {
+impl Drop for KvHandle {
     fn drop(&mut self) {
         if self.is_taken {
             return;
         }
-        let (shared, server, id) = (self.shared.clone(), self.server.clone(), std::mem::take(&mut self.id));
+        let (state, server, id) = (self.state.clone(), self.server.clone(), std::mem::take(&mut self.id));
         tokio::task::spawn_local(async move {
-            let freed = timeout(FREE_WITHIN, free(&shared, &server, &id)).await;
+            let freed = timeout(FREE_WITHIN, free(&state, &server, &id)).await;
             let is_freed = freed.is_ok_and(|freed| freed == Some(true));
-            let figures = &shared.figures;
-            increment(if is_freed { &figures.handles_freed } else { &figures.handles_left });
+            let metrics = &state.metrics;
+            increment(if is_freed { &metrics.handles_freed } else { &metrics.handles_left });
             let outcome = if is_freed { "freed" } else { "left" };
             spdlog::debug!("server={} handle={id} outcome={outcome}", server.id);
         });
@@ -66,26 +66,26 @@
 
 /// `DELETE /kv-handle/ID` at the server that holds it; whether it was done. The call has no id that its answer could bear, so its
 /// connection carries nothing more: a late copy of another call's answer may have come in place of its own.
-async fn free(shared: &Shared, server: &Selection, id: &str) -> Option<bool> {
-    if !shared.balancer.borrow().is_eligible(shared.now(), server.key, Phase::Prefill) {
+async fn free(state: &ProxyState, server: &Selection, id: &str) -> Option<bool> {
+    if !state.balancer.borrow().is_eligible(state.now(), server.key, Phase::Prefill) {
         return None;
     }
-    let mut connection = match shared.pool.take(server.key, true, &[]) {
+    let mut connection = match state.pool.take(server.key, true, &[]) {
         Some(connection) => connection,
         None => {
-            let proxies = shared.balancer.borrow().proxy_count();
-            let open = shared.pool.open_count(server.key, None, proxies)?;
+            let proxies = state.balancer.borrow().proxy_count();
+            let open = state.pool.try_reserve(server.key, None, proxies)?;
             Connection::open(server.address, open).await.ok()?
         }
     };
     connection.write(&request(server, id)).await.ok()?;
-    let mut room = MOST_SURPLUS;
+    let mut room = MAX_STRAY_BYTES;
     loop {
         let head = connection.read_head().await.ok()?;
         if !head.headers.has("request-id") {
             return Some(head.is_success());
         }
-        read_over(&mut connection, &head, &mut room).await.ok()?;
+        discard_response(&mut connection, &head, &mut room).await.ok()?;
     }
 }
 
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/stack/sse.rs
@@ -3,22 +3,22 @@
 //! Only whole events go on: a server that crashes may cut one in the middle, and a resumed stream must not join the halves.
 
 /// The largest event, in bytes.
-const MOST_EVENT: usize = 256 * 1024;
+const MAX_EVENT_BYTES: usize = 256 * 1024;
 
 /// What came is no series of events that may go on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum EventFault {
+pub enum EventError {
     /// An event is too large.
     #[error("an event is too large")]
     TooLarge,
     /// A resumed stream went back.
     #[error("a resumed stream repeats events")]
-    Repeated,
+    RepeatedEvent,
 }
 
 /// Splits a stream into whole events.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventBuffer {
     /// Whole events that may go on, then the beginning of one.
     held: Vec<u8>,
     /// Where the whole events end.
@@ -30,19 +30,19 @@
     is_resumed: bool,
 }
 
-impl Events {
+impl EventBuffer {
     /// Takes bytes of the stream in.
-    pub fn push(&mut self, data: &[u8]) -> Result<(), EventFault> {
+    pub fn push(&mut self, data: &[u8]) -> Result<(), EventError> {
         self.held.extend_from_slice(data);
         while let Some(end) = self.next_end() {
             self.note(end)?;
             self.whole = end;
         }
-        if self.held.len() - self.whole > MOST_EVENT { Err(EventFault::TooLarge) } else { Ok(()) }
+        if self.held.len() - self.whole > MAX_EVENT_BYTES { Err(EventError::TooLarge) } else { Ok(()) }
     }
 
     /// Whether the beginning of an event is held.
-    pub fn is_torn(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         self.held.len() > self.whole
     }
 
@@ -103,11 +103,11 @@
         line.ends_with(b"\n") || line.ends_with(b"\n\r")
     }
 
-    fn note(&mut self, end: usize) -> Result<(), EventFault> {
+    fn note(&mut self, end: usize) -> Result<(), EventError> {
         let event = self.held.get(self.whole..end).unwrap_or_default();
         let Some(id) = event_id(event) else { return Ok(()) };
         if std::mem::replace(&mut self.is_resumed, false) && !follows(self.last_id.as_deref(), id) {
-            return Err(EventFault::Repeated);
+            return Err(EventError::RepeatedEvent);
         }
         match &mut self.last_id {
             Some(last) => {
--- a/crates/proxy/src/events_tests.rs
+++ b/crates/proxy/src/stack/sse_tests.rs
@@ -1,9 +1,9 @@
-use crate::events::{EventFault, Events};
+use crate::stack::sse::{EventBuffer, EventError};
 use rstest::rstest;
 
 /// What goes on when `text` comes in pieces of `size` bytes, and what is held back.
-fn passed(text: &str, size: usize) -> (String, Events) {
-    let (mut events, mut out) = (Events::default(), Vec::new());
+fn passed(text: &str, size: usize) -> (String, EventBuffer) {
+    let (mut events, mut out) = (EventBuffer::default(), Vec::new());
     for piece in text.as_bytes().chunks(size) {
         events.push(piece).expect("events");
         out.extend_from_slice(events.whole());
@@ -49,7 +49,7 @@
     let (_, mut events) = passed("id: 4\ndata: a\n\nid: 5\nda", 4);
     events.resume();
     let pushed = events.push(format!("id: {next}\ndata: b\n\n").as_bytes());
-    assert_eq!(pushed, if rises { Ok(()) } else { Err(EventFault::Repeated) });
+    assert_eq!(pushed, if rises { Ok(()) } else { Err(EventError::RepeatedEvent) });
 }
 
 #[test]
@@ -61,8 +61,8 @@
 
 #[test]
 fn an_event_without_end_is_bounded() {
-    let mut events = Events::default();
+    let mut events = EventBuffer::default();
     let piece = [b'x'; 64 * 1024];
     let ended = (0..8).map(|_| events.push(&piece)).find(Result::is_err);
-    assert_eq!(ended, Some(Err(EventFault::TooLarge)));
+    assert_eq!(ended, Some(Err(EventError::TooLarge)));
 }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -3,9 +3,9 @@
 //! Everything runs on one thread. The feed's task is the only writer of the tables; request tasks take a snapshot of the
 //! configuration and borrow the balancer for the length of one decision.
 
-use crate::figures::Figures;
+use crate::outbound::ConnectionPool;
 use crate::routes::Routes;
-use crate::upstream::Pool;
+use crate::telemetry::metrics::Metrics;
 use lugwharf_config::{Configuration, Limits};
 use lugwharf_invariants::{Invariant, check};
 use lugwharf_protocol::{Update, VersionVector};
@@ -19,41 +19,45 @@
 /// Bytes of request bodies that are held at once, as a share of the process's memory.
 const BODIES_SHARE: u64 = 4;
 
-/// Shared by all tasks.
-pub struct Shared {
+/// ProxyState by all tasks.
+pub struct ProxyState {
     /// The zone of this machine.
     pub zone: String,
     /// The balancer; borrowed for one decision at a time, never across a wait.
     pub balancer: RefCell<Balancer>,
     /// Connections to servers.
-    pub pool: Pool,
-    /// Bytes of request bodies that may still be taken in.
-    pub body_room: Cell<u64>,
+    pub pool: ConnectionPool,
+    /// Bytes of request bodies that may still be accepted in.
+    pub free_body_bytes: Cell<u64>,
     /// What is counted.
-    pub figures: Figures,
+    pub metrics: Metrics,
     routes: RefCell<Option<Rc<Routes>>>,
     limits: RefCell<Limits>,
     draining: Cell<bool>,
     /// Whether nobody more is let in.
     closed: Cell<bool>,
-    body_most: u64,
+    max_body_bytes_in_flight: u64,
     started: Instant,
     jitter: RefCell<fastrand::Rng>,
 }
 
-impl Shared {
+impl ProxyState {
     /// Before anything is known.
-    pub fn new(settings: &Settings, tuning: Tuning, seed: u64) -> Rc<Shared> {
-        let pool = if tuning.reuses_connections { Pool::default() } else { Pool::keeping_none() };
+    pub fn new(settings: &Settings, tuning: Tuning, seed: u64) -> Rc<ProxyState> {
+        let pool = if tuning.reuses_connections {
+            ConnectionPool::default()
+        } else {
+            ConnectionPool::without_reuse()
+        };
         let balancer = Balancer::new(tuning, terms(&settings.bounds), seed);
-        let body_most = settings.limits.memory_mb.max(16) * 1024 * 1024 / BODIES_SHARE;
-        Rc::new(Shared {
+        let max_body_bytes_in_flight = settings.limits.memory_mb.max(16) * 1024 * 1024 / BODIES_SHARE;
+        Rc::new(ProxyState {
             zone: settings.zone.clone(),
             balancer: RefCell::new(balancer),
             pool,
-            body_room: Cell::new(body_most),
-            body_most,
-            figures: Figures::default(),
+            free_body_bytes: Cell::new(max_body_bytes_in_flight),
+            max_body_bytes_in_flight,
+            metrics: Metrics::default(),
             routes: RefCell::default(),
             limits: RefCell::default(),
             draining: Cell::new(false),
@@ -100,24 +104,24 @@
     }
 
     /// Somebody was let in.
-    pub fn note_admitted(&self) {
+    pub fn record_admission(&self) {
         check(Invariant::NothingNewAfterDrain, !self.closed.get(), || "a connection was let in".to_owned());
     }
 
     /// Bytes of request bodies that are held.
     pub fn body_bytes(&self) -> u64 {
-        self.body_most.saturating_sub(self.body_room.get())
+        self.max_body_bytes_in_flight.saturating_sub(self.free_body_bytes.get())
     }
 
     /// Gives bytes of a request's body back.
-    pub fn give_back(&self, bytes: u64) {
-        let (room, most) = (self.body_room.get() + bytes, self.body_most);
+    pub fn release_body_bytes(&self, bytes: u64) {
+        let (room, most) = (self.free_body_bytes.get() + bytes, self.max_body_bytes_in_flight);
         check(Invariant::BodyBytesBounded, room <= most, || format!("room of {room} bytes of {most}"));
-        self.body_room.set(room);
+        self.free_body_bytes.set(room);
     }
 
     /// A random number from 0 to below 1.
-    pub fn lot(&self) -> f64 {
+    pub fn random_fraction(&self) -> f64 {
         self.jitter.borrow_mut().f64()
     }
 
@@ -163,7 +167,7 @@
         spdlog::info!("config version={} routes={}", configuration.version, configuration.routes.len());
         self.balancer.borrow_mut().retain_services(|name| configuration.service(name).is_some());
         *self.limits.borrow_mut() = configuration.limits.clone();
-        *self.routes.borrow_mut() = Some(Rc::new(Routes::new(configuration, || self.lot())));
+        *self.routes.borrow_mut() = Some(Rc::new(Routes::new(configuration, || self.random_fraction())));
     }
 }
 
--- a/crates/proxy/src/figures.rs
+++ b/crates/proxy/src/telemetry/metrics.rs
@@ -2,9 +2,9 @@
 //!
 //! Counts are plain cells of the one thread; the text is made when it is asked for. `docs/OPERATING.md` lists the names.
 
-use crate::clients::Clients;
-use crate::outcome::{RequestOutcome, SendOutcome};
-use crate::state::Shared;
+use crate::inbound::connections::ClientConnections;
+use crate::state::ProxyState;
+use crate::telemetry::outcome::{AttemptLabel, RequestOutcome};
 use lugwharf_telemetry::{Exposition, LogPermit, LogRateLimiter, MetricsEndpoint};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -18,9 +18,9 @@
 const LINE_BURST: u32 = 5;
 
 /// Counts since the start of the process.
-pub struct Figures {
+pub struct Metrics {
     requests: [Cell<u64>; RequestOutcome::COUNT],
-    sends: [Cell<u64>; SendOutcome::NAMES.len()],
+    sends: [Cell<u64>; AttemptLabel::NAMES.len()],
     /// Sends beyond the first that the retry budget did not allow.
     pub budget_denials: Cell<u64>,
     /// Handles that were freed since nobody took them.
@@ -32,9 +32,9 @@
     limits: RefCell<[LogRateLimiter; RequestOutcome::COUNT]>,
 }
 
-impl Default for Figures {
-    fn default() -> Figures {
-        Figures {
+impl Default for Metrics {
+    fn default() -> Metrics {
+        Metrics {
             requests: std::array::from_fn(|_| Cell::new(0)),
             sends: std::array::from_fn(|_| Cell::new(0)),
             budget_denials: Cell::new(0),
@@ -51,14 +51,14 @@
     count.set(count.get() + 1);
 }
 
-impl Figures {
+impl Metrics {
     /// A request has ended.
     pub fn request_ended(&self, outcome: RequestOutcome) {
         increment(&self.requests[outcome.index()]);
     }
 
     /// A send has ended.
-    pub fn send_ended(&self, outcome: SendOutcome) {
+    pub fn send_ended(&self, outcome: AttemptLabel) {
         increment(&self.sends[outcome.index()]);
     }
 
@@ -74,7 +74,7 @@
     fn write(&self, text: &mut Exposition) {
         let requests = RequestOutcome::all().map(|outcome| (outcome.name(), &self.requests[outcome.index()]));
         text.outcomes("requests", "Requests by their end", requests.map(|(name, count)| (name, count.get())));
-        let sends = SendOutcome::NAMES.into_iter().zip(self.sends.iter().map(Cell::get));
+        let sends = AttemptLabel::NAMES.into_iter().zip(self.sends.iter().map(Cell::get));
         text.outcomes("sends", "Sends to servers by their end", sends);
         let counters = [
             ("budget_denials", "Sends that the retry budget did not allow", &self.budget_denials),
@@ -88,30 +88,30 @@
     }
 }
 
-/// Answers requests for the figures for as long as the process runs.
-pub async fn serve(shared: Rc<Shared>, clients: Rc<Clients>, endpoint: MetricsEndpoint) {
+/// Answers requests for the metrics for as long as the process runs.
+pub async fn serve(state: Rc<ProxyState>, clients: Rc<ClientConnections>, endpoint: MetricsEndpoint) {
     let MetricsEndpoint { mut requests } = endpoint;
     while let Some(reply) = requests.recv().await {
         // Whoever asked may have gone.
-        let _ = reply.send(render(&shared, &clients));
+        let _ = reply.send(render(&state, &clients));
     }
 }
 
 /// The text as things stand.
-pub fn render(shared: &Shared, clients: &Clients) -> String {
+pub fn render(state: &ProxyState, clients: &ClientConnections) -> String {
     let mut text = Exposition::new(PREFIX);
-    shared.figures.write(&mut text);
-    let have = shared.have();
+    state.metrics.write(&mut text);
+    let have = state.have();
     let gauges = [
-        ("uptime_seconds", "Time since the start of the process", shared.now().as_secs()),
+        ("uptime_seconds", "Time since the start of the process", state.now().as_secs()),
         ("clients", "Connections of clients that are open", clients.count() as u64),
-        ("body_bytes", "Bytes of request bodies that are held", shared.body_bytes()),
+        ("body_bytes", "Bytes of request bodies that are held", state.body_bytes()),
         ("config_version", "Configuration in force; 0 for none", have.config),
         ("list_epoch", "Epoch of the list of servers", have.servers.epoch),
         ("list_sequence", "Sequence of the list of servers in its epoch", have.servers.sequence),
         ("live_proxies", "Live proxies of the fleet as last told", have.live_proxies.into()),
-        ("ready", "Whether requests can be served and are wanted", shared.is_ready().into()),
-        ("draining", "Whether the process is shutting down", shared.is_draining().into()),
+        ("ready", "Whether requests can be served and are wanted", state.is_ready().into()),
+        ("draining", "Whether the process is shutting down", state.is_draining().into()),
     ];
     for (name, help, value) in gauges {
         text.gauge(name, help, value);
--- a/crates/proxy/src/figures_tests.rs
+++ b/crates/proxy/src/telemetry/metrics_tests.rs
@@ -1,12 +1,12 @@
 //! The names of the metrics, with their types and labels: alarms of operators name them. Those of invariants are `telemetry`'s.
 
-use crate::answer::Refusal;
-use crate::clients::Clients;
-use crate::figures::{increment, render};
-use crate::outcome::{RequestOutcome, SendOutcome};
-use crate::upstream::Fault;
-use crate::upstream::fixtures::shared;
-use crate::verdict::Verdict;
+use crate::inbound::connections::ClientConnections;
+use crate::inbound::error_response::RequestError;
+use crate::outbound::ExchangeError;
+use crate::outbound::fixtures::state;
+use crate::stack::response_class::ResponseClass;
+use crate::telemetry::metrics::{increment, render};
+use crate::telemetry::outcome::{AttemptLabel, RequestOutcome};
 
 const EXPECTED: [&str; 54] = [
     "# TYPE lugwharf_proxy_body_bytes gauge",
@@ -76,33 +76,39 @@
 
 #[tokio::test(start_paused = true)]
 async fn names_and_values_of_all_metrics() {
-    let shared = shared(([127, 0, 0, 1], 9).into());
-    let clients = Clients::new(4_096);
+    let state = state(([127, 0, 0, 1], 9).into());
+    let clients = ClientConnections::new(4_096);
     let _ = clients.add();
-    shared.body_room.set(shared.body_room.get() - 321);
+    state.free_body_bytes.set(state.free_body_bytes.get() - 321);
     for (times, outcome) in RequestOutcome::all().enumerate() {
-        (0..=times).for_each(|_| shared.figures.request_ended(outcome));
+        (0..=times).for_each(|_| state.metrics.request_ended(outcome));
     }
     let verdicts = [
-        Verdict::Success,
-        Verdict::Failure,
-        Verdict::Invalid,
-        Verdict::Rejected,
-        Verdict::Misdirected,
-        Verdict::Spoilt,
+        ResponseClass::Success,
+        ResponseClass::Failure,
+        ResponseClass::InvalidRequest,
+        ResponseClass::Rejected,
+        ResponseClass::Misdirected,
+        ResponseClass::Unusable,
     ];
-    let answered = verdicts.map(|verdict| SendOutcome::Answered { status: 200, verdict });
-    let faults = [Fault::Connect, Fault::Moot, Fault::Late, Fault::Broken, Fault::Timeout];
-    let ends = answered.into_iter().chain(faults.map(SendOutcome::Failed));
+    let answered = verdicts.map(|class| AttemptLabel::Response { status: 200, class });
+    let faults = [
+        ExchangeError::Connect,
+        ExchangeError::Aborted,
+        ExchangeError::TooLate,
+        ExchangeError::ConnectionBroken,
+        ExchangeError::Timeout,
+    ];
+    let ends = answered.into_iter().chain(faults.map(AttemptLabel::Failed));
     for (times, outcome) in ends.enumerate() {
-        (0..=times).for_each(|_| shared.figures.send_ended(outcome));
+        (0..=times).for_each(|_| state.metrics.send_ended(outcome));
     }
-    increment(&shared.figures.budget_denials);
-    (0..2).for_each(|_| increment(&shared.figures.handles_freed));
-    (0..3).for_each(|_| increment(&shared.figures.handles_left));
+    increment(&state.metrics.budget_denials);
+    (0..2).for_each(|_| increment(&state.metrics.handles_freed));
+    (0..3).for_each(|_| increment(&state.metrics.handles_left));
     // A burst of five lines is written, and two are left out.
-    let outcome = RequestOutcome::Refused(Refusal::Full);
-    let written = (0..7).filter(|_| shared.figures.may_write_line(shared.now(), outcome).is_some());
+    let outcome = RequestOutcome::Rejected(RequestError::Saturated);
+    let written = (0..7).filter(|_| state.metrics.may_write_line(state.now(), outcome).is_some());
     assert_eq!(written.count(), 5);
-    assert_eq!(sorted(&render(&shared, &clients)), EXPECTED);
+    assert_eq!(sorted(&render(&state, &clients)), EXPECTED);
 }
--- a/crates/proxy/src/outcome.rs
+++ b/crates/proxy/src/telemetry/outcome.rs
@@ -1,8 +1,8 @@
 //! How requests and their sends end, by the names that metrics and logs use.
 
-use crate::answer::Refusal;
-use crate::upstream::Fault;
-use crate::verdict::Verdict;
+use crate::inbound::error_response::RequestError;
+use crate::outbound::ExchangeError;
+use crate::stack::response_class::ResponseClass;
 
 /// How a request of a client ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -12,21 +12,21 @@
     /// A server's failure went on whole.
     ServerFailure,
     /// An answer had begun and is not whole.
-    Cut,
+    Interrupted,
     /// The client left before its answer was whole.
-    Left,
+    ClientDisconnected,
     /// This program answered by itself.
-    Refused(Refusal),
+    Rejected(RequestError),
 }
 
 impl RequestOutcome {
     /// How many there are.
-    pub const COUNT: usize = 4 + Refusal::ALL.len();
+    pub const COUNT: usize = 4 + RequestError::ALL.len();
 
     /// All of them, in the order of [`RequestOutcome::index`].
     pub fn all() -> impl Iterator<Item = RequestOutcome> {
-        let answered = [Self::Success, Self::ServerFailure, Self::Cut, Self::Left];
-        answered.into_iter().chain(Refusal::ALL.into_iter().map(Self::Refused))
+        let answered = [Self::Success, Self::ServerFailure, Self::Interrupted, Self::ClientDisconnected];
+        answered.into_iter().chain(RequestError::ALL.into_iter().map(Self::Rejected))
     }
 
     /// Its place among all.
@@ -34,9 +34,9 @@
         match self {
             Self::Success => 0,
             Self::ServerFailure => 1,
-            Self::Cut => 2,
-            Self::Left => 3,
-            Self::Refused(refusal) => 4 + refusal as usize,
+            Self::Interrupted => 2,
+            Self::ClientDisconnected => 3,
+            Self::Rejected(refusal) => 4 + refusal as usize,
         }
     }
 
@@ -45,28 +45,28 @@
         match self {
             Self::Success => "success",
             Self::ServerFailure => "server_failure",
-            Self::Cut => "cut",
-            Self::Left => "left",
-            Self::Refused(refusal) => refusal.name(),
+            Self::Interrupted => "cut",
+            Self::ClientDisconnected => "left",
+            Self::Rejected(refusal) => refusal.name(),
         }
     }
 }
 
 /// How one send ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendOutcome {
+pub enum AttemptLabel {
     /// The head of an answer came.
-    Answered {
+    Response {
         /// Its status.
         status: u16,
         /// What it is worth.
-        verdict: Verdict,
+        class: ResponseClass,
     },
     /// None came.
-    Failed(Fault),
+    Failed(ExchangeError),
 }
 
-impl SendOutcome {
+impl AttemptLabel {
     /// The names of all.
     pub const NAMES: [&'static str; 11] = [
         "success",
@@ -82,23 +82,23 @@
         "timeout",
     ];
 
-    /// Its place in [`SendOutcome::NAMES`].
+    /// Its place in [`AttemptLabel::NAMES`].
     pub fn index(self) -> usize {
         match self {
-            Self::Answered { verdict, .. } => match verdict {
-                Verdict::Success => 0,
-                Verdict::Failure => 1,
-                Verdict::Invalid => 2,
-                Verdict::Rejected => 3,
-                Verdict::Misdirected => 4,
-                Verdict::Spoilt => 5,
+            Self::Response { class, .. } => match class {
+                ResponseClass::Success => 0,
+                ResponseClass::Failure => 1,
+                ResponseClass::InvalidRequest => 2,
+                ResponseClass::Rejected => 3,
+                ResponseClass::Misdirected => 4,
+                ResponseClass::Unusable => 5,
             },
             Self::Failed(fault) => match fault {
-                Fault::Connect => 6,
-                Fault::Moot => 7,
-                Fault::Late => 8,
-                Fault::Broken => 9,
-                Fault::Timeout => 10,
+                ExchangeError::Connect => 6,
+                ExchangeError::Aborted => 7,
+                ExchangeError::TooLate => 8,
+                ExchangeError::ConnectionBroken => 9,
+                ExchangeError::Timeout => 10,
             },
         }
     }
--- a/crates/proxy/src/trace.rs
+++ b/crates/proxy/src/telemetry/request_trace.rs
@@ -2,12 +2,12 @@
 //!
 //! The trace outlives the task that serves the request, so that it also tells of a request whose client has left.
 
-use crate::figures::increment;
-use crate::job::find;
-use crate::outcome::{BodyOutcome, RequestOutcome, SendOutcome};
-use crate::request::ClientRequest;
+use crate::inbound::request::ClientRequest;
 use crate::routes::Routes;
-use crate::state::Shared;
+use crate::stack::execution::find;
+use crate::state::ProxyState;
+use crate::telemetry::metrics::increment;
+use crate::telemetry::outcome::{AttemptLabel, BodyOutcome, RequestOutcome};
 use lugwharf_protocol::VersionVector;
 use lugwharf_routing::Phase;
 use spdlog::prelude::*;
@@ -17,11 +17,11 @@
 use std::time::Duration;
 
 /// Sends that one line tells of.
-const MOST_SENDS: usize = 16;
+const MAX_LOGGED_ATTEMPTS: usize = 16;
 
 /// One send of the request.
 #[derive(Debug)]
-pub struct SendTrace {
+pub struct AttemptTrace {
     /// The server's incarnation.
     pub server: Rc<str>,
     /// What it was to do.
@@ -37,12 +37,12 @@
     /// Whether it was paid from the retry budget.
     pub paid: bool,
     /// How it ended.
-    pub outcome: SendOutcome,
+    pub outcome: AttemptLabel,
     /// How the body of its answer ended, where that went wrong.
     pub body: Option<BodyOutcome>,
 }
 
-impl fmt::Display for SendTrace {
+impl fmt::Display for AttemptTrace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let part = match self.part {
             Phase::Full => "whole",
@@ -59,7 +59,7 @@
             f.write_str(" paid")?;
         }
         write!(f, " {}", self.outcome.name())?;
-        if let SendOutcome::Answered { status, .. } = self.outcome {
+        if let AttemptLabel::Response { status, .. } = self.outcome {
             write!(f, ":{status}")?;
         }
         self.body.map_or(Ok(()), |body| write!(f, " {}", body.name()))
@@ -80,8 +80,8 @@
 #[derive(Debug, Default)]
 pub struct RequestTrace {
     terms: RefCell<Option<RequestTerms>>,
-    sends: RefCell<Vec<SendTrace>>,
-    budget_denied: Cell<bool>,
+    sends: RefCell<Vec<AttemptTrace>>,
+    record_budget_denial: Cell<bool>,
     /// The status of the answer that has begun.
     status: Cell<Option<u16>>,
     is_finished: Cell<bool>,
@@ -90,21 +90,21 @@
 /// Sees to it that a request whose task is dropped, as at the end of the process, is counted and told of as cut.
 pub struct TraceGuard<'a> {
     trace: &'a RequestTrace,
-    shared: &'a Shared,
+    state: &'a ProxyState,
     request: &'a ClientRequest,
 }
 
 impl<'a> TraceGuard<'a> {
     /// For the time in which the request is served.
-    pub fn new(trace: &'a RequestTrace, shared: &'a Shared, request: &'a ClientRequest) -> TraceGuard<'a> {
-        TraceGuard { trace, shared, request }
+    pub fn new(trace: &'a RequestTrace, state: &'a ProxyState, request: &'a ClientRequest) -> TraceGuard<'a> {
+        TraceGuard { trace, state, request }
     }
 }
 
 impl Drop for TraceGuard<'_> {
     fn drop(&mut self) {
         if !self.trace.is_finished.get() {
-            self.trace.finish(self.shared, self.request, RequestOutcome::Cut);
+            self.trace.finish(self.state, self.request, RequestOutcome::Interrupted);
         }
     }
 }
@@ -112,22 +112,22 @@
 impl RequestTrace {
     /// The request has a route, and these terms.
     pub fn begin(
-        &self, shared: &Shared, routes: &Rc<Routes>, service: &str, objective: Duration, limit: Duration,
+        &self, state: &ProxyState, routes: &Rc<Routes>, service: &str, objective: Duration, limit: Duration,
     ) {
         let terms = RequestTerms {
             routes: routes.clone(),
             service: service.to_owned(),
             objective,
             limit,
-            have: shared.have(),
+            have: state.have(),
         };
         *self.terms.borrow_mut() = Some(terms);
     }
 
     /// A send has ended.
-    pub fn sent(&self, send: SendTrace) {
+    pub fn sent(&self, send: AttemptTrace) {
         let mut sends = self.sends.borrow_mut();
-        if sends.len() < MOST_SENDS {
+        if sends.len() < MAX_LOGGED_ATTEMPTS {
             sends.push(send);
         }
     }
@@ -140,9 +140,9 @@
     }
 
     /// The retry budget did not allow another send.
-    pub fn budget_denied(&self, shared: &Shared) {
-        self.budget_denied.set(true);
-        increment(&shared.figures.budget_denials);
+    pub fn record_budget_denial(&self, state: &ProxyState) {
+        self.record_budget_denial.set(true);
+        increment(&state.metrics.budget_denials);
     }
 
     /// An answer with this status begins.
@@ -156,13 +156,13 @@
     }
 
     /// Counts the request, and writes a line if it failed.
-    pub fn finish(&self, shared: &Shared, request: &ClientRequest, outcome: RequestOutcome) {
+    pub fn finish(&self, state: &ProxyState, request: &ClientRequest, outcome: RequestOutcome) {
         self.is_finished.set(true);
-        shared.figures.request_ended(outcome);
+        state.metrics.request_ended(outcome);
         if self.is_failure(request, outcome)
-            && let Some(permit) = shared.figures.may_write_line(shared.now(), outcome)
+            && let Some(permit) = state.metrics.may_write_line(state.now(), outcome)
         {
-            self.write(shared, request, outcome, permit.omitted);
+            self.write(state, request, outcome, permit.omitted);
         }
     }
 
@@ -172,25 +172,25 @@
         let objective = terms.as_ref().map_or(Duration::ZERO, |terms| terms.objective);
         match outcome {
             RequestOutcome::Success => false,
-            RequestOutcome::Left => request.arrived.elapsed() >= objective,
-            RequestOutcome::ServerFailure | RequestOutcome::Cut | RequestOutcome::Refused(_) => true,
+            RequestOutcome::ClientDisconnected => request.arrived.elapsed() >= objective,
+            RequestOutcome::ServerFailure | RequestOutcome::Interrupted | RequestOutcome::Rejected(_) => true,
         }
     }
 
-    fn write(&self, shared: &Shared, request: &ClientRequest, outcome: RequestOutcome, omitted: u64) {
+    fn write(&self, state: &ProxyState, request: &ClientRequest, outcome: RequestOutcome, omitted: u64) {
         let terms = self.terms.borrow();
         let terms = terms.as_ref();
         let route = terms.and_then(|terms| find(&request.head, &terms.routes).ok());
         let route = route.map_or("-", |route| &route.name);
         let service = terms.map_or("-", |terms| &terms.service);
         let limit_ms = terms.map_or(0, |terms| millis(terms.limit));
-        let have = terms.map_or_else(|| shared.have(), |terms| terms.have);
+        let have = terms.map_or_else(|| state.have(), |terms| terms.have);
         let sends = self.sends_text();
         warn!("request", kv: {
             outcome = outcome.name(), request_id = request.id(), status = self.status.get().unwrap_or(0), route, service,
             ms = millis(request.arrived.elapsed()), limit_ms, config_version = have.config,
             list_epoch = have.servers.epoch, list_sequence = have.servers.sequence,
-            live_proxies = have.live_proxies, budget_denied = self.budget_denied.get(), sends = sends.as_str(), omitted
+            live_proxies = have.live_proxies, record_budget_denial = self.record_budget_denial.get(), sends = sends.as_str(), omitted
         });
     }
 
