--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -4,27 +4,27 @@
 mod request;
 mod retry;
 
-pub use outcome::{Ending, Finding, Outcome};
+pub use outcome::{AttemptEnd, Finding, Outcome};
 pub use request::{ClientRequest, Kind};
 pub use retry::RetryPolicy;
 
 use crate::core::millis;
-use crate::events::EventReader;
+use crate::events::EventParser;
 use crate::names;
-use crate::wire::{Answer, Connection, Framing, WireError};
+use crate::wire::{Connection, Framing, Response, WireError};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
 /// How long a new connection may take to come up.
-const CONNECT_TIME: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A client with at most one open connection to a front.
 #[derive(Debug)]
 pub struct Client {
     address: SocketAddr,
     connection: Option<Connection>,
-    connect_time: Duration,
+    connect_timeout: Duration,
     /// Between the halves of what it sends; none where this is zero.
     pause: Duration,
 }
@@ -32,16 +32,16 @@
 impl Client {
     /// A client of the front at that address; it connects when it sends.
     pub fn new(address: SocketAddr) -> Client {
-        Client { address, connection: None, connect_time: CONNECT_TIME, pause: Duration::ZERO }
+        Client { address, connection: None, connect_timeout: CONNECT_TIMEOUT, pause: Duration::ZERO }
     }
 
     /// The same with its own time for a new connection to come up, as where many come up at once on a busy machine.
-    pub fn with_connect_time(self, connect_time: Duration) -> Client {
-        Client { connect_time, ..self }
+    pub fn with_connect_timeout(self, connect_timeout: Duration) -> Client {
+        Client { connect_timeout, ..self }
     }
 
     /// The same, sending slowly: a pause in the middle of each request.
-    pub fn with_pause(self, pause: Duration) -> Client {
+    pub fn with_mid_request_pause(self, pause: Duration) -> Client {
         Client { pause, ..self }
     }
 
@@ -50,7 +50,7 @@
         self.connection.is_some()
     }
 
-    /// Sends a request and reads its answer, within its deadline. A new connection is made where none is open.
+    /// Sends a request and reads its response, within its deadline. A new connection is made where none is open.
     pub async fn send(&mut self, request: &ClientRequest) -> Outcome {
         let until = Instant::now() + millis(request.deadline_ms as f64);
         let mut outcome = request.outcome();
@@ -59,14 +59,14 @@
             None => return outcome,
         };
         match timeout_at(until, exchange(&mut connection, request, self.pause, &mut outcome)).await {
-            Err(_) => outcome.ending = Ending::TimedOut,
+            Err(_) => outcome.ending = AttemptEnd::TimedOut,
             Ok(Err(WireError::Malformed(_) | WireError::TooLong)) => {
-                outcome.ending = Ending::Malformed;
-                outcome.findings.push(Finding::NoAnswer);
+                outcome.ending = AttemptEnd::Malformed;
+                outcome.findings.push(Finding::MalformedResponse);
             }
-            Ok(Err(_)) => outcome.ending = Ending::Cut,
+            Ok(Err(_)) => outcome.ending = AttemptEnd::Truncated,
             Ok(Ok(())) => {
-                outcome.ending = Ending::Whole;
+                outcome.ending = AttemptEnd::Complete;
                 if !outcome.headers.has_token(names::CONNECTION, "close") {
                     self.connection = Some(connection);
                 }
@@ -82,13 +82,13 @@
             if connection.unused().is_empty() {
                 return Some(connection);
             }
-            outcome.findings.push(Finding::Surplus);
+            outcome.findings.push(Finding::SurplusBytes);
         }
-        let until = until.min(Instant::now() + self.connect_time);
+        let until = until.min(Instant::now() + self.connect_timeout);
         match timeout_at(until, Connection::open(self.address)).await {
             Ok(Ok(connection)) => Some(connection),
             Ok(Err(_)) | Err(_) => {
-                outcome.ending = Ending::NoConnection;
+                outcome.ending = AttemptEnd::ConnectFailed;
                 None
             }
         }
@@ -114,20 +114,20 @@
         tokio::time::sleep(pause).await;
     }
     connection.write(second).await?;
-    let (head, mut framing): (Answer, Framing) = connection.read_answer_head().await?;
+    let (head, mut framing): (Response, Framing) = connection.read_response_head().await?;
     outcome.status = Some(head.status);
     outcome.stamp = head.headers.get(names::SERVER_STAMP).and_then(|stamp| stamp.parse().ok());
     outcome.headers = head.headers;
-    let mut reader = EventReader::default();
+    let mut reader = EventParser::default();
     let is_stream = outcome.headers.get(names::CONTENT_TYPE) == Some(names::EVENT_STREAM);
-    while let Some(piece) = connection.read_piece(&mut framing).await? {
-        outcome.body.extend_from_slice(&piece);
+    while let Some(chunk_bytes) = connection.read_body_chunk(&mut framing).await? {
+        outcome.body.extend_from_slice(&chunk_bytes);
         if is_stream {
-            outcome.events.extend(reader.push(&piece));
+            outcome.events.extend(reader.push(&chunk_bytes));
         }
     }
-    if reader.has_rest() {
-        outcome.findings.push(Finding::BrokenEvent);
+    if reader.has_partial_event() {
+        outcome.findings.push(Finding::PartialEvent);
     }
     Ok(())
 }
--- a/crates/emulator/src/client/request.rs
+++ b/crates/emulator/src/client/request.rs
@@ -1,6 +1,6 @@
 //! What a client sends.
 
-use super::outcome::{Ending, Outcome};
+use super::outcome::{AttemptEnd, Outcome};
 use crate::core::ServerRequest;
 use crate::names;
 use crate::wire::{Headers, Request};
@@ -63,14 +63,15 @@
 
     /// A generation: tokens of the prompt and out, and the named parts of the prompt with their tokens.
     pub fn generation(
-        request_id: &str, host: &str, target: &str, tokens: (u64, u64), parts: &[(u64, u64)],
+        request_id: &str, host: &str, target: &str, tokens: (u64, u64), segments: &[(u64, u64)],
     ) -> ClientRequest {
         let mut request = ClientRequest::post(request_id, host, target, Kind::Stream);
         request.headers.push(names::MODEL, "m");
         request.headers.push(names::TOKEN_COUNTS, format!("{},{}", tokens.0, tokens.1));
-        if !parts.is_empty() {
-            let parts: Vec<String> = parts.iter().map(|(id, tokens)| format!("{id:08x}:{tokens}")).collect();
-            request.headers.push(names::PROMPT_PREFIX, parts.join(","));
+        if !segments.is_empty() {
+            let segments: Vec<String> =
+                segments.iter().map(|(id, tokens)| format!("{id:08x}:{tokens}")).collect();
+            request.headers.push(names::PROMPT_PREFIX, segments.join(","));
         }
         request
     }
@@ -96,13 +97,13 @@
             host: self.host.clone(),
             target: self.target.clone(),
             idempotent: self.kind.is_idempotent(),
-            seen_events: self.headers.parsed(names::LAST_EVENT_ID).unwrap_or(0),
+            received_events: self.headers.parsed(names::LAST_EVENT_ID).unwrap_or(0),
             status: None,
             headers: Headers::new(),
             stamp: None,
             body: Vec::new(),
             events: Vec::new(),
-            ending: Ending::NoConnection,
+            ending: AttemptEnd::ConnectFailed,
             findings: Vec::new(),
         }
     }
--- a/crates/emulator/src/client/retry.rs
+++ b/crates/emulator/src/client/retry.rs
@@ -1,13 +1,13 @@
 //! When a client tries again.
 
-use super::{Client, ClientRequest, Ending, Outcome};
+use super::{AttemptEnd, Client, ClientRequest, Outcome};
 use crate::core::millis;
 use crate::names;
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
 /// The part of the time left that a client waits at most when it is told to.
-const LONGEST_WAIT_SHARE: f64 = 1.0 / 3.0;
+const MAX_WAIT_SHARE: f64 = 1.0 / 3.0;
 
 /// How a client tries again.
 #[derive(Clone, Copy, Debug)]
@@ -34,7 +34,7 @@
             let Some(pause) = pause else {
                 break;
             };
-            let left = until.saturating_duration_since(Instant::now()).mul_f64(LONGEST_WAIT_SHARE);
+            let left = until.saturating_duration_since(Instant::now()).mul_f64(MAX_WAIT_SHARE);
             tokio::time::sleep(millis(pause).min(left)).await;
         }
         outcomes
@@ -42,7 +42,7 @@
 }
 
 fn wants_another(outcome: &Outcome) -> bool {
-    if outcome.promises_not_run() || outcome.ending == Ending::NoConnection {
+    if outcome.promises_not_executed() || outcome.ending == AttemptEnd::ConnectFailed {
         return true;
     }
     let is_final = matches!(outcome.status, Some(400 | 401 | 404 | 413 | 431)) || outcome.is_success();
--- a/crates/emulator/src/cluster/addresses.rs
+++ b/crates/emulator/src/cluster/addresses.rs
@@ -5,13 +5,13 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 
 /// Machines of one kind in a block.
-const MOST_MACHINES: u8 = 100;
+const MAX_MACHINES: u8 = 100;
 /// Between the address of a machine and the one behind its relay; no block has more machines of a kind with relays.
-const BEHIND: u8 = 50;
+const RELAY_OFFSET: u8 = 50;
 /// Servers of a block: up to the host that claims it.
-const MOST_SERVERS: usize = 50;
+const MAX_SERVERS: usize = 50;
 /// Blocks that are tried before giving up.
-const MOST_TRIES: u16 = 2_000;
+const MAX_CLAIM_ATTEMPTS: u16 = 2_000;
 /// The host part and port of the socket that holds a block.
 const CLAIM_HOST: u8 = 254;
 const CLAIM_PORT: u16 = 7_700;
@@ -32,7 +32,7 @@
     /// Claims a block that is free.
     pub fn claim() -> io::Result<Subnet> {
         let mut last = io::Error::other("no block of addresses is free");
-        for _ in 0..MOST_TRIES {
+        for _ in 0..MAX_CLAIM_ATTEMPTS {
             let own = (std::process::id() as u16).wrapping_mul(31);
             let number = own.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % (OCTETS * 256);
             let octets = [(FIRST_OCTET + number / 256) as u8, (number % 256) as u8];
@@ -56,26 +56,26 @@
 
     /// A front.
     pub fn front(&self, index: usize) -> Ipv4Addr {
-        self.host(MOST_MACHINES + 1, index)
+        self.host(MAX_MACHINES + 1, index)
     }
 
     /// Where the processes of a control machine listen if others reach it through a relay.
-    pub fn control_behind(&self, index: usize) -> Ipv4Addr {
-        self.host(1 + BEHIND, index)
+    pub fn control_behind_relay(&self, index: usize) -> Ipv4Addr {
+        self.host(1 + RELAY_OFFSET, index)
     }
 
     /// The same of a front.
-    pub fn front_behind(&self, index: usize) -> Ipv4Addr {
-        self.host(MOST_MACHINES + 1 + BEHIND, index)
+    pub fn front_behind_relay(&self, index: usize) -> Ipv4Addr {
+        self.host(MAX_MACHINES + 1 + RELAY_OFFSET, index)
     }
 
     /// A server beside the machines.
     pub fn server(&self, index: usize) -> Ipv4Addr {
-        self.host(2 * MOST_MACHINES + 1, index % MOST_SERVERS)
+        self.host(2 * MAX_MACHINES + 1, index % MAX_SERVERS)
     }
 
     fn host(&self, first: u8, index: usize) -> Ipv4Addr {
-        let index = u8::try_from(index).unwrap_or(MOST_MACHINES - 1).min(MOST_MACHINES - 1);
+        let index = u8::try_from(index).unwrap_or(MAX_MACHINES - 1).min(MAX_MACHINES - 1);
         address(self.octets, first + index)
     }
 }
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -41,11 +41,11 @@
 }
 
 /// The pause between looks at a process that is starting.
-const LOOK_PAUSE: Duration = Duration::from_millis(25);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 /// Looks before a process counts as one that does not start: 15 s.
-const MOST_LOOKS: usize = 600;
+const MAX_POLLS: usize = 600;
 /// A look that takes longer has failed.
-const LOOK_TIME: Duration = Duration::from_millis(500);
+const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The processes of a front.
 const FRONT_ROLES: [&str; 2] = ["proxy", AGENT];
@@ -71,7 +71,7 @@
     /// Where they are; on the first fronts, there must be as many of these.
     pub placement: Placement,
     /// Machines that count and may be lost at once.
-    pub tolerated: usize,
+    pub fault_tolerance: usize,
     /// The platform's list.
     pub cloud: SocketAddr,
     /// Added to the `[Bounds]` of the settings, as `Name = value` lines.
@@ -87,51 +87,51 @@
 /// The machines and processes of a fleet. All processes end when it is dropped.
 pub struct Cluster {
     binary: PathBuf,
-    folder: PathBuf,
+    directory: PathBuf,
     subnet: Subnet,
     options: ClusterOptions,
     processes: BTreeMap<String, Process>,
-    first_start: bool,
+    is_first_start: bool,
     /// Control machines that count, the first ones; the others serve without a vote.
-    counting: usize,
+    voting_machines: usize,
     /// Other seeds than the first control machines, from the next starts on.
     seeds: Option<Vec<SocketAddr>>,
     /// Whether somebody else has taken the violated invariants up.
-    are_violations_taken: bool,
+    are_violations_reported: bool,
 }
 
 impl Cluster {
     /// Prepares folders and addresses; starts nothing. `subnet` has to be held by the caller's servers as well, if they are
     /// to stand beside the machines.
     pub fn new(binary: &Path, subnet: Subnet, options: ClusterOptions) -> io::Result<Cluster> {
-        let folder =
+        let directory =
             std::env::temp_dir().join(format!("lugwharf-cluster-{}-{}", std::process::id(), subnet.number()));
-        if folder.exists() {
-            std::fs::remove_dir_all(&folder)?;
+        if directory.exists() {
+            std::fs::remove_dir_all(&directory)?;
         }
-        std::fs::create_dir_all(&folder)?;
+        std::fs::create_dir_all(&directory)?;
         let binary = binary.to_owned();
-        let (processes, counting) = (BTreeMap::new(), usize::MAX);
+        let (processes, voting_machines) = (BTreeMap::new(), usize::MAX);
         Ok(Cluster {
             binary,
-            folder,
+            directory,
             subnet,
             options,
             processes,
-            first_start: true,
-            counting,
+            is_first_start: true,
+            voting_machines,
             seeds: None,
-            are_violations_taken: false,
+            are_violations_reported: false,
         })
     }
 
     /// Lets only the first control machines count, from their next start on.
-    pub fn let_count(&mut self, machines: usize) {
-        self.counting = machines;
+    pub fn set_voting_machines(&mut self, machines: usize) {
+        self.voting_machines = machines;
     }
 
     /// Names these control addresses as seeds to processes that start from now on.
-    pub fn name_seeds(&mut self, seeds: Vec<SocketAddr>) {
+    pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = Some(seeds);
     }
 
@@ -187,22 +187,22 @@
     }
 
     /// The address from which the processes of a control machine connect, and on which they listen.
-    pub fn control_bound(&self, index: usize) -> Ipv4Addr {
+    pub fn control_bind_ip(&self, index: usize) -> Ipv4Addr {
         match (self.options.placement, self.options.relayed) {
-            (Placement::Core, true) => self.subnet.control_behind(index),
+            (Placement::Core, true) => self.subnet.control_behind_relay(index),
             (Placement::Core, false) => self.subnet.control(index),
-            (Placement::Fronts, _) => self.front_bound(index),
+            (Placement::Fronts, _) => self.front_bind_ip(index),
         }
     }
 
     /// The address from which the agent of a front connects.
-    pub fn front_bound(&self, index: usize) -> Ipv4Addr {
-        if self.options.relayed { self.subnet.front_behind(index) } else { self.subnet.front(index) }
+    pub fn front_bind_ip(&self, index: usize) -> Ipv4Addr {
+        if self.options.relayed { self.subnet.front_behind_relay(index) } else { self.subnet.front(index) }
     }
 
     /// Where a process of a control machine listens, and where others reach it: the operator's API, peers, agents.
     pub fn relayed_addresses(&self, index: usize) -> [(SocketAddr, SocketAddr); 3] {
-        let (public, bound) = (self.control_ip(index), self.control_bound(index));
+        let (public, bound) = (self.control_ip(index), self.control_bind_ip(index));
         [ports::CONTROL, ports::INTERNAL_FIRST, ports::INTERNAL_FIRST + 1]
             .map(|port| (SocketAddr::from((public, port)), SocketAddr::from((bound, port))))
     }
@@ -214,8 +214,8 @@
 
     /// What a control machine tells of itself; nothing if it does not answer.
     pub async fn control_status(&self, index: usize) -> Option<serde_json::Value> {
-        let answer = call_once(self.control_address(index), &Request::new("GET", "/status")).await.ok()?;
-        serde_json::from_slice(&answer.body).ok()
+        let response = call_once(self.control_address(index), &Request::new("GET", "/status")).await.ok()?;
+        serde_json::from_slice(&response.body).ok()
     }
 
     /// An operator who knows all control machines.
@@ -234,14 +234,14 @@
         for index in 0..self.options.fronts {
             self.start_front(index)?;
         }
-        self.first_start = false;
+        self.is_first_start = false;
         Ok(())
     }
 
     /// Starts the process of a control machine, with whatever is on its disk. An index beyond the machines of the first start
     /// stands for a machine that was added.
     pub fn start_control(&mut self, index: usize) -> io::Result<()> {
-        std::fs::create_dir_all(self.data_folder(index))?;
+        std::fs::create_dir_all(self.data_directory(index))?;
         let spec = self.control_settings(index);
         self.start_process(&control_name(index), &spec.role, &spec)
     }
@@ -308,13 +308,13 @@
     }
 
     /// Empties the disk of a control machine whose process does not run.
-    pub fn wipe_control(&mut self, index: usize) -> io::Result<()> {
-        std::fs::remove_dir_all(self.data_folder(index))
+    pub fn wipe_control_disk(&mut self, index: usize) -> io::Result<()> {
+        std::fs::remove_dir_all(self.data_directory(index))
     }
 
     /// The disk of a control machine.
-    pub fn data_folder(&self, index: usize) -> PathBuf {
-        self.folder.join(control_name(index)).join("data")
+    pub fn data_directory(&self, index: usize) -> PathBuf {
+        self.directory.join(control_name(index)).join("data")
     }
 
     /// Asks one process to end, as SIGTERM does.
@@ -331,8 +331,8 @@
     }
 
     /// The folder with the settings and the output of each process.
-    pub fn folder(&self) -> &Path {
-        &self.folder
+    pub fn directory(&self) -> &Path {
+        &self.directory
     }
 
     /// The process of that name: `control-0`, `front-0-proxy`, `front-0-agent`.
@@ -342,7 +342,7 @@
 
     /// The metrics of both processes of a front, proxy first, or nothing of one that does not answer.
     pub async fn front_metrics(&self, index: usize) -> [Option<String>; 2] {
-        let ip = self.front_bound(index);
+        let ip = self.front_bind_ip(index);
         let proxy = metrics_text(SocketAddr::from((ip, ports::METRICS))).await;
         [proxy, metrics_text(SocketAddr::from((ip, ports::AGENT_METRICS))).await]
     }
@@ -354,12 +354,12 @@
             // The port of the machine's proxy; the replica tells its metrics beside the operator's API.
             Placement::Fronts => ports::CONTROL,
         };
-        metrics_text(SocketAddr::from((self.control_bound(index), port))).await
+        metrics_text(SocketAddr::from((self.control_bind_ip(index), port))).await
     }
 
     /// Lines that tell of violated invariants, for a caller that judges them itself: the cluster then ends without a word.
     pub fn take_violations(&mut self) -> Vec<String> {
-        self.are_violations_taken = true;
+        self.are_violations_reported = true;
         self.violations()
     }
 
@@ -392,7 +392,7 @@
     /// Waits until a front calls itself ready.
     pub async fn wait_front_ready(&self, index: usize) -> bool {
         let address = self.ready_address(index);
-        poll(|| async move { ready_status(address).await == Some(200) }).await
+        poll(|| async move { readiness_status(address).await == Some(200) }).await
     }
 
     fn end(&mut self, name: &str, signal: Signal) -> io::Result<()> {
@@ -405,14 +405,14 @@
     }
 
     fn start_process(&mut self, name: &str, role: &str, spec: &SettingsSpec) -> io::Result<()> {
-        let folder = self.folder.join(name);
-        std::fs::create_dir_all(&folder)?;
-        let settings = folder.join("settings.toml");
+        let directory = self.directory.join(name);
+        std::fs::create_dir_all(&directory)?;
+        let settings = directory.join("settings.toml");
         std::fs::write(&settings, spec.to_toml())?;
         let metrics = if role == AGENT { ports::AGENT_METRICS } else { ports::METRICS };
         let mut arguments = self.options.arguments.clone();
         arguments.extend(["--metrics".to_owned(), metrics.to_string()]);
-        let process = Process::start(&self.binary, role, &arguments, &settings, &folder)?;
+        let process = Process::start(&self.binary, role, &arguments, &settings, &directory)?;
         self.processes.insert(name.to_owned(), process);
         Ok(())
     }
@@ -429,9 +429,9 @@
             || (0..self.options.controls.min(3)).map(|index| self.control_address(index)).collect();
         SettingsSpec {
             node,
-            bootstrap: self.first_start,
+            bootstrap: self.is_first_start,
             seeds: self.seeds.clone().unwrap_or_else(first_seeds),
-            tolerated: self.options.tolerated,
+            fault_tolerance: self.options.fault_tolerance,
             cloud: Some(self.options.cloud),
             bounds: self.options.bounds.clone(),
             max_fds: self.options.max_fds,
@@ -448,10 +448,10 @@
             serves: vec!["control".to_owned()],
             ip: self.control_ip(index).into(),
             feed_address: is_hosted.then(|| SocketAddr::from((self.subnet.front(index), ports::FEED))),
-            bind: self.options.relayed.then(|| IpAddr::from(self.control_bound(index))),
-            control: Some(SocketAddr::from((self.control_bound(index), ports::CONTROL))),
-            data_dir: Some(self.data_folder(index)),
-            counts_for_quorum: index < self.counting,
+            bind: self.options.relayed.then(|| IpAddr::from(self.control_bind_ip(index))),
+            control: Some(SocketAddr::from((self.control_bind_ip(index), ports::CONTROL))),
+            data_dir: Some(self.data_directory(index)),
+            counts_for_quorum: index < self.voting_machines,
             ..self.common_settings(control_name(index))
         }
     }
@@ -465,12 +465,12 @@
             (false, false) => Vec::new(),
         };
         SettingsSpec {
-            control: is_gateway.then(|| SocketAddr::from((self.front_bound(index), ports::CONTROL))),
+            control: is_gateway.then(|| SocketAddr::from((self.front_bind_ip(index), ports::CONTROL))),
             role: role.to_owned(),
             machine_class: class::FRONT,
             serves,
             ip: self.subnet.front(index).into(),
-            bind: self.options.relayed.then(|| IpAddr::from(self.front_bound(index))),
+            bind: self.options.relayed.then(|| IpAddr::from(self.front_bind_ip(index))),
             front: is_proxy.then(|| self.front_address(index)),
             ready: is_proxy.then(|| self.ready_address(index)),
             feed_address: Some(SocketAddr::from((self.subnet.front(index), ports::FEED))),
@@ -483,9 +483,9 @@
     fn drop(&mut self) {
         let violations = self.violations();
         self.processes.clear();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
         // No test passes beside a violated invariant. One that fails already tells its own reason.
-        if !std::thread::panicking() && !self.are_violations_taken {
+        if !std::thread::panicking() && !self.are_violations_reported {
             assert!(violations.is_empty(), "violated invariants: {violations:#?}");
         }
     }
@@ -493,8 +493,8 @@
 
 /// What `GET /metrics` at that address tells, if it answers.
 async fn metrics_text(address: SocketAddr) -> Option<String> {
-    let answer = call_once(address, &Request::new("GET", "/metrics")).await.ok()?;
-    (answer.status == 200).then(|| String::from_utf8_lossy(&answer.body).into_owned())
+    let response = call_once(address, &Request::new("GET", "/metrics")).await.ok()?;
+    (response.status == 200).then(|| String::from_utf8_lossy(&response.body).into_owned())
 }
 
 fn control_name(index: usize) -> String {
@@ -503,23 +503,23 @@
 
 /// Looks again and again until `look` holds; false if it never does. Only for real processes, whose pace is not ours.
 pub async fn poll<F: Future<Output = bool>>(mut look: impl FnMut() -> F) -> bool {
-    for _ in 0..MOST_LOOKS {
+    for _ in 0..MAX_POLLS {
         if look().await {
             return true;
         }
-        tokio::time::sleep(LOOK_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     false
 }
 
-/// The status of `GET /ready` at that address, if there is an answer.
-pub async fn ready_status(address: SocketAddr) -> Option<u16> {
+/// The status of `GET /ready` at that address, if there is a response.
+pub async fn readiness_status(address: SocketAddr) -> Option<u16> {
     let call = async {
         let mut connection = Connection::open(address).await.ok()?;
         let mut request = Request::new("GET", "/ready");
         request.headers.push("Host", address.to_string());
         connection.write(&request.encode()).await.ok()?;
-        connection.read_answer().await.ok().map(|answer| answer.status)
+        connection.read_response().await.ok().map(|response| response.status)
     };
-    tokio::time::timeout(LOOK_TIME, call).await.ok().flatten()
+    tokio::time::timeout(READINESS_TIMEOUT, call).await.ok().flatten()
 }
--- a/crates/emulator/src/cluster/process.rs
+++ b/crates/emulator/src/cluster/process.rs
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 
 /// Variables of the caller that a process gets.
-const KEPT_VARIABLES: [&str; 3] = ["PATH", "HOME", "LANG"];
+const INHERITED_VARIABLES: [&str; 3] = ["PATH", "HOME", "LANG"];
 
 /// What a process is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,13 +33,13 @@
 impl Process {
     /// Starts `binary role arguments` with that settings file; its output goes to a file in the folder.
     pub fn start(
-        binary: &Path, role: &str, arguments: &[String], settings: &Path, folder: &Path,
+        binary: &Path, role: &str, arguments: &[String], settings: &Path, directory: &Path,
     ) -> io::Result<Process> {
-        let output = folder.join("output.log");
+        let output = directory.join("output.log");
         let log = File::options().create(true).append(true).open(&output)?;
         let mut command = Command::new(binary);
         command.arg(role).args(arguments).env_clear().env("LUGWHARF_BOOT", settings).stdin(Stdio::null());
-        for name in KEPT_VARIABLES {
+        for name in INHERITED_VARIABLES {
             if let Some(value) = std::env::var_os(name) {
                 command.env(name, value);
             }
@@ -67,7 +67,7 @@
 
     /// Changes how many descriptors it may open from now on, at most as many as it could at its start. What is open stays
     /// open.
-    pub fn limit_descriptors(&mut self, most: usize) -> io::Result<()> {
+    pub fn limit_open_descriptors(&mut self, most: usize) -> io::Result<()> {
         if self.child.try_wait()?.is_some() {
             return Ok(());
         }
--- a/crates/emulator/src/cluster/settings_file.rs
+++ b/crates/emulator/src/cluster/settings_file.rs
@@ -36,7 +36,7 @@
     /// Whether the machine counts.
     pub counts_for_quorum: bool,
     /// Machines that may be lost at once.
-    pub tolerated: usize,
+    pub fault_tolerance: usize,
     /// The disk.
     pub data_dir: Option<PathBuf>,
     /// Where clients connect.
@@ -67,7 +67,7 @@
             seeds: Vec::new(),
             bootstrap: false,
             counts_for_quorum: false,
-            tolerated: 1,
+            fault_tolerance: 1,
             data_dir: None,
             front: None,
             ready: None,
@@ -80,7 +80,7 @@
     }
 }
 
-const USUAL_BOUNDS: [(&str, &str); 18] = [
+const DEFAULT_BOUNDS: [(&str, &str); 18] = [
     ("SeedLagS", "3"),
     ("ReuseAfterS", "2"),
     ("ContactMs", "3000"),
@@ -129,8 +129,8 @@
             out,
             "Contracts = [\"base\", \"drain\", \"config\", \"retry\", \"recover\", \"split\", \"stream\", \"engine\"]"
         )?;
-        if let Some(folder) = &self.data_dir {
-            writeln!(out, "DataDir = {:?}", folder.to_string_lossy())?;
+        if let Some(directory) = &self.data_dir {
+            writeln!(out, "DataDir = {:?}", directory.to_string_lossy())?;
         }
         if let Some(address) = self.feed_address {
             writeln!(out, "FeedAddress = \"{address}\"")?;
@@ -144,7 +144,7 @@
             self.max_fds
         )?;
         writeln!(out, "DiskMb = {disk_mb}")?;
-        writeln!(out, "[FaultTolerance]\nMachines = {}\nZones = 0\nRegions = 0", self.tolerated)?;
+        writeln!(out, "[FaultTolerance]\nMachines = {}\nZones = 0\nRegions = 0", self.fault_tolerance)?;
         self.write_bounds(out)?;
         if let Some(address) = self.cloud {
             writeln!(out, "[Cloud]\nAddress = \"{address}\"\nRatePerS = 47.0\nDuties = []\nLagMs = 50")?;
@@ -165,7 +165,7 @@
 
     fn write_bounds(&self, out: &mut String) -> std::fmt::Result {
         writeln!(out, "[Bounds]\nFenced = true\nThawMs = 300")?;
-        for (name, value) in USUAL_BOUNDS {
+        for (name, value) in DEFAULT_BOUNDS {
             if !self.bounds.iter().any(|(own, _)| own == name) {
                 writeln!(out, "{name} = {value}")?;
             }
--- a/crates/emulator/src/configuration.rs
+++ b/crates/emulator/src/configuration.rs
@@ -94,8 +94,8 @@
             kv_tokens: parameters.kv_tokens,
             kv_token_bytes: parameters.kv_token_bytes,
             link_mbps: parameters.link_mbps,
-            kv_hold_s: parameters.handle_hold.as_secs_f64(),
-            switch_s: parameters.switch_time.as_secs_f64(),
+            kv_hold_s: parameters.handle_ttl.as_secs_f64(),
+            switch_s: parameters.switch_duration.as_secs_f64(),
         }
     }
 }
--- a/crates/emulator/src/content.rs
+++ b/crates/emulator/src/content.rs
@@ -11,9 +11,9 @@
 }
 
 /// The hash of several texts with their bounds.
-pub fn hash_all(parts: &[&[u8]]) -> u64 {
+pub fn hash_all(segments: &[&[u8]]) -> u64 {
     let mut joined = Vec::new();
-    for part in parts {
+    for part in segments {
         joined.extend_from_slice(&(part.len() as u64).to_be_bytes());
         joined.extend_from_slice(part);
     }
--- a/crates/emulator/src/core.rs
+++ b/crates/emulator/src/core.rs
@@ -1,8 +1,8 @@
 //! What a server core takes and gives: a state machine without I/O, `(event, now) -> actions`.
 
 use crate::names;
-use crate::stamp::{Stamp, Whole};
-use crate::wire::{Answer, Headers, Request};
+use crate::stamp::{ExpectedBody, Stamp};
+use crate::wire::{Headers, Request, Response};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
 
 impl From<Request> for ServerRequest {
     fn from(request: Request) -> Self {
-        let parts = [request.method.as_bytes(), request.target.as_bytes(), &request.body];
-        let content = crate::content::hash_all(&parts);
+        let segments = [request.method.as_bytes(), request.target.as_bytes(), &request.body];
+        let content = crate::content::hash_all(&segments);
         ServerRequest {
             content,
             method: request.method,
@@ -68,18 +68,18 @@
     /// The request it was read for.
     pub request_id: String,
     /// The parts of the prompt, each with its tokens.
-    pub parts: Vec<(u64, u64)>,
+    pub segments: Vec<(u64, u64)>,
     /// All tokens.
     pub tokens: u64,
     /// The version of the weights that read it.
     pub version: u64,
     /// The zone and region of the server that read it.
-    pub place: Place,
+    pub location: Location,
 }
 
 /// Where a server stands.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// The zone.
     pub zone: String,
     /// The region.
@@ -101,8 +101,8 @@
         /// The call.
         call: CallId,
     },
-    /// The answer to [`Action::TakeHandle`]; nothing if it is gone or the other server can't be reached.
-    HandleTaken {
+    /// The response to [`Action::FetchHandle`]; nothing if it is gone or the other server can't be reached.
+    HandleFetched {
         /// The call that asked.
         call: CallId,
         /// The memory.
@@ -119,19 +119,19 @@
 /// What a server does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// A whole answer.
-    Answer {
+    /// A whole response.
+    Respond {
         /// For that call.
         call: CallId,
-        /// The answer.
-        answer: Answer,
+        /// The response.
+        response: Response,
     },
     /// The head of a stream.
     Head {
         /// For that call.
         call: CallId,
         /// Status and headers.
-        head: Answer,
+        head: Response,
     },
     /// The bytes of one event.
     Event {
@@ -145,20 +145,20 @@
         /// For that call.
         call: CallId,
     },
-    /// The answer ends here, although it is not whole.
-    Cut {
+    /// The response ends here, although it is not whole.
+    Truncate {
         /// For that call.
         call: CallId,
     },
     /// Work on the request began.
-    Ran {
+    Started {
         /// The call.
         call: CallId,
         /// The request that the memory was read for, if it was fetched.
-        memory_of: Option<String>,
+        kv_owner: Option<String>,
     },
     /// The memory behind a handle of another server is wanted.
-    TakeHandle {
+    FetchHandle {
         /// For that call.
         call: CallId,
         /// The server that has it.
@@ -185,7 +185,7 @@
     fn identity(&self) -> &Identity;
 }
 
-/// Who a server is, and what every answer of it carries.
+/// Who a server is, and what every response of it carries.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// Its incarnation.
@@ -193,7 +193,7 @@
     /// Its service.
     pub service: String,
     /// Where it stands.
-    pub place: Place,
+    pub location: Location,
     /// The path of its health check.
     pub health_path: String,
     /// Seconds that idle connections are kept, if it tells.
@@ -208,7 +208,7 @@
         Identity {
             instance: instance.to_owned(),
             service: service.to_owned(),
-            place: Place::default(),
+            location: Location::default(),
             health_path: "/health".to_owned(),
             keep_alive_s: Some(30),
             tells_load: true,
@@ -216,7 +216,7 @@
     }
 
     /// The 400 or 421 that a request gets whatever the server's state.
-    pub fn refusal(&self, request: &ServerRequest) -> Option<Answer> {
+    pub fn refusal(&self, request: &ServerRequest) -> Option<Response> {
         if request.request_id().is_none() {
             return Some(self.rejection(400, request));
         }
@@ -224,31 +224,31 @@
         (expected != self.instance).then(|| self.rejection(421, request))
     }
 
-    /// An answer to a request that did not run and never will.
-    pub fn rejection(&self, status: u16, request: &ServerRequest) -> Answer {
-        let stamp = self.stamp(0, status, Whole::Body { length: 0, hash: crate::content::hash(b"") });
-        self.signed(Answer::new(status), request.request_id(), &stamp).with(names::NOT_EXECUTED, "1")
+    /// A response to a request that did not run and never will.
+    pub fn rejection(&self, status: u16, request: &ServerRequest) -> Response {
+        let stamp = self.stamp(0, status, ExpectedBody::Bytes { length: 0, hash: crate::content::hash(b"") });
+        self.signed(Response::new(status), request.request_id(), &stamp).with(names::NOT_EXECUTED, "1")
     }
 
     /// A stamp of this server.
-    pub fn stamp(&self, run: u64, status: u16, whole: Whole) -> Stamp {
-        Stamp { instance: self.instance.clone(), run, status, whole }
+    pub fn stamp(&self, run: u64, status: u16, expected_body: ExpectedBody) -> Stamp {
+        Stamp { instance: self.instance.clone(), run, status, expected_body }
     }
 
-    /// The answer with the headers that go with every answer to a request.
-    pub fn signed(&self, answer: Answer, request_id: Option<&str>, stamp: &Stamp) -> Answer {
-        let mut answer = answer.with(names::SERVER_STAMP, stamp.to_string());
+    /// The response with the headers that go with every response to a request.
+    pub fn signed(&self, response: Response, request_id: Option<&str>, stamp: &Stamp) -> Response {
+        let mut response = response.with(names::SERVER_STAMP, stamp.to_string());
         if let Some(id) = request_id {
-            answer.headers.set(names::REQUEST_ID, id);
+            response.headers.set(names::REQUEST_ID, id);
         }
         if let Some(seconds) = self.keep_alive_s {
-            answer.headers.set(names::KEEP_ALIVE, format!("timeout={seconds}"));
+            response.headers.set(names::KEEP_ALIVE, format!("timeout={seconds}"));
         }
-        answer
+        response
     }
 
-    /// The answer to a health check.
-    pub fn health(&self, healthy: bool) -> Answer {
-        Answer::new(if healthy { 200 } else { 503 }).with(names::INSTANCE_ID, &self.instance)
+    /// The response to a health check.
+    pub fn health(&self, healthy: bool) -> Response {
+        Response::new(if healthy { 200 } else { 503 }).with(names::INSTANCE_ID, &self.instance)
     }
 }
--- a/crates/emulator/src/events.rs
+++ b/crates/emulator/src/events.rs
@@ -13,24 +13,24 @@
 
 /// Collects bytes and gives whole events.
 #[derive(Clone, Debug, Default)]
-pub struct EventReader {
+pub struct EventParser {
     pending: Vec<u8>,
 }
 
-impl EventReader {
+impl EventParser {
     /// Adds bytes; returns the events that are whole now.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<Event> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
         while let Some(end) = self.pending.windows(2).position(|pair| pair == b"\n\n") {
-            let whole: Vec<u8> = self.pending.drain(..end + 2).collect();
-            events.push(parse(&String::from_utf8_lossy(&whole)));
+            let expected_body: Vec<u8> = self.pending.drain(..end + 2).collect();
+            events.push(parse(&String::from_utf8_lossy(&expected_body)));
         }
         events
     }
 
     /// Whether bytes are left that make no whole event.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 }
--- a/crates/emulator/src/fault.rs
+++ b/crates/emulator/src/fault.rs
@@ -7,23 +7,23 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// The connection is reset when the request has been read; it does not run.
-    ResetBeforeRun,
-    /// The request runs to its end; the connection is reset in place of an answer.
-    LoseAnswer,
-    /// The answer goes out whole; then the connection is reset.
-    ResetAfterAnswer,
+    ResetBeforeExecution,
+    /// The request runs to its end; the connection is reset in place of a response.
+    DropResponse,
+    /// The response goes out whole; then the connection is reset.
+    ResetAfterResponse,
     /// So many events go out whole, then half of the next.
-    CutStream {
+    TruncateStream {
         /// Events that go out.
         after_events: usize,
         /// Whether the connection ends by a reset.
         reset: bool,
     },
-    /// Another answer, with another id, follows the whole one on the same connection.
-    SurplusAnswer,
-    /// The answer carries the id of another request.
-    WrongId,
-    /// Bytes that are no answer come instead of one; the request does not run.
+    /// Another response, with another id, follows the whole one on the same connection.
+    SurplusResponse,
+    /// The response carries the id of another request.
+    WrongRequestId,
+    /// Bytes that are no response come instead of one; the request does not run.
     Garbage,
     /// The request is read and never answered; it does not run.
     Hang,
@@ -93,11 +93,11 @@
 
 /// Whether a server can be reached at all.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reach {
+pub enum Reachability {
     /// It serves.
-    Open,
+    Serving,
     /// Connections come up, and nothing is read or written.
-    Dark,
+    Blackholed,
     /// Each connection is reset.
     Refusing,
     /// The process is gone: nothing listens, and open connections are reset.
--- a/crates/emulator/src/host/connection.rs
+++ b/crates/emulator/src/host/connection.rs
@@ -2,10 +2,10 @@
 
 use super::Shared;
 use crate::core::{Action, ServerCore, ServerEvent, ServerRequest};
-use crate::fault::{Fault, Reach};
-use crate::ledger::{Arrival, OrderSeen};
+use crate::fault::{Fault, Reachability};
 use crate::names;
-use crate::wire::{Answer, Connection, Request, chunk};
+use crate::request_log::{Arrival, ReceivedOrder};
+use crate::wire::{Connection, Request, Response, chunk};
 use std::io;
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -17,7 +17,7 @@
 const FOREIGN_ID: &str = "f0f0f0f0f0f0f0f0";
 
 /// A server that forgets connections forgets those that have rested for so long.
-const FORGOTTEN_AFTER: Duration = Duration::from_millis(300);
+const DROPPED_AFTER_IDLE: Duration = Duration::from_millis(300);
 
 /// What becomes of a connection after a request.
 enum After {
@@ -28,11 +28,11 @@
 
 /// Serves a connection until it ends or the server does.
 pub(super) async fn serve<C: ServerCore>(shared: Arc<Shared<C>>, stream: TcpStream) {
-    let mut reach = shared.reach.subscribe();
+    let mut reachability = shared.reachability.subscribe();
     let mut connection = Connection::new(stream);
     let after = tokio::select! {
         after = serve_requests(&shared, &mut connection) => after,
-        _ = reach.wait_for(|reach| matches!(reach, Reach::Down | Reach::Refusing)) => After::Reset,
+        _ = reachability.wait_for(|reachability| matches!(reachability, Reachability::Down | Reachability::Refusing)) => After::Reset,
     };
     match after {
         After::Reset => connection.reset(),
@@ -43,16 +43,16 @@
 async fn serve_requests<C: ServerCore>(shared: &Shared<C>, connection: &mut Connection) -> After {
     let mut is_kept = false;
     loop {
-        shared.lit().await;
-        if std::mem::replace(&mut is_kept, true) && is_forgotten(shared, connection).await {
+        shared.wait_while_blackholed().await;
+        if std::mem::replace(&mut is_kept, true) && is_dropped_while_idle(shared, connection).await {
             return After::Reset;
         }
         let read = tokio::time::timeout(shared.options.idle, connection.read_request()).await;
-        shared.lit().await;
+        shared.wait_while_blackholed().await;
         let request = match read {
             Ok(Ok(Some(request))) => request,
             Ok(Err(crate::wire::WireError::Malformed(_))) => {
-                let _ = connection.write(&Answer::new(400).encode()).await;
+                let _ = connection.write(&Response::new(400).encode()).await;
                 return After::Close;
             }
             _ => return After::Close,
@@ -66,11 +66,11 @@
 }
 
 /// Whether a kept connection is forgotten by the time at which something comes on it.
-async fn is_forgotten<C: ServerCore>(shared: &Shared<C>, connection: &mut Connection) -> bool {
+async fn is_dropped_while_idle<C: ServerCore>(shared: &Shared<C>, connection: &mut Connection) -> bool {
     let rested_since = tokio::time::Instant::now();
     let came = tokio::time::timeout(shared.options.idle, connection.fill()).await;
     let has_come = matches!(came, Ok(Ok(bytes)) if bytes > 0);
-    has_come && rested_since.elapsed() >= FORGOTTEN_AFTER && shared.forgets.load(Ordering::Relaxed)
+    has_come && rested_since.elapsed() >= DROPPED_AFTER_IDLE && shared.drops_idle.load(Ordering::Relaxed)
 }
 
 async fn serve_request<C: ServerCore>(
@@ -81,7 +81,7 @@
     let request = ServerRequest::from(request);
     shared.record(&request);
     match fault {
-        Some(Fault::ResetBeforeRun) => return Ok(After::Reset),
+        Some(Fault::ResetBeforeExecution) => return Ok(After::Reset),
         Some(Fault::Garbage) => {
             connection.write(b"\x00\x01no answer at all\r\n\r\n").await?;
             return Ok(After::Close);
@@ -121,7 +121,7 @@
     }
 }
 
-/// Writes what the core answers, until the answer or the connection ends.
+/// Writes what the core answers, until the response or the connection ends.
 async fn relay<C: ServerCore>(
     shared: &Shared<C>, connection: &mut Connection, mut actions: UnboundedReceiver<Action>,
     fault: Option<Fault>,
@@ -145,25 +145,27 @@
         let Some(action) = action else {
             return Ok(After::Close);
         };
-        shared.lit().await;
-        if fault == Some(Fault::LoseAnswer) {
+        shared.wait_while_blackholed().await;
+        if fault == Some(Fault::DropResponse) {
             match action {
-                Action::Answer { .. } | Action::End { .. } | Action::Cut { .. } => return Ok(After::Reset),
+                Action::Respond { .. } | Action::End { .. } | Action::Truncate { .. } => {
+                    return Ok(After::Reset);
+                }
                 _ => continue,
             }
         }
         match action {
-            Action::Answer { answer, .. } => {
-                closes = answer.headers.has_token(names::CONNECTION, "close");
-                connection.write(&misattributed(answer, &fault).encode()).await?;
+            Action::Respond { response, .. } => {
+                closes = response.headers.has_token(names::CONNECTION, "close");
+                connection.write(&with_fault_id(response, &fault).encode()).await?;
                 return finish(connection, &fault, closes).await;
             }
             Action::Head { head, .. } => {
                 closes = head.headers.has_token(names::CONNECTION, "close");
-                connection.write(&misattributed(head, &fault).encode_chunked_head()).await?;
+                connection.write(&with_fault_id(head, &fault).encode_chunked_head()).await?;
             }
             Action::Event { bytes, .. } => {
-                if let Some(Fault::CutStream { after_events, reset }) = fault
+                if let Some(Fault::TruncateStream { after_events, reset }) = fault
                     && events == after_events
                 {
                     let whole = chunk(&bytes);
@@ -177,25 +179,25 @@
                 connection.write(&chunk(b"")).await?;
                 return finish(connection, &fault, closes).await;
             }
-            Action::Cut { .. } => return Ok(After::Reset),
-            Action::Ran { .. } | Action::TakeHandle { .. } => {}
+            Action::Truncate { .. } => return Ok(After::Reset),
+            Action::Started { .. } | Action::FetchHandle { .. } => {}
         }
     }
 }
 
-fn misattributed(answer: Answer, fault: &Option<Fault>) -> Answer {
+fn with_fault_id(response: Response, fault: &Option<Fault>) -> Response {
     match fault {
-        Some(Fault::WrongId) => answer.with(names::REQUEST_ID, FOREIGN_ID),
-        _ => answer,
+        Some(Fault::WrongRequestId) => response.with(names::REQUEST_ID, FOREIGN_ID),
+        _ => response,
     }
 }
 
-/// What follows a whole answer.
+/// What follows a whole response.
 async fn finish(connection: &mut Connection, fault: &Option<Fault>, closes: bool) -> io::Result<After> {
     match fault {
-        Some(Fault::ResetAfterAnswer) => return Ok(After::Reset),
-        Some(Fault::SurplusAnswer) => {
-            let mut surplus = Answer::new(200).with(names::REQUEST_ID, FOREIGN_ID);
+        Some(Fault::ResetAfterResponse) => return Ok(After::Reset),
+        Some(Fault::SurplusResponse) => {
+            let mut surplus = Response::new(200).with(names::REQUEST_ID, FOREIGN_ID);
             surplus.body = b"belongs to no request".to_vec();
             connection.write(&surplus.encode()).await?;
         }
@@ -206,20 +208,24 @@
 
 impl<C: ServerCore> Shared<C> {
     /// Waits while the server is dark.
-    async fn lit(&self) {
-        let mut reach = self.reach.subscribe();
-        let _ = reach.wait_for(|reach| *reach != Reach::Dark).await;
+    async fn wait_while_blackholed(&self) {
+        let mut reachability = self.reachability.subscribe();
+        let _ = reachability.wait_for(|reachability| *reachability != Reachability::Blackholed).await;
     }
 
     fn record(&self, request: &ServerRequest) {
         let identity = super::lock(&self.core).identity().clone();
-        let ledger = self.world.ledger();
+        let request_log = self.world.request_log();
         if request.method == "POST" && request.path() == "/order" {
             let body = String::from_utf8_lossy(&request.body).into_owned();
-            ledger.ordered(OrderSeen { at: self.world.now(), instance: identity.instance, body });
+            request_log.record_order(ReceivedOrder {
+                at: self.world.now(),
+                instance: identity.instance,
+                body,
+            });
             return;
         }
-        ledger.arrived(Arrival {
+        request_log.record_arrival(Arrival {
             at: self.world.now(),
             instance: identity.instance,
             service: identity.service,
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -6,10 +6,10 @@
 pub use world::World;
 
 use crate::core::{Action, CallId, ServerCore, ServerEvent};
-use crate::fault::{Fault, FaultPlan, Matcher, Reach};
-use crate::ledger::{Run, WorkEnd};
+use crate::fault::{Fault, FaultPlan, Matcher, Reachability};
 use crate::model_server::ModelServer;
 use crate::platform::StageSource;
+use crate::request_log::{Completion, Execution};
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
@@ -21,7 +21,7 @@
 
 /// How a server treats connections.
 #[derive(Clone, Debug)]
-pub struct HostOptions {
+pub struct ServerOptions {
     /// Connections from all callers together; more are reset.
     pub max_connections: usize,
     /// Connections that rest for longer are closed.
@@ -30,9 +30,9 @@
     pub drops_on_close: bool,
 }
 
-impl Default for HostOptions {
+impl Default for ServerOptions {
     fn default() -> Self {
-        HostOptions { max_connections: 350, idle: Duration::from_secs(30), drops_on_close: true }
+        ServerOptions { max_connections: 350, idle: Duration::from_secs(30), drops_on_close: true }
     }
 }
 
@@ -49,12 +49,12 @@
     core: Mutex<C>,
     calls: Mutex<HashMap<CallId, OpenCall>>,
     faults: Mutex<FaultPlan>,
-    reach: watch::Sender<Reach>,
+    reachability: watch::Sender<Reachability>,
     /// Whether it forgets connections that rest.
-    forgets: AtomicBool,
+    drops_idle: AtomicBool,
     wake: Notify,
     world: World,
-    options: HostOptions,
+    options: ServerOptions,
     address: SocketAddr,
 }
 
@@ -75,45 +75,45 @@
                 core.handle(event, self.world.now(), &mut actions);
                 for action in actions {
                     match action {
-                        Action::TakeHandle { call, address, handle } => wanted.push((call, address, handle)),
-                        Action::Ran { call, memory_of } => self.note_run(&core, call, memory_of),
-                        other => self.pass_on(other),
+                        Action::FetchHandle { call, address, handle } => wanted.push((call, address, handle)),
+                        Action::Started { call, kv_owner } => self.record_execution(&core, call, kv_owner),
+                        other => self.forward(other),
                     }
                 }
             }
             for (call, address, handle) in wanted {
                 let contents = self.world.take_handle(address, &handle);
-                events.push(ServerEvent::HandleTaken { call, contents });
+                events.push(ServerEvent::HandleFetched { call, contents });
             }
         }
         self.wake.notify_one();
     }
 
-    fn note_run(&self, core: &C, call: CallId, memory_of: Option<String>) {
+    fn record_execution(&self, core: &C, call: CallId, kv_owner: Option<String>) {
         let calls = lock(&self.calls);
         let Some(open) = calls.get(&call) else {
             return;
         };
-        self.world.ledger().ran(Run {
+        self.world.request_log().record_execution(Execution {
             at: self.world.now(),
             instance: core.identity().instance.clone(),
             service: core.identity().service.clone(),
             request_id: open.request_id.clone(),
             content: open.content,
-            memory_of,
+            kv_owner,
         });
     }
 
-    fn pass_on(&self, action: Action) {
+    fn forward(&self, action: Action) {
         let call = match &action {
-            Action::Answer { call, .. }
+            Action::Respond { call, .. }
             | Action::Head { call, .. }
             | Action::Event { call, .. }
             | Action::End { call }
-            | Action::Cut { call } => *call,
-            Action::Ran { .. } | Action::TakeHandle { .. } => return,
+            | Action::Truncate { call } => *call,
+            Action::Started { .. } | Action::FetchHandle { .. } => return,
         };
-        let is_last = matches!(action, Action::Answer { .. } | Action::End { .. } | Action::Cut { .. });
+        let is_last = matches!(action, Action::Respond { .. } | Action::End { .. } | Action::Truncate { .. });
         let mut calls = lock(&self.calls);
         if let Some(open) = calls.get(&call) {
             let _ = open.actions.send(action);
@@ -121,7 +121,7 @@
         let ended = if is_last { calls.remove(&call) } else { None };
         drop(calls);
         if let Some(open) = ended {
-            self.note_end(open);
+            self.record_completion(open);
         }
     }
 
@@ -134,21 +134,21 @@
     }
 
     /// Notes that the server is done with a call, whole or not.
-    fn note_end(&self, open: OpenCall) {
-        let end = WorkEnd { at: self.world.now(), request_id: open.request_id };
-        self.world.ledger().ended(end);
+    fn record_completion(&self, open: OpenCall) {
+        let end = Completion { at: self.world.now(), request_id: open.request_id };
+        self.world.request_log().record_completion(end);
     }
 
     fn cancel(&self, call: CallId) {
         let open = lock(&self.calls).remove(&call);
         if let Some(open) = open {
-            self.note_end(open);
+            self.record_completion(open);
         }
         self.dispatch(ServerEvent::Cancelled { call });
     }
 
     async fn run_timers(self: Arc<Self>) {
-        let mut reach = self.reach.subscribe();
+        let mut reachability = self.reachability.subscribe();
         loop {
             let next = lock(&self.core).next_wake();
             let due = async {
@@ -160,24 +160,24 @@
             tokio::select! {
                 () = due => self.dispatch(ServerEvent::Wake),
                 () = self.wake.notified() => {}
-                _ = reach.wait_for(|reach| *reach == Reach::Down) => return,
+                _ = reachability.wait_for(|reachability| *reachability == Reachability::Down) => return,
             }
         }
     }
 
     async fn accept(self: Arc<Self>, listener: TcpListener) {
-        let mut reach = self.reach.subscribe();
+        let mut reachability = self.reachability.subscribe();
         let open = Arc::new(());
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                _ = reach.wait_for(|reach| *reach == Reach::Down) => return,
+                _ = reachability.wait_for(|reachability| *reachability == Reachability::Down) => return,
             };
             let Ok((stream, _)) = accepted else {
                 continue;
             };
             let connections = Arc::strong_count(&open) - 1;
-            let is_refused = *self.reach.borrow() == Reach::Refusing;
+            let is_refused = *self.reachability.borrow() == Reachability::Refusing;
             if is_refused || connections >= self.options.max_connections {
                 reset(stream);
                 continue;
@@ -197,23 +197,23 @@
 }
 
 /// A server on its socket. Dropping it ends the server as a crash does.
-pub struct Host<C: ServerCore> {
+pub struct EmulatedServer<C: ServerCore> {
     shared: Arc<Shared<C>>,
 }
 
-impl<C: ServerCore> Host<C> {
+impl<C: ServerCore> EmulatedServer<C> {
     /// Starts the server at the address; port 0 takes any.
     pub async fn start(
-        world: &World, address: SocketAddr, core: C, options: HostOptions,
-    ) -> io::Result<Host<C>> {
+        world: &World, address: SocketAddr, core: C, options: ServerOptions,
+    ) -> io::Result<EmulatedServer<C>> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let shared = Arc::new(Shared {
             core: Mutex::new(core),
             calls: Mutex::default(),
             faults: Mutex::default(),
-            reach: watch::Sender::new(Reach::Open),
-            forgets: AtomicBool::new(false),
+            reachability: watch::Sender::new(Reachability::Serving),
+            drops_idle: AtomicBool::new(false),
             wake: Notify::new(),
             world: world.clone(),
             options,
@@ -222,7 +222,7 @@
         world.register(address, &shared);
         tokio::spawn(Arc::clone(&shared).accept(listener));
         tokio::spawn(Arc::clone(&shared).run_timers());
-        Ok(Host { shared })
+        Ok(EmulatedServer { shared })
     }
 
     /// Where it answers.
@@ -245,15 +245,15 @@
         lock(&self.shared.faults).clear();
     }
 
-    /// Changes whether it can be reached. [`Reach::Down`] is for good: listener and timers end.
-    pub fn set_reach(&self, reach: Reach) {
-        self.shared.reach.send_replace(reach);
+    /// Changes whether it can be reached. [`Reachability::Down`] is for good: listener and timers end.
+    pub fn set_reachability(&self, reachability: Reachability) {
+        self.shared.reachability.send_replace(reachability);
     }
 
     /// Lets the server forget its connections between two requests without a word: what is sent on one next is reset before
     /// anybody reads it.
-    pub fn forget_connections(&self, forgets: bool) {
-        self.shared.forgets.store(forgets, Ordering::Relaxed);
+    pub fn drop_idle_connections(&self, drops_idle: bool) {
+        self.shared.drops_idle.store(drops_idle, Ordering::Relaxed);
     }
 
     /// Gives the server an event of its own, such as [`ServerEvent::Drain`].
@@ -272,8 +272,8 @@
     /// free.
     pub async fn crash(self) -> SocketAddr {
         let address = self.address();
-        self.set_reach(Reach::Down);
-        self.shared.world.forget(address);
+        self.set_reachability(Reachability::Down);
+        self.shared.world.deregister(address);
         drop(self);
         while TcpListener::bind(address).await.is_err() {
             tokio::task::yield_now().await;
@@ -282,7 +282,7 @@
     }
 }
 
-impl Host<ModelServer> {
+impl EmulatedServer<ModelServer> {
     /// Tells the server's stage for as long as it runs.
     pub fn stage_source(&self) -> StageSource {
         let server = Arc::downgrade(&self.shared);
@@ -290,8 +290,8 @@
     }
 }
 
-impl<C: ServerCore> Drop for Host<C> {
+impl<C: ServerCore> Drop for EmulatedServer<C> {
     fn drop(&mut self) {
-        self.set_reach(Reach::Down);
+        self.set_reachability(Reachability::Down);
     }
 }
--- a/crates/emulator/src/host/world.rs
+++ b/crates/emulator/src/host/world.rs
@@ -2,7 +2,7 @@
 
 use super::{Shared, lock};
 use crate::core::{CallId, KvContents, ServerCore};
-use crate::ledger::Ledger;
+use crate::request_log::RequestLog;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,7 +17,7 @@
 
 impl<C: ServerCore> HandleSource for Shared<C> {
     fn take(&self, handle: &str) -> Option<KvContents> {
-        let is_open = *self.reach.borrow() == crate::fault::Reach::Open;
+        let is_open = *self.reachability.borrow() == crate::fault::Reachability::Serving;
         let contents = is_open.then(|| lock(&self.core).take_handle(handle, self.world.now())).flatten();
         self.wake.notify_one();
         contents
@@ -27,7 +27,7 @@
 struct Inner {
     started: Instant,
     calls: AtomicU64,
-    ledger: Ledger,
+    request_log: RequestLog,
     servers: Mutex<HashMap<SocketAddr, Weak<dyn HandleSource>>>,
 }
 
@@ -49,15 +49,15 @@
         let inner = Inner {
             started: Instant::now(),
             calls: AtomicU64::new(0),
-            ledger: Ledger::new(),
+            request_log: RequestLog::new(),
             servers: Mutex::default(),
         };
         World { inner: Arc::new(inner) }
     }
 
     /// The record of arrivals and runs.
-    pub fn ledger(&self) -> &Ledger {
-        &self.inner.ledger
+    pub fn request_log(&self) -> &RequestLog {
+        &self.inner.request_log
     }
 
     /// The time since the start.
@@ -78,7 +78,7 @@
         lock(&self.inner.servers).insert(address, Arc::downgrade(&source));
     }
 
-    pub(super) fn forget(&self, address: SocketAddr) {
+    pub(super) fn deregister(&self, address: SocketAddr) {
         lock(&self.inner.servers).remove(&address);
     }
 
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -11,7 +11,7 @@
 //!
 //! The servers and the platform are state machines without I/O, `(event, now) -> actions`; `now` is the time since the
 //! start of the world. [`host`] drives a server core on a socket, injects the faults of a [`fault::FaultPlan`] and records
-//! arrivals and runs in a [`ledger::Ledger`]. A caller on virtual time drives the cores itself.
+//! arrivals and runs in a [`request_log::RequestLog`]. A caller on virtual time drives the cores itself.
 #![forbid(unsafe_code)]
 
 pub mod client;
@@ -22,11 +22,11 @@
 pub mod events;
 pub mod fault;
 pub mod host;
-pub mod ledger;
 pub mod model_server;
 pub mod names;
 pub mod operator;
 pub mod plain_server;
 pub mod platform;
+pub mod request_log;
 pub mod stamp;
 pub mod wire;
--- a/crates/emulator/src/model_server/batch.rs
+++ b/crates/emulator/src/model_server/batch.rs
@@ -6,17 +6,17 @@
 use crate::content;
 use crate::core::{Action, CallId, millis};
 use crate::names;
-use crate::stamp::Whole;
-use crate::wire::Answer;
+use crate::stamp::ExpectedBody;
+use crate::wire::Response;
 use serde_json::json;
 use std::time::Duration;
 
 /// At the decode stage, prompts are read at this share of the pace.
-const DECODE_PACE: f64 = 0.5;
+const DECODE_PREFILL_SPEED: f64 = 0.5;
 /// At the decode stage, pieces of prompts are smaller by this.
 const DECODE_CHUNK_DIVISOR: u64 = 4;
 /// No step is shorter, so that time goes on.
-const SHORTEST_STEP: Duration = Duration::from_micros(1);
+const MIN_STEP: Duration = Duration::from_micros(1);
 
 /// A step under way.
 #[derive(Clone, Debug)]
@@ -30,11 +30,12 @@
     /// Lets waiting requests enter, the most urgent first.
     pub(super) fn admit(&mut self, now: Duration) {
         while let Some(index) = first_by_rank(&self.waiting) {
-            if self.running.len() >= self.parameters.slots && !self.give_place(self.waiting[index].priority) {
+            if self.running.len() >= self.parameters.slots && !self.preempt_for(self.waiting[index].priority)
+            {
                 return;
             }
             let mut next = self.waiting.swap_remove(index);
-            if next.lease.is_none() && !self.reserve(&mut next, now) {
+            if next.allocation.is_none() && !self.reserve(&mut next, now) {
                 self.waiting.push(next);
                 return;
             }
@@ -43,34 +44,34 @@
     }
 
     /// Puts back the newest of the least urgent, if it is less urgent than that.
-    fn give_place(&mut self, priority: u8) -> bool {
+    fn preempt_for(&mut self, priority: u8) -> bool {
         let Some(index) = last_by_rank(&self.running) else {
             return false;
         };
         if self.running[index].priority <= priority {
             return false;
         }
-        self.put_back(index);
+        self.preempted(index);
         true
     }
 
-    fn put_back(&mut self, index: usize) {
+    fn preempted(&mut self, index: usize) {
         let mut generation = self.running.swap_remove(index);
-        if let Some(lease) = generation.lease.take() {
-            self.memory.release(&lease);
+        if let Some(allocation) = generation.allocation.take() {
+            self.memory.release(&allocation);
         }
-        self.statistics.put_back += 1;
+        self.statistics.preempted += 1;
         self.waiting.push(generation);
     }
 
     fn reserve(&mut self, generation: &mut Generation, now: Duration) -> bool {
-        let kept = self.memory.kept_tokens(&generation.chain);
-        let Some(lease) = self.memory.reserve(&generation.chain, generation.private_tokens()) else {
+        let kept = self.memory.cached_tokens(&generation.chain);
+        let Some(allocation) = self.memory.reserve(&generation.chain, generation.private_tokens()) else {
             return false;
         };
-        generation.lease = Some(lease);
-        generation.to_read = (generation.prompt_tokens + generation.made).saturating_sub(kept);
-        generation.begins_at = now + millis(self.parameters.first_ms);
+        generation.allocation = Some(allocation);
+        generation.to_prefill = (generation.prompt_tokens + generation.made).saturating_sub(kept);
+        generation.begins_at = now + millis(self.parameters.startup_ms);
         true
     }
 
@@ -84,10 +85,10 @@
             return;
         }
         let (budget, pace) = self.reading();
-        let to_read: u64 = active.iter().map(|generation| generation.to_read).sum();
-        let reading_ms = to_read.min(budget) as f64 / pace.max(f64::MIN_POSITIVE);
+        let to_prefill: u64 = active.iter().map(|generation| generation.to_prefill).sum();
+        let reading_ms = to_prefill.min(budget) as f64 / pace.max(f64::MIN_POSITIVE);
         let running_ms = self.parameters.step_ms_per_running * active.len() as f64;
-        let length = millis(self.parameters.step_ms + running_ms + reading_ms).max(SHORTEST_STEP);
+        let length = millis(self.parameters.step_ms + running_ms + reading_ms).max(MIN_STEP);
         let active = active.iter().map(|generation| generation.call).collect();
         self.step = Some(Step { ends_at: now + length, active, budget });
     }
@@ -97,7 +98,7 @@
         let (chunk, pace) = (self.parameters.chunk_tokens, self.parameters.prefill_tokens_per_ms);
         match self.orders.stage {
             Stage::Prefill => (chunk.max(1), pace),
-            Stage::Decode => ((chunk / DECODE_CHUNK_DIVISOR).max(1), pace * DECODE_PACE),
+            Stage::Decode => ((chunk / DECODE_CHUNK_DIVISOR).max(1), pace * DECODE_PREFILL_SPEED),
         }
     }
 
@@ -113,7 +114,7 @@
             .running
             .iter()
             .filter(is_active)
-            .map(|generation| (generation.rank(), generation.call, generation.to_read > 0))
+            .map(|generation| (generation.rank(), generation.call, generation.to_prefill > 0))
             .collect();
         calls.sort_unstable();
         let mut budget = step.budget;
@@ -129,12 +130,12 @@
         let Some(generation) = self.running.iter_mut().find(|generation| generation.call == call) else {
             return;
         };
-        let tokens = generation.to_read.min(*budget);
-        generation.to_read -= tokens;
+        let tokens = generation.to_prefill.min(*budget);
+        generation.to_prefill -= tokens;
         *budget -= tokens;
-        self.statistics.read_tokens += tokens;
-        if let Some(lease) = generation.lease.as_ref().filter(|_| generation.to_read == 0) {
-            self.memory.mark_read(lease);
+        self.statistics.prefilled_tokens += tokens;
+        if let Some(allocation) = generation.allocation.as_ref().filter(|_| generation.to_prefill == 0) {
+            self.memory.mark_filled(allocation);
         }
     }
 
@@ -144,7 +145,7 @@
             return;
         };
         let generation = &self.running[index];
-        if generation.to_read > 0 {
+        if generation.to_prefill > 0 {
             return;
         }
         if generation.is_prefill {
@@ -156,23 +157,30 @@
 
     fn finish_prefill(&mut self, index: usize, now: Duration, actions: &mut Vec<Action>) {
         let mut generation = self.running.swap_remove(index);
-        let lease = generation.lease.take().unwrap_or_default();
-        let lapses_at = now + self.parameters.handle_hold;
-        let place = self.identity.place.clone();
+        let allocation = generation.allocation.take().unwrap_or_default();
+        let expires_at = now + self.parameters.handle_ttl;
+        let location = self.identity.location.clone();
         let version = self.parameters.version;
-        let handle =
-            self.handles.hold(&self.identity.instance, &generation, lease, version, place, lapses_at);
+        let handle = self.handles.insert(
+            &self.identity.instance,
+            &generation,
+            allocation,
+            version,
+            location,
+            expires_at,
+        );
         let body = json!({"KvHandle": handle, "Tokens": generation.prompt_tokens, "Version": version});
-        let answer = Answer::json(200, &body);
-        let whole = Whole::Body { length: answer.body.len(), hash: content::hash(&answer.body) };
-        let stamp = self.identity.stamp(0, 200, whole);
-        let answer = self.identity.signed(answer, generation.request.request_id(), &stamp);
-        let answer = self.loaded(answer).with(names::VERSIONS, version.to_string());
-        actions.push(Action::Answer { call: generation.call, answer });
+        let response = Response::json(200, &body);
+        let expected_body =
+            ExpectedBody::Bytes { length: response.body.len(), hash: content::hash(&response.body) };
+        let stamp = self.identity.stamp(0, 200, expected_body);
+        let response = self.identity.signed(response, generation.request.request_id(), &stamp);
+        let response = self.loaded(response).with(names::VERSIONS, version.to_string());
+        actions.push(Action::Respond { call: generation.call, response });
     }
 
     fn make_token(&mut self, call: CallId, actions: &mut Vec<Action>) {
-        if !self.make_room_for_token(call) {
+        if !self.grow_for_token(call) {
             return;
         }
         let Some(index) = self.running.iter().position(|generation| generation.call == call) else {
@@ -198,35 +206,35 @@
     }
 
     /// Makes the request's memory one token larger; others are put back for that, or the request itself.
-    fn make_room_for_token(&mut self, call: CallId) -> bool {
+    fn grow_for_token(&mut self, call: CallId) -> bool {
         loop {
             let Some(generation) = self.running.iter_mut().find(|generation| generation.call == call) else {
                 return false;
             };
             let wanted = generation.private_tokens() + 1;
-            let Some(lease) = &mut generation.lease else {
+            let Some(allocation) = &mut generation.allocation else {
                 return false;
             };
-            if self.memory.grow(lease, wanted) {
+            if self.memory.grow(allocation, wanted) {
                 return true;
             }
             match last_by_rank(&self.running) {
-                Some(index) => self.put_back(index),
+                Some(index) => self.preempted(index),
                 None => return false,
             }
         }
     }
 
-    /// The first token: the run begins, and with it the answer. False if the server fails instead.
+    /// The first token: the run begins, and with it the response. False if the server fails instead.
     fn begin_run(&mut self, index: usize, actions: &mut Vec<Action>) -> bool {
         self.runs += 1;
         let run = self.runs;
         let generation = &mut self.running[index];
         generation.run = Some(run);
         let call = generation.call;
-        actions.push(Action::Ran { call, memory_of: generation.memory_of.clone() });
+        actions.push(Action::Started { call, kv_owner: generation.kv_owner.clone() });
         let request_id = generation.request.request_id().map(str::to_owned);
-        let whole = Whole::Events {
+        let expected_body = ExpectedBody::Events {
             last: self.parameters.events(generation.out_tokens),
             event_bytes: self.parameters.event_bytes,
             seed: generation.request.content,
@@ -234,14 +242,14 @@
         if self.failing {
             let generation = self.running.swap_remove(index);
             self.forget(generation);
-            let none = Whole::Body { length: 0, hash: content::hash(b"") };
+            let none = ExpectedBody::Bytes { length: 0, hash: content::hash(b"") };
             let stamp = self.identity.stamp(run, 500, none);
-            let answer = self.identity.signed(Answer::new(500), request_id.as_deref(), &stamp);
-            actions.push(Action::Answer { call, answer: self.loaded(answer) });
+            let response = self.identity.signed(Response::new(500), request_id.as_deref(), &stamp);
+            actions.push(Action::Respond { call, response: self.loaded(response) });
             return false;
         }
-        let head = Answer::new(200).with(names::CONTENT_TYPE, names::EVENT_STREAM);
-        let stamp = self.identity.stamp(run, 200, whole);
+        let head = Response::new(200).with(names::CONTENT_TYPE, names::EVENT_STREAM);
+        let stamp = self.identity.stamp(run, 200, expected_body);
         let head = self.loaded(self.identity.signed(head, request_id.as_deref(), &stamp));
         let head = head.with(names::VERSIONS, self.parameters.version.to_string());
         actions.push(Action::Head { call, head });
--- a/crates/emulator/src/model_server/generation.rs
+++ b/crates/emulator/src/model_server/generation.rs
@@ -1,6 +1,6 @@
 //! One generation, as its request's headers describe it.
 
-use super::memory::{Lease, PartKey, chain_keys};
+use super::memory::{KvAllocation, SegmentKey, chain_keys};
 use super::parameters::ModelParameters;
 use crate::core::{CallId, ServerRequest, millis};
 use crate::names;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// The rank of a request that names none.
-const USUAL_PRIORITY: u8 = 5;
+const DEFAULT_PRIORITY: u8 = 5;
 
 /// Where the memory of a prompt is fetched from.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,21 +37,21 @@
     pub order: u64,
     pub deadline: Option<Duration>,
     pub is_prefill: bool,
-    pub parts: Vec<(u64, u64)>,
-    pub chain: Vec<(PartKey, u64)>,
+    pub segments: Vec<(u64, u64)>,
+    pub chain: Vec<(SegmentKey, u64)>,
     /// Tokens of the prompt behind its named parts.
     pub unnamed_tokens: u64,
     pub prompt_tokens: u64,
     pub out_tokens: u64,
     pub made: u64,
     /// Prompt tokens that are still to be read.
-    pub to_read: u64,
-    pub lease: Option<Lease>,
+    pub to_prefill: u64,
+    pub allocation: Option<KvAllocation>,
     /// Reading begins then.
     pub begins_at: Duration,
     /// The run's number, once its first token is made.
     pub run: Option<u64>,
-    pub memory_of: Option<String>,
+    pub kv_owner: Option<String>,
 }
 
 impl Generation {
@@ -63,27 +63,27 @@
         let (prompt, out) = counts.split_once(',')?;
         let prompt_tokens: u64 = prompt.trim().parse().ok()?;
         let out_tokens: u64 = out.trim().parse().ok()?;
-        let parts = parse_parts(request.headers.get(names::PROMPT_PREFIX).unwrap_or_default())?;
-        let named: u64 = parts.iter().map(|(_, tokens)| tokens).sum();
+        let segments = parse_segments(request.headers.get(names::PROMPT_PREFIX).unwrap_or_default())?;
+        let named: u64 = segments.iter().map(|(_, tokens)| tokens).sum();
         let seen = request.headers.parsed(names::LAST_EVENT_ID).unwrap_or(0);
         let model = request.headers.get(names::MODEL).unwrap_or_default();
         Some(Generation {
             call,
-            priority: request.headers.parsed(names::PRIORITY).unwrap_or(USUAL_PRIORITY),
+            priority: request.headers.parsed(names::PRIORITY).unwrap_or(DEFAULT_PRIORITY),
             order,
             deadline: request.deadline(now),
             is_prefill: request.headers.get(names::SERVING_STAGE).is_some(),
-            chain: chain_keys(model, parameters.version, &parts),
-            parts,
+            chain: chain_keys(model, parameters.version, &segments),
+            segments,
             unnamed_tokens: prompt_tokens.saturating_sub(named),
             prompt_tokens: prompt_tokens.max(named),
             out_tokens: out_tokens.max(1),
             made: parameters.tokens_before(seen, out_tokens.max(1)),
-            to_read: 0,
-            lease: None,
-            begins_at: now + millis(parameters.first_ms),
+            to_prefill: 0,
+            allocation: None,
+            begins_at: now + millis(parameters.startup_ms),
             run: None,
-            memory_of: None,
+            kv_owner: None,
             request,
         })
     }
@@ -94,7 +94,7 @@
     }
 
     /// The most that it may ever hold beside its parts.
-    pub fn most_private_tokens(&self) -> u64 {
+    pub fn max_private_tokens(&self) -> u64 {
         self.unnamed_tokens + if self.is_prefill { 0 } else { self.out_tokens }
     }
 
@@ -103,7 +103,7 @@
         (self.priority, self.order)
     }
 
-    /// Whether the whole answer is out.
+    /// Whether the whole response is out.
     pub fn is_done(&self) -> bool {
         self.made >= self.out_tokens
     }
@@ -114,11 +114,11 @@
     }
 }
 
-fn parse_parts(text: &str) -> Option<Vec<(u64, u64)>> {
-    let mut parts = Vec::new();
+fn parse_segments(text: &str) -> Option<Vec<(u64, u64)>> {
+    let mut segments = Vec::new();
     for part in text.split(',').map(str::trim).filter(|part| !part.is_empty()) {
         let (id, tokens) = part.split_once(':')?;
-        parts.push((u64::from_str_radix(id, 16).ok()?, tokens.parse().ok()?));
+        segments.push((u64::from_str_radix(id, 16).ok()?, tokens.parse().ok()?));
     }
-    Some(parts)
+    Some(segments)
 }
--- a/crates/emulator/src/model_server/memory.rs
+++ b/crates/emulator/src/model_server/memory.rs
@@ -4,13 +4,13 @@
 use std::collections::BTreeMap;
 
 /// A part of a prompt behind all parts before it, for one model and version.
-pub type PartKey = u64;
+pub type SegmentKey = u64;
 
 /// The keys of the parts of a prompt, in order.
-pub fn chain_keys(model: &str, version: u64, parts: &[(u64, u64)]) -> Vec<(PartKey, u64)> {
+pub fn chain_keys(model: &str, version: u64, segments: &[(u64, u64)]) -> Vec<(SegmentKey, u64)> {
     let mut key = content::hash_all(&[model.as_bytes(), &version.to_be_bytes()]);
-    let mut keys = Vec::with_capacity(parts.len());
-    for (id, tokens) in parts {
+    let mut keys = Vec::with_capacity(segments.len());
+    for (id, tokens) in segments {
         key = content::hash_all(&[&key.to_be_bytes(), &id.to_be_bytes(), &tokens.to_be_bytes()]);
         keys.push((key, *tokens));
     }
@@ -18,18 +18,18 @@
 }
 
 #[derive(Clone, Debug)]
-struct KeptPart {
+struct CachedSegment {
     blocks: u64,
     pins: u32,
-    is_read: bool,
+    is_filled: bool,
     /// Older first; of the same age, deeper parts first.
     last_used: (u64, u64),
 }
 
 /// What one request holds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Lease {
-    parts: Vec<PartKey>,
+pub struct KvAllocation {
+    segments: Vec<SegmentKey>,
     private_blocks: u64,
 }
 
@@ -39,7 +39,7 @@
     block_tokens: u64,
     capacity: u64,
     private: u64,
-    parts: BTreeMap<PartKey, KeptPart>,
+    segments: BTreeMap<SegmentKey, CachedSegment>,
     uses: u64,
 }
 
@@ -51,7 +51,7 @@
             block_tokens,
             capacity: tokens / block_tokens,
             private: 0,
-            parts: BTreeMap::new(),
+            segments: BTreeMap::new(),
             uses: 0,
         }
     }
@@ -61,40 +61,41 @@
     }
 
     /// Whether a request of these parts and private tokens fits into empty memory.
-    pub fn could_hold(&self, chain: &[(PartKey, u64)], private_tokens: u64) -> bool {
+    pub fn could_fit(&self, chain: &[(SegmentKey, u64)], private_tokens: u64) -> bool {
         let shared: u64 = chain.iter().map(|(_, tokens)| self.blocks(*tokens)).sum();
         shared.saturating_add(self.blocks(private_tokens)) <= self.capacity
     }
 
     /// Tokens at the start of the chain that need not be read.
-    pub fn kept_tokens(&self, chain: &[(PartKey, u64)]) -> u64 {
-        let is_read = |key: &PartKey| self.parts.get(key).is_some_and(|part| part.is_read);
-        chain.iter().take_while(|(key, _)| is_read(key)).map(|(_, tokens)| tokens).sum()
+    pub fn cached_tokens(&self, chain: &[(SegmentKey, u64)]) -> u64 {
+        let is_filled = |key: &SegmentKey| self.segments.get(key).is_some_and(|part| part.is_filled);
+        chain.iter().take_while(|(key, _)| is_filled(key)).map(|(_, tokens)| tokens).sum()
     }
 
     /// Takes the memory for a request, if it can be had; parts that nothing holds give way.
-    pub fn reserve(&mut self, chain: &[(PartKey, u64)], private_tokens: u64) -> Option<Lease> {
+    pub fn reserve(&mut self, chain: &[(SegmentKey, u64)], private_tokens: u64) -> Option<KvAllocation> {
         let private_blocks = self.blocks(private_tokens);
         let missing: u64 = chain
             .iter()
-            .filter(|(key, _)| !self.parts.contains_key(key))
+            .filter(|(key, _)| !self.segments.contains_key(key))
             .map(|(_, tokens)| self.blocks(*tokens))
             .sum();
         for (key, _) in chain {
-            if let Some(part) = self.parts.get_mut(key) {
+            if let Some(part) = self.segments.get_mut(key) {
                 part.pins += 1;
             }
         }
-        let fits = self.make_room(missing + private_blocks);
+        let fits = self.evict_for(missing + private_blocks);
         self.uses += 1;
         for (depth, (key, tokens)) in chain.iter().enumerate() {
             let age = (self.uses, u64::MAX - depth as u64);
-            match self.parts.get_mut(key) {
+            match self.segments.get_mut(key) {
                 Some(part) if fits => part.last_used = age,
                 Some(part) => part.pins -= 1,
                 None if fits => {
                     let blocks = self.blocks(*tokens);
-                    self.parts.insert(*key, KeptPart { blocks, pins: 1, is_read: false, last_used: age });
+                    self.segments
+                        .insert(*key, CachedSegment { blocks, pins: 1, is_filled: false, last_used: age });
                 }
                 None => {}
             }
@@ -103,46 +104,46 @@
             return None;
         }
         self.private += private_blocks;
-        Some(Lease { parts: chain.iter().map(|(key, _)| *key).collect(), private_blocks })
+        Some(KvAllocation { segments: chain.iter().map(|(key, _)| *key).collect(), private_blocks })
     }
 
     /// Makes the private part of a lease large enough; false if there is no room.
-    pub fn grow(&mut self, lease: &mut Lease, private_tokens: u64) -> bool {
-        let more = self.blocks(private_tokens).saturating_sub(lease.private_blocks);
-        if more > 0 && !self.make_room(more) {
+    pub fn grow(&mut self, allocation: &mut KvAllocation, private_tokens: u64) -> bool {
+        let more = self.blocks(private_tokens).saturating_sub(allocation.private_blocks);
+        if more > 0 && !self.evict_for(more) {
             return false;
         }
-        lease.private_blocks += more;
+        allocation.private_blocks += more;
         self.private += more;
         true
     }
 
     /// The parts of the lease have been read, or fetched.
-    pub fn mark_read(&mut self, lease: &Lease) {
-        for key in &lease.parts {
-            if let Some(part) = self.parts.get_mut(key) {
-                part.is_read = true;
+    pub fn mark_filled(&mut self, allocation: &KvAllocation) {
+        for key in &allocation.segments {
+            if let Some(part) = self.segments.get_mut(key) {
+                part.is_filled = true;
             }
         }
     }
 
     /// Gives a lease back. Its parts stay until they give way, unless they were never read.
-    pub fn release(&mut self, lease: &Lease) {
-        self.private = self.private.saturating_sub(lease.private_blocks);
-        for key in &lease.parts {
-            let Some(part) = self.parts.get_mut(key) else {
+    pub fn release(&mut self, allocation: &KvAllocation) {
+        self.private = self.private.saturating_sub(allocation.private_blocks);
+        for key in &allocation.segments {
+            let Some(part) = self.segments.get_mut(key) else {
                 continue;
             };
             part.pins = part.pins.saturating_sub(1);
-            if part.pins == 0 && !part.is_read {
-                self.parts.remove(key);
+            if part.pins == 0 && !part.is_filled {
+                self.segments.remove(key);
             }
         }
     }
 
     /// Tokens that can't give way.
     pub fn used_tokens(&self) -> u64 {
-        let pinned: u64 = self.parts.values().filter(|part| part.pins > 0).map(|part| part.blocks).sum();
+        let pinned: u64 = self.segments.values().filter(|part| part.pins > 0).map(|part| part.blocks).sum();
         (self.private + pinned) * self.block_tokens
     }
 
@@ -151,21 +152,24 @@
         self.capacity * self.block_tokens
     }
 
-    fn make_room(&mut self, blocks: u64) -> bool {
-        let kept: u64 = self.parts.values().map(|part| part.blocks).sum();
+    fn evict_for(&mut self, blocks: u64) -> bool {
+        let kept: u64 = self.segments.values().map(|part| part.blocks).sum();
         let mut free = self.capacity.saturating_sub(self.private + kept);
-        let loose: u64 = self.parts.values().filter(|part| part.pins == 0).map(|part| part.blocks).sum();
+        let loose: u64 = self.segments.values().filter(|part| part.pins == 0).map(|part| part.blocks).sum();
         if free + loose < blocks {
             return false;
         }
         while free < blocks {
-            let oldest =
-                self.parts.iter().filter(|(_, part)| part.pins == 0).min_by_key(|(_, part)| part.last_used);
+            let oldest = self
+                .segments
+                .iter()
+                .filter(|(_, part)| part.pins == 0)
+                .min_by_key(|(_, part)| part.last_used);
             let Some((key, _)) = oldest else {
                 return false;
             };
             let key = *key;
-            free += self.parts.remove(&key).map_or(0, |part| part.blocks);
+            free += self.segments.remove(&key).map_or(0, |part| part.blocks);
         }
         true
     }
--- a/crates/emulator/src/model_server/mod.rs
+++ b/crates/emulator/src/model_server/mod.rs
@@ -22,36 +22,36 @@
 mod report;
 
 pub use generation::KvSource;
-pub use memory::{KvMemory, Lease, PartKey, chain_keys};
+pub use memory::{KvAllocation, KvMemory, SegmentKey, chain_keys};
 pub use parameters::{ModelParameters, Stage};
 
 use crate::core::{Action, CallId, Identity, KvContents, ServerCore, ServerEvent, ServerRequest};
 use crate::names;
-use crate::wire::Answer;
+use crate::wire::Response;
 use batch::Step;
 use generation::Generation;
 use handles::Handles;
-use moves::MoveLink;
+use moves::TransferLink;
 use orders::OrderState;
-use report::{Figures, ReportHistory};
+use report::{LoadSnapshot, ReportHistory};
 use std::time::Duration;
 
 /// What a server has done since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Statistics {
     /// Prompt tokens that were read.
-    pub read_tokens: u64,
+    pub prefilled_tokens: u64,
     /// Tokens whose memory was fetched.
-    pub moved_tokens: u64,
+    pub transferred_tokens: u64,
     /// Tokens that were read for handles that nobody took.
     pub wasted_tokens: u64,
     /// Requests that were put back because memory ran out or a more urgent one came.
-    pub put_back: u64,
+    pub preempted: u64,
 }
 
 /// A generation whose memory is on its way.
 #[derive(Clone, Debug)]
-struct Moving {
+struct Transfer {
     generation: Generation,
     /// Known once the other server gave the handle away.
     done_at: Option<Duration>,
@@ -64,10 +64,10 @@
     parameters: ModelParameters,
     memory: KvMemory,
     handles: Handles,
-    link: MoveLink,
+    link: TransferLink,
     orders: OrderState,
     reports: ReportHistory,
-    moving: Vec<Moving>,
+    transfers: Vec<Transfer>,
     waiting: Vec<Generation>,
     running: Vec<Generation>,
     step: Option<Step>,
@@ -84,10 +84,10 @@
         let mut server = ModelServer {
             memory: KvMemory::new(parameters.kv_tokens, parameters.block_tokens),
             handles: Handles::default(),
-            link: MoveLink::default(),
+            link: TransferLink::default(),
             orders: OrderState::new(parameters.stage, parameters.fenced),
             reports: ReportHistory::new(parameters.report_lag),
-            moving: Vec::new(),
+            transfers: Vec::new(),
             waiting: Vec::new(),
             running: Vec::new(),
             step: None,
@@ -99,8 +99,8 @@
             identity,
             parameters,
         };
-        let figures = server.figures();
-        server.reports.note(Duration::ZERO, figures);
+        let snapshot = server.snapshot();
+        server.reports.record(Duration::ZERO, snapshot);
         server
     }
 
@@ -125,34 +125,34 @@
     }
 
     /// Lets all handles lapse at once.
-    pub fn lapse_handles(&mut self) {
-        self.handles.lapse_all(&mut self.memory);
+    pub fn expire_handles(&mut self) {
+        self.handles.expire_all(&mut self.memory);
     }
 
     /// Changes the bandwidth of later moves, in Mbit/s.
-    pub fn set_link(&mut self, mbps: f64) {
+    pub fn set_link_mbps(&mut self, mbps: f64) {
         self.parameters.link_mbps = mbps;
     }
 
     fn progress(&mut self, now: Duration, actions: &mut Vec<Action>) {
-        self.handles.lapse(now, &mut self.memory);
+        self.handles.expire(now, &mut self.memory);
         self.finish_step(now, actions);
         self.expire(now, actions);
-        self.finish_moves(now);
-        let is_idle = self.running.is_empty() && self.moving.is_empty() && self.waiting.is_empty();
-        self.orders.advance(now, is_idle, self.parameters.switch_time);
+        self.finish_transfers(now);
+        let is_idle = self.running.is_empty() && self.transfers.is_empty() && self.waiting.is_empty();
+        self.orders.advance(now, is_idle, self.parameters.switch_duration);
         self.admit(now);
         self.begin_step(now);
-        let figures = self.figures();
-        self.reports.note(now, figures);
+        let snapshot = self.snapshot();
+        self.reports.record(now, snapshot);
     }
 
-    fn figures(&self) -> Figures {
-        Figures {
+    fn snapshot(&self) -> LoadSnapshot {
+        LoadSnapshot {
             stage: self.orders.stage,
             is_busy: self.orders.is_busy(),
             seq: self.orders.seq,
-            queued: self.waiting.len() + self.moving.len(),
+            queued: self.waiting.len() + self.transfers.len(),
             running: self.running.len(),
             kv_used: self.memory.used_tokens(),
             kv_total: self.memory.total_tokens(),
@@ -160,20 +160,21 @@
         }
     }
 
-    fn finish_moves(&mut self, now: Duration) {
-        let is_done = |moving: &Moving| moving.done_at.is_some_and(|at| at <= now);
-        for mut moving in self.moving.extract_if(.., |moving| is_done(moving)).collect::<Vec<_>>() {
-            if let Some(lease) = &moving.generation.lease {
-                self.memory.mark_read(lease);
+    fn finish_transfers(&mut self, now: Duration) {
+        let is_done = |transfers: &Transfer| transfers.done_at.is_some_and(|at| at <= now);
+        for mut transfers in self.transfers.extract_if(.., |transfers| is_done(transfers)).collect::<Vec<_>>()
+        {
+            if let Some(allocation) = &transfers.generation.allocation {
+                self.memory.mark_filled(allocation);
             }
-            moving.generation.begins_at = now;
-            self.waiting.push(moving.generation);
+            transfers.generation.begins_at = now;
+            self.waiting.push(transfers.generation);
         }
     }
 
     fn cancel(&mut self, call: CallId) {
-        let moving = self.moving.extract_if(.., |moving| moving.generation.call == call);
-        let mut gone: Vec<Generation> = moving.map(|moving| moving.generation).collect();
+        let transfers = self.transfers.extract_if(.., |transfers| transfers.generation.call == call);
+        let mut gone: Vec<Generation> = transfers.map(|transfers| transfers.generation).collect();
         gone.extend(self.waiting.extract_if(.., |generation| generation.call == call));
         gone.extend(self.running.extract_if(.., |generation| generation.call == call));
         for generation in gone {
@@ -182,27 +183,27 @@
     }
 
     fn forget(&mut self, mut generation: Generation) {
-        if let Some(lease) = generation.lease.take() {
-            self.memory.release(&lease);
+        if let Some(allocation) = generation.allocation.take() {
+            self.memory.release(&allocation);
         }
     }
 
     fn reject(&self, call: CallId, status: u16, request: &ServerRequest, actions: &mut Vec<Action>) {
-        let answer = self.loaded(self.identity.rejection(status, request));
-        actions.push(Action::Answer { call, answer });
+        let response = self.loaded(self.identity.rejection(status, request));
+        actions.push(Action::Respond { call, response });
     }
 
-    /// The answer with what depends on the server's state.
-    fn loaded(&self, mut answer: Answer) -> Answer {
+    /// The response with what depends on the server's state.
+    fn loaded(&self, mut response: Response) -> Response {
         if self.identity.tells_load {
-            let waiting = self.waiting.len() + self.moving.len();
+            let waiting = self.waiting.len() + self.transfers.len();
             let load = format!("{},{waiting},{}", self.running.len(), self.parameters.slots);
-            answer.headers.set(names::LOAD_REPORT, load);
+            response.headers.set(names::LOAD_REPORT, load);
         }
         if self.draining {
-            answer.headers.set(names::CONNECTION, "close");
+            response.headers.set(names::CONNECTION, "close");
         }
-        answer
+        response
     }
 }
 
@@ -211,7 +212,9 @@
         match event {
             ServerEvent::Request { call, request } => self.request(call, request, now, actions),
             ServerEvent::Cancelled { call } => self.cancel(call),
-            ServerEvent::HandleTaken { call, contents } => self.handle_taken(call, contents, now, actions),
+            ServerEvent::HandleFetched { call, contents } => {
+                self.handle_fetched(call, contents, now, actions)
+            }
             ServerEvent::Wake => {}
             ServerEvent::Drain => self.draining = true,
             ServerEvent::SetFailing(failing) => self.failing = failing,
@@ -224,8 +227,8 @@
             Some(step) => Some(step.ends_at),
             None => self.running.iter().map(|generation| generation.begins_at).min(),
         };
-        let moves = self.moving.iter().filter_map(|moving| moving.done_at);
-        let under_way = self.moving.iter().map(|moving| &moving.generation);
+        let moves = self.transfers.iter().filter_map(|transfers| transfers.done_at);
+        let under_way = self.transfers.iter().map(|transfers| &transfers.generation);
         let all = under_way.chain(&self.waiting).chain(&self.running);
         let deadlines = all.filter_map(|generation| generation.deadline);
         let single = [step, self.handles.next_wake(), self.orders.next_wake()];
@@ -233,7 +236,7 @@
     }
 
     fn take_handle(&mut self, handle: &str, now: Duration) -> Option<KvContents> {
-        self.handles.lapse(now, &mut self.memory);
+        self.handles.expire(now, &mut self.memory);
         self.handles.take(handle, &mut self.memory)
     }
 
--- a/crates/emulator/src/model_server/moves.rs
+++ b/crates/emulator/src/model_server/moves.rs
@@ -1,45 +1,45 @@
 //! Moves of memory over a server's link, one after another.
 
 use super::parameters::ModelParameters;
-use crate::core::{Place, millis};
+use crate::core::{Location, millis};
 use std::time::Duration;
 
 /// A move that would wait longer than this is not begun.
-const LONGEST_WAIT: Duration = Duration::from_secs(2);
+const MAX_QUEUE_DELAY: Duration = Duration::from_secs(2);
 /// A move between zones takes so many times as long.
-const BETWEEN_ZONES: f64 = 2.0;
+const CROSS_ZONE_FACTOR: f64 = 2.0;
 /// A move between regions takes so many times as long.
-const BETWEEN_REGIONS: f64 = 10.0;
+const CROSS_REGION_FACTOR: f64 = 10.0;
 
 /// The link of one server.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct MoveLink {
+pub(super) struct TransferLink {
     free_at: Duration,
 }
 
-impl MoveLink {
+impl TransferLink {
     /// Whether a move could begin soon enough.
-    pub fn takes_more(&self, now: Duration) -> bool {
-        self.free_at.saturating_sub(now) <= LONGEST_WAIT
+    pub fn has_capacity(&self, now: Duration) -> bool {
+        self.free_at.saturating_sub(now) <= MAX_QUEUE_DELAY
     }
 
     /// Begins a move behind all others; returns when it is done.
     pub fn begin(
-        &mut self, now: Duration, tokens: u64, parameters: &ModelParameters, from: &Place, to: &Place,
+        &mut self, now: Duration, tokens: u64, parameters: &ModelParameters, from: &Location, to: &Location,
     ) -> Duration {
         let bits = tokens as f64 * parameters.kv_token_bytes * 8.0;
         let bits_per_ms = (parameters.link_mbps * 1_000.0).max(1.0);
-        let time = millis(parameters.move_setup_ms + bits / bits_per_ms * distance(from, to));
+        let time = millis(parameters.transfer_setup_ms + bits / bits_per_ms * distance(from, to));
         self.free_at = self.free_at.max(now) + time;
         self.free_at
     }
 }
 
-fn distance(from: &Place, to: &Place) -> f64 {
+fn distance(from: &Location, to: &Location) -> f64 {
     if from.region != to.region {
-        BETWEEN_REGIONS
+        CROSS_REGION_FACTOR
     } else if from.zone != to.zone {
-        BETWEEN_ZONES
+        CROSS_ZONE_FACTOR
     } else {
         1.0
     }
--- a/crates/emulator/src/model_server/orders.rs
+++ b/crates/emulator/src/model_server/orders.rs
@@ -1,7 +1,7 @@
 //! Orders to a model server: fencing, revisions and the change of stage.
 
 use super::parameters::Stage;
-use crate::wire::Answer;
+use crate::wire::Response;
 use serde::Deserialize;
 use serde_json::json;
 use std::time::Duration;
@@ -49,35 +49,35 @@
     }
 
     /// Takes or refuses an order.
-    pub fn take(&mut self, body: &[u8]) -> Answer {
+    pub fn take(&mut self, body: &[u8]) -> Response {
         let Some((order, to)) = read(body) else {
-            return Answer::json(400, &json!({"Error": "no such order, or no Holder or Fence"}));
+            return Response::json(400, &json!({"Error": "no such order, or no Holder or Fence"}));
         };
         if self.fenced && order.fence < self.highest_fence {
-            return Answer::json(412, &json!({"Error": "a lower fencing token than was seen"}));
+            return Response::json(412, &json!({"Error": "a lower fencing token than was seen"}));
         }
         self.highest_fence = self.highest_fence.max(order.fence);
         if order.if_revision.is_some_and(|seq| seq != self.seq) {
-            return Answer::json(409, &json!({"Error": "another revision", "Seq": self.seq}));
+            return Response::json(409, &json!({"Error": "another revision", "Seq": self.seq}));
         }
         match self.switch {
-            Some(_) => Answer::json(409, &json!({"Error": "another order is under way", "Seq": self.seq})),
-            None if self.stage == to => Answer::json(200, &json!({"Seq": self.seq})),
+            Some(_) => Response::json(409, &json!({"Error": "another order is under way", "Seq": self.seq})),
+            None if self.stage == to => Response::json(200, &json!({"Seq": self.seq})),
             None => {
                 self.seq += 1;
                 self.switch = Some(Switch { to, done_at: None });
-                Answer::json(202, &json!({"Seq": self.seq}))
+                Response::json(202, &json!({"Seq": self.seq}))
             }
         }
     }
 
     /// Goes on with a change of stage; `is_idle` tells that nothing runs.
-    pub fn advance(&mut self, now: Duration, is_idle: bool, switch_time: Duration) {
+    pub fn advance(&mut self, now: Duration, is_idle: bool, switch_duration: Duration) {
         let Some(switch) = &mut self.switch else {
             return;
         };
         if is_idle && switch.done_at.is_none() {
-            switch.done_at = Some(now + switch_time);
+            switch.done_at = Some(now + switch_duration);
         }
         if switch.done_at.is_some_and(|at| at <= now) {
             self.stage = switch.to;
@@ -96,6 +96,6 @@
     if order.op != "Stage" || order.holder.is_empty() {
         return None;
     }
-    let to = Stage::from_word(order.stage.as_deref()?)?;
+    let to = Stage::parse(order.stage.as_deref()?)?;
     Some((order, to))
 }
--- a/crates/emulator/src/model_server/parameters.rs
+++ b/crates/emulator/src/model_server/parameters.rs
@@ -13,7 +13,7 @@
 
 impl Stage {
     /// The word on the wire.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Stage::Prefill => "prefill",
             Stage::Decode => "decode",
@@ -21,7 +21,7 @@
     }
 
     /// The stage of that word.
-    pub fn from_word(word: &str) -> Option<Stage> {
+    pub fn parse(word: &str) -> Option<Stage> {
         match word {
             "prefill" => Some(Stage::Prefill),
             "decode" => Some(Stage::Decode),
@@ -52,7 +52,7 @@
     /// The longest piece of prompts in one step, in tokens.
     pub chunk_tokens: u64,
     /// Work before a prompt is read, in ms.
-    pub first_ms: f64,
+    pub startup_ms: f64,
     /// Tokens in one event of a stream, after the first.
     pub stride: u64,
     /// Bytes of data in one event.
@@ -66,11 +66,11 @@
     /// Bandwidth of a move of memory, in Mbit/s.
     pub link_mbps: f64,
     /// Work before a move, in ms.
-    pub move_setup_ms: f64,
+    pub transfer_setup_ms: f64,
     /// How long a handle is held.
-    pub handle_hold: Duration,
+    pub handle_ttl: Duration,
     /// How long a change of stage takes once nothing runs.
-    pub switch_time: Duration,
+    pub switch_duration: Duration,
     /// How old the figures of a report are.
     pub report_lag: Duration,
     /// Whether orders with a lower fencing token than was seen are refused.
@@ -90,16 +90,16 @@
             step_ms_per_running: 0.05,
             prefill_tokens_per_ms: 1_000.0,
             chunk_tokens: 2_048,
-            first_ms: 1.0,
+            startup_ms: 1.0,
             stride: 4,
             event_bytes: 32,
             kv_tokens: 100_000,
             block_tokens: 16,
             kv_token_bytes: 35_136.0,
             link_mbps: 1_000_000.0,
-            move_setup_ms: 0.1,
-            handle_hold: Duration::from_secs(5),
-            switch_time: Duration::from_millis(20),
+            transfer_setup_ms: 0.1,
+            handle_ttl: Duration::from_secs(5),
+            switch_duration: Duration::from_millis(20),
             report_lag: Duration::from_millis(100),
             fenced: true,
         }
--- a/crates/emulator/src/model_server/report.rs
+++ b/crates/emulator/src/model_server/report.rs
@@ -10,7 +10,7 @@
 
 /// The figures of a report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) struct Figures {
+pub(super) struct LoadSnapshot {
     pub stage: Stage,
     pub is_busy: bool,
     pub seq: u64,
@@ -21,11 +21,11 @@
     pub kv_handles: usize,
 }
 
-impl Figures {
+impl LoadSnapshot {
     /// The body of a report.
     pub fn to_json(&self, model: &str, version: u64) -> Value {
         json!({
-            "Stage": self.stage.word(),
+            "Stage": self.stage.as_str(),
             "Models": [{"Name": model, "Version": version, "Adapters": []}],
             "Busy": self.is_busy,
             "Seq": self.seq,
@@ -42,7 +42,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReportHistory {
     lag: Duration,
-    kept: VecDeque<(Duration, Figures)>,
+    kept: VecDeque<(Duration, LoadSnapshot)>,
 }
 
 impl ReportHistory {
@@ -51,11 +51,11 @@
     }
 
     /// Notes the figures of now.
-    pub fn note(&mut self, now: Duration, figures: Figures) {
+    pub fn record(&mut self, now: Duration, snapshot: LoadSnapshot) {
         let is_one_of_many = self.kept.len() > 1;
         match self.kept.back_mut() {
-            Some((at, last)) if is_one_of_many && now.saturating_sub(*at) < RESOLUTION => *last = figures,
-            _ => self.kept.push_back((now, figures)),
+            Some((at, last)) if is_one_of_many && now.saturating_sub(*at) < RESOLUTION => *last = snapshot,
+            _ => self.kept.push_back((now, snapshot)),
         }
         while self.kept.get(1).is_some_and(|(at, _)| *at + self.lag <= now) {
             self.kept.pop_front();
@@ -63,8 +63,8 @@
     }
 
     /// The figures that a report shows now.
-    pub fn shown(&self, now: Duration) -> Option<&Figures> {
+    pub fn shown(&self, now: Duration) -> Option<&LoadSnapshot> {
         let known = self.kept.iter().rev().find(|(at, _)| *at + self.lag <= now);
-        known.or(self.kept.front()).map(|(_, figures)| figures)
+        known.or(self.kept.front()).map(|(_, snapshot)| snapshot)
     }
 }
--- a/crates/emulator/src/operator.rs
+++ b/crates/emulator/src/operator.rs
@@ -1,25 +1,25 @@
 //! The operator: puts and reads configurations at any sidecar that serves control, and moves on when one fails.
 
 use crate::names;
-use crate::wire::{Answer, Connection, Request, WireError};
+use crate::wire::{Connection, Request, Response, WireError};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::timeout;
 
 /// Redirects that are followed in one call.
-const MOST_REDIRECTS: usize = 2;
-/// An answer is awaited for so long.
-const PATIENCE: Duration = Duration::from_secs(1);
+const MAX_REDIRECTS: usize = 2;
+/// A response is awaited for so long.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// A byte of a large body adds this to the patience, in ms.
-const PATIENCE_MS_PER_BYTE: f64 = 0.001;
+const TIMEOUT_MS_PER_BYTE: f64 = 0.001;
 /// The pause before the second try; it grows with each.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 /// The longest pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// Any other 4xx ends a call at this try.
-const TRIES_WITH_4XX: usize = 3;
+const MAX_OTHER_4XX: usize = 3;
 
-/// Why one try gave no answer.
+/// Why one try gave no response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// No connection, or one that broke.
@@ -27,7 +27,7 @@
     Wire(#[from] WireError),
     /// Silence.
     #[error("no answer in time")]
-    Silence,
+    Timeout,
     /// A redirect that leads nowhere.
     #[error("a redirect without a usable location")]
     BadRedirect,
@@ -35,29 +35,29 @@
 
 /// How a call of the operator ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CallOutcome {
     /// 200.
-    Acknowledged(Answer),
+    Acknowledged(Response),
     /// A clear refusal.
-    Refused(Answer),
-    /// No clear answer in all tries; it may be in force or not.
-    Unclear,
+    Refused(Response),
+    /// No clear response in all tries; it may be in force or not.
+    Unknown,
 }
 
-impl Verdict {
-    /// The status, if there was a clear answer.
+impl CallOutcome {
+    /// The status, if there was a clear response.
     pub fn status(&self) -> Option<u16> {
         match self {
-            Verdict::Acknowledged(answer) | Verdict::Refused(answer) => Some(answer.status),
-            Verdict::Unclear => None,
+            CallOutcome::Acknowledged(response) | CallOutcome::Refused(response) => Some(response.status),
+            CallOutcome::Unknown => None,
         }
     }
 
-    /// The body, if there was a clear answer.
+    /// The body, if there was a clear response.
     pub fn body(&self) -> &[u8] {
         match self {
-            Verdict::Acknowledged(answer) | Verdict::Refused(answer) => &answer.body,
-            Verdict::Unclear => &[],
+            CallOutcome::Acknowledged(response) | CallOutcome::Refused(response) => &response.body,
+            CallOutcome::Unknown => &[],
         }
     }
 }
@@ -76,43 +76,43 @@
         Operator { addresses, tries: 24 }
     }
 
-    /// Sends a configuration on top of `base` until there is a clear answer.
-    pub async fn put(&self, body: &[u8], base: u64) -> Verdict {
+    /// Sends a configuration on top of `base` until there is a clear response.
+    pub async fn put(&self, body: &[u8], base: u64) -> CallOutcome {
         self.call(&change("PUT", body, base)).await
     }
 
-    /// Sends a change of named items on top of `base` until there is a clear answer.
-    pub async fn patch(&self, body: &[u8], base: u64) -> Verdict {
+    /// Sends a change of named items on top of `base` until there is a clear response.
+    pub async fn patch(&self, body: &[u8], base: u64) -> CallOutcome {
         self.call(&change("PATCH", body, base)).await
     }
 
     /// Reads the newest configuration.
-    pub async fn get(&self) -> Verdict {
+    pub async fn get(&self) -> CallOutcome {
         self.call(&Request::new("GET", "/config")).await
     }
 
-    async fn call(&self, request: &Request) -> Verdict {
-        let mut pause = FIRST_PAUSE;
+    async fn call(&self, request: &Request) -> CallOutcome {
+        let mut pause = INITIAL_BACKOFF;
         let mut other_refusals = 0;
         for address in self.addresses.iter().cycle().take(self.tries) {
-            if let Ok(answer) = call_once(*address, request).await {
-                match answer.status {
-                    200..=299 => return Verdict::Acknowledged(answer),
-                    400 | 409 | 412 | 413 | 422 => return Verdict::Refused(answer),
+            if let Ok(response) = call_once(*address, request).await {
+                match response.status {
+                    200..=299 => return CallOutcome::Acknowledged(response),
+                    400 | 409 | 412 | 413 | 422 => return CallOutcome::Refused(response),
                     408 | 429 => {}
                     400..=499 => {
                         other_refusals += 1;
-                        if other_refusals >= TRIES_WITH_4XX {
-                            return Verdict::Refused(answer);
+                        if other_refusals >= MAX_OTHER_4XX {
+                            return CallOutcome::Refused(response);
                         }
                     }
                     _ => {}
                 }
             }
             tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_BACKOFF);
         }
-        Verdict::Unclear
+        CallOutcome::Unknown
     }
 }
 
@@ -125,16 +125,16 @@
 }
 
 /// One try at one sidecar, with its redirects.
-pub async fn call_once(address: SocketAddr, request: &Request) -> Result<Answer, CallError> {
+pub async fn call_once(address: SocketAddr, request: &Request) -> Result<Response, CallError> {
     let mut address = address;
     let mut request = request.clone();
-    for _ in 0..=MOST_REDIRECTS {
+    for _ in 0..=MAX_REDIRECTS {
         request.headers.set(names::HOST, address.to_string());
-        let answer = exchange(address, &request).await?;
-        if answer.status != 307 {
-            return Ok(answer);
+        let response = exchange(address, &request).await?;
+        if response.status != 307 {
+            return Ok(response);
         }
-        let location = answer.headers.get(names::LOCATION).and_then(parse_location);
+        let location = response.headers.get(names::LOCATION).and_then(parse_location);
         let (next, target) = location.ok_or(CallError::BadRedirect)?;
         address = next;
         request.target = target;
@@ -142,16 +142,17 @@
     Err(CallError::BadRedirect)
 }
 
-async fn exchange(address: SocketAddr, request: &Request) -> Result<Answer, CallError> {
-    let patience = PATIENCE + crate::core::millis(request.body.len() as f64 * PATIENCE_MS_PER_BYTE);
+async fn exchange(address: SocketAddr, request: &Request) -> Result<Response, CallError> {
+    let response_timeout =
+        RESPONSE_TIMEOUT + crate::core::millis(request.body.len() as f64 * TIMEOUT_MS_PER_BYTE);
     let call = async {
         let mut connection = Connection::open(address).await.map_err(WireError::from)?;
         connection.write(&request.encode()).await.map_err(WireError::from)?;
-        connection.read_answer().await
+        connection.read_response().await
     };
-    match timeout(patience, call).await {
+    match timeout(response_timeout, call).await {
         Ok(result) => Ok(result?),
-        Err(_) => Err(CallError::Silence),
+        Err(_) => Err(CallError::Timeout),
     }
 }
 
--- a/crates/emulator/src/plain_server.rs
+++ b/crates/emulator/src/plain_server.rs
@@ -3,8 +3,8 @@
 use crate::content;
 use crate::core::{Action, CallId, Identity, ServerCore, ServerEvent, ServerRequest};
 use crate::names;
-use crate::stamp::Whole;
-use crate::wire::Answer;
+use crate::stamp::ExpectedBody;
+use crate::wire::Response;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -17,13 +17,13 @@
     pub queue: usize,
     /// The time for one request.
     pub work: Duration,
-    /// Bytes of an answer's body.
-    pub answer_bytes: usize,
+    /// Bytes of a response's body.
+    pub response_bytes: usize,
 }
 
 impl Default for PlainParameters {
     fn default() -> Self {
-        PlainParameters { slots: 6, queue: 24, work: Duration::from_millis(2), answer_bytes: 800 }
+        PlainParameters { slots: 6, queue: 24, work: Duration::from_millis(2), response_bytes: 800 }
     }
 }
 
@@ -77,13 +77,13 @@
     fn request(&mut self, call: CallId, request: ServerRequest, now: Duration, actions: &mut Vec<Action>) {
         if request.method == "GET" && request.path() == self.identity.health_path {
             let healthy = !self.draining && !self.failing;
-            let answer = self.finish(self.identity.health(healthy));
-            actions.push(Action::Answer { call, answer });
+            let response = self.finish(self.identity.health(healthy));
+            actions.push(Action::Respond { call, response });
             return;
         }
-        if let Some(answer) = self.identity.refusal(&request) {
-            let answer = self.finish(answer);
-            actions.push(Action::Answer { call, answer });
+        if let Some(response) = self.identity.refusal(&request) {
+            let response = self.finish(response);
+            actions.push(Action::Respond { call, response });
             return;
         }
         if self.waiting.len() >= self.parameters.queue && self.working.len() >= self.parameters.slots {
@@ -96,8 +96,8 @@
     }
 
     fn reject(&self, call: CallId, request: &ServerRequest, actions: &mut Vec<Action>) {
-        let answer = self.finish(self.identity.rejection(503, request));
-        actions.push(Action::Answer { call, answer });
+        let response = self.finish(self.identity.rejection(503, request));
+        actions.push(Action::Respond { call, response });
     }
 
     fn admit(&mut self, now: Duration, actions: &mut Vec<Action>) {
@@ -106,7 +106,7 @@
                 return;
             };
             self.runs += 1;
-            actions.push(Action::Ran { call: next.call, memory_of: None });
+            actions.push(Action::Started { call: next.call, kv_owner: None });
             let working = Working {
                 request: next.request,
                 run: self.runs,
@@ -122,8 +122,8 @@
             self.working.iter().filter(|(_, work)| work.ends_at() <= now).map(|(call, _)| *call).collect();
         for call in done {
             if let Some(work) = self.working.remove(&call) {
-                let answer = self.answer(&work);
-                actions.push(Action::Answer { call, answer });
+                let response = self.response(&work);
+                actions.push(Action::Respond { call, response });
             }
         }
         let (late, waiting): (VecDeque<_>, VecDeque<_>) = self
@@ -137,7 +137,7 @@
         self.admit(now, actions);
     }
 
-    fn answer(&self, work: &Working) -> Answer {
+    fn response(&self, work: &Working) -> Response {
         let in_time = work.done_at <= work.ends_at();
         let status = if !in_time {
             504
@@ -147,22 +147,22 @@
             200
         };
         let seed = content::hash_all(&[self.identity.instance.as_bytes(), &work.run.to_be_bytes()]);
-        let body = content::text(seed, self.parameters.answer_bytes).into_bytes();
-        let whole = Whole::Body { length: body.len(), hash: content::hash(&body) };
-        let stamp = self.identity.stamp(work.run, status, whole);
-        let answer = Answer { status, body, ..Answer::default() };
-        self.finish(self.identity.signed(answer, work.request.request_id(), &stamp))
+        let body = content::text(seed, self.parameters.response_bytes).into_bytes();
+        let expected_body = ExpectedBody::Bytes { length: body.len(), hash: content::hash(&body) };
+        let stamp = self.identity.stamp(work.run, status, expected_body);
+        let response = Response { status, body, ..Response::default() };
+        self.finish(self.identity.signed(response, work.request.request_id(), &stamp))
     }
 
-    fn finish(&self, mut answer: Answer) -> Answer {
+    fn finish(&self, mut response: Response) -> Response {
         if self.identity.tells_load {
             let load = format!("{},{},{}", self.working.len(), self.waiting.len(), self.parameters.slots);
-            answer.headers.set(names::LOAD_REPORT, load);
+            response.headers.set(names::LOAD_REPORT, load);
         }
         if self.draining {
-            answer.headers.set(names::CONNECTION, "close");
+            response.headers.set(names::CONNECTION, "close");
         }
-        answer
+        response
     }
 }
 
@@ -178,7 +178,7 @@
             ServerEvent::Wake => self.wake(now, actions),
             ServerEvent::Drain => self.draining = true,
             ServerEvent::SetFailing(failing) => self.failing = failing,
-            ServerEvent::HandleTaken { .. } => {}
+            ServerEvent::HandleFetched { .. } => {}
         }
     }
 
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -2,10 +2,10 @@
 
 mod host;
 
-pub use host::{PlatformCall, PlatformHost, StageSource};
+pub use host::{PlatformHost, PlatformRequest, StageSource};
 
 use crate::model_server::Stage;
-use crate::wire::{Answer, Request};
+use crate::wire::{Request, Response};
 use serde::Serialize;
 use serde_json::json;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 /// Whether a server takes requests, as the list tells.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum ListedState {
+pub enum InstanceState {
     /// It takes requests.
     Ready,
     /// It is to end.
@@ -25,7 +25,7 @@
 /// A model of a listed server.
 #[derive(Clone, Debug, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "PascalCase")]
-pub struct ListedModel {
+pub struct InstanceModel {
     /// Its name.
     pub name: String,
     /// The version of its weights.
@@ -37,7 +37,7 @@
 /// One entry of the list.
 #[derive(Clone, Debug, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "PascalCase")]
-pub struct Listed {
+pub struct InstanceEntry {
     /// The service.
     pub service: String,
     /// Where the server answers.
@@ -49,7 +49,7 @@
     /// Requests at once.
     pub slots: u32,
     /// Whether it takes requests.
-    pub state: ListedState,
+    pub state: InstanceState,
     /// For how much longer it is slow from its start, in ms.
     pub cold_left_ms: u64,
     /// Its part, for model servers.
@@ -57,21 +57,21 @@
     pub stage: Option<String>,
     /// Its models, for model servers.
     #[serde(skip_serializing_if = "Vec::is_empty")]
-    pub models: Vec<ListedModel>,
+    pub models: Vec<InstanceModel>,
     /// Its incarnation.
     pub id: String,
 }
 
-impl Listed {
+impl InstanceEntry {
     /// A ready server without stages.
-    pub fn plain(id: &str, service: &str, address: SocketAddr, zone: &str, slots: u32) -> Listed {
-        Listed {
+    pub fn plain(id: &str, service: &str, address: SocketAddr, zone: &str, slots: u32) -> InstanceEntry {
+        InstanceEntry {
             service: service.to_owned(),
             address,
             zone: zone.to_owned(),
             version: "v1".to_owned(),
             slots,
-            state: ListedState::Ready,
+            state: InstanceState::Ready,
             cold_left_ms: 0,
             stage: None,
             models: Vec::new(),
@@ -80,16 +80,16 @@
     }
 
     /// The same as a model server of that stage, with one model.
-    pub fn staged(mut self, stage: Stage, model: &str, version: u64) -> Listed {
-        self.stage = Some(stage.word().to_owned());
-        self.models = vec![ListedModel { name: model.to_owned(), version, adapters: Vec::new() }];
+    pub fn staged(mut self, stage: Stage, model: &str, version: u64) -> InstanceEntry {
+        self.stage = Some(stage.as_str().to_owned());
+        self.models = vec![InstanceModel { name: model.to_owned(), version, adapters: Vec::new() }];
         self
     }
 }
 
 #[derive(Clone, Debug)]
 enum Change {
-    Put(Box<Listed>),
+    Put(Box<InstanceEntry>),
     Remove(String),
 }
 
@@ -115,10 +115,10 @@
 pub struct Platform {
     parameters: PlatformParameters,
     pending: Vec<(Duration, Change)>,
-    actual: BTreeMap<String, Listed>,
-    shown: BTreeMap<String, Listed>,
+    actual: BTreeMap<String, InstanceEntry>,
+    shown: BTreeMap<String, InstanceEntry>,
     /// Calls that would be taken now; refilled with time.
-    allowance: f64,
+    available_tokens: f64,
     refilled_at: Duration,
 }
 
@@ -126,7 +126,7 @@
     /// An empty list.
     pub fn new(parameters: PlatformParameters) -> Platform {
         Platform {
-            allowance: parameters.rate_per_s.max(1.0),
+            available_tokens: parameters.rate_per_s.max(1.0),
             parameters,
             pending: Vec::new(),
             actual: BTreeMap::new(),
@@ -136,13 +136,13 @@
     }
 
     /// Adds an entry, or replaces that of the same id.
-    pub fn put(&mut self, entry: Listed, now: Duration) {
+    pub fn put(&mut self, entry: InstanceEntry, now: Duration) {
         self.actual.insert(entry.id.clone(), entry.clone());
         self.pending.push((now, Change::Put(Box::new(entry))));
     }
 
     /// Changes an entry; nothing if there is none.
-    pub fn change(&mut self, id: &str, now: Duration, change: impl FnOnce(&mut Listed)) {
+    pub fn change(&mut self, id: &str, now: Duration, change: impl FnOnce(&mut InstanceEntry)) {
         if let Some(mut entry) = self.actual.get(id).cloned() {
             change(&mut entry);
             self.put(entry, now);
@@ -150,7 +150,7 @@
     }
 
     /// Notes the stage of a model server, if it is another one than before.
-    pub fn show_stage(&mut self, id: &str, stage: &str, now: Duration) {
+    pub fn update_stage(&mut self, id: &str, stage: &str, now: Duration) {
         let is_other = self.actual.get(id).is_some_and(|entry| entry.stage.as_deref() != Some(stage));
         if is_other {
             self.change(id, now, |entry| entry.stage = Some(stage.to_owned()));
@@ -164,43 +164,44 @@
     }
 
     /// Answers a call.
-    pub fn call(&mut self, request: &Request, now: Duration) -> Answer {
+    pub fn call(&mut self, request: &Request, now: Duration) -> Response {
         if request.method != "GET" || request.path() != "/instances" {
-            return Answer::json(404, &json!({"Error": "no such call"}));
+            return Response::json(404, &json!({"Error": "no such call"}));
         }
         if !self.allow(now) {
-            return Answer::json(429, &json!({"Error": "too many calls"}));
+            return Response::json(429, &json!({"Error": "too many calls"}));
         }
-        self.catch_up(now);
+        self.apply_due_changes(now);
         let first = match request.query("PageToken") {
             None | Some("") => 0,
             Some(token) => match token.strip_prefix("p-").and_then(|index| index.parse().ok()) {
                 Some(index) => index,
-                None => return Answer::json(400, &json!({"Error": "no such page"})),
+                None => return Response::json(400, &json!({"Error": "no such page"})),
             },
         };
         let zone = request.query("Zone");
         let fitting = self.shown.values().filter(|entry| zone.is_none_or(|zone| zone == entry.zone));
-        let entries: Vec<&Listed> = fitting.collect();
-        let page: Vec<&Listed> = entries.iter().skip(first).take(self.parameters.page).copied().collect();
+        let entries: Vec<&InstanceEntry> = fitting.collect();
+        let page: Vec<&InstanceEntry> =
+            entries.iter().skip(first).take(self.parameters.page).copied().collect();
         let next = first + page.len();
         let token = (next < entries.len()).then(|| format!("p-{next}"));
-        Answer::json(200, &json!({"Instances": page, "NextToken": token}))
+        Response::json(200, &json!({"Instances": page, "NextToken": token}))
     }
 
     fn allow(&mut self, now: Duration) -> bool {
         let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
         let most = self.parameters.rate_per_s.max(1.0);
-        self.allowance = (self.allowance + elapsed * self.parameters.rate_per_s).min(most);
+        self.available_tokens = (self.available_tokens + elapsed * self.parameters.rate_per_s).min(most);
         self.refilled_at = now;
-        if self.allowance < 1.0 {
+        if self.available_tokens < 1.0 {
             return false;
         }
-        self.allowance -= 1.0;
+        self.available_tokens -= 1.0;
         true
     }
 
-    fn catch_up(&mut self, now: Duration) {
+    fn apply_due_changes(&mut self, now: Duration) {
         let lag = self.parameters.lag;
         for (_, change) in self.pending.extract_if(.., |(at, _)| *at + lag <= now) {
             match change {
--- a/crates/emulator/src/platform/host.rs
+++ b/crates/emulator/src/platform/host.rs
@@ -1,10 +1,10 @@
 //! Serves the platform's list on a socket.
 
-use super::{Listed, ListedState, Platform, PlatformParameters};
-use crate::fault::Reach;
+use super::{InstanceEntry, InstanceState, Platform, PlatformParameters};
+use crate::fault::Reachability;
 use crate::host::{World, lock};
 use crate::model_server::Stage;
-use crate::wire::{Answer, Connection, Request};
+use crate::wire::{Connection, Request, Response};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -15,19 +15,19 @@
 
 /// One call that the platform got.
 #[derive(Clone, Debug, PartialEq)]
-pub struct PlatformCall {
+pub struct PlatformRequest {
     /// Since the start of the world.
     pub at: Duration,
     /// Path and query.
     pub target: String,
-    /// The status of the answer.
+    /// The status of the response.
     pub status: u16,
-    /// The body of the answer.
+    /// The body of the response.
     pub body: String,
 }
 
 /// Calls that are kept; older ones are forgotten, so that a long run stays bounded.
-const MOST_CALLS: usize = 10_000;
+const MAX_RECORDED_REQUESTS: usize = 10_000;
 
 /// Tells the stage that a server has; nothing once it is gone.
 pub type StageSource = Box<dyn Fn() -> Option<Stage> + Send>;
@@ -36,20 +36,20 @@
     platform: Mutex<Platform>,
     /// Where the stages of servers are asked, by their ids.
     stages: Mutex<BTreeMap<String, StageSource>>,
-    calls: Mutex<Vec<PlatformCall>>,
-    reach: watch::Sender<Reach>,
+    calls: Mutex<Vec<PlatformRequest>>,
+    reachability: watch::Sender<Reachability>,
     world: World,
 }
 
 impl Shared {
     /// Notes the stages that have changed since the last call.
-    fn show_stages(&self) {
+    fn refresh_stages(&self) {
         let now = self.world.now();
         let mut platform = lock(&self.platform);
         lock(&self.stages).retain(|id, source| {
             let stage = source();
             if let Some(stage) = stage {
-                platform.show_stage(id, stage.word(), now);
+                platform.update_stage(id, stage.as_str(), now);
             }
             stage.is_some()
         });
@@ -73,7 +73,7 @@
             platform: Mutex::new(Platform::new(parameters)),
             stages: Mutex::default(),
             calls: Mutex::default(),
-            reach: watch::Sender::new(Reach::Open),
+            reachability: watch::Sender::new(Reachability::Serving),
             world: world.clone(),
         });
         tokio::spawn(accept(Arc::clone(&shared), listener));
@@ -86,23 +86,23 @@
     }
 
     /// Adds an entry, or replaces that of the same id.
-    pub fn put(&self, entry: Listed) {
+    pub fn put(&self, entry: InstanceEntry) {
         lock(&self.shared.platform).put(entry, self.shared.world.now());
     }
 
     /// Lets the list show the stage that a server has, whatever orders it follows.
-    pub fn follow_stage(&self, id: &str, source: StageSource) {
+    pub fn track_stage(&self, id: &str, source: StageSource) {
         lock(&self.shared.stages).insert(id.to_owned(), source);
     }
 
     /// Changes an entry.
-    pub fn change(&self, id: &str, change: impl FnOnce(&mut Listed)) {
+    pub fn change(&self, id: &str, change: impl FnOnce(&mut InstanceEntry)) {
         lock(&self.shared.platform).change(id, self.shared.world.now(), change);
     }
 
     /// Marks a server as one that is to end.
     pub fn drain(&self, id: &str) {
-        self.change(id, |entry| entry.state = ListedState::Draining);
+        self.change(id, |entry| entry.state = InstanceState::Draining);
     }
 
     /// Removes an entry.
@@ -111,28 +111,28 @@
     }
 
     /// Changes whether it can be reached.
-    pub fn set_reach(&self, reach: Reach) {
-        self.shared.reach.send_replace(reach);
+    pub fn set_reachability(&self, reachability: Reachability) {
+        self.shared.reachability.send_replace(reachability);
     }
 
     /// The last calls.
-    pub fn calls(&self) -> Vec<PlatformCall> {
+    pub fn calls(&self) -> Vec<PlatformRequest> {
         lock(&self.shared.calls).clone()
     }
 }
 
 impl Drop for PlatformHost {
     fn drop(&mut self) {
-        self.set_reach(Reach::Down);
+        self.set_reachability(Reachability::Down);
     }
 }
 
 async fn accept(shared: Arc<Shared>, listener: TcpListener) {
-    let mut reach = shared.reach.subscribe();
+    let mut reachability = shared.reachability.subscribe();
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            _ = reach.wait_for(|reach| *reach == Reach::Down) => return,
+            _ = reachability.wait_for(|reachability| *reachability == Reachability::Down) => return,
         };
         if let Ok((stream, _)) = accepted {
             tokio::spawn(serve(Arc::clone(&shared), stream));
@@ -141,11 +141,11 @@
 }
 
 async fn serve(shared: Arc<Shared>, stream: TcpStream) {
-    let mut reach = shared.reach.subscribe();
+    let mut reachability = shared.reachability.subscribe();
     let mut connection = Connection::new(stream);
     let is_reset = tokio::select! {
         () = serve_calls(&shared, &mut connection) => false,
-        _ = reach.wait_for(|reach| matches!(reach, Reach::Down | Reach::Refusing)) => true,
+        _ = reachability.wait_for(|reachability| matches!(reachability, Reachability::Down | Reachability::Refusing)) => true,
     };
     if is_reset {
         connection.reset();
@@ -155,27 +155,27 @@
 }
 
 async fn serve_calls(shared: &Shared, connection: &mut Connection) {
-    let mut reach = shared.reach.subscribe();
+    let mut reachability = shared.reachability.subscribe();
     while let Ok(Some(request)) = connection.read_request().await {
-        let _ = reach.wait_for(|reach| *reach != Reach::Dark).await;
-        shared.show_stages();
-        let answer = lock(&shared.platform).call(&request, shared.world.now());
-        note(shared, &request, &answer);
-        if connection.write(&answer.encode()).await.is_err() {
+        let _ = reachability.wait_for(|reachability| *reachability != Reachability::Blackholed).await;
+        shared.refresh_stages();
+        let response = lock(&shared.platform).call(&request, shared.world.now());
+        note(shared, &request, &response);
+        if connection.write(&response.encode()).await.is_err() {
             return;
         }
     }
 }
 
-fn note(shared: &Shared, request: &Request, answer: &Answer) {
+fn note(shared: &Shared, request: &Request, response: &Response) {
     let mut calls = lock(&shared.calls);
-    if calls.len() >= MOST_CALLS {
+    if calls.len() >= MAX_RECORDED_REQUESTS {
         calls.remove(0);
     }
-    calls.push(PlatformCall {
+    calls.push(PlatformRequest {
         at: shared.world.now(),
         target: request.target.clone(),
-        status: answer.status,
-        body: String::from_utf8_lossy(&answer.body).into_owned(),
+        status: response.status,
+        body: String::from_utf8_lossy(&response.body).into_owned(),
     });
 }
--- a/crates/emulator/src/ledger.rs
+++ b/crates/emulator/src/request_log.rs
@@ -42,7 +42,7 @@
 
 /// A server began to work on a request.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct Execution {
     /// Since the start of the world.
     pub at: Duration,
     /// The server's incarnation.
@@ -54,12 +54,12 @@
     /// Hash of method, target and body.
     pub content: u64,
     /// The request that the memory was read for, if it was fetched.
-    pub memory_of: Option<String>,
+    pub kv_owner: Option<String>,
 }
 
 /// A server has answered a request whole, or given it up.
 #[derive(Clone, Debug, PartialEq)]
-pub struct WorkEnd {
+pub struct Completion {
     /// Since the start of the world.
     pub at: Duration,
     /// The id of the client's try.
@@ -68,7 +68,7 @@
 
 /// An order as a server got it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct OrderSeen {
+pub struct ReceivedOrder {
     /// Since the start of the world.
     pub at: Duration,
     /// The server's incarnation.
@@ -81,29 +81,29 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// A request that may run once ran more often.
-    Twice {
+    ExecutedTwice {
         /// The request.
         request_id: String,
         /// How often it ran.
         runs: usize,
     },
     /// A request ran that no client sent, or not as it was sent.
-    Unasked {
+    UnknownRequest {
         /// The request.
         request_id: String,
     },
     /// A request was told that it has not run, and ran.
-    Refused {
+    ExecutedAfterRefusal {
         /// The request.
         request_id: String,
     },
     /// A request went on from the memory of another.
-    Mixed {
+    ForeignKv {
         /// The request.
         request_id: String,
     },
     /// A service ran a request that was not for it.
-    Route {
+    WrongService {
         /// The request.
         request_id: String,
         /// The service.
@@ -112,73 +112,73 @@
 }
 
 #[derive(Debug, Default)]
-struct Books {
+struct Records {
     arrivals: Vec<Arrival>,
-    runs: Vec<Run>,
-    ends: Vec<WorkEnd>,
-    orders: Vec<OrderSeen>,
+    executions: Vec<Execution>,
+    completions: Vec<Completion>,
+    orders: Vec<ReceivedOrder>,
 }
 
 /// The record of a world; clones share it.
 #[derive(Clone, Debug, Default)]
-pub struct Ledger {
-    books: Arc<Mutex<Books>>,
+pub struct RequestLog {
+    records: Arc<Mutex<Records>>,
 }
 
-impl Ledger {
+impl RequestLog {
     /// An empty record.
-    pub fn new() -> Ledger {
-        Ledger::default()
+    pub fn new() -> RequestLog {
+        RequestLog::default()
     }
 
-    fn books(&self) -> MutexGuard<'_, Books> {
-        self.books.lock().unwrap_or_else(PoisonError::into_inner)
+    fn records(&self) -> MutexGuard<'_, Records> {
+        self.records.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Adds an arrival.
-    pub fn arrived(&self, arrival: Arrival) {
-        self.books().arrivals.push(arrival);
+    pub fn record_arrival(&self, arrival: Arrival) {
+        self.records().arrivals.push(arrival);
     }
 
     /// Adds a run.
-    pub fn ran(&self, run: Run) {
-        self.books().runs.push(run);
+    pub fn record_execution(&self, execution: Execution) {
+        self.records().executions.push(execution);
     }
 
     /// Adds the end of a server's work.
-    pub fn ended(&self, end: WorkEnd) {
-        self.books().ends.push(end);
+    pub fn record_completion(&self, end: Completion) {
+        self.records().completions.push(end);
     }
 
     /// The ends of all work so far.
-    pub fn ends(&self) -> Vec<WorkEnd> {
-        self.books().ends.clone()
+    pub fn completions(&self) -> Vec<Completion> {
+        self.records().completions.clone()
     }
 
     /// Adds an order.
-    pub fn ordered(&self, order: OrderSeen) {
-        self.books().orders.push(order);
+    pub fn record_order(&self, order: ReceivedOrder) {
+        self.records().orders.push(order);
     }
 
     /// All arrivals so far.
     pub fn arrivals(&self) -> Vec<Arrival> {
-        self.books().arrivals.clone()
+        self.records().arrivals.clone()
     }
 
     /// All runs so far.
-    pub fn runs(&self) -> Vec<Run> {
-        self.books().runs.clone()
+    pub fn executions(&self) -> Vec<Execution> {
+        self.records().executions.clone()
     }
 
     /// All orders so far.
-    pub fn orders(&self) -> Vec<OrderSeen> {
-        self.books().orders.clone()
+    pub fn orders(&self) -> Vec<ReceivedOrder> {
+        self.records().orders.clone()
     }
 
     /// The arrivals of one request.
     pub fn arrivals_of(&self, request_id: &str) -> Vec<Arrival> {
-        let books = self.books();
-        books
+        let records = self.records();
+        records
             .arrivals
             .iter()
             .filter(|arrival| arrival.request_id.as_deref() == Some(request_id))
@@ -187,8 +187,8 @@
     }
 
     /// The runs of one request.
-    pub fn runs_of(&self, request_id: &str) -> Vec<Run> {
-        self.books().runs.iter().filter(|run| run.request_id == request_id).cloned().collect()
+    pub fn executions_of(&self, request_id: &str) -> Vec<Execution> {
+        self.records().executions.iter().filter(|run| run.request_id == request_id).cloned().collect()
     }
 
     /// What is wrong, given all that the clients sent and got. `services_of` tells where a request may run.
@@ -197,22 +197,22 @@
     ) -> Vec<Violation> {
         let sent: BTreeMap<&str, &Outcome> =
             outcomes.iter().map(|outcome| (outcome.request_id.as_str(), outcome)).collect();
-        let books = self.books();
+        let records = self.records();
         let mut found = Vec::new();
         let mut runs: BTreeMap<&str, usize> = BTreeMap::new();
-        for run in &books.runs {
+        for run in &records.executions {
             let request_id = run.request_id.clone();
             *runs.entry(run.request_id.as_str()).or_default() += 1;
-            if run.memory_of.as_deref().is_some_and(|owner| owner != run.request_id) {
-                found.push(Violation::Mixed { request_id: request_id.clone() });
+            if run.kv_owner.as_deref().is_some_and(|owner| owner != run.request_id) {
+                found.push(Violation::ForeignKv { request_id: request_id.clone() });
             }
             match sent.get(run.request_id.as_str()) {
                 Some(outcome) if outcome.content == run.content => {
                     if !services_of(outcome).contains(&run.service) {
-                        found.push(Violation::Route { request_id, service: run.service.clone() });
+                        found.push(Violation::WrongService { request_id, service: run.service.clone() });
                     }
                 }
-                _ => found.push(Violation::Unasked { request_id }),
+                _ => found.push(Violation::UnknownRequest { request_id }),
             }
         }
         for (request_id, runs) in runs {
@@ -220,10 +220,10 @@
                 continue;
             };
             if runs > 1 {
-                found.push(Violation::Twice { request_id: request_id.to_owned(), runs });
+                found.push(Violation::ExecutedTwice { request_id: request_id.to_owned(), runs });
             }
-            if outcome.promises_not_run() {
-                found.push(Violation::Refused { request_id: request_id.to_owned() });
+            if outcome.promises_not_executed() {
+                found.push(Violation::ExecutedAfterRefusal { request_id: request_id.to_owned() });
             }
         }
         found
--- a/crates/emulator/src/stamp.rs
+++ b/crates/emulator/src/stamp.rs
@@ -1,13 +1,13 @@
-//! What a server signs an answer with: which run made it, and what its whole body is.
+//! What a server signs a response with: which run made it, and what its whole body is.
 
 use std::fmt;
 use std::str::FromStr;
 
-/// What the body of a stamped answer has to be.
+/// What the body of a stamped response has to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whole {
+pub enum ExpectedBody {
     /// A body of so many bytes with that hash.
-    Body {
+    Bytes {
         /// Bytes.
         length: usize,
         /// [`crate::content::hash`] of the body.
@@ -24,7 +24,7 @@
     },
 }
 
-/// A server's signature under an answer.
+/// A server's signature under a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stamp {
     /// The incarnation that answered.
@@ -34,42 +34,44 @@
     /// The status that the server gave.
     pub status: u16,
     /// The whole body.
-    pub whole: Whole,
+    pub expected_body: ExpectedBody,
 }
 
 /// The text is no stamp of these servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("not a server's stamp")]
-pub struct NoStamp;
+pub struct InvalidStamp;
 
 impl fmt::Display for Stamp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{:x}.{}.", self.instance, self.run, self.status)?;
-        match self.whole {
-            Whole::Body { length, hash } => write!(f, "b.{length}.0.{hash:016x}"),
-            Whole::Events { last, event_bytes, seed } => write!(f, "e.{last}.{event_bytes}.{seed:016x}"),
+        match self.expected_body {
+            ExpectedBody::Bytes { length, hash } => write!(f, "b.{length}.0.{hash:016x}"),
+            ExpectedBody::Events { last, event_bytes, seed } => {
+                write!(f, "e.{last}.{event_bytes}.{seed:016x}")
+            }
         }
     }
 }
 
 impl FromStr for Stamp {
-    type Err = NoStamp;
+    type Err = InvalidStamp;
 
-    fn from_str(text: &str) -> Result<Stamp, NoStamp> {
+    fn from_str(text: &str) -> Result<Stamp, InvalidStamp> {
         let fields: Vec<&str> = text.split('.').collect();
         let [instance, run, status, kind, count, size, seed] = fields[..] else {
-            return Err(NoStamp);
+            return Err(InvalidStamp);
         };
-        let hex = |text| u64::from_str_radix(text, 16).map_err(|_| NoStamp);
-        let whole = match kind {
-            "b" => Whole::Body { length: parse(count)?, hash: hex(seed)? },
-            "e" => Whole::Events { last: parse(count)?, event_bytes: parse(size)?, seed: hex(seed)? },
-            _ => return Err(NoStamp),
+        let hex = |text| u64::from_str_radix(text, 16).map_err(|_| InvalidStamp);
+        let expected_body = match kind {
+            "b" => ExpectedBody::Bytes { length: parse(count)?, hash: hex(seed)? },
+            "e" => ExpectedBody::Events { last: parse(count)?, event_bytes: parse(size)?, seed: hex(seed)? },
+            _ => return Err(InvalidStamp),
         };
-        Ok(Stamp { instance: instance.to_owned(), run: hex(run)?, status: parse(status)?, whole })
+        Ok(Stamp { instance: instance.to_owned(), run: hex(run)?, status: parse(status)?, expected_body })
     }
 }
 
-fn parse<T: FromStr>(text: &str) -> Result<T, NoStamp> {
-    text.parse().map_err(|_| NoStamp)
+fn parse<T: FromStr>(text: &str) -> Result<T, InvalidStamp> {
+    text.parse().map_err(|_| InvalidStamp)
 }
--- a/crates/emulator/src/wire/body.rs
+++ b/crates/emulator/src/wire/body.rs
@@ -22,15 +22,15 @@
 impl Framing {
     /// The framing that a request's headers tell.
     pub fn of_request(headers: &Headers) -> Result<Framing, WireError> {
-        Ok(Framing::told(headers)?.unwrap_or(Framing::Done))
+        Ok(Framing::from_headers(headers)?.unwrap_or(Framing::Done))
     }
 
-    /// The framing that an answer's headers tell.
-    pub fn of_answer(status: u16, headers: &Headers) -> Result<Framing, WireError> {
+    /// The framing that a response's headers tell.
+    pub fn of_response(status: u16, headers: &Headers) -> Result<Framing, WireError> {
         if status < 200 || status == 204 || status == 304 {
             return Ok(Framing::Done);
         }
-        Ok(Framing::told(headers)?.unwrap_or(Framing::UntilClose))
+        Ok(Framing::from_headers(headers)?.unwrap_or(Framing::UntilClose))
     }
 
     /// What is left after so many bytes more.
@@ -44,7 +44,7 @@
         }
     }
 
-    fn told(headers: &Headers) -> Result<Option<Framing>, WireError> {
+    fn from_headers(headers: &Headers) -> Result<Option<Framing>, WireError> {
         if headers.get(names::TRANSFER_ENCODING).is_some() {
             if !headers.has_token(names::TRANSFER_ENCODING, "chunked") {
                 return Err(WireError::Malformed("an unknown transfer encoding"));
--- a/crates/emulator/src/wire/connection.rs
+++ b/crates/emulator/src/wire/connection.rs
@@ -1,7 +1,7 @@
 //! One connection, read and written message by message.
 
 use super::body::Framing;
-use super::message::{Answer, Headers, Request};
+use super::message::{Headers, Request, Response};
 use bytes::{Buf, Bytes, BytesMut};
 use socket2::SockRef;
 use std::io;
@@ -95,8 +95,8 @@
             }
         };
         let mut framing = Framing::of_request(&request.headers)?;
-        while let Some(piece) = self.read_piece(&mut framing).await? {
-            request.body.extend_from_slice(&piece);
+        while let Some(chunk_bytes) = self.read_body_chunk(&mut framing).await? {
+            request.body.extend_from_slice(&chunk_bytes);
             if request.body.len() > MAX_BODY_BYTES {
                 return Err(WireError::TooLong);
             }
@@ -104,15 +104,15 @@
         Ok(Some(request))
     }
 
-    /// Reads the head of an answer.
-    pub async fn read_answer_head(&mut self) -> Result<(Answer, Framing), WireError> {
+    /// Reads the head of a response.
+    pub async fn read_response_head(&mut self) -> Result<(Response, Framing), WireError> {
         loop {
-            if let Some(answer) = self.parse_answer()? {
-                if answer.status < 200 {
+            if let Some(response) = self.parse_response()? {
+                if response.status < 200 {
                     continue;
                 }
-                let framing = Framing::of_answer(answer.status, &answer.headers)?;
-                return Ok((answer, framing));
+                let framing = Framing::of_response(response.status, &response.headers)?;
+                return Ok((response, framing));
             }
             if self.fill().await? == 0 {
                 return Err(WireError::EndedEarly);
@@ -120,20 +120,20 @@
         }
     }
 
-    /// Reads a whole answer.
-    pub async fn read_answer(&mut self) -> Result<Answer, WireError> {
-        let (mut answer, mut framing) = self.read_answer_head().await?;
-        while let Some(piece) = self.read_piece(&mut framing).await? {
-            answer.body.extend_from_slice(&piece);
-            if answer.body.len() > MAX_BODY_BYTES {
+    /// Reads a whole response.
+    pub async fn read_response(&mut self) -> Result<Response, WireError> {
+        let (mut response, mut framing) = self.read_response_head().await?;
+        while let Some(chunk_bytes) = self.read_body_chunk(&mut framing).await? {
+            response.body.extend_from_slice(&chunk_bytes);
+            if response.body.len() > MAX_BODY_BYTES {
                 return Err(WireError::TooLong);
             }
         }
-        Ok(answer)
+        Ok(response)
     }
 
     /// Reads the next bytes of a body; `None` at its end.
-    pub async fn read_piece(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, WireError> {
+    pub async fn read_body_chunk(&mut self, framing: &mut Framing) -> Result<Option<Bytes>, WireError> {
         loop {
             let left = match framing {
                 Framing::Done => return Ok(None),
@@ -166,9 +166,9 @@
                 return Err(WireError::EndedEarly);
             }
             let taken = left.min(self.buffer.len());
-            let piece = self.buffer.split_to(taken).freeze();
+            let chunk_bytes = self.buffer.split_to(taken).freeze();
             *framing = framing.after(taken);
-            return Ok(Some(piece));
+            return Ok(Some(chunk_bytes));
         }
     }
 
@@ -215,17 +215,17 @@
         Ok(Some(request))
     }
 
-    fn parse_answer(&mut self) -> Result<Option<Answer>, WireError> {
+    fn parse_response(&mut self) -> Result<Option<Response>, WireError> {
         let mut parsed_headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut parsed_headers);
         let status = head.parse(&self.buffer).map_err(|_| WireError::Malformed("a bad answer head"))?;
         let httparse::Status::Complete(length) = status else {
             return self.need_more();
         };
-        let mut answer = Answer::new(head.code.unwrap_or_default());
-        answer.headers = headers_of(head.headers)?;
+        let mut response = Response::new(head.code.unwrap_or_default());
+        response.headers = headers_of(head.headers)?;
         self.buffer.advance(length);
-        Ok(Some(answer))
+        Ok(Some(response))
     }
 
     fn need_more<T>(&self) -> Result<Option<T>, WireError> {
--- a/crates/emulator/src/wire/message.rs
+++ b/crates/emulator/src/wire/message.rs
@@ -105,9 +105,9 @@
     }
 }
 
-/// A whole answer, or the head of one whose body follows in chunks.
+/// A whole response, or the head of one whose body follows in chunks.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// The status.
     pub status: u16,
     /// The headers, without those of the framing.
@@ -116,27 +116,27 @@
     pub body: Vec<u8>,
 }
 
-impl Answer {
-    /// An answer without a body.
-    pub fn new(status: u16) -> Answer {
-        Answer { status, ..Answer::default() }
+impl Response {
+    /// A response without a body.
+    pub fn new(status: u16) -> Response {
+        Response { status, ..Response::default() }
     }
 
-    /// An answer with a JSON body.
-    pub fn json(status: u16, body: &serde_json::Value) -> Answer {
-        let mut answer = Answer::new(status);
-        answer.headers.push(names::CONTENT_TYPE, names::JSON);
-        answer.body = body.to_string().into_bytes();
-        answer
+    /// A response with a JSON body.
+    pub fn json(status: u16, body: &serde_json::Value) -> Response {
+        let mut response = Response::new(status);
+        response.headers.push(names::CONTENT_TYPE, names::JSON);
+        response.body = body.to_string().into_bytes();
+        response
     }
 
-    /// The same answer with one header more.
-    pub fn with(mut self, name: &str, value: impl Into<String>) -> Answer {
+    /// The same response with one header more.
+    pub fn with(mut self, name: &str, value: impl Into<String>) -> Response {
         self.headers.set(name, value);
         self
     }
 
-    /// The bytes of the answer; the body has a length.
+    /// The bytes of the response; the body has a length.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = self.begin();
         out.extend_from_slice(format!("{}: {}\r\n\r\n", names::CONTENT_LENGTH, self.body.len()).as_bytes());
@@ -144,7 +144,7 @@
         out
     }
 
-    /// The bytes of the head of an answer whose body follows in chunks.
+    /// The bytes of the head of a response whose body follows in chunks.
     pub fn encode_chunked_head(&self) -> Vec<u8> {
         let mut out = self.begin();
         out.extend_from_slice(format!("{}: chunked\r\n\r\n", names::TRANSFER_ENCODING).as_bytes());
--- a/crates/emulator/tests/digest.rs
+++ b/crates/emulator/tests/digest.rs
@@ -1,5 +1,5 @@
 //! The outputs of the emulated servers on a seeded sequence of events, folded to one digest: a change of shape must not change
-//! an answer, a time or the order of actions.
+//! a response, a time or the order of actions.
 
 mod support;
 
@@ -30,16 +30,18 @@
 /// The bytes of an action: a tag, the call and what it carries.
 fn encode(action: &Action) -> Vec<u8> {
     let (tag, call, carried): (u8, &CallId, Vec<u8>) = match action {
-        Action::Answer { call, answer } => (1, call, answer.encode()),
+        Action::Respond { call, response } => (1, call, response.encode()),
         Action::Head { call, head } => (2, call, head.encode_chunked_head()),
         Action::Event { call, bytes } => (3, call, bytes.clone()),
         Action::End { call } => (4, call, Vec::new()),
-        Action::Cut { call } => (5, call, Vec::new()),
-        Action::Ran { call, memory_of } => {
-            let memory_of = memory_of.as_ref().map_or_else(Vec::new, |id| format!("from {id}").into_bytes());
-            (6, call, memory_of)
+        Action::Truncate { call } => (5, call, Vec::new()),
+        Action::Started { call, kv_owner } => {
+            let kv_owner = kv_owner.as_ref().map_or_else(Vec::new, |id| format!("from {id}").into_bytes());
+            (6, call, kv_owner)
+        }
+        Action::FetchHandle { call, address, handle } => {
+            (7, call, format!("{address}/{handle}").into_bytes())
         }
-        Action::TakeHandle { call, address, handle } => (7, call, format!("{address}/{handle}").into_bytes()),
     };
     let mut bytes = vec![tag];
     bytes.extend_from_slice(&call.0.to_be_bytes());
@@ -61,8 +63,8 @@
 /// The last handle that a prefill server gave, if any.
 fn last_handle(server: &Driven<impl ServerCore>) -> Option<String> {
     server.actions.iter().rev().find_map(|(_, action)| match action {
-        Action::Answer { answer, .. } => {
-            let body: serde_json::Value = serde_json::from_slice(&answer.body).ok()?;
+        Action::Respond { response, .. } => {
+            let body: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
             Some(body["KvHandle"].as_str()?.to_owned())
         }
         _ => None,
@@ -125,7 +127,7 @@
         kv_token_bytes: 1_000.0,
         link_mbps: 400.0,
         step_ms_per_running: 0.3,
-        handle_hold: Duration::from_millis(150),
+        handle_ttl: Duration::from_millis(150),
         report_lag: Duration::from_millis(20),
         ..parameters(stage)
     }
@@ -153,13 +155,13 @@
                 let known = decode_server.actions.len();
                 let call = decode_server.send(request);
                 let wanted = decode_server.actions[known..].iter().find_map(|(_, action)| match action {
-                    Action::TakeHandle { handle, .. } => Some(handle.clone()),
+                    Action::FetchHandle { handle, .. } => Some(handle.clone()),
                     _ => None,
                 });
                 if let Some(handle) = wanted {
                     let contents = prefill_server.core.take_handle(&handle, prefill_server.now);
                     transfers += u64::from(contents.is_some());
-                    decode_server.tell(ServerEvent::HandleTaken { call, contents });
+                    decode_server.tell(ServerEvent::HandleFetched { call, contents });
                 }
             }
             6 => drawn_disturbance(&mut prefill_server, &mut draws, step / 3),
@@ -177,8 +179,12 @@
     let mut digest = digest_of(&decode_server, digest_of(&prefill_server, seed));
     for server in [&prefill_server, &decode_server] {
         let statistics = server.core.statistics();
-        let counts =
-            [statistics.read_tokens, statistics.moved_tokens, statistics.wasted_tokens, statistics.put_back];
+        let counts = [
+            statistics.prefilled_tokens,
+            statistics.transferred_tokens,
+            statistics.wasted_tokens,
+            statistics.preempted,
+        ];
         for count in counts {
             digest = content::hash_all(&[&digest.to_be_bytes(), &count.to_be_bytes()]);
         }
@@ -191,7 +197,7 @@
 #[case::seed_2(2, 0xaf967ee0de096766)]
 fn outputs_of_a_plain_server_keep_their_digest(#[case] seed: u64, #[case] expected: u64) {
     let mut draws = Draws(seed);
-    let parameters = PlainParameters { slots: 2, queue: 3, work: ms(8), answer_bytes: 40 };
+    let parameters = PlainParameters { slots: 2, queue: 3, work: ms(8), response_bytes: 40 };
     let mut server = Driven::new(PlainServer::new(Identity::new("i-3", "plain"), parameters));
     for step in 0..STEPS {
         match draws.below(6) {
--- a/crates/emulator/tests/host.rs
+++ b/crates/emulator/tests/host.rs
@@ -1,26 +1,26 @@
 //! Servers on real sockets: what goes over the wire, each planned fault, and what the client finds.
 
-use lugwharf_emulator::client::{Client, ClientRequest, Ending, Finding, Kind};
+use lugwharf_emulator::client::{AttemptEnd, Client, ClientRequest, Finding, Kind};
 use lugwharf_emulator::core::Identity;
-use lugwharf_emulator::fault::{Fault, Matcher, Reach};
-use lugwharf_emulator::host::{Host, HostOptions, World};
-use lugwharf_emulator::ledger::Violation;
+use lugwharf_emulator::fault::{Fault, Matcher, Reachability};
+use lugwharf_emulator::host::{EmulatedServer, ServerOptions, World};
 use lugwharf_emulator::model_server::{ModelParameters, ModelServer, Stage};
 use lugwharf_emulator::plain_server::{PlainParameters, PlainServer};
+use lugwharf_emulator::request_log::Violation;
 use rstest::rstest;
 use std::collections::BTreeSet;
 
 const ANY: &str = "127.0.0.1:0";
 
-async fn plain(world: &World, options: HostOptions) -> Host<PlainServer> {
+async fn plain(world: &World, options: ServerOptions) -> EmulatedServer<PlainServer> {
     let core = PlainServer::new(Identity::new("i-1", "plain"), PlainParameters::default());
-    Host::start(world, ANY.parse().expect("an address"), core, options).await.expect("a socket")
+    EmulatedServer::start(world, ANY.parse().expect("an address"), core, options).await.expect("a socket")
 }
 
-async fn model(world: &World, instance: &str, stage: Stage) -> Host<ModelServer> {
+async fn model(world: &World, instance: &str, stage: Stage) -> EmulatedServer<ModelServer> {
     let core = ModelServer::new(Identity::new(instance, "llm"), ModelParameters::quick(stage));
     let address = ANY.parse().expect("an address");
-    Host::start(world, address, core, HostOptions::default()).await.expect("a socket")
+    EmulatedServer::start(world, address, core, ServerOptions::default()).await.expect("a socket")
 }
 
 fn post(id: &str) -> ClientRequest {
@@ -34,19 +34,19 @@
 #[tokio::test]
 async fn a_plain_request_is_served_on_a_kept_connection() {
     let world = World::new();
-    let server = plain(&world, HostOptions::default()).await;
+    let server = plain(&world, ServerOptions::default()).await;
     let mut client = Client::new(server.address());
     for id in ["r1", "r2"] {
         let outcome = client.send(&post(id)).await;
         assert!(outcome.is_success() && outcome.findings.is_empty(), "{outcome:?}");
         assert!(client.is_connected());
     }
-    let arrivals = world.ledger().arrivals_of("r1");
+    let arrivals = world.request_log().arrivals_of("r1");
     assert_eq!(
         (arrivals.len(), arrivals[0].method.as_str(), arrivals[0].target.as_str()),
         (1, "POST", "/a/b")
     );
-    assert_eq!(world.ledger().runs_of("r2").len(), 1);
+    assert_eq!(world.request_log().executions_of("r2").len(), 1);
 }
 
 #[tokio::test]
@@ -66,29 +66,29 @@
     let outcome = Client::new(maker.address()).send(&make).await;
     assert!(outcome.is_success() && outcome.findings.is_empty(), "{outcome:?}");
     assert_eq!(outcome.events.len(), 5);
-    assert_eq!(world.ledger().runs_of("r1").len(), 1);
+    assert_eq!(world.request_log().executions_of("r1").len(), 1);
     assert_eq!(reader.with_core(|core| core.handle_count()), 0);
     let services = |_: &_| BTreeSet::from(["llm".to_owned()]);
-    assert_eq!(world.ledger().violations(&[outcome], services), []);
+    assert_eq!(world.request_log().violations(&[outcome], services), []);
 }
 
 #[rstest]
-#[case::before_run(Fault::ResetBeforeRun, Ending::Cut, 0)]
-#[case::lost_answer(Fault::LoseAnswer, Ending::Cut, 1)]
-#[case::after_answer(Fault::ResetAfterAnswer, Ending::Whole, 1)]
-#[case::reject(Fault::Reject, Ending::Whole, 0)]
-#[case::garbage(Fault::Garbage, Ending::Malformed, 0)]
-#[case::wrong_id(Fault::WrongId, Ending::Whole, 1)]
-#[case::surplus(Fault::SurplusAnswer, Ending::Whole, 1)]
+#[case::before_run(Fault::ResetBeforeExecution, AttemptEnd::Truncated, 0)]
+#[case::lost_answer(Fault::DropResponse, AttemptEnd::Truncated, 1)]
+#[case::after_answer(Fault::ResetAfterResponse, AttemptEnd::Complete, 1)]
+#[case::reject(Fault::Reject, AttemptEnd::Complete, 0)]
+#[case::garbage(Fault::Garbage, AttemptEnd::Malformed, 0)]
+#[case::wrong_id(Fault::WrongRequestId, AttemptEnd::Complete, 1)]
+#[case::surplus(Fault::SurplusResponse, AttemptEnd::Complete, 1)]
 #[tokio::test]
-async fn planned_faults(#[case] fault: Fault, #[case] ending: Ending, #[case] runs: usize) {
+async fn planned_faults(#[case] fault: Fault, #[case] ending: AttemptEnd, #[case] runs: usize) {
     let world = World::new();
-    let server = plain(&world, HostOptions::default()).await;
+    let server = plain(&world, ServerOptions::default()).await;
     server.inject(Matcher::any(), fault.clone(), 1);
     let outcome = Client::new(server.address()).send(&post("r1")).await;
     assert_eq!(outcome.ending, ending, "{outcome:?}");
-    assert_eq!(world.ledger().runs_of("r1").len(), runs);
-    assert_eq!(outcome.findings.contains(&Finding::OtherRequest), fault == Fault::WrongId);
+    assert_eq!(world.request_log().executions_of("r1").len(), runs);
+    assert_eq!(outcome.findings.contains(&Finding::RequestIdMismatch), fault == Fault::WrongRequestId);
     let second = Client::new(server.address()).send(&post("r2")).await;
     assert!(second.is_success(), "a fault is used up: {second:?}");
 }
@@ -100,23 +100,23 @@
 async fn a_stream_cut_in_an_event(#[case] reset: bool) {
     let world = World::new();
     let server = model(&world, "i-1", Stage::Decode).await;
-    server.inject(Matcher::any(), Fault::CutStream { after_events: 2, reset }, 1);
+    server.inject(Matcher::any(), Fault::TruncateStream { after_events: 2, reset }, 1);
     let outcome = Client::new(server.address()).send(&stream("r1")).await;
-    assert_eq!((outcome.ending, outcome.events.len()), (Ending::Cut, 2), "{outcome:?}");
+    assert_eq!((outcome.ending, outcome.events.len()), (AttemptEnd::Truncated, 2), "{outcome:?}");
     assert_eq!(outcome.findings, []);
 }
 
 #[tokio::test]
 async fn surplus_bytes_are_seen_before_the_next_request() {
     let world = World::new();
-    let server = plain(&world, HostOptions::default()).await;
-    server.inject(Matcher::any(), Fault::SurplusAnswer, 1);
+    let server = plain(&world, ServerOptions::default()).await;
+    server.inject(Matcher::any(), Fault::SurplusResponse, 1);
     let mut client = Client::new(server.address());
     client.send(&post("r1")).await;
     let outcome = client.send(&post("r2")).await;
-    // The surplus answer stands there before the next request, or takes the place of its answer.
-    let is_seen =
-        outcome.findings.contains(&Finding::Surplus) || outcome.findings.contains(&Finding::OtherRequest);
+    // The surplus response stands there before the next request, or takes the place of its response.
+    let is_seen = outcome.findings.contains(&Finding::SurplusBytes)
+        || outcome.findings.contains(&Finding::RequestIdMismatch);
     assert!(is_seen, "{outcome:?}");
 }
 
@@ -127,12 +127,13 @@
         PlainParameters { work: std::time::Duration::from_secs(60), ..PlainParameters::default() };
     let core = PlainServer::new(Identity::new("i-1", "plain"), parameters);
     let address = ANY.parse().expect("an address");
-    let server = Host::start(&world, address, core, HostOptions::default()).await.expect("a socket");
+    let server =
+        EmulatedServer::start(&world, address, core, ServerOptions::default()).await.expect("a socket");
     let mut request = post("r1");
     request.deadline_ms = 100;
     request.headers.set("Deadline-Ms", "60000");
     let outcome = Client::new(server.address()).send(&request).await;
-    assert_eq!(outcome.ending, Ending::TimedOut);
+    assert_eq!(outcome.ending, AttemptEnd::TimedOut);
     use lugwharf_emulator::core::ServerCore;
     let is_idle =
         lugwharf_emulator::cluster::poll(|| async { server.with_core(|core| core.next_wake().is_none()) });
@@ -140,19 +141,22 @@
 }
 
 #[rstest]
-#[case::refusing(Reach::Refusing)]
-#[case::dark(Reach::Dark)]
+#[case::refusing(Reachability::Refusing)]
+#[case::dark(Reachability::Blackholed)]
 #[tokio::test]
-async fn a_server_out_of_reach_runs_nothing(#[case] reach: Reach) {
+async fn a_server_out_of_reach_runs_nothing(#[case] reachability: Reachability) {
     let world = World::new();
-    let server = plain(&world, HostOptions::default()).await;
-    server.set_reach(reach);
+    let server = plain(&world, ServerOptions::default()).await;
+    server.set_reachability(reachability);
     let mut request = post("r1");
     request.deadline_ms = 100;
     let outcome = Client::new(server.address()).send(&request).await;
-    assert!(matches!(outcome.ending, Ending::TimedOut | Ending::Cut | Ending::NoConnection), "{outcome:?}");
-    assert_eq!(world.ledger().runs_of("r1").len(), 0);
-    server.set_reach(Reach::Open);
+    assert!(
+        matches!(outcome.ending, AttemptEnd::TimedOut | AttemptEnd::Truncated | AttemptEnd::ConnectFailed),
+        "{outcome:?}"
+    );
+    assert_eq!(world.request_log().executions_of("r1").len(), 0);
+    server.set_reachability(Reachability::Serving);
     let outcome = Client::new(server.address()).send(&post("r2")).await;
     assert!(outcome.is_success(), "{outcome:?}");
 }
@@ -160,41 +164,45 @@
 #[tokio::test]
 async fn an_address_is_taken_over_by_another_server() {
     let world = World::new();
-    let server = plain(&world, HostOptions::default()).await;
+    let server = plain(&world, ServerOptions::default()).await;
     let address = server.crash().await;
     let outcome = Client::new(address).send(&post("r1")).await;
-    assert_eq!(outcome.ending, Ending::NoConnection);
+    assert_eq!(outcome.ending, AttemptEnd::ConnectFailed);
     let core = PlainServer::new(Identity::new("i-2", "other"), PlainParameters::default());
-    let _server = Host::start(&world, address, core, HostOptions::default()).await.expect("the same address");
+    let _server = EmulatedServer::start(&world, address, core, ServerOptions::default())
+        .await
+        .expect("the same address");
     let mut request = post("r2");
     request.headers.push("Expect-Instance", "i-1");
     let outcome = Client::new(address).send(&request).await;
     assert_eq!(outcome.status, Some(421));
-    assert!(outcome.promises_not_run());
+    assert!(outcome.promises_not_executed());
 }
 
 #[tokio::test]
 async fn connections_beyond_the_most_are_reset() {
     let world = World::new();
-    let server = plain(&world, HostOptions { max_connections: 1, ..HostOptions::default() }).await;
+    let server = plain(&world, ServerOptions { max_connections: 1, ..ServerOptions::default() }).await;
     let mut first = Client::new(server.address());
     assert!(first.send(&post("r1")).await.is_success());
     let second = Client::new(server.address()).send(&post("r2")).await;
-    assert!(matches!(second.ending, Ending::Cut | Ending::NoConnection), "{second:?}");
+    assert!(matches!(second.ending, AttemptEnd::Truncated | AttemptEnd::ConnectFailed), "{second:?}");
     assert!(first.send(&post("r3")).await.is_success());
 }
 
 #[tokio::test]
 async fn the_record_tells_what_is_wrong() {
     let world = World::new();
-    let server = plain(&world, HostOptions::default()).await;
+    let server = plain(&world, ServerOptions::default()).await;
     let twice = post("r1");
     let first = Client::new(server.address()).send(&twice).await;
     Client::new(server.address()).send(&twice).await;
     Client::new(server.address()).send(&post("r2")).await;
     let elsewhere = |_: &_| BTreeSet::from(["llm".to_owned()]);
-    let found = world.ledger().violations(&[first], elsewhere);
-    assert!(found.contains(&Violation::Twice { request_id: "r1".to_owned(), runs: 2 }));
-    assert!(found.contains(&Violation::Unasked { request_id: "r2".to_owned() }));
-    assert!(found.contains(&Violation::Route { request_id: "r1".to_owned(), service: "plain".to_owned() }));
+    let found = world.request_log().violations(&[first], elsewhere);
+    assert!(found.contains(&Violation::ExecutedTwice { request_id: "r1".to_owned(), runs: 2 }));
+    assert!(found.contains(&Violation::UnknownRequest { request_id: "r2".to_owned() }));
+    assert!(
+        found.contains(&Violation::WrongService { request_id: "r1".to_owned(), service: "plain".to_owned() })
+    );
 }
--- a/crates/emulator/tests/model_server.rs
+++ b/crates/emulator/tests/model_server.rs
@@ -15,12 +15,12 @@
     let mut server = model("i-1", parameters(Stage::Prefill));
     let call = server.send(prefill("r1", (1_500, 10), &PARTS));
     server.run_for(ms(100));
-    let body = json(server.answer(call).expect("an answer"));
+    let body = json(server.response(call).expect("an answer"));
     assert_eq!(body["Tokens"], 1_500);
     assert_eq!(body["Version"], 1);
     assert_eq!(body["KvHandle"].as_str().map(str::len), Some(12));
     // 10 ms before, two pieces of 1,000 and 500 tokens at 100 a ms, and two steps.
-    let at = server.times(|action| matches!(action, Action::Answer { .. }));
+    let at = server.times(|action| matches!(action, Action::Respond { .. }));
     assert_eq!(at, [ms(10 + 10 + 5 + 2)]);
     assert_eq!(server.runs(call), 0, "reading a prompt is no run");
     assert_eq!(server.core.handle_count(), 1);
@@ -32,14 +32,14 @@
     let call = server.send(prefill("r1", (1_200, 10), &PARTS));
     server.run_for(ms(100));
     let handle =
-        json(server.answer(call).expect("an answer"))["KvHandle"].as_str().expect("a handle").to_owned();
+        json(server.response(call).expect("an answer"))["KvHandle"].as_str().expect("a handle").to_owned();
     let contents = server.core.take_handle(&handle, server.now).expect("the memory");
     assert_eq!((contents.tokens, contents.request_id.as_str()), (1_200, "r1"));
     assert_eq!(server.core.take_handle(&handle, server.now), None);
 }
 
 #[rstest]
-#[case::lapses(5_001, 1_200)]
+#[case::expires(5_001, 1_200)]
 #[case::is_still_there(4_900, 0)]
 fn a_handle_lapses_after_its_time(#[case] after_ms: u64, #[case] wasted: u64) {
     let mut server = model("i-1", parameters(Stage::Prefill));
@@ -55,7 +55,7 @@
     let call = server.send(prefill("r1", (1_200, 10), &PARTS));
     server.run_for(ms(100));
     let handle =
-        json(server.answer(call).expect("an answer"))["KvHandle"].as_str().expect("a handle").to_owned();
+        json(server.response(call).expect("an answer"))["KvHandle"].as_str().expect("a handle").to_owned();
     let request = lugwharf_emulator::wire::Request::new("DELETE", &format!("/kv-handle/{handle}"));
     let freed = server.send(request.clone());
     let again = server.send(request);
@@ -68,33 +68,33 @@
     let read = reader.send(prefill("r1", (1_200, 9), &PARTS));
     reader.run_for(ms(100));
     let handle =
-        json(reader.answer(read).expect("an answer"))["KvHandle"].as_str().expect("a handle").to_owned();
+        json(reader.response(read).expect("an answer"))["KvHandle"].as_str().expect("a handle").to_owned();
 
     // 1,200 tokens of 1,000 bytes at 96 Mbit/s take 100 ms.
     let slow = ModelParameters {
         kv_token_bytes: 1_000.0,
         link_mbps: 96.0,
-        move_setup_ms: 0.0,
+        transfer_setup_ms: 0.0,
         ..parameters(Stage::Decode)
     };
     let mut maker = model("i-2", slow);
     let request = with(generation("r1", (1_200, 9), &PARTS), "Kv-From", &format!("127.0.0.1:9/{handle}"));
     let call = maker.send(request);
-    let wanted = maker.times(|action| matches!(action, Action::TakeHandle { .. }));
+    let wanted = maker.times(|action| matches!(action, Action::FetchHandle { .. }));
     assert_eq!(wanted.len(), 1);
     let contents = reader.core.take_handle(&handle, reader.now);
-    maker.tell(ServerEvent::HandleTaken { call, contents });
+    maker.tell(ServerEvent::HandleFetched { call, contents });
     maker.run_for(ms(1_000));
     let heads = maker.times(|action| matches!(action, Action::Head { .. }));
     assert_eq!(heads, [ms(101)], "the move, and one step");
     assert_eq!(maker.events_of(call).len(), 3, "the first token, and two events of four");
     assert_eq!(maker.ended_at(call), Some(ms(109)));
-    assert_eq!(maker.core.statistics().read_tokens, 0);
-    let memory_of = maker.actions.iter().find_map(|(_, action)| match action {
-        Action::Ran { memory_of, .. } => Some(memory_of.clone()),
+    assert_eq!(maker.core.statistics().prefilled_tokens, 0);
+    let kv_owner = maker.actions.iter().find_map(|(_, action)| match action {
+        Action::Started { kv_owner, .. } => Some(kv_owner.clone()),
         _ => None,
     });
-    assert_eq!(memory_of, Some(Some("r1".to_owned())));
+    assert_eq!(kv_owner, Some(Some("r1".to_owned())));
 }
 
 #[test]
@@ -102,23 +102,23 @@
     let slow = ModelParameters {
         kv_token_bytes: 1_000.0,
         link_mbps: 1.2 * 8.0,
-        move_setup_ms: 0.0,
+        transfer_setup_ms: 0.0,
         ..parameters(Stage::Decode)
     };
     let mut maker = model("i-2", slow);
     let contents = |id: &str| lugwharf_emulator::core::KvContents {
         request_id: id.to_owned(),
-        parts: Vec::new(),
+        segments: Vec::new(),
         tokens: 1_200,
         version: 1,
-        place: Default::default(),
+        location: Default::default(),
     };
     let mut statuses = Vec::new();
     for index in 0..4 {
         let id = format!("r{index}");
         let request = with(generation(&id, (1_200, 1), &[]), "Kv-From", "127.0.0.1:9/abc");
         let call = maker.send(request);
-        maker.tell(ServerEvent::HandleTaken { call, contents: Some(contents(&id)) });
+        maker.tell(ServerEvent::HandleFetched { call, contents: Some(contents(&id)) });
         statuses.push(maker.status(call));
     }
     // Each takes a second: the third waits two, the fourth would wait three.
@@ -129,10 +129,10 @@
 fn a_handle_that_cannot_be_had_is_not_run() {
     let mut maker = model("i-2", parameters(Stage::Decode));
     let call = maker.send(with(generation("r1", (1_200, 9), &PARTS), "Kv-From", "127.0.0.1:9/gone"));
-    maker.tell(ServerEvent::HandleTaken { call, contents: None });
-    let answer = maker.answer(call).expect("an answer");
-    assert_eq!(answer.status, 503);
-    assert!(answer.headers.get("Not-Executed").is_some());
+    maker.tell(ServerEvent::HandleFetched { call, contents: None });
+    let response = maker.response(call).expect("an answer");
+    assert_eq!(response.status, 503);
+    assert!(response.headers.get("Not-Executed").is_some());
     assert_eq!(maker.runs(call), 0);
 }
 
@@ -152,11 +152,11 @@
     server.run_for(ms(100));
     server.send(prefill("r2", (1_350, 1), &PARTS));
     server.run_for(ms(100));
-    assert_eq!(server.core.statistics().read_tokens, 1_300 + 150);
+    assert_eq!(server.core.statistics().prefilled_tokens, 1_300 + 150);
     // The same part behind another one is another part.
     server.send(prefill("r3", (400, 1), &PARTS[1..]));
     server.run_for(ms(100));
-    assert_eq!(server.core.statistics().read_tokens, 1_300 + 150 + 400);
+    assert_eq!(server.core.statistics().prefilled_tokens, 1_300 + 150 + 400);
 }
 
 #[test]
@@ -168,7 +168,7 @@
         server.run_for(ms(1_000));
     }
     // Parts 1, 2 and 3 are read once; 3 drives out 2, which is read again for r6.
-    assert_eq!(server.core.statistics().read_tokens, 4 * 800);
+    assert_eq!(server.core.statistics().prefilled_tokens, 4 * 800);
 }
 
 #[test]
@@ -178,7 +178,7 @@
     let urgent = server.send(with(generation("r1", (700, 200), &[]), "Priority", "1"));
     let other = server.send(with(generation("r2", (700, 200), &[]), "Priority", "7"));
     server.run_for(ms(5_000));
-    assert!(server.core.statistics().put_back >= 1);
+    assert!(server.core.statistics().preempted >= 1);
     let ends = (server.ended_at(urgent), server.ended_at(other));
     assert!(ends.0.is_some() && ends.0 < ends.1, "{ends:?}");
     let ids: Vec<String> = server.events_of(other);
@@ -215,9 +215,9 @@
         assert_eq!(server.runs(call), 1);
         return;
     }
-    let answer = server.answer(call).expect("an answer");
-    assert_eq!(answer.status, status);
-    assert!(answer.headers.get("Not-Executed").is_some());
+    let response = server.response(call).expect("an answer");
+    assert_eq!(response.status, status);
+    assert!(response.headers.get("Not-Executed").is_some());
     assert_eq!(server.runs(call), 0);
 }
 
@@ -245,7 +245,7 @@
     let waiting = server.send(with(generation("r2", (100, 5), &[]), "Deadline-Ms", "100"));
     server.run_for(ms(1_000));
     assert_eq!(server.status(waiting), Some(503));
-    let cuts = server.times(|action| matches!(action, Action::Cut { call } if *call == running));
+    let cuts = server.times(|action| matches!(action, Action::Truncate { call } if *call == running));
     assert_eq!(cuts, [ms(200)]);
 }
 
@@ -257,7 +257,7 @@
     server.tell(ServerEvent::Cancelled { call });
     server.run_for(ms(200));
     let report = server.send(lugwharf_emulator::wire::Request::new("GET", "/report"));
-    let body = json(server.answer(report).expect("a report"));
+    let body = json(server.response(report).expect("a report"));
     assert_eq!((&body["Running"], &body["KvUsed"]), (&0.into(), &0.into()));
 }
 
@@ -281,7 +281,7 @@
     server.run_for(ms(50));
     let report = |server: &mut support::Driven<_>| {
         let call = server.send(lugwharf_emulator::wire::Request::new("GET", "/report"));
-        json(server.answer(call).expect("a report"))
+        json(server.response(call).expect("a report"))
     };
     assert_eq!(report(&mut server)["Running"], 0);
     server.run_for(ms(100));
@@ -334,9 +334,9 @@
     server.tell(ServerEvent::SetFailing(true));
     let call = server.send(generation("r1", (100, 5), &[]));
     server.run_for(ms(500));
-    let answer = server.answer(call).expect("an answer");
-    assert_eq!((answer.status, server.runs(call)), (500, 1));
-    assert!(answer.headers.get("Server-Stamp").is_some() && answer.headers.get("Not-Executed").is_none());
+    let response = server.response(call).expect("an answer");
+    assert_eq!((response.status, server.runs(call)), (500, 1));
+    assert!(response.headers.get("Server-Stamp").is_some() && response.headers.get("Not-Executed").is_none());
 }
 
 #[test]
--- a/crates/emulator/tests/plain_server.rs
+++ b/crates/emulator/tests/plain_server.rs
@@ -10,7 +10,7 @@
 use support::{Driven, ms, with};
 
 fn server(slots: usize, queue: usize) -> Driven<PlainServer> {
-    let parameters = PlainParameters { slots, queue, work: ms(10), answer_bytes: 100 };
+    let parameters = PlainParameters { slots, queue, work: ms(10), response_bytes: 100 };
     Driven::new(PlainServer::new(Identity::new("i-1", "plain"), parameters))
 }
 
@@ -27,7 +27,7 @@
         calls.iter().map(|call| server.status(*call)).collect::<Vec<_>>(),
         [Some(200), Some(200), Some(503)]
     );
-    let rejection = server.answer(calls[2]).expect("an answer");
+    let rejection = server.response(calls[2]).expect("an answer");
     assert!(rejection.headers.get("Not-Executed").is_some());
     assert_eq!(rejection.headers.get("Load-Report"), Some("1,1,1"));
     assert_eq!(calls.iter().map(|call| server.runs(*call)).collect::<Vec<_>>(), [1, 1, 0]);
@@ -68,9 +68,9 @@
     let mut nameless = request("r1");
     nameless.headers.remove("Request-Id");
     let call = server.send(nameless);
-    let answer = server.answer(call).expect("an answer");
-    assert_eq!(answer.status, 400);
-    assert!(answer.headers.get("Not-Executed").is_some());
+    let response = server.response(call).expect("an answer");
+    assert_eq!(response.status, 400);
+    assert!(response.headers.get("Not-Executed").is_some());
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let call = server.send(request("r1"));
     server.run_for(ms(100));
     assert_eq!((server.status(health), server.status(call)), (Some(503), Some(200)));
-    assert_eq!(server.answer(call).and_then(|answer| answer.headers.get("Connection")), Some("close"));
+    assert_eq!(server.response(call).and_then(|response| response.headers.get("Connection")), Some("close"));
 }
 
 #[test]
--- a/crates/emulator/tests/platform.rs
+++ b/crates/emulator/tests/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's list: pages, zones, lag and rate.
 
-use lugwharf_emulator::platform::{Listed, ListedState, Platform, PlatformParameters};
-use lugwharf_emulator::wire::{Answer, Request};
+use lugwharf_emulator::platform::{InstanceEntry, InstanceState, Platform, PlatformParameters};
+use lugwharf_emulator::wire::{Request, Response};
 use rstest::rstest;
 use serde_json::Value;
 use std::time::Duration;
@@ -13,17 +13,17 @@
     for index in 0..5_u8 {
         let zone = if index < 3 { "zone-a" } else { "zone-b" };
         let address = ([10, 0, 0, index], 8_080).into();
-        platform.put(Listed::plain(&format!("i-{index}"), "plain", address, zone, 6), Duration::ZERO);
+        platform.put(InstanceEntry::plain(&format!("i-{index}"), "plain", address, zone, 6), Duration::ZERO);
     }
     platform
 }
 
 fn list(platform: &mut Platform, target: &str, now: Duration) -> (u16, Vec<String>, Value) {
-    let answer: Answer = platform.call(&Request::new("GET", target), now);
-    let body: Value = serde_json::from_slice(&answer.body).expect("a JSON body");
+    let response: Response = platform.call(&Request::new("GET", target), now);
+    let body: Value = serde_json::from_slice(&response.body).expect("a JSON body");
     let entries = body["Instances"].as_array().cloned().unwrap_or_default();
     let ids = entries.iter().filter_map(|entry| entry["Id"].as_str().map(str::to_owned)).collect();
-    (answer.status, ids, body["NextToken"].clone())
+    (response.status, ids, body["NextToken"].clone())
 }
 
 #[rstest]
@@ -43,11 +43,11 @@
     let mut platform = platform(50.0, 50);
     assert_eq!(list(&mut platform, "/instances", LAG - Duration::from_millis(1)).1.len(), 0);
     platform.remove("i-1", LAG);
-    platform.change("i-2", LAG, |entry| entry.state = ListedState::Draining);
+    platform.change("i-2", LAG, |entry| entry.state = InstanceState::Draining);
     assert_eq!(list(&mut platform, "/instances", LAG).1.len(), 5);
     assert_eq!(list(&mut platform, "/instances", LAG * 2).1.len(), 4);
-    let answer = platform.call(&Request::new("GET", "/instances"), LAG * 2);
-    assert!(String::from_utf8_lossy(&answer.body).contains(r#""State":"draining""#));
+    let response = platform.call(&Request::new("GET", "/instances"), LAG * 2);
+    assert!(String::from_utf8_lossy(&response.body).contains(r#""State":"draining""#));
 }
 
 #[test]
--- a/crates/emulator/tests/support/mod.rs
+++ b/crates/emulator/tests/support/mod.rs
@@ -4,7 +4,7 @@
 use lugwharf_emulator::client::ClientRequest;
 use lugwharf_emulator::core::{Action, CallId, Identity, ServerCore, ServerEvent};
 use lugwharf_emulator::model_server::{ModelParameters, ModelServer, Stage};
-use lugwharf_emulator::wire::{Answer, Request};
+use lugwharf_emulator::wire::{Request, Response};
 use std::time::Duration;
 
 /// A core with its clock and all that it did.
@@ -46,15 +46,15 @@
         self.run_to(self.now + time);
     }
 
-    pub fn answer(&self, call: CallId) -> Option<&Answer> {
+    pub fn response(&self, call: CallId) -> Option<&Response> {
         self.actions.iter().find_map(|(_, action)| match action {
-            Action::Answer { call: other, answer } if *other == call => Some(answer),
+            Action::Respond { call: other, response } if *other == call => Some(response),
             _ => None,
         })
     }
 
     pub fn status(&self, call: CallId) -> Option<u16> {
-        self.answer(call).map(|answer| answer.status)
+        self.response(call).map(|response| response.status)
     }
 
     pub fn times(&self, wanted: impl Fn(&Action) -> bool) -> Vec<Duration> {
@@ -76,7 +76,7 @@
     }
 
     pub fn runs(&self, wanted: CallId) -> usize {
-        self.times(|action| matches!(action, Action::Ran { call, .. } if *call == wanted)).len()
+        self.times(|action| matches!(action, Action::Started { call, .. } if *call == wanted)).len()
     }
 }
 
@@ -86,7 +86,7 @@
         step_ms_per_running: 0.0,
         prefill_tokens_per_ms: 100.0,
         chunk_tokens: 1_000,
-        first_ms: 10.0,
+        startup_ms: 10.0,
         ..ModelParameters::quick(stage)
     }
 }
@@ -95,14 +95,14 @@
     Driven::new(ModelServer::new(Identity::new(instance, "llm"), parameters))
 }
 
-pub fn generation(id: &str, tokens: (u64, u64), parts: &[(u64, u64)]) -> Request {
-    let mut request = ClientRequest::generation(id, "host.example", "/gen/1", tokens, parts);
+pub fn generation(id: &str, tokens: (u64, u64), segments: &[(u64, u64)]) -> Request {
+    let mut request = ClientRequest::generation(id, "host.example", "/gen/1", tokens, segments);
     request.deadline_ms = 60_000;
     request.to_wire()
 }
 
-pub fn prefill(id: &str, tokens: (u64, u64), parts: &[(u64, u64)]) -> Request {
-    with(generation(id, tokens, parts), "Serving-Stage", "prefill")
+pub fn prefill(id: &str, tokens: (u64, u64), segments: &[(u64, u64)]) -> Request {
+    with(generation(id, tokens, segments), "Serving-Stage", "prefill")
 }
 
 pub fn with(mut request: Request, name: &str, value: &str) -> Request {
@@ -116,8 +116,8 @@
     request
 }
 
-pub fn json(answer: &Answer) -> serde_json::Value {
-    serde_json::from_slice(&answer.body).expect("a JSON body")
+pub fn json(response: &Response) -> serde_json::Value {
+    serde_json::from_slice(&response.body).expect("a JSON body")
 }
 
 pub fn ms(ms: u64) -> Duration {
--- a/crates/emulator/tests/wire.rs
+++ b/crates/emulator/tests/wire.rs
@@ -1,8 +1,8 @@
 //! Messages read from bytes, whole and broken.
 
-use lugwharf_emulator::events::EventReader;
-use lugwharf_emulator::stamp::{Stamp, Whole};
-use lugwharf_emulator::wire::{Answer, Connection, Request, WireError};
+use lugwharf_emulator::events::EventParser;
+use lugwharf_emulator::stamp::{ExpectedBody, Stamp};
+use lugwharf_emulator::wire::{Connection, Request, Response, WireError};
 use rstest::rstest;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
@@ -41,7 +41,7 @@
 #[tokio::test]
 async fn answers_that_end_early(#[case] bytes: &[u8]) {
     let mut connection = incoming(bytes).await;
-    assert!(matches!(connection.read_answer().await, Err(WireError::EndedEarly)));
+    assert!(matches!(connection.read_response().await, Err(WireError::EndedEarly)));
 }
 
 #[rstest]
@@ -53,7 +53,7 @@
 #[tokio::test]
 async fn answers_that_are_none(#[case] bytes: &[u8]) {
     let mut connection = incoming(bytes).await;
-    assert!(matches!(connection.read_answer().await, Err(WireError::Malformed(_))));
+    assert!(matches!(connection.read_response().await, Err(WireError::Malformed(_))));
 }
 
 #[tokio::test]
@@ -65,27 +65,27 @@
     let read = connection.read_request().await.expect("a request").expect("a request");
     assert_eq!((read.headers.get("if-match"), read.body), (Some("5"), b"{}".to_vec()));
 
-    let answer = Answer::json(200, &serde_json::json!({"A": 1})).with("X", "y");
-    let mut connection = incoming(&answer.encode()).await;
-    let read = connection.read_answer().await.expect("an answer");
+    let response = Response::json(200, &serde_json::json!({"A": 1})).with("X", "y");
+    let mut connection = incoming(&response.encode()).await;
+    let read = connection.read_response().await.expect("an answer");
     assert_eq!((read.status, read.headers.get("x"), read.body), (200, Some("y"), b"{\"A\":1}".to_vec()));
 }
 
 #[test]
 fn events_come_in_pieces() {
-    let mut reader = EventReader::default();
+    let mut reader = EventParser::default();
     assert_eq!(reader.push(b"id: 1\nda"), []);
     let events = reader.push(b"ta: a\n\nversions: 4\nid: 2\ndata: b\ndata: c\n\nid: 3");
     assert_eq!(events.iter().map(|event| event.id).collect::<Vec<_>>(), [Some(1), Some(2)]);
     assert_eq!((events[1].data.as_str(), events[1].versions), ("b\nc", Some(4)));
-    assert!(reader.has_rest());
+    assert!(reader.has_partial_event());
 }
 
 #[rstest]
-#[case(Whole::Body { length: 800, hash: 0xabc })]
-#[case(Whole::Events { last: 7, event_bytes: 32, seed: 0xdef })]
-fn stamps(#[case] whole: Whole) {
-    let stamp = Stamp { instance: "i-7f3a".to_owned(), run: 18, status: 200, whole };
+#[case(ExpectedBody::Bytes { length: 800, hash: 0xabc })]
+#[case(ExpectedBody::Events { last: 7, event_bytes: 32, seed: 0xdef })]
+fn stamps(#[case] expected_body: ExpectedBody) {
+    let stamp = Stamp { instance: "i-7f3a".to_owned(), run: 18, status: 200, expected_body };
     assert_eq!(stamp.to_string().parse(), Ok(stamp));
 }
 
--- a/crates/lugwharf/tests/cut_off.rs
+++ b/crates/lugwharf/tests/cut_off.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use lugwharf_emulator::cluster::{Signal, poll};
-use lugwharf_emulator::operator::{Operator, Verdict};
+use lugwharf_emulator::operator::{CallOutcome, Operator};
 use rstest::rstest;
 use support::pull::{self, Pull};
 use support::{Fleet, SMALL, next_configuration};
@@ -62,9 +62,9 @@
     let mut single = Operator::new(vec![fleet.cluster.control_address(CUT_OFF)]);
     single.tries = FEW_TRIES;
     let bytes = next_configuration(3, "/added/").to_bytes();
-    assert_eq!(single.put(&bytes, 1).await, Verdict::Unclear, "{}", fleet.cluster.logs());
-    assert_eq!(single.put(&bytes, 77).await, Verdict::Unclear, "a refusal\n{}", fleet.cluster.logs());
-    assert_eq!(single.get().await, Verdict::Unclear, "{}", fleet.cluster.logs());
+    assert_eq!(single.put(&bytes, 1).await, CallOutcome::Unknown, "{}", fleet.cluster.logs());
+    assert_eq!(single.put(&bytes, 77).await, CallOutcome::Unknown, "a refusal\n{}", fleet.cluster.logs());
+    assert_eq!(single.get().await, CallOutcome::Unknown, "{}", fleet.cluster.logs());
     assert_eq!(pull::is_in_touch(agents).await, Some(false), "{}", fleet.cluster.logs());
     let request = fleet.work();
     assert!(fleet.send(0, &request).await.is_success(), "the data plane goes on\n{}", fleet.cluster.logs());
@@ -116,7 +116,7 @@
     fleet.cluster.signal_control(CUT_OFF, Signal::Freeze).expect("a signal");
     // The operator waits for a second, longer than a pause that may be passed over.
     fleet.operator.tries = 1;
-    assert_eq!(fleet.operator.get().await, Verdict::Unclear);
+    assert_eq!(fleet.operator.get().await, CallOutcome::Unknown);
 
     let link = Pull::from_nothing(agents).await.expect("a link");
     fleet.cluster.signal_control(CUT_OFF, Signal::Thaw).expect("a signal");
--- a/crates/lugwharf/tests/descriptors.rs
+++ b/crates/lugwharf/tests/descriptors.rs
@@ -4,7 +4,7 @@
 
 use lugwharf_emulator::client::{Client, Outcome};
 use lugwharf_emulator::cluster::poll;
-use lugwharf_emulator::fault::Reach;
+use lugwharf_emulator::fault::Reachability;
 use support::{Fleet, SMALL};
 use tokio::task::JoinSet;
 
@@ -36,10 +36,10 @@
     }
     let before = sends(&fleet, "connect").await;
     // All requests are under way at once, as no server answers until then.
-    fleet.plain.iter().for_each(|server| server.set_reach(Reach::Dark));
+    fleet.plain.iter().for_each(|server| server.set_reachability(Reachability::Blackholed));
     let proxy = fleet.cluster.process("front-0-proxy").expect("a process");
     let open = proxy.open_descriptors();
-    proxy.limit_descriptors(open).expect("a limit");
+    proxy.limit_open_descriptors(open).expect("a limit");
     let mut under_way = JoinSet::new();
     for mut client in clients {
         let request = fleet.work();
@@ -48,10 +48,10 @@
     // The first ones that no connection is left for are answered.
     let first: Outcome = under_way.join_next().await.expect("an answer").expect("a client");
     assert_eq!(first.status, Some(503), "{first:?}");
-    fleet.plain.iter().for_each(|server| server.set_reach(Reach::Open));
+    fleet.plain.iter().for_each(|server| server.set_reachability(Reachability::Serving));
     let outcomes = under_way.join_all().await;
     let proxy = fleet.cluster.process("front-0-proxy").expect("a process");
-    proxy.limit_descriptors(MANY).expect("a limit");
+    proxy.limit_open_descriptors(MANY).expect("a limit");
     assert!(
         poll(|| async { sends(&fleet, "moot").await > 0 }).await,
         "{outcomes:?}\n{}",
--- a/crates/lugwharf/tests/explained.rs
+++ b/crates/lugwharf/tests/explained.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use lugwharf_emulator::client::{Client, Ending};
+use lugwharf_emulator::client::{AttemptEnd, Client};
 use lugwharf_emulator::cluster::{Signal, poll};
 use lugwharf_emulator::fault::{Fault, Matcher};
 use lugwharf_emulator::model_server::{ModelParameters, Stage};
@@ -31,7 +31,7 @@
 }
 
 #[rstest]
-#[case::lost_answer(Fault::LoseAnswer, "broken", "502")]
+#[case::lost_answer(Fault::DropResponse, "broken", "502")]
 #[case::garbage(Fault::Garbage, "broken", "502")]
 #[tokio::test]
 async fn a_broken_request_tells_its_server_its_connection_and_what_was_in_force(
@@ -54,7 +54,7 @@
     let line = line_of(&fleet, &request.request_id).await;
     let told = ["outcome", "status", "service", "config_version"].map(|name| field(&line, name));
     assert_eq!(told, [outcome, status, PLAIN_SERVICE, "1"], "{line}");
-    let arrivals = fleet.world.ledger().arrivals_of(&request.request_id);
+    let arrivals = fleet.world.request_log().arrivals_of(&request.request_id);
     assert_eq!(arrivals.len(), 1);
     let send = format!("sends=[{}/whole connection:", arrivals[0].instance);
     assert!(line.contains(&send) && line.contains(" broken"), "{send} is not in {line}");
@@ -122,11 +122,11 @@
         let request = request.clone();
         async move { Client::new(address).send(&request).await }
     });
-    let has_begun = || async { !fleet.world.ledger().runs_of(&request.request_id).is_empty() };
+    let has_begun = || async { !fleet.world.request_log().executions_of(&request.request_id).is_empty() };
     assert!(poll(has_begun).await, "{}", fleet.cluster.logs());
     fleet.cluster.terminate_front(0).expect("a signal");
     let outcome = stream.await.expect("a client");
-    assert_eq!((outcome.ending, outcome.status), (Ending::Cut, Some(200)), "{outcome:?}");
+    assert_eq!((outcome.ending, outcome.status), (AttemptEnd::Truncated, Some(200)), "{outcome:?}");
     let line = line_of(&fleet, &request.request_id).await;
     assert_eq!([field(&line, "outcome"), field(&line, "status")], ["cut", "200"], "{line}");
 }
--- a/crates/lugwharf/tests/followers.rs
+++ b/crates/lugwharf/tests/followers.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use lugwharf_emulator::cluster::{Signal, poll};
-use lugwharf_emulator::operator::{Operator, Verdict};
+use lugwharf_emulator::operator::{CallOutcome, Operator};
 use lugwharf_protocol::VersionVector;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -108,9 +108,9 @@
     let mut single = Operator::new(vec![fleet.cluster.control_address(follower)]);
     single.tries = FEW_TRIES;
     let bytes = next_configuration(3, "/added/").to_bytes();
-    assert_eq!(single.put(&bytes, 1).await, Verdict::Unclear, "{}", fleet.cluster.logs());
-    assert_eq!(single.put(&bytes, 77).await, Verdict::Unclear, "{}", fleet.cluster.logs());
-    assert_eq!(single.get().await, Verdict::Unclear, "{}", fleet.cluster.logs());
+    assert_eq!(single.put(&bytes, 1).await, CallOutcome::Unknown, "{}", fleet.cluster.logs());
+    assert_eq!(single.put(&bytes, 77).await, CallOutcome::Unknown, "{}", fleet.cluster.logs());
+    assert_eq!(single.get().await, CallOutcome::Unknown, "{}", fleet.cluster.logs());
     // Whoever waits there hears of it as well.
     let waiting = Pull::send(agent_address(&fleet, other), VersionVector::default(), LONG_MS).await;
     let reply = waiting.expect("a link").reply().await.expect("a reply");
