--- a/crates/lugwharf/tests/machines.rs
+++ b/crates/lugwharf/tests/machines.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use lugwharf_emulator::cluster::{poll, ready_status};
+use lugwharf_emulator::cluster::{poll, readiness_status};
 use lugwharf_emulator::model_server::{ModelParameters, Stage};
 use lugwharf_emulator::operator::Operator;
 use rstest::rstest;
@@ -40,7 +40,7 @@
 async fn a_wiped_control_machine_joins_again_and_counts() {
     let mut fleet = Fleet::start(SMALL).await;
     fleet.cluster.kill_control(2).expect("a kill");
-    fleet.cluster.wipe_control(2).expect("a wipe");
+    fleet.cluster.wipe_control_disk(2).expect("a wipe");
     let second = next_configuration(3, "/second/").to_bytes();
     assert_eq!(fleet.operator.put(&second, 1).await.status(), Some(200), "{}", fleet.cluster.logs());
     fleet.cluster.start_control(2).expect("a start");
@@ -109,7 +109,7 @@
 }
 
 fn damage_log(fleet: &Fleet, control: usize, damage: Damage) {
-    let files = std::fs::read_dir(fleet.cluster.data_folder(control)).expect("a disk");
+    let files = std::fs::read_dir(fleet.cluster.data_directory(control)).expect("a disk");
     let sizes = files.flatten().filter_map(|file| Some((file.metadata().ok()?, file.path())));
     let logs = sizes.filter(|(meta, _)| meta.is_file() && meta.len() > 0);
     let (_, path) = logs.max_by_key(|(meta, _)| meta.len()).expect("a log");
@@ -159,14 +159,14 @@
     let under_way =
         tokio::spawn(async move { lugwharf_emulator::client::Client::new(address).send(&request).await });
     assert!(
-        poll(|| async { !fleet.world.ledger().runs_of(&id).is_empty() }).await,
+        poll(|| async { !fleet.world.request_log().executions_of(&id).is_empty() }).await,
         "{}",
         fleet.cluster.logs()
     );
     fleet.cluster.terminate_front(0).expect("a signal");
     let outcome = under_way.await.expect("a client");
     assert!(outcome.is_success() && outcome.findings.is_empty(), "{outcome:?}\n{}", fleet.cluster.logs());
-    assert!(poll(|| async { ready_status(fleet.cluster.ready_address(0)).await != Some(200) }).await);
+    assert!(poll(|| async { readiness_status(fleet.cluster.ready_address(0)).await != Some(200) }).await);
     for role in ["proxy", "agent"] {
         let process = fleet.cluster.process(&format!("front-0-{role}")).expect("a process");
         let has_ended = poll(|| std::future::ready(process.ended().is_some())).await;
--- a/crates/lugwharf/tests/quorum.rs
+++ b/crates/lugwharf/tests/quorum.rs
@@ -4,7 +4,7 @@
 
 use lugwharf_emulator::cluster::{Signal, poll};
 use lugwharf_emulator::configuration::RouteSpec;
-use lugwharf_emulator::operator::{Operator, Verdict};
+use lugwharf_emulator::operator::{CallOutcome, Operator};
 use rstest::rstest;
 use support::{Fleet, HOST, PLAIN_SERVICE, SMALL, next_configuration};
 
@@ -21,7 +21,7 @@
     let bytes = next_configuration(3, "/added/").to_bytes();
     assert_eq!(fleet.operator.put(&bytes, 1).await.status(), Some(200));
     fleet.cluster.kill_all().expect("a kill");
-    fleet.cluster.wipe_control(wiped).expect("a wipe");
+    fleet.cluster.wipe_control_disk(wiped).expect("a wipe");
     fleet.cluster.start_all().expect("processes");
     assert_eq!(fleet.read_back().await, Some(bytes), "{}", fleet.cluster.logs());
     let next = next_configuration(4, "/next/").to_bytes();
@@ -37,7 +37,7 @@
     let bytes = next_configuration(3, "/added/").to_bytes();
     let mut hasty = fleet.operator.clone();
     hasty.tries = FEW_TRIES;
-    assert_eq!(hasty.put(&bytes, 1).await, Verdict::Unclear, "{}", fleet.cluster.logs());
+    assert_eq!(hasty.put(&bytes, 1).await, CallOutcome::Unknown, "{}", fleet.cluster.logs());
     fleet.cluster.start_control(0).expect("a start");
     fleet.cluster.start_control(1).expect("a start");
     assert_eq!(fleet.operator.put(&bytes, 1).await.status(), Some(200), "{}", fleet.cluster.logs());
@@ -51,12 +51,12 @@
         fleet.cluster.kill_control(index).expect("a kill");
     }
     for index in 0..3 {
-        fleet.cluster.wipe_control(index).expect("a wipe");
+        fleet.cluster.wipe_control_disk(index).expect("a wipe");
         fleet.cluster.start_control(index).expect("a start");
     }
     fleet.operator.tries = FEW_TRIES;
     let bytes = next_configuration(3, "/added/").to_bytes();
-    assert_eq!(fleet.operator.put(&bytes, 0).await, Verdict::Unclear, "{}", fleet.cluster.logs());
+    assert_eq!(fleet.operator.put(&bytes, 0).await, CallOutcome::Unknown, "{}", fleet.cluster.logs());
     assert_eq!(fleet.read_back().await, None);
 }
 
--- a/crates/lugwharf/tests/servers.rs
+++ b/crates/lugwharf/tests/servers.rs
@@ -2,10 +2,10 @@
 
 mod support;
 
-use lugwharf_emulator::client::{Client, Ending};
+use lugwharf_emulator::client::{AttemptEnd, Client};
 use lugwharf_emulator::client::{ClientRequest, Kind, Outcome};
 use lugwharf_emulator::cluster::poll;
-use lugwharf_emulator::fault::Reach;
+use lugwharf_emulator::fault::Reachability;
 use lugwharf_emulator::fault::{Fault, Matcher};
 use lugwharf_emulator::wire::Request;
 use rstest::rstest;
@@ -19,12 +19,12 @@
 const TOGETHER: usize = 10;
 
 #[rstest]
-#[case::reset_before_run(Fault::ResetBeforeRun)]
-#[case::lost_answer(Fault::LoseAnswer)]
-#[case::reset_after_answer(Fault::ResetAfterAnswer)]
+#[case::reset_before_run(Fault::ResetBeforeExecution)]
+#[case::lost_answer(Fault::DropResponse)]
+#[case::reset_after_answer(Fault::ResetAfterResponse)]
 #[case::garbage(Fault::Garbage)]
-#[case::wrong_id(Fault::WrongId)]
-#[case::surplus(Fault::SurplusAnswer)]
+#[case::wrong_id(Fault::WrongRequestId)]
+#[case::surplus(Fault::SurplusResponse)]
 #[case::reject(Fault::Reject)]
 #[case::hang(Fault::Hang)]
 #[tokio::test]
@@ -49,10 +49,10 @@
 }
 
 #[rstest]
-#[case::reset_before_run(Fault::ResetBeforeRun)]
+#[case::reset_before_run(Fault::ResetBeforeExecution)]
 #[case::reject(Fault::Reject)]
 #[case::garbage(Fault::Garbage)]
-#[case::lost_answer(Fault::LoseAnswer)]
+#[case::lost_answer(Fault::DropResponse)]
 #[tokio::test]
 async fn a_prompt_that_could_not_be_read_does_no_harm(#[case] fault: Fault) {
     let mut fleet = Fleet::start(SMALL).await;
@@ -78,11 +78,15 @@
 async fn a_stream_that_is_cut_looks_cut_and_is_not_run_again(#[case] reset: bool) {
     let mut fleet = Fleet::start(SMALL).await;
     for server in &fleet.makers {
-        server.inject(Matcher::any(), Fault::CutStream { after_events: 2, reset }, 1);
+        server.inject(Matcher::any(), Fault::TruncateStream { after_events: 2, reset }, 1);
     }
     let request = fleet.generation(17);
     let outcome = fleet.send(0, &request).await;
-    assert_eq!((outcome.ending, outcome.findings.as_slice()), (Ending::Cut, &[][..]), "{outcome:?}");
+    assert_eq!(
+        (outcome.ending, outcome.findings.as_slice()),
+        (AttemptEnd::Truncated, &[][..]),
+        "{outcome:?}"
+    );
     assert!(outcome.events.len() >= 2, "{outcome:?}");
     assert_eq!(fleet.violations(&[outcome]), []);
 }
@@ -113,7 +117,7 @@
         let request = fleet.work();
         let outcome = fleet.send(0, &request).await;
         assert!(outcome.is_success(), "{outcome:?}\n{}", fleet.cluster.logs());
-        let seen = fleet.world.ledger().arrivals_of(&request.request_id);
+        let seen = fleet.world.request_log().arrivals_of(&request.request_id);
         arrivals += seen.iter().filter(|arrival| arrival.instance == instance).count();
     }
     arrivals
@@ -151,13 +155,13 @@
     let served = outcomes.iter().filter(|outcome| outcome.is_success()).count();
     assert!(served * 2 > BATCH, "{served} of {BATCH} served\n{}", fleet.cluster.logs());
     assert_eq!(fleet.violations(&outcomes), []);
-    let runs = fleet.world.ledger().runs();
+    let runs = fleet.world.request_log().executions();
     assert!(runs.iter().all(|run| run.instance != "i-other"));
 }
 
 #[rstest]
-#[case::reset_before_run(Fault::ResetBeforeRun)]
-#[case::lost_answer(Fault::LoseAnswer)]
+#[case::reset_before_run(Fault::ResetBeforeExecution)]
+#[case::lost_answer(Fault::DropResponse)]
 #[case::garbage(Fault::Garbage)]
 #[case::reject(Fault::Reject)]
 #[tokio::test]
@@ -174,7 +178,7 @@
             let is_good = outcome.is_success() && outcome.findings.is_empty();
             assert!(is_good, "{outcome:?}\n{}", fleet.cluster.logs());
         }
-        tried_twice = ids.iter().any(|id| fleet.world.ledger().arrivals_of(id).len() > 1);
+        tried_twice = ids.iter().any(|id| fleet.world.request_log().arrivals_of(id).len() > 1);
         if tried_twice {
             break;
         }
@@ -187,7 +191,7 @@
     let mut fleet = Fleet::start(SMALL).await;
     let matcher =
         Matcher { path_prefix: Some("/resume/".to_owned()), prefill: Some(false), ..Matcher::any() };
-    fleet.makers[0].inject(matcher, Fault::CutStream { after_events: 2, reset: true }, 1);
+    fleet.makers[0].inject(matcher, Fault::TruncateStream { after_events: 2, reset: true }, 1);
     let mut was_resumed = false;
     for _ in 0..BATCH {
         let mut requests = Vec::new();
@@ -202,7 +206,7 @@
             assert!(outcome.is_success(), "{outcome:?}\n{}", fleet.cluster.logs());
             assert_eq!((outcome.events.len(), outcome.findings.as_slice()), (5, &[][..]), "{outcome:?}");
         }
-        let arrivals = ids.iter().flat_map(|id| fleet.world.ledger().arrivals_of(id));
+        let arrivals = ids.iter().flat_map(|id| fleet.world.request_log().arrivals_of(id));
         was_resumed = arrivals.into_iter().any(|arrival| arrival.headers.get("Last-Event-Id") == Some("2"));
         if was_resumed {
             break;
@@ -225,7 +229,7 @@
     let address = fleet.cluster.front_address(0);
     let under_way = tokio::spawn(async move { Client::new(address).send(&request).await });
     assert!(
-        poll(|| async { !fleet.world.ledger().runs_of(&id).is_empty() }).await,
+        poll(|| async { !fleet.world.request_log().executions_of(&id).is_empty() }).await,
         "{}",
         fleet.cluster.logs()
     );
@@ -265,7 +269,7 @@
                 fleet.readers.iter().any(|reader| {
                     reader.with_core(|core| {
                         let has_any = core.handle_count() > 0;
-                        core.lapse_handles();
+                        core.expire_handles();
                         has_any
                     })
                 })
@@ -293,7 +297,7 @@
         request.deadline_ms = PATIENCE.as_millis() as u64;
         let address = fleet.cluster.front_address(0);
         sent.push(tokio::spawn(async move {
-            let mut client = Client::new(address).with_connect_time(PATIENCE);
+            let mut client = Client::new(address).with_connect_timeout(PATIENCE);
             client.send(&request).await
         }));
     }
@@ -309,7 +313,7 @@
     let mut fleet = Fleet::start(SMALL).await;
     let outcomes = burst(&mut fleet).await;
     for outcome in &outcomes {
-        let is_clear = outcome.is_success() || outcome.promises_not_run();
+        let is_clear = outcome.is_success() || outcome.promises_not_executed();
         assert!(is_clear && outcome.findings.is_empty(), "{outcome:?}\n{}", fleet.cluster.logs());
     }
     assert_eq!(fleet.violations(&outcomes), []);
@@ -320,24 +324,25 @@
     let mut fleet = Fleet::start(SMALL).await;
     let outcomes = burst(&mut fleet).await;
     let served = outcomes.iter().filter(|outcome| outcome.is_success()).count();
-    let sent =
-        outcomes.iter().filter(|outcome| !fleet.world.ledger().arrivals_of(&outcome.request_id).is_empty());
+    let sent = outcomes
+        .iter()
+        .filter(|outcome| !fleet.world.request_log().arrivals_of(&outcome.request_id).is_empty());
     let sent = sent.count();
     assert!(served >= SLOTS, "{served} of {BURST} served, {sent} sent on\n{}", fleet.cluster.logs());
 }
 
 #[rstest]
-#[case::dark(Reach::Dark)]
-#[case::refusing(Reach::Refusing)]
+#[case::dark(Reachability::Blackholed)]
+#[case::refusing(Reachability::Refusing)]
 #[tokio::test]
-async fn without_the_platform_the_fleet_serves_on(#[case] reach: Reach) {
+async fn without_the_platform_the_fleet_serves_on(#[case] reach: Reachability) {
     let mut fleet = Fleet::start(SMALL).await;
-    fleet.platform.set_reach(reach);
+    fleet.platform.set_reachability(reach);
     let bytes = next_configuration(3, "/added/").to_bytes();
     assert_eq!(fleet.operator.put(&bytes, 1).await.status(), Some(200), "{}", fleet.cluster.logs());
     assert!(fleet.serves(0, "/added/").await, "{}", fleet.cluster.logs());
     assert!(fleet.serves(0, "/gen/").await, "{}", fleet.cluster.logs());
     let calls = fleet.platform.calls().len();
-    fleet.platform.set_reach(Reach::Open);
+    fleet.platform.set_reachability(Reachability::Serving);
     assert!(poll(|| async { fleet.platform.calls().len() > calls }).await, "it is not asked any more");
 }
--- a/crates/lugwharf/tests/support/mod.rs
+++ b/crates/lugwharf/tests/support/mod.rs
@@ -7,12 +7,12 @@
 use lugwharf_emulator::cluster::{Cluster, ClusterOptions, Placement, Subnet, poll};
 use lugwharf_emulator::configuration::{ConfigurationSpec, EngineSpec, RouteSpec, ServiceSpec};
 use lugwharf_emulator::core::Identity;
-use lugwharf_emulator::host::{Host, HostOptions, World};
-use lugwharf_emulator::ledger::Violation;
+use lugwharf_emulator::host::{EmulatedServer, ServerOptions, World};
 use lugwharf_emulator::model_server::{ModelParameters, ModelServer, Stage};
-use lugwharf_emulator::operator::{Operator, Verdict};
+use lugwharf_emulator::operator::{CallOutcome, Operator};
 use lugwharf_emulator::plain_server::{PlainParameters, PlainServer};
-use lugwharf_emulator::platform::{Listed, PlatformHost, PlatformParameters};
+use lugwharf_emulator::platform::{InstanceEntry, PlatformHost, PlatformParameters};
+use lugwharf_emulator::request_log::Violation;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -37,9 +37,9 @@
 pub struct Fleet {
     pub world: World,
     pub platform: PlatformHost,
-    pub readers: Vec<Host<ModelServer>>,
-    pub makers: Vec<Host<ModelServer>>,
-    pub plain: Vec<Host<PlainServer>>,
+    pub readers: Vec<EmulatedServer<ModelServer>>,
+    pub makers: Vec<EmulatedServer<ModelServer>>,
+    pub plain: Vec<EmulatedServer<PlainServer>>,
     pub cluster: Cluster,
     pub operator: Operator,
     sent: u64,
@@ -65,7 +65,7 @@
     /// The same with only some control machines that count; the others serve agents and the operator as followers.
     pub async fn start_with_followers(size: Size, counting: usize) -> Fleet {
         let mut fleet = Fleet::prepare(size, ModelParameters::quick(Stage::Decode), &[]).await;
-        fleet.cluster.let_count(counting);
+        fleet.cluster.set_voting_machines(counting);
         fleet.go(size).await
     }
 
@@ -100,7 +100,7 @@
             fronts: size.fronts,
             controls: size.controls,
             placement: size.placement,
-            tolerated: 1,
+            fault_tolerance: 1,
             cloud: platform.address(),
             bounds: bounds.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect(),
             arguments: ["--log", "info"].map(str::to_owned).to_vec(),
@@ -132,31 +132,36 @@
         fleet
     }
 
-    async fn model(&self, instance: &str, parameters: ModelParameters) -> Host<ModelServer> {
+    async fn model(&self, instance: &str, parameters: ModelParameters) -> EmulatedServer<ModelServer> {
         let stage = parameters.stage;
         let slots = u32::try_from(parameters.slots).expect("a number of slots");
         let mut identity = Identity::new(instance, MODEL_SERVICE);
-        identity.place.zone = ZONE.to_owned();
+        identity.location.zone = ZONE.to_owned();
         let core = ModelServer::new(identity, parameters);
         let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let host = Host::start(&self.world, any, core, HostOptions::default()).await.expect("a server");
-        let listed = Listed::plain(instance, MODEL_SERVICE, host.address(), ZONE, slots);
+        let host =
+            EmulatedServer::start(&self.world, any, core, ServerOptions::default()).await.expect("a server");
+        let listed = InstanceEntry::plain(instance, MODEL_SERVICE, host.address(), ZONE, slots);
         self.platform.put(listed.staged(stage, "m", 1));
-        self.platform.follow_stage(instance, host.stage_source());
+        self.platform.track_stage(instance, host.stage_source());
         host
     }
 
     /// Starts a plain server and lists it.
-    pub async fn plain(&self, instance: &str, service: &str, address: SocketAddr) -> Host<PlainServer> {
+    pub async fn plain(
+        &self, instance: &str, service: &str, address: SocketAddr,
+    ) -> EmulatedServer<PlainServer> {
         let host = self.unlisted(instance, service, address).await;
-        self.platform.put(Listed::plain(instance, service, host.address(), ZONE, 6));
+        self.platform.put(InstanceEntry::plain(instance, service, host.address(), ZONE, 6));
         host
     }
 
     /// Starts a plain server that the platform does not list.
-    pub async fn unlisted(&self, instance: &str, service: &str, address: SocketAddr) -> Host<PlainServer> {
+    pub async fn unlisted(
+        &self, instance: &str, service: &str, address: SocketAddr,
+    ) -> EmulatedServer<PlainServer> {
         let core = PlainServer::new(Identity::new(instance, service), PlainParameters::default());
-        Host::start(&self.world, address, core, HostOptions::default()).await.expect("a server")
+        EmulatedServer::start(&self.world, address, core, ServerOptions::default()).await.expect("a server")
     }
 
     /// A request id that was not used before.
@@ -217,7 +222,7 @@
     /// What is wrong with the runs, given what clients got.
     pub fn violations(&self, outcomes: &[Outcome]) -> Vec<Violation> {
         let known: BTreeSet<String> = outcomes.iter().map(|outcome| outcome.request_id.clone()).collect();
-        let all = self.world.ledger().violations(outcomes, |outcome| {
+        let all = self.world.request_log().violations(outcomes, |outcome| {
             let service = if outcome.target.starts_with("/gen/") || outcome.target.starts_with("/resume/") {
                 MODEL_SERVICE
             } else {
@@ -229,7 +234,9 @@
         let is_known = |id: &str| known.contains(id);
         all.into_iter()
             .filter(|violation| match violation {
-                Violation::Unasked { request_id } => is_known(request_id) || !request_id.starts_with("5eed"),
+                Violation::UnknownRequest { request_id } => {
+                    is_known(request_id) || !request_id.starts_with("5eed")
+                }
                 _ => true,
             })
             .collect()
@@ -254,7 +261,7 @@
     /// Reads the configuration back.
     pub async fn read_back(&self) -> Option<Vec<u8>> {
         match self.operator.get().await {
-            Verdict::Acknowledged(answer) => Some(answer.body),
+            CallOutcome::Acknowledged(answer) => Some(answer.body),
             _ => None,
         }
     }
--- a/crates/lugwharf/tests/whole_path.rs
+++ b/crates/lugwharf/tests/whole_path.rs
@@ -4,7 +4,7 @@
 
 use lugwharf_emulator::client::Client;
 use lugwharf_emulator::core::ServerEvent;
-use lugwharf_emulator::operator::Verdict;
+use lugwharf_emulator::operator::CallOutcome;
 use rstest::rstest;
 use serde_json::{Value, json};
 use support::{Fleet, HOST, SMALL, Size, first_configuration, json as parsed, next_configuration};
@@ -28,12 +28,12 @@
     let outcome = fleet.send(0, &request).await;
     assert!(outcome.is_success(), "{outcome:?}\n{}", fleet.cluster.logs());
     assert_eq!((outcome.findings.as_slice(), outcome.events.len()), (&[][..], 5));
-    let arrivals = fleet.world.ledger().arrivals_of(&request.request_id);
+    let arrivals = fleet.world.request_log().arrivals_of(&request.request_id);
     let stages: Vec<bool> = arrivals.iter().map(|arrival| arrival.is_prefill()).collect();
     assert_eq!(stages, [true, false], "{arrivals:?}");
-    let runs = fleet.world.ledger().runs_of(&request.request_id);
+    let runs = fleet.world.request_log().executions_of(&request.request_id);
     assert_eq!(runs.len(), 1);
-    assert_eq!(runs[0].memory_of.as_deref(), Some(request.request_id.as_str()));
+    assert_eq!(runs[0].kv_owner.as_deref(), Some(request.request_id.as_str()));
     assert_eq!(fleet.violations(&[outcome]), []);
 }
 
@@ -62,7 +62,7 @@
     request.body = vec![b'z'; 100_000];
     let outcome = fleet.send(0, &request).await;
     assert!(outcome.is_success() && outcome.findings.is_empty(), "{outcome:?}\n{}", fleet.cluster.logs());
-    let arrivals = fleet.world.ledger().arrivals_of(&request.request_id);
+    let arrivals = fleet.world.request_log().arrivals_of(&request.request_id);
     assert_eq!(arrivals.len(), 1);
     assert_eq!((arrivals[0].target.as_str(), arrivals[0].body_bytes), (request.target.as_str(), 100_000));
     assert_eq!(arrivals[0].headers.get("X-Own"), Some("kept"));
@@ -82,7 +82,7 @@
     request.target = target.to_owned();
     let outcome = fleet.send(0, &request).await;
     assert_eq!(outcome.status, Some(404), "{outcome:?}");
-    assert_eq!(fleet.world.ledger().arrivals_of(&request.request_id).len(), 0);
+    assert_eq!(fleet.world.request_log().arrivals_of(&request.request_id).len(), 0);
 }
 
 #[tokio::test]
@@ -126,7 +126,7 @@
     #[case] bytes: Vec<u8>, #[case] field: &str,
 ) {
     let fleet = Fleet::start(SMALL).await;
-    let Verdict::Refused(answer) = fleet.operator.put(&bytes, 1).await else {
+    let CallOutcome::Refused(answer) = fleet.operator.put(&bytes, 1).await else {
         panic!("not refused\n{}", fleet.cluster.logs());
     };
     // The protocol page wants a 4xx that ends the call; a number that is not above is a conflict as well.
--- a/crates/lugwharf/tests/without_core.rs
+++ b/crates/lugwharf/tests/without_core.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use lugwharf_emulator::cluster::{Placement, Signal, poll};
-use lugwharf_emulator::operator::{Operator, Verdict, call_once};
+use lugwharf_emulator::operator::{CallOutcome, Operator, call_once};
 use lugwharf_emulator::wire::Request;
 use rstest::rstest;
 use serde_json::json;
@@ -30,7 +30,7 @@
     json!({"Version": version, "Upsert": {"Routes": [route]}}).to_string().into_bytes()
 }
 
-fn status(verdict: &Verdict) -> Option<u16> {
+fn status(verdict: &CallOutcome) -> Option<u16> {
     verdict.status()
 }
 
@@ -52,9 +52,9 @@
 #[tokio::test]
 async fn processes_whose_seeds_hold_no_replica_find_the_others() {
     let mut fleet = Fleet::start(Size { fronts: 5, ..HOSTED }).await;
-    fleet.cluster.name_seeds(vec![fleet.cluster.gateway_address(GATEWAY)]);
+    fleet.cluster.set_seeds(vec![fleet.cluster.gateway_address(GATEWAY)]);
     fleet.cluster.kill_control(2).expect("a kill");
-    fleet.cluster.wipe_control(2).expect("a wipe");
+    fleet.cluster.wipe_control_disk(2).expect("a wipe");
     fleet.cluster.kill_front(GATEWAY + 1, "agent").expect("a kill");
     let bytes = next_configuration(3, "/added/").to_bytes();
     assert_eq!(status(&fleet.operator.put(&bytes, 1).await), Some(200), "{}", fleet.cluster.logs());
@@ -73,7 +73,7 @@
     assert_eq!(status(&fleet.operator.put(&bytes, 1).await), Some(200));
     fleet
         .cluster
-        .name_seeds([GATEWAY, GATEWAY + 1].map(|front| fleet.cluster.gateway_address(front)).to_vec());
+        .set_seeds([GATEWAY, GATEWAY + 1].map(|front| fleet.cluster.gateway_address(front)).to_vec());
     fleet.cluster.kill_all().expect("kills");
     fleet.cluster.start_all().expect("starts");
     for front in 0..size.fronts {
@@ -104,7 +104,7 @@
 async fn a_wiped_machine_joins_again_and_counts() {
     let mut fleet = start().await;
     fleet.cluster.kill_control(2).expect("a kill");
-    fleet.cluster.wipe_control(2).expect("a wipe");
+    fleet.cluster.wipe_control_disk(2).expect("a wipe");
     let second = next_configuration(3, "/second/").to_bytes();
     assert_eq!(status(&fleet.operator.put(&second, 1).await), Some(200), "{}", fleet.cluster.logs());
     fleet.cluster.start_control(2).expect("a start");
@@ -134,8 +134,8 @@
 async fn an_agent_outlives_the_replica_that_it_hosts() {
     let mut fleet = start().await;
     fleet.cluster.kill_control(2).expect("a kill");
-    fleet.cluster.wipe_control(2).expect("a wipe");
-    let obstacle = fleet.cluster.data_folder(2).join("log");
+    fleet.cluster.wipe_control_disk(2).expect("a wipe");
+    let obstacle = fleet.cluster.data_directory(2).join("log");
     std::fs::create_dir_all(&obstacle).expect("a folder");
     fleet.cluster.start_control(2).expect("a start");
     let bytes = next_configuration(3, "/added/").to_bytes();
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -78,7 +78,7 @@
             fronts: scenario.fronts,
             controls: scenario.controls,
             placement: scenario.placement,
-            tolerated: if scenario.controls > 3 { 2 } else { 1 },
+            fault_tolerance: if scenario.controls > 3 { 2 } else { 1 },
             cloud: platform.address(),
             bounds: Vec::new(),
             arguments: ["--log", "info"].map(str::to_owned).to_vec(),
@@ -208,7 +208,7 @@
     pub fn limit_descriptors(&mut self, unit: Unit, are_short: bool) -> Result<()> {
         if let Some(process) = self.cluster.process(&unit.name()) {
             let few = process.open_descriptors() + FEW_DESCRIPTORS;
-            process.limit_descriptors(if are_short { few } else { MANY_DESCRIPTORS })?;
+            process.limit_open_descriptors(if are_short { few } else { MANY_DESCRIPTORS })?;
         }
         Ok(())
     }
--- a/crates/soak/src/heal.rs
+++ b/crates/soak/src/heal.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use crate::judge::Finding;
 use crate::operators::{Book, Put};
-use lugwharf_emulator::cluster::ready_status;
+use lugwharf_emulator::cluster::readiness_status;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -61,7 +61,7 @@
         found.push(format!("list reader {holders:?}"));
     }
     for front in 0..fronts {
-        if ready_status(fleet.cluster.ready_address(front)).await != Some(200) {
+        if readiness_status(fleet.cluster.ready_address(front)).await != Some(200) {
             found.push(format!("front-{front} is not ready"));
         }
     }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -4,9 +4,9 @@
 use crate::operators::{Book, Put, Read};
 use crate::schedule::{Kind, Schedule, Trouble};
 use crate::traffic::{Attempt, Behaviour};
-use lugwharf_emulator::client::{Ending, Outcome};
-use lugwharf_emulator::ledger::Ledger;
-use lugwharf_emulator::operator::Verdict;
+use lugwharf_emulator::client::{AttemptEnd, Outcome};
+use lugwharf_emulator::operator::CallOutcome;
+use lugwharf_emulator::request_log::RequestLog;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
     /// What was to go wrong, and when.
     pub schedule: &'a Schedule,
     /// What the servers saw.
-    pub ledger: &'a Ledger,
+    pub ledger: &'a RequestLog,
     /// What the clients sent and got.
     pub attempts: &'a [Attempt],
     /// What the operators sent and got.
@@ -83,7 +83,7 @@
     };
     for put in records.book.puts().iter().filter(|put| is_calm(put.began, put.ended)) {
         let took = put.ended - put.began;
-        if matches!(put.verdict, Verdict::Unclear) || took > ACK {
+        if matches!(put.verdict, CallOutcome::Unknown) || took > ACK {
             let facts =
                 format!("version {} after {} ms: {:?}", put.version, took.as_millis(), put.verdict.status());
             found.push(Finding { rule: "not_acknowledged", facts });
@@ -154,7 +154,7 @@
     let is_polite = matches!(trouble.kind, Kind::FrontTerm | Kind::Crowd);
     let has_arrived = !records.ledger.arrivals_of(&attempt.outcome.request_id).is_empty();
     let outlasts = trouble.kind == Kind::FrontTerm && attempt.ended > trouble.at + GRACE * 5 / 6;
-    is_polite && attempt.outcome.ending == Ending::Cut && has_arrived && !outlasts
+    is_polite && attempt.outcome.ending == AttemptEnd::Truncated && has_arrived && !outlasts
 }
 
 /// The troubles of its front around a request.
@@ -190,7 +190,7 @@
         let known: BTreeSet<&str> = lines.filter_map(|rest| rest.split_whitespace().next()).collect();
         let is_failed = |attempt: &&Attempt| {
             let is_owed = matches!(attempt.behaviour, Behaviour::Steady | Behaviour::Slow);
-            let has_reached = attempt.outcome.ending != Ending::NoConnection;
+            let has_reached = attempt.outcome.ending != AttemptEnd::ConnectFailed;
             attempt.front == front && is_owed && has_reached && !attempt.outcome.is_success()
         };
         let failed = records.attempts.iter().filter(is_failed);
@@ -211,11 +211,11 @@
 /// Nothing of a request reaches a server after its client has left.
 fn gone(records: &Records<'_>, found: &mut Vec<Finding>) {
     let left = records.attempts.iter().filter(|attempt| {
-        attempt.behaviour == Behaviour::Leaving && attempt.outcome.ending == Ending::TimedOut
+        attempt.behaviour == Behaviour::Leaving && attempt.outcome.ending == AttemptEnd::TimedOut
     });
     let left: BTreeMap<&str, &Attempt> =
         left.map(|attempt| (attempt.outcome.request_id.as_str(), attempt)).collect();
-    for end in records.ledger.ends() {
+    for end in records.ledger.completions() {
         let Some(attempt) = left.get(end.request_id.as_str()) else { continue };
         let is_late = end.at > attempt.ended + GONE;
         if is_late && !is_front_harmed(records, attempt) && !is_server_harmed(records.schedule, attempt) {
@@ -279,7 +279,7 @@
 /// What operators were told of configurations, and what they read.
 pub fn configurations(puts: &[Put], reads: &[Read], found: &mut Vec<Finding>) {
     let mut find = |facts: String| found.push(Finding { rule: "configuration", facts });
-    let is_acknowledged = |put: &&Put| matches!(put.verdict, Verdict::Acknowledged(_));
+    let is_acknowledged = |put: &&Put| matches!(put.verdict, CallOutcome::Acknowledged(_));
     let mut by_base: BTreeMap<u64, u64> = BTreeMap::new();
     for put in puts.iter().filter(is_acknowledged) {
         if !put.is_valid {
@@ -290,7 +290,7 @@
             find(format!("versions {other} and {} on {} were both acknowledged", put.version, put.base));
         }
     }
-    for put in puts.iter().filter(|put| put.is_resend && matches!(put.verdict, Verdict::Refused(_))) {
+    for put in puts.iter().filter(|put| put.is_resend && matches!(put.verdict, CallOutcome::Refused(_))) {
         find(format!("version {} was acknowledged and then refused: {:?}", put.version, put.verdict));
     }
     let mut newest_read = (Duration::ZERO, 0);
@@ -306,7 +306,7 @@
         if version != 1 && sent.is_none_or(|put| *put.bytes != **bytes) {
             find(format!("version {version} was read and not sent so"));
         }
-        if let Some(put) = sent.filter(|put| matches!(put.verdict, Verdict::Refused(_))) {
+        if let Some(put) = sent.filter(|put| matches!(put.verdict, CallOutcome::Refused(_))) {
             find(format!("version {version} was read and refused: {:?}", put.verdict));
         }
         let before = puts.iter().filter(is_acknowledged).filter(|put| put.ended < read.began);
--- a/crates/soak/src/operators.rs
+++ b/crates/soak/src/operators.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::{configuration, version_of};
 use lugwharf_emulator::host::World;
-use lugwharf_emulator::operator::{Operator, Verdict, call_once};
+use lugwharf_emulator::operator::{CallOutcome, Operator, call_once};
 use lugwharf_emulator::wire::Request;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -41,7 +41,7 @@
     /// When the last answer came.
     pub ended: Duration,
     /// What was told.
-    pub verdict: Verdict,
+    pub verdict: CallOutcome,
     /// Whether it is a change that was acknowledged, sent again with no other one between.
     pub is_resend: bool,
 }
@@ -217,17 +217,18 @@
         self.conclude(version, bytes, &verdict);
     }
 
-    fn conclude(&mut self, version: u64, bytes: Arc<[u8]>, verdict: &Verdict) {
+    fn conclude(&mut self, version: u64, bytes: Arc<[u8]>, verdict: &CallOutcome) {
         self.current = match verdict {
-            Verdict::Acknowledged(_) => Some((version, bytes)),
+            CallOutcome::Acknowledged(_) => Some((version, bytes)),
             // Whether it is in force has to be asked; after a refusal another one is.
-            Verdict::Refused(_) | Verdict::Unclear => None,
+            CallOutcome::Refused(_) | CallOutcome::Unknown => None,
         };
     }
 
     async fn send_again(&mut self, version: u64, bytes: Arc<[u8]>, rng: &mut fastrand::Rng) {
         let puts = self.desk.book.puts();
-        let is_it = |put: &&Put| put.version == version && matches!(put.verdict, Verdict::Acknowledged(_));
+        let is_it =
+            |put: &&Put| put.version == version && matches!(put.verdict, CallOutcome::Acknowledged(_));
         let Some(base) = puts.iter().find(is_it).map(|put| put.base) else { return };
         let operator = self.operator(rng);
         self.desk.put(&operator, version, base, &bytes, true, true).await;
@@ -266,7 +267,7 @@
     async fn put(
         &self, operator: &Operator, version: u64, base: u64, bytes: &Arc<[u8]>, is_valid: bool,
         is_resend: bool,
-    ) -> Verdict {
+    ) -> CallOutcome {
         let began = self.world.now();
         let verdict = operator.put(bytes, base).await;
         let (bytes, ended) = (bytes.clone(), self.world.now());
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -86,7 +86,7 @@
     findings.extend(watch.findings());
     findings.extend(judge(&Records {
         schedule: &shifted,
-        ledger: fleet.world.ledger(),
+        ledger: fleet.world.request_log(),
         attempts: &attempts,
         book: &book,
         proxy_logs: &proxy_logs,
@@ -257,11 +257,11 @@
             outcome.status
         );
     }
-    for arrival in fleet.world.ledger().arrivals() {
+    for arrival in fleet.world.request_log().arrivals() {
         let (at, id) = (arrival.at.as_millis(), arrival.request_id.as_deref().unwrap_or("-"));
         let _ = writeln!(text, "arrival {at} {id} {} prefill {}", arrival.instance, arrival.is_prefill());
     }
-    for order in fleet.world.ledger().orders() {
+    for order in fleet.world.request_log().orders() {
         let _ = writeln!(text, "order {} {} {}", order.at.as_millis(), order.instance, order.body);
     }
     text
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -4,11 +4,11 @@
 use crate::fleet::Fleet;
 use eyre::Result;
 use lugwharf_emulator::core::{Identity, ServerEvent};
-use lugwharf_emulator::fault::{Fault, Matcher, Reach};
-use lugwharf_emulator::host::{Host, HostOptions};
+use lugwharf_emulator::fault::{Fault, Matcher, Reachability};
+use lugwharf_emulator::host::{EmulatedServer, ServerOptions};
 use lugwharf_emulator::model_server::{ModelParameters, ModelServer, Stage};
 use lugwharf_emulator::plain_server::{PlainParameters, PlainServer};
-use lugwharf_emulator::platform::Listed;
+use lugwharf_emulator::platform::InstanceEntry;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -32,8 +32,8 @@
 }
 
 enum Running {
-    Model(Host<ModelServer>),
-    Plain(Host<PlainServer>),
+    Model(EmulatedServer<ModelServer>),
+    Plain(EmulatedServer<PlainServer>),
 }
 
 /// One server with the address that its successors take over.
@@ -69,18 +69,18 @@
         }
         server.incarnations += 1;
         server.id = format!("i-{index}-{}", server.incarnations);
-        let (world, options) = (&self.world, HostOptions::default());
+        let (world, options) = (&self.world, ServerOptions::default());
         let (running, listed) = match server.part {
             Part::Model(stage) => {
                 let parameters = ModelParameters::quick(stage);
                 let slots = u32::try_from(parameters.slots)?;
                 let mut identity = Identity::new(&server.id, MODEL_SERVICE);
-                identity.place.zone = ZONE.to_owned();
+                identity.location.zone = ZONE.to_owned();
                 let core = ModelServer::new(identity, parameters);
-                let host = Host::start(world, server.address, core, options).await?;
+                let host = EmulatedServer::start(world, server.address, core, options).await?;
                 server.address = host.address();
-                self.platform.follow_stage(&server.id, host.stage_source());
-                let listed = Listed::plain(&server.id, MODEL_SERVICE, server.address, ZONE, slots);
+                self.platform.track_stage(&server.id, host.stage_source());
+                let listed = InstanceEntry::plain(&server.id, MODEL_SERVICE, server.address, ZONE, slots);
                 (Running::Model(host), listed.staged(stage, "m", 1))
             }
             Part::Plain | Part::Slow => {
@@ -91,9 +91,9 @@
                     parameters = PlainParameters { work: SLOW_WORK, slots: SLOW_SLOTS, ..parameters };
                 }
                 let core = PlainServer::new(Identity::new(&server.id, service), parameters);
-                let host = Host::start(world, server.address, core, options).await?;
+                let host = EmulatedServer::start(world, server.address, core, options).await?;
                 server.address = host.address();
-                let listed = Listed::plain(&server.id, service, server.address, ZONE, 6);
+                let listed = InstanceEntry::plain(&server.id, service, server.address, ZONE, 6);
                 (Running::Plain(host), listed)
             }
         };
@@ -121,10 +121,10 @@
     }
 
     /// Changes whether a server can be reached.
-    pub fn reach_server(&mut self, index: usize, reach: Reach) {
+    pub fn reach_server(&mut self, index: usize, reach: Reachability) {
         match &self.servers[index].running {
-            Some(Running::Model(host)) => host.set_reach(reach),
-            Some(Running::Plain(host)) => host.set_reach(reach),
+            Some(Running::Model(host)) => host.set_reachability(reach),
+            Some(Running::Plain(host)) => host.set_reachability(reach),
             None => {}
         }
     }
@@ -143,8 +143,8 @@
     pub fn forget_connections(&self, forgets: bool) {
         for server in &self.servers {
             match &server.running {
-                Some(Running::Model(host)) => host.forget_connections(forgets),
-                Some(Running::Plain(host)) => host.forget_connections(forgets),
+                Some(Running::Model(host)) => host.drop_idle_connections(forgets),
+                Some(Running::Plain(host)) => host.drop_idle_connections(forgets),
                 None => {}
             }
         }
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -1,7 +1,7 @@
 //! Clients of the fleet, some of which misbehave.
 
 use crate::configuration::HOST;
-use lugwharf_emulator::client::{Client, ClientRequest, Ending, Kind, Outcome};
+use lugwharf_emulator::client::{AttemptEnd, Client, ClientRequest, Kind, Outcome};
 use lugwharf_emulator::host::World;
 use lugwharf_emulator::wire::Connection;
 use std::net::SocketAddr;
@@ -110,7 +110,7 @@
         let front = rng.usize(..shared.fronts.len());
         let mut client = Client::new(shared.fronts[front]);
         if behaviour == Behaviour::Slow {
-            client = client.with_pause(Duration::from_millis(rng.u64(5..250)));
+            client = client.with_mid_request_pause(Duration::from_millis(rng.u64(5..250)));
         }
         for _ in 0..rng.u32(1..=KEPT) {
             if *shared.stop.borrow() {
@@ -141,7 +141,7 @@
             if sent.is_none() {
                 *client = Client::new(address);
             }
-            sent.unwrap_or_else(|| Outcome { ending: Ending::TimedOut, ..request.outcome() })
+            sent.unwrap_or_else(|| Outcome { ending: AttemptEnd::TimedOut, ..request.outcome() })
         }
         Behaviour::Stopping => stop_midway(shared.fronts[front], &request, rng).await,
     };
@@ -155,7 +155,7 @@
 async fn stop_midway(front: SocketAddr, request: &ClientRequest, rng: &mut fastrand::Rng) -> Outcome {
     let mut outcome = request.outcome();
     let Ok(mut connection) = Connection::open(front).await else { return outcome };
-    outcome.ending = Ending::Cut;
+    outcome.ending = AttemptEnd::Truncated;
     let bytes = request.to_wire().encode();
     // Without its last byte it is no request.
     let length = rng.usize(1..bytes.len());
--- a/crates/soak/src/trouble.rs
+++ b/crates/soak/src/trouble.rs
@@ -6,7 +6,7 @@
 use crate::schedule::{Kind, Trouble};
 use eyre::Result;
 use lugwharf_emulator::cluster::Signal;
-use lugwharf_emulator::fault::{Fault, Reach};
+use lugwharf_emulator::fault::{Fault, Reachability};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -82,7 +82,7 @@
             Kind::ControlFreeze => fleet.freeze(control)?,
             Kind::ControlWipe => {
                 fleet.kill(control)?;
-                fleet.cluster.wipe_control(self.control)?;
+                fleet.cluster.wipe_control_disk(self.control)?;
             }
             Kind::ControlHerd => {
                 self.controls.iter().try_for_each(|index| fleet.kill(Unit::Control(*index)))?;
@@ -103,19 +103,21 @@
             Kind::Reload => {
                 fleet.units(fronts).into_iter().try_for_each(|unit| fleet.signal(unit, Signal::Reload))?;
             }
-            Kind::PlatformDark => fleet.platform.set_reach(Reach::Dark),
-            Kind::PlatformReset => fleet.platform.set_reach(Reach::Refusing),
+            Kind::PlatformDark => fleet.platform.set_reachability(Reachability::Blackholed),
+            Kind::PlatformReset => fleet.platform.set_reachability(Reachability::Refusing),
             Kind::ServerCrash => fleet.crash_server(self.server).await,
             Kind::ServerDrain => fleet.drain_server(self.server),
-            Kind::ServerDark => fleet.reach_server(self.server, Reach::Dark),
+            Kind::ServerDark => fleet.reach_server(self.server, Reachability::Blackholed),
             Kind::ServerFailing => fleet.fail_server(self.server, true),
-            Kind::AnswersLost => fleet.inject(&Fault::LoseAnswer, FAULTS_EACH),
+            Kind::AnswersLost => fleet.inject(&Fault::DropResponse, FAULTS_EACH),
             Kind::AnswersGarbled => fleet.inject(&Fault::Garbage, FAULTS_EACH),
             Kind::AnswersSurplus => {
-                fleet.inject(&Fault::SurplusAnswer, FAULTS_EACH);
-                fleet.inject(&Fault::WrongId, 1);
+                fleet.inject(&Fault::SurplusResponse, FAULTS_EACH);
+                fleet.inject(&Fault::WrongRequestId, 1);
+            }
+            Kind::StreamsCut => {
+                fleet.inject(&Fault::TruncateStream { after_events: 1, reset: true }, FAULTS_EACH)
             }
-            Kind::StreamsCut => fleet.inject(&Fault::CutStream { after_events: 1, reset: true }, FAULTS_EACH),
             Kind::IdleRace => fleet.forget_connections(true),
             // Operators that have stopped wish for nothing more.
             Kind::ConfigRace => drop(wishes.send(Wish::Race)),
@@ -159,13 +161,15 @@
             Kind::ProxyDescriptors => fleet.limit_descriptors(Unit::Proxy(self.front), false)?,
             Kind::AgentDescriptors => fleet.limit_descriptors(self.agent, false)?,
             Kind::Crowd => self.crowd = Arc::default(),
-            Kind::PlatformDark | Kind::PlatformReset => fleet.platform.set_reach(Reach::Open),
+            Kind::PlatformDark | Kind::PlatformReset => {
+                fleet.platform.set_reachability(Reachability::Serving)
+            }
             Kind::ServerCrash => fleet.start_server(self.server).await?,
             Kind::ServerDrain => {
                 fleet.crash_server(self.server).await;
                 fleet.start_server(self.server).await?;
             }
-            Kind::ServerDark => fleet.reach_server(self.server, Reach::Open),
+            Kind::ServerDark => fleet.reach_server(self.server, Reachability::Serving),
             Kind::ServerFailing => fleet.fail_server(self.server, false),
             Kind::AnswersLost | Kind::AnswersGarbled | Kind::AnswersSurplus | Kind::StreamsCut => {
                 fleet.clear_faults();
@@ -182,10 +186,10 @@
 
     /// The links that it harms, and how.
     fn links(&self, fleet: &Fleet) -> Vec<(Link, LinkState)> {
-        let address = |index: usize| fleet.cluster.control_bound(index);
+        let address = |index: usize| fleet.cluster.control_bind_ip(index);
         let both = |one, other, state| vec![((one, other), state), ((other, one), state)];
         let (one, other) = (address(self.control), address(self.other));
-        let agent = fleet.cluster.front_bound(self.front);
+        let agent = fleet.cluster.front_bind_ip(self.front);
         let all = || self.controls.iter().map(|index| address(*index));
         match self.trouble.kind {
             Kind::PairSilent => both(one, other, LinkState::Silent),
