--- a/crates/emulator/src/host/world.rs
+++ b/crates/emulator/src/host/world.rs
@@ -1,8 +1,8 @@
-//! What all servers of a world share: the clock, the record, and the way to each other.
+//! What all servers of a world share: the clock, the request log, and the transfer of KV caches.
 
-use super::{Shared, lock};
 use crate::request_log::RequestLog;
-use crate::server_core::{CallId, KvContents, ServerCore};
+use crate::server_core::{CallId, KvContents};
+use crate::sync::lock;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,20 +10,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A server as others reach it for a handle.
-trait HandleSource: Send + Sync {
+/// A server from which others fetch KV caches.
+pub(super) trait HandleSource: Send + Sync {
+    /// Hands out the KV cache behind a handle, once; `None` also while the server can't be reached.
     fn take(&self, handle: &str) -> Option<KvContents>;
 }
 
-impl<C: ServerCore> HandleSource for Shared<C> {
-    fn take(&self, handle: &str) -> Option<KvContents> {
-        let is_open = *self.reachability.borrow() == crate::fault::Reachability::Serving;
-        let contents = is_open.then(|| lock(&self.core).take_handle(handle, self.world.now())).flatten();
-        self.wake.notify_one();
-        contents
-    }
-}
-
 struct Inner {
     started: Instant,
     calls: AtomicU64,
@@ -31,7 +23,7 @@
     servers: Mutex<HashMap<SocketAddr, Weak<dyn HandleSource>>>,
 }
 
-/// One world; clones share it. Needs a tokio runtime for its clock.
+/// The surroundings of a test's servers; clones share them. Its clock is that of the tokio runtime.
 #[derive(Clone)]
 pub struct World {
     inner: Arc<Inner>,
@@ -55,33 +47,37 @@
         World { inner: Arc::new(inner) }
     }
 
-    /// The record of arrivals and runs.
+    /// The log of arrivals, executions and orders.
     pub fn request_log(&self) -> &RequestLog {
         &self.inner.request_log
     }
 
-    /// The time since the start.
+    /// The time since the start of the world.
     pub fn now(&self) -> Duration {
         self.inner.started.elapsed()
     }
 
+    /// The instant that is so long after the start.
     pub(crate) fn instant(&self, at: Duration) -> Instant {
         self.inner.started + at
     }
 
+    /// A call id that was not used before.
     pub(crate) fn next_call(&self) -> CallId {
         CallId(self.inner.calls.fetch_add(1, Ordering::Relaxed))
     }
 
-    pub(super) fn register<C: ServerCore>(&self, address: SocketAddr, server: &Arc<Shared<C>>) {
-        let source: Arc<dyn HandleSource> = Arc::clone(server) as _;
-        lock(&self.inner.servers).insert(address, Arc::downgrade(&source));
+    /// Registers the server at an address, in place of an earlier one.
+    pub(super) fn register(&self, address: SocketAddr, server: Weak<dyn HandleSource>) {
+        lock(&self.inner.servers).insert(address, server);
     }
 
+    /// Removes the server at an address.
     pub(super) fn deregister(&self, address: SocketAddr) {
         lock(&self.inner.servers).remove(&address);
     }
 
+    /// Fetches the KV cache behind a handle of the server at an address.
     pub(super) fn take_handle(&self, address: SocketAddr, handle: &str) -> Option<KvContents> {
         let source = lock(&self.inner.servers).get(&address).and_then(Weak::upgrade)?;
         source.take(handle)
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -29,4 +29,5 @@
 pub mod request_log;
 pub mod server_core;
 pub mod stamp;
+mod sync;
 pub mod wire;
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -2,7 +2,7 @@
 
 mod host;
 
-pub use host::{PlatformHost, PlatformRequest, StageSource};
+pub use host::{PlatformHost, PlatformRequest};
 
 use crate::model_server::Stage;
 use crate::wire::{Request, Response};
--- a/crates/emulator/src/platform/host.rs
+++ b/crates/emulator/src/platform/host.rs
@@ -2,8 +2,8 @@
 
 use super::{InstanceEntry, InstanceState, Platform, PlatformParameters};
 use crate::fault::Reachability;
-use crate::host::{World, lock};
-use crate::model_server::Stage;
+use crate::host::{StageSource, World};
+use crate::sync::lock;
 use crate::wire::{Connection, Request, Response};
 use std::collections::BTreeMap;
 use std::io;
@@ -29,9 +29,6 @@
 /// Calls that are kept; older ones are forgotten, so that a long run stays bounded.
 const MAX_RECORDED_REQUESTS: usize = 10_000;
 
-/// Tells the stage that a server has; nothing once it is gone.
-pub type StageSource = Box<dyn Fn() -> Option<Stage> + Send>;
-
 struct Shared {
     platform: Mutex<Platform>,
     /// Where the stages of servers are asked, by their ids.
--- a/crates/emulator/tests/digest.rs
+++ b/crates/emulator/tests/digest.rs
@@ -99,10 +99,10 @@
     match draws.below(12) {
         0..=3 => {
             let call = CallId(1 + draws.below(sent.max(1)));
-            server.tell(ServerEvent::Cancelled { call });
+            server.send_event(ServerEvent::Cancelled { call });
         }
-        4 => server.tell(ServerEvent::SetFailing(true)),
-        5 | 6 => server.tell(ServerEvent::SetFailing(false)),
+        4 => server.send_event(ServerEvent::SetFailing(true)),
+        5 | 6 => server.send_event(ServerEvent::SetFailing(false)),
         7 => {
             let stage = if draws.below(2) == 0 { "prefill" } else { "decode" };
             let fence = draws.below(9);
@@ -161,7 +161,7 @@
                 if let Some(handle) = wanted {
                     let contents = prefill_server.core.take_handle(&handle, prefill_server.now);
                     transfers += u64::from(contents.is_some());
-                    decode_server.tell(ServerEvent::HandleFetched { call, contents });
+                    decode_server.send_event(ServerEvent::HandleFetched { call, contents });
                 }
             }
             6 => drawn_disturbance(&mut prefill_server, &mut draws, step / 3),
@@ -172,7 +172,7 @@
         decode_server.run_for(pause);
     }
     for server in [&mut prefill_server, &mut decode_server] {
-        server.tell(ServerEvent::Drain);
+        server.send_event(ServerEvent::Drain);
         server.run_for(ms(1_000));
     }
     assert!(transfers > 0, "the sequence moves memory");
@@ -208,7 +208,7 @@
         }
         server.run_for(Duration::from_micros(draws.below(9_000)));
     }
-    server.tell(ServerEvent::Drain);
+    server.send_event(ServerEvent::Drain);
     server.run_for(ms(1_000));
     let digest = digest_of(&server, seed);
     assert_eq!(digest, expected, "{digest:#018x}");
--- a/crates/emulator/tests/model_server.rs
+++ b/crates/emulator/tests/model_server.rs
@@ -83,7 +83,7 @@
     let wanted = maker.times(|action| matches!(action, Action::FetchHandle { .. }));
     assert_eq!(wanted.len(), 1);
     let contents = reader.core.take_handle(&handle, reader.now);
-    maker.tell(ServerEvent::HandleFetched { call, contents });
+    maker.send_event(ServerEvent::HandleFetched { call, contents });
     maker.run_for(ms(1_000));
     let heads = maker.times(|action| matches!(action, Action::Head { .. }));
     assert_eq!(heads, [ms(101)], "the move, and one step");
@@ -118,7 +118,7 @@
         let id = format!("r{index}");
         let request = with(generation(&id, (1_200, 1), &[]), "Kv-From", "127.0.0.1:9/abc");
         let call = maker.send(request);
-        maker.tell(ServerEvent::HandleFetched { call, contents: Some(contents(&id)) });
+        maker.send_event(ServerEvent::HandleFetched { call, contents: Some(contents(&id)) });
         statuses.push(maker.status(call));
     }
     // Each takes a second: the third waits two, the fourth would wait three.
@@ -129,7 +129,7 @@
 fn a_handle_that_cannot_be_had_is_not_run() {
     let mut maker = model("i-2", parameters(Stage::Decode));
     let call = maker.send(with(generation("r1", (1_200, 9), &PARTS), "Kv-From", "127.0.0.1:9/gone"));
-    maker.tell(ServerEvent::HandleFetched { call, contents: None });
+    maker.send_event(ServerEvent::HandleFetched { call, contents: None });
     let response = maker.response(call).expect("an answer");
     assert_eq!(response.status, 503);
     assert!(response.headers.get("Not-Executed").is_some());
@@ -254,7 +254,7 @@
     let mut server = model("i-1", parameters(Stage::Decode));
     let call = server.send(generation("r1", (1_000, 500), &[]));
     server.run_for(ms(100));
-    server.tell(ServerEvent::Cancelled { call });
+    server.send_event(ServerEvent::Cancelled { call });
     server.run_for(ms(200));
     let report = server.send(lugwharf_emulator::wire::Request::new("GET", "/report"));
     let body = json(server.response(report).expect("a report"));
@@ -331,7 +331,7 @@
 #[test]
 fn a_run_of_a_failing_server_gets_its_500() {
     let mut server = model("i-1", parameters(Stage::Decode));
-    server.tell(ServerEvent::SetFailing(true));
+    server.send_event(ServerEvent::SetFailing(true));
     let call = server.send(generation("r1", (100, 5), &[]));
     server.run_for(ms(500));
     let response = server.response(call).expect("an answer");
--- a/crates/emulator/tests/plain_server.rs
+++ b/crates/emulator/tests/plain_server.rs
@@ -76,7 +76,7 @@
 #[test]
 fn a_draining_server_serves_on_and_says_close() {
     let mut server = server(1, 4);
-    server.tell(ServerEvent::Drain);
+    server.send_event(ServerEvent::Drain);
     let health = server.send(Request::new("GET", "/health"));
     let call = server.send(request("r1"));
     server.run_for(ms(100));
@@ -90,7 +90,7 @@
     let first = server.send(request("r1"));
     let second = server.send(request("r2"));
     server.run_for(ms(4));
-    server.tell(ServerEvent::Cancelled { call: first });
+    server.send_event(ServerEvent::Cancelled { call: first });
     server.run_for(ms(10));
     assert_eq!((server.status(first), server.status(second)), (None, Some(200)));
 }
--- a/crates/emulator/tests/support/mod.rs
+++ b/crates/emulator/tests/support/mod.rs
@@ -20,7 +20,7 @@
         Driven { core, now: Duration::ZERO, actions: Vec::new(), calls: 0 }
     }
 
-    pub fn tell(&mut self, event: ServerEvent) {
+    pub fn send_event(&mut self, event: ServerEvent) {
         let mut actions = Vec::new();
         self.core.handle(event, self.now, &mut actions);
         self.actions.extend(actions.into_iter().map(|action| (self.now, action)));
@@ -29,7 +29,7 @@
     pub fn send(&mut self, request: Request) -> CallId {
         self.calls += 1;
         let call = CallId(self.calls);
-        self.tell(ServerEvent::Request { call, request: request.into() });
+        self.send_event(ServerEvent::Request { call, request: request.into() });
         call
     }
 
@@ -37,7 +37,7 @@
     pub fn run_to(&mut self, until: Duration) {
         while let Some(at) = self.core.next_wake().filter(|at| *at <= until) {
             self.now = self.now.max(at);
-            self.tell(ServerEvent::Wake);
+            self.send_event(ServerEvent::Wake);
         }
         self.now = self.now.max(until);
     }
--- a/crates/lugwharf/tests/whole_path.rs
+++ b/crates/lugwharf/tests/whole_path.rs
@@ -89,7 +89,7 @@
 async fn a_servers_own_failure_goes_back_unchanged() {
     let mut fleet = Fleet::start(SMALL).await;
     for server in &fleet.plain {
-        server.tell(ServerEvent::SetFailing(true));
+        server.send_event(ServerEvent::SetFailing(true));
     }
     let request = fleet.work();
     let outcome = fleet.send(0, &request).await;
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -133,8 +133,8 @@
     pub fn fail_server(&mut self, index: usize, failing: bool) {
         let event = ServerEvent::SetFailing(failing);
         match &self.servers[index].running {
-            Some(Running::Model(host)) => host.tell(event),
-            Some(Running::Plain(host)) => host.tell(event),
+            Some(Running::Model(host)) => host.send_event(event),
+            Some(Running::Plain(host)) => host.send_event(event),
             None => {}
         }
     }
