--- a/src/api.rs
+++ b/src/api.rs
@@ -29,7 +29,7 @@
 
 /// The servers that recognise a repeat of a keyed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupScope {
     /// Every server.
     All,
     /// Those in the zone of the server that had the first copy.
@@ -40,24 +40,24 @@
 
 /// Whether a request of a class may run again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// At any time, anywhere.
-    Safe,
+    Idempotent,
     /// Inside the group, for so long after the first attempt that may have run.
     Keyed {
         /// Who drops the repeat.
-        group: Group,
+        scope: DedupScope,
         /// How long they remember.
         window: Duration,
     },
     /// Only when every earlier attempt is known not to have run.
-    Unsafe,
+    NonIdempotent,
 }
 
-impl Repeat {
+impl Idempotency {
     /// How long after the first attempt that may have run a further one may still reach its server.
     pub fn window(self) -> Duration {
-        if let Repeat::Keyed { window, .. } = self { window } else { Duration::MAX }
+        if let Idempotency::Keyed { window, .. } = self { window } else { Duration::MAX }
     }
 }
 
@@ -65,26 +65,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
     /// An answer within this time earns the whole worth.
-    pub aim: Duration,
+    pub latency_target: Duration,
     /// How long a client waits in all, over its repeats; zero if unknown.
     pub deadline: Duration,
     /// The aim grows by this multiple of the request's own work.
-    pub aim_stretch: f64,
+    pub latency_target_per_work: f64,
     /// What one request (or one unit of its work) is worth.
-    pub worth: f64,
+    pub value: f64,
     /// The share of the worth that an answer after the aim earns.
-    pub late_worth: f64,
+    pub late_value: f64,
     /// Whether it may run again.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
 }
 
 /// What worth is counted by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WorthBy {
+pub enum ValueBasis {
     /// Each request counts its class's worth.
-    Request,
+    PerRequest,
     /// Each unit of work counts its class's worth.
-    Work,
+    PerWork,
 }
 
 /// How the server list arrives.
@@ -95,7 +95,7 @@
     /// Changes come only to subscribers.
     OnRequest {
         /// A sidecar without a subscription has to ask at least this often.
-        must_ask_in: Duration,
+        max_poll_interval: Duration,
     },
 }
 
@@ -103,18 +103,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStart {
     /// The share of its capacity a server starts with, at least.
-    pub cold_from: f64,
+    pub initial_capacity: f64,
     /// It has all of it no later than this after its start.
     pub ramp_time: Duration,
     /// Sent more than this multiple of its capacity of the moment for a while, it falls over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
 }
 
 /// What good service is made of: the weight of each part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Goal {
     /// The share of all worth that is served.
-    pub whole: f64,
+    pub total_value: f64,
     /// That share in the class served worst.
     pub worst_class: f64,
 }
@@ -125,15 +125,15 @@
     /// The zone this sidecar runs in.
     pub zone: u16,
     /// The number of this sidecar among them, from 0.
-    pub number: u32,
+    pub sidecar_index: u32,
     /// How many sidecars there are.
-    pub instances: u32,
+    pub sidecar_count: u32,
     /// A connection not used for so long is closed.
     pub keep_alive: Duration,
     /// The classes, by index.
     pub classes: Vec<Class>,
     /// What worth is counted by.
-    pub worth_by: WorthBy,
+    pub value_basis: ValueBasis,
     /// What an attempt that leaves the sidecar's zone costs, in the worth of an average request.
     pub cross_zone_price: f64,
     /// What a probe costs, in the worth of an average request.
@@ -141,7 +141,7 @@
     /// What a new connection costs, in the same.
     pub handshake_price: f64,
     /// Do load reports tell how many requests a server holds?
-    pub held_reported: bool,
+    pub load_reported: bool,
     /// What good service is made of.
     pub goal: Goal,
     /// Attempts a request may have in all.
@@ -166,22 +166,22 @@
         let (ramp_time, tick) = (Duration::from_secs(30), Duration::from_millis(1));
         Settings {
             zone: 0,
-            number: 0,
-            instances: 1,
+            sidecar_index: 0,
+            sidecar_count: 1,
             keep_alive: Duration::from_secs(15),
             classes: Vec::new(),
-            worth_by: WorthBy::Request,
+            value_basis: ValueBasis::PerRequest,
             cross_zone_price: 0.0,
             probe_price: 0.0,
             handshake_price: 0.0,
-            held_reported: false,
-            goal: Goal { whole: 1.0, worst_class: 0.0 },
+            load_reported: false,
+            goal: Goal { total_value: 1.0, worst_class: 0.0 },
             max_attempts: 2,
             cancel: Permit::Denied,
             probes: Permit::Denied,
             max_retry_after: None,
             discovery: Discovery::Pushed,
-            slow_start: SlowStart { cold_from: 0.1, ramp_time, fall_multiple: 2.0 },
+            slow_start: SlowStart { initial_capacity: 0.1, ramp_time, overload_multiple: 2.0 },
             tick,
         }
     }
@@ -200,7 +200,7 @@
 
 /// One line of the server list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Listed {
+pub struct ServerEntry {
     /// The server.
     pub server: ServerId,
     /// Whether it takes requests.
@@ -219,18 +219,18 @@
 
 /// News of the server list.
 #[derive(Clone, Debug, PartialEq)]
-pub enum ListEvent {
+pub enum ServerListEvent {
     /// The whole list; who is missing is gone.
-    Full(Vec<Listed>),
+    Full(Vec<ServerEntry>),
     /// Only the lines that changed.
-    Delta(Vec<Listed>),
+    Delta(Vec<ServerEntry>),
     /// The list this sidecar had last, perhaps out of date; comes at its start.
-    Cached(Vec<Listed>),
+    Cached(Vec<ServerEntry>),
     /// A call to discovery failed, or the subscription broke; the list held stays.
     Failed,
     /// The subscription broke where its caller can tell: it fell silent or was reset, and what it misses will soon count
     /// as told.
-    Broken,
+    Interrupted,
 }
 
 /// How an attempt ended.
@@ -241,7 +241,7 @@
     /// The server answered with an error; it may have run.
     Error,
     /// Turned away unseen: a full queue, or draining. It never ran.
-    Full,
+    Rejected,
     /// No answer in time; it may have run or still run.
     Timeout,
     /// No connection came about. It never ran.
@@ -257,7 +257,7 @@
 impl Outcome {
     /// Does this outcome prove that the attempt had no effect?
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::NotSent)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -271,7 +271,7 @@
     /// The work it is expected to be, if known.
     pub cost: Option<Duration>,
     /// How long the client will wait from now on.
-    pub patience: Duration,
+    pub client_timeout: Duration,
     /// Whether the client says that it tries again.
     pub origin: Origin,
 }
@@ -289,9 +289,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Progress {
     /// The client still waits for a final answer.
-    Owed,
+    AwaitingAnswer,
     /// The client has its answer, or has left.
-    Ended,
+    Finished,
 }
 
 /// What a balancer is told.
@@ -300,7 +300,7 @@
     /// A client's request came in.
     Request(Arrival),
     /// A client left before its answer.
-    HungUp(RequestId),
+    ClientDisconnected(RequestId),
     /// An attempt ended.
     Outcome {
         /// The request.
@@ -310,18 +310,18 @@
         /// How it ended.
         outcome: Outcome,
         /// The time since it was sent.
-        took: Duration,
+        elapsed: Duration,
         /// Whether the request is over with it, or was before.
         progress: Progress,
     },
     /// A probe ended.
-    Probed {
+    ProbeCompleted {
         /// The server.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
         /// Requests that the server holds, if it reports them.
-        held: Option<f64>,
+        reported_load: Option<f64>,
     },
     /// A streamed answer began; the client owns that attempt now.
     StreamStarted {
@@ -330,12 +330,12 @@
         /// The attempt that answers.
         attempt: usize,
         /// The time since it was sent.
-        took: Duration,
+        elapsed: Duration,
     },
     /// A timer fell due.
     Timer(TimerId),
     /// The list changed, or could not be had.
-    List(ListEvent),
+    ServerList(ServerListEvent),
 }
 
 /// What a balancer asks its caller to do, in this order.
@@ -350,10 +350,10 @@
         /// Give the attempt up after this time.
         timeout: Duration,
         /// What is not all written within this time stays here: its servers would not know it as a repeat any more.
-        out_within: Duration,
+        write_within: Duration,
     },
     /// Final answer: refused; trying again is harmless.
-    Refuse {
+    Reject {
         /// The request.
         id: RequestId,
         /// When the client should come back.
@@ -380,12 +380,12 @@
     /// Subscribe to the server list.
     Subscribe,
     /// A line for the log.
-    Log(Note),
+    Log(LogEvent),
 }
 
 /// What a balancer has to say to whoever is on call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Note {
+pub enum LogEvent {
     /// A server failed too often in a row and gets nothing but single trials.
     Ejected(ServerId),
     /// A trial went well; the server is back.
@@ -398,15 +398,15 @@
     ListFailed,
 }
 
-impl fmt::Display for Note {
+impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let id = |s: &ServerId| format!("{:012x}", s.0);
         match self {
-            Note::Ejected(s) => write!(f, "ejected server {}", id(s)),
-            Note::Readmitted(s) => write!(f, "readmitted server {}", id(s)),
-            Note::Shedding => f.write_str("shedding load"),
-            Note::NoServers => f.write_str("no ready server on the list"),
-            Note::ListFailed => f.write_str("server list unavailable, asking again"),
+            LogEvent::Ejected(s) => write!(f, "ejected server {}", id(s)),
+            LogEvent::Readmitted(s) => write!(f, "readmitted server {}", id(s)),
+            LogEvent::Shedding => f.write_str("shedding load"),
+            LogEvent::NoServers => f.write_str("no ready server on the list"),
+            LogEvent::ListFailed => f.write_str("server list unavailable, asking again"),
         }
     }
 }
--- a/src/bin/lugwharf-sidecar/discovery.rs
+++ b/src/bin/lugwharf-sidecar/discovery.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode};
-use lugwharf_sidecar::api::{Availability, Discovery, ListEvent, Listed, ServerId};
+use lugwharf_sidecar::api::{Availability, Discovery, ServerEntry, ServerId, ServerListEvent};
 use lugwharf_sidecar::settings::Deployment;
 use serde_json::Value;
 use std::net::SocketAddr;
@@ -77,7 +77,7 @@
     Ok(ListUpdate { revision, complete, members })
 }
 
-fn line(member: &Value, names: &Deployment) -> Option<(Listed, SocketAddr)> {
+fn line(member: &Value, names: &Deployment) -> Option<(ServerEntry, SocketAddr)> {
     let place = |of: &[String], key: &str| {
         let name = flat_name(member[key].as_str().unwrap_or_default());
         of.iter().position(|other| *other == name)
@@ -90,7 +90,7 @@
     };
     // Unix time is the driver's clock as well; 0 is long ago.
     let since = member["up_since_ms"].as_f64().filter(|&ms| ms > 0.0);
-    let listed = Listed {
+    let listed = ServerEntry {
         server: server_id(member["id"].as_str()?),
         availability,
         cell: member["cell"].as_u64().and_then(|cell| u16::try_from(cell).ok())?,
@@ -177,9 +177,9 @@
                 if first || asked {
                     let broken = first && broke && held.is_some();
                     driver.tell(DriverEvent::ListFailed(if broken {
-                        ListEvent::Broken
+                        ServerListEvent::Interrupted
                     } else {
-                        ListEvent::Failed
+                        ServerListEvent::Failed
                     }));
                 }
                 // Guards against an agent that has begun to count anew meanwhile: it would wait for a revision that is
--- a/src/bin/lugwharf-sidecar/driver.rs
+++ b/src/bin/lugwharf-sidecar/driver.rs
@@ -64,7 +64,7 @@
     subscribe: Arc<Notify>,
     config: Arc<Config>,
     actions: Vec<Action>,
-    logged: Option<(Note, Instant)>,
+    logged: Option<(LogEvent, Instant)>,
 }
 
 impl Driver {
@@ -91,7 +91,7 @@
     /// The list as it was last had, then whatever happens.
     pub async fn run(mut self, known: Option<ListUpdate>) {
         let lines = known.map_or(Vec::new(), |known| self.take_over(known).1);
-        self.handle_event(Event::List(ListEvent::Cached(lines)));
+        self.handle_event(Event::ServerList(ServerListEvent::Cached(lines)));
         loop {
             // Guards against a time that is over before what had happened by then is known: an answer that is already
             // there beats its time-out, and a client that has left beats a timer that would send for it.
@@ -135,7 +135,7 @@
         if self.requests.get(&id).is_some_and(|owed| owed.answer.is_some()) {
             eprintln!("a request was left without an answer");
             self.answer(id, Answer::Failed);
-            self.handle_event(Event::HungUp(id));
+            self.handle_event(Event::ClientDisconnected(id));
             self.forget(id);
         }
     }
@@ -143,13 +143,13 @@
     fn on_event(&mut self, event: DriverEvent) {
         match event {
             DriverEvent::Request(id, inbound, answer) => self.accept(id, *inbound, answer),
-            DriverEvent::HungUp(id) => {
+            DriverEvent::ClientDisconnected(id) => {
                 if let Some(owed) = self.requests.get_mut(&id)
                     && owed.answer.take().is_some()
                 {
                     // Also where the module may not cancel: what has not been sent needs no leave to stay.
                     owed.attempts.iter().flat_map(|a| &a.1).for_each(|out| out.unwanted.notify_one());
-                    self.handle_event(Event::HungUp(id));
+                    self.handle_event(Event::ClientDisconnected(id));
                     self.forget(id);
                 }
             }
@@ -157,16 +157,17 @@
                 self.attempt_ended(id, attempt, outcome, served)
             }
             DriverEvent::Probed(server, outcome, held) => {
-                self.handle_event(Event::Probed { server, outcome, held });
+                self.handle_event(Event::ProbeCompleted { server, outcome, reported_load: held });
             }
             DriverEvent::List(news) => {
                 let (complete, lines) = self.take_over(news);
                 if complete || !lines.is_empty() {
-                    let news = if complete { ListEvent::Full(lines) } else { ListEvent::Delta(lines) };
-                    self.handle_event(Event::List(news));
+                    let news =
+                        if complete { ServerListEvent::Full(lines) } else { ServerListEvent::Delta(lines) };
+                    self.handle_event(Event::ServerList(news));
                 }
             }
-            DriverEvent::ListFailed(how) => self.handle_event(Event::List(how)),
+            DriverEvent::ListFailed(how) => self.handle_event(Event::ServerList(how)),
         }
     }
 
@@ -176,9 +177,9 @@
         let outbound = Arc::new(inbound.outbound);
         self.requests.insert(id, PendingRequest { outbound, answer: Some(answer), attempts: Vec::new() });
         self.timers.push(Reverse((ends.checked_sub(margin).unwrap_or(now), Due::Backstop(id))));
-        let patience = ends.saturating_duration_since(now).saturating_sub(2 * margin);
+        let client_timeout = ends.saturating_duration_since(now).saturating_sub(2 * margin);
         let Inbound { class, cost, origin, .. } = inbound;
-        self.handle_event(Event::Request(Arrival { id, class, cost, patience, origin }));
+        self.handle_event(Event::Request(Arrival { id, class, cost, client_timeout, origin }));
     }
 
     fn attempt_ended(&mut self, id: RequestId, attempt: usize, outcome: Outcome, served: Served) {
@@ -188,13 +189,13 @@
         if out.take().is_none() {
             return;
         }
-        let took = sent.elapsed();
+        let elapsed = sent.elapsed();
         if outcome == Outcome::Ok {
             self.answer(id, Answer::Served(served.0, served.1));
         }
         let owed = self.requests.get(&id).is_some_and(|owed| owed.answer.is_some());
-        let progress = if owed { Progress::Owed } else { Progress::Ended };
-        self.handle_event(Event::Outcome { id, attempt, outcome, took, progress });
+        let progress = if owed { Progress::AwaitingAnswer } else { Progress::Finished };
+        self.handle_event(Event::Outcome { id, attempt, outcome, elapsed, progress });
         self.forget(id);
     }
 
@@ -229,10 +230,10 @@
     /// Carries out one action; some end in an event of their own at once.
     fn act(&mut self, action: Action) -> Option<Event> {
         match action {
-            Action::Send { id, server, timeout, out_within } => {
-                return self.send(id, server, timeout, out_within);
+            Action::Send { id, server, timeout, write_within } => {
+                return self.send(id, server, timeout, write_within);
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 self.answer(id, Answer::Refused(retry_after));
                 self.forget(id);
             }
@@ -244,23 +245,28 @@
                 let owed = self.requests.get_mut(&id)?;
                 let (sent, out) = owed.attempts.get_mut(attempt)?;
                 out.take()?.task.abort();
-                let took = sent.elapsed();
-                let progress = if owed.answer.is_some() { Progress::Owed } else { Progress::Ended };
+                let elapsed = sent.elapsed();
+                let progress =
+                    if owed.answer.is_some() { Progress::AwaitingAnswer } else { Progress::Finished };
                 self.forget(id);
-                return Some(Event::Outcome { id, attempt, outcome: Outcome::Cancelled, took, progress });
+                return Some(Event::Outcome { id, attempt, outcome: Outcome::Cancelled, elapsed, progress });
             }
             Action::SetTimer { timer, after } => {
                 self.timers.push(Reverse((Instant::now() + after, Due::Module(timer))));
             }
             Action::Probe(server) => {
                 let Some(target) = self.servers.get(&server).map(|s| s.1.clone()) else {
-                    return Some(Event::Probed { server, outcome: Outcome::NotSent, held: None });
+                    return Some(Event::ProbeCompleted {
+                        server,
+                        outcome: Outcome::NotSent,
+                        reported_load: None,
+                    });
                 };
                 let (pool, handle, config) = (self.pool.clone(), self.handle.clone(), self.config.clone());
                 tokio::spawn(async move {
                     // The module waits for it as long as it likes; this only ends what no one waits for.
                     let by = Instant::now() + config.deployment.connect_timeout;
-                    let name = config.deployment.held_name.as_deref();
+                    let name = config.deployment.load_field_name.as_deref();
                     let (outcome, held) = upstream::probe(pool, target, by, name).await;
                     handle.tell(DriverEvent::Probed(server, outcome, held));
                 });
@@ -272,8 +278,8 @@
     }
 
     /// Guards against a log that an overload fills with one line.
-    fn log(&mut self, note: Note) {
-        let again = |(last, at): (Note, Instant)| last == note && at.elapsed() < LOG_AGAIN;
+    fn log(&mut self, note: LogEvent) {
+        let again = |(last, at): (LogEvent, Instant)| last == note && at.elapsed() < LOG_AGAIN;
         if !self.logged.is_some_and(again) {
             eprintln!("{note}");
             self.logged = Some((note, Instant::now()));
@@ -281,7 +287,7 @@
     }
 
     fn send(
-        &mut self, id: RequestId, server: ServerId, timeout: Duration, out_within: Duration,
+        &mut self, id: RequestId, server: ServerId, timeout: Duration, write_within: Duration,
     ) -> Option<Event> {
         let owed = self.requests.get_mut(&id)?;
         let attempt = owed.attempts.len();
@@ -290,14 +296,14 @@
         let target = self.servers.get(&server).filter(|_| owed.answer.is_some()).map(|s| s.1.clone());
         let Some(target) = target else {
             owed.attempts.push((now, None));
-            let progress = if owed.answer.is_some() { Progress::Owed } else { Progress::Ended };
-            let (outcome, took) = (Outcome::NotSent, Duration::ZERO);
-            return Some(Event::Outcome { id, attempt, outcome, took, progress });
+            let progress = if owed.answer.is_some() { Progress::AwaitingAnswer } else { Progress::Finished };
+            let (outcome, elapsed) = (Outcome::NotSent, Duration::ZERO);
+            return Some(Event::Outcome { id, attempt, outcome, elapsed, progress });
         };
         let handle = self.handle.clone();
         let answered = move |outcome, served| handle.tell(DriverEvent::Attempt(id, attempt, outcome, served));
         let (unwanted, outbound) = (Arc::<Notify>::default(), owed.outbound.clone());
-        let times = Times { by: now + timeout, out_by: now + out_within };
+        let times = Times { by: now + timeout, out_by: now + write_within };
         let task = upstream::attempt(self.pool.clone(), target, outbound, times, unwanted.clone(), answered);
         let task = tokio::spawn(task).abort_handle();
         owed.attempts.push((now, Some(AttemptTask { task, unwanted })));
@@ -305,7 +311,7 @@
     }
 
     /// Brings the addresses up to date; the lines go on to the module.
-    fn take_over(&mut self, news: ListUpdate) -> (bool, Vec<Listed>) {
+    fn take_over(&mut self, news: ListUpdate) -> (bool, Vec<ServerEntry>) {
         let mut named = HashSet::new();
         for (line, addr) in &news.members {
             let ready = line.availability == Availability::Ready;
--- a/src/bin/lugwharf-sidecar/events.rs
+++ b/src/bin/lugwharf-sidecar/events.rs
@@ -3,7 +3,7 @@
 use crate::upstream::{Outbound, Served};
 use bytes::Bytes;
 use hyper::header::HeaderValue;
-use lugwharf_sidecar::api::{ListEvent, Listed, Origin, Outcome, RequestId, ServerId};
+use lugwharf_sidecar::api::{Origin, Outcome, RequestId, ServerEntry, ServerId, ServerListEvent};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -34,18 +34,18 @@
 pub struct ListUpdate {
     pub revision: u64,
     pub complete: bool,
-    pub members: Vec<(Listed, SocketAddr)>,
+    pub members: Vec<(ServerEntry, SocketAddr)>,
 }
 
 /// What the driver is told.
 pub enum DriverEvent {
     Request(RequestId, Box<Inbound>, oneshot::Sender<Answer>),
-    HungUp(RequestId),
+    ClientDisconnected(RequestId),
     Attempt(RequestId, usize, Outcome, Served),
     Probed(ServerId, Outcome, Option<f64>),
     List(ListUpdate),
     /// How the watch ended: it broke, or a call failed.
-    ListFailed(ListEvent),
+    ListFailed(ServerListEvent),
 }
 
 /// How the other parts tell the driver what happens.
@@ -61,7 +61,7 @@
 
 impl Drop for Waiting<'_> {
     fn drop(&mut self) {
-        self.0.tell(DriverEvent::HungUp(self.1));
+        self.0.tell(DriverEvent::ClientDisconnected(self.1));
     }
 }
 
--- a/src/bin/lugwharf-sidecar/request.rs
+++ b/src/bin/lugwharf-sidecar/request.rs
@@ -5,7 +5,7 @@
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderName, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode};
-use lugwharf_sidecar::api::{Origin, Repeat};
+use lugwharf_sidecar::api::{Idempotency, Origin};
 use std::time::Duration;
 
 const ID: HeaderName = HeaderName::from_static("x-call-id");
@@ -70,10 +70,10 @@
     let Some(class) = class else { return bad("no such class") };
     let of_class = &config.settings.classes[class];
     let key = headers.get(KEY);
-    let fits = match of_class.repeat {
-        Repeat::Safe => head.method == Method::GET && key.is_none() && length == 0,
-        Repeat::Keyed { .. } => head.method == Method::POST && key.is_some_and(|key| !key.is_empty()),
-        Repeat::Unsafe => head.method == Method::POST && key.is_none(),
+    let fits = match of_class.idempotency {
+        Idempotency::Idempotent => head.method == Method::GET && key.is_none() && length == 0,
+        Idempotency::Keyed { .. } => head.method == Method::POST && key.is_some_and(|key| !key.is_empty()),
+        Idempotency::NonIdempotent => head.method == Method::POST && key.is_none(),
     };
     if !fits {
         return bad("a method or a key that does not fit the class");
--- a/src/bin/lugwharf-sidecar/upstream.rs
+++ b/src/bin/lugwharf-sidecar/upstream.rs
@@ -79,7 +79,7 @@
     match status {
         StatusCode::OK => (Outcome::Ok, (body, headers.get(CONTENT_TYPE).cloned())),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
-            (Outcome::Full, Served::default())
+            (Outcome::Rejected, Served::default())
         }
         _ => (Outcome::Error, Served::default()),
     }
@@ -147,7 +147,7 @@
             Err(_) => (Outcome::Timeout, Served::default()),
         };
         answered(outcome, body);
-        if matches!(outcome, Outcome::Ok | Outcome::Full | Outcome::Error)
+        if matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error)
             && pooled.connection.sender.ready().await.is_ok()
         {
             pool.keep(&target, pooled);
@@ -167,9 +167,9 @@
 
 /// Asks an upstream how it is, and for its load where it reports any: the value of that name.
 pub async fn probe(
-    pool: Pool, target: Arc<Target>, by: Instant, held_name: Option<&str>,
+    pool: Pool, target: Arc<Target>, by: Instant, load_field_name: Option<&str>,
 ) -> (Outcome, Option<f64>) {
-    let path = if held_name.is_some() { "/stats" } else { "/health/live" };
+    let path = if load_field_name.is_some() { "/stats" } else { "/health/live" };
     for _ in 0..CONNECTIONS {
         let mut pooled = match pool.connection(&target, by).await {
             Ok(pooled) => pooled,
@@ -187,12 +187,12 @@
         };
         // Guards against a report that can't be: then nothing is known of the load.
         let report: Option<Value> = serde_json::from_slice(&body).ok();
-        let held = report.and_then(|report| report[held_name?].as_f64());
+        let held = report.and_then(|report| report[load_field_name?].as_f64());
         let held = held.filter(|held| (0.0..=MAX_HELD).contains(held));
         if pooled.connection.sender.ready().await.is_ok() {
             pool.keep(&target, pooled);
         }
-        return (if status == StatusCode::OK { Outcome::Ok } else { Outcome::Full }, held);
+        return (if status == StatusCode::OK { Outcome::Ok } else { Outcome::Rejected }, held);
     }
     (Outcome::ConnectFailed, None)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,19 +16,19 @@
 //!
 //! let ms = Duration::from_millis;
 //! let class = Class {
-//!     aim: ms(200),
+//!     latency_target: ms(200),
 //!     deadline: ms(1_000),
-//!     aim_stretch: 0.0,
-//!     worth: 1.0,
-//!     late_worth: 0.5,
-//!     repeat: Repeat::Safe,
+//!     latency_target_per_work: 0.0,
+//!     value: 1.0,
+//!     late_value: 0.5,
+//!     idempotency: Idempotency::Idempotent,
 //! };
 //! let settings = Settings { classes: vec![class], cancel: Permit::Granted, ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
 //! // The list names two servers; a request comes in and goes to one of them.
-//! let line = |id| Listed {
+//! let line = |id| ServerEntry {
 //!     server: ServerId(id),
 //!     availability: Availability::Ready,
 //!     cell: 0,
@@ -37,12 +37,12 @@
 //!     weight: 1.0,
 //!     started: None,
 //! };
-//! balancer.handle(ms(0), Event::List(ListEvent::Full(vec![line(1), line(2)])), &mut actions);
+//! balancer.handle(ms(0), Event::ServerList(ServerListEvent::Full(vec![line(1), line(2)])), &mut actions);
 //! let arrival = Arrival {
 //!     id: RequestId(7),
 //!     class: 0,
 //!     cost: None,
-//!     patience: ms(1_000),
+//!     client_timeout: ms(1_000),
 //!     origin: Origin::Fresh,
 //! };
 //! balancer.handle(ms(1), Event::Request(arrival), &mut actions);
@@ -54,8 +54,8 @@
 //!     id: RequestId(7),
 //!     attempt: 0,
 //!     outcome: Outcome::Ok,
-//!     took: ms(30),
-//!     progress: Progress::Ended,
+//!     elapsed: ms(30),
+//!     progress: Progress::Finished,
 //! };
 //! balancer.handle(ms(31), answer, &mut actions);
 //! assert!(actions.is_empty());
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -65,18 +65,18 @@
     let tick = pairs.time("tick", 5.0)?;
     Ok(Settings {
         zone: pairs.need("zone", |text| text.parse().ok())?,
-        number: pairs.parse("me", |text| text.parse().ok())?.unwrap_or(0),
-        instances: pairs.parse("instances", |text| text.parse().ok())?.unwrap_or(1),
+        sidecar_index: pairs.parse("me", |text| text.parse().ok())?.unwrap_or(0),
+        sidecar_count: pairs.parse("instances", |text| text.parse().ok())?.unwrap_or(1),
         keep_alive: pairs.time("policyLimits.keepalive", 15_000.0)?,
         classes: (0..classes).map(|i| class(&pairs, i)).collect::<Result<_, _>>()?,
-        worth_by: pairs.parse("worthBy", worth_by)?.unwrap_or(WorthBy::Request),
+        value_basis: pairs.parse("worthBy", value_basis)?.unwrap_or(ValueBasis::PerRequest),
         cross_zone_price: pairs.number("prices.crossZone", 0.0)?,
         probe_price: pairs.number("prices.probe", 0.0)?,
         handshake_price: pairs.number("prices.handshake", 0.0)?,
-        held_reported: held_field(text).is_some(),
+        load_reported: load_field(text).is_some(),
         goal: Goal {
             // The worst stretch of time is part of the whole, and unknown until it is over.
-            whole: pairs.number("blend.whole", 1.0)? + pairs.number("blend.worstWindow", 0.0)?,
+            total_value: pairs.number("blend.whole", 1.0)? + pairs.number("blend.worstWindow", 0.0)?,
             worst_class: pairs.number("blend.worstClass", 0.0)?,
         },
         max_attempts: pairs.parse("policyLimits.mostTries", count)?.unwrap_or(1),
@@ -88,27 +88,27 @@
         },
         discovery: discovery(&pairs)?,
         slow_start: SlowStart {
-            cold_from: pairs.number("obligations.coldFrom", 0.1)?,
+            initial_capacity: pairs.number("obligations.coldFrom", 0.1)?,
             ramp_time: pairs.time("obligations.rampTime", 30_000.0)?,
-            fall_multiple: pairs.number("obligations.fallMultiple", 2.0)?,
+            overload_multiple: pairs.number("obligations.fallMultiple", 2.0)?,
         },
         tick,
     })
 }
 
-fn worth_by(text: &str) -> Option<WorthBy> {
+fn value_basis(text: &str) -> Option<ValueBasis> {
     match text {
-        "work" => Some(WorthBy::Work),
-        "request" => Some(WorthBy::Request),
+        "work" => Some(ValueBasis::PerWork),
+        "request" => Some(ValueBasis::PerRequest),
         _ => None,
     }
 }
 
 fn discovery(pairs: &Pairs) -> Result<Discovery, SettingError> {
-    let must_ask_in = pairs.time("obligations.mustAskIn", 10_000.0)?;
+    let max_poll_interval = pairs.time("obligations.mustAskIn", 10_000.0)?;
     let read = |text: &str| match text {
         "pushed" => Some(Discovery::Pushed),
-        "on_request" => Some(Discovery::OnRequest { must_ask_in }),
+        "on_request" => Some(Discovery::OnRequest { max_poll_interval }),
         _ => None,
     };
     pairs.need("discovery", read)
@@ -116,37 +116,37 @@
 
 fn class(pairs: &Pairs, index: usize) -> Result<Class, SettingError> {
     let key = |name: &str| format!("requestClasses.{index}.{name}");
-    let group = |text: &str| match text {
-        "all" => Some(Group::All),
-        "zone" => Some(Group::Zone),
-        "cell" => Some(Group::Cell),
+    let scope = |text: &str| match text {
+        "all" => Some(DedupScope::All),
+        "zone" => Some(DedupScope::Zone),
+        "cell" => Some(DedupScope::Cell),
         _ => None,
     };
-    let repeat = match pairs.need(&key("idempotency"), |text| Some(text.to_owned()))?.as_str() {
-        "retryable" => Repeat::Safe,
-        "dedup" => Repeat::Keyed {
-            group: pairs.need(&key("group"), group)?,
+    let idempotency = match pairs.need(&key("idempotency"), |text| Some(text.to_owned()))?.as_str() {
+        "retryable" => Idempotency::Idempotent,
+        "dedup" => Idempotency::Keyed {
+            scope: pairs.need(&key("group"), scope)?,
             window: pairs.need(&key("dedupWindow"), time)?,
         },
-        "fragile" => Repeat::Unsafe,
+        "fragile" => Idempotency::NonIdempotent,
         other => {
             let problem = format!("cannot read {other:?}");
             return Err(SettingError { key: key("idempotency"), problem });
         }
     };
     Ok(Class {
-        aim: pairs.need(&key("aim"), time)?,
+        latency_target: pairs.need(&key("aim"), time)?,
         deadline: pairs.time(&key("deadline"), 0.0)?,
-        aim_stretch: pairs.number(&key("aimStretch"), 0.0)?,
-        worth: pairs.number(&key("points"), 1.0)?,
-        late_worth: pairs.number(&key("lateWorth"), 0.0)?,
-        repeat,
+        latency_target_per_work: pairs.number(&key("aimStretch"), 0.0)?,
+        value: pairs.number(&key("points"), 1.0)?,
+        late_value: pairs.number(&key("lateWorth"), 0.0)?,
+        idempotency,
     })
 }
 
 /// Which value of a load report says how many requests a server holds: those it handles and those that wait,
 /// or those that wait alone.
-pub fn held_field(text: &str) -> Option<usize> {
+pub fn load_field(text: &str) -> Option<usize> {
     let fields = text.lines().find_map(|line| line.trim_end().strip_prefix("report.fields="))?;
     let at = |name| fields.split(',').position(|field| field == name);
     at("concurrent").or_else(|| at("depth"))
@@ -164,7 +164,7 @@
     /// A connection that isn't made by then never comes up.
     pub connect_timeout: Duration,
     /// The value of a load report that the module asks for, by name; `None` where there are no reports.
-    pub held_name: Option<String>,
+    pub load_field_name: Option<String>,
 }
 
 /// Reads what stands in the settings beside the module's own part.
@@ -181,6 +181,6 @@
         kinds: list("skus"),
         classes: (0..classes).map(name).collect::<Result<_, _>>()?,
         connect_timeout: pairs.time("policyLimits.connectTimeout", 250.0)?,
-        held_name: held_field(text).and_then(|at| list("report.fields").get(at).cloned()),
+        load_field_name: load_field(text).and_then(|at| list("report.fields").get(at).cloned()),
     })
 }
