--- a/src/bin/lugwharf-sidecar/config.rs
+++ b/src/bin/lugwharf-sidecar/config.rs
@@ -1,7 +1,7 @@
 //! What a sidecar is told at its start: the environment and its JSON into typed values.
 
 use lugwharf_sidecar::api::{Class, Settings};
-use lugwharf_sidecar::settings::{self, Deployment, SettingError};
+use lugwharf_sidecar::settings_text::{self, Deployment, SettingError};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -83,8 +83,8 @@
             seed,
             sockets: json["limits"]["sockets"].as_u64().map_or(SOCKETS, |n| n as usize),
             known: json["known"].clone(),
-            settings: settings::parse(&flat)?,
-            deployment: settings::deployment(&flat)?,
+            settings: settings_text::parse(&flat)?,
+            deployment: settings_text::deployment(&flat)?,
         })
     }
 }
--- a/src/bin/lugwharf-sidecar/discovery.rs
+++ b/src/bin/lugwharf-sidecar/discovery.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode};
 use lugwharf_sidecar::api::{Availability, Discovery, ServerEntry, ServerId, ServerListEvent};
-use lugwharf_sidecar::settings::Deployment;
+use lugwharf_sidecar::settings_text::Deployment;
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/src/bin/lugwharf-simulator/main.rs
+++ b/src/bin/lugwharf-simulator/main.rs
@@ -4,7 +4,7 @@
 mod wire;
 
 use lugwharf_sidecar::api::{Action, Event, ServerEntry, ServerListEvent};
-use lugwharf_sidecar::{Balancer, settings};
+use lugwharf_sidecar::{Balancer, settings_text};
 use std::collections::HashMap;
 use std::io::{self, BufReader, Read, Write};
 use std::process::ExitCode;
@@ -15,7 +15,7 @@
     #[error(transparent)]
     Wire(#[from] WireError),
     #[error("instance {0}: {1}")]
-    Settings(u32, settings::SettingError),
+    Settings(u32, settings_text::SettingError),
     #[error("list {0} was never declared")]
     NoList(u32),
     #[error("writing a reply failed: {0}")]
@@ -41,8 +41,8 @@
         for record in batch.records() {
             let (who, event) = match record? {
                 Record::Up { who, seed, facts } => {
-                    let settings = settings::parse(facts).map_err(|e| HostError::Settings(who, e))?;
-                    let load_field = settings::load_field(facts);
+                    let settings = settings_text::parse(facts).map_err(|e| HostError::Settings(who, e))?;
+                    let load_field = settings_text::load_field(facts);
                     self.instances
                         .insert(who, Instance { balancer: Balancer::new(settings, seed), load_field });
                     continue;
--- a/src/decay_tests.rs
+++ b/src/decision/latency_tests.rs
@@ -1,8 +1,8 @@
 //! The arithmetic of the average: instant rise, timed decay, fading of old news, age.
 
+use super::balancer::Balancer;
+use super::server::{InFlightAttempt, LoadReport, Locality, Server};
 use crate::api::*;
-use crate::model::*;
-use crate::state::Balancer;
 use std::time::Duration;
 
 /// A time constant, in ms.
@@ -22,14 +22,14 @@
 #[test]
 fn a_slower_sample_replaces_and_a_faster_one_decays_by_time() {
     let mut s = server();
-    s.observe_latency(0.0, TAU, 50.0);
-    s.observe_latency(10.0, TAU, 400.0);
+    s.record_latency(0.0, TAU, 50.0);
+    s.record_latency(10.0, TAU, 400.0);
     near(s.latency_at(10.0, TAU, 0.0), 400.0);
-    s.observe_latency(510.0, TAU, 100.0);
+    s.record_latency(510.0, TAU, 100.0);
     let keep = (-500.0 / TAU).exp();
     near(s.latency_at(510.0, TAU, 0.0), 400.0 * keep + 100.0 * (1.0 - keep));
     let before = s.latency_at(510.0, TAU, 0.0);
-    s.observe_latency(510.0, TAU, 1.0);
+    s.record_latency(510.0, TAU, 1.0);
     near(s.latency_at(510.0, TAU, 0.0), before);
 }
 
@@ -37,7 +37,7 @@
 fn old_news_fades_to_what_is_usual_and_no_news_starts_at_the_typical() {
     let mut s = server();
     near(s.latency_at(5_000.0, TAU, 70.0), 70.0);
-    s.observe_latency(0.0, TAU, 270.0);
+    s.record_latency(0.0, TAU, 270.0);
     near(s.latency_at(TAU, TAU, 70.0), 70.0 + 200.0 * (-1f64).exp());
     s.baseline_ms = 110.0;
     let usual = 70.0 + 40.0 * (-1f64 / 8.0).exp();
@@ -47,7 +47,7 @@
 #[test]
 fn the_age_of_the_oldest_attempt_counts_once_it_is_over_the_average() {
     let mut s = server();
-    s.observe_latency(0.0, TAU, 100.0);
+    s.record_latency(0.0, TAU, 100.0);
     s.in_flight.push(InFlightAttempt {
         id: RequestId(1),
         attempt: 0,
@@ -64,7 +64,7 @@
 fn a_report_fades_by_its_age() {
     let mut s = server();
     assert_eq!(s.load_at(5.0, TAU), None);
-    s.reported_load = Some((8.0, 10.0));
+    s.load_report = Some(LoadReport { in_flight: 8.0, received_at_ms: 10.0 });
     near(s.load_at(10.0, TAU).expect("a report"), 8.0);
     near(s.load_at(10.0 + TAU, TAU).expect("a report"), 8.0 / std::f64::consts::E);
 }
--- a/src/memory_tests.rs
+++ b/src/decision/memory_tests.rs
@@ -1,7 +1,7 @@
 //! What the balancer remembers stays bounded by what is listed and in flight.
 
+use super::balancer::Balancer;
 use crate::api::*;
-use crate::state::Balancer;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -71,7 +71,7 @@
                 flying.insert((id, balancer.requests[&id].attempts.len() - 1));
             }
         }
-        assert!(balancer.servers.len() <= listed.len() + flying.len());
+        assert!(balancer.servers.all().len() <= listed.len() + flying.len());
         assert!(balancer.requests.len() <= balancer.queue.len() + flying.len());
     }
     // What is still held ends with its time, and what is out with its outcome.
@@ -89,8 +89,8 @@
         );
     }
     assert!(balancer.requests.is_empty() && balancer.queue.is_empty());
-    assert_eq!(balancer.servers.len(), listed.len());
-    assert!(balancer.servers.values().all(|s| s.in_flight.is_empty()));
+    assert_eq!(balancer.servers.all().len(), listed.len());
+    assert!(balancer.servers.all().all(|s| s.in_flight.is_empty()));
 }
 
 #[test]
@@ -126,5 +126,5 @@
             &mut out,
         );
     }
-    assert_eq!(balancer.servers[&server].ewma_ms, Some(100.0));
+    assert_eq!(balancer.servers[server].ewma_ms, Some(100.0));
 }
--- /dev/null
+++ b/src/decision/outcomes.rs
@@ -0,0 +1,210 @@
+//! Attempts in flight, and what their end means for servers, windows and the request.
+
+use super::balancer::Balancer;
+use super::request::{Attempt, AttemptStatus, RequestPhase, RequestProfile};
+use super::server::{BASELINE_GAIN, Health, InFlightAttempt, RECENT_SENDS_MS};
+use super::statistics::update_ewma;
+use crate::api::{Action, LogEvent, Outcome, Progress, RequestId, ServerId};
+
+/// Weight of one answer in the running means of classes.
+pub(crate) const MEAN_GAIN: f64 = 1.0 / 32.0;
+/// Weight of one answer in [`Balancer::latency_per_load_ms`]: a few answers have to show an overload.
+const LATENCY_PER_LOAD_GAIN: f64 = 1.0 / 8.0;
+/// Weight of one answer in [`Balancer::relative_latency`].
+const RELATIVE_LATENCY_GAIN: f64 = 1.0 / 16.0;
+/// A time-out counts against the server when it took more than this multiple of the mean latency: clients with little time
+/// left must not make a server look bad.
+const SLOW_TIMEOUT_MULTIPLE: f64 = 2.0;
+
+/// What an attempt without an answer says about its server.
+struct Failure {
+    /// The latency sample to record.
+    sample_ms: f64,
+    /// Whether it counts as a failure of the server.
+    is_servers_fault: bool,
+    /// Whether it may be a sign of overload.
+    may_be_overload: bool,
+}
+
+impl Balancer {
+    /// An attempt goes out.
+    pub(crate) fn record_sent(&mut self, id: RequestId, attempt_number: usize, attempt: Attempt) {
+        let (locality, ramp_ms) = (self.locality_of(attempt.server), self.ramp_time_ms());
+        let (Some(server), Some(request)) =
+            (self.servers.get_mut(attempt.server), self.requests.get_mut(&id))
+        else {
+            return;
+        };
+        server.recent_sends.increment(attempt.sent_at_ms, RECENT_SENDS_MS);
+        server.in_flight.push(InFlightAttempt {
+            id,
+            attempt: attempt_number,
+            sent_at_ms: attempt.sent_at_ms,
+            normalization: attempt.normalization,
+            locality,
+        });
+        request.attempts.push(attempt);
+        request.phase = RequestPhase::InFlight;
+        self.windows[locality as usize].in_flight += 1;
+        self.recent_sends.increment(attempt.sent_at_ms, ramp_ms);
+    }
+
+    pub(crate) fn on_outcome(
+        &mut self, id: RequestId, attempt_number: usize, outcome: Outcome, elapsed_ms: f64,
+        progress: Progress, out: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let attempt = request.attempts.get_mut(attempt_number);
+        let Some(attempt) = attempt.filter(|attempt| attempt.status == AttemptStatus::InFlight) else {
+            return;
+        };
+        attempt.status =
+            if outcome.never_ran() { AttemptStatus::NeverRan } else { AttemptStatus::MayHaveRun };
+        let (attempt, profile, phase) = (*attempt, request.profile, request.phase);
+        if let Some(locality) = self.servers.remove_in_flight(attempt.server, id, attempt_number) {
+            self.windows[locality as usize].in_flight -= 1;
+        }
+        match outcome {
+            // Its answer was recorded when it began to stream.
+            Outcome::Ok if phase == RequestPhase::Streaming => {}
+            Outcome::Ok => self.record_answer(&attempt, &profile, elapsed_ms, out),
+            _ => self.record_failure(&attempt, &profile, outcome, elapsed_ms, out),
+        }
+        if progress == Progress::Finished || outcome == Outcome::Ok || phase == RequestPhase::Finished {
+            self.finish(id, out);
+        } else {
+            self.retry(id, &profile, outcome, out);
+        }
+    }
+
+    /// Queues a request again after a failed attempt, if the rules and the budget let it.
+    fn retry(&mut self, id: RequestId, profile: &RequestProfile, outcome: Outcome, out: &mut Vec<Action>) {
+        // A retry storm feeds on attempts that cost servers work: only those are on the budget.
+        let is_free = matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent);
+        let price = if is_free { 0.0 } else { 1.0 };
+        let expected_ms = self.expected_latency(profile);
+        let request = &self.requests[&id];
+        let left_ms = request.deadline_ms - self.now_ms - expected_ms;
+        if left_ms <= 0.0 || self.retry_scope(request).is_none() || self.retry_budget < price {
+            return self.reject_or_fail(id, out);
+        }
+        self.retry_budget -= price;
+        let wait_until_ms = self.now_ms + left_ms;
+        if let Some(request) = self.requests.get_mut(&id) {
+            (request.phase, request.wait_until_ms) = (RequestPhase::Queued, wait_until_ms);
+            request.candidates.clear();
+        }
+        self.enqueue(id, left_ms, out);
+    }
+
+    pub(crate) fn on_stream_started(
+        &mut self, id: RequestId, attempt_number: usize, elapsed_ms: f64, out: &mut Vec<Action>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        let Some(&attempt) = request.attempts.get(attempt_number) else { return };
+        // The client may leave at the moment in which its stream starts: that request stays finished.
+        if request.phase != RequestPhase::Finished {
+            request.phase = RequestPhase::Streaming;
+        }
+        let profile = request.profile;
+        self.record_answer(&attempt, &profile, elapsed_ms, out);
+    }
+
+    /// Records an answer: a sample of its server and its class. It readmits an ejected server.
+    fn record_answer(
+        &mut self, attempt: &Attempt, profile: &RequestProfile, elapsed_ms: f64, out: &mut Vec<Action>,
+    ) {
+        let sample_ms = elapsed_ms * attempt.normalization;
+        self.record_served(profile);
+        self.record_relative_latency(attempt.server, profile, elapsed_ms);
+        update_ewma(&mut self.mean_latency_ms, elapsed_ms, MEAN_GAIN);
+        if let Some(load) = attempt.reported_load {
+            update_ewma(&mut self.latency_per_load_ms, sample_ms / (load + 1.0), LATENCY_PER_LOAD_GAIN);
+        }
+        self.class_means[profile.class].record_latency(elapsed_ms, profile.cost_ms, MEAN_GAIN);
+        let is_late = elapsed_ms > profile.latency_target_ms;
+        self.record_class_outcome(attempt.server, profile.class, is_late);
+        if is_late && !attempt.is_recorded_late {
+            self.decrease_window(attempt.server, attempt.sent_at_ms);
+        } else if elapsed_ms <= profile.latency_target_ms {
+            self.increase_window(attempt.server);
+        }
+        self.is_shedding &= !self.queue.is_empty();
+        let Some(server) = self.servers.get_mut(attempt.server) else { return };
+        server.record_latency(self.now_ms, self.time_constant_ms, sample_ms);
+        update_ewma(&mut server.baseline_ms, sample_ms, BASELINE_GAIN);
+        server.consecutive_failures = 0;
+        if std::mem::replace(&mut server.health, Health::Healthy) != Health::Healthy {
+            self.servers.mark_readmitted(attempt.server);
+            out.push(Action::Log(LogEvent::Readmitted(attempt.server)));
+        }
+        self.median_latency_ms.record(sample_ms);
+    }
+
+    /// Counts the value that is served: a late answer earns only part of it.
+    fn record_served(&mut self, profile: &RequestProfile) {
+        let served = self.request_value(profile) * self.earned_share(profile, self.now_ms);
+        self.class_service[profile.class].served += served;
+    }
+
+    /// Records how an answer compares with its class's mean, for the server's kind of machine.
+    fn record_relative_latency(&mut self, server: ServerId, profile: &RequestProfile, elapsed_ms: f64) {
+        let expected_ms = self.expected_latency(profile);
+        if let Some(server) = self.servers.get(server).filter(|_| expected_ms > 0.0) {
+            let relative = self.relative_latency.entry((server.entry.kind, profile.class)).or_insert(1.0);
+            update_ewma(relative, elapsed_ms / expected_ms, RELATIVE_LATENCY_GAIN);
+        }
+    }
+
+    /// Records an attempt without an answer. It enters the averages as the longer of its duration and its time-out.
+    fn record_failure(
+        &mut self, attempt: &Attempt, profile: &RequestProfile, outcome: Outcome, elapsed_ms: f64,
+        out: &mut Vec<Action>,
+    ) {
+        let (now_ms, median_ms) = (self.now_ms, self.median_latency_ms.get());
+        let Some(failure) = self.failure(attempt, profile, outcome, elapsed_ms) else { return };
+        let Some(server) = self.servers.get_mut(attempt.server) else { return };
+        // An attempt that we cancelled only shows that an answer takes longer than it lasted.
+        if outcome != Outcome::Cancelled
+            || failure.sample_ms > server.latency_at(now_ms, self.time_constant_ms, median_ms)
+        {
+            server.record_latency(now_ms, self.time_constant_ms, failure.sample_ms);
+        }
+        self.median_latency_ms.record(failure.sample_ms);
+        let is_late = elapsed_ms > profile.latency_target_ms;
+        if failure.may_be_overload && !attempt.is_recorded_late && (is_late || outcome == Outcome::Rejected) {
+            self.decrease_window(attempt.server, attempt.sent_at_ms);
+        }
+        if failure.is_servers_fault && outcome != Outcome::ConnectFailed {
+            self.record_class_outcome(attempt.server, profile.class, true);
+        }
+        if failure.is_servers_fault {
+            self.record_server_failure(attempt.server, out);
+        }
+    }
+
+    /// What a failed attempt says about its server; `None` if nothing.
+    fn failure(
+        &self, attempt: &Attempt, profile: &RequestProfile, outcome: Outcome, elapsed_ms: f64,
+    ) -> Option<Failure> {
+        let normalized_ms = elapsed_ms * attempt.normalization;
+        let slow_ms = SLOW_TIMEOUT_MULTIPLE * self.mean_latency_ms;
+        let sample_ms = elapsed_ms.max(attempt.timeout_ms);
+        match outcome {
+            Outcome::NotSent | Outcome::Ok => None,
+            Outcome::Cancelled => Some(Failure {
+                sample_ms: normalized_ms,
+                is_servers_fault: elapsed_ms > profile.latency_target_ms / 2.0,
+                may_be_overload: true,
+            }),
+            Outcome::Timeout => {
+                let is_servers_fault = normalized_ms > slow_ms;
+                Some(Failure { sample_ms, is_servers_fault, may_be_overload: true })
+            }
+            Outcome::Rejected => Some(Failure { sample_ms, is_servers_fault: false, may_be_overload: true }),
+            Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
+                Some(Failure { sample_ms, is_servers_fault: true, may_be_overload: false })
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/decision/queue.rs
@@ -0,0 +1,185 @@
+//! Requests from their arrival until they are sent: the queue, its order and its timers.
+
+use super::admission::WAIT_SHARE;
+use super::balancer::{Balancer, QUEUE_TIMER};
+use super::outcomes::MEAN_GAIN;
+use super::request::{Attempt, AttemptStatus, QueuedRequest, Request, RequestPhase, RequestProfile};
+use super::server::{LOCALITIES, Locality};
+use super::statistics::ClassService;
+use super::time::to_ms;
+use crate::api::{Action, Arrival, Class, Origin, RequestId};
+
+/// Weight of one fresh request in the demanded and served value of each class: a longer memory than that of the means.
+const DEMAND_GAIN: f64 = 1.0 / 256.0;
+/// A queued request waits this share of its time for local capacity before it may cross zones.
+const CROSS_ZONE_WAIT_SHARE: f64 = 0.5;
+/// Retries that each fresh request adds to the budget. A tenth cannot turn a slow fleet into a retry storm.
+const RETRIES_PER_REQUEST: f64 = 0.1;
+/// Retries that the budget holds at most, for the moment in which a server with much in flight goes silent.
+const MAX_RETRY_BUDGET: f64 = 10.0;
+/// While requests are queued, capacity is checked again after so many ticks.
+const QUEUE_TIMER_TICKS: f64 = 4.0;
+
+impl Balancer {
+    pub(crate) fn on_arrival(&mut self, arrival: Arrival, out: &mut Vec<Action>) {
+        let id = arrival.id;
+        if self.requests.contains_key(&id) {
+            return;
+        }
+        // An unknown class, or a client that has left already: nothing has run, so a rejection is true.
+        let Some(class) =
+            self.settings.classes.get(arrival.class).filter(|_| !arrival.client_timeout.is_zero())
+        else {
+            return out.push(Action::Reject { id, retry_after: None });
+        };
+        let timeout_ms = to_ms(arrival.client_timeout);
+        let profile = profile_of(&arrival, class, self.now_ms);
+        if let Some(cost_ms) = profile.cost_ms {
+            self.class_means[profile.class].record_cost(cost_ms, MEAN_GAIN);
+        }
+        let expected_ms = self.expected_latency(&profile);
+        // A client's retry is no new demand: it earns no retry.
+        if arrival.origin == Origin::Fresh {
+            self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
+            self.record_demand(&profile);
+        }
+        let wait_ms = ((profile.target_at_ms - self.now_ms - expected_ms) * WAIT_SHARE).max(0.0);
+        let draw = self.rng.f64();
+        let attempt_time_ms = self.attempt_time(&profile, timeout_ms);
+        let deadline_ms = self.now_ms + attempt_time_ms.min(timeout_ms);
+        self.requests.insert(id, Request::new(profile, deadline_ms, self.now_ms + wait_ms, draw));
+        self.enqueue(id, wait_ms, out);
+    }
+
+    /// How long attempts of a request may take. Where a late answer has no value, an attempt ends at the latency target: a
+    /// few requests that take many times the usual would otherwise occupy every server. A client's retry whose target is
+    /// over has as long as the target is.
+    fn attempt_time(&self, profile: &RequestProfile, timeout_ms: f64) -> f64 {
+        let is_late_worthless = self.settings.classes[profile.class].late_value <= 0.0;
+        if !is_late_worthless {
+            return timeout_ms;
+        }
+        let left_ms = profile.target_at_ms - self.now_ms;
+        if left_ms > 0.0 { left_ms } else { profile.latency_target_ms }
+    }
+
+    /// Counts the value that is demanded.
+    fn record_demand(&mut self, profile: &RequestProfile) {
+        self.class_service.iter_mut().for_each(|service| service.decay(DEMAND_GAIN));
+        self.class_service[profile.class].demanded += self.request_value(profile);
+    }
+
+    /// Queues a request: by falling priority, then in order of arrival.
+    pub(crate) fn enqueue(&mut self, id: RequestId, wait_ms: f64, out: &mut Vec<Action>) {
+        let may_cross_at_ms = self.now_ms + wait_ms * CROSS_ZONE_WAIT_SHARE;
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        request.may_cross_at_ms = may_cross_at_ms;
+        let profile = request.profile;
+        let priority = self.priority(&profile);
+        let at = self.queue.partition_point(|queued| queued.priority >= priority);
+        self.queue.insert(at, QueuedRequest { priority, id });
+        self.set_request_timer(id, wait_ms, out);
+    }
+
+    /// What serving a request adds to the goal per unit of its work. It is higher for the class that is served worst.
+    fn priority(&self, profile: &RequestProfile) -> f64 {
+        let goal = &self.settings.goal;
+        let worst_class =
+            goal.worst_class * ClassService::worst_class_gain(&self.class_service, profile.class);
+        let answered_at_ms = self.now_ms + self.expected_latency(profile);
+        self.earned_share(profile, answered_at_ms)
+            * self.value_per_work(profile)
+            * (goal.total_value + worst_class)
+    }
+
+    /// A request's timer fell due: it may have waited long enough, or its attempt may be late.
+    pub(crate) fn on_request_timer(&mut self, id: RequestId, out: &mut Vec<Action>) {
+        // Timers are as coarse as a tick: one that fires early by less must still end the wait.
+        let soon_ms = self.now_ms + self.tick_ms();
+        let Some(request) = self.requests.get_mut(&id) else { return };
+        match request.phase {
+            RequestPhase::Queued if soon_ms > request.wait_until_ms => {
+                self.log_shedding_once(out);
+                self.reject_or_fail(id, out);
+            }
+            RequestPhase::Probing if soon_ms > request.wait_until_ms => self.choose_probed(id, out),
+            RequestPhase::InFlight => {
+                let late_if_sent_before_ms = soon_ms - request.profile.latency_target_ms;
+                let is_late = |attempt: &&mut Attempt| {
+                    attempt.status == AttemptStatus::InFlight
+                        && !attempt.is_recorded_late
+                        && attempt.sent_at_ms < late_if_sent_before_ms
+                };
+                if let Some(attempt) = request.attempts.iter_mut().find(is_late) {
+                    attempt.is_recorded_late = true;
+                    let (server, sent_at_ms) = (attempt.server, attempt.sent_at_ms);
+                    self.decrease_window(server, sent_at_ms);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    /// Sends queued requests while a window has capacity. A request whose local window is full may go to a remote server
+    /// once it has waited for a while.
+    pub(crate) fn dispatch(&mut self, out: &mut Vec<Action>) {
+        if self.queue.is_empty() {
+            return;
+        }
+        let limits = LOCALITIES.map(|locality| self.limit(locality));
+        let mut free = self.free_capacity(limits);
+        let mut at = 0;
+        while free.iter().any(|free| *free > 0.0) && at < self.queue.len() {
+            let id = self.queue[at].id;
+            let open = self.open_localities(id, limits, free);
+            if open.contains(&true) && self.try_send(id, |locality| open[locality as usize], out) {
+                self.queue.remove(at);
+                free = self.free_capacity(limits);
+            } else {
+                at += 1;
+            }
+        }
+        if !self.queue.is_empty() && !self.is_queue_timer_set {
+            self.is_queue_timer_set = true;
+            let after = self.settings.tick.mul_f64(QUEUE_TIMER_TICKS);
+            out.push(Action::SetTimer { timer: QUEUE_TIMER, after });
+        }
+    }
+
+    /// Attempts that may be sent now, by locality.
+    fn free_capacity(&self, limits: [f64; 2]) -> [f64; 2] {
+        LOCALITIES.map(|locality| limits[locality as usize] - self.in_flight(locality))
+    }
+
+    /// The localities whose window has capacity for this request.
+    fn open_localities(&self, id: RequestId, limits: [f64; 2], free: [f64; 2]) -> [bool; 2] {
+        let request = &self.requests[&id];
+        let mut open = LOCALITIES.map(|locality| {
+            let (free, limit) = (free[locality as usize], limits[locality as usize]);
+            // A limit under one is the share of requests that go out: the request's draw decides.
+            free >= 1.0 || limit < 1.0 && request.draw > 1.0 - free
+        });
+        let may_cross = self.now_ms >= request.may_cross_at_ms;
+        open[Locality::Remote as usize] &= may_cross || open[Locality::Local as usize];
+        open
+    }
+}
+
+/// What an arrival asks for. The client of a retry counts from its own first attempt, and may have waited for all that its
+/// deadline leaves beside the rest of its time-out: otherwise retries whose time is over would be served before new demand.
+fn profile_of(arrival: &Arrival, class: &Class, now_ms: f64) -> RequestProfile {
+    let timeout_ms = to_ms(arrival.client_timeout);
+    let cost_ms = arrival.cost.map(to_ms).filter(|&cost| cost > 0.0);
+    let target_ms =
+        to_ms(class.latency_target) + class.latency_target_per_work.max(0.0) * cost_ms.unwrap_or(0.0);
+    let spent_ms = match arrival.origin {
+        Origin::ClientRetry => (to_ms(class.deadline) - timeout_ms).max(0.0),
+        Origin::Fresh => 0.0,
+    };
+    RequestProfile {
+        class: arrival.class,
+        cost_ms,
+        target_at_ms: now_ms + (target_ms - spent_ms).min(timeout_ms),
+        latency_target_ms: target_ms.min(timeout_ms),
+    }
+}
--- /dev/null
+++ b/src/decision/request.rs
@@ -0,0 +1,146 @@
+//! A request from its arrival to the end of its last attempt.
+
+use crate::api::{RequestId, ServerId};
+
+/// Whether an attempt may have had an effect.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum AttemptStatus {
+    InFlight,
+    NeverRan,
+    MayHaveRun,
+}
+
+/// One attempt of a request.
+#[derive(Clone, Copy)]
+pub(crate) struct Attempt {
+    pub(crate) server: ServerId,
+    /// [`Server::dedup_group`](super::server::Server::dedup_group) of its server when it was sent.
+    pub(crate) dedup_group: Option<u16>,
+    pub(crate) sent_at_ms: f64,
+    pub(crate) timeout_ms: f64,
+    /// Turns its latency into that of a mean request: classes and kinds of machine that take longer than the mean must
+    /// not make a server look slow.
+    pub(crate) normalization: f64,
+    /// Requests in flight at its server by the last report, when it was sent.
+    pub(crate) reported_load: Option<f64>,
+    pub(crate) status: AttemptStatus,
+    /// It passed its latency target and has decreased the window for that already.
+    pub(crate) is_recorded_late: bool,
+}
+
+/// What a request is at.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum RequestPhase {
+    /// Waits in the queue for capacity.
+    Queued,
+    /// Waits for the probes of its candidates.
+    Probing,
+    /// Has an attempt in flight.
+    InFlight,
+    /// Its answer is streaming to the client.
+    Streaming,
+    /// Has its final answer, or its client has left.
+    Finished,
+}
+
+/// What a probe has shown of a candidate.
+#[derive(Clone, Copy, PartialEq)]
+pub(crate) enum ProbeState {
+    Pending,
+    Passed,
+    Failed,
+}
+
+/// A server that a request may be sent to once its probe passed.
+pub(crate) struct Candidate {
+    pub(crate) server: ServerId,
+    pub(crate) probe: ProbeState,
+}
+
+/// What a request asks for.
+#[derive(Clone, Copy)]
+pub(crate) struct RequestProfile {
+    pub(crate) class: usize,
+    /// Expected work; `None` if unknown.
+    pub(crate) cost_ms: Option<f64>,
+    /// An answer until then earns the full value.
+    pub(crate) target_at_ms: f64,
+    /// How long an answer may take for that, had the client not retried before.
+    pub(crate) latency_target_ms: f64,
+}
+
+/// Where the next attempt of a request may go.
+#[derive(Clone, Copy)]
+pub(crate) enum RetryScope {
+    AnyServer,
+    /// Only servers that recognise a repeat.
+    Group(u16),
+}
+
+impl RetryScope {
+    /// Returns whether a server of this group is in the scope.
+    pub(crate) fn includes(self, dedup_group: Option<u16>) -> bool {
+        match self {
+            RetryScope::AnyServer => true,
+            RetryScope::Group(group) => dedup_group == Some(group),
+        }
+    }
+}
+
+/// A request that is not finished, or has an attempt in flight.
+pub(crate) struct Request {
+    pub(crate) profile: RequestProfile,
+    /// When its last attempt times out.
+    pub(crate) deadline_ms: f64,
+    /// How long it stays queued, or waits for probes.
+    pub(crate) wait_until_ms: f64,
+    /// Where local servers are at their limit, it may go to remote ones from then on.
+    pub(crate) may_cross_at_ms: f64,
+    pub(crate) attempts: Vec<Attempt>,
+    pub(crate) phase: RequestPhase,
+    /// Servers probed for it, in all rounds.
+    pub(crate) candidates: Vec<Candidate>,
+    pub(crate) probe_rounds: u32,
+    /// Uniform on [0, 1), drawn once at its arrival. It decides which warming servers it may go to, and whether it goes
+    /// out where less than one attempt may be in flight.
+    pub(crate) draw: f64,
+}
+
+impl Request {
+    pub(crate) fn new(profile: RequestProfile, deadline_ms: f64, wait_until_ms: f64, draw: f64) -> Self {
+        Request {
+            profile,
+            deadline_ms,
+            wait_until_ms,
+            may_cross_at_ms: wait_until_ms,
+            attempts: Vec::new(),
+            phase: RequestPhase::Queued,
+            candidates: Vec::new(),
+            probe_rounds: 0,
+            draw,
+        }
+    }
+
+    /// Returns whether an attempt is in flight.
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.status == AttemptStatus::InFlight)
+    }
+
+    /// The first attempt that may have had an effect, those in flight included.
+    pub(crate) fn first_possible_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|attempt| attempt.status != AttemptStatus::NeverRan)
+    }
+
+    /// Returns whether it was sent to this server or probed it.
+    pub(crate) fn has_considered(&self, server: ServerId) -> bool {
+        let attempted = self.attempts.iter().any(|attempt| attempt.server == server);
+        attempted || self.candidates.iter().any(|candidate| candidate.server == server)
+    }
+}
+
+/// A request in the queue, and the priority that it was queued with.
+#[derive(Clone, Copy)]
+pub(crate) struct QueuedRequest {
+    pub(crate) priority: f64,
+    pub(crate) id: RequestId,
+}
--- /dev/null
+++ b/src/decision/selection.rs
@@ -0,0 +1,192 @@
+//! Choosing a server: power of two choices over peak-EWMA latency, within a subset of the list.
+//!
+//! Two distinct random candidates are drawn and the one with the lower score wins (Mitzenmacher, "The Power of Two Choices
+//! in Randomized Load Balancing"). The score is the peak-EWMA latency times the attempts in flight, as in Finagle's and
+//! linkerd's balancers.
+
+use super::balancer::Balancer;
+use super::outlier_ejection::STALE_TIME_CONSTANTS;
+use super::request::{Attempt, AttemptStatus, Request, RequestPhase, RequestProfile, RetryScope};
+use super::server::{Health, Locality, Server};
+use super::time::{from_ms, to_ms};
+use crate::api::{Action, Idempotency, Permit, RequestId, ServerId};
+
+/// A peak over some tens of answers is about this many times their mean, if they are distributed exponentially.
+const PEAK_OVER_MEAN: f64 = 3.0;
+/// Servers probed together; each has the price of a probe.
+const PROBES_PER_ROUND: f64 = 2.0;
+/// Random draws for a pair of candidates before all servers are searched in turn.
+const MAX_DRAWS: usize = 8;
+/// A connection is kept open by this many requests within its keep-alive time, or by as many as bring the price of its
+/// handshake down to [`MAX_HANDSHAKE_SHARE`] of a request's value.
+const REQUESTS_PER_CONNECTION: f64 = 4.0;
+const MAX_HANDSHAKE_SHARE: f64 = 1.0 / 300.0;
+/// Servers in the subset at least: enough for a real choice, also when some of them are ejected.
+const MIN_SUBSET: usize = 8;
+/// The subset of a sidecar that probes: all servers.
+const UNLIMITED_SUBSET: f64 = 1e6;
+/// The fraction of the golden ratio: its multiples, by sidecar index, are spread evenly over a circle.
+const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
+
+impl Balancer {
+    /// Sends a request to a server.
+    pub(crate) fn send(&mut self, id: RequestId, server_id: ServerId, out: &mut Vec<Action>) {
+        let (request, server) = (&self.requests[&id], &self.servers[server_id]);
+        let (profile, attempt_number) = (request.profile, request.attempts.len());
+        let idempotency = self.settings.classes[profile.class].idempotency;
+        let timeout_ms = request.deadline_ms - self.now_ms;
+        let write_within_ms = request
+            .first_possible_run()
+            .map_or(timeout_ms, |first| first.sent_at_ms + to_ms(idempotency.window()) - self.now_ms);
+        let attempt = Attempt {
+            server: server_id,
+            dedup_group: server.dedup_group(idempotency),
+            sent_at_ms: self.now_ms,
+            timeout_ms,
+            normalization: self.normalization(&profile) / self.relative_latency(server, profile.class),
+            reported_load: server.load_at(self.now_ms, self.time_constant_ms),
+            status: AttemptStatus::InFlight,
+            is_recorded_late: false,
+        };
+        self.record_sent(id, attempt_number, attempt);
+        let write_within = from_ms(timeout_ms.min(write_within_ms));
+        out.push(Action::Send { id, server: server_id, timeout: from_ms(timeout_ms), write_within });
+        if profile.latency_target_ms < timeout_ms {
+            self.set_request_timer(id, profile.latency_target_ms, out);
+        }
+    }
+
+    /// Returns whether requests are sent only after a probe.
+    ///
+    /// That is the case where own traffic is so sparse that what it shows of the servers has faded before it comes again,
+    /// and where probes pay: a probe saves one miss at most, so the miss rate has to exceed the price, and it has to show
+    /// the load. Probes that show no load spare nothing in an overload and add to it.
+    pub(crate) fn must_probe(&self) -> bool {
+        let stale_after_ms = self.time_constant_ms * STALE_TIME_CONSTANTS;
+        let sends_until_stale = self.send_rate() * self.time_constant_ms * STALE_TIME_CONSTANTS;
+        let miss_rate = self.outcomes.miss_rate(self.now_ms, stale_after_ms);
+        let pays = miss_rate >= PROBES_PER_ROUND * self.settings.probe_price.max(0.0);
+        self.settings.probes == Permit::Granted
+            && pays
+            && self.settings.load_reported
+            && sends_until_stale < self.servers.ready().len() as f64
+    }
+
+    /// Where the next attempt of a request may go; `None` if it may have none.
+    pub(crate) fn retry_scope(&self, request: &Request) -> Option<RetryScope> {
+        let is_spent = request.attempts.len() >= self.settings.max_attempts;
+        let is_over = matches!(request.phase, RequestPhase::Finished | RequestPhase::Streaming)
+            || self.now_ms >= request.deadline_ms;
+        if is_spent || is_over || request.is_in_flight() {
+            return None;
+        }
+        let soon_ms = self.now_ms + self.tick_ms();
+        let idempotency = self.settings.classes[request.profile.class].idempotency;
+        match (idempotency, request.first_possible_run()) {
+            (_, None) | (Idempotency::Idempotent, _) => Some(RetryScope::AnyServer),
+            (_, Some(first)) if soon_ms >= first.sent_at_ms + to_ms(idempotency.window()) => None,
+            (Idempotency::Keyed { .. }, Some(first)) => {
+                Some(first.dedup_group.map_or(RetryScope::AnyServer, RetryScope::Group))
+            }
+            (Idempotency::NonIdempotent, Some(_)) => None,
+        }
+    }
+
+    /// Draws two distinct random ready servers for a request, fewer if there are fewer that it may go to.
+    pub(crate) fn draw_candidates(
+        &mut self, id: RequestId, is_open: impl Fn(Locality) -> bool,
+    ) -> Vec<ServerId> {
+        let draws = std::array::from_fn(|_| self.rng.u32(..) as usize);
+        let request = &self.requests[&id];
+        let Some(scope) = self.retry_scope(request) else { return Vec::new() };
+        let class = request.profile.class;
+        let idempotency = self.settings.classes[class].idempotency;
+        let is_allowed = |server: &Server| {
+            scope.includes(server.dedup_group(idempotency))
+                && is_open(self.locality(server))
+                && !request.has_considered(server.entry.server)
+                && self.is_warm_enough(server, request)
+        };
+        // A trial may fail: it is never made with a request that has only one attempt.
+        let may_try_ejected = idempotency != Idempotency::NonIdempotent;
+        let is_preferred = |server: &Server| {
+            let is_in_use =
+                server.health == Health::Healthy || may_try_ejected && server.is_due_for_trial(self.now_ms);
+            is_allowed(server) && is_in_use && !self.is_ejected_for_class(server, class)
+        };
+        let bound = self.local_score_bound(&request.profile);
+        let is_fast_enough = |server: &Server| is_preferred(server) && self.score(server, class) < bound;
+        let (ready, subset) = (self.servers.ready(), self.subset_size());
+        let mut found = Vec::new();
+        if bound > 0.0 {
+            found = self.draw_pair(self.servers.ready_in_zone(), subset, draws, is_fast_enough);
+        }
+        // If the subset has none, the complete list is searched; if all servers look bad, all are used.
+        for part in [subset, usize::MAX] {
+            if found.is_empty() {
+                found = self.draw_pair(ready, part, draws, is_preferred);
+            }
+        }
+        if found.is_empty() { self.draw_pair(ready, usize::MAX, draws, is_allowed) } else { found }
+    }
+
+    /// The score below which a local server is preferred to all remote ones; zero where crossing zones has no price.
+    ///
+    /// By Chebyshev's bound, a miss of the latency target is no likelier than (mean / target)^2. While that is below the
+    /// price of crossing, crossing cannot pay. The score is a peak, hence [`PEAK_OVER_MEAN`].
+    fn local_score_bound(&self, profile: &RequestProfile) -> f64 {
+        let target_ms = profile.latency_target_ms * self.normalization(profile);
+        PEAK_OVER_MEAN * target_ms * self.settings.cross_zone_price.max(0.0).sqrt()
+    }
+
+    /// The candidate with the lowest score.
+    pub(crate) fn lowest_score(&self, candidates: &[ServerId], class: usize) -> Option<ServerId> {
+        let score = |id: &ServerId| self.score(&self.servers[*id], class);
+        candidates.iter().copied().min_by(|a, b| score(a).total_cmp(&score(b)))
+    }
+
+    /// The number of servers that this sidecar draws from: as many as its own traffic can keep connections to and
+    /// statistics of. The subsets of all sidecars cover the list evenly, and so do those of the sidecars in one zone,
+    /// whichever indexes these have.
+    pub(crate) fn subset_size(&self) -> usize {
+        let handshakes = self.settings.handshake_price / MAX_HANDSHAKE_SHARE;
+        let requests_per_connection = REQUESTS_PER_CONNECTION.max(handshakes);
+        let connections = if self.must_probe() {
+            UNLIMITED_SUBSET
+        } else {
+            self.send_rate() * to_ms(self.settings.keep_alive) / requests_per_connection
+        };
+        (connections as usize).clamp(MIN_SUBSET, self.servers.ready().len().max(MIN_SUBSET))
+    }
+
+    /// Two distinct random servers of the first `part` ones from this sidecar's own place in the list on, that are
+    /// eligible. When a few draws don't find them, all are searched, from a random place on.
+    fn draw_pair(
+        &self, list: &[ServerId], part: usize, draws: [usize; MAX_DRAWS],
+        is_eligible: impl Fn(&Server) -> bool,
+    ) -> Vec<ServerId> {
+        let (mut pair, part) = (Vec::new(), part.min(list.len()));
+        let place = (f64::from(self.settings.sidecar_index) * GOLDEN_RATIO_FRACTION).fract();
+        let start = (list.len() as f64 * place) as usize;
+        let in_turn = (0..part).map(|step| draws[0].wrapping_add(step));
+        let offsets = draws.into_iter().filter(|_| part > 0).chain(in_turn);
+        let mut ids = offsets.map(|offset| list[(start + offset % part) % list.len()]);
+        while let (0..2, Some(id)) = (pair.len(), ids.next()) {
+            if !pair.contains(&id) && is_eligible(&self.servers[id]) {
+                pair.push(id);
+            }
+        }
+        pair
+    }
+
+    /// The score of a server: `latency * (in flight + 1) / max(weight, 1)`. The latency is that of the class at the kind
+    /// of machine. The weight counts by the capacity share while the server warms up: its true capacity lies between that
+    /// share and all of it, so the geometric mean of both is taken.
+    fn score(&self, server: &Server, class: usize) -> f64 {
+        let weight = server.entry.weight.max(1.0) * self.capacity_share(server).sqrt();
+        let reported_load = server.load_at(self.now_ms, self.time_constant_ms).unwrap_or(0.0);
+        let in_flight = reported_load.max(server.in_flight.len() as f64);
+        let latency_ms = server.latency_at(self.now_ms, self.time_constant_ms, self.median_latency_ms.get());
+        latency_ms.max(1.0) * self.relative_latency(server, class) * (in_flight + 1.0) / weight
+    }
+}
--- /dev/null
+++ b/src/decision/server_table.rs
@@ -0,0 +1,161 @@
+//! The servers of the list, with the indexes that selection draws from.
+
+use super::server::{Health, Locality, Server};
+use super::time::to_ms;
+use crate::api::{Availability, RequestId, ServerEntry, ServerId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::ops::Index;
+
+/// A server that may still be warming up, and when it started.
+pub(crate) struct WarmingUp {
+    pub(crate) id: ServerId,
+    pub(crate) started_at_ms: f64,
+}
+
+/// All servers that are listed or still have attempts in flight. It stays bounded by these: a server that left is
+/// removed once its attempts have ended.
+pub(crate) struct ServerTable {
+    /// The zone of this sidecar.
+    zone: u16,
+    /// How long a server warms up.
+    ramp_time_ms: f64,
+    by_id: BTreeMap<ServerId, Server>,
+    /// Servers that take requests, sorted.
+    ready: Vec<ServerId>,
+    /// Those of `ready` in the zone of this sidecar, sorted.
+    ready_in_zone: Vec<ServerId>,
+    warming_up: Vec<WarmingUp>,
+    ejected: BTreeSet<ServerId>,
+}
+
+/// Inserts an id into a sorted list, or removes it.
+fn set_membership(list: &mut Vec<ServerId>, id: ServerId, is_member: bool) {
+    match (list.binary_search(&id), is_member) {
+        (Err(at), true) => list.insert(at, id),
+        (Ok(at), false) => {
+            list.remove(at);
+        }
+        _ => {}
+    }
+}
+
+impl ServerTable {
+    pub(crate) fn new(zone: u16, ramp_time_ms: f64) -> Self {
+        ServerTable {
+            zone,
+            ramp_time_ms,
+            by_id: BTreeMap::new(),
+            ready: Vec::new(),
+            ready_in_zone: Vec::new(),
+            warming_up: Vec::new(),
+            ejected: BTreeSet::new(),
+        }
+    }
+
+    pub(crate) fn get(&self, id: ServerId) -> Option<&Server> {
+        self.by_id.get(&id)
+    }
+
+    pub(crate) fn get_mut(&mut self, id: ServerId) -> Option<&mut Server> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// Servers that take requests, sorted by id.
+    pub(crate) fn ready(&self) -> &[ServerId] {
+        &self.ready
+    }
+
+    /// Servers in the zone of this sidecar that take requests, sorted by id.
+    pub(crate) fn ready_in_zone(&self) -> &[ServerId] {
+        &self.ready_in_zone
+    }
+
+    /// Ready servers that may still be warming up.
+    pub(crate) fn warming_up(&self) -> &[WarmingUp] {
+        &self.warming_up
+    }
+
+    /// Ready servers that are ejected.
+    pub(crate) fn ejected(&self) -> impl Iterator<Item = &Server> {
+        self.ejected.iter().filter_map(|id| self.by_id.get(id))
+    }
+
+    pub(crate) fn mark_ejected(&mut self, id: ServerId) {
+        self.ejected.insert(id);
+    }
+
+    pub(crate) fn mark_readmitted(&mut self, id: ServerId) {
+        self.ejected.remove(&id);
+    }
+
+    /// Takes over entries of the server list. Servers that are missing from a complete one are gone.
+    pub(crate) fn apply(&mut self, is_complete: bool, entries: Vec<ServerEntry>, now_ms: f64) {
+        let mut changed: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
+        if is_complete {
+            self.by_id.values_mut().for_each(|s| s.entry.availability = Availability::Gone);
+            changed = self.by_id.keys().copied().chain(changed).collect();
+        }
+        for entry in entries {
+            match self.by_id.get_mut(&entry.server) {
+                Some(known) if known.entry.started == entry.started => known.entry = entry,
+                Some(known) => known.restart(entry, now_ms),
+                None => {
+                    self.by_id.insert(entry.server, Server::new(entry, now_ms));
+                }
+            }
+        }
+        changed.into_iter().for_each(|id| self.update_indexes(id, now_ms));
+    }
+
+    fn update_indexes(&mut self, id: ServerId, now_ms: f64) {
+        let Some(server) = self.by_id.get(&id) else { return };
+        let is_ready = server.has_availability(Availability::Ready);
+        let is_in_zone = server.entry.zone == self.zone;
+        let is_healthy = server.health == Health::Healthy;
+        let started_at_ms = server.entry.started.map(to_ms).filter(|_| is_ready);
+        set_membership(&mut self.ready, id, is_ready);
+        set_membership(&mut self.ready_in_zone, id, is_ready && is_in_zone);
+        let warm_since_ms = now_ms - self.ramp_time_ms;
+        self.warming_up.retain(|other| other.id != id && other.started_at_ms > warm_since_ms);
+        let started_at_ms = started_at_ms.filter(|&started| started > warm_since_ms);
+        self.warming_up.extend(started_at_ms.map(|started_at_ms| WarmingUp { id, started_at_ms }));
+        if !is_ready || is_healthy {
+            self.ejected.remove(&id);
+        }
+        self.remove_if_departed(id);
+    }
+
+    /// Removes an attempt that ended from its server, and returns where it counted.
+    pub(crate) fn remove_in_flight(
+        &mut self, server_id: ServerId, id: RequestId, attempt: usize,
+    ) -> Option<Locality> {
+        let server = self.by_id.get_mut(&server_id)?;
+        let at = server.in_flight.iter().position(|other| other.id == id && other.attempt == attempt);
+        let locality = at.map(|at| server.in_flight.remove(at).locality);
+        self.remove_if_departed(server_id);
+        locality
+    }
+
+    fn remove_if_departed(&mut self, id: ServerId) {
+        let departed =
+            |server: &Server| server.has_availability(Availability::Gone) && server.in_flight.is_empty();
+        if self.by_id.get(&id).is_some_and(departed) {
+            self.by_id.remove(&id);
+        }
+    }
+
+    #[cfg(test)]
+    pub(crate) fn all(&self) -> impl ExactSizeIterator<Item = &Server> {
+        self.by_id.values()
+    }
+}
+
+/// Panics for a server that is not in the table: selection only handles ids of [`ServerTable::ready`], and no server is
+/// removed while an event is handled before its attempt is recorded.
+impl Index<ServerId> for ServerTable {
+    type Output = Server;
+
+    fn index(&self, id: ServerId) -> &Server {
+        &self.by_id[&id]
+    }
+}
--- /dev/null
+++ b/src/decision/slow_start.rs
@@ -0,0 +1,49 @@
+//! Slow start: servers that have just started have a share of their capacity, and get a share of the requests.
+
+use super::balancer::Balancer;
+use super::request::Request;
+use super::server::{RECENT_SENDS_MS, Server};
+use super::time::to_ms;
+
+/// Mean requests that may come close together by chance alone.
+const SEND_BURST: f64 = 0.5;
+
+impl Balancer {
+    /// The share of its capacity that a server has now, at least.
+    pub(crate) fn capacity_share(&self, server: &Server) -> f64 {
+        server.entry.started.map_or(1.0, |started| self.capacity_share_at(to_ms(started)))
+    }
+
+    /// The share of its capacity that a server has now if it started then: it grows linearly over the ramp time.
+    pub(crate) fn capacity_share_at(&self, started_at_ms: f64) -> f64 {
+        let initial = self.settings.slow_start.initial_capacity;
+        let age = (self.now_ms - started_at_ms).max(0.0) / self.ramp_time_ms();
+        (initial + (1.0 - initial) * age).clamp(0.01, 1.0)
+    }
+
+    /// Returns whether a server has warmed up far enough for this request.
+    ///
+    /// Of all requests, at all sidecars, only a share may go to a warming server, so that the fleet together does not
+    /// overload it: its capacity share times half the multiple at which it fails, which is twice its even share at most.
+    pub(crate) fn is_warm_enough(&self, server: &Server, request: &Request) -> bool {
+        let multiple = self.settings.slow_start.overload_multiple / 2.0;
+        let request_size = 1.0 / self.normalization(&request.profile);
+        request.draw < self.capacity_share(server) * multiple
+            && self.is_within_warmup_rate(server, request_size, multiple)
+    }
+
+    /// The bound for the case in which few other servers are left to draw from: a warming server gets so many times its
+    /// even share of own sends, by its capacity share, and no request heavier than its share of all sidecars' in a second.
+    /// The request's size is relative to a mean request.
+    fn is_within_warmup_rate(&self, server: &Server, request_size: f64, multiple: f64) -> bool {
+        let share = self.capacity_share(server);
+        let ready = self.servers.ready().len();
+        let drawn_from = self.subset_size().min(ready).max(1);
+        let even_share = |servers: f64| self.send_rate() * RECENT_SENDS_MS * share * multiple / servers;
+        let of_all_sidecars = even_share(ready.max(1) as f64) * f64::from(self.settings.sidecar_count);
+        share >= 1.0
+            || request_size <= of_all_sidecars.max(SEND_BURST)
+                && server.recent_sends.at(self.now_ms, RECENT_SENDS_MS)
+                    < even_share(drawn_from as f64) + SEND_BURST
+    }
+}
--- /dev/null
+++ b/src/decision/time.rs
@@ -0,0 +1,13 @@
+//! Conversions between the interface's [`Duration`]s and the module's `f64` milliseconds.
+
+use std::time::Duration;
+
+/// Milliseconds in a duration.
+pub(crate) fn to_ms(time: Duration) -> f64 {
+    time.as_secs_f64() * 1e3
+}
+
+/// The duration of these milliseconds. Negative and non-finite ones, and those past the range of a duration, are zero.
+pub(crate) fn from_ms(ms: f64) -> Duration {
+    Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::ZERO)
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,14 +1,13 @@
-//! The decisions of a client-side load balancer that lives beside each calling process.
+//! The decisions of a client-side load balancer that runs beside each calling process.
 //!
-//! Every request goes to the better of two random servers, judged by how slowly and how busily each
-//! has lately answered this process (peak-EWMA latency times attempts in flight). Around that stand
-//! outlier ejection, a retry budget, slow start and admission control. The module does no I/O
-//! and reads no clock: it is told what happens and says what to do.
+//! Each request goes to the better of two random servers, judged by its peak-EWMA latency times the attempts in flight
+//! (power of two choices). Around that stand outlier ejection, a retry budget, slow start, subsetting and admission
+//! control. The module does no I/O and reads no clock: the caller reports events and carries out actions.
 //!
-//! A caller hands each event to [`Balancer::handle`] and carries out the actions in order. It owes the
-//! module one [`Event::Outcome`](api::Event::Outcome) for each [`Action::Send`](api::Action::Send), and
-//! an [`Event::Timer`](api::Event::Timer) for each [`Action::SetTimer`](api::Action::SetTimer). The first
-//! answer with [`Outcome::Ok`](api::Outcome::Ok) goes to the client and ends the request.
+//! A caller hands each event to [`Balancer::handle`] and carries out the actions in order. It owes the module one
+//! [`Event::Outcome`](api::Event::Outcome) for each [`Action::Send`](api::Action::Send), and an
+//! [`Event::Timer`](api::Event::Timer) for each [`Action::SetTimer`](api::Action::SetTimer). The first answer with
+//! [`Outcome::Ok`](api::Outcome::Ok) goes to the client and ends the request.
 //!
 //! ```
 //! use lugwharf_sidecar::{Balancer, api::*};
@@ -27,8 +26,8 @@
 //! let mut balancer = Balancer::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
-//! // The list names two servers; a request comes in and goes to one of them.
-//! let line = |id| ServerEntry {
+//! // The list names two servers; a request arrives and goes to one of them.
+//! let entry = |id| ServerEntry {
 //!     server: ServerId(id),
 //!     availability: Availability::Ready,
 //!     cell: 0,
@@ -37,7 +36,7 @@
 //!     weight: 1.0,
 //!     started: None,
 //! };
-//! balancer.handle(ms(0), Event::ServerList(ServerListEvent::Full(vec![line(1), line(2)])), &mut actions);
+//! balancer.handle(ms(0), Event::ServerList(ServerListEvent::Full(vec![entry(1), entry(2)])), &mut actions);
 //! let arrival = Arrival {
 //!     id: RequestId(7),
 //!     class: 0,
@@ -48,7 +47,7 @@
 //! balancer.handle(ms(1), Event::Request(arrival), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: RequestId(7), .. })));
 //!
-//! // The caller sent it; the server answers after 30 ms, and the request is over.
+//! // The caller sent it. The server answers after 30 ms, and the request is finished.
 //! actions.clear();
 //! let answer = Event::Outcome {
 //!     id: RequestId(7),
@@ -62,18 +61,8 @@
 //! ```
 #![forbid(unsafe_code)]
 
-mod admission;
 pub mod api;
-mod balance;
-#[cfg(test)]
-mod decay_tests;
-mod health;
-#[cfg(test)]
-mod memory_tests;
-mod model;
-mod probing;
-mod selection;
-pub mod settings;
-mod state;
+mod decision;
+pub mod settings_text;
 
-pub use state::Balancer;
+pub use decision::Balancer;
--- a/tests/decision_digests.rs
+++ b/tests/decision_digests.rs
@@ -5,7 +5,7 @@
 //! numbers, ids and times as integers. The constants below must never change while the behaviour is meant to stay.
 //! They were captured on 1a8c4db, and hold for a C library whose `exp` and `ln` round as the one there does.
 
-use lugwharf_sidecar::{Balancer, api::*, settings};
+use lugwharf_sidecar::{Balancer, api::*, settings_text};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -230,7 +230,7 @@
 
 impl Day {
     fn new(text: &str, servers: u64, pause_us: u64, seed: u64) -> Day {
-        let settings = settings::parse(text).expect("readable");
+        let settings = settings_text::parse(text).expect("readable");
         let classes = settings.classes.len() as u64;
         let mut draws = Draws(0x9e37_79b9_7f4a_7c15 ^ (seed + 1).wrapping_mul(0xd6e8_feb8_6659_fd93));
         let machines = (0..servers).map(|id| Machine {
--- a/tests/settings_keys.rs
+++ b/tests/settings_keys.rs
@@ -1,7 +1,7 @@
 //! Each key of the settings text, with its default and with a value of its own.
 
 use lugwharf_sidecar::api::*;
-use lugwharf_sidecar::settings::{self, Deployment};
+use lugwharf_sidecar::settings_text::{self, Deployment};
 use std::time::Duration;
 
 fn ms(ms: u64) -> Duration {
@@ -58,7 +58,7 @@
         slow_start: SlowStart { initial_capacity: 0.1, ramp_time: ms(30_000), overload_multiple: 2.0 },
         tick: ms(5),
     };
-    assert_eq!(settings::parse(FEWEST).expect("readable"), expected);
+    assert_eq!(settings_text::parse(FEWEST).expect("readable"), expected);
     let expected = Deployment {
         zones: vec![],
         kinds: vec![],
@@ -66,13 +66,13 @@
         connect_timeout: ms(250),
         load_field_name: None,
     };
-    assert_eq!(settings::deployment(FEWEST).expect("readable"), expected);
-    assert_eq!(settings::load_field(FEWEST), None);
-    let asked = settings::parse(&FEWEST.replace("pushed", "on_request")).expect("readable");
+    assert_eq!(settings_text::deployment(FEWEST).expect("readable"), expected);
+    assert_eq!(settings_text::load_field(FEWEST), None);
+    let asked = settings_text::parse(&FEWEST.replace("pushed", "on_request")).expect("readable");
     assert_eq!(asked.discovery, Discovery::OnRequest { max_poll_interval: ms(10_000) });
-    let advised = settings::parse(&format!("{FEWEST}policyLimits.retryAfter=true\n")).expect("readable");
+    let advised = settings_text::parse(&format!("{FEWEST}policyLimits.retryAfter=true\n")).expect("readable");
     assert_eq!(advised.max_retry_after, Some(ms(0)));
-    let denied = settings::parse(&format!("{FEWEST}policyLimits.maxRetryAfter=60\n")).expect("readable");
+    let denied = settings_text::parse(&format!("{FEWEST}policyLimits.maxRetryAfter=60\n")).expect("readable");
     assert_eq!(denied.max_retry_after, None, "only where it is granted");
 }
 
@@ -118,7 +118,7 @@
         slow_start: SlowStart { initial_capacity: 0.25, ramp_time: ms(9_000), overload_multiple: 4.0 },
         tick: Duration::from_micros(2_500),
     };
-    assert_eq!(settings::parse(ALL).expect("readable"), expected);
+    assert_eq!(settings_text::parse(ALL).expect("readable"), expected);
     let expected = Deployment {
         zones: vec!["a".into(), "b_c".into()],
         kinds: vec!["small".into(), "large".into()],
@@ -126,20 +126,21 @@
         connect_timeout: ms(70),
         load_field_name: Some("concurrent".into()),
     };
-    assert_eq!(settings::deployment(ALL).expect("readable"), expected);
-    assert_eq!(settings::load_field(ALL), Some(2));
-    assert_eq!(settings::load_field("report.fields=load_share,depth\n"), Some(1));
+    assert_eq!(settings_text::deployment(ALL).expect("readable"), expected);
+    assert_eq!(settings_text::load_field(ALL), Some(2));
+    assert_eq!(settings_text::load_field("report.fields=load_share,depth\n"), Some(1));
     let anywhere = ALL.replace("group=cell", "group=all");
-    let anywhere = settings::parse(&anywhere).expect("readable").classes[1].idempotency;
+    let anywhere = settings_text::parse(&anywhere).expect("readable").classes[1].idempotency;
     assert_eq!(anywhere, Idempotency::Keyed { scope: DedupScope::All, window: ms(700) });
-    let by_request = settings::parse(&ALL.replace("worthBy=work", "worthBy=request")).expect("readable");
+    let by_request = settings_text::parse(&ALL.replace("worthBy=work", "worthBy=request")).expect("readable");
     assert_eq!(by_request.value_basis, ValueBasis::PerRequest);
 }
 
 #[test]
 fn what_cannot_be_read_is_named_with_its_text() {
-    let error =
-        |from: &str, to: &str| settings::parse(&ALL.replace(from, to)).expect_err("unreadable").to_string();
+    let error = |from: &str, to: &str| {
+        settings_text::parse(&ALL.replace(from, to)).expect_err("unreadable").to_string()
+    };
     for (key, from, to) in [
         ("zone", "zone=2\n", "zone=-1\n"),
         ("me", "me=7", "me=x"),
@@ -164,10 +165,10 @@
             .filter(|line| !line.starts_with(&format!("{key}=")))
             .map(|l| format!("{l}\n"))
             .collect();
-        let error = settings::parse(&text).expect_err("incomplete").to_string();
+        let error = settings_text::parse(&text).expect_err("incomplete").to_string();
         assert_eq!(error, format!("setting {key}: missing"));
     }
     let nameless = ALL.replace("requestClasses.1.name=report\n", "");
-    let error = settings::deployment(&nameless).expect_err("incomplete").to_string();
+    let error = settings_text::deployment(&nameless).expect_err("incomplete").to_string();
     assert_eq!(error, "setting requestClasses.1.name: missing");
 }
