--- /dev/null
+++ b/src/bin/lugwharf-simulator/wire/frame.rs
@@ -0,0 +1,57 @@
+//! Frames: a header, records and a tail.
+
+use super::error::WireError;
+use super::fields::{Fields, Tail};
+use super::record::{Record, decode};
+use std::io::{self, Read};
+use std::time::Duration;
+
+const HEADER_SIZE: usize = 16;
+pub(super) const RECORD_SIZE: usize = 48;
+
+/// One frame of records, not decoded yet.
+#[derive(Debug)]
+pub struct Batch {
+    body: Vec<u8>,
+    record_count: usize,
+    /// The clock reading of all its records.
+    pub now: Duration,
+}
+
+impl Batch {
+    /// The records in order.
+    pub fn records(&self) -> impl Iterator<Item = Result<Record<'_>, WireError>> {
+        let (records, tail) = self.body.split_at(self.record_count * RECORD_SIZE);
+        records.chunks_exact(RECORD_SIZE).map(move |record| decode(&Fields(record), &Tail::new(tail)))
+    }
+}
+
+/// Reads one frame; `None` at the end of the input between two frames.
+pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
+    let header = read_up_to(input, HEADER_SIZE)?;
+    if header.is_empty() {
+        return Ok(None);
+    }
+    if header.len() < HEADER_SIZE {
+        return Err(WireError::Truncated { got: header.len(), wanted: HEADER_SIZE });
+    }
+    let header = Fields(&header);
+    let (len, clock_ms, records) = (header.u32(0) as usize, header.f64(4), header.u32(12));
+    if u64::from(records) * RECORD_SIZE as u64 > len as u64 {
+        return Err(WireError::Records { len, records });
+    }
+    let now = Duration::try_from_secs_f64(clock_ms / 1e3).map_err(|_| WireError::Clock(clock_ms))?;
+    let body = read_up_to(input, len)?;
+    if body.len() < len {
+        return Err(WireError::Truncated { got: HEADER_SIZE + body.len(), wanted: HEADER_SIZE + len });
+    }
+    Ok(Some(Batch { body, record_count: records as usize, now }))
+}
+
+/// Reads so many bytes, fewer at the end of the input. The buffer grows with what arrives: an absurd length allocates
+/// nothing by itself.
+fn read_up_to(input: &mut impl Read, len: usize) -> io::Result<Vec<u8>> {
+    let mut bytes = Vec::new();
+    input.by_ref().take(len as u64).read_to_end(&mut bytes)?;
+    Ok(bytes)
+}
--- a/src/bin/lugwharf-simulator/wire_tests.rs
+++ b/src/bin/lugwharf-simulator/wire/record_tests.rs
@@ -1,10 +1,13 @@
 //! Tests of the records' form: one of each kind, from literal bytes.
 
 use super::*;
+use crate::wire::frame::{Batch, RECORD_SIZE, read_batch};
+use lugwharf_sidecar::api::RequestId;
+use std::time::Duration;
 
 /// One frame with one record, whose first bytes are these, and this tail.
 fn batch(start: &[u8], tail: &[u8]) -> Batch {
-    let mut body = vec![0; EVENT_SIZE];
+    let mut body = vec![0; RECORD_SIZE];
     body[..start.len()].copy_from_slice(start);
     body.extend_from_slice(tail);
     let mut frame = (body.len() as u32).to_le_bytes().to_vec();
@@ -28,19 +31,37 @@
 
 #[test]
 fn records_without_a_tail_have_their_literal_form() {
-    let who = 0x0403_0201;
+    let instance = 0x0403_0201;
     let (id, server) = (RequestId(0x0908_0706), ServerId(0x0b0a_0908_0706));
-    let event = |event| Record::Event { who, event };
+    let event = |event| Record::Event { instance, event };
     let cases: Vec<(u8, Vec<u8>, Record)> = vec![
         (0, vec![1, 2, 3, 4, 5, 6, 7, 8], event(Event::Timer(TimerId(0x0807_0605_0403_0201)))),
         (1, vec![6, 7, 8, 9], event(Event::ClientDisconnected(id))),
-        (5, vec![], Record::Kill { who }),
-        (7, vec![1, 2, 3], Record::Pass),
+        (5, vec![], Record::Kill { instance }),
+        (7, vec![1, 2, 3], Record::Ignored),
         (11, vec![], Record::Unknown(11)),
-        (8, vec![0, 0, 0, 0, 0, 3, 0, 0, 0], Record::Discovery { who, news: Some((ListKind::Full, 3)) }),
-        (8, vec![1, 0, 0, 0, 0, 4, 0, 0, 0], Record::Discovery { who, news: Some((ListKind::Delta, 4)) }),
-        (8, vec![2], Record::Discovery { who, news: None }),
-        (8, vec![3], Record::Discovery { who, news: Some((ListKind::Cached, 0)) }),
+        (
+            8,
+            vec![0, 0, 0, 0, 0, 3, 0, 0, 0],
+            Record::Discovery { instance, update: DiscoveryUpdate::List { kind: ListKind::Full, number: 3 } },
+        ),
+        (
+            8,
+            vec![1, 0, 0, 0, 0, 4, 0, 0, 0],
+            Record::Discovery {
+                instance,
+                update: DiscoveryUpdate::List { kind: ListKind::Delta, number: 4 },
+            },
+        ),
+        (8, vec![2], Record::Discovery { instance, update: DiscoveryUpdate::Failed }),
+        (
+            8,
+            vec![3],
+            Record::Discovery {
+                instance,
+                update: DiscoveryUpdate::List { kind: ListKind::Cached, number: 0 },
+            },
+        ),
         (
             9,
             [vec![6, 7, 8, 9, 2, 0, 0, 0, 0, 0, 0], THIRTY.to_vec()].concat(),
@@ -50,7 +71,12 @@
             6,
             [vec![6, 7, 8, 9, 10, 11, 4, 0, 0, 0, 0, 0, 0, 0, 0, 0, 2, 0, 0, 0x20, 0x40, 0, 0, 0x80, 0x3f]]
                 .concat(),
-            Record::Probed { who, server, outcome: Outcome::Timeout, values: vec![2.5, 1.0] },
+            Record::ProbeCompleted {
+                instance,
+                server,
+                outcome: Outcome::Timeout,
+                load_values: vec![2.5, 1.0],
+            },
         ),
     ];
     for (code, rest, expected) in cases {
@@ -76,7 +102,7 @@
         bytes.extend([3, attributes, 0]);
         let (id, client_timeout) = (RequestId(0x0908_0706), Duration::from_millis(900));
         let arrival = Arrival { id, class: 3, cost, client_timeout, origin };
-        assert_eq!(one(&batch(&bytes, &[])), Record::Event { who: 5, event: Event::Request(arrival) });
+        assert_eq!(one(&batch(&bytes, &[])), Record::Event { instance: 5, event: Event::Request(arrival) });
     }
 }
 
@@ -99,7 +125,7 @@
             bytes.push(ended);
             let (id, elapsed) = (RequestId(0x0908_0706), Duration::from_millis(30));
             let event = Event::Outcome { id, attempt: 2, outcome, elapsed, progress };
-            assert_eq!(one(&batch(&bytes, &[])), Record::Event { who: 5, event });
+            assert_eq!(one(&batch(&bytes, &[])), Record::Event { instance: 5, event });
         }
     }
 }
@@ -108,7 +134,7 @@
 fn a_start_and_a_list_refer_to_the_tail() {
     let bytes = [2, 5, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 1, 0, 0, 0, 6, 0, 0, 0];
     let start = batch(&bytes, b"-zone=0-");
-    assert_eq!(one(&start), Record::Up { who: 5, seed: 0x0807_0605_0403_0201, facts: "zone=0" });
+    assert_eq!(one(&start), Record::Start { instance: 5, seed: 0x0807_0605_0403_0201, settings: "zone=0" });
     let line = |availability: u8| {
         let mut entry = vec![availability, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0x20, 0x40, 9, 10, 11];
         entry.extend(if availability == 2 { [0; 8] } else { THIRTY });
@@ -130,5 +156,5 @@
         listed(Availability::Ready, started),
         listed(Availability::Draining, None),
     ];
-    assert_eq!(one(&list), Record::Manifest { list: 15, entries });
+    assert_eq!(one(&list), Record::DeclareList { number: 15, entries });
 }
