--- a/src/bin/lugwharf-sidecar/config.rs
+++ b/src/bin/lugwharf-sidecar/config.rs
@@ -8,10 +8,10 @@
 use std::{env, fs, io};
 
 /// The most descriptors where the configuration names no limit.
-const SOCKETS: usize = 1_024;
+const DEFAULT_MAX_DESCRIPTORS: usize = 1_024;
 
 /// The longest that a client may wait where its class names no deadline.
-const LONGEST: Duration = Duration::from_secs(60);
+const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
 
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
@@ -33,7 +33,7 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// The list as this sidecar last had it, in discovery's form.
     pub known: Value,
     pub settings: Settings,
@@ -57,8 +57,8 @@
     }
 
     /// The longest that any client waits.
-    pub fn longest(&self) -> Duration {
-        self.settings.classes.iter().map(patience).max().unwrap_or(LONGEST)
+    pub fn max_client_timeout(&self) -> Duration {
+        self.settings.classes.iter().map(client_timeout).max().unwrap_or(MAX_CLIENT_TIMEOUT)
     }
 
     /// The environment wins over the JSON where both name a value.
@@ -81,7 +81,9 @@
             listen: addr("listen", "BALANCER_LISTEN")?,
             discovery: addr("discovery", "BALANCER_DISCOVERY")?,
             seed,
-            sockets: json["limits"]["sockets"].as_u64().map_or(SOCKETS, |n| n as usize),
+            max_descriptors: json["limits"]["sockets"]
+                .as_u64()
+                .map_or(DEFAULT_MAX_DESCRIPTORS, |n| n as usize),
             known: json["known"].clone(),
             settings: settings_text::parse(&flat)?,
             deployment: settings_text::deployment(&flat)?,
@@ -90,8 +92,8 @@
 }
 
 /// How long a client of this class waits at most.
-pub fn patience(of: &Class) -> Duration {
-    if of.deadline.is_zero() { LONGEST } else { of.deadline }
+pub fn client_timeout(of: &Class) -> Duration {
+    if of.deadline.is_zero() { MAX_CLIENT_TIMEOUT } else { of.deadline }
 }
 
 /// Names are compared in the form that they have in the flat settings.
--- a/src/bin/lugwharf-sidecar/config_tests.rs
+++ b/src/bin/lugwharf-sidecar/config_tests.rs
@@ -10,7 +10,7 @@
 #[test]
 fn nested_settings_are_read_by_the_adapters_reader() {
     let config = Config::read(JSON, |_| None).expect("readable");
-    assert_eq!((config.seed, config.sockets, config.settings.zone), (0x8c1f_30d2_7a5b_e964, 300, 1));
+    assert_eq!((config.seed, config.max_descriptors, config.settings.zone), (0x8c1f_30d2_7a5b_e964, 300, 1));
     assert_eq!(config.settings.classes[0].latency_target, Duration::from_millis(290));
     assert_eq!(config.deployment.zones, ["a_b", "c"]);
     assert_eq!(config.deployment.classes, ["pay"]);
--- a/src/bin/lugwharf-sidecar/connection.rs
+++ b/src/bin/lugwharf-sidecar/connection.rs
@@ -34,20 +34,20 @@
 /// Whether the request under way has all gone out. Its last byte is held back for a moment: an upstream begins a
 /// request with that byte, and a connection that breaks before it proves that nothing ran.
 #[derive(Default)]
-struct Gate {
+struct LastByteGate {
     /// The last byte is held back, and until this time at least.
     armed: Mutex<Option<Instant>>,
     unfinished: AtomicBool,
 }
 
-impl Gate {
+impl LastByteGate {
     fn armed(&self) -> MutexGuard<'_, Option<Instant>> {
         self.armed.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// How far the request under way on a connection has come.
-pub struct Progress(Arc<Gate>);
+pub struct Progress(Arc<LastByteGate>);
 
 impl Progress {
     /// Is it sure that its last byte has not been written?
@@ -59,7 +59,7 @@
 /// A socket that HTTP reads and writes, and that the pool may look at meanwhile.
 struct Shared {
     socket: Arc<TcpStream>,
-    gate: Arc<Gate>,
+    gate: Arc<LastByteGate>,
     wait: Option<Pin<Box<Sleep>>>,
 }
 
@@ -138,7 +138,7 @@
     pub sender: SendRequest<B>,
     /// Gone once HTTP is done with it.
     pub socket: Weak<TcpStream>,
-    gate: Arc<Gate>,
+    gate: Arc<LastByteGate>,
     task: AbortHandle,
 }
 
@@ -151,7 +151,7 @@
     pub async fn open(addr: SocketAddr) -> io::Result<Self> {
         let stream = Arc::new(TcpStream::connect(addr).await?);
         stream.set_nodelay(true)?;
-        let (socket, gate) = (Arc::downgrade(&stream), Arc::<Gate>::default());
+        let (socket, gate) = (Arc::downgrade(&stream), Arc::<LastByteGate>::default());
         let io = Shared { socket: stream, gate: gate.clone(), wait: None };
         let mut http = http1::Builder::new();
         http.max_buf_size(MAX_BUFFER).max_headers(MAX_HEADERS);
--- a/src/bin/lugwharf-sidecar/discovery.rs
+++ b/src/bin/lugwharf-sidecar/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::config::{Config, flat_name};
 use crate::connection::TcpConnection;
-use crate::events::{DriverEvent, Handle, ListUpdate};
+use crate::events::{DriverEvent, DriverHandle, ListUpdate};
 use crate::upstream::MAX_BODY;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -18,27 +18,27 @@
 
 /// How long a watch may wait. An agent beside the sidecar costs nothing to ask, and one that has gone silent is
 /// noticed sooner; a service that works through its calls in turn is asked seldom.
-const WATCH_PUSHED: Duration = Duration::from_secs(2);
-const WATCH_ASKED: Duration = Duration::from_secs(20);
+const PUSHED_WATCH_TIME: Duration = Duration::from_secs(2);
+const ON_REQUEST_WATCH_TIME: Duration = Duration::from_secs(20);
 /// A call for the whole list has failed when its answer is so late. One service for all may make calls wait in turn.
-const PATIENCE_PUSHED: Duration = Duration::from_secs(1);
-const PATIENCE_ASKED: Duration = Duration::from_secs(3);
+const PUSHED_CALL_TIMEOUT: Duration = Duration::from_secs(1);
+const ON_REQUEST_CALL_TIMEOUT: Duration = Duration::from_secs(3);
 /// A watch has fallen silent when its answer comes so long after its wait. What it misses counts as told a second later,
 /// and that second has to do for asking again.
-const PATIENCE_WATCH: Duration = Duration::from_secs(1);
+const WATCH_GRACE: Duration = Duration::from_secs(1);
 /// Waits after calls that failed. All are inside the 200 ms in which a watch goes on, since what an agent has
 /// counts as told; where discovery is asked, the module says when to ask again.
-const BACKOFF: Duration = Duration::from_millis(20);
-const BACKOFF_MOST: Duration = Duration::from_millis(160);
+const MIN_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(160);
 /// Sizes are near 1; what says more than this, or less than nothing, is none.
-const MAX_SIZE: f64 = 1_000.0;
+const MAX_WEIGHT: f64 = 1_000.0;
 /// A list is larger than a request's body: some hundred bytes for each upstream.
-const MAX_LIST: usize = 64 * MAX_BODY;
+const MAX_LIST_BYTES: usize = 64 * MAX_BODY;
 
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
     #[error("no answer in time")]
-    Silent,
+    TimedOut,
     #[error("no connection: {0}")]
     Connect(std::io::Error),
     #[error("the call broke: {0}")]
@@ -54,7 +54,7 @@
 }
 
 /// An id is the same at every sidecar, and so is its number: all sort the list alike.
-pub fn server_id(name: &str) -> ServerId {
+pub fn server_id_of(name: &str) -> ServerId {
     // FNV-1a.
     ServerId(
         name.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
@@ -91,13 +91,13 @@
     // Unix time is the driver's clock as well; 0 is long ago.
     let since = member["up_since_ms"].as_f64().filter(|&ms| ms > 0.0);
     let listed = ServerEntry {
-        server: server_id(member["id"].as_str()?),
+        server: server_id_of(member["id"].as_str()?),
         availability,
         cell: member["cell"].as_u64().and_then(|cell| u16::try_from(cell).ok())?,
         // A zone or kind that the settings don't name is nobody's.
         zone: place(&names.zones, "locality").map_or(u16::MAX, |at| at as u16),
         kind: place(&names.kinds, "flavor").map_or(u8::MAX, |at| at as u8),
-        weight: member["size"].as_f64().filter(|size| (0.0..=MAX_SIZE).contains(size)).unwrap_or(1.0),
+        weight: member["size"].as_f64().filter(|size| (0.0..=MAX_WEIGHT).contains(size)).unwrap_or(1.0),
         started: since.and_then(|ms| Duration::try_from_secs_f64(ms / 1e3).ok()),
     };
     Some((listed, member["host_port"].as_str()?.parse().ok()?))
@@ -108,7 +108,7 @@
 /// for the whole list first: it may have begun to count anew since that list was had.
 pub async fn follow(
     config: Arc<Config>, mut address: watch::Receiver<SocketAddr>, mut known: Option<u64>,
-    subscribe: Arc<Notify>, driver: Handle,
+    subscribe: Arc<Notify>, driver: DriverHandle,
 ) {
     if config.settings.discovery == Discovery::Pushed {
         known = None;
@@ -132,51 +132,54 @@
 
 /// Follows the list at one address for good.
 async fn follow_at(
-    at: SocketAddr, config: &Config, mut held: Option<u64>, subscribe: &Notify, driver: &Handle,
+    at: SocketAddr, config: &Config, mut revision: Option<u64>, subscribe: &Notify, driver: &DriverHandle,
 ) {
     let asked = config.settings.discovery != Discovery::Pushed;
-    let (wait, patience) =
-        if asked { (WATCH_ASKED, PATIENCE_ASKED) } else { (WATCH_PUSHED, PATIENCE_PUSHED) };
-    let (mut backoff, mut connection) = (BACKOFF, None);
+    let (wait, timeout_after) = if asked {
+        (ON_REQUEST_WATCH_TIME, ON_REQUEST_CALL_TIMEOUT)
+    } else {
+        (PUSHED_WATCH_TIME, PUSHED_CALL_TIMEOUT)
+    };
+    let (mut backoff, mut connection) = (MIN_BACKOFF, None);
     loop {
         let called = Instant::now();
-        let result = match connect(&mut connection, at, patience).await {
+        let result = match connect(&mut connection, at, timeout_after).await {
             Ok(connected) => {
-                let patience = if held.is_some() { wait + PATIENCE_WATCH } else { patience };
-                let call = call(connected, &mut connection, at, &config.deployment, held, wait);
-                timeout(patience, call).await.unwrap_or(Err(DiscoveryError::Silent))
+                let timeout_after = if revision.is_some() { wait + WATCH_GRACE } else { timeout_after };
+                let call = call(connected, &mut connection, at, &config.deployment, revision, wait);
+                timeout(timeout_after, call).await.unwrap_or(Err(DiscoveryError::TimedOut))
             }
             Err(error) => Err(error),
         };
         match result {
             // Guards against changes to a list other than the one held: the whole list is asked for.
-            Ok(news) if !news.complete && held.is_some_and(|held| news.revision < held) => {
-                held = None;
+            Ok(news) if !news.complete && revision.is_some_and(|revision| news.revision < revision) => {
+                revision = None;
                 continue;
             }
             // A whole list counts whatever its number: discovery may have begun to count anew.
             Ok(news) => {
-                let nothing_new = held == Some(news.revision) && called.elapsed() < BACKOFF_MOST;
-                (held, backoff) = (Some(news.revision), BACKOFF);
-                driver.tell(DriverEvent::List(news));
+                let nothing_new = revision == Some(news.revision) && called.elapsed() < MAX_BACKOFF;
+                (revision, backoff) = (Some(news.revision), MIN_BACKOFF);
+                driver.send(DriverEvent::List(news));
                 // Guards against asking without a pause where a watch doesn't wait.
                 if nothing_new {
-                    sleep(BACKOFF_MOST).await;
+                    sleep(MAX_BACKOFF).await;
                 }
                 continue;
             }
             Err(error) => {
-                if backoff == BACKOFF {
+                if backoff == MIN_BACKOFF {
                     eprintln!("discovery: {error}");
                 }
                 connection = None;
                 // A watch that broke is opened anew at once. Guards against doing so to a service that is down or turns
                 // calls away: that, or a call that fails next, tells of an outage.
-                let first = backoff == BACKOFF;
-                let broke = matches!(error, DiscoveryError::Silent | DiscoveryError::Http(_));
+                let first = backoff == MIN_BACKOFF;
+                let broke = matches!(error, DiscoveryError::TimedOut | DiscoveryError::Http(_));
                 if first || asked {
-                    let broken = first && broke && held.is_some();
-                    driver.tell(DriverEvent::ListFailed(if broken {
+                    let broken = first && broke && revision.is_some();
+                    driver.send(DriverEvent::ListFailed(if broken {
                         ServerListEvent::Interrupted
                     } else {
                         ServerListEvent::Failed
@@ -185,7 +188,7 @@
                 // Guards against an agent that has begun to count anew meanwhile: it would wait for a revision that is
                 // far off. To ask it for the whole list costs nothing.
                 if !asked {
-                    held = None;
+                    revision = None;
                 }
             }
         }
@@ -195,7 +198,7 @@
         } else {
             sleep(backoff).await;
         }
-        backoff = (backoff * 2).min(BACKOFF_MOST);
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
@@ -203,20 +206,20 @@
 
 /// The connection kept, or a new one. Guards against one that doesn't come up: a watch's patience is not for that.
 async fn connect(
-    kept: &mut Option<Connection>, at: SocketAddr, patience: Duration,
+    kept: &mut Option<Connection>, at: SocketAddr, timeout_after: Duration,
 ) -> Result<Connection, DiscoveryError> {
     if let Some(kept) = kept.take().filter(Connection::is_clean) {
         return Ok(kept);
     }
-    let opened = timeout(patience, Connection::open(at)).await;
+    let opened = timeout(timeout_after, Connection::open(at)).await;
     opened.unwrap_or(Err(std::io::ErrorKind::TimedOut.into())).map_err(DiscoveryError::Connect)
 }
 
 async fn call(
     mut connection: Connection, kept: &mut Option<Connection>, at: SocketAddr, names: &Deployment,
-    held: Option<u64>, wait: Duration,
+    revision: Option<u64>, wait: Duration,
 ) -> Result<ListUpdate, DiscoveryError> {
-    let uri = match held {
+    let uri = match revision {
         Some(revision) => format!("/registry/instances?index={revision}&wait={}", wait.as_millis()),
         None => "/registry/instances".to_owned(),
     };
@@ -225,14 +228,15 @@
     connection.sender.ready().await?;
     let answer = connection.sender.send_request(request).await?;
     let status = answer.status();
-    let body = Limited::new(answer.into_body(), MAX_LIST).collect().await.map_err(DiscoveryError::Body)?;
+    let body =
+        Limited::new(answer.into_body(), MAX_LIST_BYTES).collect().await.map_err(DiscoveryError::Body)?;
     if status != StatusCode::OK {
         return Err(DiscoveryError::Status(status));
     }
     *kept = Some(connection);
     let news = read(&serde_json::from_slice(&body.to_bytes())?, names)?;
     // Guards against asking for the whole list without a pause when changes are all that comes.
-    if held.is_none() && !news.complete {
+    if revision.is_none() && !news.complete {
         return Err(DiscoveryError::Form("all of its lines"));
     }
     Ok(news)
--- a/src/bin/lugwharf-sidecar/discovery_tests.rs
+++ b/src/bin/lugwharf-sidecar/discovery_tests.rs
@@ -67,7 +67,7 @@
     let json = JSON.replace("\"pushed\"", &format!("\"{how}\""));
     let config = Arc::new(Config::read(&json, |_| None).expect("readable"));
     let (address, from) = watch::channel(agent.addr());
-    let (driver, told) = Handle::new();
+    let (driver, told) = DriverHandle::new();
     let subscribe = Arc::<Notify>::default();
     tokio::spawn(follow(config, from, Some(100), subscribe.clone(), driver));
     Follower { address, subscribe, told }
@@ -100,7 +100,7 @@
         assert_eq!(call.path().await, "/registry/instances");
         call.answer(revision);
         assert_eq!(follower.list().await, revision);
-        let watch = format!("/registry/instances?index={revision}&wait={}", WATCH_PUSHED.as_millis());
+        let watch = format!("/registry/instances?index={revision}&wait={}", PUSHED_WATCH_TIME.as_millis());
         assert_eq!(call.path().await, watch);
         call.reset();
         assert_eq!(follower.failed().await, ServerListEvent::Interrupted);
@@ -109,7 +109,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_silent_watch_is_noticed_in_time_to_ask_again_before_its_news_counts_as_told() {
-    for (how, wait) in [("pushed", WATCH_PUSHED), ("on_request", WATCH_ASKED)] {
+    for (how, wait) in [("pushed", PUSHED_WATCH_TIME), ("on_request", ON_REQUEST_WATCH_TIME)] {
         let agent = Agent::start().await;
         let mut follower = follow_from(&agent, how);
         follower.subscribe.notify_one();
@@ -179,7 +179,7 @@
     follower.subscribe.notify_one();
     let since = Instant::now();
     assert_eq!(follower.failed().await, ServerListEvent::Failed);
-    assert!(since.elapsed() <= PATIENCE_ASKED + Duration::from_millis(100), "{:?}", since.elapsed());
+    assert!(since.elapsed() <= ON_REQUEST_CALL_TIMEOUT + Duration::from_millis(100), "{:?}", since.elapsed());
 }
 
 #[tokio::test(start_paused = true)]
--- a/src/bin/lugwharf-sidecar/driver.rs
+++ b/src/bin/lugwharf-sidecar/driver.rs
@@ -2,9 +2,9 @@
 //! the one place that knows who is still owed an answer.
 
 use crate::config::Config;
-use crate::events::{Answer, DriverEvent, Handle, Inbound, ListUpdate};
-use crate::pool::{Pool, Target};
-use crate::upstream::{self, Outbound, Served, Times};
+use crate::events::{ClientRequest, DriverEvent, DriverHandle, FinalAnswer, ListUpdate};
+use crate::pool::{Endpoint, Pool};
+use crate::upstream::{self, AttemptDeadlines, ForwardedRequest, ServedBody};
 use lugwharf_sidecar::Balancer;
 use lugwharf_sidecar::api::*;
 use std::cmp::Reverse;
@@ -18,21 +18,21 @@
 /// Kept back of a client's time, since the answer has to be written and read within it: this part, but no less and
 /// no more than so long. The module gets what is left after twice this; if it is silent then, the request is
 /// answered after once this. The way through this process takes a fraction of a millisecond.
-const MARGIN: u32 = 40;
-const MARGIN_LEAST: Duration = Duration::from_millis(1);
-const MARGIN_MOST: Duration = Duration::from_millis(10);
+const MARGIN_DIVISOR: u32 = 40;
+const MIN_MARGIN: Duration = Duration::from_millis(1);
+const MAX_MARGIN: Duration = Duration::from_millis(10);
 
 fn answer_margin(budget: Duration) -> Duration {
-    (budget / MARGIN).clamp(MARGIN_LEAST, MARGIN_MOST)
+    (budget / MARGIN_DIVISOR).clamp(MIN_MARGIN, MAX_MARGIN)
 }
 
 /// The same note is logged again after so long.
-const LOG_AGAIN: Duration = Duration::from_secs(10);
+const LOG_REPEAT_INTERVAL: Duration = Duration::from_secs(10);
 
 struct PendingRequest {
-    outbound: Arc<Outbound>,
+    outbound: Arc<ForwardedRequest>,
     /// Gone once the client has its answer or has left.
-    answer: Option<oneshot::Sender<Answer>>,
+    answer: Option<oneshot::Sender<FinalAnswer>>,
     /// When each was sent, and how to stop it while it is out.
     attempts: Vec<(Instant, Option<AttemptTask>)>,
 }
@@ -41,13 +41,13 @@
 struct AttemptTask {
     task: AbortHandle,
     /// Tells it that nobody waits for it: what is not all written by now never is.
-    unwanted: Arc<Notify>,
+    abandoned: Arc<Notify>,
 }
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-enum Due {
+enum TimerKind {
     Module(TimerId),
-    Backstop(RequestId),
+    AnswerDeadline(RequestId),
 }
 
 pub struct Driver {
@@ -55,11 +55,11 @@
     /// The clock is Unix time at the start, and runs on evenly from there: list entries carry Unix times.
     started: (Instant, Duration),
     from: mpsc::UnboundedReceiver<DriverEvent>,
-    handle: Handle,
+    handle: DriverHandle,
     requests: HashMap<RequestId, PendingRequest>,
-    timers: BinaryHeap<Reverse<(Instant, Due)>>,
+    timers: BinaryHeap<Reverse<(Instant, TimerKind)>>,
     /// With the start that the list gives: another one is another process.
-    servers: HashMap<ServerId, (Option<Duration>, Arc<Target>)>,
+    servers: HashMap<ServerId, (Option<Duration>, Arc<Endpoint>)>,
     pool: Pool,
     subscribe: Arc<Notify>,
     config: Arc<Config>,
@@ -68,8 +68,8 @@
 }
 
 impl Driver {
-    pub fn new(config: Arc<Config>, pool: Pool, subscribe: Arc<Notify>) -> (Driver, Handle) {
-        let (handle, from) = Handle::new();
+    pub fn new(config: Arc<Config>, pool: Pool, subscribe: Arc<Notify>) -> (Driver, DriverHandle) {
+        let (handle, from) = DriverHandle::new();
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let driver = Driver {
             balancer: Balancer::new(config.settings.clone(), config.seed),
@@ -90,7 +90,7 @@
 
     /// The list as it was last had, then whatever happens.
     pub async fn run(mut self, known: Option<ListUpdate>) {
-        let lines = known.map_or(Vec::new(), |known| self.take_over(known).1);
+        let lines = known.map_or(Vec::new(), |known| self.apply_list(known).1);
         self.handle_event(Event::ServerList(ServerListEvent::Cached(lines)));
         loop {
             // Guards against a time that is over before what had happened by then is known: an answer that is already
@@ -100,7 +100,7 @@
                     self.on_event(event);
                 }
             }
-            self.fire();
+            self.fire_due_timers();
             let next = self.timers.peek().map(|Reverse((at, _))| *at);
             let due = async {
                 match next {
@@ -119,24 +119,24 @@
         }
     }
 
-    fn fire(&mut self) {
+    fn fire_due_timers(&mut self) {
         let now = Instant::now();
         while self.timers.peek().is_some_and(|Reverse((at, _))| *at <= now) {
             match self.timers.pop() {
-                Some(Reverse((_, Due::Module(timer)))) => self.handle_event(Event::Timer(timer)),
-                Some(Reverse((_, Due::Backstop(id)))) => self.backstop(id),
+                Some(Reverse((_, TimerKind::Module(timer)))) => self.handle_event(Event::Timer(timer)),
+                Some(Reverse((_, TimerKind::AnswerDeadline(id)))) => self.on_answer_deadline(id),
                 None => return,
             }
         }
     }
 
     /// Guards against a request that the module has lost sight of: its client is told that it failed.
-    fn backstop(&mut self, id: RequestId) {
-        if self.requests.get(&id).is_some_and(|owed| owed.answer.is_some()) {
+    fn on_answer_deadline(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|pending| pending.answer.is_some()) {
             eprintln!("a request was left without an answer");
-            self.answer(id, Answer::Failed);
+            self.answer(id, FinalAnswer::Failed);
             self.handle_event(Event::ClientDisconnected(id));
-            self.forget(id);
+            self.remove_if_finished(id);
         }
     }
 
@@ -144,23 +144,23 @@
         match event {
             DriverEvent::Request(id, inbound, answer) => self.accept(id, *inbound, answer),
             DriverEvent::ClientDisconnected(id) => {
-                if let Some(owed) = self.requests.get_mut(&id)
-                    && owed.answer.take().is_some()
+                if let Some(pending) = self.requests.get_mut(&id)
+                    && pending.answer.take().is_some()
                 {
                     // Also where the module may not cancel: what has not been sent needs no leave to stay.
-                    owed.attempts.iter().flat_map(|a| &a.1).for_each(|out| out.unwanted.notify_one());
+                    pending.attempts.iter().flat_map(|a| &a.1).for_each(|out| out.abandoned.notify_one());
                     self.handle_event(Event::ClientDisconnected(id));
-                    self.forget(id);
+                    self.remove_if_finished(id);
                 }
             }
             DriverEvent::Attempt(id, attempt, outcome, served) => {
-                self.attempt_ended(id, attempt, outcome, served)
+                self.on_attempt_ended(id, attempt, outcome, served)
             }
             DriverEvent::Probed(server, outcome, held) => {
                 self.handle_event(Event::ProbeCompleted { server, outcome, reported_load: held });
             }
             DriverEvent::List(news) => {
-                let (complete, lines) = self.take_over(news);
+                let (complete, lines) = self.apply_list(news);
                 if complete || !lines.is_empty() {
                     let news =
                         if complete { ServerListEvent::Full(lines) } else { ServerListEvent::Delta(lines) };
@@ -171,45 +171,46 @@
         }
     }
 
-    fn accept(&mut self, id: RequestId, inbound: Inbound, answer: oneshot::Sender<Answer>) {
+    fn accept(&mut self, id: RequestId, inbound: ClientRequest, answer: oneshot::Sender<FinalAnswer>) {
         let ends = inbound.since + inbound.budget;
         let (now, margin) = (Instant::now(), answer_margin(inbound.budget));
         let outbound = Arc::new(inbound.outbound);
         self.requests.insert(id, PendingRequest { outbound, answer: Some(answer), attempts: Vec::new() });
-        self.timers.push(Reverse((ends.checked_sub(margin).unwrap_or(now), Due::Backstop(id))));
+        self.timers.push(Reverse((ends.checked_sub(margin).unwrap_or(now), TimerKind::AnswerDeadline(id))));
         let client_timeout = ends.saturating_duration_since(now).saturating_sub(2 * margin);
-        let Inbound { class, cost, origin, .. } = inbound;
+        let ClientRequest { class, cost, origin, .. } = inbound;
         self.handle_event(Event::Request(Arrival { id, class, cost, client_timeout, origin }));
     }
 
-    fn attempt_ended(&mut self, id: RequestId, attempt: usize, outcome: Outcome, served: Served) {
-        let Some(owed) = self.requests.get_mut(&id) else { return };
-        let Some((sent, out)) = owed.attempts.get_mut(attempt) else { return };
+    fn on_attempt_ended(&mut self, id: RequestId, attempt: usize, outcome: Outcome, served: ServedBody) {
+        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some((sent, out)) = pending.attempts.get_mut(attempt) else { return };
         // Guards against the late outcome of an attempt that was cancelled: it has had its own.
         if out.take().is_none() {
             return;
         }
         let elapsed = sent.elapsed();
         if outcome == Outcome::Ok {
-            self.answer(id, Answer::Served(served.0, served.1));
+            self.answer(id, FinalAnswer::Served(served.0, served.1));
         }
-        let owed = self.requests.get(&id).is_some_and(|owed| owed.answer.is_some());
-        let progress = if owed { Progress::AwaitingAnswer } else { Progress::Finished };
+        let pending = self.requests.get(&id).is_some_and(|pending| pending.answer.is_some());
+        let progress = if pending { Progress::AwaitingAnswer } else { Progress::Finished };
         self.handle_event(Event::Outcome { id, attempt, outcome, elapsed, progress });
-        self.forget(id);
+        self.remove_if_finished(id);
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer) {
-        if let Some(to) = self.requests.get_mut(&id).and_then(|owed| owed.answer.take()) {
+    fn answer(&mut self, id: RequestId, answer: FinalAnswer) {
+        if let Some(to) = self.requests.get_mut(&id).and_then(|pending| pending.answer.take()) {
             // A client that has just left needs none.
             drop(to.send(answer));
         }
     }
 
     /// A request goes once it is answered and nothing is out for it.
-    fn forget(&mut self, id: RequestId) {
-        let over =
-            |owed: &PendingRequest| owed.answer.is_none() && owed.attempts.iter().all(|a| a.1.is_none());
+    fn remove_if_finished(&mut self, id: RequestId) {
+        let over = |pending: &PendingRequest| {
+            pending.answer.is_none() && pending.attempts.iter().all(|a| a.1.is_none())
+        };
         if self.requests.get(&id).is_some_and(over) {
             self.requests.remove(&id);
         }
@@ -222,40 +223,40 @@
             let now = self.started.1 + self.started.0.elapsed();
             let mut actions = std::mem::take(&mut self.actions);
             self.balancer.handle(now, event, &mut actions);
-            events.extend(actions.drain(..).filter_map(|action| self.act(action)));
+            events.extend(actions.drain(..).filter_map(|action| self.carry_out(action)));
             self.actions = actions;
         }
     }
 
     /// Carries out one action; some end in an event of their own at once.
-    fn act(&mut self, action: Action) -> Option<Event> {
+    fn carry_out(&mut self, action: Action) -> Option<Event> {
         match action {
             Action::Send { id, server, timeout, write_within } => {
                 return self.send(id, server, timeout, write_within);
             }
             Action::Reject { id, retry_after } => {
-                self.answer(id, Answer::Refused(retry_after));
-                self.forget(id);
+                self.answer(id, FinalAnswer::Rejected(retry_after));
+                self.remove_if_finished(id);
             }
             Action::Fail(id) => {
-                self.answer(id, Answer::Failed);
-                self.forget(id);
+                self.answer(id, FinalAnswer::Failed);
+                self.remove_if_finished(id);
             }
             Action::Cancel { id, attempt } => {
-                let owed = self.requests.get_mut(&id)?;
-                let (sent, out) = owed.attempts.get_mut(attempt)?;
+                let pending = self.requests.get_mut(&id)?;
+                let (sent, out) = pending.attempts.get_mut(attempt)?;
                 out.take()?.task.abort();
                 let elapsed = sent.elapsed();
                 let progress =
-                    if owed.answer.is_some() { Progress::AwaitingAnswer } else { Progress::Finished };
-                self.forget(id);
+                    if pending.answer.is_some() { Progress::AwaitingAnswer } else { Progress::Finished };
+                self.remove_if_finished(id);
                 return Some(Event::Outcome { id, attempt, outcome: Outcome::Cancelled, elapsed, progress });
             }
             Action::SetTimer { timer, after } => {
-                self.timers.push(Reverse((Instant::now() + after, Due::Module(timer))));
+                self.timers.push(Reverse((Instant::now() + after, TimerKind::Module(timer))));
             }
             Action::Probe(server) => {
-                let Some(target) = self.servers.get(&server).map(|s| s.1.clone()) else {
+                let Some(endpoint) = self.servers.get(&server).map(|s| s.1.clone()) else {
                     return Some(Event::ProbeCompleted {
                         server,
                         outcome: Outcome::NotSent,
@@ -267,8 +268,8 @@
                     // The module waits for it as long as it likes; this only ends what no one waits for.
                     let by = Instant::now() + config.deployment.connect_timeout;
                     let name = config.deployment.load_field_name.as_deref();
-                    let (outcome, held) = upstream::probe(pool, target, by, name).await;
-                    handle.tell(DriverEvent::Probed(server, outcome, held));
+                    let (outcome, held) = upstream::probe(pool, endpoint, by, name).await;
+                    handle.send(DriverEvent::Probed(server, outcome, held));
                 });
             }
             Action::Subscribe => self.subscribe.notify_one(),
@@ -279,7 +280,7 @@
 
     /// Guards against a log that an overload fills with one line.
     fn log(&mut self, note: LogEvent) {
-        let again = |(last, at): (LogEvent, Instant)| last == note && at.elapsed() < LOG_AGAIN;
+        let again = |(last, at): (LogEvent, Instant)| last == note && at.elapsed() < LOG_REPEAT_INTERVAL;
         if !self.logged.is_some_and(again) {
             eprintln!("{note}");
             self.logged = Some((note, Instant::now()));
@@ -289,42 +290,44 @@
     fn send(
         &mut self, id: RequestId, server: ServerId, timeout: Duration, write_within: Duration,
     ) -> Option<Event> {
-        let owed = self.requests.get_mut(&id)?;
-        let attempt = owed.attempts.len();
+        let pending = self.requests.get_mut(&id)?;
+        let attempt = pending.attempts.len();
         let now = Instant::now();
         // Guards against sends after the end, and to an upstream that the list has taken back.
-        let target = self.servers.get(&server).filter(|_| owed.answer.is_some()).map(|s| s.1.clone());
-        let Some(target) = target else {
-            owed.attempts.push((now, None));
-            let progress = if owed.answer.is_some() { Progress::AwaitingAnswer } else { Progress::Finished };
+        let endpoint = self.servers.get(&server).filter(|_| pending.answer.is_some()).map(|s| s.1.clone());
+        let Some(endpoint) = endpoint else {
+            pending.attempts.push((now, None));
+            let progress =
+                if pending.answer.is_some() { Progress::AwaitingAnswer } else { Progress::Finished };
             let (outcome, elapsed) = (Outcome::NotSent, Duration::ZERO);
             return Some(Event::Outcome { id, attempt, outcome, elapsed, progress });
         };
         let handle = self.handle.clone();
-        let answered = move |outcome, served| handle.tell(DriverEvent::Attempt(id, attempt, outcome, served));
-        let (unwanted, outbound) = (Arc::<Notify>::default(), owed.outbound.clone());
-        let times = Times { by: now + timeout, out_by: now + write_within };
-        let task = upstream::attempt(self.pool.clone(), target, outbound, times, unwanted.clone(), answered);
+        let answered = move |outcome, served| handle.send(DriverEvent::Attempt(id, attempt, outcome, served));
+        let (abandoned, outbound) = (Arc::<Notify>::default(), pending.outbound.clone());
+        let times = AttemptDeadlines { answer_by: now + timeout, write_by: now + write_within };
+        let task =
+            upstream::attempt(self.pool.clone(), endpoint, outbound, times, abandoned.clone(), answered);
         let task = tokio::spawn(task).abort_handle();
-        owed.attempts.push((now, Some(AttemptTask { task, unwanted })));
+        pending.attempts.push((now, Some(AttemptTask { task, abandoned })));
         None
     }
 
     /// Brings the addresses up to date; the lines go on to the module.
-    fn take_over(&mut self, news: ListUpdate) -> (bool, Vec<ServerEntry>) {
+    fn apply_list(&mut self, news: ListUpdate) -> (bool, Vec<ServerEntry>) {
         let mut named = HashSet::new();
         for (line, addr) in &news.members {
             let ready = line.availability == Availability::Ready;
             named.insert(line.server);
             let known = self.servers.get(&line.server);
-            if known
-                .is_some_and(|(started, target)| ready && *started == line.started && target.addr == *addr)
-            {
+            if known.is_some_and(|(started, endpoint)| {
+                ready && *started == line.started && endpoint.addr == *addr
+            }) {
                 continue;
             }
             self.close(line.server);
             if ready {
-                self.servers.insert(line.server, (line.started, self.pool.target(*addr)));
+                self.servers.insert(line.server, (line.started, self.pool.endpoint(*addr)));
             }
         }
         if news.complete {
@@ -337,8 +340,8 @@
 
     /// Nothing new goes there, also of what waits for a connection.
     fn close(&mut self, server: ServerId) {
-        if let Some((_, target)) = self.servers.remove(&server) {
-            target.close();
+        if let Some((_, endpoint)) = self.servers.remove(&server) {
+            endpoint.close();
         }
     }
 }
--- a/src/bin/lugwharf-sidecar/events.rs
+++ b/src/bin/lugwharf-sidecar/events.rs
@@ -1,6 +1,6 @@
 //! What the parts of the sidecar tell the driver, and the handle by which they do.
 
-use crate::upstream::{Outbound, Served};
+use crate::upstream::{ForwardedRequest, ServedBody};
 use bytes::Bytes;
 use hyper::header::HeaderValue;
 use lugwharf_sidecar::api::{Origin, Outcome, RequestId, ServerEntry, ServerId, ServerListEvent};
@@ -13,15 +13,15 @@
 
 /// The final answer to a client.
 #[derive(Debug)]
-pub enum Answer {
+pub enum FinalAnswer {
     Served(Bytes, Option<HeaderValue>),
-    Refused(Option<Duration>),
+    Rejected(Option<Duration>),
     Failed,
 }
 
 /// A client's request, read to its end.
-pub struct Inbound {
-    pub outbound: Outbound,
+pub struct ClientRequest {
+    pub outbound: ForwardedRequest,
     pub class: usize,
     pub cost: Option<Duration>,
     pub origin: Origin,
@@ -39,9 +39,9 @@
 
 /// What the driver is told.
 pub enum DriverEvent {
-    Request(RequestId, Box<Inbound>, oneshot::Sender<Answer>),
+    Request(RequestId, Box<ClientRequest>, oneshot::Sender<FinalAnswer>),
     ClientDisconnected(RequestId),
-    Attempt(RequestId, usize, Outcome, Served),
+    Attempt(RequestId, usize, Outcome, ServedBody),
     Probed(ServerId, Outcome, Option<f64>),
     List(ListUpdate),
     /// How the watch ended: it broke, or a call failed.
@@ -50,29 +50,29 @@
 
 /// How the other parts tell the driver what happens.
 #[derive(Clone)]
-pub struct Handle {
+pub struct DriverHandle {
     to: mpsc::UnboundedSender<DriverEvent>,
     next_id: Arc<AtomicU32>,
     ready: Arc<AtomicBool>,
 }
 
 /// Tells that the client has left if it goes before its answer.
-struct Waiting<'a>(&'a Handle, RequestId);
+struct DisconnectGuard<'a>(&'a DriverHandle, RequestId);
 
-impl Drop for Waiting<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        self.0.tell(DriverEvent::ClientDisconnected(self.1));
+        self.0.send(DriverEvent::ClientDisconnected(self.1));
     }
 }
 
-impl Handle {
-    pub fn new() -> (Handle, mpsc::UnboundedReceiver<DriverEvent>) {
+impl DriverHandle {
+    pub fn new() -> (DriverHandle, mpsc::UnboundedReceiver<DriverEvent>) {
         let (to, from) = mpsc::unbounded_channel();
         let (next_id, ready) = Default::default();
-        (Handle { to, next_id, ready }, from)
+        (DriverHandle { to, next_id, ready }, from)
     }
 
-    pub fn tell(&self, event: DriverEvent) {
+    pub fn send(&self, event: DriverEvent) {
         // Without a driver the process is about to end.
         drop(self.to.send(event));
     }
@@ -88,12 +88,12 @@
     }
 
     /// Hands a request over and waits for its final answer.
-    pub async fn ask(&self, inbound: Inbound) -> Answer {
+    pub async fn execute(&self, inbound: ClientRequest) -> FinalAnswer {
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
         let (to, answer) = oneshot::channel();
-        self.tell(DriverEvent::Request(id, Box::new(inbound), to));
-        let waiting = Waiting(self, id);
-        let answer = answer.await.unwrap_or(Answer::Failed);
+        self.send(DriverEvent::Request(id, Box::new(inbound), to));
+        let waiting = DisconnectGuard(self, id);
+        let answer = answer.await.unwrap_or(FinalAnswer::Failed);
         std::mem::forget(waiting);
         answer
     }
--- a/src/bin/lugwharf-sidecar/main.rs
+++ b/src/bin/lugwharf-sidecar/main.rs
@@ -27,9 +27,9 @@
 use tokio::time::{Instant, sleep};
 
 /// Descriptors for all that is no connection of the application or to upstreams: the listener, discovery, logs.
-const RESERVED: usize = 16;
+const RESERVED_DESCRIPTORS: usize = 16;
 /// How often the address is tried again that a predecessor still holds.
-const LISTEN_AGAIN: Duration = Duration::from_millis(20);
+const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 #[derive(Debug, thiserror::Error)]
 enum StartError {
@@ -42,12 +42,12 @@
 }
 
 /// Guards against a predecessor that still holds the address while it ends.
-async fn listen(addr: SocketAddr, patience: Duration) -> io::Result<TcpListener> {
+async fn listen(addr: SocketAddr, timeout: Duration) -> io::Result<TcpListener> {
     let since = Instant::now();
     loop {
         match TcpListener::bind(addr).await {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && since.elapsed() < patience => {
-                sleep(LISTEN_AGAIN).await;
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse && since.elapsed() < timeout => {
+                sleep(BIND_RETRY_INTERVAL).await;
             }
             result => return result,
         }
@@ -77,8 +77,8 @@
     eprintln!("{}: listening on {}", config.name, listener.local_addr()?);
     // Clients may hold a third of all for requests, and each of these is at one upstream at a time. All that is left is
     // for connections that have asked nothing yet.
-    let share = config.sockets / 3;
-    let clients = config.sockets.saturating_sub(RESERVED + share);
+    let share = config.max_descriptors / 3;
+    let clients = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + share);
     let settings = (config.settings.keep_alive, config.deployment.connect_timeout);
     let priced = config.settings.handshake_price > 0.0;
     let pool = Pool::new(share.max(1), settings.0, settings.1, priced);
--- a/src/bin/lugwharf-sidecar/pool.rs
+++ b/src/bin/lugwharf-sidecar/pool.rs
@@ -14,18 +14,18 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 /// A kept connection is not used in this last part of the time after which the upstream closes it.
-const IDLE_MARGIN: u32 = 10;
+const KEEP_ALIVE_MARGIN_DIVISOR: u32 = 10;
 /// How long a connection rests after an answer before the last byte of the next request goes out on it. Some upstreams
 /// send an answer twice, the second some milliseconds late: seen up to 6 ms behind the first. On a connection with a
 /// whole request out it would be taken for that request's answer.
 /// Tests let it rest for so long that the second answer comes first on any machine.
-const REST: Duration = Duration::from_millis(if cfg!(test) { 1_000 } else { 10 });
+const REST_TIME: Duration = Duration::from_millis(if cfg!(test) { 1_000 } else { 10 });
 /// With less than this left after a connection's rest, a request can't wait for it.
-const TO_REST: Duration = Duration::from_millis(50);
+const MIN_TIME_AFTER_REST: Duration = Duration::from_millis(50);
 /// Idle connections kept to one upstream.
-const IDLE_EACH: usize = 8;
+const MAX_IDLE_PER_ENDPOINT: usize = 8;
 /// How often connections that are of no more use are looked for.
-const SWEEP: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 /// Counts a connection, made or being made, against the limit.
 struct Slot(Arc<AtomicUsize>);
 
@@ -39,7 +39,7 @@
 pub struct Pooled {
     pub connection: TcpConnection<Full<Bytes>>,
     /// How long it took to come up.
-    took: Duration,
+    connect_time: Duration,
     rested_at: Instant,
     _slot: Slot,
 }
@@ -60,13 +60,13 @@
 
 /// Where an attempt goes: one start of an upstream at its address. It owns the connections that are kept to it,
 /// so nothing at that address later on inherits them.
-pub struct Target {
+pub struct Endpoint {
     pub addr: SocketAddr,
     open: AtomicBool,
     idle: Mutex<Vec<Idle>>,
 }
 
-impl Target {
+impl Endpoint {
     fn idle(&self) -> MutexGuard<'_, Vec<Idle>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -85,105 +85,114 @@
 /// The connections to all upstreams.
 #[derive(Clone)]
 pub struct Pool {
-    targets: Arc<Mutex<Vec<Weak<Target>>>>,
+    endpoints: Arc<Mutex<Vec<Weak<Endpoint>>>>,
     open: Arc<AtomicUsize>,
-    most: usize,
-    keep: Duration,
+    max_connections: usize,
+    max_idle: Duration,
     connect_timeout: Duration,
     /// Has a new connection a price?
-    priced: bool,
+    has_handshake_price: bool,
 }
 
 impl Pool {
-    pub fn new(most: usize, keep_alive: Duration, connect_timeout: Duration, priced: bool) -> Self {
-        let (targets, open) = Default::default();
-        Pool { targets, open, most, keep: keep_alive - keep_alive / IDLE_MARGIN, connect_timeout, priced }
+    pub fn new(
+        max_connections: usize, keep_alive: Duration, connect_timeout: Duration, has_handshake_price: bool,
+    ) -> Self {
+        let (endpoints, open) = Default::default();
+        Pool {
+            endpoints,
+            open,
+            max_connections,
+            max_idle: keep_alive - keep_alive / KEEP_ALIVE_MARGIN_DIVISOR,
+            connect_timeout,
+            has_handshake_price,
+        }
     }
 
-    fn targets(&self) -> MutexGuard<'_, Vec<Weak<Target>>> {
-        self.targets.lock().unwrap_or_else(PoisonError::into_inner)
+    fn endpoints(&self) -> MutexGuard<'_, Vec<Weak<Endpoint>>> {
+        self.endpoints.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn target(&self, addr: SocketAddr) -> Arc<Target> {
-        let target = Arc::new(Target { addr, open: AtomicBool::new(true), idle: Mutex::default() });
-        let mut targets = self.targets();
-        targets.retain(|target| target.strong_count() > 0);
-        targets.push(Arc::downgrade(&target));
-        target
+    pub fn endpoint(&self, addr: SocketAddr) -> Arc<Endpoint> {
+        let endpoint = Arc::new(Endpoint { addr, open: AtomicBool::new(true), idle: Mutex::default() });
+        let mut endpoints = self.endpoints();
+        endpoints.retain(|endpoint| endpoint.strong_count() > 0);
+        endpoints.push(Arc::downgrade(&endpoint));
+        endpoint
     }
 
-    fn is_good(&self, idle: &Idle) -> bool {
-        idle.since.elapsed() < self.keep && idle.pooled.connection.is_clean()
+    fn is_usable(&self, idle: &Idle) -> bool {
+        idle.since.elapsed() < self.max_idle && idle.pooled.connection.is_clean()
     }
 
     /// Closes what has been idle for too long, for good.
     pub async fn sweep(self) {
         loop {
-            sleep(SWEEP).await;
-            let targets: Vec<_> = self.targets().iter().filter_map(Weak::upgrade).collect();
-            targets.iter().for_each(|target| target.idle().retain(|idle| self.is_good(idle)));
+            sleep(SWEEP_INTERVAL).await;
+            let endpoints: Vec<_> = self.endpoints().iter().filter_map(Weak::upgrade).collect();
+            endpoints.iter().for_each(|endpoint| endpoint.idle().retain(|idle| self.is_usable(idle)));
         }
     }
 
     /// The connection used last that has rested and is still good, else the one that will have rested first, if that is
     /// worth the wait. Guards against one that its upstream has closed, or is about to: a request on it would end as a
     /// reset, and might have run.
-    fn kept(&self, target: &Target, by: Instant) -> Option<Pooled> {
-        let (mut idle, now) = (target.idle(), Instant::now());
+    fn take_idle(&self, endpoint: &Endpoint, deadline: Instant) -> Option<Pooled> {
+        let (mut idle, now) = (endpoint.idle(), Instant::now());
         loop {
             let rested = idle.iter().rposition(|idle| idle.pooled.rested_at <= now);
-            let first = || idle.first().filter(|idle| self.is_worth_waiting_for(&idle.pooled, now, by));
+            let first = || idle.first().filter(|idle| self.is_worth_waiting_for(&idle.pooled, now, deadline));
             let at = rested.or_else(|| first().map(|_| 0))?;
             let kept = idle.remove(at);
-            if self.is_good(&kept) {
+            if self.is_usable(&kept) {
                 return Some(kept.pooled);
             }
         }
     }
 
     /// Rather than open another: that may have a price, and takes its time as well, by what this one took.
-    fn is_worth_waiting_for(&self, pooled: &Pooled, now: Instant, by: Instant) -> bool {
-        let cheaper = self.priced || pooled.rested_at <= now + pooled.took;
-        cheaper && pooled.rested_at + TO_REST <= by
+    fn is_worth_waiting_for(&self, pooled: &Pooled, now: Instant, deadline: Instant) -> bool {
+        let cheaper = self.has_handshake_price || pooled.rested_at <= now + pooled.connect_time;
+        cheaper && pooled.rested_at + MIN_TIME_AFTER_REST <= deadline
     }
 
-    pub fn keep(&self, target: &Target, mut pooled: Pooled) {
-        let (mut idle, since) = (target.idle(), Instant::now());
-        if target.is_open() && idle.len() < IDLE_EACH {
-            pooled.rested_at = since + REST;
+    pub fn put_back(&self, endpoint: &Endpoint, mut pooled: Pooled) {
+        let (mut idle, since) = (endpoint.idle(), Instant::now());
+        if endpoint.is_open() && idle.len() < MAX_IDLE_PER_ENDPOINT {
+            pooled.rested_at = since + REST_TIME;
             idle.push(Idle { pooled, since });
         }
     }
 
     /// Room for one more connection; the one idle for longest gives way.
-    fn slot(&self) -> Option<Slot> {
-        if self.open.load(Ordering::Relaxed) >= self.most {
-            let targets: Vec<_> = self.targets().iter().filter_map(Weak::upgrade).collect();
-            let oldest = |target: &Arc<Target>| target.idle().first().map(|idle| idle.since);
-            let (_, target) = targets.iter().filter_map(|t| Some((oldest(t)?, t))).min_by_key(|t| t.0)?;
-            drop(target.idle().remove(0));
+    fn reserve_slot(&self) -> Option<Slot> {
+        if self.open.load(Ordering::Relaxed) >= self.max_connections {
+            let endpoints: Vec<_> = self.endpoints().iter().filter_map(Weak::upgrade).collect();
+            let oldest = |endpoint: &Arc<Endpoint>| endpoint.idle().first().map(|idle| idle.since);
+            let (_, endpoint) = endpoints.iter().filter_map(|t| Some((oldest(t)?, t))).min_by_key(|t| t.0)?;
+            drop(endpoint.idle().remove(0));
         }
         self.open.fetch_add(1, Ordering::Relaxed);
         Some(Slot(self.open.clone()))
     }
 
     /// Without one, how an attempt ends: none came up in time, or its upstream has been taken back meanwhile.
-    pub async fn connection(&self, target: &Target, by: Instant) -> Result<Pooled, Outcome> {
-        if let Some(kept) = self.kept(target, by).filter(|_| target.is_open()) {
+    pub async fn connection(&self, endpoint: &Endpoint, deadline: Instant) -> Result<Pooled, Outcome> {
+        if let Some(kept) = self.take_idle(endpoint, deadline).filter(|_| endpoint.is_open()) {
             return Ok(kept);
         }
         let since = Instant::now();
-        let by = by.min(since + self.connect_timeout);
+        let deadline = deadline.min(since + self.connect_timeout);
         let open = async {
-            let slot = self.slot()?;
-            let mut connection = timeout_at(by, TcpConnection::open(target.addr)).await.ok()?.ok()?;
+            let slot = self.reserve_slot()?;
+            let mut connection = timeout_at(deadline, TcpConnection::open(endpoint.addr)).await.ok()?.ok()?;
             connection.sender.ready().await.ok()?;
             let rested_at = Instant::now();
-            Some(Pooled { connection, took: rested_at - since, rested_at, _slot: slot })
+            Some(Pooled { connection, connect_time: rested_at - since, rested_at, _slot: slot })
         };
         let pooled = open.await.ok_or(Outcome::ConnectFailed)?;
         // Guards against sending to an upstream that has begun to drain while the connection came up.
-        if target.is_open() { Ok(pooled) } else { Err(Outcome::NotSent) }
+        if endpoint.is_open() { Ok(pooled) } else { Err(Outcome::NotSent) }
     }
 }
 
--- a/src/bin/lugwharf-sidecar/pool_tests.rs
+++ b/src/bin/lugwharf-sidecar/pool_tests.rs
@@ -16,9 +16,10 @@
 async fn nothing_is_sent_to_an_upstream_that_drains_while_its_connection_comes_up() {
     let (listener, addr) = listener().await;
     let pool = Pool::new(4, LONG, LONG, true);
-    let target = pool.target(addr);
-    target.close();
-    let (result, accepted) = tokio::join!(pool.connection(&target, Instant::now() + LONG), listener.accept());
+    let endpoint = pool.endpoint(addr);
+    endpoint.close();
+    let (result, accepted) =
+        tokio::join!(pool.connection(&endpoint, Instant::now() + LONG), listener.accept());
     assert_eq!(result.err(), Some(Outcome::NotSent));
     let stream = accepted.expect("a connection").0;
     let mut bytes = [0; 64];
@@ -40,30 +41,30 @@
     let addr = listener.local_addr().expect("an address");
     // Nobody accepts: once the backlog is full, no further connection comes up.
     let mut waiting = Vec::new();
-    let by = Duration::from_millis(200);
-    while let Ok(Ok(stream)) = tokio::time::timeout(by, TcpStream::connect(addr)).await {
+    let deadline = Duration::from_millis(200);
+    while let Ok(Ok(stream)) = tokio::time::timeout(deadline, TcpStream::connect(addr)).await {
         waiting.push(stream);
     }
     let pool = Pool::new(4, LONG, Duration::from_millis(50), true);
-    let result = pool.connection(&pool.target(addr), Instant::now() + LONG).await;
+    let result = pool.connection(&pool.endpoint(addr), Instant::now() + LONG).await;
     assert_eq!(result.err(), Some(Outcome::ConnectFailed));
 }
 
 #[tokio::test]
 async fn connections_stay_within_the_limit_and_the_one_idle_longest_gives_way() {
     let pool = Pool::new(2, LONG, LONG, true);
-    let (mut listeners, mut targets) = (Vec::new(), Vec::new());
+    let (mut listeners, mut endpoints) = (Vec::new(), Vec::new());
     for _ in 0..3 {
         let (listener, addr) = listener().await;
         listeners.push(listener);
-        targets.push(pool.target(addr));
+        endpoints.push(pool.endpoint(addr));
     }
-    let by = Instant::now() + LONG;
-    let first = pool.connection(&targets[0], by).await.expect("room");
-    let _second = pool.connection(&targets[1], by).await.expect("room");
-    assert!(pool.connection(&targets[2], by).await.is_err(), "both are in use");
-    pool.keep(&targets[0], first);
-    assert!(pool.connection(&targets[2], by).await.is_ok(), "the idle one gave way");
+    let deadline = Instant::now() + LONG;
+    let first = pool.connection(&endpoints[0], deadline).await.expect("room");
+    let _second = pool.connection(&endpoints[1], deadline).await.expect("room");
+    assert!(pool.connection(&endpoints[2], deadline).await.is_err(), "both are in use");
+    pool.put_back(&endpoints[0], first);
+    assert!(pool.connection(&endpoints[2], deadline).await.is_ok(), "the idle one gave way");
     assert_eq!(pool.open.load(Ordering::Relaxed), 1);
 }
 
@@ -71,12 +72,12 @@
 async fn a_target_that_was_taken_back_keeps_nothing() {
     let (_listener, addr) = listener().await;
     let pool = Pool::new(2, LONG, LONG, true);
-    let (old, by) = (pool.target(addr), Instant::now() + LONG);
-    let (kept, used) = (pool.connection(&old, by).await, pool.connection(&old, by).await);
-    pool.keep(&old, kept.expect("room"));
+    let (old, deadline) = (pool.endpoint(addr), Instant::now() + LONG);
+    let (kept, used) = (pool.connection(&old, deadline).await, pool.connection(&old, deadline).await);
+    pool.put_back(&old, kept.expect("room"));
     old.close();
     assert_eq!(pool.open.load(Ordering::Relaxed), 1, "the kept one is closed");
-    pool.keep(&old, used.expect("room"));
+    pool.put_back(&old, used.expect("room"));
     assert_eq!(pool.open.load(Ordering::Relaxed), 0, "and the one that was in use is not kept");
 }
 
@@ -84,8 +85,8 @@
 async fn a_connection_with_something_more_to_read_is_not_clean() {
     let (listener, addr) = listener().await;
     let pool = Pool::new(2, LONG, LONG, true);
-    let target = pool.target(addr);
-    let pooled = pool.connection(&target, Instant::now() + LONG).await.expect("room");
+    let endpoint = pool.endpoint(addr);
+    let pooled = pool.connection(&endpoint, Instant::now() + LONG).await.expect("room");
     let peer = listener.accept().await.expect("a connection").0;
     assert!(pooled.connection.is_clean());
     peer.writable().await.expect("room to write");
@@ -103,30 +104,30 @@
     let (_listener, addr) = listener().await;
     let instant = Duration::ZERO;
     // Whether a connection has a price, what one takes to come up, the time left, and whether it is waited for.
-    for (priced, took, left, waits) in [
+    for (has_handshake_price, took, left, waits) in [
         (true, instant, LONG, true),
-        (true, instant, REST + TO_REST / 2, false),
+        (true, instant, REST_TIME + MIN_TIME_AFTER_REST / 2, false),
         (false, instant, LONG, false),
-        (false, REST * 2, LONG, true),
-        (false, REST * 2, REST + TO_REST / 2, false),
+        (false, REST_TIME * 2, LONG, true),
+        (false, REST_TIME * 2, REST_TIME + MIN_TIME_AFTER_REST / 2, false),
     ] {
-        let pool = Pool::new(4, LONG, LONG, priced);
-        let (target, begun) = (pool.target(addr), Instant::now());
-        let mut first = pool.connection(&target, begun + LONG).await.expect("room");
-        first.took = took;
+        let pool = Pool::new(4, LONG, LONG, has_handshake_price);
+        let (endpoint, begun) = (pool.endpoint(addr), Instant::now());
+        let mut first = pool.connection(&endpoint, begun + LONG).await.expect("room");
+        first.connect_time = took;
         let kept = local(&first);
-        pool.keep(&target, first);
-        let next = pool.connection(&target, begun + left).await.expect("room");
-        assert_eq!(local(&next) == kept, waits, "{priced} {took:?} {left:?}");
+        pool.put_back(&endpoint, first);
+        let next = pool.connection(&endpoint, begun + left).await.expect("room");
+        assert_eq!(local(&next) == kept, waits, "{has_handshake_price} {took:?} {left:?}");
         assert_eq!(Instant::now(), begun, "its request begins at once, and only ends later");
         assert_eq!(next.rested_at > begun, waits);
         // It is nobody else's, and one that has rested comes first.
-        let other = pool.connection(&target, begun + LONG).await.expect("room");
+        let other = pool.connection(&endpoint, begun + LONG).await.expect("room");
         assert!(local(&other) != local(&next));
-        pool.keep(&target, other);
-        tokio::time::advance(REST).await;
-        pool.keep(&target, next);
-        let rested = pool.connection(&target, Instant::now() + LONG).await.expect("room");
-        assert!(rested.rested_at <= Instant::now(), "{priced} {took:?} {left:?}");
+        pool.put_back(&endpoint, other);
+        tokio::time::advance(REST_TIME).await;
+        pool.put_back(&endpoint, next);
+        let rested = pool.connection(&endpoint, Instant::now() + LONG).await.expect("room");
+        assert!(rested.rested_at <= Instant::now(), "{has_handshake_price} {took:?} {left:?}");
     }
 }
--- a/src/bin/lugwharf-sidecar/request.rs
+++ b/src/bin/lugwharf-sidecar/request.rs
@@ -15,9 +15,9 @@
 const AGAIN: HeaderName = HeaderName::from_static("x-again");
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Two readers may take a header that comes twice for different things.
-const ONCE: [HeaderName; 8] = [ID, CLASS, BUDGET, COST, AGAIN, KEY, CONTENT_LENGTH, HOST];
+const SINGLE_VALUED: [HeaderName; 8] = [ID, CLASS, BUDGET, COST, AGAIN, KEY, CONTENT_LENGTH, HOST];
 /// What speaks of the application's connection, or is written anew, and doesn't go on to upstreams.
-const KEPT_BACK: [&str; 10] = [
+const HOP_BY_HOP: [&str; 10] = [
     "connection",
     "content-length",
     "expect",
@@ -35,7 +35,7 @@
 
 /// What a request asks for.
 #[derive(Debug)]
-pub struct Terms {
+pub struct RequestTerms {
     pub id: HeaderValue,
     pub class: usize,
     pub cost: Option<Duration>,
@@ -45,7 +45,7 @@
 }
 
 /// Reads a request's head.
-pub fn terms(head: &Parts, config: &Config) -> Result<Terms, Rejection> {
+pub fn terms(head: &Parts, config: &Config) -> Result<RequestTerms, Rejection> {
     let bad = |why| Err((StatusCode::BAD_REQUEST, why));
     let headers = &head.headers;
     // Guards against a request hidden in the body of another: where both a coding and a length are given, readers
@@ -53,7 +53,7 @@
     if headers.contains_key(TRANSFER_ENCODING) {
         return bad("a transfer coding");
     }
-    if ONCE.iter().any(|name| headers.get_all(name).iter().nth(1).is_some()) {
+    if SINGLE_VALUED.iter().any(|name| headers.get_all(name).iter().nth(1).is_some()) {
         return bad("a header that comes twice");
     }
     let text = |name: HeaderName| headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim);
@@ -82,17 +82,17 @@
     let budget = number(BUDGET).and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     let Some(budget) = budget else { return bad("no readable budget") };
     // Guards against a time without end, which no clock can hold: no client waits past its class's deadline.
-    let budget = budget.min(config::patience(of_class));
+    let budget = budget.min(config::client_timeout(of_class));
     let cost = number(COST).and_then(|us| Duration::try_from_secs_f64(us / 1e6).ok());
     // Guards against a guess that spoils what its class is taken to cost: more work than this is never served.
     let cost = cost.map(|cost| cost.min(budget));
     let origin = if text(AGAIN) == Some("1") { Origin::ClientRetry } else { Origin::Fresh };
-    Ok(Terms { id: id.clone(), class, cost, origin, budget })
+    Ok(RequestTerms { id: id.clone(), class, cost, origin, budget })
 }
 
 /// The headers that go on to an upstream.
-pub fn passed_on(mut headers: HeaderMap) -> HeaderMap {
-    KEPT_BACK.iter().for_each(|name| drop(headers.remove(*name)));
+pub fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
+    HOP_BY_HOP.iter().for_each(|name| drop(headers.remove(*name)));
     headers.entry(HOST).or_insert(HeaderValue::from_static("origin.svc"));
     headers
 }
--- a/src/bin/lugwharf-sidecar/server_tests.rs
+++ b/src/bin/lugwharf-sidecar/server_tests.rs
@@ -1,11 +1,11 @@
 //! Tests of the application's side.
 
-use super::eviction::SWEEP;
-use super::shutdown::LAST_CALL;
+use super::eviction::SWEEP_INTERVAL;
+use super::shutdown::MAX_ACCEPT_TIME;
 use super::*;
 use crate::config::tests::JSON;
 use crate::events::DriverEvent;
-use crate::upstream::Outbound;
+use crate::upstream::ForwardedRequest;
 use lugwharf_sidecar::api::RequestId;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream as Blocking};
@@ -23,7 +23,7 @@
 async fn side(deadline: u32, send_buffer: Option<usize>) -> Side {
     let text = JSON.replace("\"aim\":290.0", &format!("\"aim\":290.0,\"deadline\":{deadline}"));
     let config = Arc::new(Config::read(&text, |_| None).expect("readable"));
-    let (handle, events) = Handle::new();
+    let (handle, events) = DriverHandle::new();
     let server = Server::new(config, handle, 8, 8);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
@@ -35,14 +35,14 @@
 }
 
 impl Side {
-    async fn request(&mut self) -> (RequestId, Box<Inbound>, oneshot::Sender<Answer>) {
+    async fn request(&mut self) -> (RequestId, Box<ClientRequest>, oneshot::Sender<FinalAnswer>) {
         match timeout(Duration::from_secs(30), self.events.recv()).await {
             Ok(Some(DriverEvent::Request(id, inbound, answer))) => (id, inbound, answer),
             _ => panic!("no request"),
         }
     }
 
-    async fn wait_for(&self, phase: Phase) {
+    async fn wait_for(&self, phase: ClientPhase) {
         while !lock(&self.server.clients).values().any(|client| client.phase().0 == phase) {
             yield_now().await;
         }
@@ -56,8 +56,8 @@
     )
 }
 
-fn served(length: usize) -> Answer {
-    Answer::Served(Bytes::from(vec![b'x'; length]), None)
+fn served(length: usize) -> FinalAnswer {
+    FinalAnswer::Served(Bytes::from(vec![b'x'; length]), None)
 }
 
 /// All that comes until the connection is closed; a reset ends it as well.
@@ -104,7 +104,7 @@
     client.write_all((text("one", "body", 4) + &text("two", "more", 4)).as_bytes()).expect("written");
     for body in ["body", "more"] {
         let (_, inbound, answer) = side.request().await;
-        let Outbound { body: seen, .. } = inbound.outbound;
+        let ForwardedRequest { body: seen, .. } = inbound.outbound;
         assert_eq!(seen, body);
         assert!(answer.send(served(3)).is_ok());
     }
@@ -124,14 +124,14 @@
     client.write_all(text("slow", "", 0).as_bytes()).expect("written");
     let (_, _, answer) = side.request().await;
     assert!(answer.send(served(MAX_BODY)).is_ok());
-    side.wait_for(Phase::Answering).await;
+    side.wait_for(ClientPhase::WritingAnswer).await;
     let ending = tokio::spawn({
         let server = side.server.clone();
         async move { server.shut_down().await }
     });
     for _ in 0..50 {
         side.server.close_where(|_, _| true);
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
     }
     assert!(!ending.is_finished(), "an answer is not written yet");
     assert!(!side.server.evict(|_| true), "nor does it give way");
@@ -144,7 +144,7 @@
 async fn who_gives_way_and_asks_at_that_moment_is_served_and_counted() {
     let mut side = side(60_000, None).await;
     let mut client = Blocking::connect(side.addr).expect("accepted");
-    side.wait_for(Phase::Fresh).await;
+    side.wait_for(ClientPhase::New).await;
     // Its task has no turn between these two.
     assert!(side.server.evict(|_| true));
     client.write_all(text("crossing", "", 0).as_bytes()).expect("written");
@@ -174,7 +174,7 @@
     };
     let (ended, ()) = tokio::join!(ended, late);
     assert!(ended >= Duration::from_millis(8_900), "{ended:?}");
-    assert!(ended < Duration::from_secs(9) + LAST_CALL, "{ended:?}");
+    assert!(ended < Duration::from_secs(9) + MAX_ACCEPT_TIME, "{ended:?}");
     assert!(rest(client).await.contains("200 OK"));
 }
 
@@ -195,7 +195,7 @@
         let (_, _, answer) = side.request().await;
         let (_, _, _never) = side.request().await;
         assert!(answer.send(served(MAX_BODY)).is_ok());
-        side.wait_for(Phase::Answering).await;
+        side.wait_for(ClientPhase::WritingAnswer).await;
         let since = Instant::now();
         side.server.shut_down().await;
         let took = since.elapsed();
@@ -211,7 +211,7 @@
     // The server has no turn before the last call.
     let mut client = Blocking::connect(side.addr).expect("accepted");
     client.write_all(text("late", "", 0).as_bytes()).expect("written");
-    side.server.last_call.notify_one();
+    side.server.stop_accepting.notify_one();
     let (_, _, answer) = side.request().await;
     assert!(answer.send(served(3)).is_ok());
     tokio::join!(side.server.shut_down(), async {
@@ -227,7 +227,7 @@
     for (pause, sent) in [(0, whole.len()), (1_900, whole.len()), (0, 30), (0, 0)] {
         let mut client = Blocking::connect(side.addr).expect("accepted");
         let since = Instant::now();
-        side.wait_for(Phase::Fresh).await;
+        side.wait_for(ClientPhase::New).await;
         sleep(Duration::from_millis(pause)).await;
         client.write_all(&whole.as_bytes()[..sent]).expect("written");
         let said = rest(client).await;
--- a/src/bin/lugwharf-sidecar/upstream.rs
+++ b/src/bin/lugwharf-sidecar/upstream.rs
@@ -1,7 +1,7 @@
 //! The upstreams' side: attempts and probes, and what their answers are worth.
 
 use crate::connection::Progress;
-use crate::pool::{Pool, Pooled, Target};
+use crate::pool::{Endpoint, Pool, Pooled};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::{Body, Incoming};
@@ -20,15 +20,15 @@
 /// The most that a body may hold.
 pub const MAX_BODY: usize = 64 * 1024;
 /// Connections that one attempt may find dead.
-const CONNECTIONS: usize = 3;
+const MAX_CONNECTION_ATTEMPTS: usize = 3;
 /// With less time left than this, a request can't spare the millisecond or so for which its last byte is held back;
 /// in tests that is a second.
-const UNHURRIED: Duration = Duration::from_millis(if cfg!(test) { 50_000 } else { 50 });
+const MIN_TIME_FOR_HOLD_BACK: Duration = Duration::from_millis(if cfg!(test) { 50_000 } else { 50 });
 /// The most requests that an upstream may say it holds; what says more is no report.
-const MAX_HELD: f64 = 1e6;
+const MAX_REPORTED_LOAD: f64 = 1e6;
 
 /// What goes on to an upstream of a client's request.
-pub struct Outbound {
+pub struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
@@ -36,11 +36,11 @@
 }
 
 /// The body of an upstream's 200 and what it says of its type.
-pub type Served = (Bytes, Option<HeaderValue>);
+pub type ServedBody = (Bytes, Option<HeaderValue>);
 
 /// Reads an answer to its end. Guards against one that is not whole, or can't be known to be: it says how long it
 /// is in one way, and that is how much came. Guards against a change of protocol that nobody asked for.
-async fn whole(answer: Response<Incoming>) -> Option<(StatusCode, HeaderMap, Bytes)> {
+async fn read_complete(answer: Response<Incoming>) -> Option<(StatusCode, HeaderMap, Bytes)> {
     let (head, body) = answer.into_parts();
     let framed = head.headers.contains_key(TRANSFER_ENCODING) != head.headers.contains_key(CONTENT_LENGTH);
     let fits = body.size_hint().exact().is_none_or(|length| length <= MAX_BODY as u64);
@@ -63,7 +63,7 @@
         // Guards against the second copy of an earlier answer: an upstream begins with a request's last byte, so what
         // comes before that byte is out was not made for this request.
         Ok(_) if connection.progress().is_unfinished() => None,
-        Ok(answer) => Some(whole(answer).await),
+        Ok(answer) => Some(read_complete(answer).await),
         Err(mut error) => {
             // Given back unwritten: it never left. Else it may have.
             let unsent = error.take_message().is_some() || connection.progress().is_unfinished();
@@ -73,25 +73,25 @@
 }
 
 /// What the answer to an attempt is worth.
-fn judge(answer: Exchanged) -> (Outcome, Served) {
-    let Some((status, headers, body)) = answer else { return (Outcome::Reset, Served::default()) };
+fn classify(answer: Exchanged) -> (Outcome, ServedBody) {
+    let Some((status, headers, body)) = answer else { return (Outcome::Reset, ServedBody::default()) };
     let rejected = headers.get("X-Rejected").is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => (Outcome::Ok, (body, headers.get(CONTENT_TYPE).cloned())),
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
-            (Outcome::Rejected, Served::default())
+            (Outcome::Rejected, ServedBody::default())
         }
-        _ => (Outcome::Error, Served::default()),
+        _ => (Outcome::Error, ServedBody::default()),
     }
 }
 
 /// How long an attempt lasts.
 #[derive(Clone, Copy)]
-pub struct Times {
+pub struct AttemptDeadlines {
     /// Nobody waits for its answer any more.
-    pub by: Instant,
+    pub answer_by: Instant,
     /// Its last byte is out, or never goes out.
-    pub out_by: Instant,
+    pub write_by: Instant,
 }
 
 /// One attempt, from choosing a connection to the end of the answer. `answered` is told first, then the
@@ -99,31 +99,31 @@
 /// out: nothing ran, and another is taken. It ends as never sent if it is `unwanted`, or too late, before its last byte is
 /// out, or its time is over before it has a connection.
 pub async fn attempt(
-    pool: Pool, target: Arc<Target>, outbound: Arc<Outbound>, times: Times, unwanted: Arc<Notify>,
-    answered: impl FnOnce(Outcome, Served),
+    pool: Pool, endpoint: Arc<Endpoint>, outbound: Arc<ForwardedRequest>, times: AttemptDeadlines,
+    abandoned: Arc<Notify>, answered: impl FnOnce(Outcome, ServedBody),
 ) {
-    let Times { by, out_by } = times;
+    let AttemptDeadlines { answer_by, write_by } = times;
     // Guards against a connection that comes up late: what goes out then may be no repeat any more.
-    let (told, late) = (unwanted.notified(), sleep_until(out_by));
+    let (told, late) = (abandoned.notified(), sleep_until(write_by));
     tokio::pin!(told, late);
-    let unwanted = poll_fn(|cx| {
+    let abandoned = poll_fn(|cx| {
         let over = told.as_mut().poll(cx).is_ready() || late.as_mut().poll(cx).is_ready();
         if over { Poll::Ready(()) } else { Poll::Pending }
     });
-    tokio::pin!(unwanted);
-    for _ in 0..CONNECTIONS {
+    tokio::pin!(abandoned);
+    for _ in 0..MAX_CONNECTION_ATTEMPTS {
         let pooled = tokio::select! {
             biased;
-            pooled = pool.connection(&target, by) => pooled,
-            () = unwanted.as_mut() => Err(Outcome::NotSent),
+            pooled = pool.connection(&endpoint, answer_by) => pooled,
+            () = abandoned.as_mut() => Err(Outcome::NotSent),
         };
         let mut pooled = match pooled {
             Ok(pooled) => pooled,
-            Err(outcome) => return answered(outcome, Served::default()),
+            Err(outcome) => return answered(outcome, ServedBody::default()),
         };
-        let left = by.saturating_duration_since(Instant::now());
+        let left = answer_by.saturating_duration_since(Instant::now());
         if left.is_zero() {
-            return answered(Outcome::ConnectFailed, Served::default());
+            return answered(Outcome::ConnectFailed, ServedBody::default());
         }
         let mut request = Request::new(Full::new(outbound.body.clone()));
         *request.method_mut() = outbound.method.clone();
@@ -133,33 +133,33 @@
             request.headers_mut().insert("X-Budget", budget);
         }
         let progress = pooled.connection.progress();
-        let exchange = exchange(&mut pooled, request, left >= UNHURRIED);
+        let exchange = exchange(&mut pooled, request, left >= MIN_TIME_FOR_HOLD_BACK);
         let result = tokio::select! {
             biased;
-            result = timeout_at(by, exchange) => result,
-            () = until_unsent(unwanted.as_mut(), &progress) => {
-                return answered(Outcome::NotSent, Served::default());
+            result = timeout_at(answer_by, exchange) => result,
+            () = abandoned_before_last_byte(abandoned.as_mut(), &progress) => {
+                return answered(Outcome::NotSent, ServedBody::default());
             }
         };
         let (outcome, body) = match result {
             Ok(None) => continue,
-            Ok(Some(answer)) => judge(answer),
-            Err(_) => (Outcome::Timeout, Served::default()),
+            Ok(Some(answer)) => classify(answer),
+            Err(_) => (Outcome::Timeout, ServedBody::default()),
         };
         answered(outcome, body);
         if matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error)
             && pooled.connection.sender.ready().await.is_ok()
         {
-            pool.keep(&target, pooled);
+            pool.put_back(&endpoint, pooled);
         }
         return;
     }
-    answered(Outcome::ConnectFailed, Served::default());
+    answered(Outcome::ConnectFailed, ServedBody::default());
 }
 
 /// Ends when the request is unwanted while its last byte is not out; once that is out, it has to be waited for.
-async fn until_unsent(unwanted: Pin<&mut impl Future<Output = ()>>, progress: &Progress) {
-    unwanted.await;
+async fn abandoned_before_last_byte(abandoned: Pin<&mut impl Future<Output = ()>>, progress: &Progress) {
+    abandoned.await;
     if !progress.is_unfinished() {
         std::future::pending::<()>().await;
     }
@@ -167,19 +167,19 @@
 
 /// Asks an upstream how it is, and for its load where it reports any: the value of that name.
 pub async fn probe(
-    pool: Pool, target: Arc<Target>, by: Instant, load_field_name: Option<&str>,
+    pool: Pool, endpoint: Arc<Endpoint>, answer_by: Instant, load_field_name: Option<&str>,
 ) -> (Outcome, Option<f64>) {
     let path = if load_field_name.is_some() { "/stats" } else { "/health/live" };
-    for _ in 0..CONNECTIONS {
-        let mut pooled = match pool.connection(&target, by).await {
+    for _ in 0..MAX_CONNECTION_ATTEMPTS {
+        let mut pooled = match pool.connection(&endpoint, answer_by).await {
             Ok(pooled) => pooled,
             Err(outcome) => return (outcome, None),
         };
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = Uri::from_static(path);
-        let host = HeaderValue::from_str(&target.addr.to_string());
+        let host = HeaderValue::from_str(&endpoint.addr.to_string());
         request.headers_mut().extend(host.ok().map(|host| (HOST, host)));
-        let (status, body) = match timeout_at(by, exchange(&mut pooled, request, false)).await {
+        let (status, body) = match timeout_at(answer_by, exchange(&mut pooled, request, false)).await {
             Ok(None) => continue,
             Ok(Some(Some((status, _, body)))) => (status, body),
             Ok(Some(None)) => return (Outcome::Reset, None),
@@ -188,9 +188,9 @@
         // Guards against a report that can't be: then nothing is known of the load.
         let report: Option<Value> = serde_json::from_slice(&body).ok();
         let held = report.and_then(|report| report[load_field_name?].as_f64());
-        let held = held.filter(|held| (0.0..=MAX_HELD).contains(held));
+        let held = held.filter(|held| (0.0..=MAX_REPORTED_LOAD).contains(held));
         if pooled.connection.sender.ready().await.is_ok() {
-            pool.keep(&target, pooled);
+            pool.put_back(&endpoint, pooled);
         }
         return (if status == StatusCode::OK { Outcome::Ok } else { Outcome::Rejected }, held);
     }
--- a/src/bin/lugwharf-sidecar/upstream_tests.rs
+++ b/src/bin/lugwharf-sidecar/upstream_tests.rs
@@ -7,22 +7,22 @@
 
 const LONG: Duration = Duration::from_secs(100);
 
-fn outbound(body: &'static str) -> Arc<Outbound> {
+fn outbound(body: &'static str) -> Arc<ForwardedRequest> {
     let body = Bytes::from_static(body.as_bytes());
     let (method, uri, headers) = (Method::POST, Uri::from_static("/api"), HeaderMap::new());
-    Arc::new(Outbound { method, uri, headers, body })
+    Arc::new(ForwardedRequest { method, uri, headers, body })
 }
 
 /// With no end to the time in which it may go out.
-fn until(by: Instant) -> Times {
-    Times { by, out_by: by }
+fn until(answer_by: Instant) -> AttemptDeadlines {
+    AttemptDeadlines { answer_by, write_by: answer_by }
 }
 
-fn peer() -> (TcpListener, Pool, Arc<Target>) {
+fn peer() -> (TcpListener, Pool, Arc<Endpoint>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let pool = Pool::new(4, LONG, LONG, true);
-    let target = pool.target(listener.local_addr().expect("an address"));
-    (listener, pool, target)
+    let endpoint = pool.endpoint(listener.local_addr().expect("an address"));
+    (listener, pool, endpoint)
 }
 
 fn read_until(stream: &mut impl Read, end: &[u8]) {
@@ -37,9 +37,9 @@
 
 #[tokio::test]
 async fn what_nobody_waits_for_any_more_is_not_finished_and_frees_its_connection() {
-    let (listener, pool, target) = peer();
-    let unwanted = Arc::new(Notify::new());
-    let tell = unwanted.clone();
+    let (listener, pool, endpoint) = peer();
+    let abandoned = Arc::new(Notify::new());
+    let tell = abandoned.clone();
     // The last byte is withheld for a second; the client leaves before it, every time.
     let peer = std::thread::spawn(move || {
         let mut stream = listener.accept().expect("a connection").0;
@@ -50,8 +50,11 @@
         rest
     });
     let mut outcome = None;
-    let by = Instant::now() + LONG;
-    attempt(pool, target, outbound("some body"), until(by), unwanted, |ended, _| outcome = Some(ended)).await;
+    let answer_by = Instant::now() + LONG;
+    attempt(pool, endpoint, outbound("some body"), until(answer_by), abandoned, |ended, _| {
+        outcome = Some(ended)
+    })
+    .await;
     assert_eq!(outcome, Some(Outcome::NotSent));
     let rest = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
     assert!(rest.is_empty(), "the last byte stays here");
@@ -66,14 +69,16 @@
     let _listener = socket.listen(0).expect("listening");
     let _full: Vec<_> = (0..8).map(|_| nonblocking_connect(addr)).collect();
     let pool = Pool::new(4, LONG, LONG, true);
-    let (target, unwanted, by) = (pool.target(addr), Arc::new(Notify::new()), Instant::now() + LONG);
-    let (tell, since) = (unwanted.clone(), Instant::now());
+    let (endpoint, abandoned, answer_by) =
+        (pool.endpoint(addr), Arc::new(Notify::new()), Instant::now() + LONG);
+    let (tell, since) = (abandoned.clone(), Instant::now());
     let mut outcome = None;
     let left = async {
         tokio::time::sleep(Duration::from_millis(50)).await;
         tell.notify_one();
     };
-    let attempt = attempt(pool, target, outbound(""), until(by), unwanted, |ended, _| outcome = Some(ended));
+    let attempt =
+        attempt(pool, endpoint, outbound(""), until(answer_by), abandoned, |ended, _| outcome = Some(ended));
     tokio::join!(attempt, left);
     assert_eq!(outcome, Some(Outcome::NotSent));
     assert!(since.elapsed() < Duration::from_millis(300), "{:?}", since.elapsed());
@@ -88,27 +93,30 @@
     let _listener = socket.listen(0).expect("listening");
     let _full: Vec<_> = (0..8).map(|_| nonblocking_connect(addr)).collect();
     let pool = Pool::new(4, LONG, LONG, true);
-    let (target, since) = (pool.target(addr), Instant::now());
-    let times = Times { by: since + LONG, out_by: since + Duration::from_millis(50) };
+    let (endpoint, since) = (pool.endpoint(addr), Instant::now());
+    let times = AttemptDeadlines { answer_by: since + LONG, write_by: since + Duration::from_millis(50) };
     let mut outcome = None;
-    attempt(pool, target, outbound(""), times, Arc::default(), |ended, _| outcome = Some(ended)).await;
+    attempt(pool, endpoint, outbound(""), times, Arc::default(), |ended, _| outcome = Some(ended)).await;
     assert_eq!(outcome, Some(Outcome::NotSent), "nothing ran, and the server is not to blame");
     assert!(since.elapsed() < Duration::from_millis(100), "{:?}", since.elapsed());
 }
 
 #[tokio::test]
 async fn what_is_too_late_for_a_repeat_is_not_finished() {
-    let (listener, pool, target) = peer();
+    let (listener, pool, endpoint) = peer();
     // The last byte is withheld for a second, and after half of it the time is over.
     let peer = std::thread::spawn(move || {
         let mut seen = Vec::new();
         drop(listener.accept().expect("a connection").0.read_to_end(&mut seen));
         seen
     });
-    let times = Times { by: Instant::now() + LONG, out_by: Instant::now() + Duration::from_millis(500) };
+    let times = AttemptDeadlines {
+        answer_by: Instant::now() + LONG,
+        write_by: Instant::now() + Duration::from_millis(500),
+    };
     let mut outcome = None;
-    let answered = |ended, _: Served| outcome = Some(ended);
-    attempt(pool, target, outbound("some body"), times, Arc::default(), answered).await;
+    let answered = |ended, _: ServedBody| outcome = Some(ended);
+    attempt(pool, endpoint, outbound("some body"), times, Arc::default(), answered).await;
     assert_eq!(outcome, Some(Outcome::NotSent));
     let seen = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
     assert!(!seen.ends_with(b"some body"), "the last byte stays here");
@@ -124,9 +132,9 @@
 
 #[tokio::test]
 async fn what_may_have_run_is_waited_for_also_when_its_client_has_left() {
-    let (listener, pool, target) = peer();
-    let unwanted = Arc::new(Notify::new());
-    let tell = unwanted.clone();
+    let (listener, pool, endpoint) = peer();
+    let abandoned = Arc::new(Notify::new());
+    let tell = abandoned.clone();
     let peer = std::thread::spawn(move || {
         let mut stream = listener.accept().expect("a connection").0;
         read_until(&mut stream, b"some body");
@@ -135,23 +143,27 @@
         stream
     });
     let mut outcome = None;
-    let by = Instant::now() + LONG;
-    attempt(pool, target, outbound("some body"), until(by), unwanted, |ended, _| outcome = Some(ended)).await;
+    let answer_by = Instant::now() + LONG;
+    attempt(pool, endpoint, outbound("some body"), until(answer_by), abandoned, |ended, _| {
+        outcome = Some(ended)
+    })
+    .await;
     assert_eq!(outcome, Some(Outcome::Ok), "its time counts for the server's average");
     drop(peer.join());
 }
 
 #[tokio::test(start_paused = true)]
 async fn nothing_is_sent_on_a_kept_connection_once_the_time_is_over() {
-    let (listener, pool, target) = peer();
-    let by = Instant::now();
-    let kept = pool.connection(&target, by + LONG).await.expect("room");
-    pool.keep(&target, kept);
+    let (listener, pool, endpoint) = peer();
+    let answer_by = Instant::now();
+    let kept = pool.connection(&endpoint, answer_by + LONG).await.expect("room");
+    pool.put_back(&endpoint, kept);
     // It has rested, and is good.
     tokio::time::advance(Duration::from_secs(1)).await;
     let mut outcome = None;
-    let unwanted = Arc::default();
-    attempt(pool, target, outbound("x"), until(by), unwanted, |ended, _| outcome = Some(ended)).await;
+    let abandoned = Arc::default();
+    attempt(pool, endpoint, outbound("x"), until(answer_by), abandoned, |ended, _| outcome = Some(ended))
+        .await;
     assert!(outcome.is_some_and(Outcome::never_ran), "{outcome:?}");
     let seen = tokio::task::spawn_blocking(move || {
         let mut seen = Vec::new();
@@ -163,13 +175,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_is_there_beats_the_time_out_of_the_same_moment() {
-    let (listener, pool, target) = peer();
+    let (listener, pool, endpoint) = peer();
     // In a hurry, so that nothing is held back.
-    let time = UNHURRIED / 2;
+    let time = MIN_TIME_FOR_HOLD_BACK / 2;
     let (to, result) = tokio::sync::oneshot::channel();
-    let answered = |ended, served: Served| drop(to.send((ended, served.0)));
-    let (by, unwanted) = (Instant::now() + time, Arc::default());
-    tokio::spawn(attempt(pool, target, outbound("some body"), until(by), unwanted, answered));
+    let answered = |ended, served: ServedBody| drop(to.send((ended, served.0)));
+    let (answer_by, abandoned) = (Instant::now() + time, Arc::default());
+    tokio::spawn(attempt(pool, endpoint, outbound("some body"), until(answer_by), abandoned, answered));
     // Read and answered with no turn of the runtime in between, and then the clock has gone past the time.
     listener.set_nonblocking(true).expect("set");
     let mut stream = loop {
@@ -194,7 +206,7 @@
 
 /// How an attempt ends whose first so many connections break at their first byte, and how many were made.
 async fn after_breaks(breaks: usize, body: &'static str, time: Duration) -> (Option<Outcome>, usize) {
-    let (listener, pool, target) = peer();
+    let (listener, pool, endpoint) = peer();
     let made = Arc::new(AtomicUsize::new(0));
     let counted = made.clone();
     // Ends with the tests.
@@ -203,8 +215,8 @@
             let mut stream = stream.expect("a connection");
             let (mut seen, mut byte) = (Vec::new(), [0]);
             let breaks = counted.fetch_add(1, Ordering::SeqCst) < breaks;
-            let whole = format!("\r\n\r\n{body}").into_bytes();
-            let enough = |seen: &[u8]| if breaks { !seen.is_empty() } else { seen.ends_with(&whole) };
+            let read_complete = format!("\r\n\r\n{body}").into_bytes();
+            let enough = |seen: &[u8]| if breaks { !seen.is_empty() } else { seen.ends_with(&read_complete) };
             while !enough(&seen) {
                 stream.read_exact(&mut byte).expect("a byte");
                 seen.push(byte[0]);
@@ -215,8 +227,9 @@
         }
     });
     let mut outcome = None;
-    let (by, unwanted) = (Instant::now() + time, Arc::default());
-    attempt(pool, target, outbound(body), until(by), unwanted, |ended, _| outcome = Some(ended)).await;
+    let (answer_by, abandoned) = (Instant::now() + time, Arc::default());
+    attempt(pool, endpoint, outbound(body), until(answer_by), abandoned, |ended, _| outcome = Some(ended))
+        .await;
     (outcome, made.load(Ordering::SeqCst))
 }
 
@@ -224,14 +237,17 @@
 async fn a_connection_that_closes_before_the_last_byte_proves_that_nothing_ran() {
     for body in ["", "some body"] {
         assert_eq!(after_breaks(2, body, LONG).await, (Some(Outcome::Ok), 3), "another is taken");
-        assert_eq!(after_breaks(9, body, LONG).await, (Some(Outcome::ConnectFailed), CONNECTIONS));
+        assert_eq!(
+            after_breaks(9, body, LONG).await,
+            (Some(Outcome::ConnectFailed), MAX_CONNECTION_ATTEMPTS)
+        );
     }
 }
 
 #[tokio::test]
 async fn an_answer_that_comes_before_the_requests_last_byte_was_made_for_another() {
     for early in ["200 OK", "503 X\r\nX-Rejected: 1", "500 X"] {
-        let (listener, pool, target) = peer();
+        let (listener, pool, endpoint) = peer();
         let peer = std::thread::spawn(move || {
             let answer =
                 |status, body| format!("HTTP/1.1 {status}\r\nContent-Length: 3\r\n\r\n{body}").into_bytes();
@@ -249,9 +265,9 @@
         });
         let outbound = outbound("some body");
         let mut result = None;
-        let by = Instant::now() + LONG;
-        let answered = |ended, served: Served| result = Some((ended, served.0));
-        attempt(pool, target, outbound, until(by), Arc::default(), answered).await;
+        let answer_by = Instant::now() + LONG;
+        let answered = |ended, served: ServedBody| result = Some((ended, served.0));
+        attempt(pool, endpoint, outbound, until(answer_by), Arc::default(), answered).await;
         assert_eq!(result, Some((Outcome::Ok, Bytes::from_static(b"new"))), "{early}");
         let (_second, rest) =
             tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
@@ -286,15 +302,22 @@
 
 #[tokio::test]
 async fn a_second_answer_is_not_taken_for_that_of_the_request_behind_it() {
-    let (listener, pool, target) = peer();
+    let (listener, pool, endpoint) = peer();
     let peer = answers_twice(listener, b"some body", ["old", "new"]);
     // In a hurry, so that nothing but the rest holds its last byte back.
-    let by = Instant::now() + UNHURRIED / 2;
+    let answer_by = Instant::now() + MIN_TIME_FOR_HOLD_BACK / 2;
     for body in ["old", "new"] {
         let (to, result) = tokio::sync::oneshot::channel();
-        let answered = |ended, served: Served| drop(to.send((ended, served.0)));
-        attempt(pool.clone(), target.clone(), outbound("some body"), until(by), Arc::default(), answered)
-            .await;
+        let answered = |ended, served: ServedBody| drop(to.send((ended, served.0)));
+        attempt(
+            pool.clone(),
+            endpoint.clone(),
+            outbound("some body"),
+            until(answer_by),
+            Arc::default(),
+            answered,
+        )
+        .await;
         assert_eq!(result.await, Ok((Outcome::Ok, Bytes::from(body))), "not what belongs to another");
     }
     let rest = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
@@ -303,10 +326,10 @@
 
 #[tokio::test]
 async fn a_second_answer_is_not_taken_for_that_of_the_probe_behind_it() {
-    let (listener, pool, target) = peer();
+    let (listener, pool, endpoint) = peer();
     let peer = answers_twice(listener, b"\r\n\r\n", ["{\"held\":1}", "{\"held\":2}"]);
     for held in [1.0, 2.0] {
-        let probed = probe(pool.clone(), target.clone(), Instant::now() + LONG, Some("held")).await;
+        let probed = probe(pool.clone(), endpoint.clone(), Instant::now() + LONG, Some("held")).await;
         assert_eq!(probed, (Outcome::Ok, Some(held)), "not what belongs to another");
     }
     let rest = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
@@ -316,5 +339,5 @@
 #[tokio::test]
 async fn a_request_in_a_hurry_holds_nothing_back() {
     // Its last byte is out before the connection breaks, so that it may have run.
-    assert_eq!(after_breaks(1, "some body", UNHURRIED / 2).await, (Some(Outcome::Reset), 1));
+    assert_eq!(after_breaks(1, "some body", MIN_TIME_FOR_HOLD_BACK / 2).await, (Some(Outcome::Reset), 1));
 }
