--- a/crates/lugwharf/src/commands.rs
+++ b/crates/lugwharf/src/commands.rs
@@ -247,7 +247,7 @@
 fn check_tuning(matches: &Matches) -> Result<()> {
     let path = file(matches);
     let tuning = TuningFile::read(Path::new(path))?;
-    println!("{path}: {tuning:?}");
+    println!("{path}: {tuning}");
     Ok(())
 }
 
--- a/crates/lugwharf/src/tuning_file.rs
+++ b/crates/lugwharf/src/tuning_file.rs
@@ -5,6 +5,7 @@
 use lugwharf_routing::Tuning;
 use lugwharf_stages::StageTuning;
 use serde::Deserialize;
+use std::fmt;
 use std::path::Path;
 
 /// The option that names the file.
@@ -35,3 +36,10 @@
         }
     }
 }
+
+/// Everything in force, as `lugwharf check-tuning` prints it.
+impl fmt::Display for TuningFile {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "TuningFile {{ routing: {}, stages: {} }}", self.routing, self.stages)
+    }
+}
--- a/crates/lugwharf/tests/command_line.rs
+++ b/crates/lugwharf/tests/command_line.rs
@@ -179,6 +179,23 @@
     wanted.iter().for_each(|part| assert!(stdout(&output).contains(part), "{part:?}: {}", stdout(&output)));
 }
 
+/// Word for word as 1a8c4db printed it: the names are those that operators write in the file.
+#[test]
+fn defaults_of_a_tuning_are_printed_under_their_names() {
+    let file = File::new("defaults.toml", "");
+    let output = run(&["check-tuning", file.path()]);
+    let expected = "TuningFile { routing: Tuning { draws_two: true, counts_in_flight: true, rises_at_once: true, \
+        starts_at_median: true, samples_failures: true, steers: true, prefers_home: true, ejects: true, \
+        refuses_early: true, passes_priority: true, resumes_streams: true, keeps_connections: true, \
+        decode_reads_at_most: 2048, decode_reads_after_failures: false, tau: 2.5s, normalisation: ByTokens, \
+        base_tokens: 512.0, sticky_key: LastShared, sticky_tolerance: 1.5, cache_age: 8s, cache_parts: 512, \
+        cross_zone_factor: 1.25, home_share: 0.5, report_age: 1.5s, report_weight: 0.25, full_factor: 3.0, \
+        cold_factor: 1.5, in_flight_factor: 8.0, in_flight_floor: 16, eject_first: 500ms, eject_most: 8s, \
+        eject_strikes: 2, misdirected: 4s, budget_share: 0.5, proxies_guess: 16, rejections: 3 }, \
+        stages: StageTuning { orders: true, least_decode_share: 0.2, decode_fill: 0.6 } }";
+    assert_eq!(stdout(&output), format!("{}: {expected}\n", file.path()));
+}
+
 #[rstest]
 #[case::unknown_switch("[routing]\ndraws_three = true\n", "draws_three")]
 #[case::unknown_part("[elsewhere]\n", "elsewhere")]
--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -4,6 +4,7 @@
 //! off removes its mechanism and leaves the rest as it is, so that a run without it shows the mechanism's value.
 
 use serde::Deserialize;
+use std::fmt;
 use std::time::Duration;
 
 /// Durations encoded as numbers of ms.
@@ -192,3 +193,48 @@
         }
     }
 }
+
+/// The constants in force, under the names that operators write, as `lugwharf check-tuning` prints them. Durations are printed
+/// with their unit, so their names have no suffix.
+impl fmt::Display for Tuning {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("Tuning")
+            .field("draws_two", &self.uses_two_choices)
+            .field("counts_in_flight", &self.counts_in_flight)
+            .field("rises_at_once", &self.is_peak_sensitive)
+            .field("starts_at_median", &self.starts_at_median)
+            .field("samples_failures", &self.samples_failures)
+            .field("steers", &self.uses_prefix_affinity)
+            .field("prefers_home", &self.prefers_local_zone)
+            .field("ejects", &self.ejects_outliers)
+            .field("refuses_early", &self.sheds_hopeless_requests)
+            .field("passes_priority", &self.forwards_priority)
+            .field("resumes_streams", &self.resumes_streams)
+            .field("keeps_connections", &self.reuses_connections)
+            .field("decode_reads_at_most", &self.max_decode_prefill_tokens)
+            .field("decode_reads_after_failures", &self.decode_prefills_after_failures)
+            .field("tau", &self.ewma_decay)
+            .field("normalisation", &self.normalisation)
+            .field("base_tokens", &self.prefill_base_tokens)
+            .field("sticky_key", &self.affinity_key)
+            .field("sticky_tolerance", &self.affinity_tolerance)
+            .field("cache_age", &self.prefix_cache_ttl)
+            .field("cache_parts", &self.prefix_cache_capacity)
+            .field("cross_zone_factor", &self.cross_zone_factor)
+            .field("home_share", &self.local_zone_objective_share)
+            .field("report_age", &self.load_report_ttl)
+            .field("report_weight", &self.load_report_weight)
+            .field("full_factor", &self.saturation_penalty)
+            .field("cold_factor", &self.warmup_penalty)
+            .field("in_flight_factor", &self.in_flight_limit_factor)
+            .field("in_flight_floor", &self.min_in_flight_limit)
+            .field("eject_first", &self.base_ejection_time)
+            .field("eject_most", &self.max_ejection_time)
+            .field("eject_strikes", &self.ejection_threshold)
+            .field("misdirected", &self.misdirected_backoff)
+            .field("budget_share", &self.retry_budget_share)
+            .field("proxies_guess", &self.assumed_proxies)
+            .field("rejections", &self.max_rejections)
+            .finish()
+    }
+}
--- a/crates/stages/src/tuning.rs
+++ b/crates/stages/src/tuning.rs
@@ -1,6 +1,7 @@
 //! The tuning of stage planning by a settings file.
 
 use serde::Deserialize;
+use std::fmt;
 
 /// The section `[stages]` of a tuning file. A key that is missing has its default.
 ///
@@ -26,3 +27,14 @@
         StageTuning { orders: true, min_decode_share: 0.2, max_decode_utilization: 0.6 }
     }
 }
+
+/// The constants in force, under the names that operators write, as `lugwharf check-tuning` prints them.
+impl fmt::Display for StageTuning {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_struct("StageTuning")
+            .field("orders", &self.orders)
+            .field("least_decode_share", &self.min_decode_share)
+            .field("decode_fill", &self.max_decode_utilization)
+            .finish()
+    }
+}
