--- a/crates/control/src/agents.rs
+++ b/crates/control/src/agent_server.rs
@@ -1,7 +1,7 @@
 //! Links of agents: each carries one request at a time.
 
+use crate::acceptor::{self, AcceptLimits};
 use crate::command::Command;
-use crate::links::{self, Terms};
 use lugwharf_protocol::{AgentRequest, FrameError, read_frame};
 use std::io;
 use std::time::Duration;
@@ -12,21 +12,27 @@
 
 /// Links that agents may have open to this process: several times the fronts of the largest deployment over its control
 /// processes, under the 4,096 descriptors of a small machine.
-const MOST_LINKS: usize = 2_000;
+const MAX_CONNECTIONS: usize = 2_000;
 /// A link on which no request came for so long has been given up by its agent, which asks twice a second.
-const SILENT: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// An agent that takes nothing of its answer for so long is gone. A long list on a narrow link takes its time.
-const STALLED: Duration = Duration::from_secs(2);
+const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Lets agents open their links.
 pub async fn accept(listener: TcpListener, commands: mpsc::Sender<Command>) {
-    links::accept(listener, Terms { name: "agent", most: MOST_LINKS }, commands, serve).await;
+    acceptor::accept(
+        listener,
+        AcceptLimits { kind: "agent", max_connections: MAX_CONNECTIONS },
+        commands,
+        serve,
+    )
+    .await;
 }
 
 async fn serve(mut stream: TcpStream, commands: mpsc::Sender<Command>) -> Result<(), FrameError> {
     stream.set_nodelay(true)?;
     loop {
-        let request = timeout(SILENT, read_frame::<AgentRequest>(&mut stream)).await;
+        let request = timeout(IDLE_TIMEOUT, read_frame::<AgentRequest>(&mut stream)).await;
         let Some(request) = request.map_err(io::Error::from)?? else { return Ok(()) };
         let (reply, answer) = oneshot::channel();
         if commands.send(Command::Pull { request, reply }).await.is_err() {
@@ -40,8 +46,8 @@
 /// Writes an answer, however long it takes, as long as the agent takes some of it now and then.
 async fn write(stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
-        let taken = timeout(STALLED, stream.write(bytes)).await??;
-        bytes = bytes.get(taken..).filter(|_| taken > 0).ok_or(io::ErrorKind::WriteZero)?;
+        let written = timeout(WRITE_STALL_TIMEOUT, stream.write(bytes)).await??;
+        bytes = bytes.get(written..).filter(|_| written > 0).ok_or(io::ErrorKind::WriteZero)?;
     }
     Ok(())
 }
--- a/crates/control/src/announcement.rs
+++ b/crates/control/src/announcement.rs
@@ -14,9 +14,9 @@
 /// Between two announcements; a front that starts waits for one at most. Replicas that run hear each other well within it.
 const PAUSE: Duration = Duration::from_millis(500);
 /// A seed that takes longer is passed over.
-const ANSWER_WITHIN: Duration = Duration::from_millis(300);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Addresses that are taken over from one answer.
-const MOST_ADDRESSES: usize = 64;
+const MAX_ADDRESSES: usize = 64;
 
 /// What is to be announced now.
 #[derive(Clone, Debug, Default)]
@@ -32,14 +32,14 @@
     loop {
         sleep(PAUSE).await;
         let (reply, announcement) = oneshot::channel();
-        if commands.send(Command::Announcement { reply }).await.is_err() {
+        if commands.send(Command::GetAnnouncement { reply }).await.is_err() {
             return;
         }
         let Ok(Announcement { seeds, control }) = announcement.await else { return };
         for seed in seeds {
-            let told = timeout(ANSWER_WITHIN, announce(source, seed, &control)).await;
+            let told = timeout(RESPONSE_TIMEOUT, announce(source, seed, &control)).await;
             let Ok(Ok(addresses)) = told else { continue };
-            if commands.send(Command::Named { addresses }).await.is_err() {
+            if commands.send(Command::PeersAnnounced { addresses }).await.is_err() {
                 return;
             }
         }
@@ -54,6 +54,6 @@
     write_frame(&mut stream, &AgentRequest::Announce { control: control.to_vec() }).await?;
     let reply = read_frame::<ControlReply>(&mut stream).await?;
     let mut addresses = reply.map_or_else(Vec::new, |ControlReply::Update { control, .. }| control);
-    addresses.truncate(MOST_ADDRESSES);
+    addresses.truncate(MAX_ADDRESSES);
     Ok(addresses)
 }
--- a/crates/control/src/announcement_tests.rs
+++ b/crates/control/src/announcement_tests.rs
@@ -26,10 +26,10 @@
     });
     let (commands, mut queue) = mpsc::channel(4);
     tokio::spawn(announcement::run(None, commands));
-    let Some(Command::Announcement { reply }) = queue.recv().await else { panic!("no question") };
+    let Some(Command::GetAnnouncement { reply }) = queue.recv().await else { panic!("no question") };
     let control = vec!["10.0.0.2:7721".parse().expect("an address")];
     let sent = reply.send(Announcement { seeds: vec![gone_address, seed_address], control });
     assert!(sent.is_ok(), "somebody asks");
-    let Some(Command::Named { addresses }) = queue.recv().await else { panic!("nobody named") };
+    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else { panic!("nobody named") };
     assert_eq!(addresses, named);
 }
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,9 +1,9 @@
 //! What the owner of the state is asked and told.
 
 use crate::announcement::Announcement;
-use crate::message::{PeerBody, Written};
+use crate::message::{PeerMessage, PersistOutcome};
 use crate::pulls::Frame;
-use crate::shutdown::Outcome;
+use crate::shutdown::ShutdownOutcome;
 use crate::status::Status;
 use lugwharf_chain::Blake3;
 use lugwharf_protocol::{AgentRequest, ServerEntry};
@@ -22,10 +22,10 @@
         /// Its peer address.
         from: SocketAddr,
         /// What it sent.
-        body: PeerBody,
+        body: PeerMessage,
     },
     /// The storage thread has finished a batch.
-    Written(Written),
+    Persisted(PersistOutcome),
     /// An agent asks for what it is missing.
     Pull {
         /// The request.
@@ -62,43 +62,43 @@
         reply: oneshot::Sender<String>,
     },
     /// The platform's list was read under the reader's fencing token.
-    Listed {
+    ListRead {
         /// The token.
         epoch: u64,
         /// The whole list.
         entries: Vec<ServerEntry>,
     },
     /// Whether this process has no list of servers at all.
-    LacksListing {
+    NeedsInitialList {
         /// Where the answer goes.
         reply: oneshot::Sender<bool>,
     },
     /// The platform's list was read before anybody was heard of who holds the reader's role.
-    FirstListed {
+    InitialListRead {
         /// The whole list.
         entries: Vec<ServerEntry>,
     },
     /// The platform's list could not be read.
-    ListingFailed {
+    ListReadFailed {
         /// The token under which it was tried.
         epoch: u64,
         /// It could not be reached for so long that another process should try.
-        give_up: bool,
+        should_step_down: bool,
     },
     /// An order to a server has ended.
-    Ordered {
+    OrderCompleted {
         /// The server's incarnation.
         id: String,
         /// How it ended.
         answer: OrderOutcome,
     },
     /// Asks what is to be announced to seeds.
-    Announcement {
+    GetAnnouncement {
         /// Where the answer goes.
         reply: oneshot::Sender<Announcement>,
     },
     /// A seed has named control processes by their agent addresses.
-    Named {
+    PeersAnnounced {
         /// The addresses.
         addresses: Vec<SocketAddr>,
     },
@@ -110,6 +110,6 @@
     /// This process was told to end.
     Shutdown {
         /// How it parted from the others, once it may end.
-        done: oneshot::Sender<Outcome>,
+        done: oneshot::Sender<ShutdownOutcome>,
     },
 }
--- a/crates/control/src/owner/agents_seen_tests.rs
+++ b/crates/control/src/controller/agent_registry_tests.rs
@@ -1,7 +1,7 @@
 //! What is told of agents.
 
-use super::agents_seen::AgentsSeen;
-use super::commits::{Commits, Lag};
+use super::agent_registry::AgentRegistry;
+use super::commit_history::{CommitHistory, Lag};
 use lugwharf_protocol::{TablePosition, VersionVector};
 use rstest::rstest;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 }
 
 /// Versions 4, 9 and 12 are known since 10, 20 and 30 s.
-fn commits() -> Commits {
-    let mut commits = Commits::default();
-    [(4, 10), (9, 20), (12, 30)].into_iter().for_each(|(version, at)| commits.note(s(at), version));
+fn commits() -> CommitHistory {
+    let mut commits = CommitHistory::default();
+    [(4, 10), (9, 20), (12, 30)].into_iter().for_each(|(version, at)| commits.record(s(at), version));
     commits
 }
 
@@ -35,18 +35,18 @@
 
 #[test]
 fn remembers_a_bounded_number_of_commits() {
-    let mut commits = Commits::default();
-    (1..=10_000).for_each(|version| commits.note(s(version), version));
+    let mut commits = CommitHistory::default();
+    (1..=10_000).for_each(|version| commits.record(s(version), version));
     assert_eq!(commits.lag(s(10_000), 0).versions, 256);
 }
 
 #[test]
 fn reports_the_agents_that_asked_lately() {
-    let mut agents = AgentsSeen::default();
-    agents.note(s(5), "gone", vector(12, SERVERS));
-    agents.note(s(41), "behind", vector(9, TablePosition { sequence: 6, ..SERVERS }));
-    agents.note(s(40), "current", vector(4, SERVERS));
-    agents.note(s(42), "current", vector(12, SERVERS));
+    let mut agents = AgentRegistry::default();
+    agents.record_pull(s(5), "gone", vector(12, SERVERS));
+    agents.record_pull(s(41), "behind", vector(9, TablePosition { sequence: 6, ..SERVERS }));
+    agents.record_pull(s(40), "current", vector(4, SERVERS));
+    agents.record_pull(s(42), "current", vector(12, SERVERS));
     let report = agents.report(s(42), SERVERS, &commits());
     let shown: Vec<_> = report
         .iter()
--- a/crates/control/src/owner/commits.rs
+++ b/crates/control/src/controller/commit_history.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Commits that are remembered: more than an agent can miss while it is still shown.
-const MOST: usize = 256;
+const MAX_ENTRIES: usize = 256;
 
 /// How far behind the newest commit a version is.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -17,14 +17,14 @@
 
 /// The newest commits, oldest first.
 #[derive(Debug, Default)]
-pub struct Commits {
+pub struct CommitHistory {
     known: VecDeque<(u64, Duration)>,
 }
 
-impl Commits {
+impl CommitHistory {
     /// Notes a commit; versions climb.
-    pub fn note(&mut self, now: Duration, version: u64) {
-        if self.known.len() >= MOST {
+    pub fn record(&mut self, now: Duration, version: u64) {
+        if self.known.len() >= MAX_ENTRIES {
             self.known.pop_front();
         }
         self.known.push_back((version, now));
--- a/crates/control/src/owner/standstill_tests.rs
+++ b/crates/control/src/controller/pause_detector_tests.rs
@@ -1,6 +1,6 @@
 //! Pauses of this process and the time for which its contact is in doubt.
 
-use super::standstill::Standstill;
+use super::pause_detector::PauseDetector;
 use rstest::rstest;
 use std::time::Duration;
 
@@ -9,23 +9,23 @@
 }
 
 /// Looks at these moments, from a start at 0.
-fn looks(moments: impl IntoIterator<Item = u64>) -> Standstill {
-    let mut standstill = Standstill::default();
-    moments.into_iter().for_each(|moment| standstill.look(at(moment)));
-    standstill
+fn observed_at(moments: impl IntoIterator<Item = u64>) -> PauseDetector {
+    let mut detector = PauseDetector::default();
+    moments.into_iter().for_each(|moment| detector.observe(at(moment)));
+    detector
 }
 
 #[test]
 fn a_process_that_starts_is_not_in_doubt() {
-    assert!(!Standstill::default().is_in_doubt(Duration::ZERO));
+    assert!(!PauseDetector::default().is_contact_in_doubt(Duration::ZERO));
 }
 
 #[test]
 fn gaps_that_are_no_pauses_leave_no_doubt_however_many() {
-    let mut standstill = Standstill::default();
+    let mut detector = PauseDetector::default();
     for now in (0..20_000).step_by(199) {
-        standstill.look(at(now));
-        assert!(!standstill.is_in_doubt(at(now)), "{now}");
+        detector.observe(at(now));
+        assert!(!detector.is_contact_in_doubt(at(now)), "{now}");
     }
 }
 
@@ -38,24 +38,24 @@
 #[case::two_that_lie_apart([600].into_iter().chain((750..=2_600).step_by(150)).chain([3_000]).collect(), false)]
 fn pauses(#[case] moments: Vec<u64>, #[case] in_doubt: bool) {
     let last = moments.last().copied().unwrap_or_default();
-    assert_eq!(looks(moments).is_in_doubt(at(last)), in_doubt);
+    assert_eq!(observed_at(moments).is_contact_in_doubt(at(last)), in_doubt);
 }
 
 #[test]
 fn contact_is_in_doubt_for_a_second_after_the_pause() {
-    let standstill = looks([100, 20_100, 20_120]);
-    assert!(standstill.is_in_doubt(at(20_100)) && standstill.is_in_doubt(at(21_099)));
-    assert!(!standstill.is_in_doubt(at(21_100)));
+    let detector = observed_at([100, 20_100, 20_120]);
+    assert!(detector.is_contact_in_doubt(at(20_100)) && detector.is_contact_in_doubt(at(21_099)));
+    assert!(!detector.is_contact_in_doubt(at(21_100)));
 }
 
 #[test]
 fn a_second_pause_begins_the_doubt_anew() {
-    let standstill = looks([700, 1_600]);
-    assert!(standstill.is_in_doubt(at(2_599)) && !standstill.is_in_doubt(at(2_600)));
+    let detector = observed_at([700, 1_600]);
+    assert!(detector.is_contact_in_doubt(at(2_599)) && !detector.is_contact_in_doubt(at(2_600)));
 }
 
 #[test]
 fn a_clock_that_is_read_out_of_order_is_no_pause() {
-    let standstill = looks([150, 100, 300, 450, 400, 600]);
-    assert!(!standstill.is_in_doubt(at(600)));
+    let detector = observed_at([150, 100, 300, 450, 400, 600]);
+    assert!(!detector.is_contact_in_doubt(at(600)));
 }
--- a/crates/control/src/owner/reach_tests.rs
+++ b/crates/control/src/controller/platform_reachability_tests.rs
@@ -1,6 +1,6 @@
 //! Whom the list reader's role may go to.
 
-use super::reach::Reach;
+use super::platform_reachability::PlatformReachability;
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,50 +22,51 @@
 fn the_role_goes_to_a_member_that_was_heard_and_may_reach(
     #[case] reaches: bool, #[case] now: u64, #[case] member: u8, #[case] likely: bool,
 ) {
-    let mut reach = Reach::default();
-    reach.told(ms(5_000), address(2), reaches);
-    assert_eq!(reach.any_likely(ms(now), &[address(member)]), likely);
+    let mut reach = PlatformReachability::default();
+    reach.record_peer_report(ms(5_000), address(2), reaches);
+    assert_eq!(reach.any_peer_may_reach(ms(now), &[address(member)]), likely);
 }
 
 #[rstest]
 #[case(29_999, false)]
 #[case(30_000, true)]
 fn a_failure_counts_for_a_while(#[case] after: u64, #[case] likely: bool) {
-    let mut reach = Reach::default();
-    assert!(reach.is_likely(ms(0)));
-    reach.failed(ms(1_000));
-    assert_eq!(reach.is_likely(ms(1_000 + after)), likely);
+    let mut reach = PlatformReachability::default();
+    assert!(reach.may_be_reachable(ms(0)));
+    reach.record_failure(ms(1_000));
+    assert_eq!(reach.may_be_reachable(ms(1_000 + after)), likely);
 }
 
 #[test]
 fn a_success_ends_it() {
-    let mut reach = Reach::default();
-    reach.failed(ms(1_000));
-    reach.succeeded();
-    assert!(reach.is_likely(ms(1_001)));
+    let mut reach = PlatformReachability::default();
+    reach.record_failure(ms(1_000));
+    reach.record_success();
+    assert!(reach.may_be_reachable(ms(1_001)));
 }
 
 /// Three processes, none of which reaches the platform: each holder gives up 1.4 s after it gained the role, tells the
 /// others and hands the role on if somebody may do better.
 #[test]
 fn the_role_goes_round_once_where_nobody_reaches_the_platform() {
-    let mut reaches: Vec<Reach> = (0..3).map(|_| Reach::default()).collect();
+    let mut reaches: Vec<PlatformReachability> = (0..3).map(|_| PlatformReachability::default()).collect();
     let all: Vec<SocketAddr> = (1..=3).map(address).collect();
     let (mut holder, mut gained, mut moves) = (0, 0, Vec::new());
     for now in (0..60_000).step_by(100) {
         for from in 0..3 {
-            let likely = reaches[from].is_likely(ms(now));
-            reaches.iter_mut().for_each(|reach| reach.told(ms(now), all[from], likely));
+            let likely = reaches[from].may_be_reachable(ms(now));
+            reaches.iter_mut().for_each(|reach| reach.record_peer_report(ms(now), all[from], likely));
         }
         if now < gained + 1_400 {
             continue;
         }
         let others: Vec<SocketAddr> = all.iter().copied().filter(|other| *other != all[holder]).collect();
-        reaches[holder].failed(ms(now));
-        if reaches[holder].any_likely(ms(now), &others) {
+        reaches[holder].record_failure(ms(now));
+        if reaches[holder].any_peer_may_reach(ms(now), &others) {
             moves.push(now);
-            holder =
-                (0..3).find(|next| *next != holder && reaches[*next].is_likely(ms(now))).expect("a process");
+            holder = (0..3)
+                .find(|next| *next != holder && reaches[*next].may_be_reachable(ms(now)))
+                .expect("a process");
             gained = now;
         }
     }
--- a/crates/control/src/owner/processes_tests.rs
+++ b/crates/control/src/controller/process_directory_tests.rs
@@ -1,6 +1,6 @@
 //! Who is listed as a control process, who is told what, and whose word on the fleet counts.
 
-use super::processes::{MOST, Processes};
+use super::process_directory::{MAX_PROCESSES, ProcessDirectory};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -18,46 +18,46 @@
 
 #[test]
 fn a_process_that_is_no_member_is_listed_for_a_while_after_it_was_heard() {
-    let mut processes = Processes::default();
+    let mut processes = ProcessDirectory::default();
     let members = several(1..=3);
-    processes.heard(seconds(1), process(4));
+    processes.record_message(seconds(1), process(4));
     assert_eq!(processes.all(seconds(11), process(1), &members), several(1..=4));
     assert_eq!(processes.all(seconds(12), process(1), &members), members);
-    processes.heard(seconds(12), process(4));
+    processes.record_message(seconds(12), process(4));
     assert_eq!(processes.all(seconds(12), process(1), &members), several(1..=4));
 }
 
 #[test]
 fn members_that_are_silent_and_this_process_are_listed_always() {
-    let processes = Processes::default();
+    let processes = ProcessDirectory::default();
     assert_eq!(processes.all(seconds(99), process(5), &several(1..=3)), several([1, 2, 3, 5]));
 }
 
 #[test]
 fn a_follower_lists_whom_a_member_names() {
-    let mut processes = Processes::default();
+    let mut processes = ProcessDirectory::default();
     let members = several(1..=3);
-    processes.named(seconds(1), &several(1..=6));
+    processes.record_named(seconds(1), &several(1..=6));
     assert_eq!(processes.all(seconds(2), process(5), &members), several(1..=6));
     assert_eq!(processes.all(seconds(12), process(5), &members), several([1, 2, 3, 5]));
 }
 
 #[test]
 fn members_tell_everybody_and_followers_the_members_alone() {
-    let mut processes = Processes::default();
+    let mut processes = ProcessDirectory::default();
     let members = several(1..=3);
-    processes.named(seconds(1), &several(1..=18));
+    processes.record_named(seconds(1), &several(1..=18));
     assert_eq!(processes.audience(seconds(1), process(2), &members), several([1].into_iter().chain(3..=18)));
     assert_eq!(processes.audience(seconds(1), process(9), &members), members);
 }
 
 #[test]
 fn the_number_of_proxies_is_the_largest_that_a_member_has_told_lately() {
-    let mut processes = Processes::default();
+    let mut processes = ProcessDirectory::default();
     let members = several(1..=3);
-    processes.told_live_proxies(seconds(1), process(1), 30);
-    processes.told_live_proxies(seconds(2), process(2), 28);
-    processes.told_live_proxies(seconds(2), process(4), 99);
+    processes.record_live_proxies(seconds(1), process(1), 30);
+    processes.record_live_proxies(seconds(2), process(2), 28);
+    processes.record_live_proxies(seconds(2), process(4), 99);
     assert_eq!(processes.live_proxies(seconds(3), &members), 30);
     assert_eq!(processes.live_proxies(seconds(4), &members), 28);
     assert_eq!(processes.live_proxies(seconds(5), &members), 0);
@@ -65,11 +65,11 @@
 
 #[test]
 fn names_beyond_the_bound_are_not_remembered_until_others_are_forgotten() {
-    let mut processes = Processes::default();
-    let count = u8::try_from(MOST).expect("a small bound");
-    processes.named(seconds(0), &several(0..count));
-    processes.heard(seconds(1), process(200));
-    assert_eq!(processes.all(seconds(1), process(0), &[]).len(), MOST);
-    processes.heard(seconds(11), process(200));
+    let mut processes = ProcessDirectory::default();
+    let count = u8::try_from(MAX_PROCESSES).expect("a small bound");
+    processes.record_named(seconds(0), &several(0..count));
+    processes.record_message(seconds(1), process(200));
+    assert_eq!(processes.all(seconds(1), process(0), &[]).len(), MAX_PROCESSES);
+    processes.record_message(seconds(11), process(200));
     assert_eq!(processes.all(seconds(11), process(0), &[]), several([0, 200]));
 }
--- a/crates/control/src/owner/settings.rs
+++ b/crates/control/src/controller/state_machine_settings.rs
@@ -8,18 +8,25 @@
 
 /// The lease of the list reader: with an election round, one read and the way to the fronts it has to fit twice into
 /// `DrainMs` (3 s), and a renewal must survive a pause of some hundred ms.
-const ROLE_LEASE: Duration = Duration::from_millis(1_200);
+const LEASE_DURATION: Duration = Duration::from_millis(1_200);
 /// How often the lease is renewed.
-const ROLE_RENEW: Duration = Duration::from_millis(350);
+const LEASE_RENEW_INTERVAL: Duration = Duration::from_millis(350);
 /// Steady clocks of two machines differ by far less.
 const CLOCK_DRIFT_PERCENT: u32 = 2;
 
 /// The replica's settings. A process whose log was lost does not count as one that starts for the first time.
-pub fn replica_settings(settings: &Settings, me: SocketAddr, seed: u64, log_lost: bool) -> ReplicaSettings {
+pub fn replica_settings(
+    settings: &Settings, local_address: SocketAddr, seed: u64, log_lost: bool,
+) -> ReplicaSettings {
     let bootstrap = settings.bootstrap && !log_lost;
     let counts_for_quorum = settings.counts_for_quorum;
-    let replica =
-        ReplicaSettings::new(me, seeds(settings), bootstrap, settings.fault_tolerance.machines, seed);
+    let replica = ReplicaSettings::new(
+        local_address,
+        seeds(settings),
+        bootstrap,
+        settings.fault_tolerance.machines,
+        seed,
+    );
     ReplicaSettings { counts_for_quorum, ..replica }
 }
 
@@ -30,12 +37,12 @@
 }
 
 /// The settings of the election of the list reader.
-pub fn elector_settings(me: SocketAddr, seed: u64) -> ElectorSettings {
+pub fn elector_settings(local_address: SocketAddr, seed: u64) -> ElectorSettings {
     ElectorSettings {
-        local_address: me,
+        local_address,
         role: Role::ListWatcher,
-        lease_duration: ROLE_LEASE,
-        renew_interval: ROLE_RENEW,
+        lease_duration: LEASE_DURATION,
+        renew_interval: LEASE_RENEW_INTERVAL,
         clock_drift_percent: CLOCK_DRIFT_PERCENT,
         seed,
     }
--- a/crates/control/src/owner/report.rs
+++ b/crates/control/src/controller/status_report.rs
@@ -1,6 +1,6 @@
 //! What the owner tells operators of its state.
 
-use super::Owner;
+use super::Controller;
 use crate::status::{RoleStatus, Status, by_service};
 use lugwharf_protocol::{ServerEntry, ServerState};
 use std::collections::BTreeSet;
@@ -9,7 +9,7 @@
 /// The name of the list reader's role.
 const LIST_READER: &str = "list_reader";
 
-impl Owner {
+impl Controller {
     /// What `GET /status` tells.
     pub(super) fn status(&self) -> Status {
         let now = self.now();
@@ -17,7 +17,7 @@
         let entries = self.tables.servers().entries();
         Status {
             node: self.settings.node.clone(),
-            address: self.me,
+            address: self.local_address,
             uptime_ms: millis(now),
             view: replica.view,
             members: replica.members,
@@ -27,14 +27,14 @@
             position: replica.position,
             member: replica.is_member,
             serving: replica.is_serving,
-            in_touch: replica.has_quorum && !self.standstill.is_in_doubt(now),
+            in_touch: replica.has_quorum && !self.pause_detector.is_contact_in_doubt(now),
             disk_well: replica.disk_healthy,
             config_version: replica.committed_version.unwrap_or(0),
             roles: vec![self.list_reader(now)],
             servers: self.tables.servers().len(),
             services: by_service(entries, &self.changing()),
             live_proxies: self.tables.live_proxies(),
-            agents: self.agents.report(now, self.tables.servers().position(), &self.commits),
+            agents: self.agent_registry.report(now, self.tables.servers().position(), &self.commit_history),
         }
     }
 
@@ -49,7 +49,7 @@
             role: LIST_READER,
             holder: known.map(|holder| holder.address),
             token: known.map(|holder| holder.token.0),
-            held_ms: known.map(|_| millis(now.saturating_sub(self.holder_since))),
+            held_ms: known.map(|_| millis(now.saturating_sub(self.known_holder_since))),
             held_here: self.elector.held_lease(now).is_some(),
         }
     }
@@ -59,7 +59,7 @@
         let entries = self.tables.servers().entries().cloned();
         let mut shown: Vec<ServerEntry> =
             entries.map(|entry| ServerEntry { state: ServerState::Ready, ..entry }).collect();
-        self.stages.overlay(&mut shown);
+        self.stage_planner.overlay(&mut shown);
         let changing = shown.into_iter().filter(|entry| entry.state == ServerState::Draining);
         changing.map(|entry| entry.id).collect()
     }
--- a/crates/control/src/owner/tables.rs
+++ b/crates/control/src/controller/tables.rs
@@ -1,8 +1,8 @@
 //! The tables of a control process: who asks for what, and how control processes keep each other's up to date.
 
-use super::Owner;
-use crate::message::{PeerBody, TablesMessage};
-use crate::pulls::{Context, Frame};
+use super::Controller;
+use crate::message::{PeerMessage, TablesMessage};
+use crate::pulls::{Frame, ReplyContext};
 use lugwharf_chain as chain;
 use lugwharf_distribution::PROVISIONAL_EPOCH;
 use lugwharf_election as election;
@@ -14,12 +14,12 @@
 
 /// How often each control process tells the others what it has. What the holder of a role changes is told at once; this
 /// finds what was lost on the way.
-const EXCHANGE_EVERY: Duration = Duration::from_millis(500);
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long this process leaves the list reader's role to the others: several election rounds. If nobody takes it
 /// meanwhile, nobody else can.
 const REST: Duration = Duration::from_millis(1_500);
 
-impl Owner {
+impl Controller {
     /// Takes a pull of an agent in.
     pub(super) fn pull(&mut self, request: AgentRequest, reply: oneshot::Sender<Frame>) {
         let now = self.now();
@@ -27,20 +27,21 @@
             AgentRequest::Pull { node, incarnation, have, wait_ms, loads } => {
                 (node, incarnation, have, wait_ms, loads)
             }
-            AgentRequest::Announce { control } => return self.hear_announcement(&control, reply),
+            AgentRequest::Announce { control } => return self.receive_announcement(&control, reply),
         };
         self.census.record_heartbeat(&node, incarnation, now);
-        self.agents.note(now, &node, have);
-        self.loads.heard(now, &node, loads);
-        self.pulls.add(now, node, have, wait_ms, reply);
+        self.agent_registry.record_pull(now, &node, have);
+        self.fleet_load.record_agent(now, &node, loads);
+        self.pending_pulls.add(now, node, have, wait_ms, reply);
         self.serve_pulls();
     }
 
     /// A process that takes this one for a seed without a replica has named control processes.
-    fn hear_announcement(&mut self, control: &[SocketAddr], reply: oneshot::Sender<Frame>) {
-        self.learn_named(control);
-        let processes = self.processes.all(self.now(), self.me, &self.replica.status().members);
-        let context = Context { in_touch: false, control: self.agent_addresses(&processes) };
+    fn receive_announcement(&mut self, control: &[SocketAddr], reply: oneshot::Sender<Frame>) {
+        self.learn_announced_processes(control);
+        let processes =
+            self.process_directory.all(self.now(), self.local_address, &self.replica.status().members);
+        let context = ReplyContext { in_touch: false, control: self.agent_addresses(&processes) };
         // Without an answer the link is closed.
         if let Some(frame) = context.encode(Update::default()) {
             drop(reply.send(frame));
@@ -51,11 +52,11 @@
     pub(super) fn serve_pulls(&mut self) {
         let replica = self.replica.status();
         let now = self.now();
-        let processes = self.processes.all(now, self.me, &replica.members);
+        let processes = self.process_directory.all(now, self.local_address, &replica.members);
         let in_touch = self.serves_agents(now, &replica);
-        let context = Context { in_touch, control: self.agent_addresses(&processes) };
-        let served = self.pulls.serve(now, &self.tables, &context);
-        self.metrics.pulled(served.updated, served.unchanged);
+        let context = ReplyContext { in_touch, control: self.agent_addresses(&processes) };
+        let served = self.pending_pulls.serve(now, &self.tables, &context);
+        self.metrics.record_pulls(served.updated, served.unchanged);
         for (node, version) in served.configs {
             info!("config", kv: { outcome = "pulled", version, to = node.as_str() });
         }
@@ -63,7 +64,7 @@
 
     /// Whether agents may rely on this process; else they are told to ask another one.
     pub(super) fn serves_agents(&self, now: Duration, replica: &chain::ReplicaStatus) -> bool {
-        replica.has_quorum && !self.standstill.is_in_doubt(now) && self.departure.is_none()
+        replica.has_quorum && !self.pause_detector.is_contact_in_doubt(now) && self.shutdown.is_none()
     }
 
     /// The agent addresses of control processes.
@@ -74,47 +75,47 @@
 
     /// The control processes that are told what this one has.
     fn audience(&self, now: Duration) -> Vec<SocketAddr> {
-        self.processes.audience(now, self.me, &self.replica.status().members)
+        self.process_directory.audience(now, self.local_address, &self.replica.status().members)
     }
 
     /// Tells the others what this process has, now and then.
     pub(super) fn exchange(&mut self) {
         let now = self.now();
-        let is_due = self.exchanged.is_none_or(|last| now.saturating_sub(last) >= EXCHANGE_EVERY);
-        if !is_due || self.elected_view == 0 {
+        let is_due = self.last_exchange_at.is_none_or(|last| now.saturating_sub(last) >= EXCHANGE_INTERVAL);
+        if !is_due || self.current_view == 0 {
             return;
         }
-        self.tell_tables(now);
+        self.report_to_peers(now);
     }
 
     /// Tells the others what this process has.
-    fn tell_tables(&mut self, now: Duration) {
-        self.exchanged = Some(now);
-        self.count_proxies(now);
+    fn report_to_peers(&mut self, now: Duration) {
+        self.last_exchange_at = Some(now);
+        self.update_live_proxies(now);
         let fronts = self.census.live_count(now);
         let status = self.replica.status();
         let processes = match status.is_member {
-            true => self.processes.all(now, self.me, &status.members),
+            true => self.process_directory.all(now, self.local_address, &status.members),
             false => Vec::new(),
         };
         let have = TablesMessage::Have {
             vector: self.tables.vector(),
             fronts,
-            loads: self.loads.own(now),
-            reaches: self.reach.is_likely(now),
+            loads: self.fleet_load.local_sum(now),
+            reaches: self.platform_reachability.may_be_reachable(now),
             processes,
         };
         let audience = self.audience(now);
-        self.peers.send_all(&audience, PeerBody::Tables(have));
+        self.peer_transport.send_all(&audience, PeerMessage::Tables(have));
     }
 
     /// Members count the fronts of all control processes. A follower knows its own alone, so that it takes a member's total.
-    fn count_proxies(&mut self, now: Duration) {
+    fn update_live_proxies(&mut self, now: Duration) {
         let counted = self.census.total(now);
         let status = self.replica.status();
         let total = match status.is_member {
             true => counted,
-            false => self.processes.live_proxies(now, &status.members),
+            false => self.process_directory.live_proxies(now, &status.members),
         };
         self.tables.set_live_proxies(total);
     }
@@ -124,13 +125,13 @@
         match message {
             TablesMessage::Have { vector, fronts, loads, reaches, processes } => {
                 let now = self.now();
-                self.reach.told(now, from, reaches);
+                self.platform_reachability.record_peer_report(now, from, reaches);
                 self.census.record_peer_count(from, fronts, now);
-                self.loads.merge(now, from, loads);
-                self.learn_processes(now, from, &processes);
-                self.processes.told_live_proxies(now, from, vector.live_proxies);
-                if let Some(update) = self.missing_at_peer(vector) {
-                    self.peers.send(from, PeerBody::Tables(TablesMessage::Update(update)));
+                self.fleet_load.record_peer(now, from, loads);
+                self.learn_processes_of_member(now, from, &processes);
+                self.process_directory.record_live_proxies(now, from, vector.live_proxies);
+                if let Some(update) = self.server_update_for(vector) {
+                    self.peer_transport.send(from, PeerMessage::Tables(TablesMessage::Update(update)));
                 }
             }
             TablesMessage::Update(update) => match self.tables.apply(&update) {
@@ -143,16 +144,16 @@
 
     /// A follower hears members alone; they name the others to it. Members rely on what they hear themselves, so that no
     /// process is kept listed by hearsay that goes round.
-    fn learn_processes(&mut self, now: Duration, from: SocketAddr, processes: &[SocketAddr]) {
+    fn learn_processes_of_member(&mut self, now: Duration, from: SocketAddr, processes: &[SocketAddr]) {
         let status = self.replica.status();
         if !status.is_member && status.members.contains(&from) {
-            self.processes.named(now, processes);
+            self.process_directory.record_named(now, processes);
         }
     }
 
     /// The list of servers as far as a peer lacks it. Configurations come to it as committed by the replica, and the
     /// number of proxies it counts itself.
-    fn missing_at_peer(&self, have: VersionVector) -> Option<Update> {
+    fn server_update_for(&self, have: VersionVector) -> Option<Update> {
         if self.tables.servers().position().epoch == PROVISIONAL_EPOCH {
             return None;
         }
@@ -162,38 +163,40 @@
     }
 
     /// Whether there is no list of servers at all.
-    pub(super) fn lacks_listing(&self) -> bool {
+    pub(super) fn needs_initial_list(&self) -> bool {
         self.tables.servers().position() == TablePosition::default()
     }
 
     /// Takes over a list that was read without the role: for the agents that pull from here, until the holder's comes.
     /// After a start of the whole core that is a second sooner than an election allows.
-    pub(super) fn first_listed(&mut self, entries: Vec<ServerEntry>) {
-        if self.lacks_listing() && self.tables.servers_mut().replace(PROVISIONAL_EPOCH, entries).is_ok() {
+    pub(super) fn initial_list_read(&mut self, entries: Vec<ServerEntry>) {
+        if self.needs_initial_list() && self.tables.servers_mut().replace(PROVISIONAL_EPOCH, entries).is_ok()
+        {
             self.serve_pulls();
         }
     }
 
     /// Takes a listing over and brings it to everybody.
-    pub(super) fn listed(&mut self, epoch: u64, entries: Vec<ServerEntry>) {
+    pub(super) fn list_read(&mut self, epoch: u64, entries: Vec<ServerEntry>) {
         let holds = self.elector.held_lease(self.now()).is_some_and(|lease| lease.token.0 == epoch);
         if !holds {
             return;
         }
         self.metrics.list_reads.inc();
-        self.reach.succeeded();
+        self.platform_reachability.record_success();
         let now = self.now();
-        self.stages.observe(&entries);
+        self.stage_planner.observe(&entries);
         self.plan_stages(now, &entries);
         let mut entries = entries;
-        self.stages.overlay(&mut entries);
+        self.stage_planner.overlay(&mut entries);
         let before = self.tables.vector();
         match self.tables.servers_mut().replace(epoch, entries) {
             Ok(true) => {
                 self.serve_pulls();
                 let audience = self.audience(now);
-                if let Some(update) = self.missing_at_peer(before) {
-                    self.peers.send_all(&audience, PeerBody::Tables(TablesMessage::Update(update)));
+                if let Some(update) = self.server_update_for(before) {
+                    self.peer_transport
+                        .send_all(&audience, PeerMessage::Tables(TablesMessage::Update(update)));
                 }
             }
             Ok(false) => {}
@@ -202,24 +205,24 @@
     }
 
     /// The list could not be read. If that lasts, another process gets the role, as long as one may do better.
-    pub(super) fn listing_failed(&mut self, epoch: u64, give_up: bool) {
+    pub(super) fn list_read_failed(&mut self, epoch: u64, should_step_down: bool) {
         self.metrics.list_failures.inc();
         let now = self.now();
         let holds = self.elector.held_lease(now).is_some_and(|lease| lease.token.0 == epoch);
-        if !holds || !give_up {
+        if !holds || !should_step_down {
             return;
         }
         let mut others = self.replica.status().members;
-        others.retain(|member| *member != self.me);
-        if !self.reach.any_likely(now, &others) {
+        others.retain(|member| *member != self.local_address);
+        if !self.platform_reachability.any_peer_may_reach(now, &others) {
             debug!("role", kv: { role = "list_reader", outcome = "kept", token = epoch });
             return;
         }
         warn!("role", kv: { role = "list_reader", outcome = "handed_on", token = epoch });
         self.metrics.stand_downs.inc();
-        self.reach.failed(now);
+        self.platform_reachability.record_failure(now);
         // Before the role is vacant, so that it does not come back here before all others have tried.
-        self.tell_tables(now);
+        self.report_to_peers(now);
         self.elect(election::Event::StepDown { backoff: REST });
     }
 }
--- a/crates/control/src/owner/view.rs
+++ b/crates/control/src/controller/view_tracking.rs
@@ -1,16 +1,16 @@
 //! The view of the replica, as the elector and the links are told of it.
 
-use super::Owner;
+use super::Controller;
 use lugwharf_chain as chain;
 use lugwharf_election as election;
 use spdlog::prelude::*;
 
-impl Owner {
+impl Controller {
     /// Tells the elector of the replica's view if it is another one than before: one that was agreed, or the one that
     /// was found on the disk.
     pub(super) fn follow_view(&mut self) {
         let status = self.replica.status();
-        if status.view > self.elected_view {
+        if status.view > self.current_view {
             self.enter_view(&status);
         }
         // Told before anybody hears of the acceptance, which waits for the disk: from then on this process helps nobody to
@@ -22,15 +22,15 @@
     }
 
     fn enter_view(&mut self, status: &chain::ReplicaStatus) {
-        self.elected_view = status.view;
+        self.current_view = status.view;
         self.metrics.view_changes.inc();
         info!("view", kv: {
             outcome = "agreed", view = status.view, members = status.members.len(), replicas = status.chain.len(),
             position:? = status.position
         });
         // Links to others are opened again when something is sent there.
-        let all = self.processes.all(self.now(), self.me, &status.members);
-        self.peers.retain(|address| all.contains(address));
+        let all = self.process_directory.all(self.now(), self.local_address, &status.members);
+        self.peer_transport.retain(|address| all.contains(address));
         let (number, members, is_voter) = (status.view, status.members.clone(), status.is_member);
         self.elect(election::Event::ViewInstalled { number, members, is_voter });
     }
--- a/crates/control/src/encoded_bytes_tests.rs
+++ b/crates/control/src/encoded_bytes_tests.rs
@@ -1,7 +1,7 @@
 //! What control processes send each other, and the first byte of the log's records, byte for byte as the version of the
-//! capture encoded them. Processes of several versions run side by side during an upgrade, so the bytes never change.
+//! capture encoded them. ProcessDirectory of several versions run side by side during an upgrade, so the bytes never change.
 
-use crate::message::{PeerBody, RecordOwner, TablesMessage};
+use crate::message::{PeerMessage, RecordOwner, TablesMessage};
 use lugwharf_chain::Message as ChainMessage;
 use lugwharf_election::{Message as ElectionMessage, MessageBody, Role};
 use lugwharf_protocol::{
@@ -139,13 +139,13 @@
     assert_eq!(to_hex(&encode(&decoded).expect("encodable")), to_hex(&encode(&today).expect("encodable")));
 }
 
-fn chain_message() -> PeerBody {
-    PeerBody::Chain(ChainMessage::ViewRequest { above: 4 })
+fn chain_message() -> PeerMessage {
+    PeerMessage::Chain(ChainMessage::ViewRequest { above: 4 })
 }
 
-fn election_message() -> PeerBody {
+fn election_message() -> PeerMessage {
     let body = MessageBody::PreVote { request_id: 9 };
-    PeerBody::Election(ElectionMessage { role: Role::ListWatcher, view: 4, body })
+    PeerMessage::Election(ElectionMessage { role: Role::ListWatcher, view: 4, body })
 }
 
 #[rstest]
@@ -154,12 +154,12 @@
     election_message(),
     "a168456c656374696f6ea364726f6c656a4c69737452656164657264766965770464626f6479a16341736ba165726f756e6409"
 )]
-#[case::tables_have(PeerBody::Tables(have(true, vec![address(1)])), "a1665461626c6573a16448617665a566766563746f72a366636f6e66696719012c6773657276657273a26565706f6368076873657175656e63651a000111706c6c6976655f70726f786965730c6666726f6e747304656c6f61647381a36773657276696365656d6f64656c6770726566696c6c02666465636f64651901f46772656163686573f56970726f63657373657381a162563482840a000001191e14")]
+#[case::tables_have(PeerMessage::Tables(have(true, vec![address(1)])), "a1665461626c6573a16448617665a566766563746f72a366636f6e66696719012c6773657276657273a26565706f6368076873657175656e63651a000111706c6c6976655f70726f786965730c6666726f6e747304656c6f61647381a36773657276696365656d6f64656c6770726566696c6c02666465636f64651901f46772656163686573f56970726f63657373657381a162563482840a000001191e14")]
 #[case::tables_update(
-    PeerBody::Tables(update(false, true, false)),
+    PeerMessage::Tables(update(false, true, false)),
     "a1665461626c6573a166557064617465a466766563746f72a366636f6e66696719012c6773657276657273a26565706f6368076873657175656e63651a000111706c6c6976655f70726f786965730c66636f6e666967f66773657276657273a668706f736974696f6ea26565706f6368076873657175656e63651a000111716577686f6c65f4656e616d657382656d6f64656c667a6f6e652d61666d6f64656c738281a2646e616d6564626173656776657273696f6e038064726f7773828963692d3100a162563482840a000009191e140110f51905dcf5008963692d3200a162563482840a000009191e140110f41905dcf6016772656d6f7665648163692d3365666c656574f6"
 )]
-fn peer_body_is_encoded_as_captured(#[case] body: PeerBody, #[case] hex: &str) {
+fn peer_body_is_encoded_as_captured(#[case] body: PeerMessage, #[case] hex: &str) {
     assert_bytes(&body, hex);
 }
 
@@ -167,12 +167,12 @@
 #[case::chain(RecordOwner::Chain, "01aabb")]
 #[case::election(RecordOwner::Election, "02aabb")]
 fn first_byte_of_a_record_names_its_owner(#[case] owner: RecordOwner, #[case] hex: &str) {
-    let record = owner.mark(vec![0xaa, 0xbb]);
+    let record = owner.tag_record(vec![0xaa, 0xbb]);
     assert_eq!(to_hex(&record), hex);
     let other = match owner {
         RecordOwner::Chain => RecordOwner::Election,
         RecordOwner::Election => RecordOwner::Chain,
     };
-    let all = [from_hex(hex), other.mark(vec![0xcc]), vec![0, 0xdd], vec![3, 0xdd], Vec::new()];
-    assert_eq!(owner.records(&all), [vec![0xaa, 0xbb]]);
+    let all = [from_hex(hex), other.tag_record(vec![0xcc]), vec![0, 0xdd], vec![3, 0xdd], Vec::new()];
+    assert_eq!(owner.untagged_records(&all), [vec![0xaa, 0xbb]]);
 }
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -4,8 +4,8 @@
 //! agent of this machine follows, which has answered within the last second and is in touch with the rest of the core. Where
 //! there is none, the operator is told to come back.
 
-use crate::answer::{ErrorKind, OperatorError};
-use crate::operator::{self, MOST_BYTES};
+use crate::operator::{self, MAX_CONFIG_BYTES};
+use crate::operator_error::{ErrorKind, OperatorError};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -17,11 +17,11 @@
 const TEMPORARY_REDIRECT: u16 = 307;
 /// A body that is on its way is read for so long, as a caller that still writes may not hear the answer. The machine's link may
 /// be too narrow for the whole of a long one.
-const BODY_WITHIN: Duration = Duration::from_millis(300);
+const BODY_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Serves redirects until the process ends. `target` is the operator's address of a control process, if one is followed.
 pub fn serve(listener: TcpListener, target: watch::Receiver<Option<SocketAddr>>) {
-    let config = operator::http_config(listener, MOST_BYTES);
+    let config = operator::http_server_config(listener, MAX_CONFIG_BYTES);
     let handler = move |conn: Conn| {
         let target = *target.borrow();
         async move { answer(conn, target).await }
@@ -31,7 +31,7 @@
 
 async fn answer(mut conn: Conn, target: Option<SocketAddr>) -> Conn {
     // What comes of it does not matter: the body goes to the control process.
-    let _ = timeout(BODY_WITHIN, conn.request_body().read_bytes()).await;
+    let _ = timeout(BODY_TIMEOUT, conn.request_body().read_bytes()).await;
     let Some(target) = target else {
         let error = OperatorError::new(ErrorKind::Unavailable, "no control process is followed here");
         return operator::respond_with_error(conn, &error);
--- a/crates/control/src/http_bytes_tests.rs
+++ b/crates/control/src/http_bytes_tests.rs
@@ -5,11 +5,11 @@
 use crate::command::Command;
 use crate::encoded_bytes_tests::{from_hex, to_hex};
 use crate::gateway;
-use crate::lease::HeldRole;
-use crate::listing::{Listing, ListingError};
-use crate::metrics::Refusals;
-use crate::operator::{self, MOST_BYTES};
-use crate::orders::{self, OrderCall};
+use crate::lease::HeldLease;
+use crate::metrics::RejectionCounters;
+use crate::operator::{self, MAX_CONFIG_BYTES};
+use crate::orders::{self, AuthorizedOrder};
+use crate::platform_client::{PlatformClient, PlatformError};
 use crate::status::{AgentStatus, RoleStatus, ServiceStatus, Status};
 use crate::status_tests::example;
 use lugwharf_chain::{CommittedConfig, OperatorResponse};
@@ -73,7 +73,7 @@
     let (listener, address) = listener().await;
     let (commands, queue) = mpsc::channel(4);
     tokio::spawn(answer_commands(queue, config));
-    operator::serve(listener, commands, Refusals::default()).expect("a server");
+    operator::serve(listener, commands, RejectionCounters::default()).expect("a server");
     exchange(address, request).await
 }
 
@@ -121,7 +121,7 @@
     "HTTP/1.1 400 Bad Request\r\nContent-Length: 96\r\nContent-Type: application/json\r\nServer: trillium/1.0.0 trillium-http/1.0.1\r\n\r\n{\"Error\":\"invalid_configuration\",\"Field\":\"/Version\",\"Reason\":\"\\\"x\\\" is not of type \\\"integer\\\"\"}"
 )]
 #[case::truncated_body(change(PUT_7, VERSION_9).replace("Length: 39", "Length: 100"), "HTTP/1.1 400 Bad Request\r\nContent-Length: 52\r\nContent-Type: application/json\r\nServer: trillium/1.0.0 trillium-http/1.0.1\r\n\r\n{\"Error\":\"unreadable\",\"Reason\":\"connection aborted\"}")]
-#[case::too_large(change(PUT_7, "").replace("Length: 0", &format!("Length: {}", MOST_BYTES + 1)), "HTTP/1.1 413 Payload Too Large\r\nContent-Length: 62\r\nContent-Type: application/json\r\nServer: trillium/1.0.0 trillium-http/1.0.1\r\n\r\n{\"Error\":\"too_large\",\"Reason\":\"the configuration is too long\"}")]
+#[case::too_large(change(PUT_7, "").replace("Length: 0", &format!("Length: {}", MAX_CONFIG_BYTES + 1)), "HTTP/1.1 413 Payload Too Large\r\nContent-Length: 62\r\nContent-Type: application/json\r\nServer: trillium/1.0.0 trillium-http/1.0.1\r\n\r\n{\"Error\":\"too_large\",\"Reason\":\"the configuration is too long\"}")]
 #[case::patch_accepted(
     change(PATCH_7, "{\"Version\":9}"),
     "HTTP/1.1 200 OK\r\nContent-Length: 13\r\nContent-Type: application/json\r\nServer: trillium/1.0.0 trillium-http/1.0.1\r\n\r\n{\"Version\":9}"
@@ -286,12 +286,12 @@
     let (calls, queue) = mpsc::channel(1);
     let (commands, mut done) = mpsc::channel(1);
     tokio::spawn(orders::run(queue, commands));
-    let held = HeldRole { token: 7, until: Instant::now() + Duration::from_secs(60) };
+    let lease = HeldLease { token: 7, expires_at: Instant::now() + Duration::from_secs(60) };
     let order = Order { id: "i-1".to_owned(), address, stage };
-    calls.send(OrderCall { order, holder: "core-1".to_owned(), held }).await.expect("a queue");
+    calls.send(AuthorizedOrder { order, holder: "core-1".to_owned(), lease }).await.expect("a queue");
     assert_eq!(server.await.expect("a request"), wanted);
     let ended = done.recv().await;
-    assert!(matches!(ended, Some(Command::Ordered { answer: OrderOutcome::Accepted, .. })));
+    assert!(matches!(ended, Some(Command::OrderCompleted { answer: OrderOutcome::Accepted, .. })));
 }
 
 #[tokio::test]
@@ -313,7 +313,7 @@
         }
         String::from_utf8(received).expect("text").replace(&address.to_string(), "ADDRESS")
     });
-    let entries = Listing::new(address).read(|| true).await;
+    let entries = PlatformClient::new(address).list_servers(|| true).await;
     assert!(entries.is_ok_and(|entries| entries.is_empty()));
     assert_eq!(
         server.await.expect("requests"),
@@ -322,14 +322,14 @@
 }
 
 #[rstest]
-#[case::silent(ListingError::Silent, "no answer in time")]
+#[case::silent(PlatformError::Timeout, "no answer in time")]
 #[case::refused(
-    ListingError::Refused(hyper::StatusCode::TOO_MANY_REQUESTS),
+    PlatformError::Status(hyper::StatusCode::TOO_MANY_REQUESTS),
     "it answered 429 Too Many Requests"
 )]
-#[case::unreadable(ListingError::Unreadable("x".to_owned()), "unreadable: x")]
-#[case::lease_over(ListingError::LeaseOver, "the lease is over")]
-fn errors_of_the_list_read_as_captured(#[case] error: ListingError, #[case] wanted: &str) {
+#[case::unreadable(PlatformError::InvalidBody("x".to_owned()), "unreadable: x")]
+#[case::lease_over(PlatformError::LeaseExpired, "the lease is over")]
+fn errors_of_the_list_read_as_captured(#[case] error: PlatformError, #[case] wanted: &str) {
     assert_eq!(error.to_string(), wanted);
 }
 
@@ -347,10 +347,10 @@
     });
     let (commands, mut queue) = mpsc::channel(4);
     tokio::spawn(announcement::run(None, commands));
-    let Some(Command::Announcement { reply }) = queue.recv().await else { panic!("no question") };
+    let Some(Command::GetAnnouncement { reply }) = queue.recv().await else { panic!("no question") };
     let control = vec![SocketAddr::from(([10, 0, 0, 2], 7_721))];
     assert!(reply.send(Announcement { seeds: vec![seed], control }).is_ok(), "somebody asks");
-    let Some(Command::Named { addresses }) = queue.recv().await else { panic!("nobody named") };
+    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else { panic!("nobody named") };
     assert_eq!(addresses, [SocketAddr::from(([10, 0, 0, 1], 7_721))]);
     assert_eq!(to_hex(&server.await.expect("a request")), REQUEST);
 }
--- a/crates/control/src/lease.rs
+++ b/crates/control/src/lease.rs
@@ -2,18 +2,18 @@
 
 use tokio::time::Instant;
 
-/// A role held by this process, for those that act in it. Ask [`HeldRole::lasts`] right before each act.
+/// A role held by this process, for those that act in it. Ask [`HeldLease::is_valid`] right before each act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldRole {
+pub struct HeldLease {
     /// The fencing token.
     pub token: u64,
     /// The end of the lease unless it is renewed.
-    pub until: Instant,
+    pub expires_at: Instant,
 }
 
-impl HeldRole {
-    /// Whether the lease lasts at `now`.
-    pub fn lasts(&self, now: Instant) -> bool {
-        now < self.until
+impl HeldLease {
+    /// Whether the lease is_valid at `now`.
+    pub fn is_valid(&self, now: Instant) -> bool {
+        now < self.expires_at
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -6,14 +6,13 @@
 //! `listing` (the platform's list).
 #![forbid(unsafe_code)]
 
-mod agents;
+mod acceptor;
+mod agent_server;
 mod announcement;
 #[cfg(test)]
 mod announcement_tests;
-mod answer;
-#[cfg(test)]
-mod answer_tests;
 mod command;
+mod controller;
 #[cfg(test)]
 mod encoded_bytes_tests;
 pub mod gateway;
@@ -22,8 +21,9 @@
 #[cfg(test)]
 mod http_bytes_tests;
 mod lease;
-mod links;
-mod listing;
+mod list_watcher;
+#[cfg(test)]
+mod list_watcher_tests;
 mod logs;
 #[cfg(test)]
 mod logs_tests;
@@ -32,15 +32,15 @@
 #[cfg(test)]
 mod metrics_tests;
 mod operator;
+mod operator_error;
+#[cfg(test)]
+mod operator_error_tests;
 #[cfg(test)]
 mod operator_tests;
 mod orders;
-mod owner;
-mod peers;
+mod peer_transport;
+mod platform_client;
 mod pulls;
-mod reader;
-#[cfg(test)]
-mod reader_tests;
 mod shutdown;
 mod status;
 #[cfg(test)]
@@ -48,13 +48,13 @@
 mod storage;
 
 use command::Command;
+use controller::Controller;
 use eyre::{Result, WrapErr, eyre};
 use lugwharf_settings::Settings;
 use lugwharf_stages::StageTuning;
 use lugwharf_telemetry::MetricsEndpoint;
-use metrics::Refusals;
-use owner::Owner;
-use shutdown::Outcome;
+use metrics::RejectionCounters;
+use shutdown::ShutdownOutcome;
 use spdlog::prelude::*;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -70,8 +70,8 @@
 const TICK: Duration = Duration::from_millis(20);
 /// `GraceS` where the settings have none that is a time.
 const DEFAULT_GRACE: Duration = Duration::from_secs(8);
-/// After the longest time that a shutdown takes, the time for an owner of the state that is busy.
-const OVERDUE: Duration = Duration::from_millis(500);
+/// After the max_duration time that a shutdown takes, the time for an owner of the state that is busy.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
 /// What the command line may choose.
 #[derive(Clone, Debug, Default)]
@@ -93,12 +93,12 @@
     let agent_listener = listen(SocketAddr::new(settings.listen_ip(), ports.agent)).await?;
     let operator_listener = listen(control).await?;
     let (commands, queue) = mpsc::channel(QUEUE);
-    let refusals = Refusals::default();
-    let owner = Owner::start(settings.clone(), options.stages, commands.clone(), &refusals)?;
+    let rejections = RejectionCounters::default();
+    let owner = Controller::start(settings.clone(), options.stages, commands.clone(), &rejections)?;
     let mut owner = tokio::spawn(owner.run(queue));
-    tokio::spawn(peers::accept(peer_listener, commands.clone()));
-    tokio::spawn(agents::accept(agent_listener, commands.clone()));
-    operator::serve(operator_listener, commands.clone(), refusals)?;
+    tokio::spawn(peer_transport::accept(peer_listener, commands.clone()));
+    tokio::spawn(agent_server::accept(agent_listener, commands.clone()));
+    operator::serve(operator_listener, commands.clone(), rejections)?;
     tokio::spawn(tick(commands.clone()));
     tokio::spawn(announcement::run(settings.bind, commands.clone()));
     if let Some(port) = options.metrics_port
@@ -123,17 +123,19 @@
 /// Parts from the other control processes, in a bounded time.
 async fn shut_down(commands: &mpsc::Sender<Command>, grace: Duration) {
     let begun = Instant::now();
-    let within = (shutdown::longest(grace) + OVERDUE).min(grace);
+    let within = (shutdown::max_duration(grace) + SHUTDOWN_MARGIN).min(grace);
     let (done, outcome) = oneshot::channel();
     let parting = async {
         commands.send(Command::Shutdown { done }).await.ok()?;
         outcome.await.ok()
     };
-    let outcome = timeout(within, parting).await.ok().flatten().unwrap_or(Outcome::TimedOut);
+    let outcome = timeout(within, parting).await.ok().flatten().unwrap_or(ShutdownOutcome::TimedOut);
     let took_ms = begun.elapsed().as_millis() as u64;
     match outcome {
-        Outcome::TimedOut => warn!("shutdown", kv: { outcome = outcome.name(), took_ms }),
-        Outcome::Left | Outcome::Stayed => info!("shutdown", kv: { outcome = outcome.name(), took_ms }),
+        ShutdownOutcome::TimedOut => warn!("shutdown", kv: { outcome = outcome.name(), took_ms }),
+        ShutdownOutcome::Left | ShutdownOutcome::Stayed => {
+            info!("shutdown", kv: { outcome = outcome.name(), took_ms })
+        }
     }
 }
 
--- a/crates/control/src/reader.rs
+++ b/crates/control/src/list_watcher.rs
@@ -1,8 +1,8 @@
 //! The work of the list reader's role: while this process holds it, the platform's list is read in a steady rhythm.
 
 use crate::command::Command;
-use crate::lease::HeldRole;
-use crate::listing::{Listing, ListingError};
+use crate::lease::HeldLease;
+use crate::platform_client::{PlatformClient, PlatformError};
 use lugwharf_settings::Cloud;
 use spdlog::prelude::*;
 use std::time::Duration;
@@ -11,29 +11,30 @@
 
 /// How often the list is read. A server that leaves has to be known at every front within `DrainMs` (3 s) of the list
 /// showing it, also when the role changes hands meanwhile; each call has a price.
-const READ_EVERY: Duration = Duration::from_millis(1_000);
+const READ_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The pause after a read that failed.
-const READ_AGAIN: Duration = Duration::from_millis(250);
+const READ_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// After so long without an answer another process should try: it may reach the platform where this one can't. Two pages
 /// that do not come; with the election and the first read of the successor it stays within some 2 s.
-const GIVE_UP_AFTER: Duration = Duration::from_millis(1_200);
+const OUTAGE_BEFORE_STEP_DOWN: Duration = Duration::from_millis(1_200);
 
 /// After a start: the time for the others to tell what they have.
-const FIRST_LOOK_AFTER: Duration = Duration::from_millis(120);
+const INITIAL_READ_DELAY: Duration = Duration::from_millis(120);
 /// Tries of the first look. An election has come to an end by then.
-const FIRST_LOOKS: u32 = 6;
+const MAX_INITIAL_READS: u32 = 6;
 
 /// Reads the list once after a start, unless another process has told it meanwhile.
-pub async fn first_look(cloud: Cloud, commands: mpsc::Sender<Command>) {
-    let mut listing = Listing::new(cloud.address);
-    for _ in 0..FIRST_LOOKS {
-        sleep(FIRST_LOOK_AFTER).await;
+pub async fn initial_read(cloud: Cloud, commands: mpsc::Sender<Command>) {
+    let mut client = PlatformClient::new(cloud.address);
+    for _ in 0..MAX_INITIAL_READS {
+        sleep(INITIAL_READ_DELAY).await;
         let (reply, lacks) = oneshot::channel();
-        if commands.send(Command::LacksListing { reply }).await.is_err() || !lacks.await.unwrap_or(false) {
+        if commands.send(Command::NeedsInitialList { reply }).await.is_err() || !lacks.await.unwrap_or(false)
+        {
             return;
         }
-        if let Ok(entries) = listing.read(|| true).await {
-            drop(commands.send(Command::FirstListed { entries }).await);
+        if let Ok(entries) = client.list_servers(|| true).await {
+            drop(commands.send(Command::InitialListRead { entries }).await);
             return;
         }
     }
@@ -41,50 +42,52 @@
 
 /// Reads while `role` holds a fencing token, and each page only while the lease lasts by the clock: after a standstill of
 /// the process it is this task that may run first.
-pub async fn run(cloud: Cloud, mut role: watch::Receiver<Option<HeldRole>>, commands: mpsc::Sender<Command>) {
-    let mut listing = Listing::new(cloud.address);
+pub async fn run(
+    cloud: Cloud, mut role: watch::Receiver<Option<HeldLease>>, commands: mpsc::Sender<Command>,
+) {
+    let mut client = PlatformClient::new(cloud.address);
     loop {
-        let Some(HeldRole { token: epoch, .. }) = *role.borrow_and_update() else {
+        let Some(HeldLease { token: epoch, .. }) = *role.borrow_and_update() else {
             if role.changed().await.is_err() {
                 return;
             }
             continue;
         };
-        if hold(&mut listing, epoch, &mut role, &commands).await.is_none() {
+        if watch_under_lease(&mut client, epoch, &mut role, &commands).await.is_none() {
             return;
         }
     }
 }
 
 /// Reads under one token until it is lost. `None` if the process is ending.
-async fn hold(
-    listing: &mut Listing, epoch: u64, role: &mut watch::Receiver<Option<HeldRole>>,
+async fn watch_under_lease(
+    client: &mut PlatformClient, epoch: u64, role: &mut watch::Receiver<Option<HeldLease>>,
     commands: &mpsc::Sender<Command>,
 ) -> Option<()> {
     let mut failures = 0;
-    let mut patience = Patience::default();
+    let mut outage = PlatformOutage::default();
     loop {
         let begun = Instant::now();
         let lease = role.clone();
         let read = tokio::select! {
-            read = listing.read(|| holds(&lease, epoch)) => read,
+            read = client.list_servers(|| is_lease_valid(&lease, epoch)) => read,
             changed = role.changed() => return changed.ok(),
         };
         let pause = match read {
             Ok(entries) => {
                 failures = 0;
-                patience.answered();
-                commands.send(Command::Listed { epoch, entries }).await.ok()?;
-                READ_EVERY
+                outage.record_response();
+                commands.send(Command::ListRead { epoch, entries }).await.ok()?;
+                READ_INTERVAL
             }
             // The owner of the lease finds this too, at its next event.
-            Err(ListingError::LeaseOver) => return role.changed().await.ok(),
+            Err(PlatformError::LeaseExpired) => return role.changed().await.ok(),
             Err(error) => {
                 failures += 1;
-                note(&error, failures);
-                let give_up = patience.failed(begun, Instant::now(), &error);
-                commands.send(Command::ListingFailed { epoch, give_up }).await.ok()?;
-                READ_AGAIN
+                log_failure(&error, failures);
+                let should_step_down = outage.record_failure(begun, Instant::now(), &error);
+                commands.send(Command::ListReadFailed { epoch, should_step_down }).await.ok()?;
+                READ_RETRY_DELAY
             }
         };
         tokio::select! {
@@ -95,36 +98,36 @@
 }
 
 /// Whether the lease under this token lasts at this moment.
-fn holds(role: &watch::Receiver<Option<HeldRole>>, epoch: u64) -> bool {
-    role.borrow().is_some_and(|held| held.token == epoch && held.lasts(Instant::now()))
+fn is_lease_valid(role: &watch::Receiver<Option<HeldLease>>, epoch: u64) -> bool {
+    role.borrow().is_some_and(|lease| lease.token == epoch && lease.is_valid(Instant::now()))
 }
 
 /// How long this process has had no answer of the platform.
 #[derive(Debug, Default)]
-pub struct Patience {
-    silent_since: Option<Instant>,
+pub struct PlatformOutage {
+    since: Option<Instant>,
 }
 
-impl Patience {
+impl PlatformOutage {
     /// The platform answered.
-    pub fn answered(&mut self) {
-        self.silent_since = None;
+    pub fn record_response(&mut self) {
+        self.since = None;
     }
 
     /// A reading that began at `begun` has failed; returns whether another process should try. A refusal is an answer:
     /// the platform would refuse others as well.
-    pub fn failed(&mut self, begun: Instant, now: Instant, error: &ListingError) -> bool {
-        if matches!(error, ListingError::Refused(_)) {
-            self.answered();
+    pub fn record_failure(&mut self, begun: Instant, now: Instant, error: &PlatformError) -> bool {
+        if matches!(error, PlatformError::Status(_)) {
+            self.record_response();
             return false;
         }
-        let since = *self.silent_since.get_or_insert(begun);
-        now.saturating_duration_since(since) >= GIVE_UP_AFTER
+        let since = *self.since.get_or_insert(begun);
+        now.saturating_duration_since(since) >= OUTAGE_BEFORE_STEP_DOWN
     }
 }
 
 /// The first failure in a row is worth a warning.
-fn note(error: &ListingError, failures: u32) {
+fn log_failure(error: &PlatformError, failures: u32) {
     match failures {
         1 => warn!("list", kv: { outcome = "failed", failures, error: = error }),
         _ => debug!("list", kv: { outcome = "failed", failures, error: = error }),
--- a/crates/control/src/reader_tests.rs
+++ b/crates/control/src/list_watcher_tests.rs
@@ -1,8 +1,8 @@
 //! When a reader may ask, and when one that has no answer should be followed by another one.
 
-use crate::lease::HeldRole;
-use crate::listing::ListingError;
-use crate::reader::{Patience, run};
+use crate::lease::HeldLease;
+use crate::list_watcher::{PlatformOutage, run};
+use crate::platform_client::PlatformError;
 use hyper::StatusCode;
 use lugwharf_settings::Cloud;
 use rstest::rstest;
@@ -13,17 +13,17 @@
 use tokio::time::{Instant, timeout};
 
 /// Failed readings one after the other, each by its begin and end in ms; returns when the last one says to give up.
-fn gives_up(readings: &[(u64, u64, Option<u16>)]) -> bool {
+fn steps_down(readings: &[(u64, u64, Option<u16>)]) -> bool {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut patience = Patience::default();
-    let mut give_up = false;
+    let mut outage = PlatformOutage::default();
+    let mut should_step_down = false;
     for (begun, ended, status) in readings {
         let status = status.and_then(|status| StatusCode::from_u16(status).ok());
-        let error = status.map_or(ListingError::Silent, ListingError::Refused);
-        give_up = patience.failed(at(*begun), at(*ended), &error);
+        let error = status.map_or(PlatformError::Timeout, PlatformError::Status);
+        should_step_down = outage.record_failure(at(*begun), at(*ended), &error);
     }
-    give_up
+    should_step_down
 }
 
 #[rstest]
@@ -36,17 +36,17 @@
 fn gives_up_after_a_time_without_an_answer(
     #[case] readings: &[(u64, u64, Option<u16>)], #[case] wanted: bool,
 ) {
-    assert_eq!(gives_up(readings), wanted);
+    assert_eq!(steps_down(readings), wanted);
 }
 
 #[test]
 fn a_reading_that_succeeds_begins_anew() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
-    let mut patience = Patience::default();
-    patience.failed(at(0), at(700), &ListingError::Silent);
-    patience.answered();
-    assert!(!patience.failed(at(1_000), at(1_700), &ListingError::Silent));
+    let mut outage = PlatformOutage::default();
+    outage.record_failure(at(0), at(700), &PlatformError::Timeout);
+    outage.record_response();
+    assert!(!outage.record_failure(at(1_000), at(1_700), &PlatformError::Timeout));
 }
 
 /// The process stood still: the reader runs before the owner of the lease has looked at its clock.
@@ -57,7 +57,7 @@
 async fn asks_for_a_page_only_within_the_lease(#[case] left: Duration, #[case] asks: bool) {
     let platform = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = platform.local_addr().expect("bound");
-    let (_role, holding) = watch::channel(Some(HeldRole { token: 7, until: Instant::now() + left }));
+    let (_role, holding) = watch::channel(Some(HeldLease { token: 7, expires_at: Instant::now() + left }));
     let (commands, _queue) = mpsc::channel(1);
     tokio::spawn(run(Cloud { address, rate_per_s: 1.0, lag_ms: 0 }, holding, commands));
     let (mut stream, _) = platform.accept().await.expect("a connection");
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -33,7 +33,7 @@
 
 /// The messages of a link, by the state machine they are for.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum PeerBody {
+pub enum PeerMessage {
     /// For the replica.
     Chain(lugwharf_chain::Message),
     /// For the election.
@@ -53,11 +53,11 @@
 
 /// How a batch ended.
 #[derive(Clone, Copy, Debug)]
-pub struct Written {
+pub struct PersistOutcome {
     /// Whose it was.
     pub owner: RecordOwner,
     /// Its number.
-    pub number: u64,
+    pub batch: u64,
     /// Whether it is synced.
-    pub synced: bool,
+    pub is_synced: bool,
 }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -3,8 +3,8 @@
 //! The owner of the state counts; only refusals are counted where the operator's calls are answered. Gauges are set from
 //! the status at each call, so that nothing is spent on them in between. `docs/OPERATING.md` lists the names.
 
-use crate::answer::ErrorKind;
 use crate::command::Command;
+use crate::operator_error::ErrorKind;
 use crate::status::Status;
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
 use lugwharf_stages::OrderOutcome;
@@ -40,23 +40,23 @@
 
 /// Counts calls of the operator that were answered with an error, by kind. Counting takes no lock.
 #[derive(Clone)]
-pub struct Refusals {
+pub struct RejectionCounters {
     family: Family<KindLabel, Counter>,
     by_kind: [Counter; ErrorKind::ALL.len()],
 }
 
-impl Default for Refusals {
-    fn default() -> Refusals {
+impl Default for RejectionCounters {
+    fn default() -> RejectionCounters {
         let family: Family<KindLabel, Counter> = Family::default();
         let by_kind = ErrorKind::ALL.map(|kind| {
-            let label = KindLabel { kind: kind.answer().1 };
+            let label = KindLabel { kind: kind.status_and_name().1 };
             family.get_or_create(&label).clone()
         });
-        Refusals { family, by_kind }
+        RejectionCounters { family, by_kind }
     }
 }
 
-impl Refusals {
+impl RejectionCounters {
     /// Counts one.
     pub fn count(&self, kind: ErrorKind) {
         let position = ErrorKind::ALL.iter().position(|known| *known == kind);
@@ -142,7 +142,7 @@
 
 impl Metrics {
     /// Metrics that begin at 0.
-    pub fn new(refusals: &Refusals) -> Metrics {
+    pub fn new(rejections: &RejectionCounters) -> Metrics {
         let mut registry = Registry::with_prefix(PREFIX);
         let metrics = Metrics {
             registry: Registry::default(),
@@ -167,7 +167,7 @@
         for (name, help, counter) in counters {
             registry.register(name, help, counter.clone());
         }
-        registry.register("refusals", "Calls of the operator by kind of error", refusals.family.clone());
+        registry.register("refusals", "Calls of the operator by kind of error", rejections.family.clone());
         registry.register("orders", "Orders to servers by answer", metrics.orders.clone());
         registry.register("pulls", "Pulls of agents by answer", metrics.pulls.clone());
         registry.register("servers", "Servers on the list", metrics.servers.clone());
@@ -177,12 +177,12 @@
     }
 
     /// Counts an order that has ended.
-    pub fn ordered(&self, answer: OrderOutcome) {
-        self.orders.get_or_create(&AnswerLabel { answer: answer_name(answer) }).inc();
+    pub fn record_order(&self, answer: OrderOutcome) {
+        self.orders.get_or_create(&AnswerLabel { answer: order_answer_name(answer) }).inc();
     }
 
     /// Counts pulls that were answered with something newer, and those without.
-    pub fn pulled(&self, updated: u64, unchanged: u64) {
+    pub fn record_pulls(&self, updated: u64, unchanged: u64) {
         for (answer, count) in [("update", updated), ("unchanged", unchanged)] {
             if count > 0 {
                 self.pulls.get_or_create(&AnswerLabel { answer }).inc_by(count);
@@ -207,7 +207,7 @@
 }
 
 /// The name of an answer, in metrics and logs.
-pub fn answer_name(answer: OrderOutcome) -> &'static str {
+pub fn order_answer_name(answer: OrderOutcome) -> &'static str {
     match answer {
         OrderOutcome::Accepted => "taken",
         OrderOutcome::Unknown => "unclear",
--- a/crates/control/src/metrics_tests.rs
+++ b/crates/control/src/metrics_tests.rs
@@ -1,7 +1,7 @@
 //! The names and the text of the metrics.
 
-use crate::answer::ErrorKind;
-use crate::metrics::{Metrics, Refusals};
+use crate::metrics::{Metrics, RejectionCounters};
+use crate::operator_error::ErrorKind;
 use crate::status::{AgentStatus, Status};
 use crate::status_tests::{example, server};
 use lugwharf_protocol::{ServerState, Stage};
@@ -17,21 +17,21 @@
 }
 
 fn text() -> String {
-    let refusals = Refusals::default();
-    let metrics = Metrics::new(&refusals);
+    let rejections = RejectionCounters::default();
+    let metrics = Metrics::new(&rejections);
     metrics.view_changes.inc();
     metrics.commits.inc_by(2);
     metrics.list_reads.inc_by(3);
     metrics.list_failures.inc_by(4);
     metrics.stand_downs.inc();
-    metrics.ordered(OrderOutcome::Accepted);
-    metrics.ordered(OrderOutcome::Unknown);
-    metrics.ordered(OrderOutcome::Accepted);
-    metrics.pulled(5, 0);
-    metrics.pulled(1, 7);
-    refusals.count(ErrorKind::Conflict);
-    refusals.count(ErrorKind::Conflict);
-    refusals.count(ErrorKind::Unavailable);
+    metrics.record_order(OrderOutcome::Accepted);
+    metrics.record_order(OrderOutcome::Unknown);
+    metrics.record_order(OrderOutcome::Accepted);
+    metrics.record_pulls(5, 0);
+    metrics.record_pulls(1, 7);
+    rejections.count(ErrorKind::Conflict);
+    rejections.count(ErrorKind::Conflict);
+    rejections.count(ErrorKind::Unavailable);
     let gone = [server("x", "gone", ServerState::Ready, None)];
     metrics.render(&example(), gone.iter());
     let servers = [
@@ -87,7 +87,7 @@
 fn names_every_kind_of_refusal() {
     let text = text();
     for kind in ErrorKind::ALL {
-        let label = format!("kind=\"{}\"", kind.answer().1);
+        let label = format!("kind=\"{}\"", kind.status_and_name().1);
         assert!(text.contains(&label), "{label}\n{text}");
     }
 }
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -1,9 +1,9 @@
 //! The operator's API over HTTP: `PUT /config`, `PATCH /config`, `GET /config`, `GET /status`, `GET /metrics`.
 
-use crate::answer::{ErrorKind, OperatorError};
 use crate::command::Command;
 use crate::logs::Hash;
-use crate::metrics::{self, Refusals};
+use crate::metrics::{self, RejectionCounters};
+use crate::operator_error::{ErrorKind, OperatorError};
 use eyre::Result;
 use lugwharf_chain::{Blake3, CommittedConfig, OperatorResponse};
 use lugwharf_config::{ConfigError, Configuration, ConfigurationPatch};
@@ -20,15 +20,15 @@
 
 /// The largest configuration in bytes. A replica that takes a history over gets two of them in one frame, beside the marks
 /// of the entries before (10,000 of some 80 bytes): three eighths of the largest frame leave room for those.
-pub const MOST_BYTES: u64 = MAX_FRAME_BYTES as u64 / 8 * 3;
+pub const MAX_CONFIG_BYTES: u64 = MAX_FRAME_BYTES as u64 / 8 * 3;
 /// Configurations that are taken in at once; bounds their memory. The operator has up to eight orders under way.
-pub const MOST_BODIES: usize = 16;
+pub const MAX_CONCURRENT_BODIES: usize = 16;
 /// A body that takes longer holds a place that another call could use.
-const BODY_WITHIN: Duration = Duration::from_secs(5);
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 /// The operator moves on after a second of silence, so that it has an answer before.
-const ANSWER_WITHIN: Duration = Duration::from_millis(930);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(930);
 /// Connections at once; the operator has up to eight orders under way, and readiness checks may come as well.
-const MOST_CONNECTIONS: usize = 256;
+const MAX_CONNECTIONS: usize = 256;
 /// What the operator is asked to wait after an answer that promises nothing.
 const RETRY_AFTER_S: &str = "0.2";
 /// The type of all answers but the metrics.
@@ -38,15 +38,17 @@
 #[derive(Clone)]
 struct Api {
     commands: mpsc::Sender<Command>,
-    refusals: Refusals,
+    rejections: RejectionCounters,
     /// Room for bodies.
-    bodies: Arc<Semaphore>,
+    body_permits: Arc<Semaphore>,
 }
 
-/// Serves the API until the process ends.
-pub fn serve(listener: TcpListener, commands: mpsc::Sender<Command>, refusals: Refusals) -> Result<()> {
-    let config = http_config(listener, MOST_BYTES);
-    let api = Api { commands, refusals, bodies: Arc::new(Semaphore::new(MOST_BODIES)) };
+/// Serves the API deadline the process ends.
+pub fn serve(
+    listener: TcpListener, commands: mpsc::Sender<Command>, rejections: RejectionCounters,
+) -> Result<()> {
+    let config = http_server_config(listener, MAX_CONFIG_BYTES);
+    let api = Api { commands, rejections, body_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_BODIES)) };
     let handler = move |conn: Conn| {
         let api = api.clone();
         async move { handle(conn, api).await }
@@ -56,27 +58,27 @@
 }
 
 /// A server on this listener that takes bodies up to a length.
-pub(crate) fn http_config(
+pub(crate) fn http_server_config(
     listener: TcpListener, most_bytes: u64,
 ) -> trillium_server_common::Config<impl trillium_server_common::Server, ()> {
     let http = HttpConfig::default().with_received_body_max_len(most_bytes);
     trillium_tokio::config()
         .without_signals()
         .with_nodelay()
-        .with_max_connections(Some(MOST_CONNECTIONS))
+        .with_max_connections(Some(MAX_CONNECTIONS))
         .with_http_config(http)
         .with_prebound_server(listener)
 }
 
 /// A successful answer.
-struct Reply {
+struct Response {
     content_type: &'static str,
     body: Body,
 }
 
-impl Reply {
-    fn json(body: Body) -> Reply {
-        Reply { content_type: JSON, body }
+impl Response {
+    fn json(body: Body) -> Response {
+        Response { content_type: JSON, body }
     }
 }
 
@@ -98,7 +100,7 @@
     match result {
         Ok(reply) => respond(conn, 200, reply),
         Err(error) => {
-            api.refusals.count(error.kind);
+            api.rejections.count(error.kind);
             respond_with_error(conn, &error)
         }
     }
@@ -106,15 +108,15 @@
 
 /// Answers with an error; one that promises nothing says when to come back.
 pub(crate) fn respond_with_error(conn: Conn, error: &OperatorError) -> Conn {
-    let (status, _) = error.kind.answer();
+    let (status, _) = error.kind.status_and_name();
     let conn = match error.kind {
         ErrorKind::Unavailable => conn.with_response_header(KnownHeaderName::RetryAfter, RETRY_AFTER_S),
         _ => conn,
     };
-    respond(conn, status, Reply::json(json(&error.body)))
+    respond(conn, status, Response::json(json(&error.body)))
 }
 
-fn respond(conn: Conn, status: u16, reply: Reply) -> Conn {
+fn respond(conn: Conn, status: u16, reply: Response) -> Conn {
     conn.with_status(status)
         .with_response_header(KnownHeaderName::ContentType, reply.content_type)
         .with_body(reply.body)
@@ -129,25 +131,25 @@
     OperatorError::new(ErrorKind::Unavailable, "the core can't decide now")
 }
 
-async fn put_config(conn: &mut Conn, api: &Api) -> Result<Reply, OperatorError> {
-    let _place = api.bodies.try_acquire().map_err(|_| unavailable())?;
+async fn put_config(conn: &mut Conn, api: &Api) -> Result<Response, OperatorError> {
+    let _permit = api.body_permits.try_acquire().map_err(|_| unavailable())?;
     let (base, bytes) = read_change(conn).await?;
     let version = Configuration::parse(&bytes).map(|checked| checked.version);
     let change = Change { base, version, request: None, bytes: bytes.into() };
-    let begun = Instant::now();
-    let result = submit(&change, &api.commands, begun + ANSWER_WITHIN).await;
-    change.note(conn, &result, begun.elapsed());
+    let started_at = Instant::now();
+    let result = submit(&change, &api.commands, started_at + RESPONSE_TIMEOUT).await;
+    change.log(conn, &result, started_at.elapsed());
     result
 }
 
 /// A change of named items is computed here, from the newest configuration, into a whole one.
-async fn patch_config(conn: &mut Conn, api: &Api) -> Result<Reply, OperatorError> {
-    let _place = api.bodies.try_acquire().map_err(|_| unavailable())?;
+async fn patch_config(conn: &mut Conn, api: &Api) -> Result<Response, OperatorError> {
+    let _permit = api.body_permits.try_acquire().map_err(|_| unavailable())?;
     let (base, bytes) = read_change(conn).await?;
-    let begun = Instant::now();
-    let until = begun + ANSWER_WITHIN;
+    let started_at = Instant::now();
+    let deadline = started_at + RESPONSE_TIMEOUT;
     let patch = ConfigurationPatch::parse(&bytes)?;
-    let whole = patched(&patch, base, &api.commands, until).await;
+    let whole = apply_patch(&patch, base, &api.commands, deadline).await;
     let result_bytes = whole.as_ref().map_or_else(|_| Vec::new(), Clone::clone);
     let change = Change {
         base,
@@ -156,26 +158,26 @@
         bytes: result_bytes.into(),
     };
     let result = match whole {
-        Ok(_) => submit(&change, &api.commands, until).await,
+        Ok(_) => submit(&change, &api.commands, deadline).await,
         Err(error) => Err(error),
     };
-    change.note(conn, &result, begun.elapsed());
+    change.log(conn, &result, started_at.elapsed());
     result
 }
 
 /// What a patch makes of its base; nothing where another version is current: the patch may have been taken before, which only
 /// the history tells.
-async fn patched(
-    patch: &ConfigurationPatch, base: u64, commands: &mpsc::Sender<Command>, until: Instant,
+async fn apply_patch(
+    patch: &ConfigurationPatch, base: u64, commands: &mpsc::Sender<Command>, deadline: Instant,
 ) -> Result<Vec<u8>, OperatorError> {
-    let Some(current) = newest(commands, until).await? else {
+    let Some(current) = read_committed_config(commands, deadline).await? else {
         return Err(OperatorError::new(ErrorKind::NoConfiguration, "there is none yet"));
     };
     if current.version != base {
         return Ok(Vec::new());
     }
     let whole = patch.apply(&current.bytes)?;
-    if whole.len() as u64 > MOST_BYTES {
+    if whole.len() as u64 > MAX_CONFIG_BYTES {
         return Err(OperatorError::new(ErrorKind::TooLarge, "the configuration becomes too long"));
     }
     Ok(whole)
@@ -195,7 +197,7 @@
 }
 
 async fn read_body(conn: &mut Conn) -> Result<Vec<u8>, OperatorError> {
-    let body = timeout(BODY_WITHIN, conn.request_body().read_bytes()).await;
+    let body = timeout(BODY_TIMEOUT, conn.request_body().read_bytes()).await;
     body.map_err(|_| unavailable())?.map_err(|error| match error {
         trillium_http::Error::ReceivedBodyTooLong(_) => {
             OperatorError::new(ErrorKind::TooLarge, "the configuration is too long")
@@ -215,7 +217,7 @@
 }
 
 impl Change {
-    fn note(&self, conn: &Conn, result: &Result<Reply, OperatorError>, took: Duration) {
+    fn log(&self, conn: &Conn, result: &Result<Response, OperatorError>, took: Duration) {
         let outcome = result.as_ref().map_or_else(|error| error.body.error, |_| "accepted");
         let version = self.version.as_ref().map_or(0, |version| *version);
         let from = conn.peer_ip().map(|ip| ip.to_string()).unwrap_or_default();
@@ -227,14 +229,14 @@
 }
 
 async fn submit(
-    change: &Change, commands: &mpsc::Sender<Command>, until: Instant,
-) -> Result<Reply, OperatorError> {
+    change: &Change, commands: &mpsc::Sender<Command>, deadline: Instant,
+) -> Result<Response, OperatorError> {
     let (reply, answer) = oneshot::channel();
     let version = change.version.clone()?;
     let Change { base, request, .. } = *change;
     let command = Command::Submit { base, version, request, bytes: change.bytes.clone(), reply };
-    match ask(commands, command, answer, until).await? {
-        OperatorResponse::Accepted { version } => Ok(Reply::json(json(&Accepted { version }))),
+    match send_command(commands, command, answer, deadline).await? {
+        OperatorResponse::Accepted { version } => Ok(Response::json(json(&Accepted { version }))),
         OperatorResponse::Conflict { current } => {
             Err(OperatorError::new(ErrorKind::Conflict, "another version is current")
                 .at("If-Match")
@@ -256,43 +258,45 @@
     version: u64,
 }
 
-async fn get_config(commands: &mpsc::Sender<Command>) -> Result<Reply, OperatorError> {
-    match newest(commands, Instant::now() + ANSWER_WITHIN).await? {
-        Some(config) => Ok(Reply::json(Arc::as_ref(&config.bytes).to_vec())),
+async fn get_config(commands: &mpsc::Sender<Command>) -> Result<Response, OperatorError> {
+    match read_committed_config(commands, Instant::now() + RESPONSE_TIMEOUT).await? {
+        Some(config) => Ok(Response::json(Arc::as_ref(&config.bytes).to_vec())),
         None => Err(OperatorError::new(ErrorKind::NoConfiguration, "there is none yet")),
     }
 }
 
 /// The newest configuration, if there is one.
-async fn newest(
-    commands: &mpsc::Sender<Command>, until: Instant,
+async fn read_committed_config(
+    commands: &mpsc::Sender<Command>, deadline: Instant,
 ) -> Result<Option<Arc<CommittedConfig>>, OperatorError> {
     let (reply, answer) = oneshot::channel();
-    match ask(commands, Command::Read { reply }, answer, until).await? {
+    match send_command(commands, Command::Read { reply }, answer, deadline).await? {
         OperatorResponse::Config(newest) => Ok(newest),
         _ => Err(unavailable()),
     }
 }
 
-async fn get_status(commands: &mpsc::Sender<Command>) -> Result<Reply, OperatorError> {
+async fn get_status(commands: &mpsc::Sender<Command>) -> Result<Response, OperatorError> {
     let (reply, status) = oneshot::channel();
-    let status = ask(commands, Command::Status { reply }, status, Instant::now() + ANSWER_WITHIN).await?;
-    Ok(Reply::json(json(&status)))
+    let status =
+        send_command(commands, Command::Status { reply }, status, Instant::now() + RESPONSE_TIMEOUT).await?;
+    Ok(Response::json(json(&status)))
 }
 
-async fn get_metrics(commands: &mpsc::Sender<Command>) -> Result<Reply, OperatorError> {
+async fn get_metrics(commands: &mpsc::Sender<Command>) -> Result<Response, OperatorError> {
     let (reply, text) = oneshot::channel();
-    let text = ask(commands, Command::Metrics { reply }, text, Instant::now() + ANSWER_WITHIN).await?;
-    Ok(Reply { content_type: metrics::CONTENT_TYPE, body: text.into_bytes() })
+    let text =
+        send_command(commands, Command::Metrics { reply }, text, Instant::now() + RESPONSE_TIMEOUT).await?;
+    Ok(Response { content_type: metrics::CONTENT_TYPE, body: text.into_bytes() })
 }
 
 /// Asks the owner of the state, and waits until then at most.
-async fn ask<T>(
-    commands: &mpsc::Sender<Command>, command: Command, answer: oneshot::Receiver<T>, until: Instant,
+async fn send_command<T>(
+    commands: &mpsc::Sender<Command>, command: Command, answer: oneshot::Receiver<T>, deadline: Instant,
 ) -> Result<T, OperatorError> {
     let exchange = async {
         commands.send(command).await.ok()?;
         answer.await.ok()
     };
-    timeout_at(until, exchange).await.ok().flatten().ok_or_else(unavailable)
+    timeout_at(deadline, exchange).await.ok().flatten().ok_or_else(unavailable)
 }
--- a/crates/control/src/answer.rs
+++ b/crates/control/src/operator_error.rs
@@ -44,7 +44,7 @@
     ];
 
     /// The table from kind to status and name.
-    pub fn answer(self) -> (u16, &'static str) {
+    pub fn status_and_name(self) -> (u16, &'static str) {
         match self {
             ErrorKind::InvalidConfiguration => (400, "invalid_configuration"),
             ErrorKind::BadBase => (400, "bad_base"),
@@ -88,7 +88,7 @@
 impl OperatorError {
     /// An error without a place.
     pub fn new(kind: ErrorKind, reason: impl Into<String>) -> OperatorError {
-        let error = kind.answer().1;
+        let error = kind.status_and_name().1;
         OperatorError { kind, body: ErrorBody { error, field: None, reason: reason.into(), current: None } }
     }
 
@@ -106,7 +106,7 @@
 }
 
 impl From<ConfigError> for OperatorError {
-    fn from(fault: ConfigError) -> OperatorError {
-        OperatorError::new(ErrorKind::InvalidConfiguration, fault.reason).at(fault.field)
+    fn from(error: ConfigError) -> OperatorError {
+        OperatorError::new(ErrorKind::InvalidConfiguration, error.reason).at(error.field)
     }
 }
--- a/crates/control/src/answer_tests.rs
+++ b/crates/control/src/operator_error_tests.rs
@@ -1,6 +1,6 @@
 //! The table from kind to answer against the one in the design page.
 
-use crate::answer::ErrorKind;
+use crate::operator_error::ErrorKind;
 
 const DESIGN: &str = include_str!("../../../docs/DESIGN.md");
 const HEADING: &str = "## Errors of the operator's API";
@@ -21,7 +21,7 @@
 #[test]
 fn every_kind_answers_as_the_design_page_says() {
     let told = ErrorKind::ALL.map(|kind| {
-        let (status, name) = kind.answer();
+        let (status, name) = kind.status_and_name();
         (format!("{kind:?}"), status, name.to_owned())
     });
     let mut told = told.to_vec();
@@ -34,6 +34,6 @@
 /// These end a call of the operator, so that a change that may have been taken must not get them.
 #[test]
 fn what_the_core_can_not_decide_ends_no_call() {
-    let (status, _) = ErrorKind::Unavailable.answer();
+    let (status, _) = ErrorKind::Unavailable.status_and_name();
     assert!(!matches!(status, 400 | 409 | 412 | 413 | 422), "{status}");
 }
--- a/crates/control/src/operator_tests.rs
+++ b/crates/control/src/operator_tests.rs
@@ -1,9 +1,9 @@
 //! The bounds of the operator's API, and its answers over HTTP beside an owner of a few lines.
 
 use crate::command::Command;
-use crate::message::PeerBody;
-use crate::metrics::Refusals;
-use crate::operator::{self, MOST_BODIES, MOST_BYTES};
+use crate::message::PeerMessage;
+use crate::metrics::RejectionCounters;
+use crate::operator::{self, MAX_CONCURRENT_BODIES, MAX_CONFIG_BYTES};
 use crate::status_tests::example;
 
 use lugwharf_chain::{
@@ -34,10 +34,10 @@
     };
     let marks =
         (0..MARKS).map(|index| EntryHeader { index: first + index, version: first, base: first, digest });
-    let bytes: Arc<[u8]> = vec![b'x'; usize::try_from(MOST_BYTES).expect("a size")].into();
+    let bytes: Arc<[u8]> = vec![b'x'; usize::try_from(MAX_CONFIG_BYTES).expect("a size")].into();
     let bodies = (0..BODIES).map(|index| EntryBody { index: first + index, bytes: bytes.clone() });
     let transfer = HistorySuffix { after: first, headers: marks.collect(), bodies: bodies.collect() };
-    let body = PeerBody::Chain(Message::State { view: first, suffix: transfer });
+    let body = PeerMessage::Chain(Message::State { view: first, suffix: transfer });
     // The sender's address stands in the frame as well.
     const ENVELOPE: usize = 256;
     let frame = encode(&body).expect("a frame");
@@ -47,7 +47,7 @@
 /// The share of a frame that two of them leave for the rest.
 #[test]
 fn the_largest_configuration_is_three_eighths_of_a_frame() {
-    assert_eq!(MOST_BYTES * 8, MAX_FRAME_BYTES as u64 * 3);
+    assert_eq!(MAX_CONFIG_BYTES * 8, MAX_FRAME_BYTES as u64 * 3);
 }
 
 /// Answers commands as an owner does whose current version is 7.
@@ -79,7 +79,7 @@
     let address = listener.local_addr().expect("an address");
     let (commands, queue) = mpsc::channel(4);
     tokio::spawn(own(queue));
-    operator::serve(listener, commands, Refusals::default()).expect("a server");
+    operator::serve(listener, commands, RejectionCounters::default()).expect("a server");
     address
 }
 
@@ -196,7 +196,7 @@
 
 #[tokio::test]
 async fn a_patch_that_grows_the_configuration_over_the_limit_is_refused() {
-    let size = usize::try_from(MOST_BYTES).expect("a size");
+    let size = usize::try_from(MAX_CONFIG_BYTES).expect("a size");
     let address = serve(move |mut queue: mpsc::Receiver<Command>| async move {
         let padding = " ".repeat(size - 100);
         let text = format!(r#"{{"Version":7,"Routes":[],"Services":[],"Note":"{padding}"}}"#);
@@ -220,7 +220,7 @@
 
 #[tokio::test]
 async fn refuses_a_configuration_over_the_limit() {
-    let body = vec![b' '; usize::try_from(MOST_BYTES).expect("a size") + 1];
+    let body = vec![b' '; usize::try_from(MAX_CONFIG_BYTES).expect("a size") + 1];
     let answer = call("PUT /config HTTP/1.1\r\nIf-Match: 7", &body).await;
     assert!(answer.starts_with("HTTP/1.1 413 ") && answer.contains("too_large"), "{answer}");
 }
@@ -325,7 +325,7 @@
 async fn changes_beyond_those_that_there_is_room_for_are_sent_away() {
     let address = serve(own).await;
     let mut held = Vec::new();
-    for _ in 0..MOST_BODIES {
+    for _ in 0..MAX_CONCURRENT_BODIES {
         held.push(hold_a_place(address).await);
     }
     let body = configuration(9);
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,7 +1,7 @@
 //! Calls that carry orders to model servers.
 
 use crate::command::Command;
-use crate::lease::HeldRole;
+use crate::lease::HeldLease;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::handshake;
@@ -25,16 +25,16 @@
 
 /// An order is answered at once. One that is not by then is given up and its connection reset, so that it does not arrive
 /// after its sender has lost the role.
-const ANSWER_WITHIN: Duration = Duration::from_millis(700);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// An order with the authority to give it.
-pub struct OrderCall {
+pub struct AuthorizedOrder {
     /// The order.
     pub order: Order,
     /// The name of the sender.
     pub holder: String,
     /// The sender's fencing token and the end of its lease; nothing is sent from then on.
-    pub held: HeldRole,
+    pub lease: HeldLease,
 }
 
 /// The lease ended before the order was sent, as when this process stood still meanwhile.
@@ -52,14 +52,14 @@
 }
 
 /// Makes the calls, side by side.
-pub async fn run(mut calls: mpsc::Receiver<OrderCall>, commands: mpsc::Sender<Command>) {
+pub async fn run(mut calls: mpsc::Receiver<AuthorizedOrder>, commands: mpsc::Sender<Command>) {
     while let Some(call) = calls.recv().await {
         let commands = commands.clone();
         tokio::spawn(async move {
-            let answer = match timeout(ANSWER_WITHIN, send(&call)).await {
-                Ok(Ok(status)) => judge(status),
+            let answer = match timeout(RESPONSE_TIMEOUT, send(&call)).await {
+                Ok(Ok(status)) => classify_response(status),
                 Ok(Err(error)) if error.is::<LeaseEnded>() => {
-                    warn!("order", kv: { outcome = "withheld", id = call.order.id.as_str(), token = call.held.token });
+                    warn!("order", kv: { outcome = "withheld", id = call.order.id.as_str(), token = call.lease.token });
                     OrderOutcome::Rejected
                 }
                 Ok(Err(error)) => {
@@ -68,12 +68,12 @@
                 }
                 Err(_) => OrderOutcome::Unknown,
             };
-            drop(commands.send(Command::Ordered { id: call.order.id, answer }).await);
+            drop(commands.send(Command::OrderCompleted { id: call.order.id, answer }).await);
         });
     }
 }
 
-fn judge(status: StatusCode) -> OrderOutcome {
+fn classify_response(status: StatusCode) -> OrderOutcome {
     match status.as_u16() {
         200 | 202 => OrderOutcome::Accepted,
         400..=499 => OrderOutcome::Rejected,
@@ -81,12 +81,12 @@
     }
 }
 
-async fn send(call: &OrderCall) -> eyre::Result<StatusCode> {
+async fn send(call: &AuthorizedOrder) -> eyre::Result<StatusCode> {
     let stage = match call.order.stage {
         Stage::Prefill => "prefill",
         Stage::Decode => "decode",
     };
-    let body = StageOrder { op: "Stage", stage, holder: &call.holder, fence: call.held.token };
+    let body = StageOrder { op: "Stage", stage, holder: &call.holder, fence: call.lease.token };
     let request = Request::post("/order")
         .header(HOST, call.order.address.to_string())
         .header(CONTENT_TYPE, "application/json")
@@ -97,10 +97,10 @@
     SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
     let now = Instant::now();
-    if !call.held.lasts(now) {
+    if !call.lease.is_valid(now) {
         return Err(LeaseEnded.into());
     }
-    check(Invariant::OrderUnderLease, call.held.lasts(now), || format!("token {}", call.held.token));
+    check(Invariant::OrderUnderLease, call.lease.is_valid(now), || format!("token {}", call.lease.token));
     let exchange = sender.send_request(request);
     tokio::pin!(connection, exchange);
     // Both end with this call, so that giving it up resets the connection.
@@ -113,5 +113,5 @@
             }
         }
     };
-    timeout_at(call.held.until, answer).await?
+    timeout_at(call.lease.expires_at, answer).await?
 }
--- a/crates/control/src/orders_tests.rs
+++ b/crates/control/src/orders_tests.rs
@@ -1,8 +1,8 @@
 //! Orders are sent under a lease that runs, and not under one that has ended.
 
-use super::{OrderCall, run};
+use super::{AuthorizedOrder, run};
 use crate::command::Command;
-use crate::lease::HeldRole;
+use crate::lease::HeldLease;
 use lugwharf_protocol::Stage;
 use lugwharf_stages::{Order, OrderOutcome};
 use std::net::SocketAddr;
@@ -21,11 +21,11 @@
     let (commands, mut done) = mpsc::channel(1);
     tokio::spawn(run(queue, commands));
     let order = Order { id: "i-1".to_owned(), address, stage: Stage::Decode };
-    let held = HeldRole { token: 7, until };
-    let call = OrderCall { order, holder: "core-1".to_owned(), held };
+    let lease = HeldLease { token: 7, expires_at: until };
+    let call = AuthorizedOrder { order, holder: "core-1".to_owned(), lease };
     calls.send(call).await.expect("a queue");
     match done.recv().await {
-        Some(Command::Ordered { id, answer }) if id == "i-1" => answer,
+        Some(Command::OrderCompleted { id, answer }) if id == "i-1" => answer,
         _ => panic!("no end of the order"),
     }
 }
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peer_transport.rs
@@ -2,9 +2,9 @@
 //! link that another process opened is only read. A message that can't be sent soon is dropped: the state machines send
 //! again what matters.
 
+use crate::acceptor::{self, AcceptLimits};
 use crate::command::Command;
-use crate::links::{self, Terms};
-use crate::message::PeerBody;
+use crate::message::PeerMessage;
 use lugwharf_protocol::{FrameError, connect_from, encode, read_frame};
 use serde::{Deserialize, Serialize};
 use socket2::SockRef;
@@ -19,60 +19,60 @@
 use tokio::time::{sleep, timeout};
 
 #[cfg(test)]
-#[path = "peers_tests.rs"]
-mod peers_tests;
+#[path = "peer_transport_tests.rs"]
+mod peer_transport_tests;
 
 /// A connection on a calm network takes a few ms. A dropped opening packet is sent again only after a second, so that a new
 /// attempt is sooner through.
-const CONNECT_WITHIN: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// A write that takes longer means that the peer does not read or can't be reached.
-const WRITE_WITHIN: Duration = Duration::from_millis(800);
+const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1_000);
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// The pause before a peer that could not be reached is tried again.
-const CONNECT_AGAIN: Duration = Duration::from_millis(100);
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// Messages that wait for one peer; beyond it the newest are dropped.
 const QUEUE: usize = 64;
-/// Peers that are known at most: machines of the core, and those that replaced them.
-const MOST_PEERS: usize = 128;
+/// PeerTransport that are known at most: machines of the core, and those that replaced them.
+const MAX_PEERS: usize = 128;
 /// Links that others may have open to this process.
-const MOST_LINKS: usize = 128;
+const MAX_CONNECTIONS: usize = 128;
 /// A link on which nothing came for so long has been given up by its other end.
-const SILENT: Duration = Duration::from_secs(10);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// One frame of a link.
 #[derive(Debug, Serialize, Deserialize)]
 struct PeerFrame {
     /// The peer address of the sender.
     from: SocketAddr,
-    body: PeerBody,
+    body: PeerMessage,
 }
 
 /// The links that this process opens.
-pub struct Peers {
-    me: SocketAddr,
+pub struct PeerTransport {
+    local_address: SocketAddr,
     /// The address that links come from, where it matters.
     source: Option<IpAddr>,
     queues: HashMap<SocketAddr, mpsc::Sender<Arc<[u8]>>>,
 }
 
-impl Peers {
-    /// Links from the process at `me`.
-    pub fn new(me: SocketAddr, source: Option<IpAddr>) -> Peers {
-        Peers { me, source, queues: HashMap::new() }
+impl PeerTransport {
+    /// Links from the process at `local_address`.
+    pub fn new(local_address: SocketAddr, source: Option<IpAddr>) -> PeerTransport {
+        PeerTransport { local_address, source, queues: HashMap::new() }
     }
 
     /// Sends a message, or drops it if too many wait already.
-    pub fn send(&mut self, to: SocketAddr, body: PeerBody) {
-        match encode(&PeerFrame { from: self.me, body }) {
+    pub fn send(&mut self, to: SocketAddr, body: PeerMessage) {
+        match encode(&PeerFrame { from: self.local_address, body }) {
             Ok(frame) => self.send_frame(to, frame.into()),
             Err(error) => error!("message", kv: { outcome = "not_encoded", error: = error }),
         }
     }
 
     /// Sends one message to several.
-    pub fn send_all(&mut self, to: &[SocketAddr], body: PeerBody) {
-        match encode(&PeerFrame { from: self.me, body }) {
+    pub fn send_all(&mut self, to: &[SocketAddr], body: PeerMessage) {
+        match encode(&PeerFrame { from: self.local_address, body }) {
             Ok(frame) => {
                 let frame: Arc<[u8]> = frame.into();
                 to.iter().for_each(|&to| self.send_frame(to, frame.clone()));
@@ -82,11 +82,11 @@
     }
 
     fn send_frame(&mut self, to: SocketAddr, frame: Arc<[u8]>) {
-        if to == self.me {
+        if to == self.local_address {
             return;
         }
         if !self.queues.contains_key(&to) {
-            if self.queues.len() >= MOST_PEERS {
+            if self.queues.len() >= MAX_PEERS {
                 return;
             }
             let (queue, frames) = mpsc::channel(QUEUE);
@@ -105,9 +105,9 @@
 }
 
 async fn connect(to: SocketAddr, source: Option<IpAddr>) -> std::io::Result<TcpStream> {
-    let stream = timeout(CONNECT_WITHIN, connect_from(source, to)).await??;
+    let stream = timeout(CONNECT_TIMEOUT, connect_from(source, to)).await??;
     stream.set_nodelay(true)?;
-    SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+    SockRef::from(&stream).set_tcp_user_timeout(Some(TCP_USER_TIMEOUT))?;
     Ok(stream)
 }
 
@@ -119,12 +119,12 @@
             link = connect(to, source).await.ok();
         }
         let Some(stream) = &mut link else {
-            sleep(CONNECT_AGAIN).await;
+            sleep(RECONNECT_DELAY).await;
             // What was queued meanwhile is old.
             while frames.try_recv().is_ok() {}
             continue;
         };
-        let written = timeout(WRITE_WITHIN, stream.write_all(&frame)).await;
+        let written = timeout(WRITE_TIMEOUT, stream.write_all(&frame)).await;
         if !matches!(written, Ok(Ok(()))) {
             link = None;
         }
@@ -133,12 +133,18 @@
 
 /// Lets other control processes open their links.
 pub async fn accept(listener: TcpListener, commands: mpsc::Sender<Command>) {
-    links::accept(listener, Terms { name: "peer", most: MOST_LINKS }, commands, read_frames).await;
+    acceptor::accept(
+        listener,
+        AcceptLimits { kind: "peer", max_connections: MAX_CONNECTIONS },
+        commands,
+        read_frames,
+    )
+    .await;
 }
 
 async fn read_frames(mut stream: TcpStream, commands: mpsc::Sender<Command>) -> Result<(), FrameError> {
     loop {
-        let frame = timeout(SILENT, read_frame::<PeerFrame>(&mut stream)).await;
+        let frame = timeout(IDLE_TIMEOUT, read_frame::<PeerFrame>(&mut stream)).await;
         let Some(PeerFrame { from, body }) = frame.map_err(std::io::Error::from)?? else { return Ok(()) };
         if commands.send(Command::Peer { from, body }).await.is_err() {
             return Ok(());
--- a/crates/control/src/peers_tests.rs
+++ b/crates/control/src/peer_transport_tests.rs
@@ -1,10 +1,10 @@
 //! Frames of the links between control processes, byte for byte. There is no handshake: the first frame carries the first
 //! message, and each frame names its sender.
 
-use super::{PeerFrame, Peers, read_frames};
+use super::{PeerFrame, PeerTransport, read_frames};
 use crate::command::Command;
 use crate::encoded_bytes_tests::{assert_bytes, from_hex, to_hex};
-use crate::message::PeerBody;
+use crate::message::PeerMessage;
 use lugwharf_chain::Message;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -19,8 +19,8 @@
     SocketAddr::from(([10, 0, 0, 1], 7_700))
 }
 
-fn body() -> PeerBody {
-    PeerBody::Chain(Message::ViewRequest { above: 4 })
+fn body() -> PeerMessage {
+    PeerMessage::Chain(Message::ViewRequest { above: 4 })
 }
 
 #[test]
@@ -32,7 +32,7 @@
 async fn link_carries_the_captured_bytes_from_its_first_byte_on() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
-    let mut peers = Peers::new(sender(), None);
+    let mut peers = PeerTransport::new(sender(), None);
     peers.send(address, body());
     let (mut stream, _) = listener.accept().await.expect("a link");
     let wanted = from_hex(&format!("{LENGTH}{FRAME}"));
--- a/crates/control/src/listing.rs
+++ b/crates/control/src/platform_client.rs
@@ -15,33 +15,33 @@
 use tokio::time::timeout;
 
 /// A page of the list takes a few ms; a platform that takes longer is in trouble, and another process may reach it.
-const PAGE_WITHIN: Duration = Duration::from_millis(700);
+const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
 /// Bytes of one page: 50 entries of some 300 bytes, many times over.
-const MOST_PAGE_BYTES: usize = 4 * 1024 * 1024;
+const MAX_PAGE_BYTES: usize = 4 * 1024 * 1024;
 /// Pages of one listing. Guards against a list of pages that never ends.
-const MOST_PAGES: usize = 400;
+const MAX_PAGES: usize = 400;
 
 /// Why the list could not be read.
 #[derive(Debug, thiserror::Error)]
-pub enum ListingError {
+pub enum PlatformError {
     /// It did not answer in time.
     #[error("no answer in time")]
-    Silent,
+    Timeout,
     /// The connection failed.
     #[error("the connection failed: {0}")]
-    Link(#[from] std::io::Error),
+    Connection(#[from] std::io::Error),
     /// HTTP failed.
     #[error("HTTP failed: {0}")]
     Http(#[from] hyper::Error),
     /// It answered with another status than 200; 429 over its rate.
     #[error("it answered {0}")]
-    Refused(StatusCode),
+    Status(StatusCode),
     /// The answer is no list.
     #[error("unreadable: {0}")]
-    Unreadable(String),
+    InvalidBody(String),
     /// The reader no longer holds the role: the page was not asked for.
     #[error("the lease is over")]
-    LeaseOver,
+    LeaseExpired,
 }
 
 #[derive(Debug, Deserialize)]
@@ -107,34 +107,38 @@
 }
 
 /// A reader that keeps its connection.
-pub struct Listing {
+pub struct PlatformClient {
     address: SocketAddr,
     sender: Option<SendRequest<Empty<Bytes>>>,
 }
 
-impl Listing {
+impl PlatformClient {
     /// A reader of the list at `address`.
-    pub fn new(address: SocketAddr) -> Listing {
-        Listing { address, sender: None }
+    pub fn new(address: SocketAddr) -> PlatformClient {
+        PlatformClient { address, sender: None }
     }
 
-    /// Reads all pages, each only if `may_ask` says so right before the request.
-    pub async fn read(&mut self, may_ask: impl Fn() -> bool) -> Result<Vec<ServerEntry>, ListingError> {
+    /// Reads all pages, each only if `may_request` says so right before the request.
+    pub async fn list_servers(
+        &mut self, may_request: impl Fn() -> bool,
+    ) -> Result<Vec<ServerEntry>, PlatformError> {
         let mut entries = Vec::new();
         let mut token: Option<String> = None;
-        for _ in 0..MOST_PAGES {
-            let page = timeout(PAGE_WITHIN, self.page(token.as_deref(), &may_ask)).await;
-            let page = page.unwrap_or(Err(ListingError::Silent)).inspect_err(|_| self.sender = None)?;
+        for _ in 0..MAX_PAGES {
+            let page = timeout(PAGE_TIMEOUT, self.page(token.as_deref(), &may_request)).await;
+            let page = page.unwrap_or(Err(PlatformError::Timeout)).inspect_err(|_| self.sender = None)?;
             entries.extend(page.instances.into_iter().map(ServerEntry::from));
             match page.next_token.filter(|next| !next.is_empty()) {
                 Some(next) => token = Some(next),
                 None => return Ok(entries),
             }
         }
-        Err(ListingError::Unreadable("the pages have no end".to_owned()))
+        Err(PlatformError::InvalidBody("the pages have no end".to_owned()))
     }
 
-    async fn page(&mut self, token: Option<&str>, may_ask: impl Fn() -> bool) -> Result<Page, ListingError> {
+    async fn page(
+        &mut self, token: Option<&str>, may_request: impl Fn() -> bool,
+    ) -> Result<Page, PlatformError> {
         let path = match token {
             Some(token) => format!("/instances?PageToken={}", escape(token)),
             None => "/instances".to_owned(),
@@ -142,17 +146,17 @@
         let request = Request::get(path)
             .header(HOST, self.address.to_string())
             .body(Empty::new())
-            .map_err(|e| ListingError::Unreadable(e.to_string()))?;
+            .map_err(|e| PlatformError::InvalidBody(e.to_string()))?;
         let sender = self.sender().await?;
-        if !may_ask() {
-            return Err(ListingError::LeaseOver);
+        if !may_request() {
+            return Err(PlatformError::LeaseExpired);
         }
         let response = sender.send_request(request).await?;
         read_page(response).await
     }
 
     /// The kept connection, or a new one.
-    async fn sender(&mut self) -> Result<&mut SendRequest<Empty<Bytes>>, ListingError> {
+    async fn sender(&mut self) -> Result<&mut SendRequest<Empty<Bytes>>, PlatformError> {
         let usable = match &mut self.sender {
             Some(sender) => sender.ready().await.is_ok(),
             None => false,
@@ -167,7 +171,7 @@
     }
 }
 
-async fn connect(address: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, ListingError> {
+async fn connect(address: SocketAddr) -> Result<SendRequest<Empty<Bytes>>, PlatformError> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await?;
@@ -175,14 +179,14 @@
     Ok(sender)
 }
 
-async fn read_page(response: Response<Incoming>) -> Result<Page, ListingError> {
+async fn read_page(response: Response<Incoming>) -> Result<Page, PlatformError> {
     let status = response.status();
-    let body = Limited::new(response.into_body(), MOST_PAGE_BYTES).collect().await;
-    let body = body.map_err(|e| ListingError::Unreadable(e.to_string()))?.to_bytes();
+    let body = Limited::new(response.into_body(), MAX_PAGE_BYTES).collect().await;
+    let body = body.map_err(|e| PlatformError::InvalidBody(e.to_string()))?.to_bytes();
     if status != StatusCode::OK {
-        return Err(ListingError::Refused(status));
+        return Err(PlatformError::Status(status));
     }
-    serde_json::from_slice(&body).map_err(|e| ListingError::Unreadable(e.to_string()))
+    serde_json::from_slice(&body).map_err(|e| PlatformError::InvalidBody(e.to_string()))
 }
 
 /// A token as part of a query.
--- a/crates/control/src/pulls.rs
+++ b/crates/control/src/pulls.rs
@@ -14,12 +14,12 @@
 mod pulls_tests;
 
 /// The longest a pull may wait.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const MAX_WAIT: Duration = Duration::from_secs(5);
 /// Answers that are kept for others who have the same. After a start all agents have nothing; later they differ by a change
 /// or two.
-const MOST_KEPT: usize = 8;
+const MAX_CACHED_REPLIES: usize = 8;
 /// For how long an answer is kept. Agents ask twice a second, so that whoever has the same has asked by then.
-const KEPT_FOR: Duration = Duration::from_secs(1);
+const REPLY_CACHE_TTL: Duration = Duration::from_secs(1);
 
 /// An encoded [`ControlReply`], shared by all who get the same.
 pub type Frame = Arc<[u8]>;
@@ -27,24 +27,24 @@
 struct Pull {
     node: String,
     have: VersionVector,
-    until: Duration,
+    deadline: Duration,
     reply: oneshot::Sender<Frame>,
 }
 
 /// The pulls that wait.
 #[derive(Default)]
-pub struct Pulls {
+pub struct PendingPulls {
     waiting: Vec<Pull>,
-    kept: Kept,
+    reply_cache: ReplyCache,
     /// The least time between two configurations for one front.
-    pace: Duration,
-    /// When each front was last sent a configuration, as far as that is within `pace`.
-    sent: HashMap<String, Duration>,
+    config_interval: Duration,
+    /// When each front was last sent a configuration, as far as that is within `config_interval`.
+    config_sent_at: HashMap<String, Duration>,
 }
 
 /// The pulls that were answered.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Served {
+pub struct PullsServed {
     /// How many with something newer.
     pub updated: u64,
     /// How many without.
@@ -55,14 +55,14 @@
 
 /// What an answer says besides the update.
 #[derive(Clone, Default, PartialEq, Eq)]
-pub struct Context {
+pub struct ReplyContext {
     /// Whether this process is in touch with a majority of its view.
     pub in_touch: bool,
     /// Agent addresses of the control processes.
     pub control: Vec<SocketAddr>,
 }
 
-impl Context {
+impl ReplyContext {
     /// The answer with this update, if it can be encoded.
     pub fn encode(&self, update: Update) -> Option<Frame> {
         let reply = ControlReply::Update { has_quorum: self.in_touch, control: self.control.clone(), update };
@@ -78,7 +78,7 @@
 
 /// An answer that has something newer.
 #[derive(Clone)]
-struct Answer {
+struct CachedReply {
     frame: Frame,
     /// The version of the configuration in it, if there is one.
     config: Option<u64>,
@@ -87,77 +87,80 @@
 /// Answers by what their askers had, as long as nothing changes. A large fleet that starts asks hundreds of times for the
 /// same list: encoding and holding it once for each would cost a control process its memory and seconds of its processor.
 #[derive(Default)]
-struct Kept {
+struct ReplyCache {
     vector: VersionVector,
-    context: Context,
+    context: ReplyContext,
     since: Duration,
-    answers: Vec<(VersionVector, Answer)>,
+    answers: Vec<(VersionVector, CachedReply)>,
 }
 
-impl Kept {
+impl ReplyCache {
     /// Drops the answers if they are old or something has changed.
-    fn refresh(&mut self, now: Duration, vector: VersionVector, context: &Context) {
-        let is_old = now.saturating_sub(self.since) >= KEPT_FOR;
+    fn refresh(&mut self, now: Duration, vector: VersionVector, context: &ReplyContext) {
+        let is_old = now.saturating_sub(self.since) >= REPLY_CACHE_TTL;
         if is_old || vector != self.vector || *context != self.context {
-            *self = Kept { vector, context: context.clone(), since: now, answers: Vec::new() };
+            *self = ReplyCache { vector, context: context.clone(), since: now, answers: Vec::new() };
         }
     }
 
-    fn find(&self, have: &VersionVector) -> Option<Answer> {
+    fn find(&self, have: &VersionVector) -> Option<CachedReply> {
         let found = self.answers.iter().find(|(asked, _)| asked == have);
         found.map(|(_, answer)| answer.clone())
     }
 
     /// The answer for who has `have`, if there is something newer.
-    fn answer(&mut self, have: &VersionVector, tables: &Tables) -> Option<Answer> {
+    fn answer(&mut self, have: &VersionVector, tables: &Tables) -> Option<CachedReply> {
         if let Some(answer) = self.find(have) {
             return Some(answer);
         }
         let update = tables.update_since(have)?;
         let config = update.config.as_ref().map(|config| config.version);
-        let answer = Answer { frame: self.context.encode(update)?, config };
-        if self.answers.len() < MOST_KEPT {
+        let answer = CachedReply { frame: self.context.encode(update)?, config };
+        if self.answers.len() < MAX_CACHED_REPLIES {
             self.answers.push((*have, answer.clone()));
         }
         Some(answer)
     }
 }
 
-impl Pulls {
-    /// Pulls of fronts that are sent a configuration once in `pace` at most: whole configurations in quick succession would
+impl PendingPulls {
+    /// Pulls of fronts that are sent a configuration once in `config_interval` at most: whole configurations in quick succession would
     /// fill a front's link, and its requests would wait behind versions that are out of date when they arrive.
-    pub fn paced(pace: Duration) -> Pulls {
-        Pulls { pace, ..Pulls::default() }
+    pub fn with_config_interval(config_interval: Duration) -> PendingPulls {
+        PendingPulls { config_interval, ..PendingPulls::default() }
     }
 
     /// What a front is taken to have: while a configuration is not due, it lacks none. One that has none at all gets it at once.
-    fn due(&self, pull: &Pull, now: Duration, newest: u64) -> VersionVector {
-        let is_due = self.sent.get(&pull.node).is_none_or(|sent| now.saturating_sub(*sent) >= self.pace);
+    fn effective_vector(&self, pull: &Pull, now: Duration, newest: u64) -> VersionVector {
+        let is_due = self
+            .config_sent_at
+            .get(&pull.node)
+            .is_none_or(|sent| now.saturating_sub(*sent) >= self.config_interval);
         let config = if is_due || pull.have.config == 0 { pull.have.config } else { newest };
         VersionVector { config, ..pull.have }
     }
 
-    /// Takes a pull in; it is answered by the next [`Pulls::serve`] that has something for it.
+    /// Takes a pull in; it is answered by the next [`PendingPulls::serve`] that has something for it.
     pub fn add(
         &mut self, now: Duration, node: String, have: VersionVector, wait_ms: u32,
         reply: oneshot::Sender<Frame>,
     ) {
-        let until = now + Duration::from_millis(u64::from(wait_ms)).min(LONGEST_WAIT);
-        self.waiting.push(Pull { node, have, until, reply });
+        let deadline = now + Duration::from_millis(u64::from(wait_ms)).min(MAX_WAIT);
+        self.waiting.push(Pull { node, have, deadline, reply });
     }
 
     /// Answers all pulls for which something is newer or whose time is over; all of them while out of touch.
-    pub fn serve(&mut self, now: Duration, tables: &Tables, context: &Context) -> Served {
-        self.kept.refresh(now, tables.vector(), context);
+    pub fn serve(&mut self, now: Duration, tables: &Tables, context: &ReplyContext) -> PullsServed {
+        self.reply_cache.refresh(now, tables.vector(), context);
         self.waiting.retain(|pull| !pull.reply.is_closed());
-        self.sent.retain(|_, sent| now.saturating_sub(*sent) < self.pace);
+        self.config_sent_at.retain(|_, sent| now.saturating_sub(*sent) < self.config_interval);
         let newest = tables.vector().config;
-        let mut served = Served::default();
+        let mut served = PullsServed::default();
         let mut index = 0;
         while index < self.waiting.len() {
             let pull = &self.waiting[index];
-            let newer = self.kept.answer(&self.due(pull, now, newest), tables);
-            if newer.is_none() && now < pull.until && context.in_touch {
+            let newer = self.reply_cache.answer(&self.effective_vector(pull, now, newest), tables);
+            if newer.is_none() && now < pull.deadline && context.in_touch {
                 index += 1;
                 continue;
             }
@@ -166,13 +169,13 @@
                 None => served.unchanged += 1,
             }
             let nothing = || context.encode(Update { vector: pull.have, ..Update::default() });
-            let answer = newer.or_else(|| nothing().map(|frame| Answer { frame, config: None }));
+            let answer = newer.or_else(|| nothing().map(|frame| CachedReply { frame, config: None }));
             let pull = self.waiting.swap_remove(index);
             // Without an answer the link is closed, and the agent asks another process.
-            if let Some(Answer { frame, config }) = answer {
+            if let Some(CachedReply { frame, config }) = answer {
                 drop(pull.reply.send(frame));
                 if let Some(version) = config {
-                    self.sent.insert(pull.node.clone(), now);
+                    self.config_sent_at.insert(pull.node.clone(), now);
                     served.configs.push((pull.node, version));
                 }
             }
--- a/crates/control/src/pulls_tests.rs
+++ b/crates/control/src/pulls_tests.rs
@@ -1,6 +1,6 @@
 //! Who gets which answer, and that those who have the same share one.
 
-use super::{Context, Frame, KEPT_FOR, LONGEST_WAIT, MOST_KEPT, Pulls, Served};
+use super::{Frame, MAX_CACHED_REPLIES, MAX_WAIT, PendingPulls, PullsServed, REPLY_CACHE_TTL, ReplyContext};
 use lugwharf_distribution::Tables;
 use lugwharf_protocol::{
     ConfigRecord, ControlReply, ServerEntry, ServerState, TablePosition, Update, VersionVector, decode,
@@ -35,11 +35,11 @@
     tables
 }
 
-fn context(in_touch: bool) -> Context {
-    Context { in_touch, control: vec![SocketAddr::from(([10, 0, 1, 1], 7041))] }
+fn context(in_touch: bool) -> ReplyContext {
+    ReplyContext { in_touch, control: vec![SocketAddr::from(([10, 0, 1, 1], 7041))] }
 }
 
-fn pull(pulls: &mut Pulls, now: Duration, have: VersionVector) -> oneshot::Receiver<Frame> {
+fn pull(pulls: &mut PendingPulls, now: Duration, have: VersionVector) -> oneshot::Receiver<Frame> {
     let (reply, answer) = oneshot::channel();
     pulls.add(now, "front-1".to_owned(), have, WAIT_MS, reply);
     answer
@@ -53,7 +53,7 @@
 #[test]
 fn all_who_have_nothing_share_one_answer() {
     let tables = tables(20);
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     let mut answers = Vec::new();
     for asked in 0..100 {
         let now = Duration::from_millis(asked);
@@ -68,7 +68,7 @@
 #[test]
 fn nobody_gets_an_answer_from_before_a_change() {
     let mut tables = tables(2);
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     let mut before = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     pulls.serve(Duration::ZERO, &tables, &context(true));
     assert_eq!(update(&before.try_recv().expect("an answer")).vector.config, 0);
@@ -82,7 +82,7 @@
 #[test]
 fn who_has_everything_waits_its_time_and_gets_nothing_new() {
     let tables = tables(2);
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     let have = tables.vector();
     let mut answer = pull(&mut pulls, Duration::ZERO, have);
     pulls.serve(Duration::ZERO, &tables, &context(true));
@@ -95,7 +95,7 @@
 #[test]
 fn who_has_everything_is_told_at_once_that_the_process_is_out_of_touch() {
     let tables = tables(2);
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     let mut answer = pull(&mut pulls, Duration::ZERO, tables.vector());
     pulls.serve(Duration::ZERO, &tables, &context(false));
     let frame = answer.try_recv().expect("an answer");
@@ -106,11 +106,11 @@
 #[test]
 fn an_answer_is_not_kept_for_long() {
     let tables = tables(2);
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     let mut first = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     pulls.serve(Duration::ZERO, &tables, &context(true));
     let first = first.try_recv().expect("an answer");
-    pulls.serve(KEPT_FOR, &tables, &context(true));
+    pulls.serve(REPLY_CACHE_TTL, &tables, &context(true));
     assert_eq!(Arc::strong_count(&first), 1);
     assert_eq!(update(&first).vector.servers, TablePosition { epoch: 1, sequence: 1 });
 }
@@ -121,9 +121,9 @@
 
 #[test]
 fn in_a_storm_of_configurations_a_front_is_sent_the_newest_once_in_a_while() {
-    let pace = Duration::from_millis(500);
+    let config_interval = Duration::from_millis(500);
     let mut tables = tables(2);
-    let mut pulls = Pulls::paced(pace);
+    let mut pulls = PendingPulls::with_config_interval(config_interval);
     tables.advance_config(config(1));
     let mut have = VersionVector::default();
     let mut sent = Vec::new();
@@ -143,7 +143,7 @@
 #[test]
 fn a_list_that_changes_does_not_wait_for_a_configuration_that_is_not_due() {
     let mut tables = tables(2);
-    let mut pulls = Pulls::paced(Duration::from_millis(500));
+    let mut pulls = PendingPulls::with_config_interval(Duration::from_millis(500));
     tables.advance_config(config(1));
     let mut first = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     pulls.serve(Duration::ZERO, &tables, &context(true));
@@ -161,7 +161,7 @@
 #[test]
 fn a_front_that_starts_again_gets_its_configuration_at_once() {
     let mut tables = tables(2);
-    let mut pulls = Pulls::paced(Duration::from_millis(500));
+    let mut pulls = PendingPulls::with_config_interval(Duration::from_millis(500));
     tables.advance_config(config(1));
     for at in [0, 100] {
         let now = Duration::from_millis(at);
@@ -182,7 +182,7 @@
 #[case::found(false, true)]
 fn nobody_is_told_of_contact_as_it_was(#[case] before: bool, #[case] after: bool) {
     let tables = tables(2);
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     for state in [before, after] {
         let mut answer = pull(&mut pulls, Duration::ZERO, VersionVector::default());
         pulls.serve(Duration::ZERO, &tables, &context(state));
@@ -193,10 +193,10 @@
 #[test]
 fn the_processes_that_are_named_are_the_newest() {
     let tables = tables(2);
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     for count in 1..3_u8 {
         let control = (0..count).map(|host| SocketAddr::from(([10, 0, 1, host], 7041))).collect::<Vec<_>>();
-        let context = Context { in_touch: true, control: control.clone() };
+        let context = ReplyContext { in_touch: true, control: control.clone() };
         let mut answer = pull(&mut pulls, Duration::ZERO, VersionVector::default());
         pulls.serve(Duration::ZERO, &tables, &context);
         let frame = answer.try_recv().expect("an answer");
@@ -209,28 +209,28 @@
 #[test]
 fn a_pull_that_was_given_up_does_not_hold_up_the_next_one() {
     let mut tables = tables(2);
-    let mut pulls = Pulls::paced(Duration::from_millis(500));
+    let mut pulls = PendingPulls::with_config_interval(Duration::from_millis(500));
     tables.advance_config(config(1));
     let have = tables.vector();
     drop(pull(&mut pulls, Duration::ZERO, have));
     tables.advance_config(config(2));
-    assert_eq!(pulls.serve(Duration::ZERO, &tables, &context(true)), Served::default());
+    assert_eq!(pulls.serve(Duration::ZERO, &tables, &context(true)), PullsServed::default());
     let mut answer = pull(&mut pulls, Duration::ZERO, have);
     let served = pulls.serve(Duration::ZERO, &tables, &context(true));
-    assert_eq!(served, Served { updated: 1, unchanged: 0, configs: vec![("front-1".to_owned(), 2)] });
+    assert_eq!(served, PullsServed { updated: 1, unchanged: 0, configs: vec![("front-1".to_owned(), 2)] });
     assert_eq!(update(&answer.try_recv().expect("an answer")).config.expect("newer").version, 2);
 }
 
 #[test]
 fn no_pull_waits_longer_than_the_bound() {
     let tables = tables(2);
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     let (reply, mut answer) = oneshot::channel();
     pulls.add(Duration::ZERO, "front-1".to_owned(), tables.vector(), u32::MAX, reply);
-    pulls.serve(LONGEST_WAIT - Duration::from_millis(1), &tables, &context(true));
+    pulls.serve(MAX_WAIT - Duration::from_millis(1), &tables, &context(true));
     assert!(answer.try_recv().is_err());
-    let served = pulls.serve(LONGEST_WAIT, &tables, &context(true));
-    assert_eq!(served, Served { updated: 0, unchanged: 1, configs: Vec::new() });
+    let served = pulls.serve(MAX_WAIT, &tables, &context(true));
+    assert_eq!(served, PullsServed { updated: 0, unchanged: 1, configs: Vec::new() });
     assert!(in_touch(&answer.try_recv().expect("an answer")));
 }
 
@@ -238,7 +238,7 @@
 #[test]
 fn a_look_passes_over_no_pull() {
     let mut tables = tables(2);
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     let old = tables.vector();
     tables.advance_config(config(1));
     let new = tables.vector();
@@ -251,12 +251,12 @@
     }
 }
 
-/// The pace holds for each front by itself, and only for its length.
+/// The config_interval holds for each front by itself, and only for its length.
 #[test]
 fn a_configuration_is_due_again_after_the_pace_and_for_others_at_once() {
-    let pace = Duration::from_millis(500);
+    let config_interval = Duration::from_millis(500);
     let mut tables = tables(2);
-    let mut pulls = Pulls::paced(pace);
+    let mut pulls = PendingPulls::with_config_interval(config_interval);
     let mut ask = |tables: &Tables, node: &str, at: Duration, have: VersionVector| {
         let (reply, mut answer) = oneshot::channel();
         pulls.add(at, node.to_owned(), have, WAIT_MS, reply);
@@ -268,9 +268,9 @@
     assert_eq!(ask(&tables, "front-1", Duration::ZERO, nothing), Some(1));
     let first = tables.vector();
     tables.advance_config(config(2));
-    assert_eq!(ask(&tables, "front-1", pace - Duration::from_millis(1), first), None);
-    assert_eq!(ask(&tables, "front-2", pace - Duration::from_millis(1), first), Some(2));
-    assert_eq!(ask(&tables, "front-1", pace, first), Some(2));
+    assert_eq!(ask(&tables, "front-1", config_interval - Duration::from_millis(1), first), None);
+    assert_eq!(ask(&tables, "front-2", config_interval - Duration::from_millis(1), first), Some(2));
+    assert_eq!(ask(&tables, "front-1", config_interval, first), Some(2));
 }
 
 /// Answers are kept for a few askers alone, and no answer is another asker's.
@@ -278,16 +278,16 @@
 fn answers_that_are_not_kept_are_made_anew() {
     let mut tables = tables(2);
     tables.advance_config(config(100));
-    let mut pulls = Pulls::default();
+    let mut pulls = PendingPulls::default();
     let mut ask = |version: u64| {
         let have = VersionVector { config: version, ..tables.vector() };
         let mut answer = pull(&mut pulls, Duration::ZERO, have);
         pulls.serve(Duration::ZERO, &tables, &context(true));
         answer.try_recv().expect("an answer")
     };
-    let kept = u64::try_from(MOST_KEPT).expect("a number");
+    let kept = u64::try_from(MAX_CACHED_REPLIES).expect("a number");
     let first: Vec<Frame> = (0..=kept).map(&mut ask).collect();
     let second: Vec<Frame> = (0..=kept).map(&mut ask).collect();
     let shared = |index: usize| Arc::ptr_eq(&first[index], &second[index]);
-    assert!((0..MOST_KEPT).all(shared) && !shared(MOST_KEPT));
+    assert!((0..MAX_CACHED_REPLIES).all(shared) && !shared(MAX_CACHED_REPLIES));
 }
--- a/crates/control/src/shutdown.rs
+++ b/crates/control/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The order in which a control process ends after SIGTERM. A pure state machine: `(time, what is seen) -> step`.
+//! The order in which a control process ends after SIGTERM. A pure state machine: `(time, what is observed) -> step`.
 //!
 //! 1. It gives the singleton role up at once, so that another process can take it.
 //! 2. If a process stands ready to take its place in the view, it waits for a successor in the role, then asks to be left
@@ -16,14 +16,14 @@
 
 /// The time for another process to take the role, from the resignation: a draw of up to 75 ms, two round trips and a
 /// sync, on a machine that is busy. A change of the view before that would leave the role vacant for a lease.
-const HAND_ON_WITHIN: Duration = Duration::from_millis(500);
-/// The longest time until this process is left out: a view change with the transfer of the last entries takes some
+const LEASE_TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
+/// The max_duration time until this process is left out: a view change with the transfer of the last entries takes some
 /// 300 ms, and one more after a lost message.
-const LEAVE_WITHIN: Duration = Duration::from_millis(2_000);
+const LEAVE_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// The whole must stay below this part of `GraceS`.
-const PART_OF_GRACE: u32 = 2;
+const GRACE_DIVISOR: u32 = 2;
 /// The time for the other control processes to hear that this one leaves.
-const FAREWELL: Duration = Duration::from_millis(50);
+const FLUSH_TIME: Duration = Duration::from_millis(50);
 
 /// How far this process is on its way out of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,15 +36,15 @@
     Left,
 }
 
-/// What is seen at one moment.
+/// What is observed at one moment.
 #[derive(Clone, Copy, Debug)]
-pub struct Seen {
+pub struct Observation {
     /// The membership of this process.
     pub membership: Membership,
     /// Whether a process stands by that may take the place of this one.
     pub has_replacement: bool,
     /// Whether the role is in other hands, or was not in those of this process when it was told to end.
-    pub handed_on: bool,
+    pub is_lease_transferred: bool,
 }
 
 /// What is to be done now.
@@ -53,14 +53,14 @@
     /// Go on serving.
     Wait,
     /// Ask to be left out of the membership; nothing else changes.
-    AskToLeave,
+    RequestLeave,
     /// End now.
-    End(Outcome),
+    End(ShutdownOutcome),
 }
 
 /// How this process parted from the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ShutdownOutcome {
     /// The view serves without it.
     Left,
     /// It stays a member, since nobody could take its place.
@@ -69,84 +69,84 @@
     TimedOut,
 }
 
-impl Outcome {
+impl ShutdownOutcome {
     /// Its name in the log.
     pub fn name(self) -> &'static str {
         match self {
-            Outcome::Left => "left",
-            Outcome::Stayed => "stayed",
-            Outcome::TimedOut => "timed_out",
+            ShutdownOutcome::Left => "left",
+            ShutdownOutcome::Stayed => "stayed",
+            ShutdownOutcome::TimedOut => "timed_out",
         }
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Phase {
-    HandingOn,
+    TransferringLease,
     Leaving,
-    Farewell { until: Duration, outcome: Outcome },
+    Flushing { until: Duration, outcome: ShutdownOutcome },
 }
 
 /// A shutdown under way.
 #[derive(Clone, Copy, Debug)]
-pub struct Shutdown {
+pub struct ShutdownSequence {
     phase: Phase,
-    hand_on_until: Duration,
-    leave_until: Duration,
+    lease_transfer_deadline: Duration,
+    leave_deadline: Duration,
 }
 
-/// The longest that a shutdown takes, for a platform that kills after `grace`.
-pub fn longest(grace: Duration) -> Duration {
-    leave_within(grace) + FAREWELL
+/// The max_duration that a shutdown takes, for a platform that kills after `grace`.
+pub fn max_duration(grace: Duration) -> Duration {
+    leave_timeout(grace) + FLUSH_TIME
 }
 
-fn leave_within(grace: Duration) -> Duration {
-    LEAVE_WITHIN.min(grace / PART_OF_GRACE)
+fn leave_timeout(grace: Duration) -> Duration {
+    LEAVE_TIMEOUT.min(grace / GRACE_DIVISOR)
 }
 
-impl Shutdown {
+impl ShutdownSequence {
     /// A shutdown that begins now, with the role given up.
-    pub fn begin(now: Duration, grace: Duration) -> Shutdown {
-        let leave_until = now + leave_within(grace);
-        let hand_on_until = leave_until.min(now + HAND_ON_WITHIN);
-        Shutdown { phase: Phase::HandingOn, hand_on_until, leave_until }
+    pub fn begin(now: Duration, grace: Duration) -> ShutdownSequence {
+        let leave_deadline = now + leave_timeout(grace);
+        let lease_transfer_deadline = leave_deadline.min(now + LEASE_TRANSFER_TIMEOUT);
+        ShutdownSequence { phase: Phase::TransferringLease, lease_transfer_deadline, leave_deadline }
     }
 
     /// Looks again; call it with every tick.
-    pub fn step(&mut self, now: Duration, seen: &Seen) -> Step {
+    pub fn step(&mut self, now: Duration, observed: &Observation) -> Step {
         match self.phase {
-            Phase::HandingOn => self.hand_on(now, seen),
-            Phase::Leaving => self.leave(now, seen),
-            Phase::Farewell { until, outcome } if now >= until => Step::End(outcome),
-            Phase::Farewell { .. } => Step::Wait,
+            Phase::TransferringLease => self.await_lease_transfer(now, observed),
+            Phase::Leaving => self.await_departure(now, observed),
+            Phase::Flushing { until, outcome } if now >= until => Step::End(outcome),
+            Phase::Flushing { .. } => Step::Wait,
         }
     }
 
-    fn hand_on(&mut self, now: Duration, seen: &Seen) -> Step {
-        if seen.membership == Membership::Left {
-            return self.part(now, Outcome::Left);
+    fn await_lease_transfer(&mut self, now: Duration, observed: &Observation) -> Step {
+        if observed.membership == Membership::Left {
+            return self.flush(now, ShutdownOutcome::Left);
         }
-        if !seen.has_replacement {
-            return self.part(now, Outcome::Stayed);
+        if !observed.has_replacement {
+            return self.flush(now, ShutdownOutcome::Stayed);
         }
-        if !seen.handed_on && now < self.hand_on_until {
+        if !observed.is_lease_transferred && now < self.lease_transfer_deadline {
             return Step::Wait;
         }
         self.phase = Phase::Leaving;
-        Step::AskToLeave
+        Step::RequestLeave
     }
 
-    fn leave(&mut self, now: Duration, seen: &Seen) -> Step {
-        match seen.membership {
-            Membership::Left => self.part(now, Outcome::Left),
-            Membership::Staying => self.part(now, Outcome::Stayed),
-            Membership::Leaving if now >= self.leave_until => self.part(now, Outcome::TimedOut),
+    fn await_departure(&mut self, now: Duration, observed: &Observation) -> Step {
+        match observed.membership {
+            Membership::Left => self.flush(now, ShutdownOutcome::Left),
+            Membership::Staying => self.flush(now, ShutdownOutcome::Stayed),
+            Membership::Leaving if now >= self.leave_deadline => self.flush(now, ShutdownOutcome::TimedOut),
             Membership::Leaving => Step::Wait,
         }
     }
 
-    fn part(&mut self, now: Duration, outcome: Outcome) -> Step {
-        self.phase = Phase::Farewell { until: now + FAREWELL, outcome };
+    fn flush(&mut self, now: Duration, outcome: ShutdownOutcome) -> Step {
+        self.phase = Phase::Flushing { until: now + FLUSH_TIME, outcome };
         Step::Wait
     }
 }
--- a/crates/control/src/storage_tests.rs
+++ b/crates/control/src/storage_tests.rs
@@ -1,6 +1,6 @@
 //! What is done with logs that can't be used.
 
-use super::{Batch, open};
+use super::{LogBatch, open};
 use crate::command::Command;
 use crate::message::RecordOwner;
 use rstest::rstest;
@@ -19,12 +19,12 @@
 fn write(directory: &std::path::Path, record: &[u8]) {
     let (commands, mut written) = mpsc::channel(4);
     let opened = open(directory, commands, |_| true).expect("opened");
-    let records = vec![RecordOwner::Chain.mark(record.to_vec())];
+    let records = vec![RecordOwner::Chain.tag_record(record.to_vec())];
     opened
-        .batches
-        .send(Batch { owner: RecordOwner::Chain, number: 1, records, rewrite: false })
+        .writer
+        .send(LogBatch { owner: RecordOwner::Chain, number: 1, records, is_rewrite: false })
         .expect("a thread");
-    assert!(matches!(written.blocking_recv(), Some(Command::Written(written)) if written.synced));
+    assert!(matches!(written.blocking_recv(), Some(Command::Persisted(outcome)) if outcome.is_synced));
 }
 
 #[test]
@@ -32,8 +32,8 @@
     let directory = directory("kept");
     write(&directory, b"one");
     let opened = open(&directory, mpsc::channel(4).0, |_| true).expect("opened");
-    assert!(!opened.lost);
-    assert_eq!(RecordOwner::Chain.records(&opened.records), [b"one".to_vec()]);
+    assert!(!opened.was_quarantined);
+    assert_eq!(RecordOwner::Chain.untagged_records(&opened.records), [b"one".to_vec()]);
     drop(fs::remove_dir_all(directory));
 }
 
@@ -52,10 +52,10 @@
         }
     }
     let opened = open(&directory, mpsc::channel(4).0, |_| overwrite).expect("opened");
-    assert!(opened.lost);
+    assert!(opened.was_quarantined);
     assert_eq!(opened.records, Vec::<Vec<u8>>::new());
     drop(opened);
     let again = open(&directory, mpsc::channel(4).0, |_| true).expect("opened");
-    assert!(!again.lost, "the new log is in place");
+    assert!(!again.was_quarantined, "the new log is in place");
     drop(fs::remove_dir_all(directory));
 }
