--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -1,4 +1,6 @@
-//! Accepting links of the internal protocol: a bounded number of them, each connection by a task of its own.
+//! Accepts connections of the internal protocol: a bounded number, each served by a task of its own.
+//!
+//! A connection that fails is closed and logged (`link outcome=closed`); nothing else changes.
 
 use crate::command::Command;
 use lugwharf_protocol::FrameError;
@@ -10,19 +12,19 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::sleep;
 
-/// The wait after an accept that failed, as when there are no descriptors left.
+/// The pause after an accept that failed, as when there are no descriptors left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a listener lets in.
+/// What a listener accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptLimits {
-    /// What the log calls such a link.
+    /// The `kind` of these connections in the log.
     pub kind: &'static str,
-    /// Links that may be open at once; a newcomer beyond them is closed.
+    /// Connections that may be open at once; those beyond are closed at once.
     pub max_connections: usize,
 }
 
-/// Lets others open links for as long as the process runs. A link that fails is closed and logged, and nothing else changes.
+/// Accepts connections for as long as the process runs, and hands each to `serve`.
 pub async fn accept<S, F>(
     listener: TcpListener, limits: AcceptLimits, commands: mpsc::Sender<Command>, serve: S,
 ) where
--- a/crates/control/src/announcement.rs
+++ b/crates/control/src/announcement.rs
@@ -1,44 +1,37 @@
-//! Announces the control processes to the seeds that are none.
+//! Announces the control processes to the seeds that run none.
 //!
-//! Seeds are machines that serve control, also those without a replica. After a loss of everything such a seed knows nobody, and
-//! agents know nobody but the seeds. So each replica tells those seeds again and again which control processes it knows
-//! of. The answer names those that the seed knows, for a replica that hears nobody, as one with a new disk.
+//! Seeds are machines that serve control, also those without a replica. After the loss of all machines such a seed knows no
+//! control process, and agents know only the seeds. So each replica announces the control processes that it knows, to those
+//! seeds, every 500 ms. The reply names the processes that the seed knows: for a replica that hears nobody, as one on a new
+//! disk. A seed that does not reply in time is skipped until the next round.
 
 use crate::command::Command;
+use crate::message::Announcement;
 use lugwharf_protocol::{AgentRequest, ControlReply, FrameError, connect_from, read_frame, write_frame};
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Between two announcements; a front that starts waits for one at most. Replicas that run hear each other well within it.
-const PAUSE: Duration = Duration::from_millis(500);
-/// A seed that takes longer is passed over.
+/// Between two rounds. A front that starts waits for at most one; running replicas hear each other well within it.
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
+/// How long one seed may take.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Addresses that are taken over from one answer.
+/// Addresses that are used of one reply.
 const MAX_ADDRESSES: usize = 64;
 
-/// What is to be announced now.
-#[derive(Clone, Debug, Default)]
-pub struct Announcement {
-    /// The agent addresses of the seeds that are no control processes, as far as is known.
-    pub seeds: Vec<SocketAddr>,
-    /// The agent addresses of the control processes.
-    pub control: Vec<SocketAddr>,
-}
-
-/// Announces until the owner of the state ends. `source` is the address that links come from, where it matters.
+/// Announces until the controller ends. `source` is the address that connections come from, where the settings name one.
 pub async fn run(source: Option<IpAddr>, commands: mpsc::Sender<Command>) {
     loop {
-        sleep(PAUSE).await;
+        sleep(ANNOUNCE_INTERVAL).await;
         let (reply, announcement) = oneshot::channel();
         if commands.send(Command::GetAnnouncement { reply }).await.is_err() {
             return;
         }
         let Ok(Announcement { seeds, control }) = announcement.await else { return };
         for seed in seeds {
-            let told = timeout(RESPONSE_TIMEOUT, announce(source, seed, &control)).await;
-            let Ok(Ok(addresses)) = told else { continue };
+            let announced = timeout(RESPONSE_TIMEOUT, announce(source, seed, &control)).await;
+            let Ok(Ok(addresses)) = announced else { continue };
             if commands.send(Command::PeersAnnounced { addresses }).await.is_err() {
                 return;
             }
@@ -46,7 +39,7 @@
     }
 }
 
-/// Tells one seed; returns the agent addresses of the control processes that it knows.
+/// Announces to one seed; returns the agent addresses of the control processes that it knows.
 async fn announce(
     source: Option<IpAddr>, seed: SocketAddr, control: &[SocketAddr],
 ) -> Result<Vec<SocketAddr>, FrameError> {
--- a/crates/control/src/announcement_tests.rs
+++ b/crates/control/src/announcement_tests.rs
@@ -1,7 +1,8 @@
 //! A replica tells the seeds without one where the control processes are, and hears whom they know.
 
-use crate::announcement::{self, Announcement};
+use crate::announcement;
 use crate::command::Command;
+use crate::message::Announcement;
 use lugwharf_protocol::{AgentRequest, ControlReply, Update, read_frame, write_frame};
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,7 +1,9 @@
-//! What the owner of the state is asked and told.
+//! The commands that the tasks around the controller send it. The controller handles them one at a time.
+//!
+//! A command that asks for something carries a `reply` channel. Its requester may be gone before the reply: see
+//! [`crate::reply::send_reply`].
 
-use crate::announcement::Announcement;
-use crate::message::{PeerMessage, PersistOutcome};
+use crate::message::{Announcement, PeerMessage, PersistOutcome};
 use crate::pulls::Frame;
 use crate::shutdown::ShutdownOutcome;
 use crate::status::Status;
@@ -13,88 +15,88 @@
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
-/// A command to the owner.
+/// A command to the controller.
 pub enum Command {
     /// Time has passed.
     Tick,
-    /// A control process has sent something.
+    /// A message of another control process has arrived.
     Peer {
-        /// Its peer address.
+        /// The peer address of the sender.
         from: SocketAddr,
-        /// What it sent.
+        /// The message.
         body: PeerMessage,
     },
     /// The storage thread has finished a batch.
     Persisted(PersistOutcome),
-    /// An agent asks for what it is missing.
+    /// An agent pulls what it lacks, or a process announces control processes.
     Pull {
         /// The request.
         request: AgentRequest,
-        /// Where the answer goes.
+        /// Takes the encoded reply. Dropped without one, the connection is closed.
         reply: oneshot::Sender<Frame>,
     },
-    /// The operator sends a configuration, which has been checked by itself.
+    /// The operator submits a configuration that is valid by itself.
     Submit {
-        /// The version it builds on.
+        /// The version it is based on.
         base: u64,
-        /// Its number.
+        /// Its version.
         version: u64,
-        /// The hash of the request that it was computed from, where the operator did not send it whole.
+        /// The hash of the operator's request, where the configuration was computed from a patch.
         request: Option<Blake3>,
         /// Its JSON; empty as in [`lugwharf_chain::Event::Submit`].
         bytes: Arc<[u8]>,
-        /// Where the answer goes.
+        /// Takes the decision.
         reply: oneshot::Sender<lugwharf_chain::OperatorResponse>,
     },
-    /// The operator asks for the newest configuration.
+    /// The operator reads the newest committed configuration.
     Read {
-        /// Where the answer goes.
+        /// Takes the configuration.
         reply: oneshot::Sender<lugwharf_chain::OperatorResponse>,
     },
-    /// Somebody asks how this process is.
+    /// The operator reads the status of this process.
     Status {
-        /// Where the answer goes.
+        /// Takes the status.
         reply: oneshot::Sender<Status>,
     },
-    /// Somebody asks for the metrics.
+    /// A collector reads the metrics.
     Metrics {
-        /// Where the text goes.
+        /// Takes the text.
         reply: oneshot::Sender<String>,
     },
-    /// The platform's list was read under the reader's fencing token.
+    /// The list watcher has read the platform's list.
     ListRead {
-        /// The token.
+        /// The fencing token under which it was read; the epoch of the server list.
         epoch: u64,
-        /// The whole list.
+        /// The complete list.
         entries: Vec<ServerEntry>,
     },
-    /// Whether this process has no list of servers at all.
+    /// Asks whether this process still has no server list at all.
     NeedsInitialList {
-        /// Where the answer goes.
+        /// Takes the answer.
         reply: oneshot::Sender<bool>,
     },
-    /// The platform's list was read before anybody was heard of who holds the reader's role.
+    /// The platform's list was read once after the start, without a lease.
     InitialListRead {
-        /// The whole list.
+        /// The complete list.
         entries: Vec<ServerEntry>,
     },
-    /// The platform's list could not be read.
+    /// The list watcher could not read the platform's list.
     ListReadFailed {
-        /// The token under which it was tried.
+        /// The fencing token under which it tried.
         epoch: u64,
-        /// It could not be reached for so long that another process should try.
+        /// Whether the platform has been unreachable for so long that another process should try.
         should_step_down: bool,
     },
-    /// An order to a server has ended.
+    /// An order to a model server has ended.
     OrderCompleted {
-        /// The server's incarnation.
+        /// The server's id, which is new with each incarnation.
         id: String,
         /// How it ended.
         answer: OrderOutcome,
     },
-    /// Asks what is to be announced to seeds.
+    /// Asks what to announce to seeds.
     GetAnnouncement {
-        /// Where the answer goes.
+        /// Takes the announcement.
         reply: oneshot::Sender<Announcement>,
     },
     /// A seed has named control processes by their agent addresses.
@@ -102,14 +104,14 @@
         /// The addresses.
         addresses: Vec<SocketAddr>,
     },
-    /// The settings file changed.
+    /// The settings file was read again.
     Reload {
         /// The new settings.
         settings: Box<Settings>,
     },
-    /// This process was told to end.
+    /// The process got SIGTERM.
     Shutdown {
-        /// How it parted from the others, once it may end.
+        /// Takes the outcome once the process may end.
         done: oneshot::Sender<ShutdownOutcome>,
     },
 }
--- a/crates/control/src/controller/agent_registry.rs
+++ b/crates/control/src/controller/agent_registry.rs
@@ -1,4 +1,4 @@
-//! The agents that pull from this process, for `GET /status`.
+//! The agents that pull from this process and how far behind each one is, for `GET /status`.
 
 use super::commit_history::CommitHistory;
 use crate::status::AgentStatus;
@@ -8,7 +8,7 @@
 
 /// Agents that are remembered at most.
 const MAX_ENTRIES: usize = 4_096;
-/// An agent that has not asked for so long has moved on.
+/// An agent without a pull for so long follows another process, or is gone.
 const FORGET_AFTER: Duration = Duration::from_secs(30);
 
 struct LastPull {
@@ -16,33 +16,37 @@
     received_at: Duration,
 }
 
-/// What each agent had when it asked last.
+impl LastPull {
+    fn age(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.received_at)
+    }
+}
+
+/// What each agent had at its last pull. All times count from the start of the process.
 #[derive(Default)]
 pub struct AgentRegistry {
     by_node: BTreeMap<String, LastPull>,
 }
 
 impl AgentRegistry {
-    /// Notes a pull.
+    /// Records a pull of an agent that has the tables up to `have`.
     pub fn record_pull(&mut self, now: Duration, node: &str, have: VersionVector) {
         if self.by_node.len() >= MAX_ENTRIES {
-            self.by_node.retain(|_, pull| now.saturating_sub(pull.received_at) < FORGET_AFTER);
+            self.by_node.retain(|_, pull| pull.age(now) < FORGET_AFTER);
         }
+        let pull = LastPull { have, received_at: now };
         let has_capacity = self.by_node.len() < MAX_ENTRIES;
-        match self.by_node.get_mut(node) {
-            Some(pull) => *pull = LastPull { have, received_at: now },
-            None if has_capacity => {
-                self.by_node.insert(node.to_owned(), LastPull { have, received_at: now });
-            }
-            None => {}
+        if let Some(known) = self.by_node.get_mut(node) {
+            *known = pull;
+        } else if has_capacity {
+            self.by_node.insert(node.to_owned(), pull);
         }
     }
 
-    /// All agents that were pull lately.
+    /// The agents with a pull within [`FORGET_AFTER`], against the position of the server list and the commits known here.
     pub fn report(&self, now: Duration, servers: TablePosition, commits: &CommitHistory) -> Vec<AgentStatus> {
-        let silent = |pull: &LastPull| now.saturating_sub(pull.received_at);
-        let lately = self.by_node.iter().filter(|(_, pull)| silent(pull) < FORGET_AFTER);
-        let status = lately.map(|(node, pull)| {
+        let recent = self.by_node.iter().filter(|(_, pull)| pull.age(now) < FORGET_AFTER);
+        let status = recent.map(|(node, pull)| {
             let lag = commits.lag(now, pull.have.config);
             AgentStatus {
                 node: node.clone(),
@@ -50,7 +54,7 @@
                 versions_behind: lag.versions,
                 behind_ms: lag.time.as_millis() as u64,
                 servers_current: pull.have.servers >= servers,
-                silent_ms: silent(pull).as_millis() as u64,
+                silent_ms: pull.age(now).as_millis() as u64,
             }
         });
         status.collect()
--- /dev/null
+++ b/crates/control/src/controller/agent_requests.rs
@@ -0,0 +1,67 @@
+//! Requests on the agent port: pulls of agents, and announcements of other control processes.
+
+use super::Controller;
+use crate::pulls::{Frame, ReplyContext};
+use crate::reply::send_reply;
+use lugwharf_chain as chain;
+use lugwharf_protocol::{AgentRequest, Update};
+use spdlog::prelude::*;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::sync::oneshot;
+
+impl Controller {
+    /// Handles a request of an agent.
+    pub(super) fn agent_request(&mut self, request: AgentRequest, reply: oneshot::Sender<Frame>) {
+        let now = self.now();
+        let (node, incarnation, have, wait_ms, loads) = match request {
+            AgentRequest::Pull { node, incarnation, have, wait_ms, loads } => {
+                (node, incarnation, have, wait_ms, loads)
+            }
+            AgentRequest::Announce { control } => return self.receive_announcement(&control, reply),
+        };
+        self.census.record_heartbeat(&node, incarnation, now);
+        self.agent_registry.record_pull(now, &node, have);
+        self.fleet_load.record_agent(now, &node, loads);
+        self.pending_pulls.add(now, node, have, wait_ms, reply);
+        self.serve_pulls();
+    }
+
+    /// A process that takes this one for a seed without a replica announces control processes. The reply has no quorum, so
+    /// that nobody relies on its tables.
+    fn receive_announcement(&mut self, control: &[SocketAddr], reply: oneshot::Sender<Frame>) {
+        self.learn_announced_processes(control);
+        let members = self.replica.status().members;
+        let processes = self.process_directory.all(self.now(), self.local_address, &members);
+        let context = ReplyContext { has_quorum: false, control: self.agent_addresses(&processes) };
+        // Without a reply the connection is closed.
+        if let Some(frame) = context.encode(Update::default()) {
+            send_reply(reply, frame);
+        }
+    }
+
+    /// Replies to the pulls that have waited long enough, or for which there is something new.
+    pub(super) fn serve_pulls(&mut self) {
+        let replica = self.replica.status();
+        let now = self.now();
+        let processes = self.process_directory.all(now, self.local_address, &replica.members);
+        let has_quorum = self.may_serve_agents(now, &replica);
+        let context = ReplyContext { has_quorum, control: self.agent_addresses(&processes) };
+        let served = self.pending_pulls.serve(now, &self.tables, &context);
+        self.metrics.record_pulls(served.updated, served.unchanged);
+        for (node, version) in served.configs {
+            info!("config", kv: { outcome = "pulled", version, to = node.as_str() });
+        }
+    }
+
+    /// Whether agents may rely on this process; otherwise they are told to follow another one.
+    fn may_serve_agents(&self, now: Duration, replica: &chain::ReplicaStatus) -> bool {
+        replica.has_quorum && !self.pause_detector.is_contact_in_doubt(now) && self.shutdown.is_none()
+    }
+
+    /// The agent addresses of control processes, from their peer addresses.
+    pub(super) fn agent_addresses(&self, processes: &[SocketAddr]) -> Vec<SocketAddr> {
+        let port = self.settings.internal_ports().agent;
+        processes.iter().map(|process| SocketAddr::new(process.ip(), port)).collect()
+    }
+}
--- a/crates/control/src/controller/commit_history.rs
+++ b/crates/control/src/controller/commit_history.rs
@@ -1,4 +1,4 @@
-//! When this process learned of each committed configuration, so that it can tell how far behind somebody is.
+//! When this process learned of each committed configuration, to tell how far behind an agent is.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,34 +6,40 @@
 /// Commits that are remembered: more than an agent can miss while it is still shown.
 const MAX_ENTRIES: usize = 256;
 
-/// How far behind the newest commit a version is.
+#[derive(Clone, Copy, Debug)]
+struct KnownCommit {
+    version: u64,
+    learned_at: Duration,
+}
+
+/// How far a version is behind the newest commit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lag {
-    /// Commits above it that are known here.
+    /// Commits above the version that are known here.
     pub versions: usize,
-    /// For how long the first of them has been known here.
+    /// How long the first of them has been known here.
     pub time: Duration,
 }
 
-/// The newest commits, oldest first.
+/// The newest commits, oldest first. All times count from the start of the process.
 #[derive(Debug, Default)]
 pub struct CommitHistory {
-    known: VecDeque<(u64, Duration)>,
+    known: VecDeque<KnownCommit>,
 }
 
 impl CommitHistory {
-    /// Notes a commit; versions climb.
+    /// Records a commit. Versions rise.
     pub fn record(&mut self, now: Duration, version: u64) {
         if self.known.len() >= MAX_ENTRIES {
             self.known.pop_front();
         }
-        self.known.push_back((version, now));
+        self.known.push_back(KnownCommit { version, learned_at: now });
     }
 
-    /// How far behind `version` is.
+    /// How far `version` is behind.
     pub fn lag(&self, now: Duration, version: u64) -> Lag {
-        let mut missing = self.known.iter().filter(|(known, _)| *known > version);
-        let Some((_, since)) = missing.next() else { return Lag::default() };
-        Lag { versions: 1 + missing.count(), time: now.saturating_sub(*since) }
+        let mut missing = self.known.iter().filter(|commit| commit.version > version);
+        let Some(first) = missing.next() else { return Lag::default() };
+        Lag { versions: 1 + missing.count(), time: now.saturating_sub(first.learned_at) }
     }
 }
--- a/crates/control/src/controller/fleet_load.rs
+++ b/crates/control/src/controller/fleet_load.rs
@@ -1,13 +1,13 @@
-//! What all fronts have under way, summed on the way: each control process adds up its own agents and tells the others the
-//! sum.
+//! Requests in flight over the whole fleet. Each control process sums up the agents that pull from it and reports the sum to
+//! the others.
 
 use lugwharf_protocol::ServiceLoad;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What was not report again for so long no longer counts.
-const FORGET_AFTER: Duration = Duration::from_secs(3);
+/// A report older than this no longer counts.
+const REPORT_TTL: Duration = Duration::from_secs(3);
 /// Agents that are remembered at most.
 const MAX_AGENTS: usize = 4_096;
 /// Services in one report at most.
@@ -20,11 +20,12 @@
 
 impl LoadReport {
     fn is_fresh(&self, now: Duration) -> bool {
-        now.saturating_sub(self.received_at) <= FORGET_AFTER
+        now.saturating_sub(self.received_at) <= REPORT_TTL
     }
 }
 
-/// The loads of the agents that pull from here, and the sums of the other control processes.
+/// The loads of the agents that pull from this process, and the sums of its peers. All times count from the start of the
+/// process.
 #[derive(Default)]
 pub struct FleetLoad {
     agents: BTreeMap<String, LoadReport>,
@@ -32,7 +33,7 @@
 }
 
 impl FleetLoad {
-    /// Takes what an agent tells.
+    /// Replaces what is known of one agent.
     pub fn record_agent(&mut self, now: Duration, node: &str, mut loads: Vec<ServiceLoad>) {
         loads.truncate(MAX_SERVICES);
         if self.agents.len() >= MAX_AGENTS {
@@ -40,44 +41,44 @@
         }
         let report = LoadReport { loads, received_at: now };
         let has_capacity = self.agents.len() < MAX_AGENTS;
-        match self.agents.get_mut(node) {
-            Some(known) => *known = report,
-            None if has_capacity => drop(self.agents.insert(node.to_owned(), report)),
-            None => {}
+        if let Some(known) = self.agents.get_mut(node) {
+            *known = report;
+        } else if has_capacity {
+            self.agents.insert(node.to_owned(), report);
         }
     }
 
-    /// Takes the sum of another control process.
+    /// Replaces the sum of another control process.
     pub fn record_peer(&mut self, now: Duration, peer: SocketAddr, mut loads: Vec<ServiceLoad>) {
         loads.truncate(MAX_SERVICES);
         self.peers.retain(|_, report| report.is_fresh(now));
         self.peers.insert(peer, LoadReport { loads, received_at: now });
     }
 
-    /// The sum over the agents that pull from here.
+    /// The sum over the agents that pull from this process, by service.
     pub fn local_sum(&self, now: Duration) -> Vec<ServiceLoad> {
         sum(self.agents.values().filter(|report| report.is_fresh(now)))
     }
 
-    /// Answers under way at one service, over the whole fleet.
+    /// Requests in their decode phase at one service, over the whole fleet.
     pub fn decode_in_flight(&self, now: Duration, service: &str) -> u32 {
-        let report = self.agents.values().chain(self.peers.values()).filter(|report| report.is_fresh(now));
-        let loads = report.flat_map(|report| &report.loads).filter(|load| load.service == service);
+        let reports = self.agents.values().chain(self.peers.values());
+        let fresh = reports.filter(|report| report.is_fresh(now));
+        let loads = fresh.flat_map(|report| &report.loads).filter(|load| load.service == service);
         loads.fold(0, |sum, load| sum.saturating_add(load.decode))
     }
 }
 
-fn sum<'a>(report: impl Iterator<Item = &'a LoadReport>) -> Vec<ServiceLoad> {
-    let mut sums: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
-    for load in report.flat_map(|report| &report.loads) {
-        let (prefill, decode) = sums.entry(load.service.as_str()).or_default();
-        *prefill = prefill.saturating_add(load.prefill);
-        *decode = decode.saturating_add(load.decode);
+fn sum<'a>(reports: impl Iterator<Item = &'a LoadReport>) -> Vec<ServiceLoad> {
+    let mut sums: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
+    for load in reports.flat_map(|report| &report.loads) {
+        let total = sums.entry(load.service.as_str()).or_insert_with(|| ServiceLoad {
+            service: load.service.clone(),
+            prefill: 0,
+            decode: 0,
+        });
+        total.prefill = total.prefill.saturating_add(load.prefill);
+        total.decode = total.decode.saturating_add(load.decode);
     }
-    let load = |(service, (prefill, decode)): (&str, (u32, u32))| ServiceLoad {
-        service: service.to_owned(),
-        prefill,
-        decode,
-    };
-    sums.into_iter().take(MAX_SERVICES).map(load).collect()
+    sums.into_values().take(MAX_SERVICES).collect()
 }
--- a/crates/control/src/controller/graceful_shutdown.rs
+++ b/crates/control/src/controller/graceful_shutdown.rs
@@ -1,6 +1,7 @@
-//! The shutdown of a control process, step by step with the ticks.
+//! Carries out the steps of [`ShutdownSequence`] after SIGTERM.
 
 use super::Controller;
+use crate::reply::send_reply;
 use crate::shutdown::{Membership, Observation, ShutdownOutcome, ShutdownSequence, Step};
 use lugwharf_chain as chain;
 use lugwharf_election as election;
@@ -8,49 +9,47 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// A shutdown under way.
+/// A shutdown in progress.
 pub struct GracefulShutdown {
     sequence: ShutdownSequence,
-    /// Whether this process held_lease the role when it was told to end.
+    /// Whether this process held the lease at SIGTERM.
     held_lease: bool,
-    /// Told once.
+    /// Takes the outcome, once.
     done: Option<oneshot::Sender<ShutdownOutcome>>,
 }
 
 impl Controller {
-    /// This process was told to end: it gives its role up, and agents are told to ask another process.
+    /// SIGTERM has arrived: resigns the lease and sends agents to other processes.
     pub(super) fn begin_shutdown(&mut self, done: oneshot::Sender<ShutdownOutcome>) {
         let now = self.now();
         let held_lease = self.elector.held_lease(now).is_some();
         let grace = Duration::try_from_secs_f64(self.settings.bounds.grace_s).unwrap_or_default();
-        info!("shutdown", kv: { outcome = "begun", held = held_lease, view = self.current_view });
+        info!("shutdown", kv: { outcome = "begun", held = held_lease, view = self.views.current() });
         self.elect(election::Event::Resign);
-        self.shutdown = Some(GracefulShutdown {
-            sequence: ShutdownSequence::begin(now, grace),
-            held_lease,
-            done: Some(done),
-        });
+        let sequence = ShutdownSequence::begin(now, grace);
+        self.shutdown = Some(GracefulShutdown { sequence, held_lease, done: Some(done) });
         self.serve_pulls();
         self.continue_shutdown();
     }
 
-    /// Takes the next step of a shutdown, if one is due.
+    /// Takes the next step of a shutdown, if one is in progress.
     pub(super) fn continue_shutdown(&mut self) {
         let now = self.now();
         let Some(held_lease) = self.shutdown.as_ref().map(|shutdown| shutdown.held_lease) else { return };
-        let observed = self.observed(held_lease);
+        let observed = self.observe_shutdown(held_lease);
         let Some(shutdown) = &mut self.shutdown else { return };
         match shutdown.sequence.step(now, &observed) {
             Step::Wait => {}
             Step::RequestLeave => self.request_leave(),
             Step::End(outcome) => {
-                // Nobody waits any more where it took too long.
-                let _ = shutdown.done.take().map(|done| done.send(outcome));
+                if let Some(done) = shutdown.done.take() {
+                    send_reply(done, outcome);
+                }
             }
         }
     }
 
-    fn observed(&self, held_lease: bool) -> Observation {
+    fn observe_shutdown(&self, held_lease: bool) -> Observation {
         let status = self.replica.status();
         let membership = match status.leave {
             _ if !status.is_member => Membership::Left,
@@ -63,7 +62,7 @@
     }
 
     fn request_leave(&mut self) {
-        info!("shutdown", kv: { outcome = "leaving", view = self.current_view });
+        info!("shutdown", kv: { outcome = "leaving", view = self.views.current() });
         self.chain(chain::Event::Leave);
     }
 }
--- a/crates/control/src/controller/list_watcher_role.rs
+++ b/crates/control/src/controller/list_watcher_role.rs
@@ -1,54 +1,101 @@
-//! The singleton role: events of the elector, and what its workers are told.
+//! The lease of the list watcher: the singleton role whose holder reads the platform's list and sends orders to servers.
+//!
+//! The elector decides who holds the lease. [`ListWatcherRole`] publishes it to the tasks that act under it, and remembers
+//! which holder is known, for `GET /status`.
 
 use super::Controller;
 use crate::lease::HeldLease;
-use crate::message::{PeerMessage, RecordOwner};
-use lugwharf_election as election;
+use crate::message::PeerMessage;
+use crate::record_owner::RecordOwner;
+use crate::status::RoleStatus;
+use lugwharf_election::{self as election, LeaseHolder};
 use spdlog::prelude::*;
+use std::time::Duration;
+use tokio::sync::watch;
+
+/// The name of the role in the log, in `/status` and in the metrics.
+pub const ROLE_NAME: &str = "list_reader";
+
+/// What tasks and operators learn of the lease.
+pub struct ListWatcherRole {
+    lease: watch::Sender<Option<HeldLease>>,
+    known_holder: Option<LeaseHolder>,
+    known_holder_since: Duration,
+}
+
+impl ListWatcherRole {
+    /// A role without a known holder. The receiver follows the lease while this process holds it.
+    pub fn new() -> (ListWatcherRole, watch::Receiver<Option<HeldLease>>) {
+        let (lease, receiver) = watch::channel(None);
+        (ListWatcherRole { lease, known_holder: None, known_holder_since: Duration::ZERO }, receiver)
+    }
+
+    /// Publishes the lease, if this process holds it. Receivers are woken when it is acquired or lost; a renewal only moves the
+    /// end that they check, and interrupts nobody.
+    pub fn publish(&self, lease: Option<HeldLease>) {
+        self.lease.send_if_modified(|current| {
+            let before = std::mem::replace(current, lease);
+            before.map(|lease| lease.token) != lease.map(|lease| lease.token)
+        });
+    }
+
+    /// Records the holder that the elector knows at `now`.
+    pub fn record_holder(&mut self, now: Duration, known_holder: Option<LeaseHolder>) {
+        if self.known_holder != known_holder {
+            self.known_holder = known_holder;
+            self.known_holder_since = now;
+        }
+    }
+
+    /// The status at `now`, with the holder that the elector knows.
+    pub fn status(&self, now: Duration, known_holder: Option<LeaseHolder>, is_held_here: bool) -> RoleStatus {
+        let held_for = now.saturating_sub(self.known_holder_since);
+        RoleStatus {
+            role: ROLE_NAME,
+            holder: known_holder.map(|holder| holder.address),
+            token: known_holder.map(|holder| holder.token.0),
+            held_ms: known_holder.map(|_| super::millis(held_for)),
+            held_here: is_held_here,
+        }
+    }
+}
 
 impl Controller {
-    /// Hands an event to the elector and carries out what it wants.
+    /// Hands an event to the elector and carries out its actions.
     pub(super) fn elect(&mut self, event: election::Event) {
-        let mut out = Vec::new();
-        self.elector.handle(self.now(), event, &mut out);
-        for action in out {
+        let mut actions = Vec::new();
+        self.elector.handle(self.now(), event, &mut actions);
+        for action in actions {
             match action {
                 election::Action::Send { to, message } => {
-                    self.peer_transport.send(to, PeerMessage::Election(message))
+                    self.peer_transport.send(to, PeerMessage::Election(message));
                 }
                 election::Action::Persist { batch, records } => {
-                    self.store(RecordOwner::Election, batch.0, records, false);
+                    self.persist(RecordOwner::Election, batch.0, records, false);
                 }
                 election::Action::LeaseAcquired { token } => {
-                    info!("role", kv: { role = "list_reader", outcome = "gained", token = token.0 });
-                    self.stage_planner.lease_acquired(self.now());
+                    info!("role", kv: { role = ROLE_NAME, outcome = "gained", token = token.0 });
+                    self.stage_planning.lease_acquired(self.now());
                 }
                 election::Action::LeaseLost => {
-                    info!("role", kv: { role = "list_reader", outcome = "lost" });
-                    self.stage_planner.lease_lost();
+                    info!("role", kv: { role = ROLE_NAME, outcome = "lost" });
+                    self.stage_planning.lease_lost();
                 }
             }
         }
-        self.record_known_holder();
-        let held = self.held_lease();
-        // A renewal changes the end that workers look at, and interrupts nobody.
-        self.lease_sender.send_if_modified(|role| {
-            let before = std::mem::replace(role, held);
-            before.map(|held| held.token) != held.map(|held| held.token)
-        });
+        let known_holder = self.elector.known_holder();
+        self.list_watcher_role.record_holder(self.now(), known_holder);
+        self.list_watcher_role.publish(self.held_lease());
     }
 
-    /// The list reader's role, if this process holds it now.
+    /// The lease, if this process holds it now.
     pub(super) fn held_lease(&self) -> Option<HeldLease> {
         let lease = self.elector.held_lease(self.now())?;
-        Some(HeldLease { token: lease.token.0, expires_at: self.started + lease.expires_at })
+        Some(HeldLease { token: lease.token.0, expires_at: self.started_at + lease.expires_at })
     }
 
-    fn record_known_holder(&mut self) {
-        let known = self.elector.known_holder();
-        if self.known_holder != known {
-            self.known_holder = known;
-            self.known_holder_since = self.now();
-        }
+    /// Whether this process holds the lease now, under this token.
+    pub(super) fn holds_lease(&self, token: u64) -> bool {
+        self.elector.held_lease(self.now()).is_some_and(|lease| lease.token.0 == token)
     }
 }
--- /dev/null
+++ b/crates/control/src/controller/peer_exchange.rs
@@ -0,0 +1,118 @@
+//! The exchange with the other control processes: each one reports every 500 ms what it has, and gets what it lacks.
+//!
+//! Changes of the server list are sent at once ([`Controller::list_read`]); the exchange repairs what was lost on the way.
+
+use super::Controller;
+use crate::message::{PeerMessage, TablesMessage};
+use lugwharf_protocol::{Update, VersionVector};
+use spdlog::prelude::*;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// How often each control process reports to the others.
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
+
+/// When this process last reported to the others. All times count from the start of the process.
+#[derive(Debug, Default)]
+pub struct ReportSchedule {
+    last_report_at: Option<Duration>,
+}
+
+impl ReportSchedule {
+    /// Whether [`EXCHANGE_INTERVAL`] has passed since the last report, or there was none.
+    pub fn is_due(&self, now: Duration) -> bool {
+        self.last_report_at.is_none_or(|last| now.saturating_sub(last) >= EXCHANGE_INTERVAL)
+    }
+
+    /// Records a report.
+    pub fn record(&mut self, now: Duration) {
+        self.last_report_at = Some(now);
+    }
+}
+
+impl Controller {
+    /// The control processes that this one reports to.
+    pub(super) fn audience(&self, now: Duration) -> Vec<SocketAddr> {
+        let members = self.replica.status().members;
+        self.process_directory.audience(now, self.local_address, &members)
+    }
+
+    /// Reports to the others if that is due. Without a view nobody is known.
+    pub(super) fn report_if_due(&mut self) {
+        let now = self.now();
+        if self.report_schedule.is_due(now) && self.views.current() > 0 {
+            self.report_to_peers(now);
+        }
+    }
+
+    /// Reports to the others what this process has.
+    pub(super) fn report_to_peers(&mut self, now: Duration) {
+        self.report_schedule.record(now);
+        self.update_live_proxies(now);
+        let front_count = self.census.live_count(now);
+        let status = self.replica.status();
+        let processes = match status.is_member {
+            true => self.process_directory.all(now, self.local_address, &status.members),
+            false => Vec::new(),
+        };
+        let report = TablesMessage::Report {
+            vector: self.tables.vector(),
+            front_count,
+            loads: self.fleet_load.local_sum(now),
+            is_platform_reachable: self.platform_reachability.may_be_reachable(now),
+            processes,
+        };
+        let audience = self.audience(now);
+        self.peer_transport.send_all(&audience, PeerMessage::Tables(report));
+    }
+
+    /// Members count the fronts of all control processes. A learner knows only its own, so it uses a member's total.
+    fn update_live_proxies(&mut self, now: Duration) {
+        let counted = self.census.total(now);
+        let status = self.replica.status();
+        let total = match status.is_member {
+            true => counted,
+            false => self.process_directory.live_proxies(now, &status.members),
+        };
+        self.tables.set_live_proxies(total);
+    }
+
+    /// Handles a message of another control process about the tables.
+    pub(super) fn tables_message(&mut self, from: SocketAddr, message: TablesMessage) {
+        match message {
+            TablesMessage::Report { vector, front_count, loads, is_platform_reachable, processes } => {
+                let now = self.now();
+                self.platform_reachability.record_peer_report(now, from, is_platform_reachable);
+                self.census.record_peer_count(from, front_count, now);
+                self.fleet_load.record_peer(now, from, loads);
+                self.learn_processes_of_member(now, from, &processes);
+                self.process_directory.record_live_proxies(now, from, vector.live_proxies);
+                self.send_missing_servers(from, vector);
+            }
+            TablesMessage::Update(update) => self.apply_peer_update(from, &update),
+        }
+    }
+
+    fn send_missing_servers(&mut self, to: SocketAddr, have: VersionVector) {
+        if let Some(update) = self.server_update_for(have) {
+            self.peer_transport.send(to, PeerMessage::Tables(TablesMessage::Update(update)));
+        }
+    }
+
+    fn apply_peer_update(&mut self, from: SocketAddr, update: &Update) {
+        match self.tables.apply(update) {
+            Ok(true) => self.serve_pulls(),
+            Ok(false) => {}
+            Err(error) => debug!("servers", kv: { outcome = "refused", from: = from, error: = error }),
+        }
+    }
+
+    /// A learner hears only members; they name the others to it. Members rely on the messages that they get themselves, so
+    /// that no process stays listed by reports that go round in circles.
+    fn learn_processes_of_member(&mut self, now: Duration, from: SocketAddr, processes: &[SocketAddr]) {
+        let status = self.replica.status();
+        if !status.is_member && status.members.contains(&from) {
+            self.process_directory.record_named(now, processes);
+        }
+    }
+}
--- a/crates/control/src/controller/platform_reachability.rs
+++ b/crates/control/src/controller/platform_reachability.rs
@@ -1,14 +1,14 @@
-//! Which control processes could not reach the platform, so that the list reader's role goes to one that may, and to nobody
-//! where none can.
+//! Which control processes can reach the platform, so that the list watcher's lease goes to one that may, and stays where it
+//! is when none can.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A process that could not reach the platform is not asked to try again for so long: with all of them cut off, the role
-/// goes round once in this time.
+/// A process that failed to reach the platform is not expected to reach it for so long. With all processes cut off, the lease
+/// then makes one round of the members in this time.
 const RETRY_AFTER: Duration = Duration::from_secs(30);
-/// Word of a peer is out of date after several exchanges without it.
+/// Peers report every 500 ms (`EXCHANGE_INTERVAL`). A report older than this missed three exchanges and is ignored.
 const REPORT_TTL: Duration = Duration::from_secs(2);
 
 struct PeerReport {
@@ -16,9 +16,16 @@
     received_at: Duration,
 }
 
-/// What is known of this process and of the others.
+impl PeerReport {
+    fn is_fresh(&self, now: Duration) -> bool {
+        now.saturating_sub(self.received_at) <= REPORT_TTL
+    }
+}
+
+/// Whether the platform may be reached from this process and from its peers. All times count from the start of the process.
 #[derive(Default)]
 pub struct PlatformReachability {
+    /// The last failure of this process, until it succeeds again.
     failed_at: Option<Duration>,
     peers: BTreeMap<SocketAddr, PeerReport>,
 }
@@ -34,22 +41,21 @@
         self.failed_at = Some(now);
     }
 
-    /// Whether this process may reach the platform, as far as it knows.
-    pub fn may_be_reachable(&self, now: Duration) -> bool {
-        self.failed_at.is_none_or(|at| now.saturating_sub(at) >= RETRY_AFTER)
-    }
-
-    /// Another process tells whether it may.
+    /// A peer reports whether it may reach the platform.
     pub fn record_peer_report(&mut self, now: Duration, peer: SocketAddr, is_reachable: bool) {
-        self.peers.retain(|_, report| now.saturating_sub(report.received_at) <= REPORT_TTL);
+        self.peers.retain(|_, report| report.is_fresh(now));
         self.peers.insert(peer, PeerReport { is_reachable, received_at: now });
     }
 
-    /// Whether one of these, heard lately, may reach the platform.
+    /// Whether this process may reach the platform: it has not failed within [`RETRY_AFTER`].
+    pub fn may_be_reachable(&self, now: Duration) -> bool {
+        self.failed_at.is_none_or(|at| now.saturating_sub(at) >= RETRY_AFTER)
+    }
+
+    /// Whether one of these peers has reported within [`REPORT_TTL`] that it may reach the platform.
     pub fn any_peer_may_reach(&self, now: Duration, peers: &[SocketAddr]) -> bool {
-        let fresh =
-            self.peers.iter().filter(|(_, report)| now.saturating_sub(report.received_at) <= REPORT_TTL);
-        let mut likely = fresh.filter(|(_, report)| report.is_reachable).map(|(peer, _)| peer);
-        likely.any(|peer| peers.contains(peer))
+        let fresh = self.peers.iter().filter(|(_, report)| report.is_fresh(now));
+        let mut reachable = fresh.filter(|(_, report)| report.is_reachable).map(|(peer, _)| peer);
+        reachable.any(|peer| peers.contains(peer))
     }
 }
--- a/crates/control/src/controller/stage_planning.rs
+++ b/crates/control/src/controller/stage_planning.rs
@@ -1,18 +1,21 @@
-//! The parts of model servers: planned by the holder of the list reader's role, who alone gives orders.
+//! Plans which model servers are in the prefill and the decode stage. Only the lease holder plans and sends orders.
 
 use super::Controller;
+use super::fleet_load::FleetLoad;
+use crate::lease::HeldLease;
 use crate::metrics::order_answer_name;
 use crate::orders::AuthorizedOrder;
 use lugwharf_config::Configuration;
-use lugwharf_protocol::ServerEntry;
+use lugwharf_protocol::{ServerEntry, ServerState};
 use lugwharf_stages::target::Demand;
-use lugwharf_stages::{OrderOutcome, StageTuning};
+use lugwharf_stages::{Order, OrderOutcome, Planner, PlannerSettings, StageTuning};
 use spdlog::prelude::*;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
+use tokio::sync::mpsc;
 use tokio::sync::mpsc::error::TrySendError;
 
-/// What a server takes to change its part, where the configuration does not say it.
+/// How long a server takes to change its stage, where the configuration does not say so.
 const DEFAULT_SWITCH: Duration = Duration::from_secs(3);
 
 /// What the configuration says of a service's engine, as far as planning needs it.
@@ -27,17 +30,53 @@
     let Ok(configuration) = Configuration::parse_unchecked(bytes) else { return BTreeMap::new() };
     let services = configuration.services.into_iter();
     let engines = services.filter_map(|service| Some((service.name, service.engine?)));
-    let terms = engines.map(|(name, engine)| {
+    let profiles = engines.map(|(name, engine)| {
         let switch = Duration::try_from_secs_f64(engine.switch_s).unwrap_or(DEFAULT_SWITCH);
         (name, EngineProfile { slots: engine.slots, switch })
     });
-    terms.collect()
+    profiles.collect()
 }
 
-impl Controller {
-    /// Looks at a fresh listing, service by service.
-    pub(super) fn plan_stages(&mut self, now: Duration, entries: &[ServerEntry]) {
-        if !self.stage_tuning.orders {
+/// The planner with what it plans by, and the queue of orders to be sent.
+pub struct StagePlanning {
+    planner: Planner,
+    tuning: StageTuning,
+    /// The engines of the newest configuration, by service.
+    engines: BTreeMap<String, EngineProfile>,
+    order_queue: mpsc::Sender<AuthorizedOrder>,
+}
+
+impl StagePlanning {
+    /// Planning without a configuration; orders go to `order_queue`.
+    pub fn new(tuning: StageTuning, order_queue: mpsc::Sender<AuthorizedOrder>) -> StagePlanning {
+        let planner = Planner::new(PlannerSettings::default());
+        StagePlanning { planner, tuning, engines: BTreeMap::new(), order_queue }
+    }
+
+    /// Takes the engines from a committed configuration.
+    pub fn set_configuration(&mut self, bytes: &[u8]) {
+        self.engines = engine_profiles(bytes);
+    }
+
+    /// This process has acquired the lease.
+    pub fn lease_acquired(&mut self, now: Duration) {
+        self.planner.lease_acquired(now);
+    }
+
+    /// This process has lost the lease.
+    pub fn lease_lost(&mut self) {
+        self.planner.lease_lost();
+    }
+
+    /// Plans by a list that was just read, then marks the servers that are about to change their stage as draining in it.
+    pub fn plan(&mut self, now: Duration, entries: &mut [ServerEntry], load: &FleetLoad) {
+        self.planner.observe(entries);
+        self.plan_services(now, entries, load);
+        self.planner.overlay(entries);
+    }
+
+    fn plan_services(&mut self, now: Duration, entries: &[ServerEntry], load: &FleetLoad) {
+        if !self.tuning.orders {
             return;
         }
         let mut services: BTreeMap<&str, Vec<&ServerEntry>> = BTreeMap::new();
@@ -45,50 +84,66 @@
             services.entry(entry.service.as_str()).or_default().push(entry);
         }
         for (service, servers) in services {
-            let Some(terms) = self.engine_profiles.get(service) else { continue };
-            let decode_in_flight = f64::from(self.fleet_load.decode_in_flight(now, service));
-            let StageTuning { min_decode_share, max_decode_utilization, .. } = self.stage_tuning;
+            let Some(engine) = self.engines.get(service) else { continue };
+            let StageTuning { min_decode_share, max_decode_utilization, .. } = self.tuning;
             let demand = Demand {
-                decode_in_flight,
-                slots: terms.slots,
+                decode_in_flight: f64::from(load.decode_in_flight(now, service)),
+                slots: engine.slots,
                 min_decode_share,
                 max_utilization: max_decode_utilization,
             };
-            self.stage_planner.plan(now, service, &servers, &demand);
+            self.planner.plan(now, service, &servers, &demand);
         }
     }
 
-    /// Sends the orders that are due, as long as this process holds the role.
+    /// Queues the orders that are due, under this lease.
+    pub fn send_due(&mut self, now: Duration, node: &str, lease: HeldLease) {
+        for order in self.planner.due_orders(now) {
+            info!("order", kv: { outcome = "given", id = order.id.as_str(), stage:? = order.stage, token = lease.token });
+            self.enqueue(now, AuthorizedOrder { order, holder: node.to_owned(), lease });
+        }
+    }
+
+    fn enqueue(&mut self, now: Duration, order: AuthorizedOrder) {
+        let Err(error) = self.order_queue.try_send(order) else { return };
+        warn!("order", kv: { outcome = "dropped", error: = error });
+        let (TrySendError::Full(dropped) | TrySendError::Closed(dropped)) = error;
+        let Order { id, .. } = dropped.order;
+        // The order was never sent, so the server may be used again at once.
+        self.planner.record_outcome(now, &id, OrderOutcome::Rejected, Duration::ZERO);
+    }
+
+    /// Records how the order to a server of this service ended. An unknown server has [`DEFAULT_SWITCH`].
+    pub fn complete(&mut self, now: Duration, id: &str, service: Option<&str>, answer: OrderOutcome) {
+        let engine = service.and_then(|service| self.engines.get(service));
+        let switch = engine.map_or(DEFAULT_SWITCH, |engine| engine.switch);
+        self.planner.record_outcome(now, id, answer, switch);
+    }
+
+    /// Ids of these servers that have been ordered to change their stage, or are about to be.
+    pub fn changing<'a>(&self, entries: impl Iterator<Item = &'a ServerEntry>) -> BTreeSet<String> {
+        let as_ready = |entry: &ServerEntry| ServerEntry { state: ServerState::Ready, ..entry.clone() };
+        let mut shown: Vec<ServerEntry> = entries.map(as_ready).collect();
+        self.planner.overlay(&mut shown);
+        let changing = shown.into_iter().filter(|entry| entry.state == ServerState::Draining);
+        changing.map(|entry| entry.id).collect()
+    }
+}
+
+impl Controller {
+    /// Sends the orders that are due, while this process holds the lease.
     pub(super) fn send_due_orders(&mut self) {
         let now = self.now();
         let Some(lease) = self.held_lease() else { return };
-        for order in self.stage_planner.due_orders(now) {
-            info!("order", kv: { outcome = "given", id = order.id.as_str(), stage:? = order.stage, token = lease.token });
-            let call = AuthorizedOrder { order, holder: self.settings.node.clone(), lease };
-            if let Err(error) = self.order_queue.try_send(call) {
-                warn!("order", kv: { outcome = "dropped", error: = error });
-                let call = match error {
-                    TrySendError::Full(call) | TrySendError::Closed(call) => call,
-                };
-                // It was never sent, so that the server need not stay out for it.
-                self.stage_planner.record_outcome(
-                    now,
-                    &call.order.id,
-                    OrderOutcome::Rejected,
-                    Duration::ZERO,
-                );
-            }
-        }
+        self.stage_planning.send_due(now, &self.settings.node, lease);
     }
 
     /// An order has ended.
     pub(super) fn order_completed(&mut self, id: &str, answer: OrderOutcome) {
         let now = self.now();
         let service = self.tables.servers().get(id).map(|entry| entry.service.as_str());
-        let terms = service.and_then(|service| self.engine_profiles.get(service));
-        let switch = terms.map_or(DEFAULT_SWITCH, |terms| terms.switch);
         info!("order", kv: { outcome = order_answer_name(answer), id });
         self.metrics.record_order(answer);
-        self.stage_planner.record_outcome(now, id, answer, switch);
+        self.stage_planning.complete(now, id, service, answer);
     }
 }
--- a/crates/control/src/controller/state_machine_settings.rs
+++ b/crates/control/src/controller/state_machine_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the state machines, from the settings of the process.
+//! The settings of the replica and the elector, from the settings of the process.
 
 use lugwharf_chain::ReplicaSettings;
 use lugwharf_election::{ElectorSettings, Role};
@@ -6,19 +6,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The lease of the list reader: with an election round, one read and the way to the fronts it has to fit twice into
-/// `DrainMs` (3 s), and a renewal must survive a pause of some hundred ms.
+/// The lease of the list watcher. With an election round, one read and the way to the fronts it has to fit twice into
+/// `DrainMs` (3 s), and a holder must survive a pause of some hundred ms.
 const LEASE_DURATION: Duration = Duration::from_millis(1_200);
 /// How often the lease is renewed.
 const LEASE_RENEW_INTERVAL: Duration = Duration::from_millis(350);
-/// Steady clocks of two machines differ by far less.
+/// How much faster one monotonic clock may run than another; real ones differ by far less.
 const CLOCK_DRIFT_PERCENT: u32 = 2;
 
-/// The replica's settings. A process whose log was lost does not count as one that starts for the first time.
+/// The replica's settings. A process whose log was quarantined may not found a core: it does not start for the first time.
 pub fn replica_settings(
-    settings: &Settings, local_address: SocketAddr, seed: u64, log_lost: bool,
+    settings: &Settings, local_address: SocketAddr, seed: u64, was_log_quarantined: bool,
 ) -> ReplicaSettings {
-    let bootstrap = settings.bootstrap && !log_lost;
+    let bootstrap = settings.bootstrap && !was_log_quarantined;
     let counts_for_quorum = settings.counts_for_quorum;
     let replica = ReplicaSettings::new(
         local_address,
@@ -36,7 +36,7 @@
     settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), peer)).collect()
 }
 
-/// The settings of the election of the list reader.
+/// The settings of the elector of the list watcher.
 pub fn elector_settings(local_address: SocketAddr, seed: u64) -> ElectorSettings {
     ElectorSettings {
         local_address,
--- a/crates/control/src/controller/view_tracking.rs
+++ b/crates/control/src/controller/view_changes.rs
@@ -1,4 +1,4 @@
-//! The view of the replica, as the elector and the links are told of it.
+//! Carries view changes of the replica to the elector, the peer connections, the metrics and the log.
 
 use super::Controller;
 use lugwharf_chain as chain;
@@ -6,29 +6,26 @@
 use spdlog::prelude::*;
 
 impl Controller {
-    /// Tells the elector of the replica's view if it is another one than before: one that was agreed, or the one that
-    /// was found on the disk.
+    /// Reports the replica's view to the elector if it is new: one that was agreed, or the one found on disk.
     pub(super) fn follow_view(&mut self) {
         let status = self.replica.status();
-        if status.view > self.current_view {
+        if self.views.enter(status.view) {
             self.enter_view(&status);
         }
-        // Told before anybody hears of the acceptance, which waits for the disk: from then on this process helps nobody to
-        // hold the role in this view, as the next one may elect another.
-        if status.has_accepted_next_view && self.sealed_view < status.view {
-            self.sealed_view = status.view;
+        // Before anybody hears of the acceptance, which waits for the disk: from then on this process votes for no holder in
+        // this view, since the next view may elect another one.
+        if status.has_accepted_next_view && self.views.seal(status.view) {
             self.elect(election::Event::ViewSealed { number: status.view });
         }
     }
 
     fn enter_view(&mut self, status: &chain::ReplicaStatus) {
-        self.current_view = status.view;
         self.metrics.view_changes.inc();
         info!("view", kv: {
             outcome = "agreed", view = status.view, members = status.members.len(), replicas = status.chain.len(),
             position:? = status.position
         });
-        // Links to others are opened again when something is sent there.
+        // Connections to others are opened again with the next message.
         let all = self.process_directory.all(self.now(), self.local_address, &status.members);
         self.peer_transport.retain(|address| all.contains(address));
         let (number, members, is_voter) = (status.view, status.members.clone(), status.is_member);
--- a/crates/control/src/controller_tests.rs
+++ b/crates/control/src/controller_tests.rs
@@ -36,46 +36,46 @@
 
 fn start(directory: &Path) -> (Controller, Sender<Command>, Receiver<Command>) {
     let (commands, queue) = mpsc::channel(64);
-    let owner = Controller::start(
+    let controller = Controller::start(
         settings(directory),
         StageTuning::default(),
         commands.clone(),
         &RejectionCounters::default(),
     )
     .expect("a start");
-    (owner, commands, queue)
+    (controller, commands, queue)
 }
 
-async fn step(owner: &mut Controller, queue: &mut Receiver<Command>) {
-    owner.handle(Command::Tick);
+async fn step(controller: &mut Controller, queue: &mut Receiver<Command>) {
+    controller.handle(Command::Tick);
     if let Ok(Some(command)) = timeout(STEP, queue.recv()).await {
-        owner.handle(command);
+        controller.handle(command);
     }
 }
 
 /// An empty folder of its own.
 fn folder(name: &str) -> PathBuf {
-    let directory = std::env::temp_dir().join(format!("lugwharf-owner-{name}-{}", std::process::id()));
+    let directory = std::env::temp_dir().join(format!("lugwharf-controller-{name}-{}", std::process::id()));
     drop(std::fs::remove_dir_all(&directory));
     std::fs::create_dir_all(&directory).expect("a folder");
     directory
 }
 
 /// Goes on until a core of one has founded itself.
-async fn found(owner: &mut Controller, queue: &mut Receiver<Command>) {
+async fn found(controller: &mut Controller, queue: &mut Receiver<Command>) {
     let mut steps = 0;
-    while !owner.replica.status().is_serving && steps < MAX_STEPS {
-        step(owner, queue).await;
+    while !controller.replica.status().is_serving && steps < MAX_STEPS {
+        step(controller, queue).await;
         steps += 1;
     }
 }
 
 /// What an agent that has nothing is told of contact.
-fn is_in_touch(owner: &mut Controller) -> bool {
+fn is_in_touch(controller: &mut Controller) -> bool {
     let (reply, mut answer) = oneshot::channel();
     let (node, incarnation, loads) = ("front-1".to_owned(), 1, Vec::new());
     let request = AgentRequest::Pull { node, incarnation, have: VersionVector::default(), wait_ms: 0, loads };
-    owner.handle(Command::Pull { request, reply });
+    controller.handle(Command::Pull { request, reply });
     let frame = answer.try_recv().expect("an answer");
     let ControlReply::Update { has_quorum, .. } = decode(&frame[size_of::<u32>()..]).expect("a reply");
     has_quorum
@@ -84,33 +84,33 @@
 #[tokio::test]
 async fn one_that_was_told_to_end_sends_its_agents_elsewhere_until_it_ends() {
     let directory = folder("end");
-    let (mut owner, _commands, mut queue) = start(&directory);
-    found(&mut owner, &mut queue).await;
-    assert!(is_in_touch(&mut owner));
+    let (mut controller, _commands, mut queue) = start(&directory);
+    found(&mut controller, &mut queue).await;
+    assert!(is_in_touch(&mut controller));
     let (done, mut outcome) = oneshot::channel();
-    owner.handle(Command::Shutdown { done });
-    assert!(!is_in_touch(&mut owner));
+    controller.handle(Command::Shutdown { done });
+    assert!(!is_in_touch(&mut controller));
     let mut steps = 0;
     while outcome.is_empty() && steps < MAX_STEPS {
-        step(&mut owner, &mut queue).await;
+        step(&mut controller, &mut queue).await;
         steps += 1;
     }
     assert_eq!(outcome.try_recv(), Ok(ShutdownOutcome::Stayed));
-    assert!(!is_in_touch(&mut owner));
+    assert!(!is_in_touch(&mut controller));
     drop(std::fs::remove_dir_all(directory));
 }
 
 #[tokio::test]
 async fn the_view_that_is_found_on_the_disk_is_told_to_the_election() {
     let directory = folder("view");
-    let (mut owner, commands, mut queue) = start(&directory);
-    found(&mut owner, &mut queue).await;
-    let view = owner.current_view;
-    assert!(owner.replica.status().is_serving && view > 0, "{:?}", owner.replica.status());
-    drop((owner, commands, queue));
+    let (mut controller, commands, mut queue) = start(&directory);
+    found(&mut controller, &mut queue).await;
+    let view = controller.views.current();
+    assert!(controller.replica.status().is_serving && view > 0, "{:?}", controller.replica.status());
+    drop((controller, commands, queue));
 
     // Nothing new is agreed: the core goes on in that view.
-    let (owner, _commands, _queue) = start(&directory);
-    assert_eq!(owner.current_view, view);
+    let (controller, _commands, _queue) = start(&directory);
+    assert_eq!(controller.views.current(), view);
     drop(std::fs::remove_dir_all(directory));
 }
--- a/crates/control/src/encoded_bytes_tests.rs
+++ b/crates/control/src/encoded_bytes_tests.rs
@@ -1,7 +1,8 @@
 //! What control processes send each other, and the first byte of the log's records, byte for byte as the version of the
 //! capture encoded them. ProcessDirectory of several versions run side by side during an upgrade, so the bytes never change.
 
-use crate::message::{PeerMessage, RecordOwner, TablesMessage};
+use crate::message::{PeerMessage, TablesMessage};
+use crate::record_owner::RecordOwner;
 use lugwharf_chain::Message as ChainMessage;
 use lugwharf_election::{Message as ElectionMessage, MessageBody, Role};
 use lugwharf_protocol::{
@@ -40,9 +41,9 @@
     VersionVector { config: 300, servers: TablePosition { epoch: 7, sequence: 70_000 }, live_proxies: 12 }
 }
 
-fn have(reaches: bool, processes: Vec<SocketAddr>) -> TablesMessage {
+fn have(is_platform_reachable: bool, processes: Vec<SocketAddr>) -> TablesMessage {
     let loads = vec![ServiceLoad { service: "model".to_owned(), prefill: 2, decode: 500 }];
-    TablesMessage::Have { vector: vector(), fronts: 4, loads, reaches, processes }
+    TablesMessage::Report { vector: vector(), front_count: 4, loads, is_platform_reachable, processes }
 }
 
 fn servers() -> ServerDelta {
--- a/crates/control/src/http_bytes_tests.rs
+++ b/crates/control/src/http_bytes_tests.rs
@@ -1,11 +1,12 @@
 //! The bytes of HTTP that others rely on: the answers of the operator's API, orders to servers, the call for a page of the
 //! platform's list, and announcements to seeds. All of them as captured, but for the time of day and port numbers.
 
-use crate::announcement::{self, Announcement};
+use crate::announcement;
 use crate::command::Command;
 use crate::encoded_bytes_tests::{from_hex, to_hex};
 use crate::gateway;
 use crate::lease::HeldLease;
+use crate::message::Announcement;
 use crate::metrics::RejectionCounters;
 use crate::operator::{self, MAX_CONFIG_BYTES};
 use crate::orders::{self, AuthorizedOrder};
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -41,6 +41,8 @@
 mod peer_transport;
 mod platform_client;
 mod pulls;
+mod record_owner;
+mod reply;
 mod shutdown;
 mod status;
 #[cfg(test)]
--- a/crates/control/src/list_watcher.rs
+++ b/crates/control/src/list_watcher.rs
@@ -1,8 +1,13 @@
-//! The work of the list reader's role: while this process holds it, the platform's list is read in a steady rhythm.
+//! The list watcher: the task that reads the platform's server list once a second while this process holds the lease.
+//!
+//! It owns the connection to the platform and the count of failures in a row, and sends [`Command::ListRead`] or
+//! [`Command::ListReadFailed`] after each read. A failure is logged (`list outcome=failed`: `warn` for the first in a row,
+//! `debug` for the next ones) and retried after 250 ms; after 1.2 s without a response the controller is told to step down.
 
 use crate::command::Command;
 use crate::lease::HeldLease;
 use crate::platform_client::{PlatformClient, PlatformError};
+use crate::reply::notify;
 use lugwharf_settings::Cloud;
 use spdlog::prelude::*;
 use std::time::Duration;
@@ -10,50 +15,50 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// How often the list is read. A server that leaves has to be known at every front within `DrainMs` (3 s) of the list
-/// showing it, also when the role changes hands meanwhile; each call has a price.
+/// showing it, also when the lease changes hands meanwhile; each request has a price.
 const READ_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The pause after a read that failed.
+/// The pause after a failed read.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// After so long without an answer another process should try: it may reach the platform where this one can't. Two pages
-/// that do not come; with the election and the first read of the successor it stays within some 2 s.
+/// After so long without a response another process should try: it may reach the platform where this one can't. That is two
+/// pages that time out; with the election and the first read of the next holder it stays within some 2 s.
 const OUTAGE_BEFORE_STEP_DOWN: Duration = Duration::from_millis(1_200);
 
-/// After a start: the time for the others to tell what they have.
+/// Between two attempts of the initial read: the time for peers to send the list that they have.
 const INITIAL_READ_DELAY: Duration = Duration::from_millis(120);
-/// Tries of the first look. An election has come to an end by then.
+/// Attempts of the initial read. An election has ended by then.
 const MAX_INITIAL_READS: u32 = 6;
 
-/// Reads the list once after a start, unless another process has told it meanwhile.
+/// Reads the list once after a start, without a lease, unless a peer has sent it meanwhile.
 pub async fn initial_read(cloud: Cloud, commands: mpsc::Sender<Command>) {
     let mut client = PlatformClient::new(cloud.address);
     for _ in 0..MAX_INITIAL_READS {
         sleep(INITIAL_READ_DELAY).await;
-        let (reply, lacks) = oneshot::channel();
-        if commands.send(Command::NeedsInitialList { reply }).await.is_err() || !lacks.await.unwrap_or(false)
-        {
+        let (reply, is_needed) = oneshot::channel();
+        let command = Command::NeedsInitialList { reply };
+        if commands.send(command).await.is_err() || !is_needed.await.unwrap_or(false) {
             return;
         }
         if let Ok(entries) = client.list_servers(|| true).await {
-            drop(commands.send(Command::InitialListRead { entries }).await);
+            notify(&commands, Command::InitialListRead { entries }).await;
             return;
         }
     }
 }
 
-/// Reads while `role` holds a fencing token, and each page only while the lease lasts by the clock: after a standstill of
-/// the process it is this task that may run first.
+/// Reads the list while `lease` has one, and each page only while that lease is valid by the clock: after a pause of the
+/// process this task may run before the controller.
 pub async fn run(
-    cloud: Cloud, mut role: watch::Receiver<Option<HeldLease>>, commands: mpsc::Sender<Command>,
+    cloud: Cloud, mut lease: watch::Receiver<Option<HeldLease>>, commands: mpsc::Sender<Command>,
 ) {
     let mut client = PlatformClient::new(cloud.address);
     loop {
-        let Some(HeldLease { token: epoch, .. }) = *role.borrow_and_update() else {
-            if role.changed().await.is_err() {
+        let Some(HeldLease { token, .. }) = *lease.borrow_and_update() else {
+            if lease.changed().await.is_err() {
                 return;
             }
             continue;
         };
-        if watch_under_lease(&mut client, epoch, &mut role, &commands).await.is_none() {
+        if watch_under_lease(&mut client, token, &mut lease, &commands).await.is_none() {
             return;
         }
     }
@@ -61,72 +66,71 @@
 
 /// Reads under one token until it is lost. `None` if the process is ending.
 async fn watch_under_lease(
-    client: &mut PlatformClient, epoch: u64, role: &mut watch::Receiver<Option<HeldLease>>,
+    client: &mut PlatformClient, token: u64, lease: &mut watch::Receiver<Option<HeldLease>>,
     commands: &mpsc::Sender<Command>,
 ) -> Option<()> {
     let mut failures = 0;
     let mut outage = PlatformOutage::default();
     loop {
-        let begun = Instant::now();
-        let lease = role.clone();
+        let started_at = Instant::now();
+        let current = lease.clone();
         let read = tokio::select! {
-            read = client.list_servers(|| is_lease_valid(&lease, epoch)) => read,
-            changed = role.changed() => return changed.ok(),
+            read = client.list_servers(|| is_lease_valid(&current, token)) => read,
+            changed = lease.changed() => return changed.ok(),
         };
         let pause = match read {
             Ok(entries) => {
                 failures = 0;
                 outage.record_response();
-                commands.send(Command::ListRead { epoch, entries }).await.ok()?;
+                commands.send(Command::ListRead { epoch: token, entries }).await.ok()?;
                 READ_INTERVAL
             }
-            // The owner of the lease finds this too, at its next event.
-            Err(PlatformError::LeaseExpired) => return role.changed().await.ok(),
+            // The controller finds this too, at its next event.
+            Err(PlatformError::LeaseExpired) => return lease.changed().await.ok(),
             Err(error) => {
                 failures += 1;
                 log_failure(&error, failures);
-                let should_step_down = outage.record_failure(begun, Instant::now(), &error);
-                commands.send(Command::ListReadFailed { epoch, should_step_down }).await.ok()?;
+                let should_step_down = outage.record_failure(started_at, Instant::now(), &error);
+                commands.send(Command::ListReadFailed { epoch: token, should_step_down }).await.ok()?;
                 READ_RETRY_DELAY
             }
         };
         tokio::select! {
-            () = sleep_until(begun + pause) => {}
-            changed = role.changed() => return changed.ok(),
+            () = sleep_until(started_at + pause) => {}
+            changed = lease.changed() => return changed.ok(),
         }
     }
 }
 
-/// Whether the lease under this token lasts at this moment.
-fn is_lease_valid(role: &watch::Receiver<Option<HeldLease>>, epoch: u64) -> bool {
-    role.borrow().is_some_and(|lease| lease.token == epoch && lease.is_valid(Instant::now()))
+/// Whether the lease under this token is valid at this moment.
+fn is_lease_valid(lease: &watch::Receiver<Option<HeldLease>>, token: u64) -> bool {
+    lease.borrow().is_some_and(|lease| lease.token == token && lease.is_valid(Instant::now()))
 }
 
-/// How long this process has had no answer of the platform.
+/// How long the platform has not responded to this process.
 #[derive(Debug, Default)]
 pub struct PlatformOutage {
     since: Option<Instant>,
 }
 
 impl PlatformOutage {
-    /// The platform answered.
+    /// The platform responded.
     pub fn record_response(&mut self) {
         self.since = None;
     }
 
-    /// A reading that began at `begun` has failed; returns whether another process should try. A refusal is an answer:
-    /// the platform would refuse others as well.
-    pub fn record_failure(&mut self, begun: Instant, now: Instant, error: &PlatformError) -> bool {
+    /// A read that began at `started_at` has failed; returns whether another process should try. An error status is a
+    /// response: the platform would send it to others as well.
+    pub fn record_failure(&mut self, started_at: Instant, now: Instant, error: &PlatformError) -> bool {
         if matches!(error, PlatformError::Status(_)) {
             self.record_response();
             return false;
         }
-        let since = *self.since.get_or_insert(begun);
+        let since = *self.since.get_or_insert(started_at);
         now.saturating_duration_since(since) >= OUTAGE_BEFORE_STEP_DOWN
     }
 }
 
-/// The first failure in a row is worth a warning.
 fn log_failure(error: &PlatformError, failures: u32) {
     match failures {
         1 => warn!("list", kv: { outcome = "failed", failures, error: = error }),
--- a/crates/control/src/logs.rs
+++ b/crates/control/src/logs.rs
@@ -1,9 +1,10 @@
 //! Lines of the log that tell of a configuration's way and of the replica. The names of events and fields are a promise to
 //! whoever searches the logs; `docs/OPERATING.md` lists them.
 
-use lugwharf_chain::{Blake3, LogEvent, ViewChangeReason};
+use lugwharf_chain::{Blake3, LogEvent, Message, ViewChangeReason};
 use spdlog::prelude::*;
 use std::fmt;
+use std::net::SocketAddr;
 
 /// The hash of a configuration's bytes in hex, worked out only where a line is written.
 pub struct Hash<'a>(pub &'a [u8]);
@@ -14,8 +15,8 @@
     }
 }
 
-/// Writes what the replica has to say.
-pub fn chain(logger: &Logger, line: &LogEvent) {
+/// Logs an event of the replica.
+pub fn chain_event(logger: &Logger, line: &LogEvent) {
     match line {
         LogEvent::Started { identity, may_bootstrap, view } => {
             let disk = format!("{:016x}", identity.disk);
@@ -61,3 +62,17 @@
         ViewChangeReason::Stalled => "stalled",
     }
 }
+
+/// Logs a message that carries a change: forwarded to the head, or replicated down the chain.
+pub fn forwarded_change(to: SocketAddr, message: &Message) {
+    match message {
+        Message::Submit { version, base, bytes, .. } => {
+            debug!("config", kv: { outcome = "forwarded", version = *version, base = *base, hash: = Hash(bytes), to: = to });
+        }
+        Message::Replicate { entry, .. } => {
+            let (version, base) = (entry.header.version, entry.header.base);
+            debug!("config", kv: { outcome = "replicated", version, base, hash: = Hash(&entry.bytes), to: = to });
+        }
+        _ => {}
+    }
+}
--- a/crates/control/src/logs_tests.rs
+++ b/crates/control/src/logs_tests.rs
@@ -16,7 +16,7 @@
     let sink = Arc::new(sink.build().expect("a sink"));
     let mut builder = Logger::builder();
     builder.sink(sink.clone()).level_filter(LevelFilter::MoreSevereEqual(level));
-    logs::chain(&builder.build().expect("a logger"), line);
+    logs::chain_event(&builder.build().expect("a logger"), line);
     String::from_utf8(sink.clone_target()).expect("text")
 }
 
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -92,9 +92,9 @@
     view: Gauge,
     members: Gauge,
     chain_length: Gauge,
-    in_touch: Gauge,
+    has_quorum: Gauge,
     serving: Gauge,
-    disk_well: Gauge,
+    disk_healthy: Gauge,
     config_version: Gauge,
     list_reader: Gauge,
     live_proxies: Gauge,
@@ -109,9 +109,9 @@
             ("view", "Number of the newest view known here", &self.view),
             ("members", "Members of that view", &self.members),
             ("chain_length", "Replicas in the chain of that view", &self.chain_length),
-            ("in_touch", "Whether a majority of the members is in touch", &self.in_touch),
+            ("in_touch", "Whether a majority of the members is in touch", &self.has_quorum),
             ("serving", "Whether the view serves", &self.serving),
-            ("disk_well", "Whether the disk takes writes", &self.disk_well),
+            ("disk_well", "Whether the disk takes writes", &self.disk_healthy),
             ("config_version", "Newest committed configuration known here", &self.config_version),
             ("list_reader", "Whether this process reads the platform's list", &self.list_reader),
             ("live_proxies", "Live proxies of the whole fleet", &self.live_proxies),
@@ -129,9 +129,9 @@
         self.view.set(signed(status.view));
         self.members.set(size(status.members.len()));
         self.chain_length.set(size(status.chain.len()));
-        self.in_touch.set(status.in_touch.into());
+        self.has_quorum.set(status.has_quorum.into());
         self.serving.set(status.serving.into());
-        self.disk_well.set(status.disk_well.into());
+        self.disk_healthy.set(status.disk_healthy.into());
         self.config_version.set(signed(status.config_version));
         self.list_reader.set(status.roles.iter().any(|role| role.held_here).into());
         self.live_proxies.set(status.live_proxies.into());
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,7 +1,12 @@
-//! Calls that carry orders to model servers.
+//! Sends orders to model servers: `POST /order`, each under the lease and fencing token of the list watcher.
+//!
+//! Orders run concurrently, each on a connection of its own. Nothing is sent once the lease has ended, and an order without a
+//! response is aborted by a reset, so that it can't arrive after another process acquired the lease. Each order ends with one
+//! [`Command::OrderCompleted`]; errors are logged (`order outcome=withheld` or `failed`).
 
 use crate::command::Command;
 use crate::lease::HeldLease;
+use crate::reply::notify;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::handshake;
@@ -23,25 +28,26 @@
 #[path = "orders_tests.rs"]
 mod orders_tests;
 
-/// An order is answered at once. One that is not by then is given up and its connection reset, so that it does not arrive
-/// after its sender has lost the role.
+/// Servers respond at once. An order without a response by then is aborted and its connection reset, so that it does not
+/// arrive after this process lost the lease.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// An order with the authority to give it.
+/// An order with the lease that authorises it.
 pub struct AuthorizedOrder {
     /// The order.
     pub order: Order,
-    /// The name of the sender.
+    /// The node name of the lease holder.
     pub holder: String,
-    /// The sender's fencing token and the end of its lease; nothing is sent from then on.
+    /// The lease; nothing is sent after its end.
     pub lease: HeldLease,
 }
 
-/// The lease ended before the order was sent, as when this process stood still meanwhile.
+/// The lease ended before the order was sent, as after a pause of this process.
 #[derive(Debug, thiserror::Error)]
 #[error("the lease has ended")]
 struct LeaseEnded;
 
+/// The body of `POST /order`. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 struct StageOrder<'a> {
@@ -51,28 +57,34 @@
     fence: u64,
 }
 
-/// Makes the calls, side by side.
-pub async fn run(mut calls: mpsc::Receiver<AuthorizedOrder>, commands: mpsc::Sender<Command>) {
-    while let Some(call) = calls.recv().await {
+/// Sends the queued orders until the queue is closed.
+pub async fn run(mut orders: mpsc::Receiver<AuthorizedOrder>, commands: mpsc::Sender<Command>) {
+    while let Some(authorized) = orders.recv().await {
         let commands = commands.clone();
         tokio::spawn(async move {
-            let answer = match timeout(RESPONSE_TIMEOUT, send(&call)).await {
-                Ok(Ok(status)) => classify_response(status),
-                Ok(Err(error)) if error.is::<LeaseEnded>() => {
-                    warn!("order", kv: { outcome = "withheld", id = call.order.id.as_str(), token = call.lease.token });
-                    OrderOutcome::Rejected
-                }
-                Ok(Err(error)) => {
-                    warn!("order", kv: { outcome = "failed", id = call.order.id.as_str(), error: = error });
-                    OrderOutcome::Unknown
-                }
-                Err(_) => OrderOutcome::Unknown,
-            };
-            drop(commands.send(Command::OrderCompleted { id: call.order.id, answer }).await);
+            let answer = execute(&authorized).await;
+            notify(&commands, Command::OrderCompleted { id: authorized.order.id, answer }).await;
         });
     }
 }
 
+/// Sends one order and classifies how it ended.
+async fn execute(authorized: &AuthorizedOrder) -> OrderOutcome {
+    let id = authorized.order.id.as_str();
+    match timeout(RESPONSE_TIMEOUT, send(authorized)).await {
+        Ok(Ok(status)) => classify_response(status),
+        Ok(Err(error)) if error.is::<LeaseEnded>() => {
+            warn!("order", kv: { outcome = "withheld", id, token = authorized.lease.token });
+            OrderOutcome::Rejected
+        }
+        Ok(Err(error)) => {
+            warn!("order", kv: { outcome = "failed", id, error: = error });
+            OrderOutcome::Unknown
+        }
+        Err(_) => OrderOutcome::Unknown,
+    }
+}
+
 fn classify_response(status: StatusCode) -> OrderOutcome {
     match status.as_u16() {
         200 | 202 => OrderOutcome::Accepted,
@@ -81,29 +93,31 @@
     }
 }
 
-async fn send(call: &AuthorizedOrder) -> eyre::Result<StatusCode> {
-    let stage = match call.order.stage {
+async fn send(authorized: &AuthorizedOrder) -> eyre::Result<StatusCode> {
+    let stage = match authorized.order.stage {
         Stage::Prefill => "prefill",
         Stage::Decode => "decode",
     };
-    let body = StageOrder { op: "Stage", stage, holder: &call.holder, fence: call.lease.token };
+    let body = StageOrder { op: "Stage", stage, holder: &authorized.holder, fence: authorized.lease.token };
     let request = Request::post("/order")
-        .header(HOST, call.order.address.to_string())
+        .header(HOST, authorized.order.address.to_string())
         .header(CONTENT_TYPE, "application/json")
-        .header("Expect-Instance", &call.order.id)
+        .header("Expect-Instance", &authorized.order.id)
         .body(Full::new(Bytes::from(serde_json::to_vec(&body)?)))?;
-    let stream = TcpStream::connect(call.order.address).await?;
+    let stream = TcpStream::connect(authorized.order.address).await?;
     stream.set_nodelay(true)?;
     SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
     let now = Instant::now();
-    if !call.lease.is_valid(now) {
+    if !authorized.lease.is_valid(now) {
         return Err(LeaseEnded.into());
     }
-    check(Invariant::OrderUnderLease, call.lease.is_valid(now), || format!("token {}", call.lease.token));
+    check(Invariant::OrderUnderLease, authorized.lease.is_valid(now), || {
+        format!("token {}", authorized.lease.token)
+    });
     let exchange = sender.send_request(request);
     tokio::pin!(connection, exchange);
-    // Both end with this call, so that giving it up resets the connection.
+    // Both end with this function, so that aborting it resets the connection.
     let answer = async {
         tokio::select! {
             response = &mut exchange => Ok(response?.status()),
@@ -113,5 +127,5 @@
             }
         }
     };
-    timeout_at(call.lease.expires_at, answer).await?
+    timeout_at(authorized.lease.expires_at, answer).await?
 }
--- a/crates/control/src/peer_transport.rs
+++ b/crates/control/src/peer_transport.rs
@@ -1,6 +1,8 @@
-//! Links between control processes. Each process opens a link to each other one for what it sends; what comes in on a
-//! link that another process opened is only read. A message that can't be sent soon is dropped: the state machines send
-//! again what matters.
+//! Connections between control processes.
+//!
+//! Each process opens one connection to each other process for what it sends; a connection that another process opened is only
+//! read. Delivery is best effort: a message that can't be sent soon is dropped, since the state machines retransmit what
+//! matters. Nothing here fails a caller; a connection that fails is opened again with the next message.
 
 use crate::acceptor::{self, AcceptLimits};
 use crate::command::Command;
@@ -22,25 +24,24 @@
 #[path = "peer_transport_tests.rs"]
 mod peer_transport_tests;
 
-/// A connection on a calm network takes a few ms. A dropped opening packet is sent again only after a second, so that a new
-/// attempt is sooner through.
+/// Connecting takes a few ms on an idle network. A lost SYN is retransmitted only after a second, so a new attempt is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// A write that takes longer means that the peer does not read or can't be reached.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long sent bytes may stay unacknowledged.
+/// How long sent bytes may stay unacknowledged (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The pause before a peer that could not be reached is tried again.
+/// The pause before connecting again to a peer that could not be reached.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// Messages that wait for one peer; beyond it the newest are dropped.
-const QUEUE: usize = 64;
-/// PeerTransport that are known at most: machines of the core, and those that replaced them.
+/// Messages queued for one peer; when it is full the newest is dropped.
+const QUEUE_LENGTH: usize = 64;
+/// Peers with a queue at most: machines of the core, and those that replaced them.
 const MAX_PEERS: usize = 128;
-/// Links that others may have open to this process.
+/// Connections that peers may have open to this process.
 const MAX_CONNECTIONS: usize = 128;
-/// A link on which nothing came for so long has been given up by its other end.
+/// A connection without a message for so long was abandoned by its peer.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One frame of a link.
+/// One frame of a connection. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Debug, Serialize, Deserialize)]
 struct PeerFrame {
     /// The peer address of the sender.
@@ -48,21 +49,21 @@
     body: PeerMessage,
 }
 
-/// The links that this process opens.
+/// The connections that this process opens, with a queue for each peer.
 pub struct PeerTransport {
     local_address: SocketAddr,
-    /// The address that links come from, where it matters.
+    /// The address that connections come from, where the settings name one.
     source: Option<IpAddr>,
     queues: HashMap<SocketAddr, mpsc::Sender<Arc<[u8]>>>,
 }
 
 impl PeerTransport {
-    /// Links from the process at `local_address`.
+    /// Sends in the name of the process at `local_address`.
     pub fn new(local_address: SocketAddr, source: Option<IpAddr>) -> PeerTransport {
         PeerTransport { local_address, source, queues: HashMap::new() }
     }
 
-    /// Sends a message, or drops it if too many wait already.
+    /// Queues a message, or drops it if the queue of this peer is full.
     pub fn send(&mut self, to: SocketAddr, body: PeerMessage) {
         match encode(&PeerFrame { from: self.local_address, body }) {
             Ok(frame) => self.send_frame(to, frame.into()),
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Sends one message to several.
+    /// Queues one message for several peers. It is encoded once.
     pub fn send_all(&mut self, to: &[SocketAddr], body: PeerMessage) {
         match encode(&PeerFrame { from: self.local_address, body }) {
             Ok(frame) => {
@@ -89,16 +90,17 @@
             if self.queues.len() >= MAX_PEERS {
                 return;
             }
-            let (queue, frames) = mpsc::channel(QUEUE);
+            let (queue, frames) = mpsc::channel(QUEUE_LENGTH);
             tokio::spawn(write_frames(to, self.source, frames));
             self.queues.insert(to, queue);
         }
         if let Some(queue) = self.queues.get(&to) {
-            drop(queue.try_send(frame));
+            // A full queue drops the message: the state machines retransmit what matters.
+            let _ = queue.try_send(frame);
         }
     }
 
-    /// Closes the links to all but these.
+    /// Closes the connections to all peers but these.
     pub fn retain(&mut self, keep: impl Fn(&SocketAddr) -> bool) {
         self.queues.retain(|address, _| keep(address));
     }
@@ -111,35 +113,30 @@
     Ok(stream)
 }
 
-/// Writes what is queued for one peer until the queue is closed.
+/// Writes the queued frames of one peer until its queue is closed.
 async fn write_frames(to: SocketAddr, source: Option<IpAddr>, mut frames: mpsc::Receiver<Arc<[u8]>>) {
-    let mut link: Option<TcpStream> = None;
+    let mut connection: Option<TcpStream> = None;
     while let Some(frame) = frames.recv().await {
-        if link.is_none() {
-            link = connect(to, source).await.ok();
+        if connection.is_none() {
+            connection = connect(to, source).await.ok();
         }
-        let Some(stream) = &mut link else {
+        let Some(stream) = &mut connection else {
             sleep(RECONNECT_DELAY).await;
-            // What was queued meanwhile is old.
+            // Whatever was queued meanwhile is out of date.
             while frames.try_recv().is_ok() {}
             continue;
         };
         let written = timeout(WRITE_TIMEOUT, stream.write_all(&frame)).await;
         if !matches!(written, Ok(Ok(()))) {
-            link = None;
+            connection = None;
         }
     }
 }
 
-/// Lets other control processes open their links.
+/// Accepts other control processes for as long as the process runs.
 pub async fn accept(listener: TcpListener, commands: mpsc::Sender<Command>) {
-    acceptor::accept(
-        listener,
-        AcceptLimits { kind: "peer", max_connections: MAX_CONNECTIONS },
-        commands,
-        read_frames,
-    )
-    .await;
+    let limits = AcceptLimits { kind: "peer", max_connections: MAX_CONNECTIONS };
+    acceptor::accept(listener, limits, commands, read_frames).await;
 }
 
 async fn read_frames(mut stream: TcpStream, commands: mpsc::Sender<Command>) -> Result<(), FrameError> {
--- a/crates/control/src/platform_client.rs
+++ b/crates/control/src/platform_client.rs
@@ -1,4 +1,7 @@
-//! Reads the platform's list of servers over HTTP/1.1.
+//! The client of the platform's server list: `GET /instances` over HTTP/1.1, page by page.
+//!
+//! It keeps one connection and opens it again after any error. Each page has [`PAGE_TIMEOUT`]; a list is read completely or
+//! not at all. Servers in a state other than `ready` count as draining.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -14,32 +17,32 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A page of the list takes a few ms; a platform that takes longer is in trouble, and another process may reach it.
+/// How long one page may take. It takes a few ms; a platform that takes longer has a fault, and another process may reach it.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Bytes of one page: 50 entries of some 300 bytes, many times over.
+/// The largest page: 50 entries of some 300 bytes, many times over.
 const MAX_PAGE_BYTES: usize = 4 * 1024 * 1024;
-/// Pages of one listing. Guards against a list of pages that never ends.
+/// Pages of one list. Guards against a list that never ends.
 const MAX_PAGES: usize = 400;
 
-/// Why the list could not be read.
+/// Why the list could not be read. The text is logged as `error` of `list outcome=failed`.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
-    /// It did not answer in time.
+    /// No response within [`PAGE_TIMEOUT`].
     #[error("no answer in time")]
     Timeout,
-    /// The connection failed.
+    /// Connecting or configuring the socket failed.
     #[error("the connection failed: {0}")]
     Connection(#[from] std::io::Error),
-    /// HTTP failed.
+    /// The HTTP exchange failed.
     #[error("HTTP failed: {0}")]
     Http(#[from] hyper::Error),
-    /// It answered with another status than 200; 429 over its rate.
+    /// A status other than 200; 429 over the rate of the platform.
     #[error("it answered {0}")]
     Status(StatusCode),
-    /// The answer is no list.
+    /// The response is no list.
     #[error("unreadable: {0}")]
     InvalidBody(String),
-    /// The reader no longer holds the role: the page was not asked for.
+    /// The lease ended, so the page was not requested.
     #[error("the lease is over")]
     LeaseExpired,
 }
@@ -83,7 +86,7 @@
     fn from(instance: Instance) -> ServerEntry {
         let state = match instance.state.as_str() {
             "ready" => ServerState::Ready,
-            // Whatever else a server may be, it takes nothing new.
+            // In any other state a server gets no new requests.
             _ => ServerState::Draining,
         };
         let stage = match instance.stage.as_deref() {
@@ -106,19 +109,22 @@
     }
 }
 
-/// A reader that keeps its connection.
+/// A client with at most one connection.
 pub struct PlatformClient {
     address: SocketAddr,
     sender: Option<SendRequest<Empty<Bytes>>>,
 }
 
 impl PlatformClient {
-    /// A reader of the list at `address`.
+    /// A client of the platform at `address`; it connects with the first request.
     pub fn new(address: SocketAddr) -> PlatformClient {
         PlatformClient { address, sender: None }
     }
 
-    /// Reads all pages, each only if `may_request` says so right before the request.
+    /// Reads all pages, each only if `may_request` returns true right before the request is sent.
+    ///
+    /// # Errors
+    /// The first error of any page; the connection is closed then.
     pub async fn list_servers(
         &mut self, may_request: impl Fn() -> bool,
     ) -> Result<Vec<ServerEntry>, PlatformError> {
@@ -155,7 +161,7 @@
         read_page(response).await
     }
 
-    /// The kept connection, or a new one.
+    /// The open connection if it is still usable, or a new one.
     async fn sender(&mut self) -> Result<&mut SendRequest<Empty<Bytes>>, PlatformError> {
         let usable = match &mut self.sender {
             Some(sender) => sender.ready().await.is_ok(),
@@ -189,7 +195,7 @@
     serde_json::from_slice(&body).map_err(|e| PlatformError::InvalidBody(e.to_string()))
 }
 
-/// A token as part of a query.
+/// Percent-encodes a page token for the query (RFC 3986, section 2.3: all but unreserved characters).
 fn escape(token: &str) -> String {
     let mut escaped = String::with_capacity(token.len());
     for byte in token.bytes() {
--- a/crates/control/src/pulls.rs
+++ b/crates/control/src/pulls.rs
@@ -57,7 +57,7 @@
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct ReplyContext {
     /// Whether this process is in touch with a majority of its view.
-    pub in_touch: bool,
+    pub has_quorum: bool,
     /// Agent addresses of the control processes.
     pub control: Vec<SocketAddr>,
 }
@@ -65,7 +65,8 @@
 impl ReplyContext {
     /// The answer with this update, if it can be encoded.
     pub fn encode(&self, update: Update) -> Option<Frame> {
-        let reply = ControlReply::Update { has_quorum: self.in_touch, control: self.control.clone(), update };
+        let reply =
+            ControlReply::Update { has_quorum: self.has_quorum, control: self.control.clone(), update };
         match encode(&reply) {
             Ok(frame) => Some(frame.into()),
             Err(error) => {
@@ -160,7 +161,7 @@
         while index < self.waiting.len() {
             let pull = &self.waiting[index];
             let newer = self.reply_cache.answer(&self.effective_vector(pull, now, newest), tables);
-            if newer.is_none() && now < pull.deadline && context.in_touch {
+            if newer.is_none() && now < pull.deadline && context.has_quorum {
                 index += 1;
                 continue;
             }
--- a/crates/control/src/pulls_tests.rs
+++ b/crates/control/src/pulls_tests.rs
@@ -35,8 +35,8 @@
     tables
 }
 
-fn context(in_touch: bool) -> ReplyContext {
-    ReplyContext { in_touch, control: vec![SocketAddr::from(([10, 0, 1, 1], 7041))] }
+fn context(has_quorum: bool) -> ReplyContext {
+    ReplyContext { has_quorum, control: vec![SocketAddr::from(([10, 0, 1, 1], 7041))] }
 }
 
 fn pull(pulls: &mut PendingPulls, now: Duration, have: VersionVector) -> oneshot::Receiver<Frame> {
@@ -196,7 +196,7 @@
     let mut pulls = PendingPulls::default();
     for count in 1..3_u8 {
         let control = (0..count).map(|host| SocketAddr::from(([10, 0, 1, host], 7041))).collect::<Vec<_>>();
-        let context = ReplyContext { in_touch: true, control: control.clone() };
+        let context = ReplyContext { has_quorum: true, control: control.clone() };
         let mut answer = pull(&mut pulls, Duration::ZERO, VersionVector::default());
         pulls.serve(Duration::ZERO, &tables, &context);
         let frame = answer.try_recv().expect("an answer");
--- a/crates/control/src/shutdown.rs
+++ b/crates/control/src/shutdown.rs
@@ -1,12 +1,12 @@
-//! The order in which a control process ends after SIGTERM. A pure state machine: `(time, what is observed) -> step`.
+//! The order of steps after SIGTERM. A pure state machine: `(time, observation) -> step`.
 //!
-//! 1. It gives the singleton role up at once, so that another process can take it.
-//! 2. If a process stands ready to take its place in the view, it waits for a successor in the role, then asks to be left
-//!    out, and goes on serving until a view without it serves and holds all that was acknowledged.
-//! 3. It leaves the others a moment to hear its last messages, and ends.
+//! 1. The process resigns its lease at once, so that another process can take the singleton role.
+//! 2. If a learner can take its place in the view, it waits for a new lease holder, then asks to leave the view. It serves on
+//!    until a view without it serves and holds everything that was acknowledged.
+//! 3. It gives its last messages [`FLUSH_TIME`] to reach the other control processes, and ends.
 //!
-//! Nothing of this is waited for without a bound: the platform kills after `GraceS`, and a rolling restart must not be
-//! slower than the start of a process. Where nobody can take its place, step 2 is left out.
+//! Each wait is bounded: the platform kills the process after `GraceS`, and a rolling restart must not be slower than the
+//! start of a process. Without a replacement, step 2 is skipped.
 
 use std::time::Duration;
 
@@ -14,63 +14,63 @@
 #[path = "shutdown_tests.rs"]
 mod shutdown_tests;
 
-/// The time for another process to take the role, from the resignation: a draw of up to 75 ms, two round trips and a
-/// sync, on a machine that is busy. A change of the view before that would leave the role vacant for a lease.
+/// How long another process may take to acquire the lease after the resignation: a random delay of up to 75 ms, two round
+/// trips and a sync, on a busy machine. A view change before that would leave the role vacant for the length of a lease.
 const LEASE_TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
-/// The max_duration time until this process is left out: a view change with the transfer of the last entries takes some
-/// 300 ms, and one more after a lost message.
+/// How long leaving the view may take. A view change that transfers the last entries takes some 300 ms, and as long again
+/// after a lost message.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// The whole must stay below this part of `GraceS`.
+/// Leaving takes at most this fraction of `GraceS`: one half.
 const GRACE_DIVISOR: u32 = 2;
-/// The time for the other control processes to hear that this one leaves.
+/// How long the last messages get to reach the other control processes.
 const FLUSH_TIME: Duration = Duration::from_millis(50);
 
 /// How far this process is on its way out of the membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Membership {
-    /// It is a member and has not asked to be left out, or nobody can take its place.
+    /// It is a member and has not asked to leave, or has no replacement.
     Staying,
-    /// It has asked to be left out.
+    /// It has asked to leave.
     Leaving,
     /// The view serves without it, or it never was a member.
     Left,
 }
 
-/// What is observed at one moment.
+/// What the shutdown depends on, at one moment.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
     /// The membership of this process.
     pub membership: Membership,
-    /// Whether a process stands by that may take the place of this one.
+    /// Whether a learner may take the place of this process.
     pub has_replacement: bool,
-    /// Whether the role is in other hands, or was not in those of this process when it was told to end.
+    /// Whether another process holds the lease, or this one did not hold it at SIGTERM.
     pub is_lease_transferred: bool,
 }
 
-/// What is to be done now.
+/// What to do now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Go on serving.
     Wait,
-    /// Ask to be left out of the membership; nothing else changes.
+    /// Ask to leave the membership. Everything else goes on.
     RequestLeave,
     /// End now.
     End(ShutdownOutcome),
 }
 
-/// How this process parted from the others.
+/// How this process left the others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownOutcome {
     /// The view serves without it.
     Left,
-    /// It stays a member, since nobody could take its place.
+    /// It stays a member, since nobody could replace it.
     Stayed,
-    /// It asked to be left out, and that took too long.
+    /// It asked to leave, and that took too long.
     TimedOut,
 }
 
 impl ShutdownOutcome {
-    /// Its name in the log.
+    /// Its `outcome` in the log.
     pub fn name(self) -> &'static str {
         match self {
             ShutdownOutcome::Left => "left",
@@ -87,7 +87,7 @@
     Flushing { until: Duration, outcome: ShutdownOutcome },
 }
 
-/// A shutdown under way.
+/// A shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct ShutdownSequence {
     phase: Phase,
@@ -95,7 +95,7 @@
     leave_deadline: Duration,
 }
 
-/// The max_duration that a shutdown takes, for a platform that kills after `grace`.
+/// The longest that a shutdown takes, on a platform that kills after `grace`.
 pub fn max_duration(grace: Duration) -> Duration {
     leave_timeout(grace) + FLUSH_TIME
 }
@@ -105,14 +105,14 @@
 }
 
 impl ShutdownSequence {
-    /// A shutdown that begins now, with the role given up.
+    /// A shutdown that begins at `now`, with the lease resigned.
     pub fn begin(now: Duration, grace: Duration) -> ShutdownSequence {
         let leave_deadline = now + leave_timeout(grace);
         let lease_transfer_deadline = leave_deadline.min(now + LEASE_TRANSFER_TIMEOUT);
         ShutdownSequence { phase: Phase::TransferringLease, lease_transfer_deadline, leave_deadline }
     }
 
-    /// Looks again; call it with every tick.
+    /// Advances by what is observed at `now`; call it with every tick.
     pub fn step(&mut self, now: Duration, observed: &Observation) -> Step {
         match self.phase {
             Phase::TransferringLease => self.await_lease_transfer(now, observed),
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -31,10 +31,12 @@
     pub member: bool,
     /// Whether the view serves, as far as is known here.
     pub serving: bool,
-    /// Whether it is in touch with a majority of the view.
-    pub in_touch: bool,
+    /// Whether a majority of the view's members has been heard within a second.
+    #[serde(rename = "InTouch")]
+    pub has_quorum: bool,
     /// Whether its disk takes writes.
-    pub disk_well: bool,
+    #[serde(rename = "DiskWell")]
+    pub disk_healthy: bool,
     /// The newest committed configuration that it knows of; 0 for none.
     pub config_version: u64,
     /// The singleton roles.
--- a/crates/control/src/status_tests.rs
+++ b/crates/control/src/status_tests.rs
@@ -74,8 +74,8 @@
         position: None,
         member: true,
         serving: true,
-        in_touch: true,
-        disk_well: false,
+        has_quorum: true,
+        disk_healthy: false,
         config_version: 5,
         roles: vec![RoleStatus {
             role: "list_reader",
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -1,10 +1,15 @@
-//! The storage thread: the one owner of the log file. A slow disk holds up nobody but those who wait for it.
+//! The storage thread, sole owner of the log file. A slow disk delays only what waits for it.
+//!
+//! Batches are written and synced in order; each ends with one [`Command::Persisted`]. A failed write is logged
+//! (`log_file outcome=write_failed`) and reported; the state machines retry it. A log that can't be used at the start is
+//! quarantined: this process then starts as if its disk had been lost.
 
 use crate::command::Command;
-use crate::message::{PersistOutcome, RecordOwner};
+use crate::message::PersistOutcome;
+use crate::record_owner::RecordOwner;
 use lugwharf_store::{Log, Recovered, StoreError};
 use spdlog::prelude::*;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 
@@ -12,62 +17,37 @@
 #[path = "storage_tests.rs"]
 mod storage_tests;
 
-impl RecordOwner {
-    const ALL: [RecordOwner; 2] = [RecordOwner::Chain, RecordOwner::Election];
-
-    fn tag(self) -> u8 {
-        match self {
-            RecordOwner::Chain => 1,
-            RecordOwner::Election => 2,
-        }
-    }
-
-    /// Marks a record as this owner's.
-    pub fn tag_record(self, mut record: Vec<u8>) -> Vec<u8> {
-        record.insert(0, self.tag());
-        record
-    }
-
-    /// The records of this owner, without their marks.
-    pub fn untagged_records(self, all: &[Vec<u8>]) -> Vec<Vec<u8>> {
-        let own = all.iter().filter(|record| record.first() == Some(&self.tag()));
-        own.map(|record| record[1..].to_vec()).collect()
-    }
-
-    /// Whether somebody owns this record.
-    fn is_owned(record: &[u8]) -> bool {
-        RecordOwner::ALL.iter().any(|owner| record.first() == Some(&owner.tag()))
-    }
-}
-
-/// A batch on its way to the disk.
+/// A batch of records to write and sync.
 pub struct LogBatch {
-    /// Whose it is.
+    /// The state machine that it belongs to.
     pub owner: RecordOwner,
     /// Its number, as its owner counts.
     pub number: u64,
-    /// Marked records.
+    /// Tagged records.
     pub records: Vec<Vec<u8>>,
-    /// Whether they replace the whole log.
+    /// Whether they replace the complete log.
     pub is_rewrite: bool,
 }
 
 /// What was found on the disk.
 pub struct OpenedLog {
-    /// Marked records in order.
+    /// Tagged records in order.
     pub records: Vec<Vec<u8>>,
-    /// The log was damaged in its middle and has been set aside; this process starts as if its disk had been lost.
+    /// Whether a log that can't be used was quarantined; this process starts as if its disk had been lost.
     pub was_quarantined: bool,
-    /// Takes batches.
+    /// Takes batches for the storage thread.
     pub writer: Sender<LogBatch>,
 }
 
-/// Opens the log in `directory` and starts the thread that writes it. A log that is damaged in its middle, is none of this
-/// program's, or holds records that are not `is_usable` is set aside: this process then starts as if its disk had been lost.
+/// Opens the log in `directory` and starts the thread that writes it. A log that is corrupt in its middle, was written by
+/// another program, or holds records that are not `is_usable` is quarantined.
+///
+/// # Errors
+/// I/O errors of the log, and of the start of the thread.
 pub fn open(
     directory: &Path, commands: tokio::sync::mpsc::Sender<Command>, is_usable: impl Fn(&[Vec<u8>]) -> bool,
 ) -> Result<OpenedLog, StoreError> {
-    let (log, recovered, was_quarantined) = open_log(directory, is_usable)?;
+    let RecoveredLog { log, recovered, was_quarantined } = open_log(directory, is_usable)?;
     if let Some(cut) = &recovered.torn_tail {
         warn!("log_file", kv: { outcome = "tail_cut", offset = cut.offset, bytes = cut.bytes });
     }
@@ -75,36 +55,42 @@
     let directory = directory.to_owned();
     thread::Builder::new()
         .name("storage".to_owned())
-        .spawn(move || write(log, &directory, &queue, &commands))
+        .spawn(move || write_batches(log, &directory, &queue, &commands))
         .map_err(StoreError::Io)?;
     let records = recovered.records.into_iter().filter(|record| RecordOwner::is_owned(record)).collect();
     Ok(OpenedLog { records, was_quarantined, writer })
 }
 
-fn open_log(
-    directory: &Path, is_usable: impl Fn(&[Vec<u8>]) -> bool,
-) -> Result<(Log, Recovered, bool), StoreError> {
+/// An open log with what it held.
+struct RecoveredLog {
+    log: Log,
+    recovered: Recovered,
+    was_quarantined: bool,
+}
+
+fn open_log(directory: &Path, is_usable: impl Fn(&[Vec<u8>]) -> bool) -> Result<RecoveredLog, StoreError> {
     match Log::open(directory) {
-        Ok((log, recovered)) if is_usable(&recovered.records) => return Ok((log, recovered, false)),
+        Ok((log, recovered)) if is_usable(&recovered.records) => {
+            return Ok(RecoveredLog { log, recovered, was_quarantined: false });
+        }
         Ok(_) | Err(StoreError::Corrupt { .. } | StoreError::UnknownFormat) => {}
         Err(error) => return Err(error),
     }
     error!("log_file", kv: { outcome = "set_aside", reason = "it can't be read" });
     Log::quarantine(directory)?;
     let (log, recovered) = Log::open(directory)?;
-    Ok((log, recovered, true))
+    Ok(RecoveredLog { log, recovered, was_quarantined: true })
 }
 
-fn write(
-    log: Log, directory: &Path, queue: &Receiver<LogBatch>, commands: &tokio::sync::mpsc::Sender<Command>,
+/// The storage thread: writes and syncs batches until the controller or its queue of commands is gone.
+fn write_batches(
+    mut log: Log, directory: &Path, queue: &Receiver<LogBatch>, commands: &tokio::sync::mpsc::Sender<Command>,
 ) {
-    let mut log = log;
-    let directory: PathBuf = directory.to_owned();
     let mut is_healthy = true;
     while let Ok(batch) = queue.recv() {
         let result = if batch.is_rewrite { log.rewrite(&batch.records) } else { log.append(&batch.records) };
         if let Err(error) = &result {
-            log_write_failure(is_healthy, &directory, error);
+            log_write_failure(is_healthy, directory, error);
         }
         is_healthy = result.is_ok();
         let outcome = PersistOutcome { owner: batch.owner, batch: batch.number, is_synced: result.is_ok() };
@@ -114,7 +100,7 @@
     }
 }
 
-/// Batches that the disk refuses are tried again and again; the first of a row is worth a warning.
+/// The state machines retry a failed batch until it succeeds; only the first failure in a row is a warning.
 fn log_write_failure(was_healthy: bool, directory: &Path, error: &StoreError) {
     let level = if was_healthy { Level::Warn } else { Level::Debug };
     log!(level, "log_file", kv: { outcome = "write_failed", directory: = directory.display(), error: = error });
--- a/crates/control/src/storage_tests.rs
+++ b/crates/control/src/storage_tests.rs
@@ -2,7 +2,7 @@
 
 use super::{LogBatch, open};
 use crate::command::Command;
-use crate::message::RecordOwner;
+use crate::record_owner::RecordOwner;
 use rstest::rstest;
 use std::fs;
 use std::path::PathBuf;
