--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -34,7 +34,7 @@
     let _ = timeout(BODY_TIMEOUT, conn.request_body().read_bytes()).await;
     let Some(target) = target else {
         let error = OperatorError::new(ErrorKind::Unavailable, "no control process is followed here");
-        return operator::respond_with_error(conn, &error);
+        return operator::send_error(conn, &error);
     };
     let path = conn.path_and_query();
     let location = format!("http://{target}{path}");
--- a/crates/control/src/http_bytes_tests.rs
+++ b/crates/control/src/http_bytes_tests.rs
@@ -74,7 +74,7 @@
     let (listener, address) = listener().await;
     let (commands, queue) = mpsc::channel(4);
     tokio::spawn(answer_commands(queue, config));
-    operator::serve(listener, commands, RejectionCounters::default()).expect("a server");
+    operator::serve(listener, commands, RejectionCounters::default());
     exchange(address, request).await
 }
 
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,9 +1,18 @@
-//! The control process: the operator's API, a replica of the configuration, the list of servers, the census of fronts.
+//! The control process: the operator's API, a replica of the configuration, the server list, the count of fronts.
 //!
-//! `owner` holds all state and works through a queue of commands; the state machines inside it come from the crates
-//! `chain`, `election`, `distribution` and `membership`. Around it stand thin drivers: `storage` (a thread that writes
-//! the log), `peers` (links between control processes), `agents` (links of agents), `operator` (HTTP) and
-//! `listing` (the platform's list).
+//! [`controller`] owns all state and handles a queue of [`command`]s; the state machines inside it come from the crates
+//! `chain`, `election`, `distribution`, `membership` and `stages`. The tasks around it do the I/O and own no state that
+//! outlives a connection:
+//!
+//! | module | task |
+//! | --- | --- |
+//! | `storage` | the thread that writes the log |
+//! | `peer_transport` | connections between control processes |
+//! | `agent_server` | connections of agents |
+//! | `operator` | the operator's API over HTTP; `gateway` serves it on machines without a replica |
+//! | `list_watcher` | reads the platform's list through `platform_client`, under the lease |
+//! | `orders` | sends orders to model servers, under the lease |
+//! | `announcement` | announces the control processes to seeds that run none |
 #![forbid(unsafe_code)]
 
 mod acceptor;
@@ -56,6 +65,7 @@
 use lugwharf_stages::StageTuning;
 use lugwharf_telemetry::MetricsEndpoint;
 use metrics::RejectionCounters;
+use reply::notify;
 use shutdown::ShutdownOutcome;
 use spdlog::prelude::*;
 use std::net::SocketAddr;
@@ -65,26 +75,29 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 
-/// Commands that may wait for the owner. Links and HTTP hold their senders back when it is full.
-const QUEUE: usize = 1024;
-/// How often the state machines look at the clock: well under the shortest of their times (heartbeats of 150 ms), and each
-/// look costs a wake-up.
+/// Commands that may wait for the controller. When the queue is full, connections and HTTP requests wait.
+const QUEUE_LENGTH: usize = 1024;
+/// The period of [`Command::Tick`]: well under the shortest timer of the state machines (heartbeats of 150 ms), and each
+/// tick costs a wake-up.
 const TICK: Duration = Duration::from_millis(20);
-/// `GraceS` where the settings have none that is a time.
+/// `GraceS` where the value in the settings is no duration.
 const DEFAULT_GRACE: Duration = Duration::from_secs(8);
-/// After the max_duration time that a shutdown takes, the time for an owner of the state that is busy.
+/// Added to the longest shutdown, for a controller that is busy.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
-/// What the command line may choose.
+/// Options of the command line.
 #[derive(Clone, Debug, Default)]
 pub struct ControlOptions {
     /// A port for `GET /metrics` beside the one of the operator's API; not served there if absent.
     pub metrics_port: Option<u16>,
-    /// The figures of the planning of servers' parts.
+    /// The tuning of stage planning.
     pub stages: StageTuning,
 }
 
-/// Runs until SIGTERM.
+/// Runs a control process until SIGTERM. SIGHUP reads the settings file again.
+///
+/// # Errors
+/// A signal handler or a listener that can't be installed, a log that can't be opened, or an unexpected end of the controller.
 pub async fn run(settings: Settings, options: ControlOptions) -> Result<()> {
     let mut hangup = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
     let mut terminate = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
@@ -94,13 +107,13 @@
     let peer_listener = listen(SocketAddr::new(settings.listen_ip(), ports.peer)).await?;
     let agent_listener = listen(SocketAddr::new(settings.listen_ip(), ports.agent)).await?;
     let operator_listener = listen(control).await?;
-    let (commands, queue) = mpsc::channel(QUEUE);
+    let (commands, queue) = mpsc::channel(QUEUE_LENGTH);
     let rejections = RejectionCounters::default();
-    let owner = Controller::start(settings.clone(), options.stages, commands.clone(), &rejections)?;
-    let mut owner = tokio::spawn(owner.run(queue));
+    let controller = Controller::start(settings.clone(), options.stages, commands.clone(), &rejections)?;
+    let mut controller = tokio::spawn(controller.run(queue));
     tokio::spawn(peer_transport::accept(peer_listener, commands.clone()));
     tokio::spawn(agent_server::accept(agent_listener, commands.clone()));
-    operator::serve(operator_listener, commands.clone(), rejections)?;
+    operator::serve(operator_listener, commands.clone(), rejections);
     tokio::spawn(tick(commands.clone()));
     tokio::spawn(announcement::run(settings.bind, commands.clone()));
     if let Some(port) = options.metrics_port
@@ -111,28 +124,33 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hangup.recv() => match Settings::read(&Settings::path()) {
-                Ok(settings) => drop(commands.send(Command::Reload { settings: Box::new(settings) }).await),
-                Err(error) => warn!("settings", kv: { outcome = "not_reloaded", error: = error }),
-            },
-            ended = &mut owner => return Err(eyre!("the owner of the state ended: {ended:?}")),
+            _ = hangup.recv() => reload_settings(&commands).await,
+            ended = &mut controller => return Err(eyre!("the owner of the state ended: {ended:?}")),
         }
     }
     shut_down(&commands, grace).await;
     Ok(())
 }
 
-/// Parts from the other control processes, in a bounded time.
+/// Reads the settings file again; one that can't be read changes nothing.
+async fn reload_settings(commands: &mpsc::Sender<Command>) {
+    match Settings::read(&Settings::path()) {
+        Ok(settings) => notify(commands, Command::Reload { settings: Box::new(settings) }).await,
+        Err(error) => warn!("settings", kv: { outcome = "not_reloaded", error: = error }),
+    }
+}
+
+/// Leaves the other control processes, in a bounded time: at most `grace`.
 async fn shut_down(commands: &mpsc::Sender<Command>, grace: Duration) {
-    let begun = Instant::now();
-    let within = (shutdown::max_duration(grace) + SHUTDOWN_MARGIN).min(grace);
+    let started_at = Instant::now();
+    let limit = (shutdown::max_duration(grace) + SHUTDOWN_MARGIN).min(grace);
     let (done, outcome) = oneshot::channel();
-    let parting = async {
+    let leaving = async {
         commands.send(Command::Shutdown { done }).await.ok()?;
         outcome.await.ok()
     };
-    let outcome = timeout(within, parting).await.ok().flatten().unwrap_or(ShutdownOutcome::TimedOut);
-    let took_ms = begun.elapsed().as_millis() as u64;
+    let outcome = timeout(limit, leaving).await.ok().flatten().unwrap_or(ShutdownOutcome::TimedOut);
+    let took_ms = started_at.elapsed().as_millis() as u64;
     match outcome {
         ShutdownOutcome::TimedOut => warn!("shutdown", kv: { outcome = outcome.name(), took_ms }),
         ShutdownOutcome::Left | ShutdownOutcome::Stayed => {
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,7 +1,8 @@
-//! What `GET /metrics` tells, in the OpenMetrics text format.
+//! The metrics of a control process, in the OpenMetrics text format.
 //!
-//! The owner of the state counts; only refusals are counted where the operator's calls are answered. Gauges are set from
-//! the status at each call, so that nothing is spent on them in between. `docs/OPERATING.md` lists the names.
+//! The controller counts events; only rejected requests are counted where they are answered. Gauges are set from the status at
+//! each scrape, so that they cost nothing in between. `docs/OPERATING.md` lists the names, which never change; a field here has
+//! the name of its metric where that is not misleading.
 
 use crate::command::Command;
 use crate::operator_error::ErrorKind;
@@ -18,7 +19,7 @@
 use prometheus_client::registry::Registry;
 use tokio::sync::mpsc;
 
-/// What all names begin with.
+/// The prefix of all names.
 const PREFIX: &str = "lugwharf_control";
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -38,7 +39,7 @@
     state: &'static str,
 }
 
-/// Counts calls of the operator that were answered with an error, by kind. Counting takes no lock.
+/// Counts rejected requests of the operator by kind of error (`refusals_total`). Counting takes no lock.
 #[derive(Clone)]
 pub struct RejectionCounters {
     family: Family<KindLabel, Counter>,
@@ -57,7 +58,7 @@
 }
 
 impl RejectionCounters {
-    /// Counts one.
+    /// Counts a rejected request.
     pub fn count(&self, kind: ErrorKind) {
         let position = ErrorKind::ALL.iter().position(|known| *known == kind);
         if let Some(counter) = position.and_then(|position| self.by_kind.get(position)) {
@@ -73,11 +74,11 @@
     pub view_changes: Counter,
     /// Committed configurations that this process has learned of.
     pub commits: Counter,
-    /// Readings of the platform's list that came to an end.
+    /// Complete reads of the platform's list.
     pub list_reads: Counter,
-    /// Readings of the platform's list that failed.
+    /// Failed reads of the platform's list.
     pub list_failures: Counter,
-    /// Times that this process gave the list reader's role up because it could not reach the platform.
+    /// Times that this process stepped down as list watcher because it could not reach the platform.
     pub stand_downs: Counter,
     orders: Family<AnswerLabel, Counter>,
     pulls: Family<AnswerLabel, Counter>,
@@ -125,23 +126,23 @@
 
     fn set(&self, status: &Status) {
         let behind = status.agents.iter().filter(|agent| agent.versions_behind > 0).count();
-        self.uptime_seconds.set(signed(status.uptime_ms / 1_000));
-        self.view.set(signed(status.view));
-        self.members.set(size(status.members.len()));
-        self.chain_length.set(size(status.chain.len()));
+        self.uptime_seconds.set(as_gauge(status.uptime_ms / 1_000));
+        self.view.set(as_gauge(status.view));
+        self.members.set(as_gauge(status.members.len()));
+        self.chain_length.set(as_gauge(status.chain.len()));
         self.has_quorum.set(status.has_quorum.into());
         self.serving.set(status.serving.into());
         self.disk_healthy.set(status.disk_healthy.into());
-        self.config_version.set(signed(status.config_version));
+        self.config_version.set(as_gauge(status.config_version));
         self.list_reader.set(status.roles.iter().any(|role| role.held_here).into());
         self.live_proxies.set(status.live_proxies.into());
-        self.agents.set(size(status.agents.len()));
-        self.agents_behind.set(size(behind));
+        self.agents.set(as_gauge(status.agents.len()));
+        self.agents_behind.set(as_gauge(behind));
     }
 }
 
 impl Metrics {
-    /// Metrics that begin at 0.
+    /// Metrics at 0, with the counters of rejected requests, which their callers share.
     pub fn new(rejections: &RejectionCounters) -> Metrics {
         let mut registry = Registry::with_prefix(PREFIX);
         let metrics = Metrics {
@@ -181,7 +182,7 @@
         self.orders.get_or_create(&AnswerLabel { answer: order_answer_name(answer) }).inc();
     }
 
-    /// Counts pulls that were answered with something newer, and those without.
+    /// Counts pulls that got something newer, and those that got nothing newer.
     pub fn record_pulls(&self, updated: u64, unchanged: u64) {
         for (answer, count) in [("update", updated), ("unchanged", unchanged)] {
             if count > 0 {
@@ -190,11 +191,11 @@
         }
     }
 
-    /// The text as things stand.
+    /// The text for this status and these servers.
     pub fn render<'a>(&self, status: &Status, servers: impl Iterator<Item = &'a ServerEntry>) -> String {
         self.gauges.set(status);
         self.invariants.refresh();
-        // Services and stages come and go.
+        // Services and stages come and go, and a gauge of one that has gone would stay.
         self.servers.clear();
         for entry in servers {
             self.servers.get_or_create(&ServerLabels::of(entry)).inc();
@@ -206,7 +207,7 @@
     }
 }
 
-/// The name of an answer, in metrics and logs.
+/// The name of an order's end, in metrics and logs.
 pub fn order_answer_name(answer: OrderOutcome) -> &'static str {
     match answer {
         OrderOutcome::Accepted => "taken",
@@ -230,15 +231,12 @@
     }
 }
 
-fn signed(value: u64) -> i64 {
-    i64::try_from(value).unwrap_or(i64::MAX)
+/// Gauges are signed; a value that does not fit saturates.
+fn as_gauge(value: impl TryInto<i64>) -> i64 {
+    value.try_into().unwrap_or(i64::MAX)
 }
 
-fn size(value: usize) -> i64 {
-    i64::try_from(value).unwrap_or(i64::MAX)
-}
-
-/// Passes requests for the text on to the owner of the state, for as long as the process runs.
+/// Forwards scrapes of the endpoint to the controller, for as long as the process runs.
 pub async fn serve(endpoint: MetricsEndpoint, commands: mpsc::Sender<Command>) {
     let MetricsEndpoint { mut requests } = endpoint;
     while let Some(reply) = requests.recv().await {
--- a/crates/control/src/operator_error.rs
+++ b/crates/control/src/operator_error.rs
@@ -1,9 +1,13 @@
-//! The closed list of errors of the operator's API and the table from kind to answer.
+//! The closed list of errors of the operator's API, with the status and the name of each kind.
+//!
+//! `docs/DESIGN.md` shows the same table; a test compares the two. The name is also the `outcome` of the rejected change in the
+//! log (`config`), and the `kind` in `refusals_total`. Statuses 400, 409, 412, 413 and 422 end a request for good, so a change
+//! that may have been accepted must not get one.
 
 use lugwharf_config::ConfigError;
 use serde::Serialize;
 
-/// Everything that can go wrong with a call of the operator.
+/// Why a request of the operator was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
     /// The configuration is invalid by itself.
@@ -16,11 +20,11 @@
     Outdated,
     /// The body is longer than any configuration may be.
     TooLarge,
-    /// The body could not be read whole.
+    /// The body could not be read completely.
     Unreadable,
     /// There is no configuration yet.
     NoConfiguration,
-    /// The core can't decide now; nothing is promised.
+    /// The core can't decide now; nothing is promised. The operator may send the same request again.
     Unavailable,
     /// There is nothing at this path.
     NotFound,
@@ -43,7 +47,7 @@
         ErrorKind::MethodNotAllowed,
     ];
 
-    /// The table from kind to status and name.
+    /// The HTTP status and the name of this kind.
     pub fn status_and_name(self) -> (u16, &'static str) {
         match self {
             ErrorKind::InvalidConfiguration => (400, "invalid_configuration"),
@@ -60,13 +64,13 @@
     }
 }
 
-/// The JSON body of an error.
+/// The JSON body of an error. Encoded names are fixed.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ErrorBody {
     /// The name of the kind.
     pub error: &'static str,
-    /// The place at fault, as a JSON pointer or a header's name.
+    /// What is at fault, as a JSON pointer or the name of a header.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
     /// What is wrong.
@@ -76,29 +80,39 @@
     pub current: Option<u64>,
 }
 
-/// An error on its way to the operator.
+/// An error with the body of its response.
 #[derive(Debug)]
 pub struct OperatorError {
     /// Its kind.
     pub kind: ErrorKind,
-    /// What is said of it.
+    /// The body of the response.
     pub body: ErrorBody,
 }
 
 impl OperatorError {
-    /// An error without a place.
+    /// An error without a field.
     pub fn new(kind: ErrorKind, reason: impl Into<String>) -> OperatorError {
         let error = kind.status_and_name().1;
         OperatorError { kind, body: ErrorBody { error, field: None, reason: reason.into(), current: None } }
     }
 
-    /// Adds the place at fault.
+    /// The core can't decide now.
+    pub fn unavailable() -> OperatorError {
+        OperatorError::new(ErrorKind::Unavailable, "the core can't decide now")
+    }
+
+    /// There is no configuration yet.
+    pub fn no_configuration() -> OperatorError {
+        OperatorError::new(ErrorKind::NoConfiguration, "there is none yet")
+    }
+
+    /// Names the field at fault.
     pub fn at(mut self, field: impl Into<String>) -> OperatorError {
         self.body.field = Some(field.into());
         self
     }
 
-    /// Adds the current version.
+    /// Names the current version.
     pub fn with_current(mut self, current: u64) -> OperatorError {
         self.body.current = Some(current);
         self
--- a/crates/control/src/operator_tests.rs
+++ b/crates/control/src/operator_tests.rs
@@ -79,7 +79,7 @@
     let address = listener.local_addr().expect("an address");
     let (commands, queue) = mpsc::channel(4);
     tokio::spawn(own(queue));
-    operator::serve(listener, commands, RejectionCounters::default()).expect("a server");
+    operator::serve(listener, commands, RejectionCounters::default());
     address
 }
 
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -1,4 +1,4 @@
-//! What `GET /status` tells. The field names are a promise to whoever reads them; `docs/OPERATING.md` lists them.
+//! The answer to `GET /status`. The encoded names are fixed; `docs/OPERATING.md` lists them.
 
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
 use serde::Serialize;
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Status {
-    /// The machine.
+    /// The name of the machine.
     pub node: String,
     /// The peer address of this process.
     pub address: SocketAddr,
@@ -21,11 +21,11 @@
     pub members: Vec<SocketAddr>,
     /// The chain of that view, head first.
     pub chain: Vec<SocketAddr>,
-    /// The processes heard lately that are no members, by peer address.
+    /// Processes that were heard from recently and are no members, by peer address.
     pub learners: Vec<SocketAddr>,
-    /// Whether one of them stands ready to take the place of a member.
+    /// Whether one of them has the history and may replace a member at once.
     pub standby: bool,
-    /// The place of this process in the chain, 0 for the head; absent outside.
+    /// The position of this process in the chain, 0 for the head; null outside.
     pub position: Option<usize>,
     /// Whether this process is a member of the view.
     pub member: bool,
@@ -51,19 +51,19 @@
     pub agents: Vec<AgentStatus>,
 }
 
-/// A singleton role.
+/// A singleton role and its lease.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RoleStatus {
-    /// The role: `list_reader`, who also gives the orders to servers.
+    /// The role: `list_reader`, the list watcher, which also sends orders to servers.
     pub role: &'static str,
-    /// The last holder heard of, by peer address; absent while none is known.
+    /// The last known lease holder, by peer address; null while none is known.
     pub holder: Option<SocketAddr>,
-    /// Its fencing token.
+    /// The fencing token of its lease.
     pub token: Option<u64>,
-    /// For how long this process has known of that holder under that token, in ms.
+    /// How long this process has known that holder under that token, in ms.
     pub held_ms: Option<u64>,
-    /// Whether this process holds the role now.
+    /// Whether this process holds the lease now.
     pub held_here: bool,
 }
 
@@ -73,17 +73,17 @@
 pub struct ServiceStatus {
     /// The service.
     pub service: String,
-    /// Servers that take requests.
+    /// Servers that get requests.
     pub ready: usize,
-    /// Servers that take nothing new: those that leave, and those that change their stage.
+    /// Servers that get no new requests: those that leave, and those that change their stage.
     pub draining: usize,
-    /// Servers that read prompts.
+    /// Servers in the prefill stage.
     pub prefill: usize,
-    /// Servers that make tokens.
+    /// Servers in the decode stage.
     pub decode: usize,
     /// Servers without a stage.
     pub unstaged: usize,
-    /// Ids of those that change their stage; known at the holder of the list reader's role alone.
+    /// Ids of those that change their stage; known to the lease holder alone.
     pub changing: Vec<String>,
 }
 
@@ -91,17 +91,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct AgentStatus {
-    /// The front.
+    /// The front-end node.
     pub node: String,
-    /// The configuration that it has; 0 for none.
+    /// The version of its configuration; 0 for none.
     pub config_version: u64,
-    /// Committed configurations above that one that this process knows of.
+    /// Committed configurations above that version, as far as this process knows.
     pub versions_behind: usize,
-    /// For how long this process has known of the first of them, in ms; 0 for an agent that has the newest.
+    /// How long this process has known the first of them, in ms; 0 for an agent with the newest one.
     pub behind_ms: u64,
-    /// Whether its list of servers is the newest.
+    /// Whether its server list is the newest.
     pub servers_current: bool,
-    /// How long ago it asked last, in ms.
+    /// The time since its last pull, in ms.
     pub silent_ms: u64,
 }
 
