--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -159,7 +159,9 @@
     let replica_settings = replica_settings(settings, local_address(settings), 0, false);
     let records = RecordOwner::Chain.untagged_records(records);
     let recovered = Replica::recover(replica_settings, &records, Duration::ZERO, &mut Vec::new());
-    recovered.inspect_err(|error| error!("log_file", kv: { outcome = "unreadable", reason: = error })).is_ok()
+    recovered
+        .inspect_err(|error| error!("log_file", kv: { outcome = "unrecoverable", error: = error }))
+        .is_ok()
 }
 
 /// Recovers both state machines from the records of the log, with one seed for their random delays.
--- a/crates/control/src/controller/graceful_shutdown.rs
+++ b/crates/control/src/controller/graceful_shutdown.rs
@@ -24,7 +24,7 @@
         let now = self.now();
         let held_lease = self.elector.held_lease(now).is_some();
         let grace = Duration::try_from_secs_f64(self.settings.bounds.grace_s).unwrap_or_default();
-        info!("shutdown", kv: { outcome = "begun", held = held_lease, view = self.views.current() });
+        info!("shutdown", kv: { outcome = "started", held_lease, view = self.views.current() });
         self.elect(election::Event::Resign);
         let sequence = ShutdownSequence::begin(now, grace);
         self.shutdown = Some(GracefulShutdown { sequence, held_lease, done: Some(done) });
--- a/crates/control/src/controller/list_watcher_role.rs
+++ b/crates/control/src/controller/list_watcher_role.rs
@@ -39,9 +39,12 @@
         });
     }
 
-    /// Records the holder that the elector knows at `now`.
+    /// Records the holder that the elector knows at `now`, and logs a new one (`lease outcome=held`).
     pub fn record_holder(&mut self, now: Duration, known_holder: Option<LeaseHolder>) {
         if self.known_holder != known_holder {
+            if let Some(LeaseHolder { address, token }) = known_holder {
+                info!("lease", kv: { role = ROLE_NAME, outcome = "held", holder: = address, token = token.0 });
+            }
             self.known_holder = known_holder;
             self.known_holder_since = now;
         }
@@ -74,11 +77,11 @@
                     self.persist(RecordOwner::Election, batch.0, records, false);
                 }
                 election::Action::LeaseAcquired { token } => {
-                    info!("role", kv: { role = ROLE_NAME, outcome = "gained", token = token.0 });
+                    info!("lease", kv: { role = ROLE_NAME, outcome = "acquired", token = token.0 });
                     self.stage_planning.lease_acquired(self.now());
                 }
                 election::Action::LeaseLost => {
-                    info!("role", kv: { role = ROLE_NAME, outcome = "lost" });
+                    info!("lease", kv: { role = ROLE_NAME, outcome = "lost" });
                     self.stage_planning.lease_lost();
                 }
             }
--- a/crates/control/src/controller/peer_exchange.rs
+++ b/crates/control/src/controller/peer_exchange.rs
@@ -103,7 +103,7 @@
         match self.tables.apply(update) {
             Ok(true) => self.serve_pulls(),
             Ok(false) => {}
-            Err(error) => debug!("servers", kv: { outcome = "refused", from: = from, error: = error }),
+            Err(error) => debug!("servers", kv: { outcome = "rejected", from: = from, error: = error }),
         }
     }
 
--- a/crates/control/src/controller/server_list.rs
+++ b/crates/control/src/controller/server_list.rs
@@ -51,7 +51,7 @@
                 }
             }
             Ok(false) => {}
-            Err(error) => warn!("list", kv: { outcome = "late", error: = error }),
+            Err(error) => warn!("list", kv: { outcome = "stale", error: = error }),
         }
     }
 
@@ -65,10 +65,10 @@
         let mut peers = self.replica.status().members;
         peers.retain(|member| *member != self.local_address);
         if !self.platform_reachability.any_peer_may_reach(now, &peers) {
-            debug!("role", kv: { role = ROLE_NAME, outcome = "kept", token = epoch });
+            debug!("lease", kv: { role = ROLE_NAME, outcome = "retained", token = epoch });
             return;
         }
-        warn!("role", kv: { role = ROLE_NAME, outcome = "handed_on", token = epoch });
+        warn!("lease", kv: { role = ROLE_NAME, outcome = "stepped_down", token = epoch });
         self.metrics.stand_downs.inc();
         self.platform_reachability.record_failure(now);
         // Before the lease is vacant, so that it does not come back here before all others have tried.
--- a/crates/control/src/controller/stage_planning.rs
+++ b/crates/control/src/controller/stage_planning.rs
@@ -99,7 +99,7 @@
     /// Queues the orders that are due, under this lease.
     pub fn send_due(&mut self, now: Duration, node: &str, lease: HeldLease) {
         for order in self.planner.due_orders(now) {
-            info!("order", kv: { outcome = "given", id = order.id.as_str(), stage:? = order.stage, token = lease.token });
+            info!("order", kv: { outcome = "sent", id = order.id.as_str(), stage:? = order.stage, token = lease.token });
             self.enqueue(now, AuthorizedOrder { order, holder: node.to_owned(), lease });
         }
     }
--- a/crates/control/src/controller/view_changes.rs
+++ b/crates/control/src/controller/view_changes.rs
@@ -21,9 +21,10 @@
 
     fn enter_view(&mut self, status: &chain::ReplicaStatus) {
         self.metrics.view_changes.inc();
+        let position = status.position.map_or_else(|| "none".to_owned(), |position| position.to_string());
         info!("view", kv: {
-            outcome = "agreed", view = status.view, members = status.members.len(), replicas = status.chain.len(),
-            position:? = status.position
+            outcome = "installed", view = status.view, members = status.members.len(),
+            replicas = status.chain.len(), position = position.as_str()
         });
         // Connections to others are opened again with the next message.
         let all = self.process_directory.all(self.now(), self.local_address, &status.members);
--- a/crates/control/src/logs.rs
+++ b/crates/control/src/logs.rs
@@ -1,12 +1,15 @@
-//! Lines of the log that tell of a configuration's way and of the replica. The names of events and fields are a promise to
-//! whoever searches the logs; `docs/OPERATING.md` lists them.
+//! The lines of the log about the replica and about a configuration on its way through the chain.
+//!
+//! Each line is an event with fields; `outcome` says what became of its subject. Events, outcomes and fields are what operators
+//! search for: `docs/OPERATING.md`, "Reading the logs", lists them all. The lease is logged by `list_watcher_role`, a change
+//! of the operator by `operator::config_change`.
 
 use lugwharf_chain::{Blake3, LogEvent, Message, ViewChangeReason};
 use spdlog::prelude::*;
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The hash of a configuration's bytes in hex, worked out only where a line is written.
+/// The hash of a configuration's bytes in hex, computed only if the line is written.
 pub struct Hash<'a>(pub &'a [u8]);
 
 impl fmt::Display for Hash<'_> {
@@ -41,7 +44,7 @@
             error!(logger: logger, "view", kv: { outcome = "proposal_number_reused", view = *number });
         }
         LogEvent::DiskFault => warn!(logger: logger, "disk", kv: { outcome = "fault" }),
-        // The end of a warning is worth the same level.
+        // At the level of the fault that it ends, so that whoever sees one sees the other.
         LogEvent::DiskHealthy => warn!(logger: logger, "disk", kv: { outcome = "healthy" }),
         LogEvent::Superseded(header) => {
             warn!(logger: logger, "entry", kv: {
--- a/crates/control/src/operator/config_change.rs
+++ b/crates/control/src/operator/config_change.rs
@@ -1,6 +1,6 @@
 //! `PUT /config` and `PATCH /config`: checks a change of the operator and submits it to the chain.
 //!
-//! Each change that was read completely is logged once, as `config outcome=accepted` or with the name of its error.
+//! Each request is logged once, at `info`: `config outcome=accepted`, or the name of its error with `reason` and `field`.
 
 use super::controller_client::{ControllerClient, RESPONSE_TIMEOUT, Submission};
 use super::response::Response;
@@ -40,8 +40,7 @@
 
     /// `PUT /config`: a complete configuration.
     pub async fn put(&self, conn: &mut Conn) -> Result<Response, OperatorError> {
-        let _permit = self.try_acquire()?;
-        let ChangeRequest { base, body } = read_change(conn).await?;
+        let ChangeRequest { base, body, _permit } = self.receive(conn).await?;
         let version = Configuration::parse(&body).map(|checked| checked.version);
         let change = Change { base, version, request: None, bytes: body.into() };
         let started_at = Instant::now();
@@ -52,11 +51,11 @@
 
     /// `PATCH /config`: a change of named items. The complete configuration is computed here from the newest one.
     pub async fn patch(&self, conn: &mut Conn) -> Result<Response, OperatorError> {
-        let _permit = self.try_acquire()?;
-        let ChangeRequest { base, body } = read_change(conn).await?;
+        let ChangeRequest { base, body, _permit } = self.receive(conn).await?;
         let started_at = Instant::now();
         let deadline = started_at + RESPONSE_TIMEOUT;
-        let patch = ConfigurationPatch::parse(&body)?;
+        let patch = ConfigurationPatch::parse(&body).map_err(OperatorError::from);
+        let patch = patch.inspect_err(|error| log_rejection(conn, error))?;
         let patched = self.apply_patch(&patch, base, deadline).await;
         let bytes = patched.as_ref().map_or_else(|_| Vec::new(), Clone::clone);
         let request = Some(Blake3::of(&body));
@@ -69,8 +68,23 @@
         result
     }
 
-    fn try_acquire(&self) -> Result<SemaphorePermit<'_>, OperatorError> {
-        self.body_permits.try_acquire().map_err(|_| OperatorError::unavailable())
+    /// Waits for the body of a change, unless too many are in progress. What can't be received is logged.
+    async fn receive(&self, conn: &mut Conn) -> Result<ChangeRequest<'_>, OperatorError> {
+        let received = self.try_receive(conn).await;
+        received.inspect_err(|error| log_rejection(conn, error))
+    }
+
+    /// The body is read before the header is checked: a client that still writes would miss the response.
+    async fn try_receive(&self, conn: &mut Conn) -> Result<ChangeRequest<'_>, OperatorError> {
+        let permit = self.body_permits.try_acquire().map_err(|_| OperatorError::unavailable())?;
+        let base = conn.request_headers().get_str(KnownHeaderName::IfMatch).map(str::to_owned);
+        let body = read_body(conn).await?;
+        let base = base.as_deref().map(|base| base.trim().trim_matches('"'));
+        let base = base.and_then(|base| base.parse::<u64>().ok());
+        let base = base.ok_or_else(|| {
+            OperatorError::new(ErrorKind::BadBase, "names no version to build on").at("If-Match")
+        })?;
+        Ok(ChangeRequest { base, body, _permit: permit })
     }
 
     /// What a patch makes of its base. Empty where another version is current: the patch may have been accepted before, which
@@ -111,22 +125,12 @@
 }
 
 /// A change as it was received.
-struct ChangeRequest {
+struct ChangeRequest<'a> {
     /// The version in `If-Match`.
     base: u64,
     body: Vec<u8>,
-}
-
-/// Reads the body before the header is checked: a client that still writes would miss the response.
-async fn read_change(conn: &mut Conn) -> Result<ChangeRequest, OperatorError> {
-    let base = conn.request_headers().get_str(KnownHeaderName::IfMatch).map(str::to_owned);
-    let body = read_body(conn).await?;
-    let base = base.as_deref().map(|base| base.trim().trim_matches('"'));
-    let base = base.and_then(|base| base.parse::<u64>().ok());
-    let base = base.ok_or_else(|| {
-        OperatorError::new(ErrorKind::BadBase, "names no version to build on").at("If-Match")
-    })?;
-    Ok(ChangeRequest { base, body })
+    /// One of [`MAX_CONCURRENT_BODIES`], until the request has its response.
+    _permit: SemaphorePermit<'a>,
 }
 
 async fn read_body(conn: &mut Conn) -> Result<Vec<u8>, OperatorError> {
@@ -152,11 +156,28 @@
 impl Change {
     fn log(&self, conn: &Conn, result: &Result<Response, OperatorError>, took: Duration) {
         let outcome = result.as_ref().map_or_else(|error| error.body.error, |_| "accepted");
+        let error = result.as_ref().err().map(|error| &error.body);
         let version = self.version.as_ref().map_or(0, |version| *version);
-        let from = conn.peer_ip().map(|ip| ip.to_string()).unwrap_or_default();
+        let from = peer(conn);
         info!("config", kv: {
             outcome, version, base = self.base, hash: = Hash(&self.bytes), bytes = self.bytes.len(),
-            took_ms = took.as_millis() as u64, from = from.as_str()
+            took_ms = took.as_millis() as u64, from = from.as_str(),
+            reason = error.map_or("-", |error| error.reason.as_str()),
+            field = error.and_then(|error| error.field.as_deref()).unwrap_or("-")
         });
     }
 }
+
+/// Logs a change that was rejected before it was known completely.
+fn log_rejection(conn: &Conn, error: &OperatorError) {
+    let OperatorError { body, .. } = error;
+    let from = peer(conn);
+    info!("config", kv: {
+        outcome = body.error, from = from.as_str(), reason = body.reason.as_str(),
+        field = body.field.as_deref().unwrap_or("-")
+    });
+}
+
+fn peer(conn: &Conn) -> String {
+    conn.peer_ip().map(|ip| ip.to_string()).unwrap_or_default()
+}
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -49,7 +49,7 @@
 ) -> Result<OpenedLog, StoreError> {
     let RecoveredLog { log, recovered, was_quarantined } = open_log(directory, is_usable)?;
     if let Some(cut) = &recovered.torn_tail {
-        warn!("log_file", kv: { outcome = "tail_cut", offset = cut.offset, bytes = cut.bytes });
+        warn!("log_file", kv: { outcome = "torn_tail", offset = cut.offset, bytes = cut.bytes });
     }
     let (writer, queue) = channel();
     let directory = directory.to_owned();
@@ -69,14 +69,16 @@
 }
 
 fn open_log(directory: &Path, is_usable: impl Fn(&[Vec<u8>]) -> bool) -> Result<RecoveredLog, StoreError> {
-    match Log::open(directory) {
+    let reason = match Log::open(directory) {
         Ok((log, recovered)) if is_usable(&recovered.records) => {
             return Ok(RecoveredLog { log, recovered, was_quarantined: false });
         }
-        Ok(_) | Err(StoreError::Corrupt { .. } | StoreError::UnknownFormat) => {}
+        Ok(_) => "unrecoverable",
+        Err(StoreError::Corrupt { .. }) => "corrupt",
+        Err(StoreError::UnknownFormat) => "unknown_format",
         Err(error) => return Err(error),
-    }
-    error!("log_file", kv: { outcome = "set_aside", reason = "it can't be read" });
+    };
+    error!("log_file", kv: { outcome = "quarantined", reason });
     Log::quarantine(directory)?;
     let (log, recovered) = Log::open(directory)?;
     Ok(RecoveredLog { log, recovered, was_quarantined: true })
--- a/crates/lugwharf/tests/explained.rs
+++ b/crates/lugwharf/tests/explained.rs
@@ -62,8 +62,8 @@
     let [proxy, agent] = fleet.cluster.front_metrics(0).await.map(|text| metrics(&text.expect("metrics")));
     assert_eq!(field(&line, "list_epoch"), agent["lugwharf_agent_list_epoch"]);
     assert_eq!(proxy["lugwharf_proxy_config_version"], agent["lugwharf_agent_config_version"]);
-    let gained = format!("outcome=gained token={}", field(&line, "list_epoch"));
-    assert!(fleet.cluster.logs().contains(&gained), "{gained}\n{}", fleet.cluster.logs());
+    let acquired = format!("outcome=acquired token={}", field(&line, "list_epoch"));
+    assert!(fleet.cluster.logs().contains(&acquired), "{acquired}\n{}", fleet.cluster.logs());
     assert_eq!(proxy["lugwharf_proxy_requests_total{outcome=\"broken\"}"], "1");
 }
 
