--- /dev/null
+++ b/crates/emulator/src/cluster/layout.rs
@@ -0,0 +1,84 @@
+//! The addresses of a cluster's machines.
+
+use super::{Cluster, Placement, ports};
+use std::net::{Ipv4Addr, SocketAddr};
+
+impl Cluster {
+    /// Where a front-end node accepts clients.
+    pub fn front_address(&self, index: usize) -> SocketAddr {
+        SocketAddr::from((self.subnet.front(index), ports::FRONT))
+    }
+
+    /// Where all front-end nodes accept clients.
+    pub fn front_addresses(&self) -> Vec<SocketAddr> {
+        (0..self.options.fronts).map(|index| self.front_address(index)).collect()
+    }
+
+    /// Where a front-end node answers readiness checks.
+    pub fn ready_address(&self, index: usize) -> SocketAddr {
+        SocketAddr::from((self.subnet.front(index), ports::READY))
+    }
+
+    /// Where a control machine serves the operator's API.
+    pub fn control_address(&self, index: usize) -> SocketAddr {
+        SocketAddr::from((self.control_ip(index), ports::CONTROL))
+    }
+
+    /// Where the agent of a front-end node forwards callers of control, if control runs on front-end nodes.
+    pub fn gateway_address(&self, front: usize) -> SocketAddr {
+        SocketAddr::from((self.subnet.front(front), ports::CONTROL))
+    }
+
+    /// The gateways: [`Cluster::gateway_address`] of all front-end nodes that host no control machine.
+    pub fn gateway_addresses(&self) -> Vec<SocketAddr> {
+        let fronts = match self.options.placement {
+            Placement::Core => 0..0,
+            Placement::Fronts => self.options.controls..self.options.fronts,
+        };
+        fronts.map(|front| self.gateway_address(front)).collect()
+    }
+
+    /// The public address of a control machine.
+    pub(super) fn control_ip(&self, index: usize) -> Ipv4Addr {
+        match self.options.placement {
+            Placement::Core => self.subnet.control(index),
+            Placement::Fronts => self.subnet.front(index),
+        }
+    }
+
+    /// Whether the agent of a front-end node hosts a control machine.
+    pub fn hosts_control(&self, front: usize) -> bool {
+        self.options.placement == Placement::Fronts && front < self.options.controls
+    }
+
+    /// An address for an emulated server, which nothing else on this machine gets while the server is down.
+    pub fn server_address(&self, index: usize) -> SocketAddr {
+        SocketAddr::from((self.subnet.server(index), ports::SERVER))
+    }
+
+    /// The address on which the processes of a control machine listen and from which they connect.
+    pub fn control_bind_ip(&self, index: usize) -> Ipv4Addr {
+        match (self.options.placement, self.options.relayed) {
+            (Placement::Core, true) => self.subnet.control_behind_relay(index),
+            (Placement::Core, false) => self.subnet.control(index),
+            (Placement::Fronts, _) => self.front_bind_ip(index),
+        }
+    }
+
+    /// The address on which the processes of a front-end node listen and from which they connect.
+    pub fn front_bind_ip(&self, index: usize) -> Ipv4Addr {
+        if self.options.relayed { self.subnet.front_behind_relay(index) } else { self.subnet.front(index) }
+    }
+
+    /// The relays that a control machine needs, as (public, bound) addresses: the operator's API, peers, agents.
+    pub fn relayed_addresses(&self, index: usize) -> [(SocketAddr, SocketAddr); 3] {
+        let (public, bound) = (self.control_ip(index), self.control_bind_ip(index));
+        [ports::CONTROL, ports::INTERNAL_FIRST, ports::INTERNAL_FIRST + 1]
+            .map(|port| (SocketAddr::from((public, port)), SocketAddr::from((bound, port))))
+    }
+
+    /// Where a control machine accepts internal traffic: of peers, then of agents.
+    pub fn internal_addresses(&self, index: usize) -> [SocketAddr; 2] {
+        [0, 1].map(|offset| SocketAddr::from((self.control_ip(index), ports::INTERNAL_FIRST + offset)))
+    }
+}
--- /dev/null
+++ b/crates/emulator/src/cluster/ports.rs
@@ -0,0 +1,20 @@
+//! The ports of a machine, alike on all machines.
+
+/// Clients' requests.
+pub const FRONT: u16 = 8_161;
+/// The operator's API.
+pub const CONTROL: u16 = 8_166;
+/// Readiness checks.
+pub const READY: u16 = 8_167;
+/// The first port for internal traffic (`PortRange`).
+pub const INTERNAL_FIRST: u16 = 7_720;
+/// The last port for internal traffic.
+pub const INTERNAL_LAST: u16 = 7_735;
+/// Where the agent feeds its proxy (`FeedAddress`).
+pub const FEED: u16 = 7_722;
+/// An emulated server; each has an address of its own.
+pub const SERVER: u16 = 9_100;
+/// `GET /metrics` of the proxy, or of a control process.
+pub const METRICS: u16 = 7_733;
+/// `GET /metrics` of the agent.
+pub const AGENT_METRICS: u16 = 7_734;
--- a/crates/emulator/src/cluster/process.rs
+++ b/crates/emulator/src/cluster/process.rs
@@ -5,25 +5,25 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 
-/// Variables of the caller that a process gets.
+/// Environment variables that a process inherits.
 const INHERITED_VARIABLES: [&str; 3] = ["PATH", "HOME", "LANG"];
 
-/// What a process is told.
+/// A signal to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGTERM: it may finish.
+    /// SIGTERM: graceful shutdown.
     Terminate,
-    /// SIGHUP: the settings file has changed.
+    /// SIGHUP: reload of the settings file.
     Reload,
-    /// SIGSTOP: it stands still, with its links open.
+    /// SIGSTOP: it is paused, with its connections open.
     Freeze,
-    /// SIGCONT: it goes on.
+    /// SIGCONT: it continues.
     Thaw,
     /// SIGKILL.
     Kill,
 }
 
-/// A process that this one started; it is killed when dropped.
+/// A running or ended process; it is killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -31,7 +31,7 @@
 }
 
 impl Process {
-    /// Starts `binary role arguments` with that settings file; its output goes to a file in the folder.
+    /// Starts `binary role arguments` with a settings file; its output is appended to `output.log` in the directory.
     pub fn start(
         binary: &Path, role: &str, arguments: &[String], settings: &Path, directory: &Path,
     ) -> io::Result<Process> {
@@ -48,7 +48,7 @@
         Ok(Process { child, output })
     }
 
-    /// Sends a signal to this process alone. One that has ended gets none.
+    /// Sends a signal to this process alone; does nothing if it has ended.
     pub fn signal(&mut self, signal: Signal) -> io::Result<()> {
         if self.child.try_wait()?.is_some() {
             return Ok(());
@@ -60,28 +60,27 @@
             Signal::Freeze => "-STOP",
             Signal::Thaw => "-CONT",
         };
-        // The standard library sends SIGKILL only. The child is not yet waited for, so its id is still its own.
+        // The standard library sends SIGKILL only. The child has not been waited for, so that its id can't have been reused.
         let status = Command::new("kill").arg(name).arg(self.child.id().to_string()).status()?;
         if status.success() { Ok(()) } else { Err(io::Error::other("the signal was not sent")) }
     }
 
-    /// Changes how many descriptors it may open from now on, at most as many as it could at its start. What is open stays
-    /// open.
-    pub fn limit_open_descriptors(&mut self, most: usize) -> io::Result<()> {
+    /// Sets the soft limit of open file descriptors, at most the hard limit of its start. Open ones stay open.
+    pub fn limit_open_descriptors(&mut self, max_open: usize) -> io::Result<()> {
         if self.child.try_wait()?.is_some() {
             return Ok(());
         }
-        let (id, limit) = (self.child.id().to_string(), format!("--nofile={most}:"));
+        let (id, limit) = (self.child.id().to_string(), format!("--nofile={max_open}:"));
         let status = Command::new("prlimit").args(["--pid", &id, &limit]).status()?;
         if status.success() { Ok(()) } else { Err(io::Error::other("the limit was not set")) }
     }
 
-    /// Descriptors that it has open.
+    /// Its open file descriptors.
     pub fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.child.id())).map_or(0, Iterator::count)
     }
 
-    /// Its id.
+    /// Its process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -91,12 +90,12 @@
         self.child.wait()
     }
 
-    /// How it ended, if it has.
+    /// Its exit status; `None` while it runs.
     pub fn ended(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// What it has written so far, over all its starts.
+    /// Its output so far, over all starts under its name.
     pub fn output(&self) -> String {
         let bytes = std::fs::read(&self.output).unwrap_or_default();
         String::from_utf8_lossy(&bytes).into_owned()
--- a/crates/emulator/src/cluster/settings_file.rs
+++ b/crates/emulator/src/cluster/settings_file.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process.
+//! Settings files. Their keys are fixed by `crates/settings`.
 
 use std::fmt::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -6,52 +6,52 @@
 
 use super::ports;
 
-/// Classes of machines.
+/// Values of `MachineClass`.
 pub mod class {
-    /// Machines that clients reach.
+    /// Machines that clients connect to.
     pub const FRONT: &str = "front";
-    /// Machines with a disk.
+    /// Machines with a disk, for control.
     pub const CORE: &str = "core";
 }
 
-/// What a settings file says; what is left out has the usual value.
+/// The settings of one process; the rest of the file is the same for all.
 #[derive(Clone, Debug)]
 pub struct SettingsSpec {
-    /// The name of the machine.
+    /// `Node`: the name of the machine.
     pub node: String,
-    /// The role of the process.
+    /// `Role`: the role of the process.
     pub role: String,
-    /// The class of the machine.
+    /// `MachineClass`, see [`class`].
     pub machine_class: &'static str,
-    /// What the process serves.
+    /// `Serves`.
     pub serves: Vec<String>,
-    /// The address of the machine.
+    /// `Ip`: the public address of the machine.
     pub ip: IpAddr,
-    /// The address that the process listens on and connects from, if others reach it under `ip` through a relay.
+    /// `Bind`: the address that the process listens on and connects from, if `ip` belongs to a relay.
     pub bind: Option<IpAddr>,
-    /// Control addresses of some machines.
+    /// `Seeds`: control addresses of some machines.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of all.
+    /// `Bootstrap`: whether the fleet starts for the first time.
     pub bootstrap: bool,
-    /// Whether the machine counts.
+    /// `CountsForQuorum`: whether the machine votes.
     pub counts_for_quorum: bool,
-    /// Machines that may be lost at once.
+    /// `[FaultTolerance] Machines`: machines that may be lost at once.
     pub fault_tolerance: usize,
-    /// The disk.
+    /// `DataDir`: the disk; `None` for machines without one.
     pub data_dir: Option<PathBuf>,
-    /// Where clients connect.
+    /// `[Listen] Front`: where clients connect.
     pub front: Option<SocketAddr>,
-    /// Where readiness is asked.
+    /// `[Listen] Ready`: where readiness is checked.
     pub ready: Option<SocketAddr>,
-    /// Where the operator connects.
+    /// `[Listen] Control`: where the operator connects.
     pub control: Option<SocketAddr>,
-    /// Where the agent feeds its proxy.
+    /// `FeedAddress`: where the agent feeds its proxy.
     pub feed_address: Option<SocketAddr>,
-    /// The platform's list.
+    /// `[Cloud] Address`: where the platform lists servers.
     pub cloud: Option<SocketAddr>,
-    /// Descriptors that the process is told it may hold.
+    /// `[Limits] MaxFds`: file descriptors that the process may use.
     pub max_fds: usize,
-    /// Lines of `[Bounds]` in place of the usual ones, as name and value.
+    /// Lines of `[Bounds]` as name and value, in place of the defaults.
     pub bounds: Vec<(String, String)>,
 }
 
@@ -102,7 +102,7 @@
 ];
 
 impl SettingsSpec {
-    /// The text of the file.
+    /// The file as TOML.
     pub fn to_toml(&self) -> String {
         let mut text = String::new();
         self.write(&mut text).unwrap_or_default();
