--- a/src/bin/lugwharf-sidecar/client.rs
+++ b/src/bin/lugwharf-sidecar/client_connection.rs
@@ -1,6 +1,6 @@
-//! One connection of the application: its socket and what it is at.
+//! One connection of the application: its socket and the phase that it is in.
 
-use crate::connection::{is_quiet, poll_read, poll_write};
+use crate::socket::{has_nothing_to_read, poll_read, poll_write};
 use bytes::{Buf, BytesMut};
 use socket2::SockRef;
 use std::future::poll_fn;
@@ -15,31 +15,32 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// What is read ahead behind a request that waits, to learn whether its client has left. Clients send one request at a
-/// time, so that the usual ones have nothing there.
+/// Bytes that are read ahead behind a request that awaits its answer, to notice that its client has left. Clients send one
+/// request at a time, so usually there are none.
 const MAX_READ_AHEAD: usize = 16 * 1024;
-/// With more than that behind it, how often the socket is asked whether its other end has closed: a client that has
+/// With more bytes than that behind it, how often the system is asked whether the other end has closed: a client that has
 /// left is to be noticed within 300 ms.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// What a connection of the application is at.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientPhase {
-    /// Has carried no request yet.
+    /// It has carried no request yet.
     New,
-    /// A request's head has come, and its body is coming.
+    /// A request's head has been read, and its body is being read.
     ReadingBody,
-    /// The request is whole and waits for its answer.
+    /// The request has been read and awaits its answer.
     AwaitingAnswer,
-    /// The answer is known and not all written yet.
+    /// The answer is known and not completely written.
     WritingAnswer,
-    /// Between requests, after its first and after later ones: many ask once and stay.
+    /// Idle after its first request. Many clients ask once and stay.
     IdleAfterFirst,
+    /// Idle after a later request.
     Idle,
 }
 
 impl ClientPhase {
-    /// Is nothing owed on it? Then it may be closed.
+    /// Returns whether no request is open on it, so that it may be closed.
     pub fn is_idle(self) -> bool {
         matches!(self, ClientPhase::New | ClientPhase::IdleAfterFirst | ClientPhase::Idle)
     }
@@ -47,59 +48,63 @@
 
 struct State {
     phase: ClientPhase,
+    /// When the phase began.
     since: Instant,
-    /// A first answer has been written.
+    /// Whether an answer has been written.
     has_answered: bool,
-    /// It has been told to close, and is counted until it has.
+    /// Whether it has been asked to close. It counts until it has.
     is_closing: bool,
 }
 
 pub struct ClientConnection {
     socket: TcpStream,
-    opened: Instant,
+    opened_at: Instant,
     state: Mutex<State>,
+    /// What has been read behind the current request.
     read_ahead: Mutex<BytesMut>,
-    close: Notify,
+    close_requested: Notify,
     answer_written: Notify,
 }
 
-fn lock<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
-    of.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl ClientConnection {
     pub fn new(socket: TcpStream) -> Arc<ClientConnection> {
-        let opened = Instant::now();
-        let state = State { phase: ClientPhase::New, since: opened, has_answered: false, is_closing: false };
-        let (read_ahead, close, answer_written) = Default::default();
+        let opened_at = Instant::now();
+        let state =
+            State { phase: ClientPhase::New, since: opened_at, has_answered: false, is_closing: false };
+        let (read_ahead, close_requested, answer_written) = Default::default();
         Arc::new(ClientConnection {
             socket,
-            opened,
+            opened_at,
             state: Mutex::new(state),
             read_ahead,
-            close,
+            close_requested,
             answer_written,
         })
     }
 
+    /// The phase, and how long it has lasted.
     pub fn phase(&self) -> (ClientPhase, Duration) {
         let state = lock(&self.state);
         (state.phase, state.since.elapsed())
     }
 
-    fn enter(&self, to: ClientPhase) {
+    fn enter(&self, phase: ClientPhase) {
         let mut state = lock(&self.state);
-        (state.phase, state.since) = (to, Instant::now());
+        (state.phase, state.since) = (phase, Instant::now());
     }
 
-    /// A request's head has come. Tells since when the whole request is being waited for: its client is judged from the
-    /// moment it connected, a regular one from its new request on.
+    /// A request's head has been read. Returns since when the complete request is awaited: for a new client since it
+    /// connected, for a regular one since now.
     pub fn start_reading_body(&self) -> Instant {
         self.enter(ClientPhase::ReadingBody);
-        if lock(&self.state).has_answered { Instant::now() } else { self.opened }
+        if lock(&self.state).has_answered { Instant::now() } else { self.opened_at }
     }
 
-    /// The request is whole.
+    /// The request has been read completely.
     pub fn start_awaiting_answer(&self) {
         self.enter(ClientPhase::AwaitingAnswer);
     }
@@ -113,59 +118,59 @@
     fn on_flushed(&self) {
         let mut state = lock(&self.state);
         if state.phase == ClientPhase::WritingAnswer {
-            let again = std::mem::replace(&mut state.has_answered, true);
-            (state.phase, state.since) =
-                (if again { ClientPhase::Idle } else { ClientPhase::IdleAfterFirst }, Instant::now());
+            let was_used = std::mem::replace(&mut state.has_answered, true);
+            let phase = if was_used { ClientPhase::Idle } else { ClientPhase::IdleAfterFirst };
+            (state.phase, state.since) = (phase, Instant::now());
             self.answer_written.notify_one();
         }
     }
 
-    /// Until the next answer is all written.
+    /// Ends when the next answer has been written.
     pub async fn answer_written(&self) {
         self.answer_written.notified().await;
     }
 
-    /// Asks its task to close it as soon as nothing is owed on it.
+    /// Asks its task to close it as soon as no request is open on it.
     pub fn request_close(&self) {
         lock(&self.state).is_closing = true;
-        self.close.notify_one();
+        self.close_requested.notify_one();
     }
 
+    /// Ends when it has been asked to close.
     pub async fn close_requested(&self) {
-        self.close.notified().await;
+        self.close_requested.notified().await;
     }
 
     pub fn is_closing(&self) -> bool {
         lock(&self.state).is_closing
     }
 
-    /// May it be closed without losing a request? Nothing is owed, and nothing has come that HTTP has not seen yet.
+    /// Returns whether closing it now loses no request: none is open, and nothing has come that HTTP has not seen.
     pub fn may_close(&self) -> bool {
-        self.phase().0.is_idle() && lock(&self.read_ahead).is_empty() && is_quiet(&self.socket)
+        self.phase().0.is_idle() && lock(&self.read_ahead).is_empty() && has_nothing_to_read(&self.socket)
     }
 
-    /// Ends when the client leaves while its request waits. HTTP doesn't notice once it has read further bytes, so what
-    /// comes is read ahead of it here; polled after HTTP, in the same task.
+    /// Ends when the client leaves while its request awaits an answer. HTTP does not notice once it has read further bytes,
+    /// so what comes is read ahead of it here. It has to be polled after HTTP, in the same task.
     pub async fn disconnected(&self) {
         loop {
             if poll_fn(|cx| self.poll_disconnected(cx)).await {
                 return;
             }
-            // Guards against reading without end: the system knows of the other end's close, also behind unread bytes.
+            // No more is read ahead. The system knows when the other end has closed, also behind unread bytes.
             sleep(CLOSE_CHECK_INTERVAL).await;
             let ready = self.socket.ready(Interest::READABLE).await;
-            if self.phase().0 == ClientPhase::AwaitingAnswer
-                && ready.map_or(true, |ready| ready.is_read_closed())
-            {
+            let is_closed = ready.map_or(true, |ready| ready.is_read_closed());
+            if self.phase().0 == ClientPhase::AwaitingAnswer && is_closed {
                 return;
             }
         }
     }
 
-    /// `false` if no more is read ahead.
+    /// Ready with `true` once the client has left, and with `false` once the read-ahead is full.
     fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<bool> {
         let mut read_ahead = lock(&self.read_ahead);
-        // It begins to wait, and stops, in a poll of HTTP, after which this is polled.
+        // The phase begins and ends in a poll of HTTP, after which this is polled.
         while self.phase().0 == ClientPhase::AwaitingAnswer {
             if read_ahead.len() >= MAX_READ_AHEAD {
                 return Poll::Ready(false);
@@ -181,7 +186,7 @@
     }
 }
 
-/// The socket of a client as HTTP reads and writes it.
+/// The socket of a client as HTTP reads and writes it: what was read ahead comes first.
 pub struct ClientStream(pub Arc<ClientConnection>);
 
 impl AsyncRead for ClientStream {
--- a/src/bin/lugwharf-sidecar/config.rs
+++ b/src/bin/lugwharf-sidecar/config.rs
@@ -1,4 +1,4 @@
-//! What a sidecar is told at its start: the environment and its JSON into typed values.
+//! The configuration of a sidecar: the environment and its JSON file.
 
 use lugwharf_sidecar::api::{Class, Settings};
 use lugwharf_sidecar::settings_text::{self, Deployment, SettingError};
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use std::{env, fs, io};
 
-/// The most descriptors where the configuration names no limit.
+/// The limit on descriptors where the configuration names none.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1_024;
+/// How long a client waits at most where its class names no deadline.
+const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The longest that a client may wait where its class names no deadline.
-const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
-
+/// Why the configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     #[error("BALANCER_CONFIG is not set")]
@@ -28,80 +28,86 @@
 }
 
 pub struct Config {
+    /// The name of this sidecar, for its log.
     pub name: String,
+    /// Where it listens.
     pub listen: SocketAddr,
+    /// Where discovery is at the start.
     pub discovery: SocketAddr,
+    /// The seed of all random draws.
     pub seed: u64,
     /// Descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// The list as this sidecar last had it, in discovery's form.
+    /// The server list as this sidecar had it last, in discovery's form. It may be out of date, or missing.
     pub known: Value,
     pub settings: Settings,
     pub deployment: Deployment,
 }
 
 impl Config {
+    /// Reads the file that `BALANCER_CONFIG` names, and the environment.
     pub fn from_env() -> Result<Config, ConfigError> {
-        let path = env::var("BALANCER_CONFIG").map_err(|_| ConfigError::NoFile)?;
-        let text = fs::read_to_string(&path).map_err(|e| ConfigError::Read(path, e))?;
-        Config::read(&text, |key| env::var(key).ok())
+        Config::read(&read_file()?, |key| env::var(key).ok())
     }
 
-    /// Reads the file anew, at SIGHUP: where discovery is from now on. What stands in the file was put there after
-    /// the process began, so it wins over the address that the environment gave at the start.
-    pub fn discovery_now() -> Result<SocketAddr, ConfigError> {
-        let path = env::var("BALANCER_CONFIG").map_err(|_| ConfigError::NoFile)?;
-        let text = fs::read_to_string(&path).map_err(|e| ConfigError::Read(path, e))?;
-        let config = Config::read(&text, |key| env::var(key).ok().filter(|_| key != "BALANCER_DISCOVERY"))?;
-        Ok(config.discovery)
+    /// Reads the file again, at SIGHUP, and returns where discovery is from now on. The file was changed after the process
+    /// started, so it takes precedence over the address that the environment gave at the start.
+    pub fn reload_discovery() -> Result<SocketAddr, ConfigError> {
+        let env = |key: &str| env::var(key).ok().filter(|_| key != "BALANCER_DISCOVERY");
+        Ok(Config::read(&read_file()?, env)?.discovery)
     }
 
-    /// The longest that any client waits.
-    pub fn max_client_timeout(&self) -> Duration {
-        self.settings.classes.iter().map(client_timeout).max().unwrap_or(MAX_CLIENT_TIMEOUT)
-    }
-
-    /// The environment wins over the JSON where both name a value.
+    /// Reads the JSON. The environment takes precedence where both name a value.
     pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let json: Value = serde_json::from_str(text)?;
-        let text = |key: &str, var: &str| {
-            env(var).or_else(|| json[key].as_str().map(String::from)).unwrap_or_default()
+        let text = |key: &str, variable: &str| {
+            env(variable).or_else(|| json[key].as_str().map(String::from)).unwrap_or_default()
         };
-        let addr = |key: &'static str, var: &str| {
-            let text = text(key, var);
+        let address = |key: &'static str, variable: &str| {
+            let text = text(key, variable);
             text.parse().map_err(|_| ConfigError::Value { key, text })
         };
         let seed = json["seed"].as_str().unwrap_or_default();
         let seed = u64::from_str_radix(seed, 16)
             .map_err(|_| ConfigError::Value { key: "seed", text: seed.to_owned() })?;
-        let mut flat = String::new();
-        flatten("", &json["settings"], &mut flat);
+        let max_descriptors = json["limits"]["sockets"].as_u64();
+        let mut settings = String::new();
+        flatten("", &json["settings"], &mut settings);
         Ok(Config {
             name: text("name", "BALANCER_NAME"),
-            listen: addr("listen", "BALANCER_LISTEN")?,
-            discovery: addr("discovery", "BALANCER_DISCOVERY")?,
+            listen: address("listen", "BALANCER_LISTEN")?,
+            discovery: address("discovery", "BALANCER_DISCOVERY")?,
             seed,
-            max_descriptors: json["limits"]["sockets"]
-                .as_u64()
-                .map_or(DEFAULT_MAX_DESCRIPTORS, |n| n as usize),
+            max_descriptors: max_descriptors.map_or(DEFAULT_MAX_DESCRIPTORS, |n| n as usize),
             known: json["known"].clone(),
-            settings: settings_text::parse(&flat)?,
-            deployment: settings_text::deployment(&flat)?,
+            settings: settings_text::parse(&settings)?,
+            deployment: settings_text::deployment(&settings)?,
         })
     }
+
+    /// The longest that a client of any class waits.
+    pub fn max_client_timeout(&self) -> Duration {
+        self.settings.classes.iter().map(client_timeout).max().unwrap_or(DEFAULT_CLIENT_TIMEOUT)
+    }
+}
+
+fn read_file() -> Result<String, ConfigError> {
+    let path = env::var("BALANCER_CONFIG").map_err(|_| ConfigError::NoFile)?;
+    fs::read_to_string(&path).map_err(|error| ConfigError::Read(path, error))
 }
 
 /// How long a client of this class waits at most.
-pub fn client_timeout(of: &Class) -> Duration {
-    if of.deadline.is_zero() { MAX_CLIENT_TIMEOUT } else { of.deadline }
+pub fn client_timeout(class: &Class) -> Duration {
+    if class.deadline.is_zero() { DEFAULT_CLIENT_TIMEOUT } else { class.deadline }
 }
 
-/// Names are compared in the form that they have in the flat settings.
+/// A name in the form that it has in the settings text, in which names are compared.
 pub fn flat_name(text: &str) -> String {
     text.replace([' ', ',', '\n', '\r'], "_")
 }
 
-/// Nested settings into the `path=value` lines that the simulator's first message has.
+/// Writes nested settings as the `path=value` lines of the settings text. A list of objects gets a `count` and numbered
+/// paths; other lists are joined by commas.
 fn flatten(path: &str, value: &Value, out: &mut String) {
     let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
     let plain = |value: &Value| match value {
--- a/src/bin/lugwharf-sidecar/discovery_tests.rs
+++ b/src/bin/lugwharf-sidecar/discovery/discovery_tests.rs
@@ -1,10 +1,18 @@
 //! Tests of following the list of upstreams.
 
+use super::follow::{ON_REQUEST_CALL_TIMEOUT, ON_REQUEST_WATCH_TIME, PUSHED_WATCH_TIME};
 use super::*;
+use crate::config::Config;
 use crate::config::tests::JSON;
+use crate::events::{DriverEvent, DriverHandle};
+use lugwharf_sidecar::api::ServerListEvent;
 use std::io;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
-use tokio::sync::mpsc;
+use tokio::sync::{Notify, mpsc, watch};
+use tokio::time::Instant;
 
 /// A discovery whose every step is the test's. It runs in the test's own runtime, so that its clock stands still
 /// while there is something to do.
--- a/src/bin/lugwharf-sidecar/events.rs
+++ b/src/bin/lugwharf-sidecar/events.rs
@@ -1,8 +1,6 @@
-//! What the parts of the sidecar tell the driver, and the handle by which they do.
+//! What the parts of the sidecar report to the driver, and the handle that they do it by.
 
 use crate::upstream::{ForwardedRequest, ServedBody};
-use bytes::Bytes;
-use hyper::header::HeaderValue;
 use lugwharf_sidecar::api::{Origin, Outcome, RequestId, ServerEntry, ServerId, ServerListEvent};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,87 +12,112 @@
 /// The final answer to a client.
 #[derive(Debug)]
 pub enum FinalAnswer {
-    Served(Bytes, Option<HeaderValue>),
-    Rejected(Option<Duration>),
+    /// An upstream's answer.
+    Served(ServedBody),
+    /// Nothing ran, or a retry is harmless.
+    Rejected {
+        /// When the client should try again.
+        retry_after: Option<Duration>,
+    },
+    /// It may have run.
     Failed,
 }
 
-/// A client's request, read to its end.
+/// A client's request, read completely.
 pub struct ClientRequest {
-    pub outbound: ForwardedRequest,
+    pub forwarded: ForwardedRequest,
+    /// Index into the settings' classes.
     pub class: usize,
+    /// The work that the client expects it to be.
     pub cost: Option<Duration>,
     pub origin: Origin,
-    /// How long the client waits, and when that began as far as can be told.
-    pub budget: Duration,
-    pub since: Instant,
+    /// How long the client waits from `received_at` on.
+    pub client_timeout: Duration,
+    pub received_at: Instant,
 }
 
 /// One answer of discovery.
 pub struct ListUpdate {
     pub revision: u64,
-    pub complete: bool,
-    pub members: Vec<(ServerEntry, SocketAddr)>,
+    /// Whether it has all servers, or only those that changed.
+    pub is_complete: bool,
+    pub members: Vec<ListMember>,
 }
 
-/// What the driver is told.
+/// A server of the list and its address.
+pub struct ListMember {
+    pub entry: ServerEntry,
+    pub address: SocketAddr,
+}
+
+/// An input of the driver.
 pub enum DriverEvent {
-    Request(RequestId, Box<ClientRequest>, oneshot::Sender<FinalAnswer>),
+    /// A client's request arrived.
+    Request { id: RequestId, request: Box<ClientRequest>, answer: oneshot::Sender<FinalAnswer> },
+    /// A client left before its answer.
     ClientDisconnected(RequestId),
-    Attempt(RequestId, usize, Outcome, ServedBody),
-    Probed(ServerId, Outcome, Option<f64>),
+    /// An attempt ended. The body is empty unless the outcome is [`Outcome::Ok`].
+    AttemptEnded { id: RequestId, attempt: usize, outcome: Outcome, served: ServedBody },
+    /// A probe ended.
+    ProbeEnded { server: ServerId, outcome: Outcome, reported_load: Option<f64> },
+    /// Discovery answered.
     List(ListUpdate),
-    /// How the watch ended: it broke, or a call failed.
+    /// A call to discovery failed, or a watch was interrupted; the event says which.
     ListFailed(ServerListEvent),
 }
 
-/// How the other parts tell the driver what happens.
+/// How the other parts reach the driver.
 #[derive(Clone)]
 pub struct DriverHandle {
-    to: mpsc::UnboundedSender<DriverEvent>,
+    events: mpsc::UnboundedSender<DriverEvent>,
     next_id: Arc<AtomicU32>,
-    ready: Arc<AtomicBool>,
+    is_ready: Arc<AtomicBool>,
 }
 
-/// Tells that the client has left if it goes before its answer.
-struct DisconnectGuard<'a>(&'a DriverHandle, RequestId);
+/// Reports that the client has left if it is dropped before the answer.
+struct DisconnectGuard<'a> {
+    driver: &'a DriverHandle,
+    id: RequestId,
+}
 
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        self.0.send(DriverEvent::ClientDisconnected(self.1));
+        self.driver.send(DriverEvent::ClientDisconnected(self.id));
     }
 }
 
 impl DriverHandle {
+    /// A handle, and the receiver that the driver reads.
     pub fn new() -> (DriverHandle, mpsc::UnboundedReceiver<DriverEvent>) {
-        let (to, from) = mpsc::unbounded_channel();
-        let (next_id, ready) = Default::default();
-        (DriverHandle { to, next_id, ready }, from)
+        let (events, receiver) = mpsc::unbounded_channel();
+        let (next_id, is_ready) = Default::default();
+        (DriverHandle { events, next_id, is_ready }, receiver)
     }
 
+    /// Reports an event. A closed channel is fine: the driver ends only when the process does.
     pub fn send(&self, event: DriverEvent) {
-        // Without a driver the process is about to end.
-        drop(self.to.send(event));
+        drop(self.events.send(event));
     }
 
-    /// Tells whether there are upstreams to send to.
-    pub fn set_ready(&self, ready: bool) {
-        self.ready.store(ready, Ordering::Relaxed);
+    /// Sets whether there are upstreams to send to.
+    pub fn set_ready(&self, is_ready: bool) {
+        self.is_ready.store(is_ready, Ordering::Relaxed);
     }
 
-    /// Are there upstreams to send to?
+    /// Returns whether there are upstreams to send to.
     pub fn is_ready(&self) -> bool {
-        self.ready.load(Ordering::Relaxed)
+        self.is_ready.load(Ordering::Relaxed)
     }
 
-    /// Hands a request over and waits for its final answer.
-    pub async fn execute(&self, inbound: ClientRequest) -> FinalAnswer {
+    /// Has a request executed and waits for its final answer. Dropping the future means that the client has left.
+    pub async fn execute(&self, request: ClientRequest) -> FinalAnswer {
         let id = RequestId(self.next_id.fetch_add(1, Ordering::Relaxed));
-        let (to, answer) = oneshot::channel();
-        self.send(DriverEvent::Request(id, Box::new(inbound), to));
-        let waiting = DisconnectGuard(self, id);
+        let (sender, answer) = oneshot::channel();
+        self.send(DriverEvent::Request { id, request: Box::new(request), answer: sender });
+        let guard = DisconnectGuard { driver: self, id };
+        // Without an answer the driver is gone.
         let answer = answer.await.unwrap_or(FinalAnswer::Failed);
-        std::mem::forget(waiting);
+        std::mem::forget(guard);
         answer
     }
 }
--- a/src/bin/lugwharf-sidecar/pool_tests.rs
+++ b/src/bin/lugwharf-sidecar/pool_tests.rs
@@ -95,7 +95,7 @@
     assert!(!pooled.connection.is_clean());
 }
 
-fn local(pooled: &Pooled) -> SocketAddr {
+fn local(pooled: &PooledConnection) -> SocketAddr {
     pooled.connection.socket.upgrade().expect("open").local_addr().expect("an address")
 }
 
--- a/src/bin/lugwharf-sidecar/request.rs
+++ b/src/bin/lugwharf-sidecar/request.rs
@@ -1,4 +1,4 @@
-//! The check of a client's request: what it asks for, or why it is turned away. Nothing in it is believed.
+//! Checking a client's request: what it asks for, or why it is rejected. Nothing in it is trusted.
 
 use crate::config::{self, Config, flat_name};
 use crate::upstream::MAX_BODY;
@@ -10,14 +10,17 @@
 
 const ID: HeaderName = HeaderName::from_static("x-call-id");
 const CLASS: HeaderName = HeaderName::from_static("x-call-class");
+/// The time that the client waits, in seconds.
 const BUDGET: HeaderName = HeaderName::from_static("x-budget");
+/// The work that the client expects the request to be, in microseconds.
 const COST: HeaderName = HeaderName::from_static("x-call-cost");
-const AGAIN: HeaderName = HeaderName::from_static("x-again");
+/// `1` on a client's retry.
+const RETRY: HeaderName = HeaderName::from_static("x-again");
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Two readers may take a header that comes twice for different things.
-const SINGLE_VALUED: [HeaderName; 8] = [ID, CLASS, BUDGET, COST, AGAIN, KEY, CONTENT_LENGTH, HOST];
-/// What speaks of the application's connection, or is written anew, and doesn't go on to upstreams.
-const HOP_BY_HOP: [&str; 10] = [
+/// Headers that must not come twice: two readers might take different ones for the value.
+const SINGLE_VALUED: [HeaderName; 8] = [ID, CLASS, BUDGET, COST, RETRY, KEY, CONTENT_LENGTH, HOST];
+/// Headers that are not forwarded: those of the application's connection, and those that are written anew.
+const NOT_FORWARDED: [&str; 10] = [
     "connection",
     "content-length",
     "expect",
@@ -30,69 +33,108 @@
     "x-budget",
 ];
 
-/// Why a request is turned away: the answer's status and text.
-pub type Rejection = (StatusCode, &'static str);
+/// Why a request is rejected: the status and the body of the answer.
+#[derive(Debug)]
+pub struct Rejection {
+    pub status: StatusCode,
+    pub reason: &'static str,
+}
+
+impl Rejection {
+    pub fn new(status: StatusCode, reason: &'static str) -> Self {
+        Rejection { status, reason }
+    }
+
+    fn bad_request(reason: &'static str) -> Self {
+        Rejection::new(StatusCode::BAD_REQUEST, reason)
+    }
+}
 
 /// What a request asks for.
 #[derive(Debug)]
 pub struct RequestTerms {
     pub id: HeaderValue,
+    /// Index into the settings' classes.
     pub class: usize,
     pub cost: Option<Duration>,
     pub origin: Origin,
-    /// How long the client waits.
-    pub budget: Duration,
+    /// How long the client waits; the class's deadline at most.
+    pub client_timeout: Duration,
 }
 
-/// Reads a request's head.
-pub fn terms(head: &Parts, config: &Config) -> Result<RequestTerms, Rejection> {
-    let bad = |why| Err((StatusCode::BAD_REQUEST, why));
+/// A header's value as text without spaces around it, if it is text.
+fn text(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
+    headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim)
+}
+
+fn number(headers: &HeaderMap, name: HeaderName) -> Option<f64> {
+    text(headers, name)?.parse().ok()
+}
+
+/// Checks the head of a request.
+pub fn check(head: &Parts, config: &Config) -> Result<RequestTerms, Rejection> {
     let headers = &head.headers;
-    // Guards against a request hidden in the body of another: where both a coding and a length are given, readers
-    // differ on where it ends, and HTTP may have dropped the length by now. No request here needs a coding.
+    let body_length = check_framing(headers)?;
+    let has_id = |id: &&HeaderValue| !id.as_bytes().trim_ascii().is_empty();
+    let id = headers.get(ID).filter(has_id).ok_or(Rejection::bad_request("no id"))?;
+    let class_name = text(headers, CLASS).map(flat_name);
+    let class = config.deployment.classes.iter().position(|name| Some(name) == class_name.as_ref());
+    let class = class.ok_or(Rejection::bad_request("no such class"))?;
+    let of_class = &config.settings.classes[class];
+    if !fits_class(head, of_class.idempotency, body_length) {
+        return Err(Rejection::bad_request("a method or a key that does not fit the class"));
+    }
+    let seconds = number(headers, BUDGET);
+    let budget = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
+    let budget = budget.ok_or(Rejection::bad_request("no readable budget"))?;
+    // No client waits past its class's deadline, and no clock could hold any time that a client names.
+    let client_timeout = budget.min(config::client_timeout(of_class));
+    let microseconds = number(headers, COST);
+    let cost = microseconds.and_then(|us| Duration::try_from_secs_f64(us / 1e6).ok());
+    let is_retry = text(headers, RETRY) == Some("1");
+    Ok(RequestTerms {
+        id: id.clone(),
+        class,
+        // More work than this is never served, and would spoil what its class is expected to cost.
+        cost: cost.map(|cost| cost.min(client_timeout)),
+        origin: if is_retry { Origin::ClientRetry } else { Origin::Fresh },
+        client_timeout,
+    })
+}
+
+/// Checks that all readers see the same end of the request, and returns the length of its body.
+fn check_framing(headers: &HeaderMap) -> Result<u64, Rejection> {
+    // A request hidden in the body of another: where both a coding and a length are given, readers differ on where it ends,
+    // and HTTP may have dropped the length by now. No request here needs a coding.
     if headers.contains_key(TRANSFER_ENCODING) {
-        return bad("a transfer coding");
+        return Err(Rejection::bad_request("a transfer coding"));
     }
     if SINGLE_VALUED.iter().any(|name| headers.get_all(name).iter().nth(1).is_some()) {
-        return bad("a header that comes twice");
+        return Err(Rejection::bad_request("a header that comes twice"));
     }
-    let text = |name: HeaderName| headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim);
-    let length = text(CONTENT_LENGTH).map_or(Some(0), |length| length.parse::<u64>().ok());
-    let Some(length) = length else { return bad("no readable length") };
+    let length = text(headers, CONTENT_LENGTH).map_or(Some(0), |length| length.parse::<u64>().ok());
+    let length = length.ok_or(Rejection::bad_request("no readable length"))?;
     if length > MAX_BODY as u64 {
-        return Err((StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long"));
+        return Err(Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long"));
     }
-    let Some(id) = headers.get(ID).filter(|id| !id.as_bytes().trim_ascii().is_empty()) else {
-        return bad("no id");
-    };
-    let class = text(CLASS).map(flat_name);
-    let class = config.deployment.classes.iter().position(|name| Some(name) == class.as_ref());
-    let Some(class) = class else { return bad("no such class") };
-    let of_class = &config.settings.classes[class];
-    let key = headers.get(KEY);
-    let fits = match of_class.idempotency {
-        Idempotency::Idempotent => head.method == Method::GET && key.is_none() && length == 0,
+    Ok(length)
+}
+
+/// Returns whether method, key and body are those of a class with this idempotency.
+fn fits_class(head: &Parts, idempotency: Idempotency, body_length: u64) -> bool {
+    let key = head.headers.get(KEY);
+    match idempotency {
+        Idempotency::Idempotent => head.method == Method::GET && key.is_none() && body_length == 0,
         Idempotency::Keyed { .. } => head.method == Method::POST && key.is_some_and(|key| !key.is_empty()),
         Idempotency::NonIdempotent => head.method == Method::POST && key.is_none(),
-    };
-    if !fits {
-        return bad("a method or a key that does not fit the class");
     }
-    let number = |name| text(name).and_then(|text| text.parse::<f64>().ok());
-    let budget = number(BUDGET).and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    let Some(budget) = budget else { return bad("no readable budget") };
-    // Guards against a time without end, which no clock can hold: no client waits past its class's deadline.
-    let budget = budget.min(config::client_timeout(of_class));
-    let cost = number(COST).and_then(|us| Duration::try_from_secs_f64(us / 1e6).ok());
-    // Guards against a guess that spoils what its class is taken to cost: more work than this is never served.
-    let cost = cost.map(|cost| cost.min(budget));
-    let origin = if text(AGAIN) == Some("1") { Origin::ClientRetry } else { Origin::Fresh };
-    Ok(RequestTerms { id: id.clone(), class, cost, origin, budget })
 }
 
-/// The headers that go on to an upstream.
+/// The headers that are forwarded to an upstream.
 pub fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
-    HOP_BY_HOP.iter().for_each(|name| drop(headers.remove(*name)));
+    for name in NOT_FORWARDED {
+        headers.remove(name);
+    }
     headers.entry(HOST).or_insert(HeaderValue::from_static("origin.svc"));
     headers
 }
--- a/src/bin/lugwharf-sidecar/request_tests.rs
+++ b/src/bin/lugwharf-sidecar/request_tests.rs
@@ -14,7 +14,7 @@
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    terms(&request.body(()).expect("a request").into_parts().0, &config)
+    super::check(&request.body(()).expect("a request").into_parts().0, &config)
 }
 
 const PAY: [(&str, &str); 3] = [("X-Call-Id", "1"), ("X-Call-Class", "pay"), ("X-Budget", "0.5")];
@@ -24,7 +24,7 @@
 #[test]
 fn what_fits_its_class_is_taken() {
     let with = |of: &[(&'static str, &'static str)], more| [of, &[more]].concat();
-    assert_eq!(check("POST", &PAY).expect("fits").budget, Duration::from_millis(500));
+    assert_eq!(check("POST", &PAY).expect("fits").client_timeout, Duration::from_millis(500));
     assert_eq!(check("POST", &with(&REPORT, ("Idempotency-Key", "k"))).expect("fits").class, 1);
     assert_eq!(check("GET", &LOOK).expect("fits").class, 2);
     let again = check("POST", &with(&PAY, ("X-Again", "1"))).expect("fits");
@@ -61,5 +61,5 @@
     let terms = check("POST", &[&PAY[..2], &[("X-Budget", "1e18"), ("X-Call-Cost", "1e22")]].concat());
     let terms = terms.expect("fits");
     let deadline = Duration::from_millis(740);
-    assert_eq!((terms.budget, terms.cost), (deadline, Some(deadline)));
+    assert_eq!((terms.client_timeout, terms.cost), (deadline, Some(deadline)));
 }
--- a/src/bin/lugwharf-sidecar/server_tests.rs
+++ b/src/bin/lugwharf-sidecar/server/server_tests.rs
@@ -1,16 +1,24 @@
 //! Tests of the application's side.
 
 use super::eviction::SWEEP_INTERVAL;
+use super::listener::lock;
 use super::shutdown::MAX_ACCEPT_TIME;
 use super::*;
+use crate::client_connection::ClientPhase;
+use crate::config::Config;
 use crate::config::tests::JSON;
-use crate::events::DriverEvent;
-use crate::upstream::ForwardedRequest;
+use crate::events::{ClientRequest, DriverEvent, DriverHandle, FinalAnswer};
+use crate::upstream::{ForwardedRequest, MAX_BODY, ServedBody};
+use bytes::Bytes;
 use lugwharf_sidecar::api::RequestId;
 use std::io::Write;
 use std::net::{Shutdown, SocketAddr, TcpStream as Blocking};
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::yield_now;
+use tokio::time::{Instant, sleep, timeout};
 
 /// A server whose driver is the test.
 struct Side {
@@ -37,7 +45,7 @@
 impl Side {
     async fn request(&mut self) -> (RequestId, Box<ClientRequest>, oneshot::Sender<FinalAnswer>) {
         match timeout(Duration::from_secs(30), self.events.recv()).await {
-            Ok(Some(DriverEvent::Request(id, inbound, answer))) => (id, inbound, answer),
+            Ok(Some(DriverEvent::Request { id, request, answer })) => (id, request, answer),
             _ => panic!("no request"),
         }
     }
@@ -57,7 +65,7 @@
 }
 
 fn served(length: usize) -> FinalAnswer {
-    FinalAnswer::Served(Bytes::from(vec![b'x'; length]), None)
+    FinalAnswer::Served(ServedBody { body: Bytes::from(vec![b'x'; length]), content_type: None })
 }
 
 /// All that comes until the connection is closed; a reset ends it as well.
@@ -103,8 +111,8 @@
     let mut client = Blocking::connect(side.addr).expect("accepted");
     client.write_all((text("one", "body", 4) + &text("two", "more", 4)).as_bytes()).expect("written");
     for body in ["body", "more"] {
-        let (_, inbound, answer) = side.request().await;
-        let ForwardedRequest { body: seen, .. } = inbound.outbound;
+        let (_, request, answer) = side.request().await;
+        let ForwardedRequest { body: seen, .. } = request.forwarded;
         assert_eq!(seen, body);
         assert!(answer.send(served(3)).is_ok());
     }
--- /dev/null
+++ b/src/bin/lugwharf-sidecar/upstream/attempt.rs
@@ -0,0 +1,150 @@
+//! Attempts: one request to one endpoint.
+
+use super::exchange::{CompleteAnswer, Exchange, MAX_CONNECTIONS, exchange};
+use crate::connection::WriteProgress;
+use crate::pool::{Endpoint, Pool};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::header::{CONTENT_TYPE, HeaderValue};
+use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
+use lugwharf_sidecar::api::Outcome;
+use std::future::{Future, poll_fn};
+use std::pin::Pin;
+use std::sync::Arc;
+use std::task::Poll;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::error::Elapsed;
+use tokio::time::{Instant, sleep_until, timeout_at};
+
+/// With less time left than this, a request cannot spare the millisecond or so for which its last byte is held back; in
+/// tests that is a second.
+pub(super) const MIN_TIME_FOR_HOLD_BACK: Duration =
+    Duration::from_millis(if cfg!(test) { 50_000 } else { 50 });
+
+/// What of a client's request is forwarded to an upstream.
+pub struct ForwardedRequest {
+    pub method: Method,
+    pub uri: Uri,
+    pub headers: HeaderMap,
+    pub body: Bytes,
+}
+
+impl ForwardedRequest {
+    /// The request with the time that is left for it, in seconds with four decimals.
+    fn with_budget(&self, left: Duration) -> Request<Full<Bytes>> {
+        let mut request = Request::new(Full::new(self.body.clone()));
+        *request.method_mut() = self.method.clone();
+        *request.uri_mut() = self.uri.clone();
+        *request.headers_mut() = self.headers.clone();
+        if let Ok(budget) = format!("{:.4}", left.as_secs_f64()).parse() {
+            request.headers_mut().insert("X-Budget", budget);
+        }
+        request
+    }
+}
+
+/// The body of an upstream's 200, and its type.
+#[derive(Debug, Default, PartialEq)]
+pub struct ServedBody {
+    pub body: Bytes,
+    pub content_type: Option<HeaderValue>,
+}
+
+/// How long an attempt lasts.
+#[derive(Clone, Copy)]
+pub struct AttemptDeadlines {
+    /// Nobody waits for its answer after this time.
+    pub answer_by: Instant,
+    /// What has not been written completely by this time never is.
+    pub write_by: Instant,
+}
+
+/// Makes one attempt, from the choice of a connection to the end of the answer. `on_end` is called first, then the
+/// connection is made ready for the next request.
+///
+/// An idle connection that proves dead before the request is completely written shows that nothing ran, and another is
+/// taken. The attempt ends as [`Outcome::NotSent`] if it is `abandoned`, or passes `write_by`, before its last byte is
+/// written, and as [`Outcome::ConnectFailed`] if its time is over before it has a connection.
+pub async fn attempt(
+    pool: Pool, endpoint: Arc<Endpoint>, forwarded: Arc<ForwardedRequest>, deadlines: AttemptDeadlines,
+    abandoned: Arc<Notify>, on_end: impl FnOnce(Outcome, ServedBody),
+) {
+    let AttemptDeadlines { answer_by, write_by } = deadlines;
+    let (abandoned, late) = (abandoned.notified(), sleep_until(write_by));
+    tokio::pin!(abandoned, late);
+    let stop_writing = poll_fn(|cx| {
+        let stop = abandoned.as_mut().poll(cx).is_ready() || late.as_mut().poll(cx).is_ready();
+        if stop { Poll::Ready(()) } else { Poll::Pending }
+    });
+    tokio::pin!(stop_writing);
+    for _ in 0..MAX_CONNECTIONS {
+        let pooled = tokio::select! {
+            biased;
+            pooled = pool.connection(&endpoint, answer_by) => pooled,
+            () = stop_writing.as_mut() => Err(Outcome::NotSent),
+        };
+        let mut pooled = match pooled {
+            Ok(pooled) => pooled,
+            Err(outcome) => return on_end(outcome, ServedBody::default()),
+        };
+        let left = answer_by.saturating_duration_since(Instant::now());
+        if left.is_zero() {
+            return on_end(Outcome::ConnectFailed, ServedBody::default());
+        }
+        let progress = pooled.connection.write_progress();
+        let request = forwarded.with_budget(left);
+        let exchange = exchange(&mut pooled, request, left >= MIN_TIME_FOR_HOLD_BACK);
+        let ended = tokio::select! {
+            biased;
+            ended = timeout_at(answer_by, exchange) => ended,
+            () = stopped_before_last_byte(stop_writing.as_mut(), &progress) => {
+                return on_end(Outcome::NotSent, ServedBody::default());
+            }
+        };
+        let Some((outcome, served)) = outcome_of(ended) else { continue };
+        on_end(outcome, served);
+        let was_answered = matches!(outcome, Outcome::Ok | Outcome::Rejected | Outcome::Error);
+        if was_answered && pooled.connection.sender.ready().await.is_ok() {
+            pool.put_back(&endpoint, pooled);
+        }
+        return;
+    }
+    on_end(Outcome::ConnectFailed, ServedBody::default());
+}
+
+/// Ends when writing has to stop while the last byte is not out. Once that is out, the answer has to be waited for.
+async fn stopped_before_last_byte(
+    stop_writing: Pin<&mut impl Future<Output = ()>>, progress: &WriteProgress,
+) {
+    stop_writing.await;
+    if !progress.is_incomplete() {
+        std::future::pending::<()>().await;
+    }
+}
+
+/// How an attempt ends; `None` if it goes on with another connection.
+fn outcome_of(ended: Result<Exchange, Elapsed>) -> Option<(Outcome, ServedBody)> {
+    match ended {
+        Ok(Exchange::NeverWritten) => None,
+        Ok(Exchange::Broken) => Some((Outcome::Reset, ServedBody::default())),
+        Ok(Exchange::Answered(answer)) => Some(classify(answer)),
+        Err(_) => Some((Outcome::Timeout, ServedBody::default())),
+    }
+}
+
+/// What the answer to an attempt means. A 503 or 504 proves that nothing ran only with `X-Rejected: 1`.
+fn classify(answer: CompleteAnswer) -> (Outcome, ServedBody) {
+    let CompleteAnswer { status, headers, body } = answer;
+    let is_rejected = headers.get("X-Rejected").is_some_and(|value| value == "1");
+    match status {
+        StatusCode::OK => {
+            let content_type = headers.get(CONTENT_TYPE).cloned();
+            (Outcome::Ok, ServedBody { body, content_type })
+        }
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if is_rejected => {
+            (Outcome::Rejected, ServedBody::default())
+        }
+        _ => (Outcome::Error, ServedBody::default()),
+    }
+}
--- a/src/bin/lugwharf-sidecar/upstream_tests.rs
+++ b/src/bin/lugwharf-sidecar/upstream/upstream_tests.rs
@@ -1,9 +1,20 @@
 //! Tests of attempts and probes.
 
+use super::attempt::MIN_TIME_FOR_HOLD_BACK;
+use super::exchange::MAX_CONNECTIONS;
+use super::probe::ProbeResult;
 use super::*;
+use crate::pool::{Endpoint, Pool};
+use bytes::Bytes;
+use hyper::{HeaderMap, Method, Uri};
+use lugwharf_sidecar::api::Outcome;
 use std::io::{Read, Write};
 use std::net::TcpListener;
+use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::time::Instant;
 
 const LONG: Duration = Duration::from_secs(100);
 
@@ -179,7 +190,7 @@
     // In a hurry, so that nothing is held back.
     let time = MIN_TIME_FOR_HOLD_BACK / 2;
     let (to, result) = tokio::sync::oneshot::channel();
-    let answered = |ended, served: ServedBody| drop(to.send((ended, served.0)));
+    let answered = |ended, served: ServedBody| drop(to.send((ended, served.body)));
     let (answer_by, abandoned) = (Instant::now() + time, Arc::default());
     tokio::spawn(attempt(pool, endpoint, outbound("some body"), until(answer_by), abandoned, answered));
     // Read and answered with no turn of the runtime in between, and then the clock has gone past the time.
@@ -237,10 +248,7 @@
 async fn a_connection_that_closes_before_the_last_byte_proves_that_nothing_ran() {
     for body in ["", "some body"] {
         assert_eq!(after_breaks(2, body, LONG).await, (Some(Outcome::Ok), 3), "another is taken");
-        assert_eq!(
-            after_breaks(9, body, LONG).await,
-            (Some(Outcome::ConnectFailed), MAX_CONNECTION_ATTEMPTS)
-        );
+        assert_eq!(after_breaks(9, body, LONG).await, (Some(Outcome::ConnectFailed), MAX_CONNECTIONS));
     }
 }
 
@@ -266,7 +274,7 @@
         let outbound = outbound("some body");
         let mut result = None;
         let answer_by = Instant::now() + LONG;
-        let answered = |ended, served: ServedBody| result = Some((ended, served.0));
+        let answered = |ended, served: ServedBody| result = Some((ended, served.body));
         attempt(pool, endpoint, outbound, until(answer_by), Arc::default(), answered).await;
         assert_eq!(result, Some((Outcome::Ok, Bytes::from_static(b"new"))), "{early}");
         let (_second, rest) =
@@ -308,7 +316,7 @@
     let answer_by = Instant::now() + MIN_TIME_FOR_HOLD_BACK / 2;
     for body in ["old", "new"] {
         let (to, result) = tokio::sync::oneshot::channel();
-        let answered = |ended, served: ServedBody| drop(to.send((ended, served.0)));
+        let answered = |ended, served: ServedBody| drop(to.send((ended, served.body)));
         attempt(
             pool.clone(),
             endpoint.clone(),
@@ -330,7 +338,11 @@
     let peer = answers_twice(listener, b"\r\n\r\n", ["{\"held\":1}", "{\"held\":2}"]);
     for held in [1.0, 2.0] {
         let probed = probe(pool.clone(), endpoint.clone(), Instant::now() + LONG, Some("held")).await;
-        assert_eq!(probed, (Outcome::Ok, Some(held)), "not what belongs to another");
+        assert_eq!(
+            probed,
+            ProbeResult { outcome: Outcome::Ok, reported_load: Some(held) },
+            "not what belongs to another"
+        );
     }
     let rest = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
     assert!(!rest.ends_with(b"\r\n\r\n"), "the probe was not whole there");
--- a/src/bin/lugwharf-simulator/wire/reply.rs
+++ b/src/bin/lugwharf-simulator/wire/reply.rs
@@ -62,10 +62,7 @@
             }
             Action::Log(event) => {
                 record[0] = 8;
-                let text = event.to_string();
-                record[5..9].copy_from_slice(&(self.tail.len() as u32).to_le_bytes());
-                record[9..13].copy_from_slice(&(text.len() as u32).to_le_bytes());
-                self.tail.extend_from_slice(text.as_bytes());
+                record[5..13].copy_from_slice(&self.push_text(&event.to_string()));
             }
             Action::Subscribe => {
                 record[0] = 10;
@@ -76,6 +73,13 @@
         self.count += 1;
     }
 
+    /// Adds a text to the tail and returns its offset and length.
+    fn push_text(&mut self, text: &str) -> [u8; 8] {
+        let (offset, len) = (self.tail.len() as u32, text.len() as u32);
+        self.tail.extend_from_slice(text.as_bytes());
+        (u64::from(len) << 32 | u64::from(offset)).to_le_bytes()
+    }
+
     /// Appends the complete frame to `frame`.
     pub fn finish(&self, frame: &mut Vec<u8>) {
         let len = self.records.len() + self.tail.len();
