--- a/crates/lugwharf/src/front.rs
+++ b/crates/lugwharf/src/front_end.rs
@@ -1,10 +1,10 @@
-//! The agent of a front together with what the machine does for callers of control: a replica where it counts, redirects where
-//! it does not.
+//! The agent of a front-end node, with the machine's part in the control plane: a hosted replica if it counts for the quorum,
+//! redirects to a control process if it does not (`ControlPlacement`).
 //!
-//! A hosted replica has a thread and a runtime of its own. Its work does not hold the agent up, and if it ends in an error,
-//! all its tasks and listeners end with its runtime and it is started again, while the agent goes on.
+//! A hosted replica has a thread and a runtime of its own, so its work does not delay the agent. If it ends in an error, all
+//! its tasks and listeners end with its runtime and it is restarted, while the agent goes on.
 
-use crate::commands::block_on;
+use crate::runtime::block_on;
 use eyre::{Result, WrapErr};
 use lugwharf_agent::{AgentOptions, ControlPlaneStatus, discovery};
 use lugwharf_control::{ControlOptions, gateway};
@@ -17,12 +17,12 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// The pause before a hosted replica that ended in an error is started again; it doubles with each in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-/// The longest of these pauses.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+/// The pause before the first restart of a hosted replica; it doubles with each restart.
+const MIN_RESTART_PAUSE: Duration = Duration::from_millis(250);
+/// The longest pause before a restart.
+const MAX_RESTART_PAUSE: Duration = Duration::from_secs(4);
 
-/// Runs the agent until SIGTERM. A hosted replica parts from the others meanwhile, and is waited for.
+/// Runs the agent until SIGTERM. A hosted replica shuts down gracefully at the same time, and is waited for.
 pub fn run_agent(settings: Settings, options: AgentOptions, stages: StageTuning) -> Result<()> {
     match settings.control_placement().wrap_err("settings")? {
         ControlPlacement::None => block_on(lugwharf_agent::run(settings, options)),
@@ -38,13 +38,15 @@
     }
 }
 
+/// Runs the agent and, for a machine without a replica, the redirects of the operator's API and the discovery of control
+/// processes.
 async fn run_with_gateway(settings: Settings, options: AgentOptions, address: SocketAddr) -> Result<()> {
-    let directory_address = SocketAddr::new(settings.listen_ip(), settings.internal_ports().agent);
+    let discovery_address = SocketAddr::new(settings.listen_ip(), settings.internal_ports().agent);
     let control_plane = ControlPlaneStatus::default();
     let (target, targets) = watch::channel(None);
     gateway::serve(listen(address).await?, targets);
     tokio::spawn(redirect_to_followed(control_plane.followed.subscribe(), target, address.port()));
-    tokio::spawn(discovery::serve(listen(directory_address).await?, control_plane.clone()));
+    tokio::spawn(discovery::serve(listen(discovery_address).await?, control_plane.clone()));
     let options = AgentOptions { control_plane, ..options };
     lugwharf_agent::run(settings, options).await
 }
@@ -53,7 +55,8 @@
     TcpListener::bind(address).await.wrap_err_with(|| format!("listening on {address}"))
 }
 
-/// Ports are alike on all machines: the operator's port of the control process that is followed.
+/// Publishes where to redirect callers of the operator's API: to the control process that the agent follows, on `port`, since
+/// ports are alike on all machines.
 async fn redirect_to_followed(
     mut followed: watch::Receiver<Option<SocketAddr>>, target: watch::Sender<Option<SocketAddr>>, port: u16,
 ) {
@@ -63,15 +66,15 @@
     }
 }
 
-/// Starts a thread that runs a replica until SIGTERM.
+/// Starts a thread that runs a replica until SIGTERM, and restarts it after errors.
 fn host_replica(settings: Settings, stages: StageTuning) -> Result<JoinHandle<()>> {
     let options = ControlOptions { stages, ..ControlOptions::default() };
     let run = move || {
-        let mut pause = FIRST_PAUSE;
+        let mut pause = MIN_RESTART_PAUSE;
         while let Err(error) = block_on(lugwharf_control::run(settings.clone(), options.clone())) {
             error!("hosted_replica", kv: { outcome = "failed", error: = format!("{error:#}") });
             thread::sleep(pause);
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            pause = (pause * 2).min(MAX_RESTART_PAUSE);
         }
     };
     thread::Builder::new().name("control".to_owned()).spawn(run).wrap_err("the thread of the replica")
--- a/crates/lugwharf/src/logging.rs
+++ b/crates/lugwharf/src/logging.rs
@@ -1,14 +1,14 @@
-//! Logs go to standard error, one line each, quiet by default.
+//! The log of the process: one line an event on standard error.
 
 use eyre::{Result, WrapErr};
 use spdlog::sink::{StdStream, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger};
 use std::sync::Arc;
 
-/// The level that is used when none is asked for: what an operator should look at.
+/// The level without the option `--log`: only what an operator should look into.
 pub const DEFAULT_LEVEL: &str = "warn";
 
-/// The level of that name.
+/// The level with this name.
 pub fn level(name: &str) -> Option<Level> {
     match name {
         "error" => Some(Level::Error),
@@ -20,7 +20,7 @@
     }
 }
 
-/// Sets the process's logger up.
+/// Installs the logger of the process, which flushes each line.
 pub fn start(level: Level) -> Result<()> {
     let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).build().wrap_err("the log")?;
     let mut builder = Logger::builder();
--- /dev/null
+++ b/crates/lugwharf/src/tools.rs
@@ -0,0 +1,64 @@
+//! The programs for operators: validation of files, and the schemas.
+
+use crate::tuning_file::TuningFile;
+use eyre::{Result, WrapErr};
+use getopts::{Matches, Options};
+use lugwharf_config::{Configuration, PATCH_SCHEMA, SCHEMA};
+use lugwharf_settings::{Settings, SettingsError};
+use std::io::Write;
+use std::path::Path;
+
+/// The option of `print-schema` that chooses the schema of patches.
+const PATCH: &str = "patch";
+
+/// Adds the options of `print-schema`.
+pub fn add_schema_options(options: &mut Options) {
+    options.optflag("p", PATCH, "the schema of patches of named items (PATCH /config)");
+}
+
+/// `lugwharf check-config FILE`
+pub fn check_config(matches: &Matches) -> Result<()> {
+    let path = file(matches);
+    let bytes = std::fs::read(path).wrap_err_with(|| path.to_owned())?;
+    let configuration = Configuration::parse(&bytes).wrap_err_with(|| path.to_owned())?;
+    println!(
+        "{path}: version {}, {} routes, {} services",
+        configuration.version,
+        configuration.routes.len(),
+        configuration.services.len()
+    );
+    Ok(())
+}
+
+/// `lugwharf check-settings FILE`
+pub fn check_settings(matches: &Matches) -> Result<()> {
+    let path = file(matches);
+    let settings = Settings::read(Path::new(path)).map_err(|error| match error {
+        // It names the file itself.
+        SettingsError::Unreadable { .. } => eyre::Report::new(error),
+        error => eyre::Report::new(error).wrap_err(path.to_owned()),
+    })?;
+    settings.control_placement().wrap_err_with(|| path.to_owned())?;
+    println!("{path}: node {}, role {}", settings.node, settings.role);
+    Ok(())
+}
+
+/// `lugwharf check-tuning FILE`
+pub fn check_tuning(matches: &Matches) -> Result<()> {
+    let path = file(matches);
+    let tuning = TuningFile::read(Path::new(path))?;
+    println!("{path}: {tuning}");
+    Ok(())
+}
+
+/// `lugwharf print-schema`
+pub fn print_schema(matches: &Matches) -> Result<()> {
+    let schema = if matches.opt_present(PATCH) { PATCH_SCHEMA } else { SCHEMA };
+    let mut out = std::io::stdout().lock();
+    out.write_all(schema.as_bytes()).and_then(|()| out.flush()).wrap_err("standard output")
+}
+
+/// The operand FILE. The command line was checked to have it.
+fn file(matches: &Matches) -> &str {
+    matches.free.first().map_or("", String::as_str)
+}
--- a/crates/lugwharf/src/tuning_file.rs
+++ b/crates/lugwharf/src/tuning_file.rs
@@ -1,4 +1,4 @@
-//! The file that `--tuning` names: figures and switches of the decisions, all with defaults. `docs/OPERATING.md` lists them.
+//! The file of the option `--tuning`: parameters of the decisions, all with defaults. `docs/OPERATING.md` lists them.
 
 use eyre::{Result, WrapErr, eyre};
 use getopts::Matches;
@@ -8,28 +8,28 @@
 use std::fmt;
 use std::path::Path;
 
-/// The option that names the file.
+/// The name of the option.
 pub const OPTION: &str = "tuning";
 
-/// What the file may set, by the part that it is for.
+/// The content of the file, one table for each component.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TuningFile {
-    /// Decisions of proxies.
+    /// Parameters of the routing decisions of proxies.
     pub routing: Tuning,
-    /// The planning of servers' parts by control processes.
+    /// Parameters of the stage planner of control processes.
     pub stages: StageTuning,
 }
 
 impl TuningFile {
-    /// Reads the file; the error names the line, or the name that is unknown.
+    /// Reads and parses the file. The error names the line, and the key if it is unknown.
     pub fn read(path: &Path) -> Result<TuningFile> {
         let text = std::fs::read_to_string(path).wrap_err_with(|| path.display().to_string())?;
         toml::from_str(&text).map_err(|error| eyre!("{}: {error}", path.display()))
     }
 
-    /// The file that the command line names, or the defaults.
-    pub fn of(matches: &Matches) -> Result<TuningFile> {
+    /// The file of the command line, or the defaults if it names none.
+    pub fn from_options(matches: &Matches) -> Result<TuningFile> {
         match matches.opt_str(OPTION) {
             Some(path) => TuningFile::read(Path::new(&path)).wrap_err("tuning"),
             None => Ok(TuningFile::default()),
--- a/crates/lugwharf/src/usage.rs
+++ b/crates/lugwharf/src/usage.rs
@@ -1,26 +1,26 @@
-//! Command lines that name nothing that can be done.
+//! The errors of wrong command lines.
 
-/// What is wrong with a command line. Told in one line, with an exit status of its own.
+/// Why a command line is wrong. The process prints it on one line and ends with exit status 2.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
-    /// There is no subcommand.
+    /// The command line has no subcommand.
     #[error("no subcommand; see lugwharf --help")]
     NoSubcommand,
-    /// There is no such subcommand.
+    /// No subcommand has this name.
     #[error("unknown subcommand {0:?}; see lugwharf --help")]
     UnknownSubcommand(String),
-    /// An option does not name a port.
+    /// The value of an option is no port.
     #[error("--{option}: {value:?} is no port")]
     Port {
-        /// The option.
+        /// The name of the option.
         option: &'static str,
-        /// What it was given.
+        /// Its value.
         value: String,
     },
-    /// The subcommand does not take that.
+    /// The subcommand does not accept these arguments.
     #[error("{name}: {reason}; see lugwharf {name} --help")]
     Subcommand {
-        /// The subcommand.
+        /// The name of the subcommand.
         name: &'static str,
         /// What is wrong.
         reason: String,
