--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,6 +1,6 @@
 //! The control process: the operator's API, a replica of the configuration, the server list, the count of fronts.
 //!
-//! [`controller`] owns all state and handles a queue of [`command`]s; the state machines inside it come from the crates
+//! `controller` owns all state and handles a queue of commands; the state machines inside it come from the crates
 //! `chain`, `election`, `distribution`, `membership` and `stages`. The tasks around it do the I/O and own no state that
 //! outlives a connection:
 //!
