--- a/crates/control/src/announcement_tests.rs
+++ b/crates/control/src/announcement_tests.rs
@@ -1,4 +1,4 @@
-//! A replica tells the seeds without one where the control processes are, and hears whom they know.
+//! A replica announces the control processes to seeds that run none, and learns whom they know.
 
 use crate::announcement;
 use crate::command::Command;
@@ -9,14 +9,14 @@
 use tokio::sync::mpsc;
 
 #[tokio::test]
-async fn tells_the_owner_whom_a_seed_names_and_passes_over_one_that_is_gone() {
+async fn processes_named_by_a_seed_reach_the_controller_and_a_dead_seed_is_skipped() {
     let gone = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let gone_address = gone.local_addr().expect("an address");
     drop(gone);
     let seed = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let seed_address = seed.local_addr().expect("an address");
-    let named: Vec<SocketAddr> = vec!["10.0.0.1:7721".parse().expect("an address")];
-    let control = named.clone();
+    let announced: Vec<SocketAddr> = vec!["10.0.0.1:7721".parse().expect("an address")];
+    let control = announced.clone();
     tokio::spawn(async move {
         let (mut stream, _) = seed.accept().await.expect("a link");
         let request = read_frame::<AgentRequest>(&mut stream).await.expect("a frame");
@@ -31,6 +31,6 @@
     let control = vec!["10.0.0.2:7721".parse().expect("an address")];
     let sent = reply.send(Announcement { seeds: vec![gone_address, seed_address], control });
     assert!(sent.is_ok(), "somebody asks");
-    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else { panic!("nobody named") };
-    assert_eq!(addresses, named);
+    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else { panic!("nobody announced") };
+    assert_eq!(addresses, announced);
 }
--- a/crates/control/src/controller/agent_registry_tests.rs
+++ b/crates/control/src/controller/agent_registry_tests.rs
@@ -1,4 +1,4 @@
-//! What is told of agents.
+//! How far behind agents are, and which of them are reported.
 
 use super::agent_registry::AgentRegistry;
 use super::commit_history::{CommitHistory, Lag};
@@ -29,19 +29,21 @@
 #[case::one_behind(9, 1, 12)]
 #[case::two_behind(4, 2, 22)]
 #[case::nothing_yet(0, 3, 32)]
-fn tells_how_far_behind_a_version_is(#[case] version: u64, #[case] versions: usize, #[case] time: u64) {
+fn lag_counts_newer_commits_and_the_age_of_the_first(
+    #[case] version: u64, #[case] versions: usize, #[case] time: u64,
+) {
     assert_eq!(commits().lag(s(42), version), Lag { versions, time: s(time) });
 }
 
 #[test]
-fn remembers_a_bounded_number_of_commits() {
+fn commit_history_is_bounded() {
     let mut commits = CommitHistory::default();
     (1..=10_000).for_each(|version| commits.record(s(version), version));
     assert_eq!(commits.lag(s(10_000), 0).versions, 256);
 }
 
 #[test]
-fn reports_the_agents_that_asked_lately() {
+fn report_has_the_agents_with_a_recent_pull() {
     let mut agents = AgentRegistry::default();
     agents.record_pull(s(5), "gone", vector(12, SERVERS));
     agents.record_pull(s(41), "behind", vector(9, TablePosition { sequence: 6, ..SERVERS }));
--- a/crates/control/src/controller/platform_reachability_tests.rs
+++ b/crates/control/src/controller/platform_reachability_tests.rs
@@ -1,4 +1,4 @@
-//! Whom the list reader's role may go to.
+//! Which processes may reach the platform, and where the lease goes.
 
 use super::platform_reachability::PlatformReachability;
 use rstest::rstest;
@@ -14,48 +14,48 @@
 }
 
 #[rstest]
-#[case::heard_now(true, 5_000, 2, true)]
-#[case::heard_lately(true, 7_000, 2, true)]
-#[case::silent(true, 7_001, 2, false)]
-#[case::cut_off_itself(false, 5_000, 2, false)]
-#[case::not_of_the_view(true, 5_000, 3, false)]
-fn the_role_goes_to_a_member_that_was_heard_and_may_reach(
-    #[case] reaches: bool, #[case] now: u64, #[case] member: u8, #[case] likely: bool,
+#[case::fresh(true, 5_000, 2, true)]
+#[case::at_its_ttl(true, 7_000, 2, true)]
+#[case::expired(true, 7_001, 2, false)]
+#[case::negative(false, 5_000, 2, false)]
+#[case::not_a_member(true, 5_000, 3, false)]
+fn only_a_member_with_a_fresh_positive_report_may_reach(
+    #[case] reaches: bool, #[case] now: u64, #[case] member: u8, #[case] expected: bool,
 ) {
     let mut reach = PlatformReachability::default();
     reach.record_peer_report(ms(5_000), address(2), reaches);
-    assert_eq!(reach.any_peer_may_reach(ms(now), &[address(member)]), likely);
+    assert_eq!(reach.any_peer_may_reach(ms(now), &[address(member)]), expected);
 }
 
 #[rstest]
 #[case(29_999, false)]
 #[case(30_000, true)]
-fn a_failure_counts_for_a_while(#[case] after: u64, #[case] likely: bool) {
+fn own_failure_expires(#[case] after: u64, #[case] expected: bool) {
     let mut reach = PlatformReachability::default();
     assert!(reach.may_be_reachable(ms(0)));
     reach.record_failure(ms(1_000));
-    assert_eq!(reach.may_be_reachable(ms(1_000 + after)), likely);
+    assert_eq!(reach.may_be_reachable(ms(1_000 + after)), expected);
 }
 
 #[test]
-fn a_success_ends_it() {
+fn success_clears_the_failure() {
     let mut reach = PlatformReachability::default();
     reach.record_failure(ms(1_000));
     reach.record_success();
     assert!(reach.may_be_reachable(ms(1_001)));
 }
 
-/// Three processes, none of which reaches the platform: each holder gives up 1.4 s after it gained the role, tells the
-/// others and hands the role on if somebody may do better.
+/// Three processes, none of which reaches the platform: each holder fails 1.4 s after it acquired the lease, reports that, and
+/// steps down if a peer may reach the platform.
 #[test]
-fn the_role_goes_round_once_where_nobody_reaches_the_platform() {
+fn lease_makes_one_round_while_nobody_reaches_the_platform() {
     let mut reaches: Vec<PlatformReachability> = (0..3).map(|_| PlatformReachability::default()).collect();
     let all: Vec<SocketAddr> = (1..=3).map(address).collect();
     let (mut holder, mut gained, mut moves) = (0, 0, Vec::new());
     for now in (0..60_000).step_by(100) {
         for from in 0..3 {
-            let likely = reaches[from].may_be_reachable(ms(now));
-            reaches.iter_mut().for_each(|reach| reach.record_peer_report(ms(now), all[from], likely));
+            let expected = reaches[from].may_be_reachable(ms(now));
+            reaches.iter_mut().for_each(|reach| reach.record_peer_report(ms(now), all[from], expected));
         }
         if now < gained + 1_400 {
             continue;
--- a/crates/control/src/controller/process_directory_tests.rs
+++ b/crates/control/src/controller/process_directory_tests.rs
@@ -1,4 +1,4 @@
-//! Who is listed as a control process, who is told what, and whose word on the fleet counts.
+//! Which processes are listed, who reports to whom, and whose count of proxies is used.
 
 use super::process_directory::{MAX_PROCESSES, ProcessDirectory};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_process_that_is_no_member_is_listed_for_a_while_after_it_was_heard() {
+fn learner_is_listed_until_its_ttl_after_the_last_message() {
     let mut processes = ProcessDirectory::default();
     let members = several(1..=3);
     processes.record_message(seconds(1), process(4));
@@ -28,13 +28,13 @@
 }
 
 #[test]
-fn members_that_are_silent_and_this_process_are_listed_always() {
+fn members_and_this_process_are_always_listed() {
     let processes = ProcessDirectory::default();
     assert_eq!(processes.all(seconds(99), process(5), &several(1..=3)), several([1, 2, 3, 5]));
 }
 
 #[test]
-fn a_follower_lists_whom_a_member_names() {
+fn learner_lists_processes_named_by_a_member() {
     let mut processes = ProcessDirectory::default();
     let members = several(1..=3);
     processes.record_named(seconds(1), &several(1..=6));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn members_tell_everybody_and_followers_the_members_alone() {
+fn members_report_to_all_and_learners_to_members_only() {
     let mut processes = ProcessDirectory::default();
     let members = several(1..=3);
     processes.record_named(seconds(1), &several(1..=18));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn the_number_of_proxies_is_the_largest_that_a_member_has_told_lately() {
+fn live_proxies_is_the_largest_fresh_report_of_a_member() {
     let mut processes = ProcessDirectory::default();
     let members = several(1..=3);
     processes.record_live_proxies(seconds(1), process(1), 30);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn names_beyond_the_bound_are_not_remembered_until_others_are_forgotten() {
+fn process_beyond_the_bound_is_added_once_others_have_expired() {
     let mut processes = ProcessDirectory::default();
     let count = u8::try_from(MAX_PROCESSES).expect("a small bound");
     processes.record_named(seconds(0), &several(0..count));
--- a/crates/control/src/controller_tests.rs
+++ b/crates/control/src/controller_tests.rs
@@ -1,4 +1,4 @@
-//! A control process that comes back to a core that goes on in the view that is on its disk.
+//! A controller with a core of one: shutdown, and a restart in the view on its disk.
 
 use super::Controller;
 use crate::command::Command;
@@ -15,7 +15,7 @@
 
 /// Steps until a core of one has founded itself; each ends with the next command or after this time.
 const MAX_STEPS: usize = 1_000;
-const STEP: Duration = Duration::from_millis(20);
+const STEP_TIMEOUT: Duration = Duration::from_millis(20);
 
 fn settings(directory: &Path) -> Settings {
     let text = format!(
@@ -48,7 +48,7 @@
 
 async fn step(controller: &mut Controller, queue: &mut Receiver<Command>) {
     controller.handle(Command::Tick);
-    if let Ok(Some(command)) = timeout(STEP, queue.recv()).await {
+    if let Ok(Some(command)) = timeout(STEP_TIMEOUT, queue.recv()).await {
         controller.handle(command);
     }
 }
@@ -62,7 +62,7 @@
 }
 
 /// Goes on until a core of one has founded itself.
-async fn found(controller: &mut Controller, queue: &mut Receiver<Command>) {
+async fn bootstrap(controller: &mut Controller, queue: &mut Receiver<Command>) {
     let mut steps = 0;
     while !controller.replica.status().is_serving && steps < MAX_STEPS {
         step(controller, queue).await;
@@ -71,7 +71,7 @@
 }
 
 /// What an agent that has nothing is told of contact.
-fn is_in_touch(controller: &mut Controller) -> bool {
+fn has_quorum_for_agents(controller: &mut Controller) -> bool {
     let (reply, mut answer) = oneshot::channel();
     let (node, incarnation, loads) = ("front-1".to_owned(), 1, Vec::new());
     let request = AgentRequest::Pull { node, incarnation, have: VersionVector::default(), wait_ms: 0, loads };
@@ -82,29 +82,29 @@
 }
 
 #[tokio::test]
-async fn one_that_was_told_to_end_sends_its_agents_elsewhere_until_it_ends() {
+async fn shutdown_sends_agents_to_other_processes_until_the_end() {
     let directory = folder("end");
     let (mut controller, _commands, mut queue) = start(&directory);
-    found(&mut controller, &mut queue).await;
-    assert!(is_in_touch(&mut controller));
+    bootstrap(&mut controller, &mut queue).await;
+    assert!(has_quorum_for_agents(&mut controller));
     let (done, mut outcome) = oneshot::channel();
     controller.handle(Command::Shutdown { done });
-    assert!(!is_in_touch(&mut controller));
+    assert!(!has_quorum_for_agents(&mut controller));
     let mut steps = 0;
     while outcome.is_empty() && steps < MAX_STEPS {
         step(&mut controller, &mut queue).await;
         steps += 1;
     }
     assert_eq!(outcome.try_recv(), Ok(ShutdownOutcome::Stayed));
-    assert!(!is_in_touch(&mut controller));
+    assert!(!has_quorum_for_agents(&mut controller));
     drop(std::fs::remove_dir_all(directory));
 }
 
 #[tokio::test]
-async fn the_view_that_is_found_on_the_disk_is_told_to_the_election() {
+async fn view_found_on_disk_is_reported_to_the_elector() {
     let directory = folder("view");
     let (mut controller, commands, mut queue) = start(&directory);
-    found(&mut controller, &mut queue).await;
+    bootstrap(&mut controller, &mut queue).await;
     let view = controller.views.current();
     assert!(controller.replica.status().is_serving && view > 0, "{:?}", controller.replica.status());
     drop((controller, commands, queue));
--- a/crates/control/src/gateway_tests.rs
+++ b/crates/control/src/gateway_tests.rs
@@ -31,7 +31,7 @@
 #[case::read("GET /config", b"", "http://10.0.0.4:8080/config")]
 #[case::query("GET /status?full=1", b"", "http://10.0.0.4:8080/status?full=1")]
 #[tokio::test]
-async fn sends_a_call_on_to_the_control_process(
+async fn request_is_redirected_to_the_followed_control_process(
     #[case] head: &str, #[case] body: &[u8], #[case] location: &str,
 ) {
     let answer = call(Some("10.0.0.4:8080"), head, body).await;
@@ -40,7 +40,7 @@
 }
 
 #[tokio::test]
-async fn promises_nothing_where_no_control_process_is_followed() {
+async fn without_a_followed_control_process_the_response_is_unavailable() {
     let answer = call(None, "PUT /config", b"{}").await;
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
     assert!(answer.to_ascii_lowercase().contains("retry-after:"), "{answer}");
--- a/crates/control/src/list_watcher_tests.rs
+++ b/crates/control/src/list_watcher_tests.rs
@@ -1,4 +1,4 @@
-//! When a reader may ask, and when one that has no answer should be followed by another one.
+//! When the list watcher may send a request, and when an outage makes it step down.
 
 use crate::lease::HeldLease;
 use crate::list_watcher::{PlatformOutage, run};
@@ -12,16 +12,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, timeout};
 
-/// Failed readings one after the other, each by its begin and end in ms; returns when the last one says to give up.
-fn steps_down(readings: &[(u64, u64, Option<u16>)]) -> bool {
+/// Failed reads one after the other, each by its start and end in ms and its status; returns whether the last one says to
+/// step down.
+fn steps_down(reads: &[(u64, u64, Option<u16>)]) -> bool {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut outage = PlatformOutage::default();
     let mut should_step_down = false;
-    for (begun, ended, status) in readings {
+    for (started, ended, status) in reads {
         let status = status.and_then(|status| StatusCode::from_u16(status).ok());
         let error = status.map_or(PlatformError::Timeout, PlatformError::Status);
-        should_step_down = outage.record_failure(at(*begun), at(*ended), &error);
+        should_step_down = outage.record_failure(at(*started), at(*ended), &error);
     }
     should_step_down
 }
@@ -33,14 +34,12 @@
 #[case::refused_connections_for_long(&[(0, 1, None), (250, 251, None), (1_250, 1_251, None)], true)]
 #[case::over_the_rate(&[(0, 1, Some(429)), (1_000, 1_001, Some(429)), (2_000, 2_001, Some(429))], false)]
 #[case::an_answer_between(&[(0, 700, None), (700, 701, Some(503)), (950, 1_650, None)], false)]
-fn gives_up_after_a_time_without_an_answer(
-    #[case] readings: &[(u64, u64, Option<u16>)], #[case] wanted: bool,
-) {
-    assert_eq!(steps_down(readings), wanted);
+fn steps_down_after_an_outage(#[case] reads: &[(u64, u64, Option<u16>)], #[case] wanted: bool) {
+    assert_eq!(steps_down(reads), wanted);
 }
 
 #[test]
-fn a_reading_that_succeeds_begins_anew() {
+fn response_ends_the_outage() {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut outage = PlatformOutage::default();
@@ -49,12 +48,12 @@
     assert!(!outage.record_failure(at(1_000), at(1_700), &PlatformError::Timeout));
 }
 
-/// The process stood still: the reader runs before the owner of the lease has looked at its clock.
+/// After a pause of the process this task may run before the controller has noticed the end of the lease.
 #[rstest]
 #[case::over(Duration::ZERO, false)]
 #[case::running(Duration::from_secs(60), true)]
 #[tokio::test(start_paused = true)]
-async fn asks_for_a_page_only_within_the_lease(#[case] left: Duration, #[case] asks: bool) {
+async fn page_is_requested_only_under_a_valid_lease(#[case] left: Duration, #[case] asks: bool) {
     let platform = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = platform.local_addr().expect("bound");
     let (_role, holding) = watch::channel(Some(HeldLease { token: 7, expires_at: Instant::now() + left }));
--- a/crates/control/src/logs_tests.rs
+++ b/crates/control/src/logs_tests.rs
@@ -58,16 +58,16 @@
     LogEvent::Superseded(header()),
     format!("warn entry outcome=superseded index=3 version=12 base=9 hash={HASH}")
 )]
-fn writes_one_line_with_fields(#[case] line: LogEvent, #[case] wanted: String) {
+fn event_is_logged_as_one_line_with_fields(#[case] line: LogEvent, #[case] wanted: String) {
     assert_eq!(written(&line, Level::Debug).trim_end(), wanted);
 }
 
 #[test]
-fn is_quiet_by_default() {
+fn serving_is_not_logged_at_warn() {
     assert_eq!(written(&LogEvent::Serving { number: 5, replicas: 2 }, Level::Warn), "");
 }
 
 #[test]
-fn shows_the_hash_that_the_replicas_compare() {
+fn hash_is_the_one_that_replicas_compare() {
     assert_eq!(Hash(b"{}").to_string(), Digest::of(b"{}").to_string());
 }
--- a/crates/control/src/metrics_tests.rs
+++ b/crates/control/src/metrics_tests.rs
@@ -71,20 +71,20 @@
 #[case("lugwharf_control_live_proxies 9")]
 #[case("lugwharf_control_agents 2")]
 #[case("lugwharf_control_agents_behind 1")]
-fn tells(#[case] line: &str) {
+fn metric_is_rendered(#[case] line: &str) {
     let text = text();
     assert!(text.lines().any(|told| told == line), "{text}");
 }
 
 #[test]
-fn is_whole_and_forgets_services_that_are_gone() {
+fn text_is_complete_and_drops_services_that_have_gone() {
     let text = text();
     assert!(text.ends_with("# EOF\n"), "{text}");
     assert!(!text.contains("gone"), "{text}");
 }
 
 #[test]
-fn names_every_kind_of_refusal() {
+fn every_kind_of_rejection_has_a_label() {
     let text = text();
     for kind in ErrorKind::ALL {
         let label = format!("kind=\"{}\"", kind.status_and_name().1);
@@ -94,7 +94,7 @@
 
 /// The page that operators read names every metric.
 #[test]
-fn is_documented_name_by_name() {
+fn every_metric_is_documented_for_operators() {
     const OPERATING: &str = include_str!("../../../docs/OPERATING.md");
     let text = text();
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE lugwharf_control_"));
--- a/crates/control/src/operator_error_tests.rs
+++ b/crates/control/src/operator_error_tests.rs
@@ -19,21 +19,21 @@
 }
 
 #[test]
-fn every_kind_answers_as_the_design_page_says() {
-    let told = ErrorKind::ALL.map(|kind| {
+fn every_kind_has_the_status_and_name_of_the_design_page() {
+    let actual = ErrorKind::ALL.map(|kind| {
         let (status, name) = kind.status_and_name();
         (format!("{kind:?}"), status, name.to_owned())
     });
-    let mut told = told.to_vec();
-    let mut wanted = table();
-    told.sort();
-    wanted.sort();
-    assert_eq!(told, wanted);
+    let mut actual = actual.to_vec();
+    let mut documented = table();
+    actual.sort();
+    documented.sort();
+    assert_eq!(actual, documented);
 }
 
-/// These end a call of the operator, so that a change that may have been taken must not get them.
+/// These statuses end a request for good; a change that may have been accepted must not get one.
 #[test]
-fn what_the_core_can_not_decide_ends_no_call() {
+fn unavailable_has_a_status_that_lets_the_operator_retry() {
     let (status, _) = ErrorKind::Unavailable.status_and_name();
     assert!(!matches!(status, 400 | 409 | 412 | 413 | 422), "{status}");
 }
--- a/crates/control/src/operator_tests.rs
+++ b/crates/control/src/operator_tests.rs
@@ -1,4 +1,4 @@
-//! The bounds of the operator's API, and its answers over HTTP beside an owner of a few lines.
+//! The bounds of the operator's API, and its responses over HTTP with a controller of a few lines.
 
 use crate::command::Command;
 use crate::message::PeerMessage;
@@ -19,24 +19,24 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Entries whose marks a replica keeps, and how many of them with their bytes.
-const MARKS: u64 = 10_000;
+/// Entries whose headers a replica retains, and how many of them with their bytes.
+const HEADERS: u64 = 10_000;
 const BODIES: u64 = 2;
 
-/// A configuration that is taken must also fit through the core, or the chain would never grow again.
+/// A configuration that is accepted must also fit through the core, or the chain could never grow again.
 #[test]
-fn a_history_with_the_largest_configurations_fits_into_a_frame() {
+fn history_with_the_largest_configurations_fits_into_a_frame() {
     let first = u64::MAX / 2;
     let digest = Digest {
         fnv: Fnv(u64::MAX, u64::MAX),
         blake3: Some(Blake3(u64::MAX, u64::MAX)),
         request_hash: Some(Blake3(u64::MAX, u64::MAX)),
     };
-    let marks =
-        (0..MARKS).map(|index| EntryHeader { index: first + index, version: first, base: first, digest });
+    let headers =
+        (0..HEADERS).map(|index| EntryHeader { index: first + index, version: first, base: first, digest });
     let bytes: Arc<[u8]> = vec![b'x'; usize::try_from(MAX_CONFIG_BYTES).expect("a size")].into();
     let bodies = (0..BODIES).map(|index| EntryBody { index: first + index, bytes: bytes.clone() });
-    let transfer = HistorySuffix { after: first, headers: marks.collect(), bodies: bodies.collect() };
+    let transfer = HistorySuffix { after: first, headers: headers.collect(), bodies: bodies.collect() };
     let body = PeerMessage::Chain(Message::State { view: first, suffix: transfer });
     // The sender's address stands in the frame as well.
     const ENVELOPE: usize = 256;
@@ -44,14 +44,14 @@
     assert!(frame.len() + ENVELOPE <= MAX_FRAME_BYTES, "{} bytes", frame.len());
 }
 
-/// The share of a frame that two of them leave for the rest.
+/// Two of them leave a quarter of a frame for the rest.
 #[test]
-fn the_largest_configuration_is_three_eighths_of_a_frame() {
+fn largest_configuration_is_three_eighths_of_a_frame() {
     assert_eq!(MAX_CONFIG_BYTES * 8, MAX_FRAME_BYTES as u64 * 3);
 }
 
-/// Answers commands as an owner does whose current version is 7.
-async fn own(mut queue: mpsc::Receiver<Command>) {
+/// Answers commands as a controller whose current version is 7.
+async fn answer_commands(mut queue: mpsc::Receiver<Command>) {
     while let Some(command) = queue.recv().await {
         match command {
             Command::Submit { base: 7, version, reply, .. } if version > 7 => {
@@ -70,20 +70,20 @@
     }
 }
 
-/// Serves the API beside an owner.
-async fn serve<F>(own: impl FnOnce(mpsc::Receiver<Command>) -> F) -> SocketAddr
+/// Serves the API with this controller.
+async fn serve<F>(answer_commands: impl FnOnce(mpsc::Receiver<Command>) -> F) -> SocketAddr
 where
     F: Future<Output = ()> + Send + 'static,
 {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let (commands, queue) = mpsc::channel(4);
-    tokio::spawn(own(queue));
+    tokio::spawn(answer_commands(queue));
     operator::serve(listener, commands, RejectionCounters::default());
     address
 }
 
-/// Sends a head, and the body that it announces as far as it is there.
+/// Sends a head with this content length, and as much of the body as is given.
 async fn send(address: SocketAddr, head: &str, length: usize, body: &[u8]) -> TcpStream {
     let mut link = TcpStream::connect(address).await.expect("a connection");
     let head = format!("{head}\r\nHost: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
@@ -93,16 +93,16 @@
     link
 }
 
-async fn read_whole(mut link: TcpStream) -> String {
+async fn read_response(mut link: TcpStream) -> String {
     let mut answer = Vec::new();
     let _ = link.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
-/// Sends one request and returns the whole answer.
+/// Sends one request and returns the complete response.
 async fn call(head: &str, body: &[u8]) -> String {
-    let address = serve(own).await;
-    read_whole(send(address, head, body.len(), body).await).await
+    let address = serve(answer_commands).await;
+    read_response(send(address, head, body.len(), body).await).await
 }
 
 fn configuration(version: u64) -> Vec<u8> {
@@ -125,7 +125,9 @@
 #[case::method("POST /metrics HTTP/1.1", Vec::new(), 405, "method_not_allowed")]
 #[case::path("GET /elsewhere HTTP/1.1", Vec::new(), 404, "not_found")]
 #[tokio::test]
-async fn answers(#[case] head: &str, #[case] body: Vec<u8>, #[case] status: u16, #[case] wanted: &str) {
+async fn request_gets_its_status_and_body(
+    #[case] head: &str, #[case] body: Vec<u8>, #[case] status: u16, #[case] wanted: &str,
+) {
     let answer = call(head, &body).await;
     assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
     assert!(answer.contains(wanted), "{answer}");
@@ -133,27 +135,29 @@
     assert_eq!(retry, status == 503, "{answer}");
 }
 
-/// Answers as an owner does whose current version is 7 with one route, and which took version 6 from that very patch before.
-async fn own_a_base(mut queue: mpsc::Receiver<Command>) {
+/// Answers as a controller whose current version is 7 with one service, and which accepted version 6 from that very patch before.
+async fn answer_with_a_base(mut queue: mpsc::Receiver<Command>) {
     let current = CommittedConfig { version: 7, base: 6, bytes: base_of_patches().into() };
-    let taken = Blake3::of(&patch_to(6));
+    let accepted_before = Blake3::of(&patch_to(6));
     while let Some(command) = queue.recv().await {
         match command {
             Command::Read { reply } => {
                 drop(reply.send(OperatorResponse::Config(Some(Arc::new(current.clone())))))
             }
             Command::Submit { base: 7, version, request: Some(_), bytes, reply } if !bytes.is_empty() => {
-                let whole: serde_json::Value = serde_json::from_slice(&bytes).expect("JSON");
+                let patched: serde_json::Value = serde_json::from_slice(&bytes).expect("JSON");
                 assert_eq!(
-                    (&whole["Version"], &whole["Services"][0]["Name"]),
+                    (&patched["Version"], &patched["Services"][0]["Name"]),
                     (&version.into(), &"s-2".into())
                 );
                 drop(reply.send(OperatorResponse::Accepted { version }));
             }
-            Command::Submit { base: 7, .. } => panic!("a whole configuration that comes from a request"),
+            Command::Submit { base: 7, .. } => {
+                panic!("a complete configuration without the hash of its request")
+            }
             Command::Submit { request, version, bytes, reply, .. } => {
                 assert!(bytes.is_empty(), "nothing was computed from another base");
-                let is_taken = request == Some(taken);
+                let is_taken = request == Some(accepted_before);
                 let answer = if is_taken {
                     OperatorResponse::Accepted { version }
                 } else {
@@ -184,18 +188,18 @@
 #[case::broken_result("If-Match: 7", br#"{"Version":9,"Upsert":{"Routes":[{"Name":"r"}]}}"#.to_vec(), 400, "\"Field\":\"/Routes/0\"")]
 #[case::no_base("X: 1", patch_to(9), 400, "bad_base")]
 #[tokio::test]
-async fn answers_a_patch(
+async fn patch_gets_its_status_and_body(
     #[case] header: &str, #[case] body: Vec<u8>, #[case] status: u16, #[case] wanted: &str,
 ) {
-    let address = serve(own_a_base).await;
+    let address = serve(answer_with_a_base).await;
     let head = format!("PATCH /config HTTP/1.1\r\n{header}");
-    let answer = read_whole(send(address, &head, body.len(), &body).await).await;
+    let answer = read_response(send(address, &head, body.len(), &body).await).await;
     assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
     assert!(answer.contains(wanted), "{answer}");
 }
 
 #[tokio::test]
-async fn a_patch_that_grows_the_configuration_over_the_limit_is_refused() {
+async fn patch_that_grows_the_configuration_over_the_limit_is_rejected() {
     let size = usize::try_from(MAX_CONFIG_BYTES).expect("a size");
     let address = serve(move |mut queue: mpsc::Receiver<Command>| async move {
         let padding = " ".repeat(size - 100);
@@ -214,32 +218,32 @@
     let body = format!(r#"{{"Version":9,"Upsert":{{"Services":[{{"Name":"s","HealthPath":"{path}"}}]}}}}"#);
     let body = body.as_bytes();
     let answer =
-        read_whole(send(address, "PATCH /config HTTP/1.1\r\nIf-Match: 7", body.len(), body).await).await;
+        read_response(send(address, "PATCH /config HTTP/1.1\r\nIf-Match: 7", body.len(), body).await).await;
     assert!(answer.starts_with("HTTP/1.1 413 ") && answer.contains("too_large"), "{answer}");
 }
 
 #[tokio::test]
-async fn refuses_a_configuration_over_the_limit() {
+async fn configuration_over_the_limit_is_rejected() {
     let body = vec![b' '; usize::try_from(MAX_CONFIG_BYTES).expect("a size") + 1];
     let answer = call("PUT /config HTTP/1.1\r\nIf-Match: 7", &body).await;
     assert!(answer.starts_with("HTTP/1.1 413 ") && answer.contains("too_large"), "{answer}");
 }
 
 #[tokio::test]
-async fn names_the_type_of_the_metrics() {
+async fn metrics_have_the_openmetrics_content_type() {
     let answer = call("GET /metrics HTTP/1.1", &[]).await;
     assert!(answer.contains("application/openmetrics-text; version=1.0.0; charset=utf-8"), "{answer}");
 }
 
-/// Takes commands and never answers them.
-async fn own_in_vain(mut queue: mpsc::Receiver<Command>) {
+/// Receives commands and never replies.
+async fn never_answer(mut queue: mpsc::Receiver<Command>) {
     let mut kept = Vec::new();
     while let Some(command) = queue.recv().await {
         kept.push(command);
     }
 }
 
-/// The operator moves on after a second of silence.
+/// The operator moves on after 1 s without a response.
 #[rstest]
 #[case::change("PUT /config HTTP/1.1\r\nIf-Match: 7", configuration(9))]
 #[case::patch("PATCH /config HTTP/1.1\r\nIf-Match: 7", b"{\"Version\":9}".to_vec())]
@@ -247,20 +251,20 @@
 #[case::status("GET /status HTTP/1.1", Vec::new())]
 #[case::metrics("GET /metrics HTTP/1.1", Vec::new())]
 #[tokio::test(start_paused = true)]
-async fn a_call_that_is_not_decided_promises_nothing_and_says_so_in_time(
+async fn undecided_request_is_unavailable_within_the_response_timeout(
     #[case] head: &str, #[case] body: Vec<u8>,
 ) {
-    let address = serve(own_in_vain).await;
+    let address = serve(never_answer).await;
     let link = send(address, head, body.len(), &body).await;
     let sent = Instant::now();
-    let answer = read_whole(link).await;
+    let answer = read_response(link).await;
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
     let took = sent.elapsed();
     assert!(took > Duration::from_millis(800) && took < Duration::from_secs(1), "{took:?}");
 }
 
 /// Answers reads with a configuration, byte for byte.
-async fn own_a_configuration(mut queue: mpsc::Receiver<Command>) {
+async fn answer_with_a_configuration(mut queue: mpsc::Receiver<Command>) {
     let config = CommittedConfig { version: 9, base: 7, bytes: b"{ \"Version\" : 9 }".as_slice().into() };
     while let Some(command) = queue.recv().await {
         if let Command::Read { reply } = command {
@@ -270,9 +274,9 @@
 }
 
 #[tokio::test]
-async fn a_read_tells_the_configuration_byte_for_byte() {
-    let address = serve(own_a_configuration).await;
-    let answer = read_whole(send(address, "GET /config HTTP/1.1", 0, b"").await).await;
+async fn read_returns_the_configuration_byte_for_byte() {
+    let address = serve(answer_with_a_configuration).await;
+    let answer = read_response(send(address, "GET /config HTTP/1.1", 0, b"").await).await;
     assert!(
         answer.starts_with("HTTP/1.1 200 ") && answer.ends_with("\r\n\r\n{ \"Version\" : 9 }"),
         "{answer}"
@@ -280,12 +284,12 @@
     assert!(answer.to_ascii_lowercase().contains("content-type: application/json\r\n"), "{answer}");
 }
 
-/// An answer that does not belong to the question promises nothing.
+/// A response that does not belong to the request decides nothing.
 #[rstest]
 #[case::change("PUT /config HTTP/1.1\r\nIf-Match: 7", configuration(9))]
 #[case::read("GET /config HTTP/1.1", Vec::new())]
 #[tokio::test]
-async fn an_answer_of_another_kind_promises_nothing(#[case] head: &str, #[case] body: Vec<u8>) {
+async fn response_of_the_wrong_kind_is_unavailable(#[case] head: &str, #[case] body: Vec<u8>) {
     let address = serve(|mut queue| async move {
         while let Some(command) = queue.recv().await {
             match command {
@@ -296,47 +300,47 @@
         }
     })
     .await;
-    let answer = read_whole(send(address, head, body.len(), &body).await).await;
+    let answer = read_response(send(address, head, body.len(), &body).await).await;
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_body_that_does_not_come_is_given_up() {
-    let address = serve(own).await;
+async fn body_that_does_not_arrive_times_out() {
+    let address = serve(answer_commands).await;
     let sent = Instant::now();
     let link = send(address, "PUT /config HTTP/1.1\r\nIf-Match: 7", 100, b"{\"Vers").await;
-    let answer = read_whole(link).await;
+    let answer = read_response(link).await;
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
     assert!(sent.elapsed() < Duration::from_secs(6), "{:?}", sent.elapsed());
 }
 
-/// Begins a change and waits until its body is asked for, which is after it was given a place.
-async fn hold_a_place(address: SocketAddr) -> TcpStream {
+/// Begins a change and waits until its body is requested, which is after it got a permit.
+async fn occupy_a_body_permit(address: SocketAddr) -> TcpStream {
     const GO_ON: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
     let head = "PUT /config HTTP/1.1\r\nIf-Match: 7\r\nExpect: 100-continue";
     let mut link = send(address, head, 100, b"").await;
     let mut begun = vec![0; GO_ON.len()];
-    link.read_exact(&mut begun).await.expect("a word to go on");
+    link.read_exact(&mut begun).await.expect("an interim response");
     assert_eq!(begun, GO_ON);
     link
 }
 
 #[tokio::test]
-async fn changes_beyond_those_that_there_is_room_for_are_sent_away() {
-    let address = serve(own).await;
-    let mut held = Vec::new();
+async fn change_beyond_the_concurrent_bodies_is_unavailable() {
+    let address = serve(answer_commands).await;
+    let mut occupied = Vec::new();
     for _ in 0..MAX_CONCURRENT_BODIES {
-        held.push(hold_a_place(address).await);
+        occupied.push(occupy_a_body_permit(address).await);
     }
     let body = configuration(9);
     let change = || send(address, "PUT /config HTTP/1.1\r\nIf-Match: 7", body.len(), &body);
-    let answer = read_whole(change().await).await;
+    let answer = read_response(change().await).await;
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
-    // One that ends its body leaves room for another.
-    let mut first = held.remove(0);
+    // One whose body ends releases its permit.
+    let mut first = occupied.remove(0);
     first.write_all(&[b' '; 100]).await.expect("a write");
-    let answer = read_whole(first).await;
+    let answer = read_response(first).await;
     assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
-    let answer = read_whole(change().await).await;
+    let answer = read_response(change().await).await;
     assert!(answer.starts_with("HTTP/1.1 200 "), "{answer}");
 }
--- a/crates/control/src/orders_tests.rs
+++ b/crates/control/src/orders_tests.rs
@@ -15,15 +15,15 @@
 /// Longer than any test.
 const LONG: Duration = Duration::from_secs(600);
 
-/// Gives one order; returns how it ended.
-async fn give(address: SocketAddr, until: Instant) -> OrderOutcome {
-    let (calls, queue) = mpsc::channel(1);
+/// Sends one order under a lease that ends at `until`; returns how it ended.
+async fn send_order(address: SocketAddr, until: Instant) -> OrderOutcome {
+    let (orders, queue) = mpsc::channel(1);
     let (commands, mut done) = mpsc::channel(1);
     tokio::spawn(run(queue, commands));
     let order = Order { id: "i-1".to_owned(), address, stage: Stage::Decode };
     let lease = HeldLease { token: 7, expires_at: until };
-    let call = AuthorizedOrder { order, holder: "core-1".to_owned(), lease };
-    calls.send(call).await.expect("a queue");
+    let authorized = AuthorizedOrder { order, holder: "core-1".to_owned(), lease };
+    orders.send(authorized).await.expect("a queue");
     match done.recv().await {
         Some(Command::OrderCompleted { id, answer }) if id == "i-1" => answer,
         _ => panic!("no end of the order"),
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test]
-async fn an_order_names_its_server_its_sender_and_its_token() {
+async fn order_names_its_server_its_holder_and_its_token() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let server = tokio::spawn(async move {
@@ -43,7 +43,7 @@
         stream.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").await.expect("an answer");
         String::from_utf8(received).expect("text")
     });
-    assert_eq!(give(address, Instant::now() + LONG).await, OrderOutcome::Accepted);
+    assert_eq!(send_order(address, Instant::now() + LONG).await, OrderOutcome::Accepted);
     let received = server.await.expect("a request");
     assert!(received.starts_with("POST /order HTTP/1.1\r\n"), "{received}");
     assert!(received.to_ascii_lowercase().contains("expect-instance: i-1\r\n"), "{received}");
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn nothing_is_sent_under_a_lease_that_has_ended() {
+async fn no_order_is_sent_after_the_lease_has_ended() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let server = tokio::spawn(async move {
@@ -61,17 +61,17 @@
         let _ = stream.read_to_end(&mut received).await;
         received
     });
-    assert_eq!(give(address, Instant::now()).await, OrderOutcome::Rejected);
+    assert_eq!(send_order(address, Instant::now()).await, OrderOutcome::Rejected);
     assert_eq!(server.await.expect("a connection"), b"");
 }
 
-/// The server takes the order and is silent. The next holder may act as soon as the lease is over.
+/// The server accepts the connection and does not respond. The next holder may act as soon as the lease is over.
 #[tokio::test(start_paused = true)]
-async fn a_call_under_way_ends_with_the_lease() {
+async fn order_in_flight_is_aborted_at_the_end_of_the_lease() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let left = Duration::from_millis(100);
-    assert_eq!(give(address, begun + left).await, OrderOutcome::Unknown);
-    assert!(begun.elapsed() <= left + Duration::from_millis(1), "{:?}", begun.elapsed());
+    assert_eq!(send_order(address, started_at + left).await, OrderOutcome::Unknown);
+    assert!(started_at.elapsed() <= left + Duration::from_millis(1), "{:?}", started_at.elapsed());
 }
--- a/crates/control/src/pulls_tests.rs
+++ b/crates/control/src/pulls_tests.rs
@@ -1,4 +1,4 @@
-//! Who gets which answer, and that those who have the same share one.
+//! Which agent gets which reply, and that agents with the same versions share one.
 
 use super::{Frame, MAX_CACHED_REPLIES, MAX_WAIT, PendingPulls, PullsServed, REPLY_CACHE_TTL, ReplyContext};
 use lugwharf_distribution::Tables;
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn all_who_have_nothing_share_one_answer() {
+fn agents_with_nothing_share_one_reply() {
     let tables = tables(20);
     let mut pulls = PendingPulls::default();
     let mut answers = Vec::new();
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn nobody_gets_an_answer_from_before_a_change() {
+fn change_of_the_tables_invalidates_cached_replies() {
     let mut tables = tables(2);
     let mut pulls = PendingPulls::default();
     let mut before = pull(&mut pulls, Duration::ZERO, VersionVector::default());
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn who_has_everything_waits_its_time_and_gets_nothing_new() {
+fn up_to_date_agent_waits_its_time_and_gets_nothing_new() {
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
     let have = tables.vector();
@@ -88,12 +88,12 @@
     pulls.serve(Duration::ZERO, &tables, &context(true));
     assert!(answer.try_recv().is_err());
     pulls.serve(Duration::from_millis(u64::from(WAIT_MS)), &tables, &context(true));
-    let got = update(&answer.try_recv().expect("an answer"));
-    assert_eq!((got.vector, got.servers), (have, None));
+    let received = update(&answer.try_recv().expect("an answer"));
+    assert_eq!((received.vector, received.servers), (have, None));
 }
 
 #[test]
-fn who_has_everything_is_told_at_once_that_the_process_is_out_of_touch() {
+fn up_to_date_agent_learns_at_once_that_the_quorum_is_lost() {
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
     let mut answer = pull(&mut pulls, Duration::ZERO, tables.vector());
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_answer_is_not_kept_for_long() {
+fn cached_reply_expires() {
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
     let mut first = pull(&mut pulls, Duration::ZERO, VersionVector::default());
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn in_a_storm_of_configurations_a_front_is_sent_the_newest_once_in_a_while() {
+fn front_gets_the_newest_of_many_configurations_once_per_interval() {
     let config_interval = Duration::from_millis(500);
     let mut tables = tables(2);
     let mut pulls = PendingPulls::with_config_interval(config_interval);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_list_that_changes_does_not_wait_for_a_configuration_that_is_not_due() {
+fn server_list_does_not_wait_for_a_configuration_that_is_not_due() {
     let mut tables = tables(2);
     let mut pulls = PendingPulls::with_config_interval(Duration::from_millis(500));
     tables.advance_config(config(1));
@@ -154,12 +154,12 @@
     let now = Duration::from_millis(100);
     let mut second = pull(&mut pulls, now, have);
     pulls.serve(now, &tables, &context(true));
-    let got = update(&second.try_recv().expect("an answer"));
-    assert_eq!((got.config, got.servers.expect("a change").entries.len()), (None, 1));
+    let received = update(&second.try_recv().expect("an answer"));
+    assert_eq!((received.config, received.servers.expect("a change").entries.len()), (None, 1));
 }
 
 #[test]
-fn a_front_that_starts_again_gets_its_configuration_at_once() {
+fn restarted_front_gets_its_configuration_at_once() {
     let mut tables = tables(2);
     let mut pulls = PendingPulls::with_config_interval(Duration::from_millis(500));
     tables.advance_config(config(1));
@@ -171,27 +171,27 @@
     }
 }
 
-fn in_touch(frame: &Frame) -> bool {
+fn has_quorum(frame: &Frame) -> bool {
     let ControlReply::Update { has_quorum, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
     has_quorum
 }
 
-/// The answer to a pull that was served before: it is not made anew, though what it says of contact changes.
+/// The tables stay the same, so only the context tells the replies apart.
 #[rstest]
 #[case::lost(true, false)]
-#[case::found(false, true)]
-fn nobody_is_told_of_contact_as_it_was(#[case] before: bool, #[case] after: bool) {
+#[case::regained(false, true)]
+fn change_of_the_quorum_invalidates_cached_replies(#[case] before: bool, #[case] after: bool) {
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
     for state in [before, after] {
         let mut answer = pull(&mut pulls, Duration::ZERO, VersionVector::default());
         pulls.serve(Duration::ZERO, &tables, &context(state));
-        assert_eq!(in_touch(&answer.try_recv().expect("an answer")), state);
+        assert_eq!(has_quorum(&answer.try_recv().expect("an answer")), state);
     }
 }
 
 #[test]
-fn the_processes_that_are_named_are_the_newest() {
+fn change_of_the_control_processes_invalidates_cached_replies() {
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
     for count in 1..3_u8 {
@@ -205,9 +205,9 @@
     }
 }
 
-/// A front that has left is sent nothing, so that it is not counted as one that has just been sent a configuration.
+/// A front that has gone gets nothing, so it must not count as one that was just sent a configuration.
 #[test]
-fn a_pull_that_was_given_up_does_not_hold_up_the_next_one() {
+fn abandoned_pull_does_not_count_as_a_sent_configuration() {
     let mut tables = tables(2);
     let mut pulls = PendingPulls::with_config_interval(Duration::from_millis(500));
     tables.advance_config(config(1));
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn no_pull_waits_longer_than_the_bound() {
+fn pull_waits_at_most_max_wait() {
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
     let (reply, mut answer) = oneshot::channel();
@@ -231,12 +231,12 @@
     assert!(answer.try_recv().is_err());
     let served = pulls.serve(MAX_WAIT, &tables, &context(true));
     assert_eq!(served, PullsServed { updated: 0, unchanged: 1, configs: Vec::new() });
-    assert!(in_touch(&answer.try_recv().expect("an answer")));
+    assert!(has_quorum(&answer.try_recv().expect("an answer")));
 }
 
-/// Pulls of different ages and states in one look: each is answered or kept by itself.
+/// Up-to-date and outdated pulls in one pass: `swap_remove` must skip none of them.
 #[test]
-fn a_look_passes_over_no_pull() {
+fn serve_decides_each_pull_by_itself() {
     let mut tables = tables(2);
     let mut pulls = PendingPulls::default();
     let old = tables.vector();
@@ -251,13 +251,13 @@
     }
 }
 
-/// The config_interval holds for each front by itself, and only for its length.
+/// The interval holds for each front by itself, and only for its length.
 #[test]
-fn a_configuration_is_due_again_after_the_pace_and_for_others_at_once() {
+fn config_interval_holds_for_each_front_by_itself() {
     let config_interval = Duration::from_millis(500);
     let mut tables = tables(2);
     let mut pulls = PendingPulls::with_config_interval(config_interval);
-    let mut ask = |tables: &Tables, node: &str, at: Duration, have: VersionVector| {
+    let mut pull_config = |tables: &Tables, node: &str, at: Duration, have: VersionVector| {
         let (reply, mut answer) = oneshot::channel();
         pulls.add(at, node.to_owned(), have, WAIT_MS, reply);
         pulls.serve(at, tables, &context(true));
@@ -265,29 +265,29 @@
     };
     tables.advance_config(config(1));
     let nothing = VersionVector::default();
-    assert_eq!(ask(&tables, "front-1", Duration::ZERO, nothing), Some(1));
+    assert_eq!(pull_config(&tables, "front-1", Duration::ZERO, nothing), Some(1));
     let first = tables.vector();
     tables.advance_config(config(2));
-    assert_eq!(ask(&tables, "front-1", config_interval - Duration::from_millis(1), first), None);
-    assert_eq!(ask(&tables, "front-2", config_interval - Duration::from_millis(1), first), Some(2));
-    assert_eq!(ask(&tables, "front-1", config_interval, first), Some(2));
+    assert_eq!(pull_config(&tables, "front-1", config_interval - Duration::from_millis(1), first), None);
+    assert_eq!(pull_config(&tables, "front-2", config_interval - Duration::from_millis(1), first), Some(2));
+    assert_eq!(pull_config(&tables, "front-1", config_interval, first), Some(2));
 }
 
-/// Answers are kept for a few askers alone, and no answer is another asker's.
+/// Only the first [`MAX_CACHED_REPLIES`] replies are cached, and each belongs to its versions.
 #[test]
-fn answers_that_are_not_kept_are_made_anew() {
+fn reply_beyond_the_cache_is_encoded_again() {
     let mut tables = tables(2);
     tables.advance_config(config(100));
     let mut pulls = PendingPulls::default();
-    let mut ask = |version: u64| {
+    let mut pull_config = |version: u64| {
         let have = VersionVector { config: version, ..tables.vector() };
         let mut answer = pull(&mut pulls, Duration::ZERO, have);
         pulls.serve(Duration::ZERO, &tables, &context(true));
         answer.try_recv().expect("an answer")
     };
-    let kept = u64::try_from(MAX_CACHED_REPLIES).expect("a number");
-    let first: Vec<Frame> = (0..=kept).map(&mut ask).collect();
-    let second: Vec<Frame> = (0..=kept).map(&mut ask).collect();
+    let cached = u64::try_from(MAX_CACHED_REPLIES).expect("a number");
+    let first: Vec<Frame> = (0..=cached).map(&mut pull_config).collect();
+    let second: Vec<Frame> = (0..=cached).map(&mut pull_config).collect();
     let shared = |index: usize| Arc::ptr_eq(&first[index], &second[index]);
     assert!((0..MAX_CACHED_REPLIES).all(shared) && !shared(MAX_CACHED_REPLIES));
 }
--- a/crates/control/src/shutdown_tests.rs
+++ b/crates/control/src/shutdown_tests.rs
@@ -1,4 +1,4 @@
-//! What a process does after SIGTERM, by what it sees, and that it never takes long.
+//! The steps after SIGTERM by what is observed, and that each wait is bounded.
 
 use super::{
     FLUSH_TIME, LEASE_TRANSFER_TIMEOUT, LEAVE_TIMEOUT, Membership, Observation, ShutdownOutcome,
@@ -20,7 +20,7 @@
     ShutdownSequence::begin(START, GRACE)
 }
 
-/// Ticks until the end, with what is observed at each moment; returns when it ended and how.
+/// Ticks until the end with what is observed at each moment; returns how long it took, and the outcome.
 fn end(
     shutdown: &mut ShutdownSequence, from: Duration, observed: impl Fn(Duration) -> Observation,
 ) -> (Duration, ShutdownOutcome) {
@@ -35,11 +35,11 @@
 }
 
 #[rstest]
-#[case::nobody_can_take_the_place(Observation { has_replacement: false, ..MEMBER }, ShutdownOutcome::Stayed)]
-#[case::nor_the_role(Observation { has_replacement: false, is_lease_transferred: false, ..MEMBER }, ShutdownOutcome::Stayed)]
-#[case::a_follower(LEFT, ShutdownOutcome::Left)]
+#[case::no_replacement(Observation { has_replacement: false, ..MEMBER }, ShutdownOutcome::Stayed)]
+#[case::no_replacement_and_no_lease_transfer(Observation { has_replacement: false, is_lease_transferred: false, ..MEMBER }, ShutdownOutcome::Stayed)]
+#[case::not_a_member(LEFT, ShutdownOutcome::Left)]
 #[case::the_last_process(Observation { has_replacement: false, is_lease_transferred: false, ..LEFT }, ShutdownOutcome::Left)]
-fn who_has_no_place_to_give_away_ends_after_the_farewell(
+fn without_a_replacement_the_process_ends_after_the_flush(
     #[case] observed: Observation, #[case] outcome: ShutdownOutcome,
 ) {
     let ended = end(&mut begin(), START, |_| observed);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_member_with_a_replacement_asks_to_be_left_out_once() {
+fn member_with_a_replacement_requests_leave_once() {
     let mut shutdown = begin();
     assert_eq!(shutdown.step(START, &MEMBER), Step::RequestLeave);
     assert_eq!(shutdown.step(START + TICK, &LEAVING), Step::Wait);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn it_does_not_ask_before_the_role_is_in_other_hands() {
+fn leave_is_requested_after_the_lease_is_transferred() {
     let mut shutdown = begin();
     let holds = Observation { is_lease_transferred: false, ..MEMBER };
     assert_eq!(shutdown.step(START, &holds), Step::Wait);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_role_that_nobody_takes_holds_it_up_for_a_while_only() {
+fn lease_that_nobody_acquires_delays_the_leave_by_its_timeout() {
     let mut shutdown = begin();
     let holds = Observation { is_lease_transferred: false, ..MEMBER };
     assert_eq!(shutdown.step(START + LEASE_TRANSFER_TIMEOUT - TICK, &holds), Step::Wait);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn it_serves_until_it_is_left_out_and_then_bids_farewell() {
+fn process_serves_until_it_has_left_and_then_flushes() {
     let mut shutdown = begin();
     let left_at = START + TICK * 20;
     assert_eq!(shutdown.step(START, &MEMBER), Step::RequestLeave);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_that_is_told_to_stay_after_all_ends_at_once() {
+fn member_that_stays_after_all_ends_after_the_flush() {
     let mut shutdown = begin();
     assert_eq!(shutdown.step(START, &MEMBER), Step::RequestLeave);
     let (took, outcome) = end(&mut shutdown, START + TICK, |_| MEMBER);
@@ -92,8 +92,8 @@
 #[rstest]
 #[case::usual(GRACE, LEAVE_TIMEOUT)]
 #[case::short(Duration::from_secs(2), Duration::from_secs(1))]
-#[case::shorter_than_the_hand_over(Duration::from_millis(600), Duration::from_millis(300))]
-fn what_takes_too_long_is_given_up_within_the_grace(#[case] grace: Duration, #[case] within: Duration) {
+#[case::shorter_than_the_lease_transfer(Duration::from_millis(600), Duration::from_millis(300))]
+fn shutdown_times_out_within_the_grace(#[case] grace: Duration, #[case] within: Duration) {
     let mut shutdown = ShutdownSequence::begin(START, grace);
     let stuck =
         Observation { membership: Membership::Leaving, has_replacement: true, is_lease_transferred: false };
--- a/crates/control/src/status_tests.rs
+++ b/crates/control/src/status_tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn counts_servers_by_service_state_and_stage() {
+fn servers_are_counted_by_service_state_and_stage() {
     let entries = [
         server("a", "model", ServerState::Ready, Some(Stage::Prefill)),
         server("b", "model", ServerState::Draining, Some(Stage::Decode)),
@@ -44,10 +44,9 @@
     assert_eq!(by_service(entries.iter(), &changing), [model, plain]);
 }
 
-/// Whoever reads the status depends on these names. A name that is missing here was promised, a new one has to be added to
-/// `docs/OPERATING.md` as well.
+/// Operators depend on these names: none may go, and a new one has to be added to `docs/OPERATING.md` as well.
 #[test]
-fn keeps_its_field_names() {
+fn field_names_are_fixed() {
     let json = serde_json::to_value(example()).expect("JSON");
     let status = "Address Agents Chain ConfigVersion DiskWell InTouch Learners LiveProxies Member Members Node Position Roles \
                   Servers Services Serving Standby UptimeMs View";
@@ -100,7 +99,7 @@
 
 /// The page that operators read names every field.
 #[test]
-fn is_documented_field_by_field() {
+fn every_field_is_documented_for_operators() {
     let json = serde_json::to_value(example()).expect("JSON");
     for value in [&json, &json["Roles"][0], &json["Services"][0], &json["Agents"][0]] {
         for name in names(value).split(' ') {
--- a/crates/control/src/storage_tests.rs
+++ b/crates/control/src/storage_tests.rs
@@ -1,4 +1,4 @@
-//! What is done with logs that can't be used.
+//! Recovery of a log, and the quarantine of one that can't be used.
 
 use super::{LogBatch, open};
 use crate::command::Command;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_was_written_is_there_at_the_next_start() {
+fn synced_records_are_recovered() {
     let directory = directory("kept");
     write(&directory, b"one");
     let opened = open(&directory, mpsc::channel(4).0, |_| true).expect("opened");
@@ -38,11 +38,9 @@
 }
 
 #[rstest]
-#[case::not_readable("unreadable", false)]
-#[case::of_another_program("foreign", true)]
-fn a_log_that_cannot_be_used_is_set_aside_and_the_process_starts_with_none(
-    #[case] name: &str, #[case] overwrite: bool,
-) {
+#[case::unrecoverable("unreadable", false)]
+#[case::unknown_format("foreign", true)]
+fn unusable_log_is_quarantined_and_replaced_by_an_empty_one(#[case] name: &str, #[case] overwrite: bool) {
     let directory = directory(name);
     write(&directory, b"one");
     if overwrite {
