--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/acceptor.rs
@@ -40,10 +40,10 @@
         let Ok(permit) = permits.clone().try_acquire_owned() else { continue };
         let connection = serve(stream, commands.clone());
         tokio::spawn(async move {
+            let _permit = permit;
             if let Err(error) = connection.await {
                 info!("link", kv: { outcome = "closed", kind = limits.kind, from: = address, error: = error });
             }
-            drop(permit);
         });
     }
 }
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -92,7 +92,7 @@
         /// The server's id, which is new with each incarnation.
         id: String,
         /// How it ended.
-        answer: OrderOutcome,
+        outcome: OrderOutcome,
     },
     /// Asks what to announce to seeds.
     GetAnnouncement {
--- a/crates/control/src/controller/agent_requests.rs
+++ b/crates/control/src/controller/agent_requests.rs
@@ -1,7 +1,7 @@
 //! Requests on the agent port: pulls of agents, and announcements of other control processes.
 
 use super::Controller;
-use crate::pulls::{Frame, ReplyContext};
+use crate::pulls::{Frame, ReplyContext, SentConfig};
 use crate::reply::send_reply;
 use lugwharf_chain as chain;
 use lugwharf_protocol::{AgentRequest, Update};
@@ -49,7 +49,7 @@
         let context = ReplyContext { has_quorum, control: self.agent_addresses(&processes) };
         let served = self.pending_pulls.serve(now, &self.tables, &context);
         self.metrics.record_pulls(served.updated, served.unchanged);
-        for (node, version) in served.configs {
+        for SentConfig { node, version } in served.configs {
             info!("config", kv: { outcome = "pulled", version, to = node.as_str() });
         }
     }
--- a/crates/control/src/controller/graceful_shutdown.rs
+++ b/crates/control/src/controller/graceful_shutdown.rs
@@ -25,7 +25,7 @@
         let held_lease = self.elector.held_lease(now).is_some();
         let grace = Duration::try_from_secs_f64(self.settings.bounds.grace_s).unwrap_or_default();
         info!("shutdown", kv: { outcome = "started", held_lease, view = self.views.current() });
-        self.elect(election::Event::Resign);
+        self.handle_elector_event(election::Event::Resign);
         let sequence = ShutdownSequence::begin(now, grace);
         self.shutdown = Some(GracefulShutdown { sequence, held_lease, done: Some(done) });
         self.serve_pulls();
@@ -63,6 +63,6 @@
 
     fn request_leave(&mut self) {
         info!("shutdown", kv: { outcome = "leaving", view = self.views.current() });
-        self.chain(chain::Event::Leave);
+        self.handle_replica_event(chain::Event::Leave);
     }
 }
--- a/crates/control/src/controller/list_watcher_role.rs
+++ b/crates/control/src/controller/list_watcher_role.rs
@@ -65,7 +65,7 @@
 
 impl Controller {
     /// Hands an event to the elector and carries out its actions.
-    pub(super) fn elect(&mut self, event: election::Event) {
+    pub(super) fn handle_elector_event(&mut self, event: election::Event) {
         let mut actions = Vec::new();
         self.elector.handle(self.now(), event, &mut actions);
         for action in actions {
--- a/crates/control/src/controller/server_list.rs
+++ b/crates/control/src/controller/server_list.rs
@@ -73,7 +73,7 @@
         self.platform_reachability.record_failure(now);
         // Before the lease is vacant, so that it does not come back here before all others have tried.
         self.report_to_peers(now);
-        self.elect(election::Event::StepDown { backoff: STEP_DOWN_BACKOFF });
+        self.handle_elector_event(election::Event::StepDown { backoff: STEP_DOWN_BACKOFF });
     }
 
     /// What a peer with these versions lacks of the server list. Configurations reach it through the replica, and the live
--- a/crates/control/src/controller/stage_planning.rs
+++ b/crates/control/src/controller/stage_planning.rs
@@ -3,7 +3,7 @@
 use super::Controller;
 use super::fleet_load::FleetLoad;
 use crate::lease::HeldLease;
-use crate::metrics::order_answer_name;
+use crate::metrics::order_outcome_name;
 use crate::orders::AuthorizedOrder;
 use lugwharf_config::Configuration;
 use lugwharf_protocol::{ServerEntry, ServerState};
@@ -114,10 +114,10 @@
     }
 
     /// Records how the order to a server of this service ended. An unknown server has [`DEFAULT_SWITCH`].
-    pub fn complete(&mut self, now: Duration, id: &str, service: Option<&str>, answer: OrderOutcome) {
+    pub fn complete(&mut self, now: Duration, id: &str, service: Option<&str>, outcome: OrderOutcome) {
         let engine = service.and_then(|service| self.engines.get(service));
         let switch = engine.map_or(DEFAULT_SWITCH, |engine| engine.switch);
-        self.planner.record_outcome(now, id, answer, switch);
+        self.planner.record_outcome(now, id, outcome, switch);
     }
 
     /// Ids of these servers that have been ordered to change their stage, or are about to be.
@@ -139,11 +139,11 @@
     }
 
     /// An order has ended.
-    pub(super) fn order_completed(&mut self, id: &str, answer: OrderOutcome) {
+    pub(super) fn order_completed(&mut self, id: &str, outcome: OrderOutcome) {
         let now = self.now();
         let service = self.tables.servers().get(id).map(|entry| entry.service.as_str());
-        info!("order", kv: { outcome = order_answer_name(answer), id });
-        self.metrics.record_order(answer);
-        self.stage_planning.complete(now, id, service, answer);
+        info!("order", kv: { outcome = order_outcome_name(outcome), id });
+        self.metrics.record_order(outcome);
+        self.stage_planning.complete(now, id, service, outcome);
     }
 }
--- a/crates/control/src/controller/view_changes.rs
+++ b/crates/control/src/controller/view_changes.rs
@@ -15,7 +15,7 @@
         // Before anybody hears of the acceptance, which waits for the disk: from then on this process votes for no holder in
         // this view, since the next view may elect another one.
         if status.has_accepted_next_view && self.views.seal(status.view) {
-            self.elect(election::Event::ViewSealed { number: status.view });
+            self.handle_elector_event(election::Event::ViewSealed { number: status.view });
         }
     }
 
@@ -30,6 +30,6 @@
         let all = self.process_directory.all(self.now(), self.local_address, &status.members);
         self.peer_transport.retain(|address| all.contains(address));
         let (number, members, is_voter) = (status.view, status.members.clone(), status.is_member);
-        self.elect(election::Event::ViewInstalled { number, members, is_voter });
+        self.handle_elector_event(election::Event::ViewInstalled { number, members, is_voter });
     }
 }
--- a/crates/control/src/http_bytes_tests.rs
+++ b/crates/control/src/http_bytes_tests.rs
@@ -292,7 +292,7 @@
     calls.send(AuthorizedOrder { order, holder: "core-1".to_owned(), lease }).await.expect("a queue");
     assert_eq!(server.await.expect("a request"), wanted);
     let ended = done.recv().await;
-    assert!(matches!(ended, Some(Command::OrderCompleted { answer: OrderOutcome::Accepted, .. })));
+    assert!(matches!(ended, Some(Command::OrderCompleted { outcome: OrderOutcome::Accepted, .. })));
 }
 
 #[tokio::test]
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -178,8 +178,8 @@
     }
 
     /// Counts an order that has ended.
-    pub fn record_order(&self, answer: OrderOutcome) {
-        self.orders.get_or_create(&AnswerLabel { answer: order_answer_name(answer) }).inc();
+    pub fn record_order(&self, outcome: OrderOutcome) {
+        self.orders.get_or_create(&AnswerLabel { answer: order_outcome_name(outcome) }).inc();
     }
 
     /// Counts pulls that got something newer, and those that got nothing newer.
@@ -208,8 +208,8 @@
 }
 
 /// The name of an order's end, in metrics and logs.
-pub fn order_answer_name(answer: OrderOutcome) -> &'static str {
-    match answer {
+pub fn order_outcome_name(outcome: OrderOutcome) -> &'static str {
+    match outcome {
         OrderOutcome::Accepted => "taken",
         OrderOutcome::Unknown => "unclear",
         OrderOutcome::Rejected => "refused",
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -22,6 +22,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
+use tokio::time::error::Elapsed;
 use tokio::time::{Instant, timeout, timeout_at};
 
 #[cfg(test)]
@@ -42,10 +43,28 @@
     pub lease: HeldLease,
 }
 
-/// The lease ended before the order was sent, as after a pause of this process.
+/// Why an order has no response. The text is logged as `error` of `order outcome=failed`.
 #[derive(Debug, thiserror::Error)]
-#[error("the lease has ended")]
-struct LeaseEnded;
+enum OrderError {
+    /// The lease ended before the order was sent, as after a pause of this process.
+    #[error("the lease has ended")]
+    LeaseEnded,
+    /// The lease ended while the order was in flight.
+    #[error(transparent)]
+    LeaseEndedInFlight(#[from] Elapsed),
+    /// The request could not be built, as for an id that is no header value.
+    #[error(transparent)]
+    Request(#[from] hyper::http::Error),
+    /// The body could not be encoded.
+    #[error(transparent)]
+    Body(#[from] serde_json::Error),
+    /// The connection failed.
+    #[error(transparent)]
+    Connection(#[from] std::io::Error),
+    /// The HTTP exchange failed.
+    #[error(transparent)]
+    Http(#[from] hyper::Error),
+}
 
 /// The body of `POST /order`. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Serialize)]
@@ -62,8 +81,8 @@
     while let Some(authorized) = orders.recv().await {
         let commands = commands.clone();
         tokio::spawn(async move {
-            let answer = execute(&authorized).await;
-            notify(&commands, Command::OrderCompleted { id: authorized.order.id, answer }).await;
+            let outcome = execute(&authorized).await;
+            notify(&commands, Command::OrderCompleted { id: authorized.order.id, outcome }).await;
         });
     }
 }
@@ -73,7 +92,7 @@
     let id = authorized.order.id.as_str();
     match timeout(RESPONSE_TIMEOUT, send(authorized)).await {
         Ok(Ok(status)) => classify_response(status),
-        Ok(Err(error)) if error.is::<LeaseEnded>() => {
+        Ok(Err(OrderError::LeaseEnded)) => {
             warn!("order", kv: { outcome = "withheld", id, token = authorized.lease.token });
             OrderOutcome::Rejected
         }
@@ -93,7 +112,7 @@
     }
 }
 
-async fn send(authorized: &AuthorizedOrder) -> eyre::Result<StatusCode> {
+async fn send(authorized: &AuthorizedOrder) -> Result<StatusCode, OrderError> {
     let stage = match authorized.order.stage {
         Stage::Prefill => "prefill",
         Stage::Decode => "decode",
@@ -110,7 +129,7 @@
     let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
     let now = Instant::now();
     if !authorized.lease.is_valid(now) {
-        return Err(LeaseEnded.into());
+        return Err(OrderError::LeaseEnded);
     }
     check(Invariant::OrderUnderLease, authorized.lease.is_valid(now), || {
         format!("token {}", authorized.lease.token)
--- a/crates/control/src/orders_tests.rs
+++ b/crates/control/src/orders_tests.rs
@@ -25,7 +25,7 @@
     let authorized = AuthorizedOrder { order, holder: "core-1".to_owned(), lease };
     orders.send(authorized).await.expect("a queue");
     match done.recv().await {
-        Some(Command::OrderCompleted { id, answer }) if id == "i-1" => answer,
+        Some(Command::OrderCompleted { id, outcome }) if id == "i-1" => outcome,
         _ => panic!("no end of the order"),
     }
 }
--- a/crates/control/src/pulls.rs
+++ b/crates/control/src/pulls.rs
@@ -47,6 +47,15 @@
     config_sent_at: HashMap<String, Duration>,
 }
 
+/// A configuration that was sent to a front.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct SentConfig {
+    /// The name of the front-end node.
+    pub node: String,
+    /// The version of the configuration.
+    pub version: u64,
+}
+
 /// The pulls that were replied to.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PullsServed {
@@ -54,8 +63,8 @@
     pub updated: u64,
     /// How many got nothing newer.
     pub unchanged: u64,
-    /// Fronts that were sent a configuration, with its version.
-    pub configs: Vec<(String, u64)>,
+    /// The configurations that were sent.
+    pub configs: Vec<SentConfig>,
 }
 
 /// What a reply says besides the update.
@@ -191,7 +200,7 @@
         send_reply(pull.reply, frame);
         if let Some(version) = config {
             self.config_sent_at.insert(pull.node.clone(), now);
-            served.configs.push((pull.node, version));
+            served.configs.push(SentConfig { node: pull.node, version });
         }
     }
 }
--- a/crates/control/src/pulls_tests.rs
+++ b/crates/control/src/pulls_tests.rs
@@ -1,6 +1,8 @@
 //! Which agent gets which reply, and that agents with the same versions share one.
 
-use super::{Frame, MAX_CACHED_REPLIES, MAX_WAIT, PendingPulls, PullsServed, REPLY_CACHE_TTL, ReplyContext};
+use super::{
+    Frame, MAX_CACHED_REPLIES, MAX_WAIT, PendingPulls, PullsServed, REPLY_CACHE_TTL, ReplyContext, SentConfig,
+};
 use lugwharf_distribution::Tables;
 use lugwharf_protocol::{
     ConfigRecord, ControlReply, ServerEntry, ServerState, TablePosition, Update, VersionVector, decode,
@@ -45,6 +47,10 @@
     answer
 }
 
+fn sent_config(version: u64) -> SentConfig {
+    SentConfig { node: "front-1".to_owned(), version }
+}
+
 fn update(frame: &Frame) -> Update {
     let ControlReply::Update { update, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
     update
@@ -75,7 +81,7 @@
     tables.advance_config(Arc::new(ConfigRecord { version: 4, bytes: b"{}".to_vec() }));
     let mut after = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     let served = pulls.serve(Duration::ZERO, &tables, &context(true));
-    assert_eq!((served.updated, served.configs), (1, vec![("front-1".to_owned(), 4)]));
+    assert_eq!((served.updated, served.configs), (1, vec![sent_config(4)]));
     assert_eq!(update(&after.try_recv().expect("an answer")).vector.config, 4);
 }
 
@@ -217,7 +223,7 @@
     assert_eq!(pulls.serve(Duration::ZERO, &tables, &context(true)), PullsServed::default());
     let mut answer = pull(&mut pulls, Duration::ZERO, have);
     let served = pulls.serve(Duration::ZERO, &tables, &context(true));
-    assert_eq!(served, PullsServed { updated: 1, unchanged: 0, configs: vec![("front-1".to_owned(), 2)] });
+    assert_eq!(served, PullsServed { updated: 1, unchanged: 0, configs: vec![sent_config(2)] });
     assert_eq!(update(&answer.try_recv().expect("an answer")).config.expect("newer").version, 2);
 }
 
