--- a/crates/control/src/logs.rs
+++ b/crates/control/src/logs.rs
@@ -6,7 +6,7 @@
 
 use lugwharf_chain::{Blake3, LogEvent, Message, ViewChangeReason};
 use spdlog::prelude::*;
-use std::fmt;
+use std::fmt::{self, Write};
 use std::net::SocketAddr;
 
 /// The hash of a configuration's bytes in hex, computed only if the line is written.
@@ -18,6 +18,23 @@
     }
 }
 
+/// Characters of a text from a request that one line shows. Errors of the schema quote the value at fault, which may be as
+/// long as the configuration.
+const MAX_EXCERPT_CHARS: usize = 200;
+
+/// The beginning of a text that may come from a request, on one line: control characters become spaces. `-` for an empty one.
+pub struct Excerpt<'a>(pub &'a str);
+
+impl fmt::Display for Excerpt<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        if self.0.is_empty() {
+            return f.write_str("-");
+        }
+        let shown = self.0.chars().take(MAX_EXCERPT_CHARS);
+        shown.map(|char| if char.is_control() { ' ' } else { char }).try_for_each(|char| f.write_char(char))
+    }
+}
+
 /// Logs an event of the replica.
 pub fn chain_event(logger: &Logger, line: &LogEvent) {
     match line {
--- a/crates/control/src/logs_tests.rs
+++ b/crates/control/src/logs_tests.rs
@@ -1,6 +1,6 @@
 //! The lines of the log, as they are written.
 
-use crate::logs::{self, Hash};
+use crate::logs::{self, Excerpt, Hash};
 use lugwharf_chain::{Blake3, Digest, EntryHeader, Fnv, LogEvent, MemberId, ViewChangeReason};
 use rstest::rstest;
 use spdlog::formatter::{PatternFormatter, pattern};
@@ -71,3 +71,16 @@
 fn hash_is_the_one_that_replicas_compare() {
     assert_eq!(Hash(b"{}").to_string(), Digest::of(b"{}").to_string());
 }
+
+#[rstest]
+#[case::short("another version is current", "another version is current")]
+#[case::empty("", "-")]
+#[case::lines("\"a\nb\r\u{1b}[0m\" is too long", "\"a b  [0m\" is too long")]
+fn excerpt_is_one_line(#[case] text: &str, #[case] wanted: &str) {
+    assert_eq!(Excerpt(text).to_string(), wanted);
+}
+
+#[test]
+fn excerpt_is_bounded() {
+    assert_eq!(Excerpt(&"ü".repeat(3_000_000)).to_string(), "ü".repeat(200));
+}
--- a/crates/control/src/operator/config_change.rs
+++ b/crates/control/src/operator/config_change.rs
@@ -4,7 +4,7 @@
 
 use super::controller_client::{ControllerClient, RESPONSE_TIMEOUT, Submission};
 use super::response::Response;
-use crate::logs::Hash;
+use crate::logs::{Excerpt, Hash};
 use crate::operator_error::{ErrorKind, OperatorError};
 use lugwharf_chain::Blake3;
 use lugwharf_config::{ConfigError, Configuration, ConfigurationPatch};
@@ -156,28 +156,45 @@
 impl Change {
     fn log(&self, conn: &Conn, result: &Result<Response, OperatorError>, took: Duration) {
         let outcome = result.as_ref().map_or_else(|error| error.body.error, |_| "accepted");
-        let error = result.as_ref().err().map(|error| &error.body);
         let version = self.version.as_ref().map_or(0, |version| *version);
+        let took_ms = took.as_millis() as u64;
         let from = peer(conn);
+        let Rejection { reason, field, current } = Rejection::of(result.as_ref().err());
         info!("config", kv: {
             outcome, version, base = self.base, hash: = Hash(&self.bytes), bytes = self.bytes.len(),
-            took_ms = took.as_millis() as u64, from = from.as_str(),
-            reason = error.map_or("-", |error| error.reason.as_str()),
-            field = error.and_then(|error| error.field.as_deref()).unwrap_or("-")
+            took_ms, from = from.as_str(), reason: = reason, field: = field, current = current.as_str()
         });
     }
 }
 
 /// Logs a change that was rejected before it was known completely.
 fn log_rejection(conn: &Conn, error: &OperatorError) {
-    let OperatorError { body, .. } = error;
     let from = peer(conn);
+    let Rejection { reason, field, .. } = Rejection::of(Some(error));
     info!("config", kv: {
-        outcome = body.error, from = from.as_str(), reason = body.reason.as_str(),
-        field = body.field.as_deref().unwrap_or("-")
+        outcome = error.body.error, from = from.as_str(), reason: = reason, field: = field
     });
 }
 
+/// Why a change was rejected, as the log shows it; `-` for whatever does not apply.
+struct Rejection<'a> {
+    reason: Excerpt<'a>,
+    field: Excerpt<'a>,
+    current: String,
+}
+
+impl Rejection<'_> {
+    fn of(error: Option<&OperatorError>) -> Rejection<'_> {
+        let body = error.map(|error| &error.body);
+        let current = body.and_then(|body| body.current);
+        Rejection {
+            reason: Excerpt(body.map_or("", |body| &body.reason)),
+            field: Excerpt(body.and_then(|body| body.field.as_deref()).unwrap_or("")),
+            current: current.map_or_else(|| "-".to_owned(), |current| current.to_string()),
+        }
+    }
+}
+
 fn peer(conn: &Conn) -> String {
     conn.peer_ip().map(|ip| ip.to_string()).unwrap_or_default()
 }
