--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -13,7 +13,7 @@
 use lugwharf_stages::OrderOutcome;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use tokio::sync::oneshot;
+use tokio::sync::{mpsc, oneshot};
 
 /// A command to the controller.
 pub enum Command {
@@ -115,3 +115,8 @@
         done: oneshot::Sender<ShutdownOutcome>,
     },
 }
+
+/// Hands a command to the controller. Its queue is closed only while the process ends, and then the command is moot.
+pub async fn notify(commands: &mpsc::Sender<Command>, command: Command) {
+    let _ = commands.send(command).await;
+}
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -58,14 +58,13 @@
 mod status_tests;
 mod storage;
 
-use command::Command;
+use command::{Command, notify};
 use controller::Controller;
 use eyre::{Result, WrapErr, eyre};
 use lugwharf_settings::Settings;
 use lugwharf_stages::StageTuning;
 use lugwharf_telemetry::MetricsEndpoint;
 use metrics::RejectionCounters;
-use reply::notify;
 use shutdown::ShutdownOutcome;
 use spdlog::prelude::*;
 use std::net::SocketAddr;
--- a/crates/control/src/list_watcher.rs
+++ b/crates/control/src/list_watcher.rs
@@ -4,10 +4,9 @@
 //! [`Command::ListReadFailed`] after each read. A failure is logged (`list outcome=failed`: `warn` for the first in a row,
 //! `debug` for the next ones) and retried after 250 ms; after 1.2 s without a response the controller is told to step down.
 
-use crate::command::Command;
+use crate::command::{Command, notify};
 use crate::lease::HeldLease;
 use crate::platform_client::{PlatformClient, PlatformError};
-use crate::reply::notify;
 use lugwharf_settings::Cloud;
 use spdlog::prelude::*;
 use std::time::Duration;
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -4,9 +4,8 @@
 //! response is aborted by a reset, so that it can't arrive after another process acquired the lease. Each order ends with one
 //! [`Command::OrderCompleted`]; errors are logged (`order outcome=withheld` or `failed`).
 
-use crate::command::Command;
+use crate::command::{Command, notify};
 use crate::lease::HeldLease;
-use crate::reply::notify;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::handshake;
