--- a/crates/chain/src/accepted_tests.rs
+++ b/crates/chain/src/accepted_tests.rs
@@ -1,7 +1,9 @@
 //! A replica says whether it has accepted a proposal for the view after its own.
 
-use crate::model::{MemberId, ProposalNumber, View};
+use crate::member::MemberId;
+use crate::paxos::ProposalNumber;
 use crate::record::Record;
+use crate::view::View;
 use crate::{Replica, ReplicaSettings};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/chain/src/earlier_version_tests.rs
+++ b/crates/chain/src/earlier_version_tests.rs
@@ -1,9 +1,10 @@
 //! Logs and messages of the version before the change of the digest, captured byte for byte from its encoder.
 
 use crate::digest::{Digest, Fnv};
+use crate::entry::{Entry, EntryHeader};
+use crate::heartbeat::Heartbeat;
 use crate::history::History;
-use crate::message::{Heartbeat, Message};
-use crate::model::{Entry, EntryHeader};
+use crate::message::Message;
 use crate::record::Record;
 use rstest::rstest;
 use serde::{Deserialize, Serialize};
--- a/crates/chain/src/encoding_tests.rs
+++ b/crates/chain/src/encoding_tests.rs
@@ -4,13 +4,16 @@
 //! change that breaks one of these cases breaks logs on disk or messages between versions. The hex strings are never edited.
 
 use crate::digest::{Blake3, Digest, Fnv};
-use crate::message::{Heartbeat, HistoryPosition, Link, Message, RequestOutcome};
-use crate::model::{
-    Ancestor, CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix, MemberId, ProposalNumber,
-    RequestId, View,
-};
+use crate::entry::{CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix};
+use crate::heartbeat::{Heartbeat, HistoryPosition, Link};
+use crate::history_stream::{Assembly, Chunk, ChunkRequest, Progress, Stream};
+use crate::member::MemberId;
+use crate::message::Message;
+use crate::paxos::ProposalNumber;
 use crate::record::Record;
-use crate::transfer::{Assembly, Chunk, ChunkRequest, Progress, Stream};
+use crate::request::RequestId;
+use crate::request::RequestOutcome;
+use crate::view::{Ancestor, View};
 use rstest::rstest;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/chain/src/entry_tests.rs
+++ b/crates/chain/src/entry_tests.rs
@@ -1,9 +1,12 @@
 //! Which entries a replica stores that are sent to it, down the chain and outside it, and which history it sends.
 
 use crate::digest::Digest;
-use crate::model::{CommittedConfig, Entry, EntryHeader, HistorySuffix, MemberId, ProposalNumber, View};
+use crate::entry::{CommittedConfig, Entry, EntryHeader, HistorySuffix};
+use crate::history_stream::{Chunk, ChunkRequest};
+use crate::member::MemberId;
+use crate::paxos::ProposalNumber;
 use crate::record::Record;
-use crate::transfer::{Chunk, ChunkRequest};
+use crate::view::View;
 use crate::{Action, Event, Message, Replica, ReplicaSettings};
 use rstest::rstest;
 use std::net::SocketAddr;
--- a/crates/chain/src/guard_tests.rs
+++ b/crates/chain/src/guard_tests.rs
@@ -1,12 +1,14 @@
 //! One test for each guard of a replica that nothing else notices; `docs/design/guards-chain.md` has the table.
 
-use crate::message::RequestOutcome;
-use crate::model::{MemberId, ProposalNumber, View};
+use crate::history_stream::{Assembly, ChunkRequest, Progress, Stream};
+use crate::member::MemberId;
+use crate::paxos::ProposalNumber;
 use crate::record::Record;
+use crate::request::RequestOutcome;
 use crate::test_driver::{
     Driver, QUESTION, address, disk_of, entry, is_outcome, member, serving, submit, view,
 };
-use crate::transfer::{Assembly, ChunkRequest, Progress, Stream};
+use crate::view::View;
 use crate::{
     EntryBody, Event, Heartbeat, HistorySuffix, Message, OperatorRequestId, OperatorResponse, RequestId,
 };
--- a/crates/chain/src/history.rs
+++ b/crates/chain/src/history.rs
@@ -3,7 +3,7 @@
 //! All entries but the last are known to be committed, since the head writes an entry only once the one before it is.
 
 use crate::digest::Digest;
-use crate::model::{CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix};
+use crate::entry::{CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix};
 use crate::settings::HistoryLimits;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/crates/chain/src/transfer.rs
+++ b/crates/chain/src/history_stream.rs
@@ -4,9 +4,9 @@
 //! the hash over all of it, so that a chunk of another stream is never taken for one of this, and so that each source
 //! that holds the same history can send the rest.
 
+use crate::byte_string;
 use crate::digest::Blake3;
-use crate::model::{EntryBody, EntryHeader, HistorySuffix};
-use crate::wire_bytes;
+use crate::entry::{EntryBody, EntryHeader, HistorySuffix};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -49,7 +49,7 @@
     /// Whether no other chunk comes with this one, so that the next must be asked for.
     pub last: bool,
     /// The chunk.
-    #[serde(with = "wire_bytes")]
+    #[serde(with = "byte_string")]
     pub bytes: Arc<[u8]>,
 }
 
--- a/crates/chain/src/transfer_tests.rs
+++ b/crates/chain/src/history_stream_tests.rs
@@ -1,8 +1,8 @@
 //! Streams: cut, put together, resumed elsewhere, never mixed up.
 
 use crate::digest::Digest;
-use crate::model::{EntryBody, EntryHeader, HistorySuffix};
-use crate::transfer::{Assembly, Chunk, ChunkRequest, Portion, Progress, Stream, Streams};
+use crate::entry::{EntryBody, EntryHeader, HistorySuffix};
+use crate::history_stream::{Assembly, Chunk, ChunkRequest, Portion, Progress, Stream, Streams};
 use rstest::rstest;
 use std::time::Duration;
 
--- a/crates/chain/src/history_tests.rs
+++ b/crates/chain/src/history_tests.rs
@@ -1,8 +1,8 @@
 //! The history: appending, finding resends, taking over another replica's.
 
 use crate::digest::Digest;
+use crate::entry::{Entry, EntryHeader, HistorySuffix};
 use crate::history::History;
-use crate::model::{Entry, EntryHeader, HistorySuffix};
 use crate::settings::HistoryLimits;
 use rstest::rstest;
 
--- a/crates/chain/src/journal.rs
+++ b/crates/chain/src/journal.rs
@@ -1,7 +1,7 @@
 //! Batches records for the disk, one batch at a time, and holds back what may be said only once they are synced.
 
+use crate::entry::EntryHeader;
 use crate::message::Message;
-use crate::model::EntryHeader;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -42,12 +42,8 @@
 
 #[cfg(test)]
 mod accepted_tests;
-mod api;
-#[cfg(test)]
-mod ballot_tests;
-mod consensus;
-#[cfg(test)]
-mod consensus_tests;
+mod action;
+mod byte_string;
 mod digest;
 #[cfg(test)]
 mod digest_tests;
@@ -55,46 +51,59 @@
 mod earlier_version_tests;
 #[cfg(test)]
 mod encoding_tests;
+mod entry;
 #[cfg(test)]
 mod entry_tests;
+mod error;
+mod event;
 #[cfg(test)]
 mod guard_tests;
+mod heartbeat;
 mod history;
+mod history_stream;
+#[cfg(test)]
+mod history_stream_tests;
 #[cfg(test)]
 mod history_tests;
 mod journal;
 #[cfg(test)]
 mod journal_tests;
+mod log_event;
+mod member;
 mod message;
-mod model;
+mod paxos;
 mod peers;
-mod planner;
 #[cfg(test)]
-mod planner_tests;
+mod proposal_number_tests;
 mod record;
 mod replica;
 #[cfg(test)]
 mod replication_guard_tests;
+mod request;
 #[cfg(test)]
 mod request_tests;
 mod settings;
+mod status;
 #[cfg(test)]
 mod test_driver;
-mod transfer;
+mod view;
+mod view_planner;
 #[cfg(test)]
-mod transfer_tests;
-mod wire_bytes;
+mod view_planner_tests;
 
-pub use api::{
-    Action, Event, LeaveState, LogEvent, OperatorRequestId, OperatorResponse, RecoverError, ReplicaStatus,
-    ViewChangeReason,
-};
+pub use action::{Action, OperatorResponse};
 pub use digest::{Blake3, Digest, Fnv};
-pub use message::{Heartbeat, HistoryPosition, Link, Message, RequestOutcome};
-pub use model::{
-    Ancestor, CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix, MemberId, ProposalNumber,
-    RequestId, View,
-};
+pub use entry::{CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix};
+pub use error::RecoverError;
+pub use event::Event;
+pub use heartbeat::{Heartbeat, HistoryPosition, Link};
+pub use history_stream::{Chunk, ChunkRequest};
+pub use log_event::{LogEvent, ViewChangeReason};
+pub use member::MemberId;
+pub use message::Message;
+pub use paxos::ProposalNumber;
 pub use replica::Replica;
+pub use request::{OperatorRequestId, RequestId, RequestOutcome};
 pub use settings::{HistoryLimits, ReplicaSettings};
-pub use transfer::{Chunk, ChunkRequest};
+pub use status::{LeaveState, ReplicaStatus};
+pub use view::{Ancestor, View};
--- /dev/null
+++ b/crates/chain/src/member.rs
@@ -0,0 +1,13 @@
+//! The identity of a member of the core.
+
+use serde::{Deserialize, Serialize};
+use std::net::SocketAddr;
+
+/// The identity of a member: an address together with a disk. A machine with a new disk is another member.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct MemberId {
+    /// The peer address of the process.
+    pub address: SocketAddr,
+    /// Drawn at random when the disk was empty.
+    pub disk: u64,
+}
--- a/crates/chain/src/consensus_tests.rs
+++ b/crates/chain/src/paxos/proposer_tests.rs
@@ -1,8 +1,10 @@
 //! Where the next view takes the history from.
 
-use crate::consensus::{Acceptor, Lineage, ReceivedPromise, choose_source};
-use crate::message::HistoryPosition;
-use crate::model::{Ancestor, MemberId, ProposalNumber, View};
+use crate::heartbeat::HistoryPosition;
+use crate::member::MemberId;
+use crate::paxos::ProposalNumber;
+use crate::paxos::{Acceptor, Lineage, ReceivedPromise, choose_source};
+use crate::view::{Ancestor, View};
 use rstest::rstest;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/chain/src/peers.rs
+++ b/crates/chain/src/peers.rs
@@ -1,7 +1,7 @@
 //! What is known of the other processes of the core, and who reaches whom.
 
-use crate::message::{Heartbeat, Link};
-use crate::model::MemberId;
+use crate::heartbeat::{Heartbeat, Link};
+use crate::member::MemberId;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/chain/src/ballot_tests.rs
+++ b/crates/chain/src/proposal_number_tests.rs
@@ -1,9 +1,10 @@
 //! A proposal bears one value: the proposer's own promise is on disk before anybody else hears of the proposal.
 
 use crate::Message;
-use crate::consensus::{Acceptor, Held};
-use crate::model::{ProposalNumber, View};
+use crate::paxos::ProposalNumber;
+use crate::paxos::{Acceptor, Held};
 use crate::test_driver::{Driver, disk_of, member, view};
+use crate::view::View;
 use rstest::rstest;
 
 fn proposal_numbers(driver: &Driver) -> Vec<ProposalNumber> {
--- a/crates/chain/src/record.rs
+++ b/crates/chain/src/record.rs
@@ -2,7 +2,9 @@
 //!
 //! The state of a replica is the sum of its records, in order. Encoded names are fixed; see docs/GLOSSARY.md.
 
-use crate::model::{Entry, HistorySuffix, ProposalNumber, View};
+use crate::entry::{Entry, HistorySuffix};
+use crate::paxos::ProposalNumber;
+use crate::view::View;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/crates/chain/src/replica/acceptor.rs
+++ b/crates/chain/src/replica/acceptor.rs
@@ -1,11 +1,14 @@
 //! The acceptor of the next view, and what follows once a view is agreed.
 
 use super::Replica;
-use crate::api::{Action, LogEvent};
-use crate::consensus::{Acceptor, Held};
-use crate::message::{HistoryPosition, Message};
-use crate::model::{ProposalNumber, View};
+use crate::action::Action;
+use crate::heartbeat::HistoryPosition;
+use crate::log_event::LogEvent;
+use crate::message::Message;
+use crate::paxos::ProposalNumber;
+use crate::paxos::{Acceptor, Held};
 use crate::record::Record;
+use crate::view::View;
 use lugwharf_invariants::{Invariant, check};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/chain/src/replica/head.rs
+++ b/crates/chain/src/replica/change_queue.rs
@@ -14,8 +14,10 @@
 
 use super::Replica;
 use crate::digest::{Blake3, Digest};
-use crate::message::{Message, RequestOutcome};
-use crate::model::{Entry, EntryHeader, RequestId};
+use crate::entry::{Entry, EntryHeader};
+use crate::message::Message;
+use crate::request::RequestId;
+use crate::request::RequestOutcome;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/chain/src/replica/relay.rs
+++ b/crates/chain/src/replica/forwarding.rs
@@ -5,10 +5,11 @@
 //! views would else send it to and fro. Nothing is promised by passing on: whatever is lost is sent again by the process that was
 //! called, and an entry that is committed becomes known by heartbeats as well.
 
-use super::{Replica, head::SubmittedChange};
+use super::{Replica, change_queue::SubmittedChange};
 use crate::digest::Digest;
-use crate::message::{Message, RequestOutcome};
-use crate::model::RequestId;
+use crate::message::Message;
+use crate::request::RequestId;
+use crate::request::RequestOutcome;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/chain/src/replica/contact.rs
+++ b/crates/chain/src/replica/heartbeats.rs
@@ -1,7 +1,8 @@
 //! Heartbeats, and what is learned from them.
 
 use super::Replica;
-use crate::message::{Heartbeat, Message};
+use crate::heartbeat::Heartbeat;
+use crate::message::Message;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/chain/src/replica/follow.rs
+++ b/crates/chain/src/replica/learner.rs
@@ -7,11 +7,11 @@
 //! missing before that comes in chunks, one with each tick.
 
 use super::Replica;
+use crate::entry::{Entry, HistorySuffix};
+use crate::history_stream::{Assembly, Chunk, ChunkRequest, Portion, Progress, Streams};
 use crate::journal::Effect;
 use crate::message::Message;
-use crate::model::{Entry, HistorySuffix};
 use crate::record::Record;
-use crate::transfer::{Assembly, Chunk, ChunkRequest, Portion, Progress, Streams};
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/chain/src/replica/leave.rs
+++ b/crates/chain/src/replica/leave.rs
@@ -4,7 +4,7 @@
 //! stands ready, in which that learner has its place. It takes part until then.
 
 use super::Replica;
-use crate::api::LeaveState;
+use crate::status::LeaveState;
 use std::net::SocketAddr;
 
 impl Replica {
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -3,52 +3,59 @@
 //! | module | concern |
 //! | --- | --- |
 //! | `recovery` | from records to a state, and from a state to the records of a rewrite |
-//! | `contact` | heartbeats, and what is learned from them |
+//! | `heartbeats` | heartbeats, and what is learned from them |
 //! | `acceptor`, `proposer` | agreeing on the next view |
-//! | `follow` | keeping the committed history without a place in the chain |
+//! | `learner` | keeping the committed history without a place in the chain |
 //! | `leave` | leaving the core before the process ends |
-//! | `install` | taking over the history of a new view, and when a view serves |
+//! | `state_transfer` | taking over the history of a new view, and when a view serves |
 //! | `replication` | entries down the chain, commits back up |
-//! | `head` | judging the changes of the operator |
-//! | `tail` | reads, and whether a view is still in force |
-//! | `calls` | the operator's calls at this process |
-//! | `relay` | calls passed on for processes that do not reach an end of the chain |
+//! | `change_queue` | judging the changes of the operator |
+//! | `read_only` | reads, and whether a view is still in force |
+//! | `pending_requests` | the operator's calls at this process |
+//! | `forwarding` | calls passed on for processes that do not reach an end of the chain |
 
 mod acceptor;
-mod calls;
-mod contact;
-mod follow;
-mod head;
-mod install;
+mod change_queue;
+mod forwarding;
+mod heartbeats;
+mod learner;
 mod leave;
+mod pending_requests;
 mod proposer;
+mod read_only;
 mod recovery;
-mod relay;
 mod replication;
-mod tail;
+mod state_transfer;
 
-use crate::api::{Action, Event, LogEvent, OperatorRequestId, OperatorResponse, RecoverError, ReplicaStatus};
-use crate::consensus::{Acceptor, Proposer, ReceivedPromise};
+use crate::action::{Action, OperatorResponse};
+use crate::entry::{CommittedConfig, EntryHeader};
+use crate::error::RecoverError;
+use crate::event::Event;
 use crate::history::History;
 use crate::journal::{Batch, Effect, Journal};
+use crate::log_event::LogEvent;
+use crate::member::MemberId;
 use crate::message::Message;
-use crate::model::{CommittedConfig, EntryHeader, MemberId, View};
+use crate::paxos::{Acceptor, Proposer, ReceivedPromise};
 use crate::peers::Peers;
-use crate::planner::Planner;
 use crate::record::Record;
+use crate::request::OperatorRequestId;
 use crate::settings::ReplicaSettings;
-use calls::Calls;
-use contact::Contact;
-use follow::Follower;
-use head::{Head, SubmittedChange};
-use install::Installation;
-use relay::Relayed;
+use crate::status::ReplicaStatus;
+use crate::view::View;
+use crate::view_planner::Planner;
+use change_queue::{Head, SubmittedChange};
+use forwarding::Relayed;
+use heartbeats::Contact;
+use learner::Follower;
+use pending_requests::Calls;
+use read_only::Tail;
 use replication::Successor;
+use state_transfer::Installation;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
-use tail::Tail;
 
 /// A pause between two events that is longer than this was a pause of the whole process.
 const FROZEN_AFTER: Duration = Duration::from_millis(250);
--- a/crates/chain/src/replica/calls.rs
+++ b/crates/chain/src/replica/pending_requests.rs
@@ -1,10 +1,13 @@
 //! The operator's calls at this process: each is passed to the head or the tail and answered within a bounded time.
 
 use super::Replica;
-use crate::api::{OperatorRequestId, OperatorResponse};
+use crate::action::OperatorResponse;
 use crate::digest::{Blake3, Digest};
-use crate::message::{Message, RequestOutcome};
-use crate::model::{EntryHeader, RequestId};
+use crate::entry::EntryHeader;
+use crate::message::Message;
+use crate::request::OperatorRequestId;
+use crate::request::RequestId;
+use crate::request::RequestOutcome;
 use lugwharf_invariants::{Invariant, check};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/chain/src/replica/proposer.rs
+++ b/crates/chain/src/replica/proposer.rs
@@ -1,11 +1,13 @@
 //! The proposer of the next view.
 
 use super::Replica;
-use crate::api::{LogEvent, ViewChangeReason};
-use crate::consensus::{self, Attempt, Lineage, Phase, ReceivedPromise};
+use crate::log_event::{LogEvent, ViewChangeReason};
+use crate::member::MemberId;
 use crate::message::Message;
-use crate::model::{MemberId, ProposalNumber, View};
-use crate::planner::Plan;
+use crate::paxos::ProposalNumber;
+use crate::paxos::{self, Attempt, Lineage, Phase, ReceivedPromise};
+use crate::view::View;
+use crate::view_planner::Plan;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -174,9 +176,9 @@
         let planner = self.planner();
         let lineage = Lineage::after(&self.view, self.installation.serving, promises);
         let floor = lineage.floor();
-        let holders = consensus::holders(floor, promises);
+        let holders = paxos::holders(floor, promises);
         let plan = planner.plan(&holders).filter(|plan| planner.admissible(plan))?;
-        let source = consensus::choose_source(floor, &plan.chain, promises)?;
+        let source = paxos::choose_source(floor, &plan.chain, promises)?;
         Some(View {
             number: self.view.number + 1,
             members: plan.members,
--- a/crates/chain/src/replica/tail.rs
+++ b/crates/chain/src/replica/read_only.rs
@@ -4,8 +4,9 @@
 //! has promised no later view: a later view needs promises of a majority, and both would share a member.
 
 use super::Replica;
-use crate::message::{Message, RequestOutcome};
-use crate::model::RequestId;
+use crate::message::Message;
+use crate::request::RequestId;
+use crate::request::RequestOutcome;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/chain/src/replica/recovery.rs
+++ b/crates/chain/src/replica/recovery.rs
@@ -1,16 +1,18 @@
 //! From records to a state, and from a state to the records of a rewrite.
 
-use super::{Replica, calls::Calls, contact::Contact, follow::Follower, head::Head};
-use super::{install::Installation, relay::Relayed, replication::Successor, tail::Tail};
-use crate::api::{LogEvent, RecoverError};
-use crate::consensus::{Acceptor, Proposer};
+use super::{Replica, change_queue::Head, heartbeats::Contact, learner::Follower, pending_requests::Calls};
+use super::{forwarding::Relayed, read_only::Tail, replication::Successor, state_transfer::Installation};
 use crate::digest::Fnv;
+use crate::error::RecoverError;
 use crate::history::History;
 use crate::journal::{Effect, Journal};
-use crate::model::{MemberId, View};
+use crate::log_event::LogEvent;
+use crate::member::MemberId;
+use crate::paxos::{Acceptor, Proposer};
 use crate::peers::Peers;
 use crate::record::Record;
 use crate::settings::ReplicaSettings;
+use crate::view::View;
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -58,7 +60,7 @@
         Ok(())
     }
 
-    fn promise(&mut self, instance: u64, proposal: crate::model::ProposalNumber) {
+    fn promise(&mut self, instance: u64, proposal: crate::paxos::ProposalNumber) {
         debug_assert_eq!(instance, self.view.as_ref().map_or(0, |view| view.number) + 1);
         self.acceptor.promised = Some(proposal);
     }
--- a/crates/chain/src/replica/replication.rs
+++ b/crates/chain/src/replica/replication.rs
@@ -1,10 +1,12 @@
 //! Entries down the chain, commits back up.
 
 use super::Replica;
-use crate::api::{Action, LogEvent};
+use crate::action::Action;
+use crate::entry::{CommittedConfig, Entry, EntryHeader};
 use crate::journal::Effect;
+use crate::log_event::LogEvent;
+use crate::member::MemberId;
 use crate::message::Message;
-use crate::model::{CommittedConfig, Entry, EntryHeader, MemberId};
 use crate::record::Record;
 use lugwharf_invariants::{Invariant, check};
 use std::net::SocketAddr;
--- a/crates/chain/src/replica/install.rs
+++ b/crates/chain/src/replica/state_transfer.rs
@@ -1,12 +1,12 @@
 //! Taking over the history of a new view, and when a view serves.
 
 use super::Replica;
-use crate::api::LogEvent;
+use crate::entry::HistorySuffix;
+use crate::history_stream::{Assembly, Chunk, ChunkRequest, Portion, Progress, Streams};
 use crate::journal::Effect;
+use crate::log_event::LogEvent;
 use crate::message::Message;
-use crate::model::HistorySuffix;
 use crate::record::Record;
-use crate::transfer::{Assembly, Chunk, ChunkRequest, Portion, Progress, Streams};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -164,7 +164,7 @@
             return;
         }
         let number = self.view.number;
-        let holds = |replica: &crate::model::MemberId| {
+        let holds = |replica: &crate::member::MemberId| {
             if *replica == self.identity {
                 return self.installation.synced == number;
             }
--- a/crates/chain/src/replication_guard_tests.rs
+++ b/crates/chain/src/replication_guard_tests.rs
@@ -1,9 +1,9 @@
 //! One test for each guard of taking changes, passing entries down the chain and answering reads; `docs/design/guards-chain.md` has the
 //! table.
 
-use crate::model::View;
+use crate::history_stream::{Assembly, Stream};
 use crate::test_driver::{Driver, QUESTION, disk_of, entry, is_outcome, member, serving, submit, view};
-use crate::transfer::{Assembly, Stream};
+use crate::view::View;
 use crate::{EntryBody, Event, Heartbeat, HistorySuffix, Message, RequestId};
 use rstest::rstest;
 
--- a/crates/chain/src/request_tests.rs
+++ b/crates/chain/src/request_tests.rs
@@ -1,8 +1,10 @@
 //! Changes that were computed from a request are recognised by the request.
 
 use crate::digest::{Blake3, Digest};
-use crate::message::{Message, RequestOutcome};
-use crate::model::{EntryHeader, RequestId};
+use crate::entry::EntryHeader;
+use crate::message::Message;
+use crate::request::RequestId;
+use crate::request::RequestOutcome;
 use crate::test_driver::{Driver, is_outcome, serving};
 use rstest::rstest;
 use std::sync::Arc;
--- a/crates/chain/src/test_driver.rs
+++ b/crates/chain/src/test_driver.rs
@@ -2,8 +2,10 @@
 //! sends lies here.
 
 use crate::digest::{Digest, Fnv};
-use crate::model::{Entry, EntryHeader, MemberId, View};
+use crate::entry::{Entry, EntryHeader};
+use crate::member::MemberId;
 use crate::record::Record;
+use crate::view::View;
 use crate::{
     Action, Event, Heartbeat, HistorySuffix, Link, Message, OperatorResponse, Replica, ReplicaSettings,
     RequestId,
--- a/crates/chain/src/planner.rs
+++ b/crates/chain/src/view_planner.rs
@@ -1,10 +1,11 @@
 //! Which view would suit what is known of the peers now.
 
-use crate::api::ViewChangeReason;
-use crate::message::Heartbeat;
-use crate::model::{MemberId, View};
+use crate::heartbeat::Heartbeat;
+use crate::log_event::ViewChangeReason;
+use crate::member::MemberId;
 use crate::peers::Peers;
 use crate::settings::ReplicaSettings;
+use crate::view::View;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/chain/src/planner_tests.rs
+++ b/crates/chain/src/view_planner_tests.rs
@@ -1,11 +1,12 @@
 //! Which view suits what is heard of the others.
 
-use crate::api::ViewChangeReason;
-use crate::message::{Heartbeat, Link};
-use crate::model::{MemberId, View};
+use crate::heartbeat::{Heartbeat, Link};
+use crate::log_event::ViewChangeReason;
+use crate::member::MemberId;
 use crate::peers::Peers;
-use crate::planner::Planner;
 use crate::settings::ReplicaSettings;
+use crate::view::View;
+use crate::view_planner::Planner;
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
