--- a/crates/chain/src/byte_string.rs
+++ b/crates/chain/src/byte_string.rs
@@ -1,4 +1,4 @@
-//! Encodes shared bytes as one CBOR byte string instead of an array of numbers.
+//! A serde form for shared bytes (`#[serde(with = "byte_string")]`): one CBOR byte string instead of an array of numbers.
 
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserializer, Serializer};
@@ -10,7 +10,7 @@
     serializer.serialize_bytes(bytes)
 }
 
-/// Reads one byte string.
+/// Deserialises one byte string, or an array of numbers.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Arc<[u8]>, D::Error> {
     deserializer.deserialize_byte_buf(BytesVisitor)
 }
--- a/crates/chain/src/digest.rs
+++ b/crates/chain/src/digest.rs
@@ -1,8 +1,8 @@
-//! What stands for the bytes of a configuration.
+//! The digest of a configuration, by which a change is identified without its bytes.
 //!
-//! Earlier versions identified a change by [`Fnv`] alone, a hash that is easy to collide on purpose. A change is
-//! identified by [`Blake3`] now. Logs and processes of earlier versions know only the older hash, so a digest carries
-//! both, and the older one decides only where the newer one is not known on both sides.
+//! Earlier versions identified a change by [`Fnv`] alone, a hash with collisions that are easy to construct. Now [`Blake3`]
+//! does. Logs and processes of earlier versions only know the older hash, so a digest carries both, and the older one decides
+//! only if the newer one is missing on one side.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -10,12 +10,12 @@
 const FNV_OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
 const FNV_PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
 
-/// 128 bits of FNV-1a, upper half first.
+/// An FNV-1a hash of 128 bits (draft-eastlake-fnv), upper half first. Not resistant to collisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Fnv(pub u64, pub u64);
 
 impl Fnv {
-    /// The hash of these bytes.
+    /// Hashes bytes.
     pub fn of(bytes: &[u8]) -> Fnv {
         let hash = bytes.iter().fold(FNV_OFFSET, |hash, byte| {
             let mixed = hash ^ u128::from(*byte);
@@ -25,21 +25,21 @@
     }
 }
 
-/// The first 128 bits of BLAKE3, upper half first: no two inputs with one hash are found in less than 2^64 tries.
+/// The first 128 bits of a BLAKE3 hash, upper half first. Finding a collision takes about 2^64 hashes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Blake3(pub u64, pub u64);
 
 impl Blake3 {
-    /// The hash of these bytes.
+    /// Hashes bytes.
     pub fn of(bytes: &[u8]) -> Blake3 {
         Blake3::of_parts([bytes])
     }
 
-    /// The hash of several chunks, as if they were one.
-    pub fn of_parts<'a>(chunks: impl IntoIterator<Item = &'a [u8]>) -> Blake3 {
+    /// Hashes the concatenation of several parts.
+    pub fn of_parts<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Blake3 {
         let mut hasher = blake3::Hasher::new();
-        for chunk in chunks {
-            hasher.update(chunk);
+        for part in parts {
+            hasher.update(part);
         }
         let mut halves = [[0; size_of::<u64>()]; 2];
         hasher.finalize_xof().fill(halves.as_flattened_mut());
@@ -54,15 +54,15 @@
     }
 }
 
-/// What a change is recognised by: the hashes of its configuration, and the hash of the request_hash that it was computed from
-/// where the operator did not send the configuration whole.
+/// The digest of a change: the hashes of its configuration, and the hash of the request that the
+/// configuration was computed from if the operator did not send a full one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Digest {
     /// The only hash that earlier versions know.
     pub fnv: Fnv,
-    /// Missing if an earlier version wrote the entry and its bytes were gone when this version first read it.
+    /// Missing if an earlier version wrote the entry and its bytes were dropped before this version first read it.
     pub blake3: Option<Blake3>,
-    /// Of the request_hash, where it alters named items of its base.
+    /// The hash of the request, if it changes named items of its base.
     pub request_hash: Option<Blake3>,
 }
 
@@ -72,12 +72,12 @@
         Digest { fnv: Fnv::of(bytes), blake3: Some(Blake3::of(bytes)), request_hash: None }
     }
 
-    /// The digest of the bytes that a request_hash with this hash led to.
+    /// The digest of the bytes that were computed from a request with this hash.
     pub fn of_request(bytes: &[u8], request_hash: Option<Blake3>) -> Digest {
         Digest { request_hash, ..Digest::of(bytes) }
     }
 
-    /// Whether both stand for the same change: one request_hash leads to the same bytes on the same base, whoever computes them.
+    /// Whether both identify the same change. One request on one base gives the same bytes, whichever process computes them.
     pub fn matches(&self, other: &Digest) -> bool {
         let same_request = self.request_hash.is_some() && self.request_hash == other.request_hash;
         same_request || self.has_same_bytes(other)
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether this is the digest of these bytes, by the better hash that is known.
+    /// Whether this is the digest of these bytes, by the stronger hash that is known.
     pub fn fits(&self, bytes: &[u8]) -> bool {
         match self.blake3 {
             Some(known) => known == Blake3::of(bytes),
@@ -98,10 +98,10 @@
         }
     }
 
-    /// The digest with the hash that an earlier version did not know, if these are its bytes.
+    /// Adds the hash that an earlier version did not know, if these are the bytes.
     pub fn completed(self, bytes: &[u8]) -> Digest {
-        let lacks = self.blake3.is_none() && self.fits(bytes);
-        if lacks { Digest { blake3: Some(Blake3::of(bytes)), ..self } } else { self }
+        let is_incomplete = self.blake3.is_none() && self.fits(bytes);
+        if is_incomplete { Digest { blake3: Some(Blake3::of(bytes)), ..self } } else { self }
     }
 }
 
--- a/crates/chain/src/earlier_version_tests.rs
+++ b/crates/chain/src/earlier_version_tests.rs
@@ -136,6 +136,6 @@
     assert!(history.append(Entry { header, bytes: b"four"[..].into() }));
     let Message::Committed { header } = message(COMMITTED) else { panic!("no header") };
     assert_eq!(header.digest.blake3, None);
-    assert!(history.holds(&header));
-    assert!(!history.holds(&EntryHeader { base: 20, ..header }));
+    assert!(history.contains(&header));
+    assert!(!history.contains(&EntryHeader { base: 20, ..header }));
 }
--- a/crates/chain/src/encoding_tests.rs
+++ b/crates/chain/src/encoding_tests.rs
@@ -6,7 +6,7 @@
 use crate::digest::{Blake3, Digest, Fnv};
 use crate::entry::{CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix};
 use crate::heartbeat::{Heartbeat, HistoryPosition, Link};
-use crate::history_stream::{Assembly, Chunk, ChunkRequest, Progress, Stream};
+use crate::history_stream::{AssemblyProgress, Chunk, ChunkRequest, HistoryStream, StreamAssembly};
 use crate::member::MemberId;
 use crate::message::Message;
 use crate::paxos::ProposalNumber;
@@ -85,7 +85,13 @@
 }
 
 fn chunk(last: bool) -> Chunk {
-    Chunk { stream: BLAKE3, total: 300_000, offset: 262_144, last, bytes: b"a piece"[..].into() }
+    Chunk {
+        stream: BLAKE3,
+        total_bytes: 300_000,
+        offset: 262_144,
+        is_last_of_response: last,
+        bytes: b"a piece"[..].into(),
+    }
 }
 
 fn heartbeat() -> Heartbeat {
@@ -292,12 +298,12 @@
 #[case::of_nothing(HistorySuffix { after: 7, ..HistorySuffix::default() }, "a365616674657207656d61726b738066626f6469657380")]
 fn streams_keep_their_encoding(#[case] suffix: HistorySuffix, #[case] hex: &str) {
     let bytes = from_hex(hex);
-    let chunk = Stream::new(suffix.clone()).chunk(FIRST_PIECE, usize::MAX);
+    let chunk = HistoryStream::new(suffix.clone()).chunk(FIRST_PIECE, usize::MAX);
     assert_eq!(to_hex(&chunk.bytes), hex);
-    assert_eq!((chunk.stream, chunk.total), (Blake3::of(&bytes), bytes.len() as u64));
-    let mut assembly = Assembly::new(suffix.after);
+    assert_eq!((chunk.stream, chunk.total_bytes), (Blake3::of(&bytes), bytes.len() as u64));
+    let mut assembly = StreamAssembly::new(suffix.after);
     let received = Chunk { bytes: bytes.into(), ..chunk };
-    assert_eq!(assembly.take(&received), Progress::Complete(suffix));
+    assert_eq!(assembly.add(&received), AssemblyProgress::Complete(suffix));
 }
 
 /// A history that is longer than one record: the hash over the encoded records, each behind its length.
--- a/crates/chain/src/guard_tests.rs
+++ b/crates/chain/src/guard_tests.rs
@@ -1,6 +1,6 @@
 //! One test for each guard of a replica that nothing else notices; `docs/design/guards-chain.md` has the table.
 
-use crate::history_stream::{Assembly, ChunkRequest, Progress, Stream};
+use crate::history_stream::{AssemblyProgress, ChunkRequest, HistoryStream, StreamAssembly};
 use crate::member::MemberId;
 use crate::paxos::ProposalNumber;
 use crate::record::Record;
@@ -178,7 +178,7 @@
 #[case::another_view(3, 2, 0)]
 fn the_history_goes_to_members_of_its_view(
     #[case] from: u8, #[case] number: u64, #[case] answers: usize,
-    #[values(None, Some(Assembly::new(0).wanted()))] chunk: Option<ChunkRequest>,
+    #[values(None, Some(StreamAssembly::new(0).next_request()))] chunk: Option<ChunkRequest>,
 ) {
     let mut driver = serving(1);
     driver.receive(from, Message::StateRequest { view: number, after: 0, chunk });
@@ -222,15 +222,15 @@
         driver.sync();
     }
     driver.receive(3, Message::Committed { header: entry(1).header });
-    let chunk = Assembly::new(0).wanted();
+    let chunk = StreamAssembly::new(0).next_request();
     driver.receive(9, Message::HistoryRequest { after: 0, chunk });
     let chunks = driver.sent.iter().filter_map(|(_, message)| match message {
         Message::HistoryChunk { chunk } => Some(chunk),
         _ => None,
     });
-    let mut assembly = Assembly::new(0);
-    let last = chunks.map(|chunk| assembly.take(chunk)).last();
-    let Some(Progress::Complete(suffix)) = last else { panic!("no history: {last:?}") };
+    let mut assembly = StreamAssembly::new(0);
+    let last = chunks.map(|chunk| assembly.add(chunk)).last();
+    let Some(AssemblyProgress::Complete(suffix)) = last else { panic!("no history: {last:?}") };
     assert_eq!(suffix.headers, [entry(1).header]);
 }
 
@@ -247,8 +247,8 @@
     assert!(driver.count(|message| matches!(message, Message::HistoryRequest { after: 0, .. })) > 0);
     let bodies = (1..=2).map(|index| EntryBody { index, bytes: entry(index).bytes }).collect();
     let headers = vec![entry(1).header, entry(2).header];
-    let stream = Stream::new(HistorySuffix { after: 0, headers, bodies });
-    let chunk = stream.chunk(Assembly::new(0).wanted(), usize::MAX);
+    let stream = HistoryStream::new(HistorySuffix { after: 0, headers, bodies });
+    let chunk = stream.chunk(StreamAssembly::new(0).next_request(), usize::MAX);
     (driver, Message::HistoryChunk { chunk })
 }
 
@@ -317,8 +317,8 @@
     }
     let bodies = (1..=2).map(|index| EntryBody { index, bytes: entry(index).bytes }).collect();
     let headers = vec![entry(1).header, entry(2).header];
-    let stream = Stream::new(HistorySuffix { after: 0, headers, bodies });
-    let chunk = stream.chunk(Assembly::new(0).wanted(), usize::MAX);
+    let stream = HistoryStream::new(HistorySuffix { after: 0, headers, bodies });
+    let chunk = stream.chunk(StreamAssembly::new(0).next_request(), usize::MAX);
     driver.receive(2, Message::HistoryChunk { chunk });
     assert_eq!(
         (driver.replica.status().committed_version, driver.replica.status().durable_commit_index),
--- a/crates/chain/src/history.rs
+++ b/crates/chain/src/history.rs
@@ -1,6 +1,9 @@
-//! The history of configurations that one replica holds.
+//! The history of configurations as one replica holds it.
 //!
-//! All entries but the last are known to be committed, since the head writes an entry only once the one before it is.
+//! Old entries are truncated twice: first the bytes go and the header remains, which is enough to recognise a resend; then the
+//! header goes too ([`HistoryLimits`]).
+//!
+//! Invariant: all entries but the last are committed, since the head appends an entry only once the one before it is.
 
 use crate::digest::Digest;
 use crate::entry::{CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix};
@@ -12,22 +15,24 @@
 #[derive(Clone, Debug, Default)]
 pub struct History {
     limits: HistoryLimits,
+    /// Contiguous, oldest first.
     headers: VecDeque<EntryHeader>,
+    /// The bytes by index.
     bodies: BTreeMap<u64, Arc<[u8]>>,
 }
 
 impl History {
-    /// An empty history that keeps this much.
+    /// An empty history that retains this much.
     pub fn new(limits: HistoryLimits) -> History {
         History { limits, ..History::default() }
     }
 
-    /// The last entry.
+    /// The header of the last entry.
     pub fn last(&self) -> Option<EntryHeader> {
         self.headers.back().copied()
     }
 
-    /// The place of the last entry, 0 for none.
+    /// The index of the last entry, 0 for none.
     pub fn last_index(&self) -> u64 {
         self.last().map_or(0, |header| header.index)
     }
@@ -37,46 +42,46 @@
         self.last().map_or(0, |header| header.version)
     }
 
-    /// The entry at a place.
+    /// The header of the entry at an index, if it is retained.
     pub fn header(&self, index: u64) -> Option<EntryHeader> {
         let first = self.headers.front()?.index;
         let offset = usize::try_from(index.checked_sub(first)?).ok()?;
         self.headers.get(offset).copied()
     }
 
-    /// Whether this very entry is held.
-    pub fn holds(&self, header: &EntryHeader) -> bool {
-        self.header(header.index).is_some_and(|held| held.is_same(header))
+    /// Whether the history contains this very entry.
+    pub fn contains(&self, header: &EntryHeader) -> bool {
+        self.header(header.index).is_some_and(|own| own.is_same(header))
     }
 
-    /// The entry at a place with its bytes, if they are kept.
+    /// The entry at an index, if its bytes are retained.
     pub fn entry(&self, index: u64) -> Option<Entry> {
         let header = self.header(index)?;
         let bytes = self.bodies.get(&index)?.clone();
         Some(Entry { header, bytes })
     }
 
-    /// The configuration at a place, if its bytes are kept.
+    /// The configuration at an index, if its bytes are retained.
     pub fn config(&self, index: u64) -> Option<CommittedConfig> {
         let entry = self.entry(index)?;
         Some(CommittedConfig { version: entry.header.version, base: entry.header.base, bytes: entry.bytes })
     }
 
-    /// The entry that is this very change. Versions climb along the history.
+    /// The header of the entry that is this very change. Versions increase along the history.
     pub fn find(&self, version: u64, base: u64, digest: Digest) -> Option<EntryHeader> {
         let position = self.headers.binary_search_by_key(&version, |header| header.version).ok()?;
         let header = self.headers.get(position).copied()?;
         (header.base == base && header.digest.matches(&digest)).then_some(header)
     }
 
-    /// Whether such a change may have been taken so long ago that its header was dropped. Versions climb along the
-    /// history, so that those that were dropped are no higher than the one that the first kept entry builds on.
+    /// Whether such a change may be an entry whose header was dropped. Versions increase along the history, so dropped ones
+    /// are not above the base of the first retained entry.
     pub fn may_have_dropped(&self, version: u64, base: u64) -> bool {
-        let dropped_up_to = self.headers.front().filter(|first| first.index > 1).map(|first| first.base);
-        base < version && dropped_up_to.is_some_and(|dropped| version <= dropped)
+        let last_dropped = self.headers.front().filter(|first| first.index > 1).map(|first| first.base);
+        base < version && last_dropped.is_some_and(|dropped| version <= dropped)
     }
 
-    /// Adds the entry that follows the last. Returns whether it does follow.
+    /// Appends an entry. Returns whether it follows the last one; otherwise nothing changes.
     #[must_use]
     pub fn append(&mut self, entry: Entry) -> bool {
         let follows = entry.header.index == self.last_index() + 1;
@@ -84,7 +89,7 @@
             let digest = entry.header.digest.completed(&entry.bytes);
             self.headers.push_back(EntryHeader { digest, ..entry.header });
             self.bodies.insert(entry.header.index, entry.bytes);
-            self.trim();
+            self.drop_oldest();
         }
         follows
     }
@@ -94,34 +99,38 @@
         self.suffix_up_to(after, u64::MAX)
     }
 
-    /// The same without the entries behind `last`.
+    /// What a replica lacks that holds the committed history up to `after`, without the entries behind `last`.
     pub fn suffix_up_to(&self, after: u64, last: u64) -> HistorySuffix {
-        let wanted = |index: u64| index > after && index <= last;
-        let headers = self.headers.iter().filter(|header| wanted(header.index)).copied().collect();
-        let bodies = self.bodies.iter().filter(|(index, _)| wanted(**index));
+        let is_included = |index: u64| index > after && index <= last;
+        let headers = self.headers.iter().filter(|header| is_included(header.index)).copied().collect();
+        let bodies = self.bodies.iter().filter(|(index, _)| is_included(**index));
         let bodies = bodies.map(|(index, bytes)| EntryBody { index: *index, bytes: bytes.clone() }).collect();
         HistorySuffix { after, headers, bodies }
     }
 
-    /// Takes over another replica's history. Returns whether it fits to what is held here.
+    /// Replaces the entries behind `suffix.after` by another replica's. Returns whether the suffix fits to this history;
+    /// otherwise nothing changes.
+    ///
+    /// A suffix whose first header does not follow `after` is a whole history whose oldest headers were dropped: it replaces
+    /// everything.
     #[must_use]
     pub fn install(&mut self, suffix: &HistorySuffix) -> bool {
         let first = suffix.headers.first().map_or(suffix.after + 1, |header| header.index);
-        let from_start = first != suffix.after + 1;
-        let fits = from_start || suffix.after <= self.last_index();
-        let contiguous = suffix.headers.iter().zip(first..).all(|(header, index)| header.index == index);
-        if !fits || !contiguous {
+        let replaces_all = first != suffix.after + 1;
+        let fits = replaces_all || suffix.after <= self.last_index();
+        let is_contiguous = suffix.headers.iter().zip(first..).all(|(header, index)| header.index == index);
+        if !fits || !is_contiguous {
             return false;
         }
-        self.truncate(if from_start { 0 } else { suffix.after });
+        self.truncate(if replaces_all { 0 } else { suffix.after });
         self.headers.extend(&suffix.headers);
         self.bodies.extend(suffix.bodies.iter().map(|body| (body.index, body.bytes.clone())));
-        self.trim();
+        self.drop_oldest();
         self.complete_digests();
         true
     }
 
-    /// Works out what an earlier version does not tell of a digest, where the bytes are kept.
+    /// Adds the hash that an earlier version did not send to each digest whose bytes are retained.
     fn complete_digests(&mut self) {
         let Some(first) = self.headers.front().map(|header| header.index) else { return };
         for (index, bytes) in &self.bodies {
@@ -132,14 +141,16 @@
         }
     }
 
-    fn truncate(&mut self, last: u64) {
-        while self.headers.back().is_some_and(|header| header.index > last) {
+    /// Removes the entries behind an index.
+    fn truncate(&mut self, last_index: u64) {
+        while self.headers.back().is_some_and(|header| header.index > last_index) {
             self.headers.pop_back();
         }
-        self.bodies.retain(|index, _| *index <= last);
+        self.bodies.retain(|index, _| *index <= last_index);
     }
 
-    fn trim(&mut self) {
+    /// Drops what exceeds the limits.
+    fn drop_oldest(&mut self) {
         while self.headers.len() > self.limits.max_headers {
             self.headers.pop_front();
         }
--- a/crates/chain/src/history_stream.rs
+++ b/crates/chain/src/history_stream.rs
@@ -1,8 +1,8 @@
-//! A history on its way to another replica, cut in chunks.
+//! The transfer of a history to another replica in chunks.
 //!
-//! The stream is a CBOR header with the headers and the lengths of the bodies, then the bodies themselves. It is named by
-//! the hash over all of it, so that a chunk of another stream is never taken for one of this, and so that each source
-//! that holds the same history can send the rest.
+//! The stream is a CBOR header, with the entry headers and the lengths of the bodies, followed by the bodies themselves. It is
+//! identified by the hash over all of it. So a chunk of one stream is never mistaken for one of another, and a receiver can
+//! resume at any source that holds the same history.
 
 use crate::byte_string;
 use crate::digest::Blake3;
@@ -12,49 +12,52 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest stream that is taken in, in bytes: two configurations of 3 MB and 10,000 headers take 7 MB.
+/// The longest stream that a receiver accepts, in bytes. Two configurations of 3 MB and 10,000 headers take 7 MB.
 const MAX_STREAM_BYTES: u64 = 16 * 1024 * 1024;
-/// As many streams as are kept for receivers that are at different places.
+/// The streams that a source retains for receivers at different offsets.
 const MAX_STREAMS: usize = 4;
-/// A stream that nobody has asked for in this time is dropped.
-const KEPT_IDLE: Duration = Duration::from_secs(1);
+/// A stream that nobody has requested for this long is dropped.
+const STREAM_TTL: Duration = Duration::from_secs(1);
 
-/// Which chunk is wanted.
+/// A request for a chunk. Encoded names are fixed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkRequest {
-    /// The stream that was begun, if any.
+    /// The stream to resume, `None` to begin one.
     pub stream: Option<Blake3>,
-    /// Where the chunk begins, in bytes.
+    /// The offset of the chunk in bytes.
     pub offset: u64,
 }
 
-/// How much is sent for one request.
-#[derive(Clone, Copy, Debug)]
-pub struct Portion {
-    /// The longest chunk, in bytes.
-    pub chunk_bytes: usize,
-    /// How many chunks at most.
-    pub chunks: usize,
-}
-
-/// A chunk of a stream.
+/// A chunk of a stream. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The hash over the whole stream.
     pub stream: Blake3,
     /// The length of the whole stream in bytes.
-    pub total: u64,
-    /// Where the chunk begins, in bytes.
+    #[serde(rename = "total")]
+    pub total_bytes: u64,
+    /// The offset of the chunk in bytes.
     pub offset: u64,
-    /// Whether no other chunk comes with this one, so that the next must be asked for.
-    pub last: bool,
-    /// The chunk.
+    /// Whether this is the last chunk in response to one request, so that the next one must be requested.
+    #[serde(rename = "last")]
+    pub is_last_of_response: bool,
+    /// The bytes of the chunk.
     #[serde(with = "byte_string")]
     pub bytes: Arc<[u8]>,
 }
 
+/// The limits of the response to one request.
+#[derive(Clone, Copy, Debug)]
+pub struct ResponseLimits {
+    /// The longest chunk, in bytes.
+    pub chunk_bytes: usize,
+    /// The most chunks.
+    pub max_chunks: usize,
+}
+
+/// The header of a stream. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Serialize, Deserialize)]
-struct Header {
+struct StreamHeader {
     after: u64,
     #[serde(rename = "marks")]
     headers: Vec<EntryHeader>,
@@ -67,168 +70,182 @@
     bytes: u64,
 }
 
-/// A stream as its source holds it. The bodies are shared with the history.
+/// A stream at its source. It shares the bodies with the history.
 #[derive(Debug)]
-pub struct Stream {
-    name: Blake3,
-    total: usize,
+pub struct HistoryStream {
+    hash: Blake3,
+    total_bytes: usize,
     segments: Vec<Arc<[u8]>>,
 }
 
-impl Stream {
+impl HistoryStream {
     /// The stream of a part of a history.
-    pub fn new(suffix: HistorySuffix) -> Stream {
-        let body = |body: &EntryBody| BodyLength { index: body.index, bytes: body.bytes.len() as u64 };
-        let bodies = suffix.bodies.iter().map(body).collect();
-        let header = Header { after: suffix.after, headers: suffix.headers, bodies };
+    pub fn new(suffix: HistorySuffix) -> HistoryStream {
+        let length = |body: &EntryBody| BodyLength { index: body.index, bytes: body.bytes.len() as u64 };
+        let bodies = suffix.bodies.iter().map(length).collect();
+        let header = StreamHeader { after: suffix.after, headers: suffix.headers, bodies };
         let mut encoded = Vec::new();
         // Writing to a vector fails for no value of these types.
         let written = ciborium::into_writer(&header, &mut encoded);
         debug_assert!(written.is_ok(), "a header that cannot be encoded: {written:?}");
         let mut segments = vec![Arc::from(encoded)];
         segments.extend(suffix.bodies.into_iter().map(|body| body.bytes));
-        let name = Blake3::of_parts(segments.iter().map(|segment| segment.as_ref()));
-        let total = segments.iter().map(|segment| segment.len()).sum();
-        Stream { name, total, segments }
+        let hash = Blake3::of_parts(segments.iter().map(|segment| segment.as_ref()));
+        let total_bytes = segments.iter().map(|segment| segment.len()).sum();
+        HistoryStream { hash, total_bytes, segments }
     }
 
-    /// The chunk that begins at an offset; from the start for a receiver that has begun another stream.
-    pub fn chunk(&self, wanted: ChunkRequest, longest: usize) -> Chunk {
-        let same = wanted.stream == Some(self.name);
-        let offset = usize::try_from(wanted.offset).unwrap_or(usize::MAX);
-        let offset = if same { offset.min(self.total) } else { 0 };
-        let bytes = self.bytes(offset, longest).into();
-        Chunk { stream: self.name, total: self.total as u64, offset: offset as u64, last: true, bytes }
+    /// The requested chunk; the first one if the request resumes another stream.
+    pub fn chunk(&self, request: ChunkRequest, max_bytes: usize) -> Chunk {
+        let resumes = request.stream == Some(self.hash);
+        let offset = usize::try_from(request.offset).unwrap_or(usize::MAX);
+        let offset = if resumes { offset.min(self.total_bytes) } else { 0 };
+        Chunk {
+            stream: self.hash,
+            total_bytes: self.total_bytes as u64,
+            offset: offset as u64,
+            is_last_of_response: true,
+            bytes: self.bytes(offset, max_bytes).into(),
+        }
     }
 
-    fn chunks(&self, wanted: ChunkRequest, portion: Portion) -> Vec<Chunk> {
-        let mut chunks = vec![self.chunk(wanted, portion.chunk_bytes)];
-        while chunks.len() < portion.chunks {
+    /// The requested chunk and those behind it, as far as the limits allow.
+    fn response(&self, request: ChunkRequest, limits: ResponseLimits) -> Vec<Chunk> {
+        let mut chunks = vec![self.chunk(request, limits.chunk_bytes)];
+        while chunks.len() < limits.max_chunks {
             let Some(previous) = chunks.last_mut() else { break };
             let offset = previous.offset + previous.bytes.len() as u64;
-            if offset >= self.total as u64 {
+            if offset >= self.total_bytes as u64 {
                 break;
             }
-            previous.last = false;
-            let next = ChunkRequest { stream: Some(self.name), offset };
-            chunks.push(self.chunk(next, portion.chunk_bytes));
+            previous.is_last_of_response = false;
+            let next = ChunkRequest { stream: Some(self.hash), offset };
+            chunks.push(self.chunk(next, limits.chunk_bytes));
         }
         chunks
     }
 
-    fn bytes(&self, mut offset: usize, longest: usize) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(longest.min(self.total - offset));
+    fn bytes(&self, mut offset: usize, max_bytes: usize) -> Vec<u8> {
+        let mut bytes = Vec::with_capacity(max_bytes.min(self.total_bytes - offset));
         for segment in &self.segments {
             let skipped = offset.min(segment.len());
             let rest = &segment[skipped..];
-            bytes.extend_from_slice(&rest[..rest.len().min(longest - bytes.len())]);
+            bytes.extend_from_slice(&rest[..rest.len().min(max_bytes - bytes.len())]);
             offset -= skipped;
         }
         bytes
     }
 }
 
-/// The streams that a source has lately sent chunks of.
+#[derive(Debug)]
+struct RetainedStream {
+    stream: HistoryStream,
+    requested_at: Duration,
+}
+
+/// The streams that a source has sent lately. They are retained so that a transfer ends even while the history grows.
 #[derive(Debug, Default)]
-pub struct Streams {
-    held: VecDeque<(Duration, Stream)>,
+pub struct StreamCache {
+    /// The one that was requested last comes last.
+    streams: VecDeque<RetainedStream>,
 }
 
-impl Streams {
-    /// The wanted chunk and those behind it; `make` gives the history if the stream is not held.
+impl StreamCache {
+    /// The chunks in response to a request. `make_suffix` returns the history to send if the stream is not retained.
     pub fn chunks(
-        &mut self, now: Duration, wanted: ChunkRequest, portion: Portion,
-        make: impl FnOnce() -> HistorySuffix,
+        &mut self, now: Duration, request: ChunkRequest, limits: ResponseLimits,
+        make_suffix: impl FnOnce() -> HistorySuffix,
     ) -> Vec<Chunk> {
-        let position = self.held.iter().position(|(_, stream)| wanted.stream == Some(stream.name));
-        let stream = match position.and_then(|position| self.held.remove(position)) {
-            Some((_, stream)) => stream,
-            None => Stream::new(make()),
+        let is_requested = |retained: &RetainedStream| request.stream == Some(retained.stream.hash);
+        let position = self.streams.iter().position(is_requested);
+        let stream = match position.and_then(|position| self.streams.remove(position)) {
+            Some(retained) => retained.stream,
+            None => HistoryStream::new(make_suffix()),
         };
-        let chunks = stream.chunks(wanted, portion);
-        self.held.retain(|(_, held)| held.name != stream.name);
-        self.held.push_back((now, stream));
-        if self.held.len() > MAX_STREAMS {
-            self.held.pop_front();
+        let chunks = stream.response(request, limits);
+        self.streams.retain(|retained| retained.stream.hash != stream.hash);
+        self.streams.push_back(RetainedStream { stream, requested_at: now });
+        if self.streams.len() > MAX_STREAMS {
+            self.streams.pop_front();
         }
         chunks
     }
 
-    /// Drops what nobody asks for any more.
+    /// Drops the streams that nobody has requested lately.
     pub fn drop_idle(&mut self, now: Duration) {
-        self.held.retain(|(asked, _)| now < *asked + KEPT_IDLE);
+        self.streams.retain(|retained| now < retained.requested_at + STREAM_TTL);
     }
 }
 
-/// What came of a chunk.
+/// The effect of a chunk on the assembly of a stream.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Progress {
-    /// It was not the one that was wanted.
+pub enum AssemblyProgress {
+    /// The chunk was not the next one.
     Ignored,
-    /// The next chunk is wanted.
-    Continues,
-    /// All chunks are there.
+    /// The next chunk is needed.
+    Incomplete,
+    /// The stream is complete.
     Complete(HistorySuffix),
-    /// The stream is not what its name says, or too long. Begin again.
-    Broken,
+    /// The stream does not match its hash, is too long or does not fit the request. Assembly has to start again.
+    Corrupt,
 }
 
-/// A stream as its receiver puts it together.
+/// A stream at its receiver.
 #[derive(Debug)]
-pub struct Assembly {
-    /// The receiver held the committed history up to this entry when it began.
+pub struct StreamAssembly {
+    /// The receiver held the committed history up to this index when it began.
     pub after: u64,
     stream: Option<Blake3>,
     bytes: Vec<u8>,
 }
 
-impl Assembly {
-    /// Nothing was received yet.
-    pub fn new(after: u64) -> Assembly {
-        Assembly { after, stream: None, bytes: Vec::new() }
+impl StreamAssembly {
+    /// An assembly without any chunk.
+    pub fn new(after: u64) -> StreamAssembly {
+        StreamAssembly { after, stream: None, bytes: Vec::new() }
     }
 
-    /// The chunk that is wanted next.
-    pub fn wanted(&self) -> ChunkRequest {
+    /// The request for the next chunk.
+    pub fn next_request(&self) -> ChunkRequest {
         ChunkRequest { stream: self.stream, offset: self.bytes.len() as u64 }
     }
 
-    /// Takes a chunk in.
-    pub fn take(&mut self, chunk: &Chunk) -> Progress {
-        if chunk.total > MAX_STREAM_BYTES {
-            return Progress::Broken;
+    /// Adds a chunk. The first chunk of another stream starts the assembly again.
+    pub fn add(&mut self, chunk: &Chunk) -> AssemblyProgress {
+        if chunk.total_bytes > MAX_STREAM_BYTES {
+            return AssemblyProgress::Corrupt;
         }
         if self.stream != Some(chunk.stream) {
             if chunk.offset != 0 {
-                return Progress::Ignored;
+                return AssemblyProgress::Ignored;
             }
             self.stream = Some(chunk.stream);
             self.bytes.clear();
         }
         if chunk.offset != self.bytes.len() as u64 || chunk.bytes.is_empty() {
-            return Progress::Ignored;
+            return AssemblyProgress::Ignored;
         }
         self.bytes.extend_from_slice(&chunk.bytes);
-        let length = self.bytes.len() as u64;
-        if length < chunk.total {
-            return Progress::Continues;
+        let received_bytes = self.bytes.len() as u64;
+        if received_bytes < chunk.total_bytes {
+            return AssemblyProgress::Incomplete;
         }
-        let sound = length == chunk.total && Blake3::of(&self.bytes) == chunk.stream;
-        match decode(&self.bytes).filter(|suffix| sound && suffix.after == self.after) {
-            Some(suffix) => Progress::Complete(suffix),
-            None => Progress::Broken,
+        let is_intact = received_bytes == chunk.total_bytes && Blake3::of(&self.bytes) == chunk.stream;
+        match decode(&self.bytes).filter(|suffix| is_intact && suffix.after == self.after) {
+            Some(suffix) => AssemblyProgress::Complete(suffix),
+            None => AssemblyProgress::Corrupt,
         }
     }
 }
 
 fn decode(mut stream: &[u8]) -> Option<HistorySuffix> {
-    let header: Header = ciborium::from_reader(&mut stream).ok()?;
+    let header: StreamHeader = ciborium::from_reader(&mut stream).ok()?;
     let mut bodies = Vec::new();
     for BodyLength { index, bytes } in header.bodies {
         let (bytes, rest) = stream.split_at_checked(usize::try_from(bytes).ok()?)?;
         bodies.push(EntryBody { index, bytes: bytes.into() });
         stream = rest;
     }
-    let Header { after, headers, .. } = header;
+    let StreamHeader { after, headers, .. } = header;
     stream.is_empty().then_some(HistorySuffix { after, headers, bodies })
 }
--- a/crates/chain/src/history_stream_tests.rs
+++ b/crates/chain/src/history_stream_tests.rs
@@ -2,7 +2,9 @@
 
 use crate::digest::Digest;
 use crate::entry::{EntryBody, EntryHeader, HistorySuffix};
-use crate::history_stream::{Assembly, Chunk, ChunkRequest, Portion, Progress, Stream, Streams};
+use crate::history_stream::{
+    AssemblyProgress, Chunk, ChunkRequest, HistoryStream, ResponseLimits, StreamAssembly, StreamCache,
+};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -16,14 +18,14 @@
     HistorySuffix { after: 3, headers: (4..=entries).map(header).collect(), bodies: bodies.into() }
 }
 
-fn next(stream: &Stream, assembly: &Assembly, longest: usize) -> Chunk {
-    stream.chunk(assembly.wanted(), longest)
+fn next(stream: &HistoryStream, assembly: &StreamAssembly, longest: usize) -> Chunk {
+    stream.chunk(assembly.next_request(), longest)
 }
 
-fn finish(stream: &Stream, assembly: &mut Assembly, longest: usize) -> Progress {
+fn finish(stream: &HistoryStream, assembly: &mut StreamAssembly, longest: usize) -> AssemblyProgress {
     loop {
-        match assembly.take(&next(stream, assembly, longest)) {
-            Progress::Continues => {}
+        match assembly.add(&next(stream, assembly, longest)) {
+            AssemblyProgress::Incomplete => {}
             end => return end,
         }
     }
@@ -31,57 +33,57 @@
 
 #[rstest]
 fn a_history_arrives_whole(#[values(1, 7, 100, 1_000_000)] longest: usize) {
-    let stream = Stream::new(suffix(9, 90));
-    let mut assembly = Assembly::new(3);
-    assert_eq!(finish(&stream, &mut assembly, longest), Progress::Complete(suffix(9, 90)));
+    let stream = HistoryStream::new(suffix(9, 90));
+    let mut assembly = StreamAssembly::new(3);
+    assert_eq!(finish(&stream, &mut assembly, longest), AssemblyProgress::Complete(suffix(9, 90)));
 }
 
 #[test]
 fn no_piece_is_longer_than_the_limit() {
-    let stream = Stream::new(suffix(9, 90));
-    let mut assembly = Assembly::new(3);
+    let stream = HistoryStream::new(suffix(9, 90));
+    let mut assembly = StreamAssembly::new(3);
     for _ in 0..5 {
         let chunk = next(&stream, &assembly, 64);
         assert_eq!(chunk.bytes.len(), 64);
-        assert_eq!(assembly.take(&chunk), Progress::Continues);
+        assert_eq!(assembly.add(&chunk), AssemblyProgress::Incomplete);
     }
 }
 
 /// A lost chunk is asked for again, a repeated one changes nothing, and another source with the same history goes on.
 #[test]
 fn a_transfer_is_resumed() {
-    let stream = Stream::new(suffix(9, 90));
-    let mut assembly = Assembly::new(3);
+    let stream = HistoryStream::new(suffix(9, 90));
+    let mut assembly = StreamAssembly::new(3);
     let first = next(&stream, &assembly, 100);
-    assembly.take(&first);
+    assembly.add(&first);
     let lost = next(&stream, &assembly, 100);
-    assert_eq!(assembly.take(&first), Progress::Ignored);
+    assert_eq!(assembly.add(&first), AssemblyProgress::Ignored);
     assert_eq!(next(&stream, &assembly, 100), lost);
-    let other_source = Stream::new(suffix(9, 90));
-    assert_eq!(finish(&other_source, &mut assembly, 100), Progress::Complete(suffix(9, 90)));
+    let other_source = HistoryStream::new(suffix(9, 90));
+    assert_eq!(finish(&other_source, &mut assembly, 100), AssemblyProgress::Complete(suffix(9, 90)));
 }
 
 /// The source holds another history by now: its stream begins anew, and nothing of the first stays.
 #[test]
 fn another_stream_begins_anew() {
-    let mut assembly = Assembly::new(3);
-    assembly.take(&next(&Stream::new(suffix(9, 90)), &assembly, 100));
-    let newer = Stream::new(suffix(10, 90));
+    let mut assembly = StreamAssembly::new(3);
+    assembly.add(&next(&HistoryStream::new(suffix(9, 90)), &assembly, 100));
+    let newer = HistoryStream::new(suffix(10, 90));
     let chunk = next(&newer, &assembly, 100);
     assert_eq!(chunk.offset, 0);
-    assert_eq!(assembly.take(&chunk), Progress::Continues);
-    assert_eq!(finish(&newer, &mut assembly, 100), Progress::Complete(suffix(10, 90)));
+    assert_eq!(assembly.add(&chunk), AssemblyProgress::Incomplete);
+    assert_eq!(finish(&newer, &mut assembly, 100), AssemblyProgress::Complete(suffix(10, 90)));
 }
 
 #[test]
 fn a_piece_from_within_another_stream_is_ignored() {
-    let mut assembly = Assembly::new(3);
-    let (one, other) = (Stream::new(suffix(9, 90)), Stream::new(suffix(10, 90)));
-    assembly.take(&next(&one, &assembly, 100));
+    let mut assembly = StreamAssembly::new(3);
+    let (one, other) = (HistoryStream::new(suffix(9, 90)), HistoryStream::new(suffix(10, 90)));
+    assembly.add(&next(&one, &assembly, 100));
     let begun = other.chunk(ChunkRequest { stream: None, offset: 0 }, 100);
     let within = other.chunk(ChunkRequest { stream: Some(begun.stream), offset: 100 }, 100);
-    assert_eq!(assembly.take(&within), Progress::Ignored);
-    assert_eq!(finish(&one, &mut assembly, 100), Progress::Complete(suffix(9, 90)));
+    assert_eq!(assembly.add(&within), AssemblyProgress::Ignored);
+    assert_eq!(finish(&one, &mut assembly, 100), AssemblyProgress::Complete(suffix(9, 90)));
 }
 
 #[rstest]
@@ -93,23 +95,23 @@
     }
     Chunk { bytes: bytes.into(), ..chunk }
 })]
-#[case::longer_than_said(|chunk: Chunk| Chunk { total: 10, ..chunk })]
-#[case::endless(|chunk: Chunk| Chunk { total: u64::MAX, ..chunk })]
+#[case::longer_than_said(|chunk: Chunk| Chunk { total_bytes: 10, ..chunk })]
+#[case::endless(|chunk: Chunk| Chunk { total_bytes: u64::MAX, ..chunk })]
 fn a_stream_that_is_not_what_it_says_is_broken(#[case] harm: fn(Chunk) -> Chunk) {
-    let mut assembly = Assembly::new(3);
-    let chunk = next(&Stream::new(suffix(9, 90)), &assembly, 1_000_000);
-    assert_eq!(assembly.take(&harm(chunk)), Progress::Broken);
+    let mut assembly = StreamAssembly::new(3);
+    let chunk = next(&HistoryStream::new(suffix(9, 90)), &assembly, 1_000_000);
+    assert_eq!(assembly.add(&harm(chunk)), AssemblyProgress::Corrupt);
 }
 
 #[test]
 fn a_history_behind_another_entry_is_not_taken() {
-    let mut assembly = Assembly::new(4);
-    let chunk = next(&Stream::new(suffix(9, 90)), &assembly, 1_000_000);
-    assert_eq!(assembly.take(&chunk), Progress::Broken);
+    let mut assembly = StreamAssembly::new(4);
+    let chunk = next(&HistoryStream::new(suffix(9, 90)), &assembly, 1_000_000);
+    assert_eq!(assembly.add(&chunk), AssemblyProgress::Corrupt);
 }
 
-fn chunk(streams: &mut Streams, wanted: ChunkRequest, entries: u64) -> Chunk {
-    let portion = Portion { chunk_bytes: 100, chunks: 1 };
+fn chunk(streams: &mut StreamCache, wanted: ChunkRequest, entries: u64) -> Chunk {
+    let portion = ResponseLimits { chunk_bytes: 100, max_chunks: 1 };
     let mut chunks = streams.chunks(NOW, wanted, portion, || suffix(entries, 90));
     assert_eq!(chunks.len(), 1);
     chunks.remove(0)
@@ -120,22 +122,28 @@
 #[case::from_the_start(0, &[0, 100, 200])]
 #[case::from_within(300, &[300, 400, 500])]
 fn pieces_come_in_portions(#[case] from: u64, #[case] offsets: &[u64]) {
-    let portion = Portion { chunk_bytes: 100, chunks: 3 };
-    let mut streams = Streams::default();
+    let portion = ResponseLimits { chunk_bytes: 100, max_chunks: 3 };
+    let mut streams = StreamCache::default();
     let begun = chunk(&mut streams, ChunkRequest { stream: None, offset: 0 }, 9);
     let wanted = ChunkRequest { stream: Some(begun.stream), offset: from };
     let chunks = streams.chunks(NOW, wanted, portion, || suffix(9, 90));
     assert_eq!(chunks.iter().map(|chunk| chunk.offset).collect::<Vec<u64>>(), offsets);
-    assert_eq!(chunks.iter().map(|chunk| chunk.last).collect::<Vec<bool>>(), [false, false, true]);
-    let end = ChunkRequest { offset: begun.total - 1, ..wanted };
+    assert_eq!(
+        chunks.iter().map(|chunk| chunk.is_last_of_response).collect::<Vec<bool>>(),
+        [false, false, true]
+    );
+    let end = ChunkRequest { offset: begun.total_bytes - 1, ..wanted };
     let chunks = streams.chunks(NOW, end, portion, || suffix(9, 90));
-    assert_eq!(chunks.iter().map(|chunk| (chunk.bytes.len(), chunk.last)).collect::<Vec<_>>(), [(1, true)]);
+    assert_eq!(
+        chunks.iter().map(|chunk| (chunk.bytes.len(), chunk.is_last_of_response)).collect::<Vec<_>>(),
+        [(1, true)]
+    );
 }
 
 /// A stream that was begun is sent to its end, whatever was added to the history; an idle one is dropped.
 #[test]
 fn begun_streams_are_kept_for_a_while() {
-    let mut streams = Streams::default();
+    let mut streams = StreamCache::default();
     let first = chunk(&mut streams, ChunkRequest { stream: None, offset: 0 }, 9);
     let wanted = ChunkRequest { stream: Some(first.stream), offset: 100 };
     let second = chunk(&mut streams, wanted, 10);
--- a/crates/chain/src/journal.rs
+++ b/crates/chain/src/journal.rs
@@ -1,19 +1,23 @@
-//! Batches records for the disk, one batch at a time, and holds back what may be said only once they are synced.
+//! The journal: collects records into batches for the disk, and holds effects back until their records are synced.
+//!
+//! At most one batch is in flight. Records that arrive meanwhile form the next one (group commit). An [`Effect`] is released
+//! once every record that was added before it is on disk; this is how a promise, an acceptance or an acknowledgement is never
+//! sent before it is durable.
 
 use crate::entry::EntryHeader;
 use crate::message::Message;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A refused batch is tried again after this; it also probes whether the disk takes writes again.
+/// A batch that the disk refused is retried after this. The retry also shows whether the disk accepts writes again.
 const RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// What may be done once the records before it are synced.
+/// What the replica does once the records before it are synced.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// The identity is on disk.
-    Ready,
-    /// Say this to a peer.
+    /// The identity is on disk: take part.
+    BecomeReady,
+    /// Send a message to a peer.
     Send {
         /// The peer.
         to: SocketAddr,
@@ -21,45 +25,46 @@
         message: Message,
     },
     /// The history of a view is on disk.
-    Installed {
+    StateInstalled {
         /// The number of the view.
         view: u64,
-        /// The last entry of the history.
+        /// The index of the last entry of the history.
         last_index: u64,
     },
-    /// Committed entries that came from outside the chain are on disk.
-    Followed {
-        /// The last of them.
+    /// Committed entries that a process outside the chain has fetched are on disk.
+    LearnerSynced {
+        /// The index of the last of them.
         index: u64,
     },
     /// An entry is on disk.
-    Appended {
-        /// The view in which it was added.
+    EntrySynced {
+        /// The number of the view in which it was appended.
         view: u64,
-        /// The entry.
+        /// The header of the entry.
         header: EntryHeader,
     },
 }
 
-/// A batch on its way to the disk.
+/// A batch of records for the disk.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// Names it.
+    /// Counts the batches from 1.
     pub number: u64,
-    /// Its records.
+    /// The encoded records, in order.
     pub records: Vec<Vec<u8>>,
     /// Whether they replace the whole log.
-    pub rewrite: bool,
+    pub is_rewrite: bool,
 }
 
 #[derive(Debug)]
 struct InFlight {
     batch: Batch,
     effects: Vec<Effect>,
-    begun: Duration,
-    failed: Option<Duration>,
-    /// Refused at least once, so the disk is in trouble until the batch is synced.
-    refused: bool,
+    started_at: Duration,
+    /// The time of the last refusal, until the batch is retried.
+    failed_at: Option<Duration>,
+    /// Whether it was refused at least once. The disk then counts as unhealthy until the batch is synced.
+    was_refused: bool,
 }
 
 /// The records that are not synced yet.
@@ -73,97 +78,103 @@
 }
 
 impl Journal {
-    /// A journal of a log that holds this many bytes of records.
+    /// A journal for a log that contains this many bytes of records.
     pub fn new(log_bytes: usize) -> Journal {
         Journal { log_bytes, ..Journal::default() }
     }
 
     /// Adds a record to the next batch.
-    pub fn record(&mut self, record: Vec<u8>) {
+    pub fn append(&mut self, record: Vec<u8>) {
         self.log_bytes += record.len();
         self.records.push(record);
     }
 
-    /// Adds what may be done once all records so far are synced.
-    pub fn then(&mut self, effect: Effect) {
+    /// Adds an effect that is released once all records so far are synced.
+    pub fn after_sync(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// How many bytes of records the log has, the unsynced ones included.
+    /// The size of the log in bytes of records, the unsynced ones included.
     pub fn log_bytes(&self) -> usize {
         self.log_bytes
     }
 
-    /// Whether a batch may begin.
-    pub fn idle(&self) -> bool {
+    /// Whether no batch is in flight.
+    pub fn is_idle(&self) -> bool {
         self.in_flight.is_none()
     }
 
-    /// The effects that wait for no record.
-    pub fn take_unbound(&mut self) -> Vec<Effect> {
-        if self.idle() && self.records.is_empty() { std::mem::take(&mut self.effects) } else { Vec::new() }
+    /// Takes the effects that do not wait for any record.
+    pub fn take_released(&mut self) -> Vec<Effect> {
+        if self.is_idle() && self.records.is_empty() { std::mem::take(&mut self.effects) } else { Vec::new() }
     }
 
-    /// Begins the next batch, if there are records and none is under way.
-    pub fn begin(&mut self, now: Duration) -> Option<Batch> {
-        if !self.idle() || self.records.is_empty() {
+    /// Starts the next batch, if there are records and no batch is in flight.
+    pub fn start_batch(&mut self, now: Duration) -> Option<Batch> {
+        if !self.is_idle() || self.records.is_empty() {
             return None;
         }
         let records = std::mem::take(&mut self.records);
-        Some(self.launch(now, records, false))
+        Some(self.start(now, records, false))
     }
 
-    /// Begins a rewrite in place of the next batch, whose records are part of `snapshot`. Only while idle.
-    pub fn begin_rewrite(&mut self, now: Duration, snapshot: Vec<Vec<u8>>) -> Batch {
+    /// Starts a rewrite of the log instead of the next batch, whose records `snapshot` must contain. Only while idle.
+    pub fn start_rewrite(&mut self, now: Duration, snapshot: Vec<Vec<u8>>) -> Batch {
         self.records.clear();
         self.log_bytes = snapshot.iter().map(Vec::len).sum();
-        self.launch(now, snapshot, true)
+        self.start(now, snapshot, true)
     }
 
-    fn launch(&mut self, now: Duration, records: Vec<Vec<u8>>, rewrite: bool) -> Batch {
+    fn start(&mut self, now: Duration, records: Vec<Vec<u8>>, is_rewrite: bool) -> Batch {
         self.last_batch += 1;
-        let batch = Batch { number: self.last_batch, records, rewrite };
-        let effects = std::mem::take(&mut self.effects);
-        self.in_flight =
-            Some(InFlight { batch: batch.clone(), effects, begun: now, failed: None, refused: false });
+        let batch = Batch { number: self.last_batch, records, is_rewrite };
+        self.in_flight = Some(InFlight {
+            batch: batch.clone(),
+            effects: std::mem::take(&mut self.effects),
+            started_at: now,
+            failed_at: None,
+            was_refused: false,
+        });
         batch
     }
 
-    /// The batch is synced. Returns what may be done now.
-    pub fn stored(&mut self, number: u64) -> Vec<Effect> {
-        match self.in_flight.take_if(|flight| flight.batch.number == number && flight.failed.is_none()) {
-            Some(flight) => flight.effects,
-            None => Vec::new(),
-        }
+    /// Records that a batch is synced. Returns the effects that it releases.
+    pub fn record_persisted(&mut self, number: u64) -> Vec<Effect> {
+        let is_this =
+            |in_flight: &mut InFlight| in_flight.batch.number == number && in_flight.failed_at.is_none();
+        self.in_flight.take_if(is_this).map_or_else(Vec::new, |in_flight| in_flight.effects)
     }
 
-    /// The disk refused the batch.
-    pub fn failed(&mut self, now: Duration, number: u64) {
-        if let Some(flight) = self.in_flight.as_mut().filter(|flight| flight.batch.number == number) {
-            flight.failed = Some(now);
-            flight.refused = true;
+    /// Records that the disk refused a batch.
+    pub fn record_failure(&mut self, now: Duration, number: u64) {
+        if let Some(in_flight) = self.in_flight.as_mut().filter(|in_flight| in_flight.batch.number == number)
+        {
+            in_flight.failed_at = Some(now);
+            in_flight.was_refused = true;
         }
     }
 
-    /// The refused batch, once it is time to try it again.
-    pub fn retry(&mut self, now: Duration) -> Option<Batch> {
-        let flight = self.in_flight.as_mut()?;
-        if now < flight.failed? + RETRY_AFTER {
+    /// The refused batch, once its retry is due.
+    pub fn take_retry(&mut self, now: Duration) -> Option<Batch> {
+        let in_flight = self.in_flight.as_mut()?;
+        if now < in_flight.failed_at? + RETRY_AFTER {
             return None;
         }
-        flight.failed = None;
-        Some(flight.batch.clone())
+        in_flight.failed_at = None;
+        Some(in_flight.batch.clone())
     }
 
-    /// Whether no batch was refused and none takes longer than `patience`.
-    pub fn well(&self, now: Duration, patience: Duration) -> bool {
-        self.in_flight.as_ref().is_none_or(|flight| !flight.refused && now < flight.begun + patience)
+    /// Whether the batch in flight was neither refused nor has taken `max_duration`.
+    pub fn is_healthy(&self, now: Duration, max_duration: Duration) -> bool {
+        self.in_flight
+            .as_ref()
+            .is_none_or(|in_flight| !in_flight.was_refused && now < in_flight.started_at + max_duration)
     }
 
-    /// The process stood still for this long; that is no fault of the disk.
-    pub fn forgive(&mut self, pause: Duration) {
-        if let Some(flight) = self.in_flight.as_mut() {
-            flight.begun += pause;
+    /// Discounts a pause of the process from the duration of the batch in flight: it is no fault of the disk.
+    pub fn discount_pause(&mut self, pause: Duration) {
+        if let Some(in_flight) = self.in_flight.as_mut() {
+            in_flight.started_at += pause;
         }
     }
 }
--- a/crates/chain/src/paxos/acceptor.rs
+++ b/crates/chain/src/paxos/acceptor.rs
@@ -3,38 +3,40 @@
 use super::ProposalNumber;
 use crate::view::View;
 
-/// What an acceptor has promised and accepted for the view after the newest one.
+/// The state of an acceptor in the instance that decides the view after the newest one.
+///
+/// Both fields are on disk before they are reported to a proposer. A decided view resets them.
 #[derive(Clone, Debug, Default)]
 pub struct Acceptor {
-    /// The highest proposal it takes part in.
+    /// The highest proposal that it has promised.
     pub promised: Option<ProposalNumber>,
     /// The view that it has accepted, and in which proposal.
     pub accepted: Option<Box<(ProposalNumber, View)>>,
 }
 
 impl Acceptor {
-    /// Whether a proposal may be promised or accepted.
+    /// Whether a proposal is high enough to be promised or accepted.
     pub fn admits(&self, proposal: ProposalNumber) -> bool {
         self.promised.is_none_or(|promised| proposal >= promised)
     }
 
-    /// How an admitted proposal compares to what was accepted.
-    pub fn compare(&self, proposal: ProposalNumber, view: &View) -> Held {
+    /// Compares an admitted proposal with the one that was accepted.
+    pub fn compare_accepted(&self, proposal: ProposalNumber, view: &View) -> AcceptedComparison {
         match &self.accepted {
-            Some(held) if held.0 == proposal && held.1 == *view => Held::Same,
-            Some(held) if held.0 == proposal => Held::OtherValue,
-            _ => Held::Lower,
+            Some(accepted) if accepted.0 == proposal && accepted.1 == *view => AcceptedComparison::Identical,
+            Some(accepted) if accepted.0 == proposal => AcceptedComparison::OtherView,
+            _ => AcceptedComparison::Newer,
         }
     }
 }
 
-/// How a proposal compares to what an acceptor has accepted.
+/// The relation of an admitted proposal to the one that an acceptor has accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Held {
-    /// Nothing was accepted, or in a lower proposal.
-    Lower,
+pub enum AcceptedComparison {
+    /// Nothing was accepted, or only in a lower proposal.
+    Newer,
     /// This very proposal was accepted.
-    Same,
-    /// Another value was accepted under the same proposal. No sound proposer does that.
-    OtherValue,
+    Identical,
+    /// Another view was accepted under the same number. No correct proposer uses a number twice.
+    OtherView,
 }
--- a/crates/chain/src/paxos/lineage.rs
+++ b/crates/chain/src/paxos/lineage.rs
@@ -1,4 +1,7 @@
-//! Which views may have served, and which replica may be the source of the next one.
+//! Which views may have served, and which replica can be the source of the next view.
+//!
+//! The question is the one of vertical Paxos (Lamport, Malkhi and Zhou, "Vertical Paxos and Primary-Backup Replication",
+//! PODC 2009): a decided view need not have become active, so the newest acknowledged entries may be those of an earlier one.
 
 use super::ReceivedPromise;
 use crate::member::MemberId;
@@ -6,7 +9,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// More views in a row than ever come to nothing while the core is no worse than it must bear.
+/// The most views in a lineage. As long as the core has no more faults than it must bear, fewer views in a row are decided
+/// without ever serving.
 const MAX_ANCESTORS: usize = 16;
 
 /// The views that may have been the last to serve, as far as a proposer of the next view can tell.
@@ -14,56 +18,61 @@
 pub struct Lineage {
     /// These views, newest first.
     pub ancestors: Vec<Ancestor>,
-    /// The last one before those.
+    /// The number of the newest view before those, which counts as one that has served.
     pub last_known_served: u64,
 }
 
 impl Lineage {
-    /// The lineage of the view after `view`, as promises of a majority tell. `served` says that `view` is known to have
-    /// served.
+    /// The lineage of the view after `view`, derived from the promises of a majority. `has_served` says that `view` is known
+    /// to have served.
     ///
-    /// A view has not served and never will if a replica of its chain has promised a later one without position its
-    /// history.
-    pub fn after(view: &View, served: bool, promises: &BTreeMap<SocketAddr, ReceivedPromise>) -> Lineage {
-        if served {
+    /// A view has not served and never will if a replica of its chain has promised a later one without holding its history:
+    /// a view serves once all replicas of its chain hold the history, and this one is sealed.
+    pub fn after(view: &View, has_served: bool, promises: &BTreeMap<SocketAddr, ReceivedPromise>) -> Lineage {
+        if has_served {
             return Lineage { ancestors: Vec::new(), last_known_served: view.number };
         }
-        let present = Ancestor { number: view.number, chain: view.chain.clone() };
-        let present = Some(present).filter(|_| view.may_serve());
-        let all = present.into_iter().chain(view.lineage.iter().cloned());
+        let current = Ancestor { number: view.number, chain: view.chain.clone() };
+        let current = Some(current).filter(|_| view.may_serve());
+        let candidates = current.into_iter().chain(view.lineage.iter().cloned());
         let never_served = |ancestor: &Ancestor| {
             let mut replicas = promises.values().filter(|promise| ancestor.chain.contains(&promise.member));
             replicas.any(|promise| promise.position.installed_view < ancestor.number)
         };
-        let mut ancestors: Vec<Ancestor> = all.filter(|ancestor| !never_served(ancestor)).collect();
+        let mut ancestors: Vec<Ancestor> = candidates.filter(|ancestor| !never_served(ancestor)).collect();
         let mut last_known_served = view.last_known_served;
         if ancestors.len() > MAX_ANCESTORS {
-            // Those cut off are not told apart any more: the newest of them counts as one that has served.
+            // The oldest are cut off. The newest of those then counts as one that has served, which demands more of a source,
+            // never less.
             last_known_served = ancestors[MAX_ANCESTORS].number;
             ancestors.truncate(MAX_ANCESTORS);
         }
         Lineage { ancestors, last_known_served }
     }
 
-    /// The oldest view whose history holds all that was ever acknowledged.
-    pub fn floor(&self) -> u64 {
+    /// The oldest view whose history contains every acknowledged entry. A source must hold the history of this view or of a
+    /// later one.
+    pub fn min_source_view(&self) -> u64 {
         self.ancestors.first().map_or(self.last_known_served, |ancestor| ancestor.number)
     }
 }
 
-/// The promisers whose history holds all that was ever acknowledged.
-pub fn holders(floor: u64, promises: &BTreeMap<SocketAddr, ReceivedPromise>) -> Vec<MemberId> {
-    let holds = |promise: &&ReceivedPromise| promise.position.installed_view >= floor;
-    promises.values().filter(holds).map(|promise| promise.member).collect()
+/// The promisers whose history contains every acknowledged entry; `min_view` is [`Lineage::min_source_view`].
+pub fn replicas_with_history(
+    min_view: u64, promises: &BTreeMap<SocketAddr, ReceivedPromise>,
+) -> Vec<MemberId> {
+    let has_history = |promise: &&ReceivedPromise| promise.position.installed_view >= min_view;
+    promises.values().filter(has_history).map(|promise| promise.member).collect()
 }
 
-/// The replica of a chain that the others take the history from: the holder with the newest history.
+/// The replica of a chain from which the others take the history: among those with every acknowledged entry, the one with
+/// the newest history.
 pub fn choose_source(
-    floor: u64, chain: &[MemberId], promises: &BTreeMap<SocketAddr, ReceivedPromise>,
+    min_view: u64, chain: &[MemberId], promises: &BTreeMap<SocketAddr, ReceivedPromise>,
 ) -> Option<MemberId> {
-    let fit = |promise: &&ReceivedPromise| {
-        chain.contains(&promise.member) && promise.position.installed_view >= floor
+    let is_fit = |promise: &&ReceivedPromise| {
+        chain.contains(&promise.member) && promise.position.installed_view >= min_view
     };
     let newest = |promise: &&ReceivedPromise| (promise.position.installed_view, promise.position.last_index);
-    promises.values().filter(fit).max_by_key(newest).map(|promise| promise.member)
+    promises.values().filter(is_fit).max_by_key(newest).map(|promise| promise.member)
 }
--- a/crates/chain/src/paxos/proposer.rs
+++ b/crates/chain/src/paxos/proposer.rs
@@ -8,68 +8,74 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A promise as its proposer keeps it.
+/// A promise that the proposer has received.
 #[derive(Clone, Debug)]
 pub struct ReceivedPromise {
-    /// Who promised.
+    /// The acceptor.
     pub member: MemberId,
     /// What the acceptor has accepted in a lower proposal.
     pub accepted: Option<Box<(ProposalNumber, View)>>,
-    /// The history that it holds.
+    /// How far the acceptor's history reaches.
     pub position: HistoryPosition,
 }
 
-/// How far a proposal is.
+/// The phase of an attempt.
 #[derive(Clone, Debug)]
 pub enum Phase {
-    /// Promises are gathered.
+    /// Phase 1: promises are collected.
     Preparing {
-        /// The promises so far.
+        /// The promises so far, by the address of the acceptor.
         promises: BTreeMap<SocketAddr, ReceivedPromise>,
-        /// Since when they are a majority.
+        /// The time at which they became a majority.
         majority_since: Option<Duration>,
     },
-    /// Acceptances are gathered.
+    /// Phase 2: acceptances are collected.
     Accepting {
-        /// The view.
+        /// The proposed view.
         view: Box<View>,
-        /// Who has accepted it.
+        /// The addresses of the acceptors that have accepted it.
         accepted: BTreeSet<SocketAddr>,
     },
 }
 
-/// A proposal under way.
+/// One attempt to get a view decided.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its number.
+    /// The number of the proposal.
     pub proposal: ProposalNumber,
-    /// When it is given up.
+    /// The time at which the attempt fails.
     pub deadline: Duration,
-    /// How far it is.
+    /// Its phase.
     pub phase: Phase,
 }
 
 /// The state of a proposer.
 #[derive(Debug, Default)]
 pub struct Proposer {
-    /// The proposal under way.
+    /// The attempt in progress.
     pub attempt: Option<Attempt>,
-    /// Not before this time is another one begun.
-    pub not_before: Duration,
-    /// How many failed in a row.
-    pub failures: u32,
-    /// The highest round seen.
+    /// No attempt begins before this time.
+    pub backoff_until: Duration,
+    /// The number of attempts that failed in a row.
+    pub consecutive_failures: u32,
+    /// The highest round of any proposal seen.
     pub highest_round: u64,
-    /// Since when another view is desired.
-    pub desired_since: Option<Duration>,
-    /// Since when some member has promised a view that was not agreed yet.
+    /// The time since which this process wants another view.
+    pub change_wanted_since: Option<Duration>,
+    /// The time since which some member has promised a view that is not decided yet.
     pub sealed_since: Option<Duration>,
 }
 
 impl Proposer {
-    /// The proposer of a process that starts again: it goes on above every proposal that it may have used before, since its
-    /// own promise was on disk before anybody else heard of one.
+    /// The proposer of a process that restarts. It continues above every number that it may have used before: a proposer
+    /// syncs its own promise before it sends a number to anybody.
     pub fn recover(promised: Option<ProposalNumber>) -> Proposer {
-        Proposer { highest_round: promised.map_or(0, |proposal| proposal.round), ..Proposer::default() }
+        let highest_round = promised.map_or(0, |proposal| proposal.round);
+        Proposer { highest_round, ..Proposer::default() }
+    }
+
+    /// The attempt in progress, if it is this proposal.
+    pub fn attempt_for(&mut self, proposal: ProposalNumber) -> Option<&mut Attempt> {
+        self.attempt.as_mut().filter(|attempt| attempt.proposal == proposal)
     }
 }
--- a/crates/chain/src/paxos/proposer_tests.rs
+++ b/crates/chain/src/paxos/proposer_tests.rs
@@ -50,7 +50,7 @@
     };
     let promises: BTreeMap<SocketAddr, ReceivedPromise> = promises.iter().map(promise).collect();
     let all = view().members;
-    let chosen = choose_source(Lineage::after(&view(), false, &promises).floor(), &all, &promises);
+    let chosen = choose_source(Lineage::after(&view(), false, &promises).min_source_view(), &all, &promises);
     assert_eq!(chosen, source.map(|number| member(number, u64::from(number))));
 }
 
@@ -61,7 +61,10 @@
     let promises =
         BTreeMap::from([(held.address, ReceivedPromise { member: held, accepted: None, position })]);
     let chain = [member(1, 77), member(2, 2)];
-    assert_eq!(choose_source(Lineage::after(&view(), false, &promises).floor(), &chain, &promises), None);
+    assert_eq!(
+        choose_source(Lineage::after(&view(), false, &promises).min_source_view(), &chain, &promises),
+        None
+    );
 }
 
 #[test]
@@ -75,7 +78,7 @@
     let ancestor = |number| Ancestor { number, chain: view().members };
     let long = View { number: 60, lineage: (4..60).rev().map(ancestor).collect(), ..view() };
     let lineage = Lineage::after(&long, false, &BTreeMap::new());
-    assert_eq!((lineage.ancestors.len(), lineage.floor(), lineage.last_known_served), (16, 60, 44));
+    assert_eq!((lineage.ancestors.len(), lineage.min_source_view(), lineage.last_known_served), (16, 60, 44));
 }
 
 #[rstest]
--- a/crates/chain/src/peers.rs
+++ b/crates/chain/src/peers.rs
@@ -1,4 +1,8 @@
-//! What is known of the other processes of the core, and who reaches whom.
+//! What heartbeats tell about the other processes of the core, and about the links between them.
+//!
+//! A failure detector with a fixed timeout: a peer is alive as long as its last heartbeat is younger than `suspect_after`. A
+//! link between two processes counts as up if each of them reports that it receives the other's heartbeats in both directions,
+//! so that one-way partitions are seen as well.
 
 use crate::heartbeat::{Heartbeat, Link};
 use crate::member::MemberId;
@@ -6,208 +10,212 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// More processes than a core has; guards against an endless list.
+/// The most peers that are kept; more than a core has processes. Bounds what unknown senders can make this process remember.
 const MAX_PEERS: usize = 64;
-/// A peer that is neither member nor seed is forgotten after this.
+/// A silent peer that is neither member nor seed is forgotten after this.
 const FORGET_AFTER: Duration = Duration::from_secs(15);
-/// After its connection broke, a peer is suspected after this part of the usual time.
+/// A peer whose connection broke is suspected after `suspect_after` divided by this.
 const BROKEN_LINK_DIVISOR: u32 = 2;
-/// A replica that left the chain again and again waits longer, up to twice this many times.
-const MAX_STRIKES: u32 = 2;
-/// A replica that was well for this long has no strikes.
-const STRIKES_LAST: Duration = Duration::from_secs(10);
+/// A peer that flaps has to be healthy for longer, at most `1 << MAX_BACKOFF_FLAPS` times as long.
+const MAX_BACKOFF_FLAPS: u32 = 2;
+/// A peer that was healthy for this long has its flap count reset.
+const RESET_FLAPS_AFTER: Duration = Duration::from_secs(10);
 
-/// What is known of a peer.
+/// What is known of one peer.
 #[derive(Debug, Default)]
 struct Peer {
-    last_heard: Option<Duration>,
-    /// Since when it was not heard, or was never heard.
+    last_heartbeat_at: Option<Duration>,
+    /// The time at which the address became known.
     known_since: Duration,
-    beat: Option<Heartbeat>,
-    link_broken: bool,
-    /// Since when it is in two-way contact and its disk takes batches.
-    well_since: Option<Duration>,
-    strikes: u32,
+    heartbeat: Option<Heartbeat>,
+    is_link_broken: bool,
+    /// The time since which its link is bidirectional and its disk healthy.
+    healthy_since: Option<Duration>,
+    /// How often it was removed from a chain, as a bounded count.
+    flap_count: u32,
 }
 
-/// All peers.
+/// The peers of this process.
 #[derive(Debug)]
 pub struct Peers {
-    me: SocketAddr,
+    local_address: SocketAddr,
     suspect_after: Duration,
     peers: BTreeMap<SocketAddr, Peer>,
 }
 
 impl Peers {
-    /// Knows nobody yet.
-    pub fn new(me: SocketAddr, suspect_after: Duration) -> Peers {
-        Peers { me, suspect_after, peers: BTreeMap::new() }
+    /// An empty table. A peer is suspected after `suspect_after` without a heartbeat.
+    pub fn new(local_address: SocketAddr, suspect_after: Duration) -> Peers {
+        Peers { local_address, suspect_after, peers: BTreeMap::new() }
     }
 
-    /// Takes note of an address.
-    pub fn learn(&mut self, address: SocketAddr, now: Duration) {
-        if address != self.me && !self.peers.contains_key(&address) && self.peers.len() < MAX_PEERS {
+    /// Adds an address, unless it is known, this process's own, or one too many.
+    pub fn add(&mut self, address: SocketAddr, now: Duration) {
+        let is_other = address != self.local_address;
+        if is_other && !self.peers.contains_key(&address) && self.peers.len() < MAX_PEERS {
             self.peers.insert(address, Peer { known_since: now, ..Peer::default() });
         }
     }
 
-    /// Forgets peers that are silent and not to be kept.
-    pub fn forget(&mut self, now: Duration, keep: impl Fn(SocketAddr) -> bool) {
+    /// Forgets the peers that have been silent for long, except those that `is_permanent` names.
+    pub fn forget_silent(&mut self, now: Duration, is_permanent: impl Fn(SocketAddr) -> bool) {
         self.peers.retain(|address, peer| {
-            let silent_since = peer.last_heard.unwrap_or(peer.known_since);
-            now < silent_since + FORGET_AFTER || keep(*address)
+            let silent_since = peer.last_heartbeat_at.unwrap_or(peer.known_since);
+            now < silent_since + FORGET_AFTER || is_permanent(*address)
         });
     }
 
-    /// All addresses, with whether each was ever heard.
+    /// All known addresses, each with whether a heartbeat was ever received from it.
     pub fn addresses(&self) -> impl Iterator<Item = (SocketAddr, bool)> {
-        self.peers.iter().map(|(address, peer)| (*address, peer.last_heard.is_some()))
+        self.peers.iter().map(|(address, peer)| (*address, peer.last_heartbeat_at.is_some()))
     }
 
-    /// Takes in a heartbeat. Returns whether the peer has just started.
-    pub fn heard(&mut self, from: SocketAddr, beat: Heartbeat, now: Duration) -> bool {
-        self.learn(from, now);
+    /// Records a heartbeat. Returns whether it is the first one of a process, that is of a new incarnation.
+    pub fn record_heartbeat(&mut self, from: SocketAddr, heartbeat: Heartbeat, now: Duration) -> bool {
+        self.add(from, now);
         let Some(peer) = self.peers.get_mut(&from) else { return false };
-        let started = peer.beat.as_ref().is_none_or(|old| old.incarnation != beat.incarnation);
-        if started {
-            peer.well_since = None;
+        let is_new_incarnation =
+            peer.heartbeat.as_ref().is_none_or(|previous| previous.incarnation != heartbeat.incarnation);
+        if is_new_incarnation {
+            peer.healthy_since = None;
         }
-        peer.last_heard = Some(now);
-        peer.link_broken = false;
-        peer.beat = Some(beat);
-        self.refresh_one(from, now);
-        started
+        peer.last_heartbeat_at = Some(now);
+        peer.is_link_broken = false;
+        peer.heartbeat = Some(heartbeat);
+        self.refresh_health_of(from, now);
+        is_new_incarnation
     }
 
-    /// The connection to a peer broke.
-    pub fn link_down(&mut self, peer: SocketAddr) {
+    /// Records that the connection to a peer broke.
+    pub fn record_link_down(&mut self, peer: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&peer) {
-            peer.link_broken = true;
+            peer.is_link_broken = true;
         }
     }
 
-    /// This process stood still: nobody else was silent for that long.
-    pub fn forgive(&mut self, pause: Duration, now: Duration) {
+    /// Discounts a pause of this process from the silence of its peers: it could not receive their heartbeats meanwhile.
+    pub fn discount_pause(&mut self, pause: Duration, now: Duration) {
         for peer in self.peers.values_mut() {
-            peer.last_heard = peer.last_heard.map(|heard| (heard + pause).min(now));
+            peer.last_heartbeat_at = peer.last_heartbeat_at.map(|at| (at + pause).min(now));
         }
     }
 
-    /// A replica left the chain because it was not well.
-    pub fn strike(&mut self, address: SocketAddr) {
+    /// Records that a replica was removed from the chain.
+    pub fn record_flap(&mut self, address: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&address) {
-            peer.strikes = (peer.strikes + 1).min(MAX_STRIKES + 1);
-            peer.well_since = None;
+            peer.flap_count = (peer.flap_count + 1).min(MAX_BACKOFF_FLAPS + 1);
+            peer.healthy_since = None;
         }
     }
 
-    /// Brings up to date since when each peer is well.
-    pub fn refresh(&mut self, now: Duration) {
+    /// Updates since when each peer is healthy.
+    pub fn refresh_health(&mut self, now: Duration) {
         let addresses: Vec<SocketAddr> = self.peers.keys().copied().collect();
         for address in addresses {
-            self.refresh_one(address, now);
+            self.refresh_health_of(address, now);
         }
     }
 
-    fn refresh_one(&mut self, address: SocketAddr, now: Duration) {
-        let well =
-            self.bidirectional(address, now) && self.beat(address).is_some_and(|beat| beat.disk_healthy);
+    fn refresh_health_of(&mut self, address: SocketAddr, now: Duration) {
+        let has_healthy_disk = self.last_heartbeat(address).is_some_and(|heartbeat| heartbeat.disk_healthy);
+        let is_healthy = self.is_bidirectional(address, now) && has_healthy_disk;
         let Some(peer) = self.peers.get_mut(&address) else { return };
-        peer.well_since = if well { peer.well_since.or(Some(now)) } else { None };
-        if peer.well_since.is_some_and(|since| now > since + STRIKES_LAST) {
-            peer.strikes = 0;
+        peer.healthy_since = if is_healthy { peer.healthy_since.or(Some(now)) } else { None };
+        if peer.healthy_since.is_some_and(|since| now > since + RESET_FLAPS_AFTER) {
+            peer.flap_count = 0;
         }
     }
 
-    /// Whether a peer has been well for `calm`, or longer if it was in trouble again and again.
-    pub fn well_for(&self, address: SocketAddr, calm: Duration, now: Duration) -> bool {
+    /// Whether a peer has been healthy for `duration`, or for a multiple of it if it was removed from a chain repeatedly.
+    pub fn is_healthy_for(&self, address: SocketAddr, duration: Duration, now: Duration) -> bool {
         let Some(peer) = self.peers.get(&address) else { return false };
-        let wanted = calm * (1 << peer.strikes.saturating_sub(1));
-        peer.well_since.is_some_and(|since| now >= since + wanted)
+        let min_duration = duration * (1 << peer.flap_count.saturating_sub(1));
+        peer.healthy_since.is_some_and(|since| now >= since + min_duration)
     }
 
-    /// The last heartbeat of a peer.
-    pub fn beat(&self, address: SocketAddr) -> Option<&Heartbeat> {
-        self.peers.get(&address)?.beat.as_ref()
+    /// The last heartbeat of a peer, however old.
+    pub fn last_heartbeat(&self, address: SocketAddr) -> Option<&Heartbeat> {
+        self.peers.get(&address)?.heartbeat.as_ref()
     }
 
-    /// The last heartbeat of a peer that was heard lately.
-    pub fn fresh_beat(&self, address: SocketAddr, now: Duration) -> Option<&Heartbeat> {
-        self.beat(address).filter(|_| self.fresh(address, now))
+    /// The last heartbeat of a peer that is alive.
+    pub fn live_heartbeat(&self, address: SocketAddr, now: Duration) -> Option<&Heartbeat> {
+        self.last_heartbeat(address).filter(|_| self.is_alive(address, now))
     }
 
-    /// Who answers at an address, if it was heard lately.
-    pub fn identity(&self, address: SocketAddr, now: Duration) -> Option<MemberId> {
-        self.fresh_beat(address, now).map(|beat| beat.sender)
+    /// The identity of the process at an address, if it is alive.
+    pub fn live_identity(&self, address: SocketAddr, now: Duration) -> Option<MemberId> {
+        self.live_heartbeat(address, now).map(|heartbeat| heartbeat.sender)
     }
 
-    /// Whether a peer was heard lately.
-    pub fn fresh(&self, address: SocketAddr, now: Duration) -> bool {
+    /// Whether the last heartbeat of a peer is young enough.
+    pub fn is_alive(&self, address: SocketAddr, now: Duration) -> bool {
         let Some(peer) = self.peers.get(&address) else { return false };
-        let divisor = if peer.link_broken { BROKEN_LINK_DIVISOR } else { 1 };
-        peer.last_heard.is_some_and(|heard| now < heard + self.suspect_after / divisor)
+        let divisor = if peer.is_link_broken { BROKEN_LINK_DIVISOR } else { 1 };
+        peer.last_heartbeat_at.is_some_and(|at| now < at + self.suspect_after / divisor)
     }
 
-    /// Whether a peer went silent after it was heard, or was never heard for `patience`.
-    pub fn departed(&self, address: SocketAddr, patience: Duration, now: Duration) -> bool {
+    /// Whether a peer that was heard before is suspected, or one that was never heard has been known for `never_heard_after`.
+    pub fn is_lost(&self, address: SocketAddr, never_heard_after: Duration, now: Duration) -> bool {
         let Some(peer) = self.peers.get(&address) else { return false };
-        match peer.last_heard {
-            Some(_) => !self.fresh(address, now),
-            None => now >= peer.known_since + patience,
+        match peer.last_heartbeat_at {
+            Some(_) => !self.is_alive(address, now),
+            None => now >= peer.known_since + never_heard_after,
         }
     }
 
-    /// The peers that hold more of the committed history than up to `after`, those that hold most of it first.
-    pub fn longer_histories(&self, after: u64, now: Duration) -> Vec<SocketAddr> {
-        let held =
-            |address: &SocketAddr| self.fresh_beat(*address, now).and_then(|beat| beat.durable_commit_index);
-        let longer = |address: &&SocketAddr| held(address).is_some_and(|held| held > after);
-        let mut holders: Vec<SocketAddr> = self.peers.keys().filter(longer).copied().collect();
-        holders.sort_by_key(|address| std::cmp::Reverse(held(address)));
-        holders
+    /// The live peers that hold the committed history beyond `index` on disk, the longest history first.
+    pub fn with_history_beyond(&self, index: u64, now: Duration) -> Vec<SocketAddr> {
+        let durable_index = |address: &SocketAddr| {
+            self.live_heartbeat(*address, now).and_then(|heartbeat| heartbeat.durable_commit_index)
+        };
+        let is_beyond = |address: &&SocketAddr| durable_index(address).is_some_and(|durable| durable > index);
+        let mut addresses: Vec<SocketAddr> = self.peers.keys().filter(is_beyond).copied().collect();
+        addresses.sort_by_key(|address| std::cmp::Reverse(durable_index(address)));
+        addresses
     }
 
-    /// Whether a peer was heard lately and says that it hears this process.
-    pub fn bidirectional(&self, address: SocketAddr, now: Duration) -> bool {
-        self.fresh_beat(address, now).is_some_and(|beat| beat.links.iter().any(|link| link.peer == self.me))
+    /// Whether a peer is alive and reports that it receives this process's heartbeats.
+    pub fn is_bidirectional(&self, address: SocketAddr, now: Duration) -> bool {
+        let hears_this_process =
+            |heartbeat: &Heartbeat| heartbeat.links.iter().any(|link| link.peer == self.local_address);
+        self.live_heartbeat(address, now).is_some_and(hears_this_process)
     }
 
-    /// Whether `end` says that its link to `peer` works both ways.
-    pub fn claims(&self, end: SocketAddr, peer: SocketAddr, now: Duration) -> bool {
-        if end == self.me {
-            return self.bidirectional(peer, now);
+    /// Whether `reporter` reports a bidirectional link to `peer`.
+    pub fn reports_link(&self, reporter: SocketAddr, peer: SocketAddr, now: Duration) -> bool {
+        if reporter == self.local_address {
+            return self.is_bidirectional(peer, now);
         }
-        let wanted = Link { peer, bidirectional: true };
-        self.fresh_beat(end, now).is_some_and(|beat| beat.links.contains(&wanted))
+        let link = Link { peer, bidirectional: true };
+        self.live_heartbeat(reporter, now).is_some_and(|heartbeat| heartbeat.links.contains(&link))
     }
 
-    /// Whether both ends of a link say that it works.
-    pub fn linked(&self, one: SocketAddr, other: SocketAddr, now: Duration) -> bool {
-        one == other || (self.claims(one, other, now) && self.claims(other, one, now))
+    /// Whether both ends report their link as bidirectional.
+    pub fn is_linked(&self, one: SocketAddr, other: SocketAddr, now: Duration) -> bool {
+        one == other || (self.reports_link(one, other, now) && self.reports_link(other, one, now))
     }
 
-    /// Whether neither end of a link says that it works.
-    pub fn severed(&self, one: SocketAddr, other: SocketAddr, now: Duration) -> bool {
-        one != other && !self.claims(one, other, now) && !self.claims(other, one, now)
+    /// Whether neither end reports their link as bidirectional.
+    pub fn is_severed(&self, one: SocketAddr, other: SocketAddr, now: Duration) -> bool {
+        one != other && !self.reports_link(one, other, now) && !self.reports_link(other, one, now)
     }
 
-    /// Whether some peer that was heard lately says that it hears this address.
-    pub fn heard_by_others(&self, address: SocketAddr, now: Duration) -> bool {
+    /// Whether some live peer reports that it receives heartbeats from this address.
+    pub fn is_heard_by_others(&self, address: SocketAddr, now: Duration) -> bool {
         let others = self.peers.keys().filter(|other| **other != address);
-        let mut beats = others.filter_map(|other| self.fresh_beat(*other, now));
-        beats.any(|beat| beat.links.iter().any(|link| link.peer == address))
+        let mut heartbeats = others.filter_map(|other| self.live_heartbeat(*other, now));
+        heartbeats.any(|heartbeat| heartbeat.links.iter().any(|link| link.peer == address))
     }
 
-    /// The links that this process says it has.
+    /// The links of this process, as it reports them in its heartbeats.
     pub fn links(&self, now: Duration) -> Vec<Link> {
-        let fresh = self.peers.keys().filter(|address| self.fresh(**address, now));
-        fresh
-            .map(|address| Link { peer: *address, bidirectional: self.bidirectional(*address, now) })
-            .collect()
+        let link = |peer| Link { peer, bidirectional: self.is_bidirectional(peer, now) };
+        self.live_addresses(now).into_iter().map(link).collect()
     }
 
-    /// The peers that were heard lately.
-    pub fn fresh_addresses(&self, now: Duration) -> Vec<SocketAddr> {
-        self.peers.keys().copied().filter(|address| self.fresh(*address, now)).collect()
+    /// The addresses of the live peers.
+    pub fn live_addresses(&self, now: Duration) -> Vec<SocketAddr> {
+        self.peers.keys().copied().filter(|address| self.is_alive(*address, now)).collect()
     }
 }
--- a/crates/chain/src/proposal_number_tests.rs
+++ b/crates/chain/src/proposal_number_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::Message;
 use crate::paxos::ProposalNumber;
-use crate::paxos::{Acceptor, Held};
+use crate::paxos::{AcceptedComparison, Acceptor};
 use crate::test_driver::{Driver, disk_of, member, view};
 use crate::view::View;
 use rstest::rstest;
@@ -48,9 +48,9 @@
     let acceptor = Acceptor { promised: Some(proposal), accepted: Some(Box::new((proposal, view(2, 3)))) };
     let other = View { chain: vec![member(1), member(2)], ..view(2, 3) };
     let higher = ProposalNumber { round: 4, proposer: member(1) };
-    assert_eq!(acceptor.compare(proposal, &view(2, 3)), Held::Same);
-    assert_eq!(acceptor.compare(proposal, &other), Held::OtherValue);
-    assert_eq!(acceptor.compare(higher, &other), Held::Lower);
+    assert_eq!(acceptor.compare_accepted(proposal, &view(2, 3)), AcceptedComparison::Identical);
+    assert_eq!(acceptor.compare_accepted(proposal, &other), AcceptedComparison::OtherView);
+    assert_eq!(acceptor.compare_accepted(higher, &other), AcceptedComparison::Newer);
 }
 
 /// A second value under a proposal that was accepted for another one gets no answer and is not stored.
--- a/crates/chain/src/replica/change_queue.rs
+++ b/crates/chain/src/replica/change_queue.rs
@@ -1,34 +1,34 @@
-//! Judging the changes of the operator. Only the head of a serving view judges.
+//! Deciding on the changes of the operator. Only the head of a serving view decides.
 //!
-//! | the change | judged |
+//! | the change | decision |
 //! | --- | --- |
 //! | is in the committed history | accepted |
-//! | is so old that the history would not know it any more | never judged: its caller gets no clear answer in time |
-//! | another one is on its way down the chain | waits until that one is decided |
-//! | builds on the current version, its own is higher | written; without bytes never judged |
-//! | builds on the current version, its own is not higher | outdated |
+//! | is so old that its header may have been dropped | none: the operator gets "unavailable" |
+//! | arrives while another one is uncommitted | none until that one is committed |
+//! | builds on the current version and has a higher one | appended; never without bytes |
+//! | builds on the current version and has no higher one | stale version |
 //! | builds on an older version | conflict |
-//! | builds on a version never seen here | conflict, once a majority says that the view is in force |
+//! | builds on a version that was never seen here | conflict, once a majority confirms that the view is in force |
 //!
-//! The refusals in rows 5 and 6 hold for ever, since committed versions only climb.
+//! The refusals in rows 5 and 6 are final, since committed versions only increase. The one in the last row needs the
+//! confirmation: a newer view, which this process does not know yet, may have committed that base.
 
 use super::Replica;
 use crate::digest::{Blake3, Digest};
 use crate::entry::{Entry, EntryHeader};
 use crate::message::Message;
-use crate::request::RequestId;
-use crate::request::RequestOutcome;
+use crate::request::{RequestId, RequestOutcome};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// More changes at a time than the operator has under way, by far.
-const MAX_WAITING: usize = 64;
-/// The process that the operator called has given up a call that is older.
-const FORGET_AFTER: Duration = Duration::from_millis(1_500);
+/// The most undecided changes; far more than the operators have in flight.
+const MAX_PENDING_CHANGES: usize = 64;
+/// An older change is dropped: the process that received it from the operator has answered by then.
+const DROP_AFTER: Duration = Duration::from_millis(1_500);
 
-/// A change as a process passes it on to the head.
+/// A change as a process sends it to the head.
 #[derive(Debug)]
 pub(super) struct SubmittedChange {
     pub(super) request_id: RequestId,
@@ -38,116 +38,128 @@
     pub(super) bytes: Arc<[u8]>,
 }
 
-/// A change that is not judged yet.
+/// A change that is not decided yet.
 #[derive(Debug)]
-struct Waiting {
+struct PendingChange {
+    /// The process that gets the outcome.
     origin: SocketAddr,
     request_id: RequestId,
     base: u64,
     version: u64,
     digest: Digest,
     bytes: Arc<[u8]>,
-    arrived: Duration,
-    /// The round of confirmation that a refusal rests on.
-    round: Option<u64>,
+    received_at: Duration,
+    /// The round of confirmation that a refusal waits for.
+    confirmation_round: Option<u64>,
 }
 
-/// The changes that are not judged yet.
+/// The changes that are not decided yet, in the order of their arrival.
 #[derive(Debug, Default)]
-pub struct Head {
-    waiting: VecDeque<Waiting>,
+pub struct ChangeQueue {
+    pending: VecDeque<PendingChange>,
 }
 
-impl Head {
-    /// A new view: the processes that the operator called send their changes again.
+impl ChangeQueue {
+    /// Drops all changes, as on entering a view: the processes that received them send them again.
     pub fn clear(&mut self) {
-        self.waiting.clear();
+        self.pending.clear();
     }
 }
 
-enum Judgement {
-    Decided(RequestOutcome),
-    Write,
+/// What to do with a change.
+enum Decision {
+    Respond(RequestOutcome),
+    Append,
     Wait,
-    Confirm,
+    ConfirmView,
 }
 
 impl Replica {
     pub(super) fn on_submit(&mut self, origin: SocketAddr, change: SubmittedChange) {
         let SubmittedChange { request_id, base, version, request_hash, bytes } = change;
-        let known = self.head.waiting.iter().any(|waiting| waiting.request_id == request_id);
-        let mine = self.view.head() == Some(self.identity) && !self.sealed();
-        if !mine || known || self.head.waiting.len() >= MAX_WAITING {
+        let is_repeat = self.change_queue.pending.iter().any(|pending| pending.request_id == request_id);
+        let is_head = self.view.head() == Some(self.identity) && !self.is_sealed();
+        if !is_head || is_repeat || self.change_queue.pending.len() >= MAX_PENDING_CHANGES {
             return;
         }
-        // What another process says of the bytes is not relied on.
+        // The digest is computed here: nothing depends on what another process claims about the bytes.
         let digest = Digest::of_request(&bytes, request_hash);
-        let arrived = self.now;
-        let waiting = Waiting { origin, request_id, base, version, digest, bytes, arrived, round: None };
-        self.head.waiting.push_back(waiting);
-        self.judge_changes();
+        self.change_queue.pending.push_back(PendingChange {
+            origin,
+            request_id,
+            base,
+            version,
+            digest,
+            bytes,
+            received_at: self.now,
+            confirmation_round: None,
+        });
+        self.decide_changes();
     }
 
-    /// Judges all changes that can be judged now.
-    pub(super) fn judge_changes(&mut self) {
-        if !self.is_active_head() || !self.installation.serving {
+    /// Decides on all changes that can be decided now.
+    pub(super) fn decide_changes(&mut self) {
+        if !self.is_active_head() || !self.state_transfer.is_serving {
             return;
         }
-        for mut waiting in std::mem::take(&mut self.head.waiting) {
-            let unknowable = self.history.may_have_dropped(waiting.version, waiting.base);
-            if unknowable || self.now > waiting.arrived + FORGET_AFTER {
+        for mut change in std::mem::take(&mut self.change_queue.pending) {
+            let is_undecidable = self.history.may_have_dropped(change.version, change.base);
+            if is_undecidable || self.now > change.received_at + DROP_AFTER {
                 continue;
             }
-            if let Some(outcome) = self.settle_change(&mut waiting) {
-                self.send(waiting.origin, Message::Outcome { request_id: waiting.request_id, outcome });
+            if let Some(outcome) = self.process_change(&mut change) {
+                self.outbox.send(change.origin, Message::Outcome { request_id: change.request_id, outcome });
             } else {
-                self.head.waiting.push_back(waiting);
+                self.change_queue.pending.push_back(change);
             }
         }
     }
 
-    fn settle_change(&mut self, waiting: &mut Waiting) -> Option<RequestOutcome> {
-        match self.judge(waiting) {
-            Judgement::Decided(outcome) => return Some(outcome),
-            Judgement::Write => self.write(waiting),
-            Judgement::Confirm => waiting.round = Some(self.want_confirmation()),
-            Judgement::Wait => {}
+    /// Does what was decided on a change. Returns its outcome, if there is one already.
+    fn process_change(&mut self, change: &mut PendingChange) -> Option<RequestOutcome> {
+        match self.decide(change) {
+            Decision::Respond(outcome) => return Some(outcome),
+            Decision::Append => self.append_change(change),
+            Decision::ConfirmView => change.confirmation_round = Some(self.request_confirmation()),
+            Decision::Wait => {}
         }
         None
     }
 
-    fn judge(&self, waiting: &Waiting) -> Judgement {
-        let committed = self.history.find(waiting.version, waiting.base, waiting.digest);
-        if committed.is_some_and(|header| header.index <= self.committed) {
-            return Judgement::Decided(RequestOutcome::Accepted);
+    fn decide(&self, change: &PendingChange) -> Decision {
+        let resent = self.history.find(change.version, change.base, change.digest);
+        if resent.is_some_and(|header| header.index <= self.commit_index) {
+            return Decision::Respond(RequestOutcome::Accepted);
         }
-        if self.history.last_index() > self.committed || !self.disk_healthy() {
-            return Judgement::Wait;
+        if self.history.last_index() > self.commit_index || !self.disk_healthy() {
+            return Decision::Wait;
         }
         let current = self.history.last_version();
-        if waiting.base == current && waiting.version > current {
-            // Without its bytes it was computed from another base than the one that is current by now: its caller gives
-            // it up and computes it anew.
-            return if waiting.bytes.is_empty() { Judgement::Wait } else { Judgement::Write };
+        if change.base == current && change.version > current {
+            // Without bytes it was computed from another base than the one that is current by now. The process that received
+            // it cancels it and computes it again.
+            return if change.bytes.is_empty() { Decision::Wait } else { Decision::Append };
         }
-        if waiting.base == current {
-            return Judgement::Decided(RequestOutcome::StaleVersion { current });
+        if change.base == current {
+            return Decision::Respond(RequestOutcome::StaleVersion { current });
         }
-        match waiting.round {
-            _ if waiting.base < current => Judgement::Decided(RequestOutcome::Conflict { current }),
-            Some(round) if self.confirmed(round) => Judgement::Decided(RequestOutcome::Conflict { current }),
-            Some(_) => Judgement::Wait,
-            None => Judgement::Confirm,
+        match change.confirmation_round {
+            _ if change.base < current => Decision::Respond(RequestOutcome::Conflict { current }),
+            Some(round) if self.is_confirmed(round) => {
+                Decision::Respond(RequestOutcome::Conflict { current })
+            }
+            Some(_) => Decision::Wait,
+            None => Decision::ConfirmView,
         }
     }
 
-    fn write(&mut self, waiting: &Waiting) {
+    fn append_change(&mut self, change: &PendingChange) {
         let header = EntryHeader {
             index: self.history.last_index() + 1,
-            version: waiting.version,
-            base: waiting.base,
-            digest: waiting.digest,
+            version: change.version,
+            base: change.base,
+            digest: change.digest,
         };
-        self.append(Entry { header, bytes: waiting.bytes.clone() });
+        self.append_entry(Entry { header, bytes: change.bytes.clone() });
     }
 }
--- a/crates/chain/src/replica/heartbeats.rs
+++ b/crates/chain/src/replica/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and what is learned from them.
+//! Heartbeats: when they are sent, and what follows from those received.
 
 use super::Replica;
 use crate::heartbeat::Heartbeat;
@@ -11,39 +11,42 @@
 
 /// When heartbeats are due.
 #[derive(Debug, Default)]
-pub struct Contact {
-    next_beat: Duration,
-    beats: u64,
+pub struct HeartbeatSchedule {
+    next_at: Duration,
+    rounds: u64,
 }
 
 impl Replica {
+    /// The identity is on disk: this process takes part from now on.
     pub(super) fn become_ready(&mut self) {
-        self.ready = true;
-        self.beat_all();
+        self.is_ready = true;
+        self.send_heartbeats();
     }
 
-    pub(super) fn beat_when_due(&mut self) {
-        if self.now >= self.contact.next_beat {
-            self.forget_strangers();
-            self.beat_all();
+    pub(super) fn send_heartbeats_if_due(&mut self) {
+        if self.now >= self.heartbeat_schedule.next_at {
+            self.forget_silent_strangers();
+            self.send_heartbeats();
         }
     }
 
-    /// Lets the next heartbeat go out with the next tick.
-    pub(super) fn beat_soon(&mut self) {
-        self.contact.next_beat = self.now;
+    /// Makes heartbeats due with the next tick.
+    pub(super) fn send_heartbeats_soon(&mut self) {
+        self.heartbeat_schedule.next_at = self.now;
     }
 
-    pub(super) fn beat_all(&mut self) {
-        self.contact.next_beat = self.now + self.settings.heartbeat_interval;
-        self.contact.beats += 1;
-        let all = self.contact.beats % UNHEARD_ONE_IN == 1;
-        let wanted = |address: SocketAddr, heard: bool| heard || all || self.view.has_member_at(address);
-        let addresses = self.peers.addresses().filter(|(address, heard)| wanted(*address, *heard));
-        let addresses: Vec<SocketAddr> = addresses.map(|(address, _)| address).collect();
-        let beat = self.heartbeat();
-        for address in addresses {
-            self.send(address, Message::Heartbeat(beat.clone()));
+    pub(super) fn send_heartbeats(&mut self) {
+        self.heartbeat_schedule.next_at = self.now + self.settings.heartbeat_interval;
+        self.heartbeat_schedule.rounds += 1;
+        let includes_unheard = self.heartbeat_schedule.rounds % UNHEARD_ONE_IN == 1;
+        let is_due = |address: SocketAddr, was_heard: bool| {
+            was_heard || includes_unheard || self.view.has_member_at(address)
+        };
+        let due = self.peers.addresses().filter(|(address, was_heard)| is_due(*address, *was_heard));
+        let due: Vec<SocketAddr> = due.map(|(address, _)| address).collect();
+        let heartbeat = self.heartbeat();
+        for address in due {
+            self.outbox.send(address, Message::Heartbeat(heartbeat.clone()));
         }
     }
 
@@ -54,46 +57,49 @@
             may_bootstrap: self.bootstrap_seeds.is_some(),
             counts_for_quorum: self.settings.counts_for_quorum,
             view: self.view.number,
-            installed_view: self.installation.synced,
-            sealed: self.sealed(),
-            synced_index: self.synced,
-            committed: self.newest_mark,
+            installed_view: self.state_transfer.synced_view,
+            sealed: self.is_sealed(),
+            synced_index: self.synced_index,
+            committed: self.newest_committed.header,
             durable_commit_index: Some(self.durable_commit_index()),
-            is_leaving: self.leaving,
+            is_leaving: self.is_leaving,
             disk_healthy: self.disk_healthy(),
             links: self.peers.links(self.now),
         }
     }
 
-    fn forget_strangers(&mut self) {
+    /// Forgets silent peers that are neither members nor seeds.
+    fn forget_silent_strangers(&mut self) {
         let view = self.view.clone();
         let seeds = &self.settings.seeds;
-        self.peers.forget(self.now, |address| view.has_member_at(address) || seeds.contains(&address));
+        let is_permanent = |address| view.has_member_at(address) || seeds.contains(&address);
+        self.peers.forget_silent(self.now, is_permanent);
     }
 
-    pub(super) fn on_heartbeat(&mut self, from: SocketAddr, beat: Heartbeat) {
-        let (view, committed) = (beat.view, beat.committed);
-        if beat.sender.address != from {
+    pub(super) fn on_heartbeat(&mut self, from: SocketAddr, heartbeat: Heartbeat) {
+        let (view, committed) = (heartbeat.view, heartbeat.committed);
+        if heartbeat.sender.address != from {
             return;
         }
-        let started = self.peers.heard(from, beat, self.now);
-        if started {
+        let is_new_incarnation = self.peers.record_heartbeat(from, heartbeat, self.now);
+        if is_new_incarnation {
+            // A process that has just started learns at once that its link works in both directions.
             let reply = Message::Heartbeat(self.heartbeat());
-            self.send(from, reply);
+            self.outbox.send(from, reply);
         }
         if view > self.view.number {
-            self.send(from, Message::ViewRequest { above: self.view.number });
+            self.outbox.send(from, Message::ViewRequest { above: self.view.number });
         }
         self.check_serving();
         if let Some(header) = committed {
-            self.learn_commit(from, header);
+            self.on_committed(from, header);
         }
     }
 
     pub(super) fn on_view_request(&mut self, from: SocketAddr, above: u64) {
         if self.view.number > above {
             let view = self.view.as_ref().clone();
-            self.send(from, Message::Decided { view });
+            self.outbox.send(from, Message::Decided { view });
         }
     }
 }
--- a/crates/chain/src/replica/learner.rs
+++ b/crates/chain/src/replica/learner.rs
@@ -1,167 +1,179 @@
-//! Keeping the committed history without a place in the chain: at a member outside it, or a learner.
+//! The learner: keeps the committed history outside the chain, as a member or as a process that may become one.
 //!
-//! Such a process stores only what is known to be committed, so its history is a prefix of the committed one, or that
-//! and one entry of an earlier view whose fate it has not heard of. Which view's history it holds (`installed`) does not
-//! change, so it is no source of a view for what it has stored here. It costs the chain nothing while a change is on its
-//! way: the newest entry is put together from the commit and the configuration, which it gets in any case. What is
-//! missing before that comes in chunks, one with each tick.
+//! A learner stores only what is known to be committed. So its history is a prefix of the committed one, or such a prefix and
+//! one entry of an earlier view whose fate it has not learned. Its installed view does not change, so what it stores here does
+//! not make it a source of a view.
+//!
+//! Learners cost the chain nothing while a change is in flight: a learner builds the newest entry from the commit and the
+//! configuration, both of which it gets in any case. What is missing before that comes in chunks, one per tick.
 
 use super::Replica;
 use crate::entry::{Entry, HistorySuffix};
-use crate::history_stream::{Assembly, Chunk, ChunkRequest, Portion, Progress, Streams};
+use crate::history_stream::{
+    AssemblyProgress, Chunk, ChunkRequest, ResponseLimits, StreamAssembly, StreamCache,
+};
 use crate::journal::Effect;
 use crate::message::Message;
 use crate::record::Record;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The configuration comes by itself within this, unless more than one entry is missing.
-const BEHIND_FOR: Duration = Duration::from_millis(100);
-/// A chunk that has not come within this is asked for again, from another process.
-const REQUEST_AGAIN: Duration = Duration::from_millis(300);
+/// A learner that is behind for this long requests chunks. Before, the configuration comes without a request, unless more than
+/// one entry is missing.
+const CATCH_UP_AFTER: Duration = Duration::from_millis(100);
+/// A chunk that has not come within this is requested from another process.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// How far this process is with what it lacks.
+/// The state of catching up with the committed history.
 #[derive(Debug, Default)]
-pub struct Follower {
+pub struct Learner {
     behind_since: Option<Duration>,
-    assembly: Option<Assembly>,
-    /// The request under way: to whom, and since when.
-    requested: Option<(SocketAddr, Duration)>,
-    /// Counts the sources that were given up.
-    given_up: usize,
-    /// What was sent of the committed history. Not for replicas of the chain, which need all of a view's history.
-    pub(super) streams: Streams,
+    assembly: Option<StreamAssembly>,
+    request: Option<SentRequest>,
+    /// The number of sources that did not answer or sent a corrupt stream. Selects the next source.
+    failed_sources: usize,
+    /// The streams sent to other learners. Replicas of the chain need the history of a view instead.
+    pub(super) streams: StreamCache,
+}
+
+/// A request without a response yet.
+#[derive(Debug)]
+struct SentRequest {
+    source: SocketAddr,
+    sent_at: Duration,
 }
 
-impl Follower {
-    /// Nothing is asked for.
-    pub fn clear(&mut self) {
+impl Learner {
+    /// Cancels catching up.
+    pub fn cancel_catch_up(&mut self) {
         self.behind_since = None;
         self.assembly = None;
-        self.requested = None;
+        self.request = None;
     }
 }
 
 impl Replica {
-    /// The last committed entry of the history on disk.
+    /// The committed history is on disk up to this index.
     pub(super) fn durable_commit_index(&self) -> u64 {
-        self.synced.min(self.committed)
+        self.synced_index.min(self.commit_index)
     }
 
-    /// Whether this process keeps the history without being in the chain. Not once it has told a proposer what it holds.
-    fn follows(&self) -> bool {
-        let outside = self.view.number > 0 && self.view.position(self.identity).is_none();
-        let wanted = self.is_member() || self.settings.counts_for_quorum;
-        outside && wanted && !self.sealed() && self.disk_healthy()
+    /// Whether this process keeps the history outside the chain. Not once it has reported its position to a proposer, which
+    /// relies on it.
+    fn is_learner(&self) -> bool {
+        let is_outside = self.view.number > 0 && self.view.position(self.identity).is_none();
+        let is_eligible = self.is_member() || self.settings.counts_for_quorum;
+        is_outside && is_eligible && !self.is_sealed() && self.disk_healthy()
     }
 
     fn is_behind(&self) -> bool {
-        self.newest_mark.is_some_and(|newest| newest.index > self.committed)
+        self.newest_committed.index() > self.commit_index
     }
 
-    /// Stores the newest committed entry if it follows what is held and its configuration is here.
-    pub(super) fn follow_newest(&mut self) {
-        let Some(header) = self.newest_mark.filter(|_| self.is_behind() && self.follows()) else { return };
-        let last = self.history.last_index();
-        if last != self.committed || header.index != last + 1 {
+    /// Appends the newest committed entry, if it follows the last one and its configuration is known.
+    pub(super) fn append_newest_committed(&mut self) {
+        let header = self.newest_committed.header;
+        let Some(header) = header.filter(|_| self.is_behind() && self.is_learner()) else { return };
+        let last_index = self.history.last_index();
+        if last_index != self.commit_index || header.index != last_index + 1 {
             return;
         }
-        let Some(config) = self.newest.clone().filter(|config| config.version == header.version) else {
-            return;
-        };
+        let config = self.newest_committed.config.clone();
+        let Some(config) = config.filter(|config| config.version == header.version) else { return };
         if !header.digest.fits(&config.bytes) {
             return;
         }
         let entry = Entry { header, bytes: config.bytes.clone() };
         if self.history.append(entry.clone()) {
             self.record(&Record::Append { entry });
-            self.journal.then(Effect::Followed { index: header.index });
+            self.journal.after_sync(Effect::LearnerSynced { index: header.index });
             self.commit(header);
         }
     }
 
-    pub(super) fn follow_when_due(&mut self) {
-        if !self.follows() || !self.is_behind() {
-            return self.follower.clear();
+    pub(super) fn catch_up_if_due(&mut self) {
+        if !self.is_learner() || !self.is_behind() {
+            return self.learner.cancel_catch_up();
         }
-        let since = *self.follower.behind_since.get_or_insert(self.now);
-        if self.now < since + BEHIND_FOR {
+        let behind_since = *self.learner.behind_since.get_or_insert(self.now);
+        if self.now < behind_since + CATCH_UP_AFTER {
             return;
         }
-        match self.follower.requested {
-            Some((_, asked)) if self.now < asked + REQUEST_AGAIN => return,
-            Some(_) => self.follower.given_up += 1,
+        match &self.learner.request {
+            Some(request) if self.now < request.sent_at + REQUEST_TIMEOUT => return,
+            Some(_) => self.learner.failed_sources += 1,
             None => {}
         }
-        self.request_committed();
+        self.request_history();
     }
 
-    fn request_committed(&mut self) {
+    fn request_history(&mut self) {
         let Some(source) = self.choose_history_source() else { return };
-        let committed = self.committed;
-        let assembly = self.follower.assembly.get_or_insert_with(|| Assembly::new(committed));
-        let (after, chunk) = (assembly.after, assembly.wanted());
-        self.follower.requested = Some((source, self.now));
-        self.send(source, Message::HistoryRequest { after, chunk });
+        let commit_index = self.commit_index;
+        let assembly = self.learner.assembly.get_or_insert_with(|| StreamAssembly::new(commit_index));
+        let (after, chunk) = (assembly.after, assembly.next_request());
+        self.learner.request = Some(SentRequest { source, sent_at: self.now });
+        self.outbox.send(source, Message::HistoryRequest { after, chunk });
     }
 
-    /// A process that holds more than this one; the next one after each that was given up.
+    /// A live peer that holds more than this process; the next one after each that failed.
     fn choose_history_source(&self) -> Option<SocketAddr> {
-        let sources = self.peers.longer_histories(self.committed, self.now);
-        sources.get(self.follower.given_up.checked_rem(sources.len())?).copied()
+        let sources = self.peers.with_history_beyond(self.commit_index, self.now);
+        sources.get(self.learner.failed_sources.checked_rem(sources.len())?).copied()
     }
 
-    pub(super) fn on_history_request(&mut self, from: SocketAddr, after: u64, chunk: ChunkRequest) {
-        let held = self.durable_commit_index();
-        if held <= after {
+    pub(super) fn on_history_request(&mut self, from: SocketAddr, after: u64, request: ChunkRequest) {
+        let last_index = self.durable_commit_index();
+        if last_index <= after {
             return;
         }
-        let portion = Portion { chunk_bytes: self.settings.chunk_bytes, chunks: 1 };
-        let make = || self.history.suffix_up_to(after, held);
-        for chunk in self.follower.streams.chunks(self.now, chunk, portion, make) {
-            self.send(from, Message::HistoryChunk { chunk });
+        let limits = ResponseLimits { chunk_bytes: self.settings.chunk_bytes, max_chunks: 1 };
+        let make_suffix = || self.history.suffix_up_to(after, last_index);
+        for chunk in self.learner.streams.chunks(self.now, request, limits, make_suffix) {
+            self.outbox.send(from, Message::HistoryChunk { chunk });
         }
     }
 
-    /// The next chunk is asked for with the next tick.
-    pub(super) fn on_history_piece(&mut self, from: SocketAddr, chunk: &Chunk) {
-        let awaited = self.follower.requested.is_some_and(|(source, _)| source == from);
-        if !awaited || !self.follows() {
+    /// Handles a chunk. The next one is requested with the next tick.
+    pub(super) fn on_history_chunk(&mut self, from: SocketAddr, chunk: &Chunk) {
+        let is_expected = self.learner.request.as_ref().is_some_and(|request| request.source == from);
+        if !is_expected || !self.is_learner() {
             return;
         }
-        let Some(assembly) = self.follower.assembly.as_mut() else { return };
-        match assembly.take(chunk) {
-            Progress::Ignored => {}
-            Progress::Continues => self.follower.requested = None,
-            Progress::Complete(suffix) => {
-                self.follower.clear();
-                self.follow(&suffix);
+        let Some(assembly) = self.learner.assembly.as_mut() else { return };
+        match assembly.add(chunk) {
+            AssemblyProgress::Ignored => {}
+            AssemblyProgress::Incomplete => self.learner.request = None,
+            AssemblyProgress::Complete(suffix) => {
+                self.learner.cancel_catch_up();
+                self.install_committed(&suffix);
             }
-            Progress::Broken => {
-                self.follower.clear();
-                self.follower.given_up += 1;
+            AssemblyProgress::Corrupt => {
+                self.learner.cancel_catch_up();
+                self.learner.failed_sources += 1;
             }
         }
     }
 
-    /// Takes over committed entries.
-    fn follow(&mut self, suffix: &HistorySuffix) {
+    /// Installs committed entries.
+    fn install_committed(&mut self, suffix: &HistorySuffix) {
         let Some(last) = suffix.headers.last().copied() else { return };
-        let useful = suffix.after <= self.committed && last.index > self.committed;
-        if !useful || !self.history.install(suffix) {
+        let extends_history = suffix.after <= self.commit_index && last.index > self.commit_index;
+        if !extends_history || !self.history.install(suffix) {
             return;
         }
-        self.synced = self.synced.min(suffix.after);
-        let installed = self.installation.installed;
-        for record in Record::installation(installed, installed, suffix) {
+        self.synced_index = self.synced_index.min(suffix.after);
+        let installed_view = self.state_transfer.installed_view;
+        for record in Record::installation(installed_view, installed_view, suffix) {
             self.record(&record);
         }
-        self.journal.then(Effect::Followed { index: last.index });
+        self.journal.after_sync(Effect::LearnerSynced { index: last.index });
         self.commit(last);
-        self.catch_up_commit();
+        self.commit_newest_if_held();
     }
 
-    pub(super) fn on_followed(&mut self, index: u64) {
-        self.synced = self.synced.max(index.min(self.history.last_index()));
+    /// Committed entries up to this index are on disk. The history may have been replaced by a shorter one meanwhile.
+    pub(super) fn on_learner_synced(&mut self, index: u64) {
+        self.synced_index = self.synced_index.max(index.min(self.history.last_index()));
     }
 }
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -1,34 +1,39 @@
 //! The replica: one process of the core.
 //!
-//! | module | concern |
-//! | --- | --- |
-//! | `recovery` | from records to a state, and from a state to the records of a rewrite |
-//! | `heartbeats` | heartbeats, and what is learned from them |
-//! | `acceptor`, `proposer` | agreeing on the next view |
-//! | `learner` | keeping the committed history without a place in the chain |
-//! | `leave` | leaving the core before the process ends |
-//! | `state_transfer` | taking over the history of a new view, and when a view serves |
-//! | `replication` | entries down the chain, commits back up |
-//! | `change_queue` | judging the changes of the operator |
-//! | `read_only` | reads, and whether a view is still in force |
-//! | `pending_requests` | the operator's calls at this process |
-//! | `forwarding` | calls passed on for processes that do not reach an end of the chain |
+//! | module | concern | state |
+//! | --- | --- | --- |
+//! | `recovery` | recovery of the state from the log, and the snapshot for a rewrite of the log | |
+//! | `outbox` | actions for the driver, messages to itself | [`Outbox`] |
+//! | `heartbeats` | sending and receiving heartbeats | [`HeartbeatSchedule`], [`Peers`] |
+//! | `acceptor`, `proposer` | deciding the next view by Paxos | [`Acceptor`], [`Proposer`] |
+//! | `view_change` | entering a decided view | the view |
+//! | `state_transfer` | fetching the history of a new view; when a view serves | [`StateTransfer`] |
+//! | `replication` | entries down the chain, acknowledgements back up | [`Successor`] |
+//! | `commit` | what is committed, and spreading it | commit index, [`NewestCommitted`] |
+//! | `learner` | keeping the committed history outside the chain | [`Learner`] |
+//! | `leave` | leaving the core before the process ends | |
+//! | `change_queue` | deciding on the operator's changes, at the head | [`ChangeQueue`] |
+//! | `read_only` | linearizable reads at the tail; confirming that the view is still in force | [`ReadOnly`] |
+//! | `pending_requests` | the operator's requests at this process | [`PendingRequests`] |
+//! | `forwarding` | forwarding requests for processes that cannot reach an end of the chain | [`ForwardedRequests`] |
 
 mod acceptor;
 mod change_queue;
+mod commit;
 mod forwarding;
 mod heartbeats;
 mod learner;
 mod leave;
+mod outbox;
 mod pending_requests;
 mod proposer;
 mod read_only;
 mod recovery;
 mod replication;
 mod state_transfer;
+mod view_change;
 
-use crate::action::{Action, OperatorResponse};
-use crate::entry::{CommittedConfig, EntryHeader};
+use crate::action::Action;
 use crate::error::RecoverError;
 use crate::event::Event;
 use crate::history::History;
@@ -39,115 +44,122 @@
 use crate::paxos::{Acceptor, Proposer, ReceivedPromise};
 use crate::peers::Peers;
 use crate::record::Record;
-use crate::request::OperatorRequestId;
 use crate::settings::ReplicaSettings;
 use crate::status::ReplicaStatus;
 use crate::view::View;
-use crate::view_planner::Planner;
-use change_queue::{Head, SubmittedChange};
-use forwarding::Relayed;
-use heartbeats::Contact;
-use learner::Follower;
-use pending_requests::Calls;
-use read_only::Tail;
+use crate::view_planner::ViewPlanner;
+use change_queue::{ChangeQueue, SubmittedChange};
+use commit::NewestCommitted;
+use forwarding::ForwardedRequests;
+use heartbeats::HeartbeatSchedule;
+use learner::Learner;
+use outbox::Outbox;
+use pending_requests::PendingRequests;
+use read_only::ReadOnly;
 use replication::Successor;
-use state_transfer::Installation;
-use std::collections::VecDeque;
+use state_transfer::StateTransfer;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A pause between two events that is longer than this was a pause of the whole process.
-const FROZEN_AFTER: Duration = Duration::from_millis(250);
+/// A longer time between two events was a pause of the whole process: ticks come every 20 to 50 ms.
+const MAX_EVENT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// One process of the core.
+/// A replica: the state machine of one process of the core.
+///
+/// It does no I/O and reads no clock. It is deterministic: the same settings, records and events give the same actions.
 pub struct Replica {
     settings: ReplicaSettings,
     rng: fastrand::Rng,
     identity: MemberId,
+    /// Drawn at random at the start of the process.
     incarnation: u64,
-    /// The seeds, if this process may take part in bootstrapping.
+    /// The seeds, if this process may take part in bootstrapping the first view.
     bootstrap_seeds: Option<Vec<SocketAddr>>,
-    /// Whether the identity is on disk; nothing is said before.
-    ready: bool,
-    started: Duration,
+    /// Whether the identity is on disk. Nothing is sent before, and no message is handled.
+    is_ready: bool,
+    /// Whether this process is shutting down and asks to be left out of the next view.
+    is_leaving: bool,
+    started_at: Duration,
+    /// The time of the current event.
     now: Duration,
-    out: Vec<Action>,
-    /// What this process has said to itself.
-    loopback: VecDeque<Message>,
+    outbox: Outbox,
 
     journal: Journal,
-    rewrite_above: usize,
-    disk_was_well: bool,
+    /// The size of the log in bytes beyond which it is rewritten.
+    rewrite_threshold_bytes: usize,
+    /// As reported last to the process log.
+    disk_was_healthy: bool,
 
     view: Arc<View>,
-    view_since: Duration,
+    /// The time at which this process entered the view.
+    view_entered_at: Duration,
     acceptor: Acceptor,
     proposer: Proposer,
     peers: Peers,
-    contact: Contact,
+    heartbeat_schedule: HeartbeatSchedule,
 
     history: History,
-    installation: Installation,
-    /// All entries up to this one are on disk.
-    synced: u64,
-    /// All entries up to this one are known to be committed.
-    committed: u64,
-    /// The newest committed entry known, though it may not be in the history held here.
-    newest_mark: Option<EntryHeader>,
-    /// The newest committed configuration known.
-    newest: Option<Arc<CommittedConfig>>,
-
-    follower: Follower,
-    /// Whether this process was told to end.
-    leaving: bool,
+    state_transfer: StateTransfer,
+    /// All entries up to this index are on disk.
+    synced_index: u64,
+    /// All entries up to this index are known to be committed. Both are at most the last index of the history.
+    commit_index: u64,
+    newest_committed: NewestCommitted,
+
+    learner: Learner,
     successor: Successor,
-    head: Head,
-    tail: Tail,
-    calls: Calls,
-    forwarded: Relayed,
+    change_queue: ChangeQueue,
+    read_only: ReadOnly,
+    pending_requests: PendingRequests,
+    forwarded_requests: ForwardedRequests,
 }
 
 impl Replica {
-    /// Starts a replica from the records of its log; none if the disk is empty.
+    /// Starts a replica from the records of its log; no records if the disk is empty.
+    ///
+    /// # Errors
+    ///
+    /// If the records are not those of a replica. The disk then counts as lost: the driver sets the log aside and starts with
+    /// no records and without `bootstrap`.
     pub fn recover(
-        settings: ReplicaSettings, records: &[Vec<u8>], now: Duration, out: &mut Vec<Action>,
+        settings: ReplicaSettings, records: &[Vec<u8>], now: Duration, actions: &mut Vec<Action>,
     ) -> Result<Replica, RecoverError> {
         let mut replica = recovery::recover(settings, records, now)?;
-        replica.flush();
-        out.append(&mut replica.out);
+        replica.start_batch_if_idle();
+        replica.outbox.append_to(actions);
         Ok(replica)
     }
 
-    /// Handles one event. `now` is steady time and does not go back.
-    pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
-        self.advance(now);
+    /// Handles one event and appends the resulting actions. `now` is monotonic time since the start of the process.
+    pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
+        self.advance_clock(now);
         match event {
-            Event::Tick => self.tick(),
-            Event::Message { from, message } => self.receive(from, message),
-            Event::LinkDown { peer } => self.peers.link_down(peer),
+            Event::Tick => self.on_tick(),
+            Event::Message { from, message } => self.on_message(from, message),
+            Event::LinkDown { peer } => self.peers.record_link_down(peer),
             Event::Submit { id, base, version, request_hash, bytes } => {
                 self.submit(id, base, version, request_hash, bytes);
             }
             Event::Read { id } => self.read(id),
-            Event::Cancel { id } => self.abandon(id),
+            Event::Cancel { id } => self.cancel(id),
             Event::Leave => self.leave(),
-            Event::Persisted { batch } => self.stored(batch),
-            Event::PersistFailed { batch } => self.journal.failed(now, batch),
+            Event::Persisted { batch } => self.on_persisted(batch),
+            Event::PersistFailed { batch } => self.journal.record_failure(now, batch),
         }
         self.settle();
-        out.append(&mut self.out);
+        self.outbox.append_to(actions);
     }
 
-    /// The settings file names other seeds now.
+    /// Replaces the seeds, as after a change of the settings file.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         for seed in &seeds {
-            self.peers.learn(*seed, self.now);
+            self.peers.add(*seed, self.now);
         }
         self.settings.seeds = seeds;
     }
 
-    /// A summary.
+    /// The status of this replica.
     pub fn status(&self) -> ReplicaStatus {
         let addresses = |members: &[MemberId]| members.iter().map(|member| member.address).collect();
         ReplicaStatus {
@@ -157,81 +169,83 @@
             chain: addresses(&self.view.chain),
             position: self.view.position(self.identity),
             is_member: self.is_member(),
-            committed_version: self.newest.as_ref().map(|config| config.version),
-            is_serving: self.installation.serving,
-            committed_index: self.newest_mark.map_or(0, |header| header.index),
+            committed_version: self.newest_committed.config.as_ref().map(|config| config.version),
+            is_serving: self.state_transfer.is_serving,
+            committed_index: self.newest_committed.index(),
             has_quorum: self.has_quorum(),
             has_accepted_next_view: self.acceptor.accepted.is_some(),
             disk_healthy: self.disk_healthy(),
-            learners: self.learners(),
+            learners: self.learner_addresses(),
             durable_commit_index: self.durable_commit_index(),
             leave: self.leave_state(),
-            uptime: self.now.saturating_sub(self.started),
+            uptime: self.now.saturating_sub(self.started_at),
         }
     }
 
-    fn advance(&mut self, now: Duration) {
-        let pause = now.saturating_sub(self.now);
+    /// Sets the clock. A pause of the whole process counts neither as silence of the peers nor as a slow disk.
+    fn advance_clock(&mut self, now: Duration) {
+        let interval = now.saturating_sub(self.now);
         self.now = self.now.max(now);
-        if pause > FROZEN_AFTER {
-            self.peers.forgive(pause, self.now);
-            self.journal.forgive(pause);
+        if interval > MAX_EVENT_INTERVAL {
+            self.peers.discount_pause(interval, self.now);
+            self.journal.discount_pause(interval);
         }
     }
 
-    fn tick(&mut self) {
-        if let Some(batch) = self.journal.retry(self.now) {
-            self.launch(batch);
+    fn on_tick(&mut self) {
+        if let Some(batch) = self.journal.take_retry(self.now) {
+            self.persist(batch);
         }
-        self.note_disk();
-        if self.ready {
-            self.peers.refresh(self.now);
-            self.beat_when_due();
-            self.note_seals();
-            self.propose_when_due();
-            self.install_when_due();
-            self.follow_when_due();
+        self.report_disk_health();
+        if self.is_ready {
+            self.peers.refresh_health(self.now);
+            self.send_heartbeats_if_due();
+            self.refresh_sealed_since();
+            self.propose_if_due();
+            self.request_state_if_due();
+            self.catch_up_if_due();
             self.drop_idle_streams();
-            self.replicate_when_due();
-            self.confirm_when_due();
+            self.retransmit_if_due();
+            self.repeat_confirmation_if_due();
         }
-        self.drive_calls();
+        self.drive_pending_requests();
     }
 
-    fn note_disk(&mut self) {
-        let well = self.disk_healthy();
-        if well != self.disk_was_well {
-            self.disk_was_well = well;
-            self.log(if well { LogEvent::DiskHealthy } else { LogEvent::DiskFault });
-            self.beat_soon();
+    fn report_disk_health(&mut self) {
+        let is_healthy = self.disk_healthy();
+        if is_healthy != self.disk_was_healthy {
+            self.disk_was_healthy = is_healthy;
+            self.outbox.log(if is_healthy { LogEvent::DiskHealthy } else { LogEvent::DiskFault });
+            self.send_heartbeats_soon();
         }
     }
 
-    fn receive(&mut self, from: SocketAddr, message: Message) {
-        if !self.ready {
+    fn on_message(&mut self, from: SocketAddr, message: Message) {
+        if !self.is_ready {
             return;
         }
         match message {
-            Message::Heartbeat(beat) => self.on_heartbeat(from, beat),
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(from, heartbeat),
             Message::ViewRequest { above } => self.on_view_request(from, above),
             Message::Decided { view } => self.on_decided(view),
             Message::Prepare { instance, proposal } => self.on_prepare(from, instance, proposal),
             Message::Promise { sender, instance, proposal, accepted, position } => {
-                self.on_promise(instance, proposal, ReceivedPromise { member: sender, accepted, position });
+                let promise = ReceivedPromise { member: sender, accepted, position };
+                self.on_promise(instance, proposal, promise);
             }
             Message::Rejected { instance, proposal, promised } => {
-                self.on_rejected(instance, proposal, promised)
+                self.on_rejected(instance, proposal, promised);
             }
             Message::Accept { proposal, view } => self.on_accept(from, proposal, view),
             Message::Accepted { instance, proposal } => self.on_accepted(from, instance, proposal),
             Message::StateRequest { view, after, chunk } => self.on_state_request(from, view, after, chunk),
             Message::State { view, suffix } => self.on_state(view, &suffix),
-            Message::StateChunk { view, chunk } => self.on_state_piece(from, view, &chunk),
+            Message::StateChunk { view, chunk } => self.on_state_chunk(from, view, &chunk),
             Message::HistoryRequest { after, chunk } => self.on_history_request(from, after, chunk),
-            Message::HistoryChunk { chunk } => self.on_history_piece(from, &chunk),
+            Message::HistoryChunk { chunk } => self.on_history_chunk(from, &chunk),
             Message::Replicate { view, entry } => self.on_replicate(from, view, entry),
             Message::Replicated { view, index } => self.on_replicated(from, view, index),
-            Message::Committed { header } => self.learn_commit(from, header),
+            Message::Committed { header } => self.on_committed(from, header),
             Message::Confirm { view, request_id } => self.on_confirm(from, view, request_id),
             Message::Confirmed { view, request_id } => self.on_confirmed(from, view, request_id),
             Message::Submit { request_id, base, version, digest: _, bytes, request_hash, forwarded } => {
@@ -239,11 +253,11 @@
                 let is_head = self.view.head() == Some(self.identity);
                 match forwarded || is_head {
                     true => self.on_submit(from, change),
-                    false => self.relay_submit(from, change),
+                    false => self.forward_submit(from, change),
                 }
             }
             Message::Read { request_id, forwarded: false } if self.view.tail() != Some(self.identity) => {
-                self.relay_read(from, request_id);
+                self.forward_read(from, request_id);
             }
             Message::Read { request_id, forwarded: _ } => self.on_read(from, request_id),
             Message::Outcome { request_id, outcome } => self.on_outcome(from, request_id, outcome),
@@ -252,94 +266,79 @@
         }
     }
 
-    fn stored(&mut self, batch: u64) {
-        let effects = self.journal.stored(batch);
-        self.run(effects);
+    fn on_persisted(&mut self, batch: u64) {
+        let effects = self.journal.record_persisted(batch);
+        self.apply(effects);
     }
 
-    fn run(&mut self, effects: Vec<Effect>) {
+    fn apply(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Ready => self.become_ready(),
-                Effect::Send { to, message } => self.send(to, message),
-                Effect::Installed { view, last_index } => self.on_installed(view, last_index),
-                Effect::Followed { index } => self.on_followed(index),
-                Effect::Appended { view, header } => self.on_appended(view, header),
+                Effect::BecomeReady => self.become_ready(),
+                Effect::Send { to, message } => self.outbox.send(to, message),
+                Effect::StateInstalled { view, last_index } => self.on_state_installed(view, last_index),
+                Effect::LearnerSynced { index } => self.on_learner_synced(index),
+                Effect::EntrySynced { view, header } => self.on_entry_synced(view, header),
             }
         }
     }
 
-    /// Handles what this process has said to itself and what waits for no disk, and starts the next batch.
+    /// Handles this process's messages to itself and the effects that wait for no record, then starts the next batch.
     fn settle(&mut self) {
         loop {
-            let effects = self.journal.take_unbound();
-            let idle = effects.is_empty();
-            self.run(effects);
-            let said = self.loopback.pop_front();
-            if idle && said.is_none() {
+            let effects = self.journal.take_released();
+            let had_effects = !effects.is_empty();
+            self.apply(effects);
+            let message = self.outbox.take_loopback();
+            if !had_effects && message.is_none() {
                 break;
             }
-            if let Some(message) = said {
-                self.receive(self.identity.address, message);
+            if let Some(message) = message {
+                self.on_message(self.identity.address, message);
             }
         }
-        self.flush();
+        self.start_batch_if_idle();
     }
 
-    fn flush(&mut self) {
-        if self.journal.idle() && self.journal.log_bytes() > self.rewrite_above {
+    /// Starts the next batch, or a rewrite if the log has become too long.
+    fn start_batch_if_idle(&mut self) {
+        if self.journal.is_idle() && self.journal.log_bytes() > self.rewrite_threshold_bytes {
             let snapshot = self.snapshot();
-            let live: usize = snapshot.iter().map(Vec::len).sum();
-            self.rewrite_above = self.settings.rewrite_threshold_bytes.max(2 * live);
-            if self.journal.log_bytes() > self.rewrite_above {
-                let batch = self.journal.begin_rewrite(self.now, snapshot);
-                return self.launch(batch);
+            let snapshot_bytes: usize = snapshot.iter().map(Vec::len).sum();
+            self.rewrite_threshold_bytes = self.settings.rewrite_threshold_bytes.max(2 * snapshot_bytes);
+            if self.journal.log_bytes() > self.rewrite_threshold_bytes {
+                let batch = self.journal.start_rewrite(self.now, snapshot);
+                return self.persist(batch);
             }
         }
-        if let Some(batch) = self.journal.begin(self.now) {
-            self.launch(batch);
+        if let Some(batch) = self.journal.start_batch(self.now) {
+            self.persist(batch);
         }
     }
 
-    fn launch(&mut self, batch: Batch) {
-        let Batch { number: batch, records, rewrite } = batch;
-        let store =
-            if rewrite { Action::RewriteLog { batch, records } } else { Action::Persist { batch, records } };
-        self.out.push(store);
+    fn persist(&mut self, batch: Batch) {
+        let Batch { number: batch, records, is_rewrite } = batch;
+        self.outbox.push(match is_rewrite {
+            true => Action::RewriteLog { batch, records },
+            false => Action::Persist { batch, records },
+        });
     }
 
     fn record(&mut self, record: &Record) {
-        self.journal.record(record.encode());
+        self.journal.append(record.encode());
     }
 
-    fn send(&mut self, to: SocketAddr, message: Message) {
-        if to == self.identity.address {
-            self.loopback.push_back(message);
-        } else {
-            self.out.push(Action::Send { to, message });
-        }
-    }
-
-    /// Says it once all records so far are synced.
-    fn send_synced(&mut self, to: SocketAddr, message: Message) {
-        self.journal.then(Effect::Send { to, message });
-    }
-
-    fn log(&mut self, line: LogEvent) {
-        self.out.push(Action::Log(line));
-    }
-
-    fn answer(&mut self, id: OperatorRequestId, response: OperatorResponse) {
-        self.out.push(Action::Respond { id, response });
+    /// Sends a message once all records so far are synced.
+    fn send_after_sync(&mut self, to: SocketAddr, message: Message) {
+        self.journal.after_sync(Effect::Send { to, message });
     }
 
     fn disk_healthy(&self) -> bool {
-        self.journal.well(self.now, self.settings.suspect_after)
+        self.journal.is_healthy(self.now, self.settings.suspect_after)
     }
 
-    /// Whether this process has promised a view after the newest one that it knows. It then takes part in that newest
-    /// view no more.
-    fn sealed(&self) -> bool {
+    /// Whether this process has promised the view after the newest that it knows. It then takes no further part in the latter.
+    fn is_sealed(&self) -> bool {
         self.acceptor.promised.is_some()
     }
 
@@ -347,15 +346,15 @@
         self.view.members.contains(&self.identity)
     }
 
-    /// Whether this process votes on the next view.
+    /// Whether this process is an acceptor of the next view.
     fn is_acceptor(&self) -> bool {
         if self.view.number == 0 { self.bootstrap_seeds.is_some() } else { self.is_member() }
     }
 
-    /// The position in the chain, if this process holds the view's history and takes part.
+    /// The position in the chain, if this process holds the view's history and takes part in the view.
     fn active_position(&self) -> Option<usize> {
-        let active = self.installation.installed == self.view.number && !self.sealed();
-        self.view.position(self.identity).filter(|_| active)
+        let is_active = self.state_transfer.installed_view == self.view.number && !self.is_sealed();
+        self.view.position(self.identity).filter(|_| is_active)
     }
 
     fn is_active_head(&self) -> bool {
@@ -366,25 +365,27 @@
         self.active_position().is_some_and(|position| position + 1 == self.view.chain.len())
     }
 
-    fn planner(&self) -> Planner<'_> {
-        Planner {
+    fn planner(&self) -> ViewPlanner<'_> {
+        ViewPlanner {
             view: &self.view,
-            me: self.identity,
+            local_member: self.identity,
             disk_healthy: self.disk_healthy(),
             may_bootstrap: self.bootstrap_seeds.is_some(),
-            leaving: self.leaving,
-            installed: self.installation.synced,
-            committed: self.newest_mark.map_or(0, |header| header.index),
+            is_leaving: self.is_leaving,
+            installed_view: self.state_transfer.synced_view,
+            committed_index: self.newest_committed.index(),
             peers: &self.peers,
             settings: &self.settings,
             now: self.now,
         }
     }
 
+    /// Whether this process has bidirectional links to a majority of the members, itself included.
     fn has_quorum(&self) -> bool {
-        let me = self.identity.address;
-        let reached = |address: SocketAddr| address == me || self.peers.bidirectional(address, self.now);
-        let count = self.view.members.iter().filter(|member| reached(member.address)).count();
-        self.view.number > 0 && count >= self.view.majority()
+        let local_address = self.identity.address;
+        let is_connected =
+            |address: SocketAddr| address == local_address || self.peers.is_bidirectional(address, self.now);
+        let connected = self.view.members.iter().filter(|member| is_connected(member.address)).count();
+        self.view.number > 0 && connected >= self.view.majority()
     }
 }
--- a/crates/chain/src/replica/pending_requests.rs
+++ b/crates/chain/src/replica/pending_requests.rs
@@ -1,118 +1,139 @@
-//! The operator's calls at this process: each is passed to the head or the tail and answered within a bounded time.
+//! The operator's requests at this process. Each is sent to the head or the tail and answered within a bounded time.
+//!
+//! A request is sent again until its outcome arrives or it times out, since messages may be lost and views change. That is safe:
+//! the head recognises a change that is already in the history.
 
 use super::Replica;
 use crate::action::OperatorResponse;
 use crate::digest::{Blake3, Digest};
 use crate::entry::EntryHeader;
 use crate::message::Message;
-use crate::request::OperatorRequestId;
-use crate::request::RequestId;
-use crate::request::RequestOutcome;
+use crate::request::{OperatorRequestId, RequestId, RequestOutcome};
 use lugwharf_invariants::{Invariant, check};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A call that was passed on without an outcome is passed on again after this.
-const PASS_AGAIN: Duration = Duration::from_millis(300);
-/// A process that reaches no majority gives up early, so that the operator moves on.
-const OUT_OF_TOUCH_TIMEOUT: Duration = Duration::from_millis(350);
-/// More calls at a time than the operator has under way, by far.
-const MAX_CALLS: usize = 128;
+/// A request without an outcome is sent again after this.
+const RESEND_AFTER: Duration = Duration::from_millis(300);
+/// The timeout at a process without a quorum. Short, so that the operator turns to another process.
+const NO_QUORUM_TIMEOUT: Duration = Duration::from_millis(350);
+/// The most pending requests; far more than the operators have in flight.
+const MAX_PENDING_REQUESTS: usize = 128;
 
+/// What a request asks for.
 #[derive(Debug)]
-enum Wish {
-    Submit { base: u64, version: u64, digest: Digest, bytes: Arc<[u8]> },
-    Read { at_least: Option<u64> },
+enum Operation {
+    Submit {
+        base: u64,
+        version: u64,
+        digest: Digest,
+        bytes: Arc<[u8]>,
+    },
+    Read {
+        /// The version that the tail has named. The read waits until this process knows a configuration that is as new.
+        min_version: Option<u64>,
+    },
+}
+
+/// A request that is not answered yet.
+#[derive(Debug)]
+struct PendingRequest {
+    operation: Operation,
+    received_at: Duration,
+    /// The newest committed version that was known here when the request arrived.
+    known_version: u64,
+    last_sent: Option<SentRequest>,
 }
 
 #[derive(Debug)]
-struct Call {
-    wish: Wish,
-    begun: Duration,
-    /// The newest committed version that was known here when it began.
-    known: u64,
-    /// Where it was passed to, in which view, and when.
-    passed: Option<(SocketAddr, u64, Duration)>,
+struct SentRequest {
+    /// The head or the tail of the view.
+    to: SocketAddr,
+    view: u64,
+    sent_at: Duration,
 }
 
-/// The calls under way.
+/// The requests that are not answered yet.
 #[derive(Debug, Default)]
-pub struct Calls {
-    calls: BTreeMap<OperatorRequestId, Call>,
+pub struct PendingRequests {
+    requests: BTreeMap<OperatorRequestId, PendingRequest>,
 }
 
 impl Replica {
     pub(super) fn submit(
-        &mut self, ticket: OperatorRequestId, base: u64, version: u64, request_hash: Option<Blake3>,
+        &mut self, id: OperatorRequestId, base: u64, version: u64, request_hash: Option<Blake3>,
         bytes: Arc<[u8]>,
     ) {
         let digest = Digest::of_request(&bytes, request_hash);
-        let held = self.history.find(version, base, digest);
-        if held.is_some_and(|header| header.index <= self.committed) {
-            return self.answer(ticket, OperatorResponse::Accepted { version });
+        let resent = self.history.find(version, base, digest);
+        if resent.is_some_and(|header| header.index <= self.commit_index) {
+            return self.outbox.respond(id, OperatorResponse::Accepted { version });
         }
-        self.begin_call(ticket, Wish::Submit { base, version, digest, bytes });
+        self.add_request(id, Operation::Submit { base, version, digest, bytes });
     }
 
-    pub(super) fn read(&mut self, ticket: OperatorRequestId) {
-        self.begin_call(ticket, Wish::Read { at_least: None });
+    pub(super) fn read(&mut self, id: OperatorRequestId) {
+        self.add_request(id, Operation::Read { min_version: None });
     }
 
-    pub(super) fn abandon(&mut self, ticket: OperatorRequestId) {
-        self.calls.calls.remove(&ticket);
+    pub(super) fn cancel(&mut self, id: OperatorRequestId) {
+        self.pending_requests.requests.remove(&id);
     }
 
-    fn begin_call(&mut self, ticket: OperatorRequestId, wish: Wish) {
-        if self.calls.calls.len() >= MAX_CALLS {
-            return self.answer(ticket, OperatorResponse::Unavailable);
+    fn add_request(&mut self, id: OperatorRequestId, operation: Operation) {
+        let requests = &mut self.pending_requests.requests;
+        if requests.len() >= MAX_PENDING_REQUESTS {
+            return self.outbox.respond(id, OperatorResponse::Unavailable);
         }
-        let known = self.newest.as_ref().map_or(0, |config| config.version);
-        self.calls.calls.insert(ticket, Call { wish, begun: self.now, known, passed: None });
-        let open = self.calls.calls.len();
-        check(Invariant::WaitersBounded, open <= MAX_CALLS, || format!("{open} calls"));
-        self.drive_call(ticket);
+        let known_version = self.newest_committed.config_version();
+        let received_at = self.now;
+        requests.insert(id, PendingRequest { operation, received_at, known_version, last_sent: None });
+        let count = requests.len();
+        check(Invariant::WaitersBounded, count <= MAX_PENDING_REQUESTS, || format!("{count} requests"));
+        self.drive_pending_request(id);
     }
 
-    /// Passes on what is due, and gives up what is too old.
-    pub(super) fn drive_calls(&mut self) {
-        let tickets: Vec<OperatorRequestId> = self.calls.calls.keys().copied().collect();
-        for ticket in tickets {
-            self.drive_call(ticket);
+    /// Sends the requests that are due and answers those that time out.
+    pub(super) fn drive_pending_requests(&mut self) {
+        let ids: Vec<OperatorRequestId> = self.pending_requests.requests.keys().copied().collect();
+        for id in ids {
+            self.drive_pending_request(id);
         }
     }
 
-    fn drive_call(&mut self, ticket: OperatorRequestId) {
-        let Some(call) = self.calls.calls.get(&ticket) else { return };
-        let patience = if self.has_quorum() { self.settings.request_timeout } else { OUT_OF_TOUCH_TIMEOUT };
-        if self.now >= call.begun + patience {
-            self.calls.calls.remove(&ticket);
-            return self.answer(ticket, OperatorResponse::Unavailable);
+    fn drive_pending_request(&mut self, id: OperatorRequestId) {
+        let Some(request) = self.pending_requests.requests.get(&id) else { return };
+        let timeout = if self.has_quorum() { self.settings.request_timeout } else { NO_QUORUM_TIMEOUT };
+        if self.now >= request.received_at + timeout {
+            self.pending_requests.requests.remove(&id);
+            return self.outbox.respond(id, OperatorResponse::Unavailable);
         }
-        if let Wish::Read { at_least: Some(version) } = call.wish {
-            return self.answer_read(ticket, version);
+        if let Operation::Read { min_version: Some(min_version) } = request.operation {
+            return self.respond_to_read(id, min_version);
         }
-        let end = match call.wish {
-            Wish::Submit { .. } => self.view.head(),
-            Wish::Read { .. } => self.view.tail(),
+        let target = match request.operation {
+            Operation::Submit { .. } => self.view.head(),
+            Operation::Read { .. } => self.view.tail(),
         };
-        let Some(end) = end.filter(|_| self.ready && self.view.may_serve()) else { return };
-        let waits = call.passed.is_some_and(|(to, view, at)| {
-            to == end.address && view == self.view.number && self.now < at + PASS_AGAIN
+        let Some(target) = target.filter(|_| self.is_ready && self.view.may_serve()) else { return };
+        let awaits_outcome = request.last_sent.as_ref().is_some_and(|sent| {
+            let is_same_target = sent.to == target.address && sent.view == self.view.number;
+            is_same_target && self.now < sent.sent_at + RESEND_AFTER
         });
-        if !waits {
-            self.pass(ticket, end.address);
+        if !awaits_outcome {
+            self.send_request(id, target.address);
         }
     }
 
-    fn pass(&mut self, ticket: OperatorRequestId, to: SocketAddr) {
-        let Some(call) = self.calls.calls.get_mut(&ticket) else { return };
-        call.passed = Some((to, self.view.number, self.now));
-        let id = RequestId { incarnation: self.incarnation, sequence: ticket.0 };
-        let message = match &call.wish {
-            Wish::Submit { base, version, digest, bytes } => Message::Submit {
-                request_id: id,
+    fn send_request(&mut self, id: OperatorRequestId, to: SocketAddr) {
+        let Some(request) = self.pending_requests.requests.get_mut(&id) else { return };
+        request.last_sent = Some(SentRequest { to, view: self.view.number, sent_at: self.now });
+        let request_id = RequestId { incarnation: self.incarnation, sequence: id.0 };
+        let message = match &request.operation {
+            Operation::Submit { base, version, digest, bytes } => Message::Submit {
+                request_id,
                 base: *base,
                 version: *version,
                 digest: digest.fnv,
@@ -120,73 +141,77 @@
                 request_hash: digest.request_hash,
                 forwarded: false,
             },
-            Wish::Read { .. } => Message::Read { request_id: id, forwarded: false },
+            Operation::Read { .. } => Message::Read { request_id, forwarded: false },
         };
-        let way = self.way_to(to);
-        self.send(way, message);
+        let next_hop = self.next_hop(to);
+        self.outbox.send(next_hop, message);
     }
 
     pub(super) fn on_outcome(&mut self, from: SocketAddr, request_id: RequestId, outcome: RequestOutcome) {
         if request_id.incarnation != self.incarnation {
-            return self.relay_outcome(request_id, outcome);
+            return self.forward_outcome(request_id, outcome);
         }
-        let ticket = OperatorRequestId(request_id.sequence);
-        let Some(open) = self.calls.calls.get_mut(&ticket) else { return };
-        let answer = match (outcome, &mut open.wish) {
-            (RequestOutcome::Accepted, Wish::Submit { version, .. }) => {
+        let id = OperatorRequestId(request_id.sequence);
+        let Some(request) = self.pending_requests.requests.get_mut(&id) else { return };
+        let response = match (outcome, &mut request.operation) {
+            (RequestOutcome::Accepted, Operation::Submit { version, .. }) => {
                 OperatorResponse::Accepted { version: *version }
             }
-            (RequestOutcome::Conflict { current }, Wish::Submit { .. }) => {
+            (RequestOutcome::Conflict { current }, Operation::Submit { .. }) => {
                 OperatorResponse::Conflict { current }
             }
-            (RequestOutcome::StaleVersion { current }, Wish::Submit { .. }) => {
+            (RequestOutcome::StaleVersion { current }, Operation::Submit { .. }) => {
                 OperatorResponse::StaleVersion { current }
             }
-            (RequestOutcome::Newest { version: Some(version) }, Wish::Read { at_least }) => {
-                *at_least = Some(version);
-                return self.fetch(from, ticket, version);
+            (RequestOutcome::Newest { version: Some(version) }, Operation::Read { min_version }) => {
+                *min_version = Some(version);
+                return self.fetch_config(from, id, version);
             }
-            (RequestOutcome::Newest { version: None }, Wish::Read { .. }) => {
-                OperatorResponse::Config(self.newest.clone())
+            (RequestOutcome::Newest { version: None }, Operation::Read { .. }) => {
+                OperatorResponse::Config(self.newest_committed.config.clone())
             }
             _ => return,
         };
-        self.calls.calls.remove(&ticket);
-        self.answer(ticket, answer);
+        self.pending_requests.requests.remove(&id);
+        self.outbox.respond(id, response);
     }
 
-    /// Answers a read once a configuration that is new enough is known here.
-    fn answer_read(&mut self, ticket: OperatorRequestId, at_least: u64) {
-        let known = self.newest.clone().filter(|config| config.version >= at_least);
-        if known.is_some() {
-            let call = self.calls.calls.remove(&ticket);
-            let before = call.map_or(0, |call| call.known);
-            check(Invariant::ReadIsNewest, at_least >= before, || format!("{at_least} after {before}"));
-            self.answer(ticket, OperatorResponse::Config(known));
+    /// Responds to a read if this process knows a configuration that is new enough.
+    fn respond_to_read(&mut self, id: OperatorRequestId, min_version: u64) {
+        let newest = self.newest_committed.config.clone();
+        let config = newest.filter(|config| config.version >= min_version);
+        if config.is_some() {
+            let request = self.pending_requests.requests.remove(&id);
+            let known_version = request.map_or(0, |request| request.known_version);
+            let details = || format!("{min_version} after {known_version}");
+            check(Invariant::ReadIsNewest, min_version >= known_version, details);
+            self.outbox.respond(id, OperatorResponse::Config(config));
         }
     }
 
-    fn fetch(&mut self, from: SocketAddr, ticket: OperatorRequestId, at_least: u64) {
-        self.answer_read(ticket, at_least);
-        if self.calls.calls.contains_key(&ticket) {
-            let above = self.newest.as_ref().map_or(0, |config| config.version);
-            self.send(from, Message::ConfigRequest { above });
+    /// Responds to a read, or fetches the configuration that it waits for.
+    fn fetch_config(&mut self, from: SocketAddr, id: OperatorRequestId, min_version: u64) {
+        self.respond_to_read(id, min_version);
+        if self.pending_requests.requests.contains_key(&id) {
+            let above = self.newest_committed.config_version();
+            self.outbox.send(from, Message::ConfigRequest { above });
         }
     }
 
-    /// An entry is committed: the calls that submitted it are accepted.
-    pub(super) fn finish_calls(&mut self, header: EntryHeader) {
-        let submitted = |call: &Call| match call.wish {
-            Wish::Submit { base, version, digest, .. } => {
+    /// Accepts the pending changes that are this committed entry.
+    pub(super) fn accept_pending_submits(&mut self, header: EntryHeader) {
+        let is_this_entry = |request: &PendingRequest| match request.operation {
+            Operation::Submit { base, version, digest, .. } => {
                 (header.base, header.version) == (base, version) && header.digest.matches(&digest)
             }
-            Wish::Read { .. } => false,
+            Operation::Read { .. } => false,
         };
-        let finished = self.calls.calls.iter().filter(|(_, call)| submitted(call));
-        let tickets: Vec<OperatorRequestId> = finished.map(|(ticket, _)| *ticket).collect();
-        for ticket in tickets {
-            self.calls.calls.remove(&ticket);
-            self.answer(ticket, OperatorResponse::Accepted { version: header.version });
+        let requests = self.pending_requests.requests.iter();
+        let accepted = requests.filter(|(_, request)| is_this_entry(request)).map(|(id, _)| *id);
+        let accepted: Vec<OperatorRequestId> = accepted.collect();
+        for id in accepted {
+            self.pending_requests.requests.remove(&id);
+            self.outbox.respond(id, OperatorResponse::Accepted { version: header.version });
         }
     }
 }
--- a/crates/chain/src/replica/recovery.rs
+++ b/crates/chain/src/replica/recovery.rs
@@ -1,40 +1,50 @@
-//! From records to a state, and from a state to the records of a rewrite.
+//! Recovery of a replica from the records of its log, and the snapshot of its state for a rewrite of the log.
 
-use super::{Replica, change_queue::Head, heartbeats::Contact, learner::Follower, pending_requests::Calls};
-use super::{forwarding::Relayed, read_only::Tail, replication::Successor, state_transfer::Installation};
+use super::{
+    Replica, change_queue::ChangeQueue, commit::NewestCommitted, forwarding::ForwardedRequests,
+    heartbeats::HeartbeatSchedule, learner::Learner, outbox::Outbox, pending_requests::PendingRequests,
+    read_only::ReadOnly, replication::Successor, state_transfer::StateTransfer,
+};
 use crate::digest::Fnv;
 use crate::error::RecoverError;
 use crate::history::History;
 use crate::journal::{Effect, Journal};
 use crate::log_event::LogEvent;
 use crate::member::MemberId;
-use crate::paxos::{Acceptor, Proposer};
+use crate::paxos::{Acceptor, ProposalNumber, Proposer};
 use crate::peers::Peers;
 use crate::record::Record;
 use crate::settings::ReplicaSettings;
 use crate::view::View;
-use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Fewer seeds than this are all the processes that there are.
-const FULL_SEEDS: usize = 3;
+/// With fewer seeds than this, the seeds are all the processes that there are.
+const MIN_PARTIAL_SEEDS: usize = 3;
 
-/// What the records of a log add up to.
+/// The identity that the first record of a log names.
+struct RecoveredIdentity {
+    disk: u64,
+    bootstrap_seeds: Option<Vec<SocketAddr>>,
+}
+
+/// The state that the records of a log add up to.
 #[derive(Default)]
-struct Recovered {
-    identity: Option<(u64, Option<Vec<SocketAddr>>)>,
+struct RecoveredState {
+    identity: Option<RecoveredIdentity>,
     view: Option<View>,
     acceptor: Acceptor,
     history: History,
-    installed: u64,
+    installed_view: u64,
 }
 
-impl Recovered {
+impl RecoveredState {
     fn apply(&mut self, record: Record) -> Result<(), RecoverError> {
         match record {
-            Record::Identity { disk, bootstrap_seeds } => self.identity = Some((disk, bootstrap_seeds)),
+            Record::Identity { disk, bootstrap_seeds } => {
+                self.identity = Some(RecoveredIdentity { disk, bootstrap_seeds });
+            }
             Record::Promise { instance, proposal } => self.promise(instance, proposal),
             Record::Accept { proposal, view } => {
                 self.promise(view.number, proposal);
@@ -48,7 +58,7 @@
                 if !self.history.install(&suffix) {
                     return Err(RecoverError::Gap { index: suffix.after });
                 }
-                self.installed = view;
+                self.installed_view = view;
             }
             Record::Append { entry } => {
                 let index = entry.header.index;
@@ -60,7 +70,7 @@
         Ok(())
     }
 
-    fn promise(&mut self, instance: u64, proposal: crate::paxos::ProposalNumber) {
+    fn promise(&mut self, instance: u64, proposal: ProposalNumber) {
         debug_assert_eq!(instance, self.view.as_ref().map_or(0, |view| view.number) + 1);
         self.acceptor.promised = Some(proposal);
     }
@@ -71,81 +81,84 @@
     settings: ReplicaSettings, records: &[Vec<u8>], now: Duration,
 ) -> Result<Replica, RecoverError> {
     let history = History::new(settings.history);
-    let mut recovered = Recovered { history, ..Recovered::default() };
+    let mut state = RecoveredState { history, ..RecoveredState::default() };
     for (index, bytes) in records.iter().enumerate() {
         let record = Record::decode(bytes).map_err(|reason| RecoverError::Unreadable { index, reason })?;
-        recovered.apply(record)?;
-        if recovered.identity.is_none() {
+        state.apply(record)?;
+        if state.identity.is_none() {
             return Err(RecoverError::NoIdentity);
         }
     }
     let log_bytes = records.iter().map(Vec::len).sum();
-    Ok(assemble(settings, recovered, log_bytes, now))
+    let is_new_disk = state.identity.is_none();
+    let mut replica = assemble(settings, state, log_bytes, now);
+    replica.start(is_new_disk);
+    Ok(replica)
 }
 
-fn assemble(settings: ReplicaSettings, recovered: Recovered, log_bytes: usize, now: Duration) -> Replica {
-    // Processes that are given the same seed must still not back off in step.
-    let own = Fnv::of(settings.local_address.to_string().as_bytes());
-    let mut rng = fastrand::Rng::with_seed(settings.seed ^ own.0);
+fn assemble(settings: ReplicaSettings, state: RecoveredState, log_bytes: usize, now: Duration) -> Replica {
+    // The address goes into the seed: processes that are given the same one must not back off in step.
+    let address_hash = Fnv::of(settings.local_address.to_string().as_bytes());
+    let mut rng = fastrand::Rng::with_seed(settings.seed ^ address_hash.0);
     let incarnation = rng.u64(..);
-    let empty = recovered.identity.is_none();
-    let (disk, bootstrap_seeds) =
-        recovered.identity.unwrap_or_else(|| (rng.u64(1..), bootstrap_seeds(&settings)));
-    let identity = MemberId { address: settings.local_address, disk };
-    let view = recovered.view.unwrap_or_else(|| view_zero(&settings, bootstrap_seeds.as_deref()));
-    let last_index = recovered.history.last_index();
-    let mut replica = Replica {
-        peers: Peers::new(settings.local_address, settings.suspect_after),
-        rewrite_above: settings.rewrite_threshold_bytes,
-        settings,
-        rng,
-        identity,
+    let RecoveredIdentity { disk, bootstrap_seeds } =
+        state.identity.unwrap_or_else(|| new_identity(&settings, &mut rng));
+    let view = state.view.unwrap_or_else(|| view_zero(&settings, bootstrap_seeds.as_deref()));
+    let last_index = state.history.last_index();
+    Replica {
+        identity: MemberId { address: settings.local_address, disk },
         incarnation,
         bootstrap_seeds,
-        ready: false,
-        started: now,
+        is_ready: false,
+        is_leaving: false,
+        started_at: now,
         now,
-        out: Vec::new(),
-        loopback: VecDeque::new(),
+        outbox: Outbox::new(settings.local_address),
         journal: Journal::new(log_bytes),
-        disk_was_well: true,
+        rewrite_threshold_bytes: settings.rewrite_threshold_bytes,
+        disk_was_healthy: true,
         view: Arc::new(view),
-        view_since: now,
-        proposer: Proposer::recover(recovered.acceptor.promised),
-        acceptor: recovered.acceptor,
-        contact: Contact::default(),
-        history: recovered.history,
-        installation: Installation::new(recovered.installed),
-        synced: last_index,
-        // Each entry but the last was committed before the next one was written.
-        committed: last_index.saturating_sub(1),
-        newest_mark: None,
-        newest: None,
-        follower: Follower::default(),
-        leaving: false,
+        view_entered_at: now,
+        proposer: Proposer::recover(state.acceptor.promised),
+        acceptor: state.acceptor,
+        peers: Peers::new(settings.local_address, settings.suspect_after),
+        heartbeat_schedule: HeartbeatSchedule::default(),
+        history: state.history,
+        state_transfer: StateTransfer::recover(state.installed_view),
+        synced_index: last_index,
+        // Each entry but the last was committed before the next one was appended.
+        commit_index: last_index.saturating_sub(1),
+        newest_committed: NewestCommitted::default(),
+        learner: Learner::default(),
         successor: Successor::default(),
-        head: Head::default(),
-        tail: Tail::default(),
-        calls: Calls::default(),
-        forwarded: Relayed::default(),
-    };
-    replica.start(empty);
-    replica
+        change_queue: ChangeQueue::default(),
+        read_only: ReadOnly::default(),
+        pending_requests: PendingRequests::default(),
+        forwarded_requests: ForwardedRequests::default(),
+        settings,
+        rng,
+    }
 }
 
+fn new_identity(settings: &ReplicaSettings, rng: &mut fastrand::Rng) -> RecoveredIdentity {
+    RecoveredIdentity { disk: rng.u64(1..), bootstrap_seeds: bootstrap_seeds(settings) }
+}
+
+/// The seeds, if this process may take part in bootstrapping the first view.
 fn bootstrap_seeds(settings: &ReplicaSettings) -> Option<Vec<SocketAddr>> {
     let mut seeds = settings.seeds.clone();
     seeds.sort();
     seeds.dedup();
-    let founds = settings.bootstrap && settings.counts_for_quorum && seeds.contains(&settings.local_address);
-    founds.then_some(seeds)
+    let is_seed = seeds.contains(&settings.local_address);
+    (settings.bootstrap && settings.counts_for_quorum && is_seed).then_some(seeds)
 }
 
-/// The seeds as the acceptors of the first view; nobody, for a process that may not bootstrap.
+/// View 0: the seeds as the acceptors of view 1, or no acceptors for a process that may not bootstrap.
 fn view_zero(settings: &ReplicaSettings, bootstrap_seeds: Option<&[SocketAddr]>) -> View {
     let seeds = bootstrap_seeds.unwrap_or_default();
-    let wanted = 2 * settings.fault_tolerance + 1;
-    let required = if seeds.len() < FULL_SEEDS { wanted.min(seeds.len()) } else { wanted };
+    let member_count = 2 * settings.fault_tolerance + 1;
+    let has_all_seeds = seeds.len() < MIN_PARTIAL_SEEDS;
+    let min_members = if has_all_seeds { member_count.min(seeds.len()) } else { member_count };
     View {
         number: 0,
         members: seeds.iter().map(|address| MemberId { address: *address, disk: 0 }).collect(),
@@ -154,42 +167,42 @@
         lineage: Vec::new(),
         last_known_served: 0,
         fault_tolerance: settings.fault_tolerance as u32,
-        min_members: required as u32,
+        min_members: min_members as u32,
     }
 }
 
 impl Replica {
-    fn start(&mut self, empty: bool) {
-        if empty {
-            let record =
-                Record::Identity { disk: self.identity.disk, bootstrap_seeds: self.bootstrap_seeds.clone() };
-            self.record(&record);
+    fn start(&mut self, is_new_disk: bool) {
+        if is_new_disk {
+            self.record(&self.identity_record());
         }
-        self.journal.then(Effect::Ready);
+        self.journal.after_sync(Effect::BecomeReady);
         let may_bootstrap = self.bootstrap_seeds.is_some();
-        self.log(LogEvent::Started { identity: self.identity, may_bootstrap, view: self.view.number });
-        self.publish(self.committed);
-        let known = self.settings.seeds.clone().into_iter();
+        let (identity, view) = (self.identity, self.view.number);
+        self.outbox.log(LogEvent::Started { identity, may_bootstrap, view });
+        self.publish(self.commit_index);
+        let seeds = self.settings.seeds.clone().into_iter();
         let members = self.view.members.clone().into_iter().map(|member| member.address);
-        for address in known.chain(members) {
-            self.peers.learn(address, self.now);
+        for address in seeds.chain(members) {
+            self.peers.add(address, self.now);
         }
     }
 
-    /// The records that stand for the whole state.
+    fn identity_record(&self) -> Record {
+        Record::Identity { disk: self.identity.disk, bootstrap_seeds: self.bootstrap_seeds.clone() }
+    }
+
+    /// The encoded records that add up to the current state.
     pub(super) fn snapshot(&self) -> Vec<Vec<u8>> {
-        let mut records = vec![Record::Identity {
-            disk: self.identity.disk,
-            bootstrap_seeds: self.bootstrap_seeds.clone(),
-        }];
-        let installed = self.installation.installed;
-        records.extend(Record::installation(installed, installed, &self.history.suffix(0)));
+        let mut records = vec![self.identity_record()];
+        let installed_view = self.state_transfer.installed_view;
+        records.extend(Record::installation(installed_view, installed_view, &self.history.suffix(0)));
         if self.view.number > 0 {
             records.push(Record::Decided { view: self.view.as_ref().clone() });
         }
         let instance = self.view.number + 1;
-        if let Some(held) = &self.acceptor.accepted {
-            records.push(Record::Accept { proposal: held.0, view: held.1.clone() });
+        if let Some(accepted) = &self.acceptor.accepted {
+            records.push(Record::Accept { proposal: accepted.0, view: accepted.1.clone() });
         }
         if let Some(proposal) = self.acceptor.promised {
             records.push(Record::Promise { instance, proposal });
--- a/crates/chain/src/replica/state_transfer.rs
+++ b/crates/chain/src/replica/state_transfer.rs
@@ -1,183 +1,191 @@
-//! Taking over the history of a new view, and when a view serves.
+//! State transfer: fetching the history of a new view from its source, and when a view serves.
+//!
+//! A view serves once all replicas of its chain hold its history on disk. From then on every acknowledged entry is on the disks
+//! of the whole chain.
 
 use super::Replica;
 use crate::entry::HistorySuffix;
-use crate::history_stream::{Assembly, Chunk, ChunkRequest, Portion, Progress, Streams};
+use crate::history_stream::{
+    AssemblyProgress, Chunk, ChunkRequest, ResponseLimits, StreamAssembly, StreamCache,
+};
 use crate::journal::Effect;
 use crate::log_event::LogEvent;
+use crate::member::MemberId;
 use crate::message::Message;
 use crate::record::Record;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A request for the history is repeated after this.
-const REQUEST_AGAIN: Duration = Duration::from_millis(250);
+/// An unanswered request for the history is repeated after this.
+const RETRY_AFTER: Duration = Duration::from_millis(250);
+/// Chunks per request. With 256 KiB each they keep a link of 1 Gbit/s and 20 ms busy and leave room in its send queue.
+const CHUNKS_PER_REQUEST: usize = 4;
 
-/// Pieces that are sent for one request: a link of 1 Gbit/s and 20 ms is well used, and its queue has room for more.
-const PIECES_AT_ONCE: usize = 4;
-
-/// Which view's history is held here.
+/// The state of fetching and sending the history of the current view.
 #[derive(Debug, Default)]
-pub struct Installation {
-    /// The newest view whose history is held.
-    pub installed: u64,
-    /// The newest view whose history is held on disk.
-    pub synced: u64,
-    /// Whether all replicas of the present view's chain hold its history on disk.
-    pub serving: bool,
-    requested: Option<Duration>,
-    assembly: Option<Assembly>,
-    /// What was sent of the present view's history, which does not change before all replicas of the chain hold it.
-    streams: Streams,
+pub struct StateTransfer {
+    /// The newest view whose history this process holds.
+    pub installed_view: u64,
+    /// The newest view whose history this process holds on disk.
+    pub synced_view: u64,
+    /// Whether all replicas of the current view's chain hold its history on disk, as far as is known here.
+    pub is_serving: bool,
+    requested_at: Option<Duration>,
+    assembly: Option<StreamAssembly>,
+    /// The streams of the current view's history, which does not change before all replicas of the chain hold it.
+    streams: StreamCache,
 }
 
-impl Installation {
-    /// The history of this view was found on disk.
-    pub fn new(installed: u64) -> Installation {
-        Installation { installed, synced: installed, ..Installation::default() }
+impl StateTransfer {
+    /// The state after a start with the history of this view on disk.
+    pub fn recover(installed_view: u64) -> StateTransfer {
+        StateTransfer { installed_view, synced_view: installed_view, ..StateTransfer::default() }
     }
 }
 
 impl Replica {
-    /// Begins to take part in a view that was just agreed.
-    pub(super) fn begin_installation(&mut self) {
-        self.installation.serving = false;
-        // What was received of a history stays: the source of this view goes on with it if it holds the same.
-        self.installation.requested = None;
-        // The histories of two views may differ, also where a receiver has begun with the one of the view before.
-        self.installation.streams = Streams::default();
+    /// Starts to take part in a view that was just entered.
+    pub(super) fn start_state_transfer(&mut self) {
+        self.state_transfer.is_serving = false;
+        // The assembly stays: the source of this view resumes the stream if it holds the same history.
+        self.state_transfer.requested_at = None;
+        // The streams do not: the histories of two views may differ, even if a receiver has begun with the earlier one.
+        self.state_transfer.streams = StreamCache::default();
         if self.view.source == Some(self.identity) {
-            debug_assert!(self.installation.installed >= self.view.last_known_served);
+            debug_assert!(self.state_transfer.installed_view >= self.view.last_known_served);
             let after = self.history.last_index();
-            self.install(&HistorySuffix { after, ..HistorySuffix::default() });
+            self.install_state(&HistorySuffix { after, ..HistorySuffix::default() });
         } else {
-            self.install_when_due();
+            self.request_state_if_due();
         }
     }
 
-    fn lacks_history(&self) -> bool {
-        self.view.position(self.identity).is_some()
-            && self.installation.installed < self.view.number
-            && !self.sealed()
+    fn lacks_state(&self) -> bool {
+        let is_replica = self.view.position(self.identity).is_some();
+        is_replica && self.state_transfer.installed_view < self.view.number && !self.is_sealed()
     }
 
-    pub(super) fn install_when_due(&mut self) {
-        let due = self.installation.requested.is_none_or(|requested| self.now >= requested + REQUEST_AGAIN);
-        if !due || !self.lacks_history() || !self.disk_healthy() {
-            return;
+    pub(super) fn request_state_if_due(&mut self) {
+        let requested_at = self.state_transfer.requested_at;
+        let is_due = requested_at.is_none_or(|requested_at| self.now >= requested_at + RETRY_AFTER);
+        if is_due && self.lacks_state() && self.disk_healthy() {
+            self.request_state();
         }
-        self.request_history();
     }
 
-    fn request_history(&mut self) {
+    fn request_state(&mut self) {
         let Some(source) = self.view.source else { return };
-        self.installation.requested = Some(self.now);
-        let committed = self.committed;
-        let assembly = self.installation.assembly.get_or_insert_with(|| Assembly::new(committed));
-        let (after, chunk) = (assembly.after, Some(assembly.wanted()));
-        self.send(source.address, Message::StateRequest { view: self.view.number, after, chunk });
+        self.state_transfer.requested_at = Some(self.now);
+        let after = self.commit_index;
+        let assembly = self.state_transfer.assembly.get_or_insert_with(|| StreamAssembly::new(after));
+        let (after, chunk) = (assembly.after, Some(assembly.next_request()));
+        self.outbox.send(source.address, Message::StateRequest { view: self.view.number, after, chunk });
     }
 
     pub(super) fn on_state_request(
         &mut self, from: SocketAddr, view: u64, after: u64, chunk: Option<ChunkRequest>,
     ) {
-        let held = self.installation.installed == view && self.view.number == view;
-        if !held || !self.view.has_member_at(from) {
+        let has_state = self.state_transfer.installed_view == view && self.view.number == view;
+        if !has_state || !self.view.has_member_at(from) {
             return;
         }
-        let make = || self.history.suffix(after);
-        let Some(wanted) = chunk else {
-            let suffix = make();
-            return self.send(from, Message::State { view, suffix });
+        let make_suffix = || self.history.suffix(after);
+        let Some(request) = chunk else {
+            let suffix = make_suffix();
+            return self.outbox.send(from, Message::State { view, suffix });
         };
-        let portion = Portion { chunk_bytes: self.settings.chunk_bytes, chunks: PIECES_AT_ONCE };
-        for chunk in self.installation.streams.chunks(self.now, wanted, portion, make) {
-            self.send(from, Message::StateChunk { view, chunk });
+        let limits =
+            ResponseLimits { chunk_bytes: self.settings.chunk_bytes, max_chunks: CHUNKS_PER_REQUEST };
+        for chunk in self.state_transfer.streams.chunks(self.now, request, limits, make_suffix) {
+            self.outbox.send(from, Message::StateChunk { view, chunk });
         }
     }
 
     pub(super) fn on_state(&mut self, view: u64, suffix: &HistorySuffix) {
-        if self.takes_state(view) {
-            self.install(suffix);
+        if self.expects_state(view) {
+            self.install_state(suffix);
         }
     }
 
-    pub(super) fn on_state_piece(&mut self, from: SocketAddr, view: u64, chunk: &Chunk) {
-        let from_source = self.view.source.is_some_and(|source| source.address == from);
-        if !self.takes_state(view) || !from_source {
+    pub(super) fn on_state_chunk(&mut self, from: SocketAddr, view: u64, chunk: &Chunk) {
+        let is_from_source = self.view.source.is_some_and(|source| source.address == from);
+        if !self.expects_state(view) || !is_from_source {
             return;
         }
-        let Some(assembly) = self.installation.assembly.as_mut() else { return };
-        match assembly.take(chunk) {
-            Progress::Continues if chunk.last => self.request_history(),
-            Progress::Ignored | Progress::Continues => {}
-            Progress::Complete(suffix) => self.install(&suffix),
-            // Asked for anew once the request is due again.
-            Progress::Broken => self.installation.assembly = None,
+        let Some(assembly) = self.state_transfer.assembly.as_mut() else { return };
+        match assembly.add(chunk) {
+            AssemblyProgress::Incomplete if chunk.is_last_of_response => self.request_state(),
+            AssemblyProgress::Ignored | AssemblyProgress::Incomplete => {}
+            AssemblyProgress::Complete(suffix) => self.install_state(&suffix),
+            // Requested again from the start once the next request is due.
+            AssemblyProgress::Corrupt => self.state_transfer.assembly = None,
         }
     }
 
-    fn takes_state(&self, view: u64) -> bool {
-        view == self.view.number && self.lacks_history() && self.disk_healthy()
+    fn expects_state(&self, view: u64) -> bool {
+        view == self.view.number && self.lacks_state() && self.disk_healthy()
     }
 
-    fn install(&mut self, suffix: &HistorySuffix) {
-        let before = self.history.last();
+    /// Installs a suffix from the source as the history of the current view.
+    fn install_state(&mut self, suffix: &HistorySuffix) {
+        let last_before = self.history.last();
         if !self.history.install(suffix) {
-            debug_assert!(false, "a history that does not fit: {suffix:?} behind {before:?}");
+            debug_assert!(false, "a history that does not fit: {suffix:?} behind {last_before:?}");
             return;
         }
         let view = self.view.number;
-        let installed = std::mem::replace(&mut self.installation.installed, view);
-        self.installation.assembly = None;
-        self.synced = self.synced.min(suffix.after);
-        for record in Record::installation(installed, view, suffix) {
+        let installed_before = std::mem::replace(&mut self.state_transfer.installed_view, view);
+        self.state_transfer.assembly = None;
+        self.synced_index = self.synced_index.min(suffix.after);
+        for record in Record::installation(installed_before, view, suffix) {
             self.record(&record);
         }
-        self.journal.then(Effect::Installed { view, last_index: self.history.last_index() });
-        if let Some(lost) = before.filter(|header| !self.history.holds(header)) {
-            self.log(LogEvent::Superseded(lost));
+        self.journal.after_sync(Effect::StateInstalled { view, last_index: self.history.last_index() });
+        if let Some(superseded) = last_before.filter(|header| !self.history.contains(header)) {
+            self.outbox.log(LogEvent::Superseded(superseded));
         }
-        self.catch_up_commit();
+        self.commit_newest_if_held();
     }
 
-    pub(super) fn on_installed(&mut self, view: u64, last_index: u64) {
-        if view != self.installation.installed {
+    /// The history of a view is on disk.
+    pub(super) fn on_state_installed(&mut self, view: u64, last_index: u64) {
+        if view != self.state_transfer.installed_view {
             return;
         }
-        self.installation.synced = view;
-        self.synced = last_index;
+        self.state_transfer.synced_view = view;
+        self.synced_index = last_index;
         if view == self.view.number {
-            self.beat_all();
+            self.send_heartbeats();
             self.check_serving();
         }
     }
 
     pub(super) fn drop_idle_streams(&mut self) {
-        self.installation.streams.drop_idle(self.now);
-        self.follower.streams.drop_idle(self.now);
+        self.state_transfer.streams.drop_idle(self.now);
+        self.learner.streams.drop_idle(self.now);
     }
 
-    /// Finds out whether all replicas of the chain hold the history.
+    /// Checks whether all replicas of the chain hold the history on disk by now.
     pub(super) fn check_serving(&mut self) {
-        if self.installation.serving || self.view.number == 0 || !self.view.may_serve() {
+        if self.state_transfer.is_serving || self.view.number == 0 || !self.view.may_serve() {
             return;
         }
         let number = self.view.number;
-        let holds = |replica: &crate::member::MemberId| {
+        let has_state = |replica: &MemberId| {
             if *replica == self.identity {
-                return self.installation.synced == number;
+                return self.state_transfer.synced_view == number;
             }
-            let beat = self.peers.beat(replica.address);
-            beat.is_some_and(|beat| beat.sender == *replica && beat.installed_view == number)
+            let heartbeat = self.peers.last_heartbeat(replica.address);
+            heartbeat
+                .is_some_and(|heartbeat| heartbeat.sender == *replica && heartbeat.installed_view == number)
         };
-        if self.view.chain.iter().all(holds) {
-            self.installation.serving = true;
-            self.log(LogEvent::Serving { number, replicas: self.view.chain.len() });
-            self.commit_when_tail();
-            self.judge_changes();
+        if self.view.chain.iter().all(has_state) {
+            self.state_transfer.is_serving = true;
+            self.outbox.log(LogEvent::Serving { number, replicas: self.view.chain.len() });
+            self.commit_if_tail();
+            self.decide_changes();
             self.answer_reads();
-            self.drive_calls();
+            self.drive_pending_requests();
         }
     }
 }
--- a/crates/chain/src/replication_guard_tests.rs
+++ b/crates/chain/src/replication_guard_tests.rs
@@ -1,7 +1,7 @@
 //! One test for each guard of taking changes, passing entries down the chain and answering reads; `docs/design/guards-chain.md` has the
 //! table.
 
-use crate::history_stream::{Assembly, Stream};
+use crate::history_stream::{HistoryStream, StreamAssembly};
 use crate::test_driver::{Driver, QUESTION, disk_of, entry, is_outcome, member, serving, submit, view};
 use crate::view::View;
 use crate::{EntryBody, Event, Heartbeat, HistorySuffix, Message, RequestId};
@@ -118,7 +118,7 @@
     driver.receive(1, Message::Decided { view: view(2, 3) });
     driver.sync();
     let before = driver.synced.len();
-    let chunk = Stream::new(history()).chunk(Assembly::new(0).wanted(), usize::MAX);
+    let chunk = HistoryStream::new(history()).chunk(StreamAssembly::new(0).next_request(), usize::MAX);
     driver.receive(1, Message::StateChunk { view: number, chunk });
     driver.sync();
     driver.receive(1, Message::State { view: number, suffix: history() });
@@ -153,7 +153,7 @@
     other.header.digest = crate::Digest::of(&other.bytes);
     driver.receive(2, Message::Replicate { view: 1, entry: other });
     let mut driver = behind(driver);
-    let chunk = Stream::new(history()).chunk(Assembly::new(0).wanted(), usize::MAX);
+    let chunk = HistoryStream::new(history()).chunk(StreamAssembly::new(0).next_request(), usize::MAX);
     driver.receive(2, Message::HistoryChunk { chunk });
     assert_eq!(driver.replica.status().committed_version, Some(2));
     let (batch, _) = driver.unsynced.remove(0);
--- a/crates/chain/src/settings.rs
+++ b/crates/chain/src/settings.rs
@@ -1,34 +1,32 @@
-//! The settings of a replica, with timings that fit a core within one region.
+//! The settings of a replica. The default timings suit a core within one region.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Heartbeats are frequent enough that three may be missed before a peer is suspected.
+/// Short enough that a peer is only suspected after three heartbeats in a row are lost.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
 /// Well above a sync on a disk 25 times slower than usual (125 ms), well below the bound on acknowledgements (4 s).
 const SUSPECT_AFTER: Duration = Duration::from_millis(700);
-/// A member that was never heard for this long gives its place to a learner. Below the time in which a newcomer counts (4 s).
+/// Below the time after which a new process must count (4 s).
 const REPLACE_AFTER: Duration = Duration::from_millis(1_800);
-/// A member that came back is taken into the chain after it has been calm for this long.
 const REJOIN_AFTER: Duration = Duration::from_millis(500);
-/// The operator moves on to another machine after a second of silence.
+/// Below the second after which the operator turns to another process.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 /// A sixteenth of the smallest disk.
 const REWRITE_THRESHOLD_BYTES: usize = 8 * 1024 * 1024;
-
-/// A few of them fit into the queue of a link without position up heartbeats.
+/// A few chunks fit into the send queue of a link without delaying heartbeats.
 const CHUNK_BYTES: usize = 256 * 1024;
-/// How many entries are kept to recognise resends: days of hundreds of changes.
+/// Days of hundreds of changes, within which a resend is recognised.
 const MAX_HEADERS: usize = 10_000;
-/// The last entry may be uncommitted, the one before it is then current.
+/// The last entry may be uncommitted; the one before it is then the current configuration.
 const MAX_BODIES: usize = 2;
 
-/// How much of the history a replica keeps.
+/// How much of the history a replica retains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HistoryLimits {
-    /// The newest entries that are known by their headers, at least 2.
+    /// The number of the newest entries whose headers are retained, at least 2. Default 10,000.
     pub max_headers: usize,
-    /// The newest of those whose bytes are kept, at least 2.
+    /// The number of the newest entries whose bytes are retained, at least 2. Default 2.
     pub max_bodies: usize,
 }
 
@@ -38,42 +36,42 @@
     }
 }
 
-/// What a replica is told at its start.
+/// The settings of a replica.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
     /// The peer address of this process.
     pub local_address: SocketAddr,
-    /// Peer addresses of processes that serve control. May include this process and may be out of date.
+    /// Peer addresses of processes that run a replica. May include this process and may be out of date.
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole system.
+    /// Whether this is the first start of the whole system, so that the seeds may agree on view 1.
     pub bootstrap: bool,
     /// How many machines may lose their disks at once.
     pub fault_tolerance: usize,
-    /// Whether this process may become a member. Others learn what is committed and pass calls on.
+    /// Whether this process may become a member. Others only learn what is committed and forward requests. Default true.
     pub counts_for_quorum: bool,
-    /// The time between two heartbeats to a peer.
+    /// The interval between two heartbeats to a peer. Default 200 ms.
     pub heartbeat_interval: Duration,
-    /// A peer that is silent, or a disk that hangs, for this long leaves the chain.
+    /// A peer without heartbeats, or a disk that does not complete a batch, for this long leaves the chain. Default 700 ms.
     pub suspect_after: Duration,
-    /// A member that was not heard for this long since the start may be replaced by a learner; one that was heard and went silent
-    /// may be at once when it is suspected.
+    /// A member that was never heard since the start may be replaced by a learner after this; one that was heard may be
+    /// replaced as soon as it is suspected. Default 1.8 s.
     pub replace_after: Duration,
-    /// A replica that is well again for this long is taken back into the chain.
+    /// A replica that has been healthy again for this long returns to the chain. Default 500 ms.
     pub rejoin_after: Duration,
-    /// A call of the operator that is not decided after this long is answered with unavailable.
+    /// A request of the operator without an outcome is answered with "unavailable" after this. Default 900 ms.
     pub request_timeout: Duration,
-    /// The log is rewritten when it is longer than this and than twice what it needs to hold, in bytes.
+    /// The log is rewritten when it is longer than this and than twice what it needs to contain, in bytes. Default 8 MiB.
     pub rewrite_threshold_bytes: usize,
-    /// How much of the history is kept.
+    /// How much of the history is retained.
     pub history: HistoryLimits,
-    /// A history goes to another replica in chunks of so many bytes.
+    /// The length of the chunks in which a history is sent to another replica, in bytes. Default 256 KiB.
     pub chunk_bytes: usize,
-    /// Seed of the random numbers. Must differ from start to start: the identity of a new disk comes from it.
+    /// The seed of the random number generator. Must differ from start to start: the identity of a new disk comes from it.
     pub seed: u64,
 }
 
 impl ReplicaSettings {
-    /// Settings with the usual timings.
+    /// Settings with the default timings and limits.
     pub fn new(
         local_address: SocketAddr, seeds: Vec<SocketAddr>, bootstrap: bool, fault_tolerance: usize, seed: u64,
     ) -> ReplicaSettings {
--- a/crates/chain/src/view_planner_tests.rs
+++ b/crates/chain/src/view_planner_tests.rs
@@ -6,7 +6,7 @@
 use crate::peers::Peers;
 use crate::settings::ReplicaSettings;
 use crate::view::View;
-use crate::view_planner::Planner;
+use crate::view_planner::ViewPlanner;
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -90,28 +90,28 @@
     let settings = ReplicaSettings::new(address(1), Vec::new(), false, 1, 1);
     let mut peers = Peers::new(address(1), settings.suspect_after);
     for member in &view.members {
-        peers.learn(member.address, Duration::ZERO);
+        peers.add(member.address, Duration::ZERO);
     }
     for step in 0..LONG {
         for says in said {
-            peers.heard(address(says.peer), heartbeat(says), STEP * step);
+            peers.record_heartbeat(address(says.peer), heartbeat(says), STEP * step);
         }
     }
     let now = STEP * LONG;
-    let planner = Planner {
+    let planner = ViewPlanner {
         view,
-        me: member(1),
+        local_member: member(1),
         disk_healthy: true,
         may_bootstrap: false,
-        leaving: false,
-        installed: 4,
-        committed: COMMITTED,
+        is_leaving: false,
+        installed_view: 4,
+        committed_index: COMMITTED,
         peers: &peers,
         settings: &settings,
         now,
     };
     let plan = planner.plan(holders)?;
-    let reason = planner.reason(&plan);
+    let reason = planner.change_reason(&plan);
     Some((plan.members, plan.chain, reason))
 }
 
--- a/crates/control/src/controller/status_report.rs
+++ b/crates/control/src/controller/status_report.rs
@@ -20,7 +20,7 @@
             members: replica.members,
             chain: replica.chain,
             learners: replica.learners,
-            standby: self.replica.has_standby(),
+            standby: self.replica.has_ready_learner(),
             position: replica.position,
             member: replica.is_member,
             serving: replica.is_serving,
