--- a/crates/chain/src/accepted_tests.rs
+++ b/crates/chain/src/accepted_tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn an_accepted_view_is_told_after_a_restart_and_no_more_once_it_is_agreed() {
+fn status_reports_an_accepted_next_view_after_restart_until_it_is_decided() {
     let identity = Record::Identity { disk: 1, bootstrap_seeds: None };
     let proposal = ProposalNumber { round: 1, proposer: member(2) };
     let mut records = vec![identity, Record::Decided { view: view(1) }];
--- a/crates/chain/src/earlier_version_tests.rs
+++ b/crates/chain/src/earlier_version_tests.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn the_identity_is_read() {
+fn identity_of_earlier_version_is_decoded() {
     assert!(matches!(record(IDENTITY), Record::Identity { disk: 7, bootstrap_seeds: Some(_) }));
 }
 
@@ -72,7 +72,7 @@
 #[rstest]
 #[case::appended(appended(), [true, true, true])]
 #[case::installed(installed(), [false, true, true])]
-fn a_log_is_read(#[case] history: History, #[case] completed: [bool; 3]) {
+fn log_of_earlier_version_is_decoded(#[case] history: History, #[case] completed: [bool; 3]) {
     let known = |index: u64| history.header(index).expect("a header").digest.blake3.is_some();
     assert_eq!([1, 2, 3].map(known), completed);
     for (version, text) in [(10, "one"), (20, "two"), (30, "three")] {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn messages_are_read() {
+fn messages_of_earlier_version_are_decoded() {
     let Message::Submit { base: 30, version: 40, digest, bytes, .. } = message(SUBMIT) else {
         panic!("no change")
     };
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn an_earlier_version_reads_this_one() {
+fn earlier_version_decodes_this_encoding() {
     let header = EntryHeader { index: 3, version: 30, base: 20, digest: Digest::of(b"three") };
     let read: EarlierEntryHeader = reread(&header);
     assert_eq!((read.index, read.version, read.base), (3, 30, 20));
@@ -129,7 +129,7 @@
 
 /// What an earlier version tells of an entry is less than what is held here, and still the same entry.
 #[test]
-fn a_commit_told_by_an_earlier_version_is_recognised() {
+fn commit_from_an_earlier_version_is_recognised() {
     let mut history = appended();
     let digest = Digest::of(b"four");
     let header = EntryHeader { index: 4, version: 40, base: 30, digest };
--- a/crates/chain/src/entry_tests.rs
+++ b/crates/chain/src/entry_tests.rs
@@ -72,16 +72,16 @@
     EntryHeader { index: 1, version: 5, base: 0, digest: Digest::of(TEXT) }
 }
 
-fn mark_of_earlier_version() -> EntryHeader {
+fn header_of_earlier_version() -> EntryHeader {
     EntryHeader { digest: Digest { blake3: None, ..Digest::of(TEXT) }, ..header() }
 }
 
 #[rstest]
 #[case::sound(header(), TEXT, 1)]
-#[case::of_an_earlier_version(mark_of_earlier_version(), TEXT, 1)]
+#[case::of_an_earlier_version(header_of_earlier_version(), TEXT, 1)]
 #[case::other_bytes(header(), b"test", 0)]
-#[case::other_bytes_of_an_earlier_version(mark_of_earlier_version(), b"test", 0)]
-fn an_entry_is_stored_if_its_bytes_fit(
+#[case::other_bytes_of_an_earlier_version(header_of_earlier_version(), b"test", 0)]
+fn replicated_entry_is_appended_if_its_digest_matches(
     #[case] header: EntryHeader, #[case] bytes: &[u8], #[case] entries: usize,
 ) {
     let mut replica = member_two(&[1, 2, 3]);
@@ -100,7 +100,9 @@
 #[case::other_bytes([Message::Committed { header: header() }, config(5, b"test")], 0)]
 #[case::entries_are_missing_before([Message::Committed { header: EntryHeader { index: 2, ..header() } }, config(5, TEXT)], 0)]
 #[case::another_version([Message::Committed { header: header() }, config(6, TEXT)], 0)]
-fn a_committed_entry_outside_the_chain(#[case] messages: [Message; 2], #[case] entries: usize) {
+fn learner_appends_newest_entry_from_commit_and_config(
+    #[case] messages: [Message; 2], #[case] entries: usize,
+) {
     let mut replica = member_two(&[1, 3]);
     let all: Vec<Entry> = messages.into_iter().flat_map(|message| stored(&mut replica, message)).collect();
     assert_eq!(all.len(), entries);
@@ -110,7 +112,7 @@
 
 /// A proposer goes by what a promise says of the history, so that it stays as it is until the next view.
 #[test]
-fn nothing_is_stored_outside_the_chain_behind_a_promise() {
+fn sealed_learner_appends_nothing() {
     let mut replica = member_two(&[1, 3]);
     let proposal = ProposalNumber { round: 1, proposer: member(1) };
     stored(&mut replica, Message::Prepare { instance: 2, proposal });
@@ -134,7 +136,7 @@
 /// A replica that has begun to take over the history of one view does not get the rest of it as the history of the next
 /// one, which holds an entry more.
 #[test]
-fn a_history_of_an_earlier_view_is_not_sent_on() {
+fn state_of_an_earlier_view_is_not_resumed() {
     let mut replica = member_two(&[1, 2, 3]);
     let begun = Some(ChunkRequest { stream: None, offset: 0 });
     let first = chunk(&mut replica, Message::StateRequest { view: 1, after: 0, chunk: begun });
@@ -149,7 +151,7 @@
 
 /// The committed history that learners get may be shorter than the view's history.
 #[test]
-fn the_committed_history_is_not_sent_for_that_of_a_view() {
+fn learner_stream_is_not_resumed_as_state() {
     let mut replica = member_two(&[1, 2, 3]);
     let entry = Entry { header: header(), bytes: TEXT.into() };
     stored(&mut replica, Message::Replicate { view: 1, entry: entry.clone() });
--- a/crates/chain/src/guard_tests.rs
+++ b/crates/chain/src/guard_tests.rs
@@ -45,7 +45,7 @@
 
 /// The entry that a sealed replica would still store could be in no history that the next view takes over.
 #[test]
-fn a_sealed_replica_replicates_no_more() {
+fn sealed_replica_stops_replicating() {
     let mut driver = serving(2);
     driver.receive(1, replicate(1));
     driver.sync();
@@ -61,7 +61,7 @@
 
 /// What was on its way to the disk when the replica promised the next view is not reported as stored in this one.
 #[test]
-fn a_replica_sealed_during_a_sync_does_not_acknowledge_it() {
+fn replica_sealed_during_sync_does_not_acknowledge() {
     let mut driver = serving(2);
     driver.receive(1, replicate(1));
     driver.receive(3, prepare());
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_sealed_replica_confirms_no_view() {
+fn sealed_replica_confirms_no_view() {
     let confirm = Message::Confirm { view: 1, request_id: QUESTION };
     let mut driver = serving(2);
     driver.receive(3, confirm.clone());
@@ -85,7 +85,7 @@
 #[rstest]
 #[case::the_head(1, submit(1, 0))]
 #[case::the_tail(3, Message::Read { request_id: QUESTION, forwarded: false })]
-fn a_sealed_end_is_silent(#[case] me: u8, #[case] asked: Message) {
+fn sealed_head_and_tail_send_no_outcome(#[case] me: u8, #[case] asked: Message) {
     let mut driver = serving(me);
     let proposal = ProposalNumber { round: 9, proposer: member(2) };
     driver.receive(2, Message::Prepare { instance: 2, proposal });
@@ -105,7 +105,7 @@
 #[case::a_proposal(prepare(), is_promise)]
 #[case::a_question(Message::Confirm { view: 1, request_id: QUESTION }, is_confirmed)]
 #[case::an_entry(replicate(1), is_replicated)]
-fn a_new_disk_does_not_answer_for_the_lost_one(
+fn new_disk_at_member_address_does_not_participate(
     #[case] asked: Message, #[case] answers: fn(&Message) -> bool,
 ) {
     let mut driver = Driver::start(2, disk_of(77, 3), 3);
@@ -119,7 +119,7 @@
 #[rstest]
 #[case::of_the_member(2, 1)]
 #[case::of_a_new_disk_at_its_address(77, 0)]
-fn a_promise_counts_for_the_disk_that_gave_it(#[case] disk: u64, #[case] accepts: usize) {
+fn promise_counts_only_from_the_member_disk(#[case] disk: u64, #[case] accepts: usize) {
     let mut driver = Driver::start(1, disk_of(1, 3), 3);
     driver.until_it_proposes(3);
     driver.sync();
@@ -141,7 +141,7 @@
 #[case::a_promise(3, prepare(), is_promise)]
 #[case::an_acceptance(3, Message::Accept { proposal: PROPOSAL, view: view(2, 3) }, |message: &Message| matches!(message, Message::Accepted { .. }))]
 #[case::an_entry(1, replicate(1), is_replicated)]
-fn nothing_is_said_before_it_is_on_disk(
+fn reply_is_sent_after_sync(
     #[case] from: u8, #[case] message: Message, #[case] answers: fn(&Message) -> bool,
 ) {
     let mut driver = serving(2);
@@ -157,7 +157,7 @@
 #[rstest]
 #[case::in_a_view_that_serves(true)]
 #[case::in_one_that_does_not(false)]
-fn a_tail_commits_what_it_has_stored(#[case] serves: bool) {
+fn tail_commits_synced_entry_if_view_serves(#[case] serves: bool) {
     let mut driver = if serves { serving(3) } else { Driver::start(3, disk_of(3, 3), 3) };
     if !serves {
         let silent = crate::Heartbeat { installed_view: 0, ..driver.heartbeat_of(1, &[2]) };
@@ -176,7 +176,7 @@
 #[case::a_member(3, 1, 1)]
 #[case::a_stranger(9, 1, 0)]
 #[case::another_view(3, 2, 0)]
-fn the_history_goes_to_members_of_its_view(
+fn state_is_sent_only_to_members_of_the_view(
     #[case] from: u8, #[case] number: u64, #[case] answers: usize,
     #[values(None, Some(StreamAssembly::new(0).next_request()))] chunk: Option<ChunkRequest>,
 ) {
@@ -191,7 +191,7 @@
 #[case::its_own(0, 1, Some(OperatorResponse::Conflict { current: 7 }))]
 #[case::of_the_run_before(1, 1, None)]
 #[case::of_another_call(0, 2, None)]
-fn an_outcome_answers_its_own_call(
+fn outcome_answers_only_its_own_request(
     #[case] other_run: u64, #[case] ticket: u64, #[case] answer: Option<OperatorResponse>,
 ) {
     let mut driver = serving(2);
@@ -215,7 +215,7 @@
 
 /// Nothing behind what is known to be committed is handed to a learner.
 #[test]
-fn only_committed_history_is_handed_to_learners() {
+fn learner_gets_only_committed_history() {
     let mut driver = serving(2);
     for index in 1..=2 {
         driver.receive(1, replicate(index));
@@ -254,7 +254,7 @@
 
 /// A learner says that it holds an entry once it is on its disk.
 #[test]
-fn a_learner_holds_what_is_on_its_disk() {
+fn learner_reports_durable_commit_index_after_sync() {
     let (mut driver, history) = learner_behind();
     driver.receive(3, history);
     let status = driver.replica.status();
@@ -271,7 +271,7 @@
 
 /// It takes history only from whom it asked.
 #[test]
-fn a_learner_takes_history_from_whom_it_asked() {
+fn learner_installs_history_only_from_the_requested_source() {
     let (mut driver, history) = learner_behind();
     driver.receive(2, history);
     driver.sync();
@@ -280,7 +280,7 @@
 
 /// What it asked for as a learner is nothing to it once it has a place in the chain.
 #[test]
-fn a_replica_takes_no_history_that_it_asked_for_as_a_learner() {
+fn replica_in_chain_ignores_history_requested_as_learner() {
     let (mut driver, history) = learner_behind();
     let mut next = view(2, 3);
     next.members[0] = MemberId { address: address(9), disk: 9 };
@@ -294,7 +294,7 @@
 
 /// An entry that was never committed is on the disk at the place of one that was: it is not counted as held.
 #[test]
-fn a_learner_does_not_count_the_entry_that_gave_way() {
+fn learner_does_not_count_a_superseded_entry_as_durable() {
     let mut other = entry(1);
     other.bytes = b"never committed".as_slice().into();
     other.header.digest = crate::Digest::of(&other.bytes);
@@ -330,7 +330,7 @@
 
 /// A replica whose disk refuses batches could not store its promise, so that it goes on with the present view.
 #[test]
-fn an_ill_disk_promises_nothing() {
+fn replica_with_unhealthy_disk_promises_nothing() {
     let mut driver = serving(2);
     driver.receive(1, replicate(1));
     let (batch, _) = driver.unsynced.pop().expect("an entry for the disk");
@@ -345,7 +345,7 @@
 #[case::as_asked(0, 0, 1)]
 #[case::of_another_run(1, 0, 0)]
 #[case::of_another_view(0, 1, 0)]
-fn a_confirmation_counts_for_its_question(
+fn confirmation_counts_only_for_its_round_view_and_incarnation(
     #[case] other_run: u64, #[case] other_view: u64, #[case] answers: usize,
 ) {
     let mut driver = serving(3);
@@ -363,7 +363,7 @@
 
 /// A view serves once its own replicas hold the history; another disk at the address of one of them is none.
 #[test]
-fn a_new_disk_does_not_make_a_view_serve() {
+fn new_disk_at_replica_address_does_not_make_view_serve() {
     let mut driver = Driver::start(3, disk_of(3, 3), 3);
     let sender = MemberId { address: address(1), disk: 77 };
     let beat = Heartbeat { sender, ..driver.heartbeat_of(1, &[2]) };
@@ -378,7 +378,7 @@
 #[rstest]
 #[case::a_member(2, true)]
 #[case::a_stranger(9, false)]
-fn acceptances_of_members_count(#[case] from: u8, #[case] agreed: bool) {
+fn only_acceptances_of_members_count(#[case] from: u8, #[case] agreed: bool) {
     let mut driver = Driver::start(1, disk_of(1, 3), 3);
     driver.until_it_proposes(3);
     driver.sync();
@@ -398,7 +398,7 @@
 
 /// A process that is about to end proposes nothing.
 #[test]
-fn a_process_that_leaves_does_not_propose() {
+fn leaving_process_does_not_propose() {
     let mut driver = serving(1);
     driver.handle(Event::Leave);
     for _ in 0..LONG {
@@ -412,7 +412,7 @@
 #[rstest]
 #[case::the_present(1)]
 #[case::one_too_far(3)]
-fn only_the_next_view_is_voted_on(#[case] instance: u64) {
+fn acceptor_votes_only_on_the_next_view(#[case] instance: u64) {
     let mut driver = serving(2);
     driver.receive(3, Message::Prepare { instance, proposal: PROPOSAL });
     driver.receive(3, Message::Accept { proposal: PROPOSAL, view: View { number: instance, ..view(2, 3) } });
@@ -430,7 +430,7 @@
 #[rstest]
 #[case::a_change(submit(1, 0), 1)]
 #[case::a_read(Message::Read { request_id: QUESTION, forwarded: false }, 3)]
-fn a_call_is_passed_on_once(#[case] asked: Message, #[case] end: u8) {
+fn request_is_forwarded_once_and_outcome_returned(#[case] asked: Message, #[case] end: u8) {
     let mut driver = serving(2);
     let origin = address(9);
     driver.handle(Event::Message { from: origin, message: asked.clone() });
--- a/crates/chain/src/history_stream_tests.rs
+++ b/crates/chain/src/history_stream_tests.rs
@@ -32,14 +32,14 @@
 }
 
 #[rstest]
-fn a_history_arrives_whole(#[values(1, 7, 100, 1_000_000)] longest: usize) {
+fn stream_is_reassembled_from_chunks_of_any_length(#[values(1, 7, 100, 1_000_000)] longest: usize) {
     let stream = HistoryStream::new(suffix(9, 90));
     let mut assembly = StreamAssembly::new(3);
     assert_eq!(finish(&stream, &mut assembly, longest), AssemblyProgress::Complete(suffix(9, 90)));
 }
 
 #[test]
-fn no_piece_is_longer_than_the_limit() {
+fn chunks_are_no_longer_than_the_limit() {
     let stream = HistoryStream::new(suffix(9, 90));
     let mut assembly = StreamAssembly::new(3);
     for _ in 0..5 {
@@ -51,7 +51,7 @@
 
 /// A lost chunk is asked for again, a repeated one changes nothing, and another source with the same history goes on.
 #[test]
-fn a_transfer_is_resumed() {
+fn stream_is_resumed_after_loss_and_at_another_source() {
     let stream = HistoryStream::new(suffix(9, 90));
     let mut assembly = StreamAssembly::new(3);
     let first = next(&stream, &assembly, 100);
@@ -65,7 +65,7 @@
 
 /// The source holds another history by now: its stream begins anew, and nothing of the first stays.
 #[test]
-fn another_stream_begins_anew() {
+fn assembly_restarts_with_another_stream() {
     let mut assembly = StreamAssembly::new(3);
     assembly.add(&next(&HistoryStream::new(suffix(9, 90)), &assembly, 100));
     let newer = HistoryStream::new(suffix(10, 90));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_piece_from_within_another_stream_is_ignored() {
+fn chunk_from_within_another_stream_is_ignored() {
     let mut assembly = StreamAssembly::new(3);
     let (one, other) = (HistoryStream::new(suffix(9, 90)), HistoryStream::new(suffix(10, 90)));
     assembly.add(&next(&one, &assembly, 100));
@@ -97,14 +97,14 @@
 })]
 #[case::longer_than_said(|chunk: Chunk| Chunk { total_bytes: 10, ..chunk })]
 #[case::endless(|chunk: Chunk| Chunk { total_bytes: u64::MAX, ..chunk })]
-fn a_stream_that_is_not_what_it_says_is_broken(#[case] harm: fn(Chunk) -> Chunk) {
+fn corrupt_stream_is_detected(#[case] harm: fn(Chunk) -> Chunk) {
     let mut assembly = StreamAssembly::new(3);
     let chunk = next(&HistoryStream::new(suffix(9, 90)), &assembly, 1_000_000);
     assert_eq!(assembly.add(&harm(chunk)), AssemblyProgress::Corrupt);
 }
 
 #[test]
-fn a_history_behind_another_entry_is_not_taken() {
+fn stream_behind_another_index_is_corrupt() {
     let mut assembly = StreamAssembly::new(4);
     let chunk = next(&HistoryStream::new(suffix(9, 90)), &assembly, 1_000_000);
     assert_eq!(assembly.add(&chunk), AssemblyProgress::Corrupt);
@@ -121,7 +121,7 @@
 #[rstest]
 #[case::from_the_start(0, &[0, 100, 200])]
 #[case::from_within(300, &[300, 400, 500])]
-fn pieces_come_in_portions(#[case] from: u64, #[case] offsets: &[u64]) {
+fn response_contains_several_chunks_and_marks_the_last(#[case] from: u64, #[case] offsets: &[u64]) {
     let portion = ResponseLimits { chunk_bytes: 100, max_chunks: 3 };
     let mut streams = StreamCache::default();
     let begun = chunk(&mut streams, ChunkRequest { stream: None, offset: 0 }, 9);
@@ -142,7 +142,7 @@
 
 /// A stream that was begun is sent to its end, whatever was added to the history; an idle one is dropped.
 #[test]
-fn begun_streams_are_kept_for_a_while() {
+fn streams_are_retained_until_idle() {
     let mut streams = StreamCache::default();
     let first = chunk(&mut streams, ChunkRequest { stream: None, offset: 0 }, 9);
     let wanted = ChunkRequest { stream: Some(first.stream), offset: 100 };
--- a/crates/chain/src/history_tests.rs
+++ b/crates/chain/src/history_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_entry_must_follow_the_last() {
+fn append_rejects_an_entry_that_does_not_follow() {
     let mut history = history(3);
     assert!(!history.append(entry(3, 30, 20, "text")));
     assert!(!history.append(entry(5, 50, 40, "text")));
@@ -33,7 +33,7 @@
 #[case::other_base(20, 9, "text", None)]
 #[case::other_bytes(20, 10, "other", None)]
 #[case::unknown(25, 20, "text", None)]
-fn a_resend_is_found(
+fn find_recognises_a_resent_change(
     #[case] version: u64, #[case] base: u64, #[case] text: &str, #[case] index: Option<u64>,
 ) {
     let found = history(3).find(version, base, Digest::of(text.as_bytes()));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn only_the_newest_bytes_are_kept() {
+fn only_the_newest_bodies_are_retained() {
     let history = history(5);
     assert!(history.config(3).is_none());
     assert!(history.config(4).is_some());
@@ -54,7 +54,7 @@
 #[case::a_part_held(2, 2)]
 #[case::all_held(5, 5)]
 #[case::an_entry_that_is_lost(3, 2)]
-fn a_history_is_taken_over(#[case] held: u64, #[case] committed: u64) {
+fn install_takes_over_the_source_history(#[case] held: u64, #[case] committed: u64) {
     let source = history(5);
     let mut replica = history(held);
     assert!(replica.install(&source.suffix(committed)));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn an_entry_that_was_never_committed_gives_way() {
+fn install_replaces_an_uncommitted_entry() {
     let mut replica = history(3);
     assert!(replica.append(entry(4, 41, 30, "lost")));
     assert!(replica.install(&history(4).suffix(3)));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_gap_is_refused() {
+fn install_rejects_a_gap() {
     let mut replica = history(2);
     assert!(!replica.install(&history(6).suffix(4)));
     let mut torn = history(6).suffix(2);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_history_without_its_beginning_replaces_all() {
+fn install_of_a_truncated_history_replaces_everything() {
     let mut suffix = history(6).suffix(0);
     suffix.headers.drain(..3);
     let mut replica = history(2);
@@ -102,7 +102,9 @@
 #[case::between_the_last_dropped_and_the_first_kept(35, 30, false)]
 #[case::builds_on_a_later_version(30, 60, false)]
 #[case::new(70, 60, false)]
-fn a_change_that_may_have_been_dropped(#[case] version: u64, #[case] base: u64, #[case] dropped: bool) {
+fn may_have_dropped_recognises_versions_before_the_first_header(
+    #[case] version: u64, #[case] base: u64, #[case] dropped: bool,
+) {
     let mut short = History::new(HistoryLimits { max_headers: 3, max_bodies: 2 });
     assert!(short.install(&history(6).suffix(0)));
     assert_eq!(short.may_have_dropped(version, base), dropped);
--- a/crates/chain/src/journal_tests.rs
+++ b/crates/chain/src/journal_tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn effects_wait_for_their_records() {
+fn effects_are_released_after_their_records_are_synced() {
     let mut journal = journal();
     assert!(journal.take_released().is_empty());
     let batch = journal.start_batch(at(0)).unwrap();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn one_batch_at_a_time() {
+fn only_one_batch_is_in_flight() {
     let mut journal = journal();
     let first = journal.start_batch(at(0)).unwrap();
     journal.append(vec![2]);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_refused_batch_comes_again_and_the_disk_is_in_trouble_until_then() {
+fn refused_batch_is_retried_and_disk_is_unhealthy_until_persisted() {
     let mut journal = journal();
     let batch = journal.start_batch(at(0)).unwrap();
     assert!(journal.is_healthy(at(10), PATIENCE));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_disk_that_hangs_is_in_trouble() {
+fn disk_that_hangs_is_unhealthy() {
     let mut journal = journal();
     journal.start_batch(at(0)).unwrap();
     assert!(journal.is_healthy(at(699), PATIENCE));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_rewrite_takes_the_place_of_what_waits() {
+fn rewrite_replaces_the_records_of_the_next_batch() {
     let mut journal = journal();
     let batch = journal.start_rewrite(at(0), vec![vec![9; 10]]);
     assert!(batch.is_rewrite);
--- a/crates/chain/src/paxos/proposer_tests.rs
+++ b/crates/chain/src/paxos/proposer_tests.rs
@@ -40,9 +40,7 @@
 #[case::the_one_before_may_have_served_elsewhere(&[(1, 3, 9)], None)]
 #[case::all_are_too_old(&[(1, 2, 9), (3, 2, 9)], None)]
 #[case::it_may_have_served_and_no_holder_promised(&[(3, 3, 9)], None)]
-fn the_source_holds_all_that_was_acknowledged(
-    #[case] promises: &[(u8, u64, u64)], #[case] source: Option<u8>,
-) {
+fn source_holds_every_acknowledged_entry(#[case] promises: &[(u8, u64, u64)], #[case] source: Option<u8>) {
     let promise = |&(number, installed, last_index): &(u8, u64, u64)| {
         let member = member(number, u64::from(number));
         let position = HistoryPosition { installed_view: installed, last_index };
@@ -55,7 +53,7 @@
 }
 
 #[test]
-fn a_disk_that_was_lost_is_no_source() {
+fn member_with_a_lost_disk_is_no_source() {
     let held = member(1, 1);
     let position = HistoryPosition { installed_view: 5, last_index: 9 };
     let promises =
@@ -68,13 +66,13 @@
 }
 
 #[test]
-fn a_view_that_served_ends_the_lineage() {
+fn view_that_has_served_ends_the_lineage() {
     let lineage = Lineage::after(&view(), true, &BTreeMap::new());
     assert_eq!(lineage, Lineage { ancestors: Vec::new(), last_known_served: 5 });
 }
 
 #[test]
-fn a_lineage_is_bounded() {
+fn lineage_is_bounded() {
     let ancestor = |number| Ancestor { number, chain: view().members };
     let long = View { number: 60, lineage: (4..60).rev().map(ancestor).collect(), ..view() };
     let lineage = Lineage::after(&long, false, &BTreeMap::new());
@@ -90,7 +88,7 @@
 #[case::five_that_bear_two(5, 2, 5, 3, true)]
 #[case::two_machines_in_all(2, 1, 2, 2, true)]
 #[case::a_single_machine(1, 0, 1, 1, true)]
-fn how_long_a_chain_must_be(
+fn view_is_sufficient_with_enough_members_and_replicas(
     #[case] required: u32, #[case] fault_tolerance: u32, #[case] members: usize, #[case] replicas: usize,
     #[case] is_sufficient: bool,
 ) {
@@ -104,7 +102,7 @@
 #[case::lower_by_its_proposer(3, 1, false)]
 #[case::the_same(3, 2, true)]
 #[case::higher(4, 1, true)]
-fn a_lower_proposal_is_not_admitted(#[case] round: u64, #[case] proposer: u8, #[case] admitted: bool) {
+fn acceptor_admits_no_lower_proposal(#[case] round: u64, #[case] proposer: u8, #[case] admitted: bool) {
     let proposal =
         |round, proposer: u8| ProposalNumber { round, proposer: member(proposer, u64::from(proposer)) };
     let acceptor = Acceptor { promised: Some(proposal(3, 2)), accepted: None };
--- a/crates/chain/src/proposal_number_tests.rs
+++ b/crates/chain/src/proposal_number_tests.rs
@@ -18,7 +18,7 @@
 #[rstest]
 #[case::three(3)]
 #[case::five(5)]
-fn nobody_hears_of_a_ballot_that_a_loss_of_power_can_take_away(#[case] members: u8) {
+fn prepare_is_sent_after_own_promise_is_synced(#[case] members: u8) {
     let mut driver = Driver::start(1, disk_of(1, members), members);
     driver.until_it_proposes(2);
     assert_eq!(proposal_numbers(&driver), Vec::new(), "before the own promise is on disk");
@@ -29,7 +29,7 @@
 #[rstest]
 #[case::three(3)]
 #[case::five(5)]
-fn a_proposer_that_starts_again_goes_on_above_its_last_ballot(#[case] members: u8) {
+fn restarted_proposer_uses_higher_proposal_numbers(#[case] members: u8) {
     let mut first = Driver::start(1, disk_of(1, members), members);
     first.until_it_proposes(2);
     first.sync();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_acceptor_tells_two_values_under_one_ballot_apart() {
+fn acceptor_distinguishes_two_views_under_one_proposal_number() {
     let proposal = ProposalNumber { round: 3, proposer: member(1) };
     let acceptor = Acceptor { promised: Some(proposal), accepted: Some(Box::new((proposal, view(2, 3)))) };
     let other = View { chain: vec![member(1), member(2)], ..view(2, 3) };
@@ -55,7 +55,7 @@
 
 /// A second value under a proposal that was accepted for another one gets no answer and is not stored.
 #[test]
-fn an_acceptor_takes_no_second_value_under_one_ballot() {
+fn acceptor_ignores_a_second_view_under_one_proposal_number() {
     let mut driver = Driver::start(1, disk_of(1, 3), 3);
     let proposal = ProposalNumber { round: 3, proposer: member(2) };
     let accept = |view: View| Message::Accept { proposal, view };
--- a/crates/chain/src/replication_guard_tests.rs
+++ b/crates/chain/src/replication_guard_tests.rs
@@ -23,14 +23,14 @@
 }
 
 #[test]
-fn a_head_takes_no_change_before_its_view_serves() {
+fn head_appends_no_change_before_view_serves() {
     let mut driver = not_serving(1);
     driver.receive(2, submit(1, 0));
     assert!(driver.unsynced.is_empty());
 }
 
 #[test]
-fn a_tail_answers_no_read_before_its_view_serves() {
+fn tail_answers_no_read_before_view_serves() {
     let mut driver = not_serving(3);
     driver.receive(2, Message::Read { request_id: QUESTION, forwarded: false });
     let asked = driver.sent.iter().find_map(|(_, message)| match message {
@@ -43,7 +43,7 @@
 
 /// The write that another change waits behind may still be lost: nothing is refused because of it.
 #[test]
-fn a_change_is_not_refused_for_one_that_is_not_committed() {
+fn change_is_not_refused_because_of_an_uncommitted_one() {
     let mut driver = serving(1);
     driver.receive(2, submit(1, 0));
     driver.sync();
@@ -67,7 +67,9 @@
 #[case::another_member(3, 1, false)]
 #[case::an_earlier_view(1, 0, false)]
 #[case::a_later_view(1, 2, false)]
-fn an_entry_is_taken_from_the_predecessor(#[case] from: u8, #[case] number: u64, #[case] taken: bool) {
+fn entry_is_appended_only_from_the_predecessor_in_the_current_view(
+    #[case] from: u8, #[case] number: u64, #[case] taken: bool,
+) {
     let mut driver = serving(2);
     driver.receive(from, Message::Replicate { view: number, entry: entry(1) });
     assert_eq!(!driver.unsynced.is_empty(), taken);
@@ -77,7 +79,7 @@
 #[rstest]
 #[case::in_this_view(1, false)]
 #[case::in_another(2, true)]
-fn an_entry_is_sent_until_the_successor_has_it(#[case] number: u64, #[case] again: bool) {
+fn entry_is_retransmitted_until_acknowledged_in_the_current_view(#[case] number: u64, #[case] again: bool) {
     let mut driver = serving(1);
     driver.receive(2, submit(1, 0));
     driver.sync();
@@ -90,7 +92,7 @@
 
 /// A heartbeat that names another address than it comes from says nothing of either.
 #[test]
-fn a_heartbeat_speaks_for_its_sender_alone() {
+fn heartbeat_for_another_address_is_ignored() {
     let mut driver = serving(1);
     for _ in 0..LONG {
         driver.run(1, &[2, 3]);
@@ -113,7 +115,7 @@
 #[case::of_this_view(2, true)]
 #[case::of_the_view_before(1, false)]
 #[case::of_a_later_view(3, false)]
-fn the_history_is_that_of_the_view(#[case] number: u64, #[case] taken: bool) {
+fn state_is_installed_only_for_the_current_view(#[case] number: u64, #[case] taken: bool) {
     let mut driver = serving(3);
     driver.receive(1, Message::Decided { view: view(2, 3) });
     driver.sync();
@@ -146,7 +148,7 @@
 
 /// An entry on its way to the disk gave way to a committed one: its write tells nothing of the other.
 #[test]
-fn the_write_of_an_entry_that_gave_way_counts_for_nothing() {
+fn sync_of_a_superseded_entry_does_not_advance_durable_commit_index() {
     let mut driver = serving(3);
     let mut other = entry(1);
     other.bytes = b"never committed".as_slice().into();
@@ -165,7 +167,7 @@
 
 /// A process that does not answer is not asked for ever.
 #[test]
-fn another_process_is_asked_for_the_history() {
+fn learner_requests_history_from_another_source_after_timeout() {
     let mut driver = Driver::start(9, disk_of(9, 3), 3);
     for _ in 0..LONG {
         for holder in [1, 2] {
--- a/crates/chain/src/request_tests.rs
+++ b/crates/chain/src/request_tests.rs
@@ -49,7 +49,7 @@
 #[case::another_request(4, 0, Some(OTHER), RequestOutcome::Conflict { current: 6 })]
 #[case::another_base(4, 3, Some(REQUEST), RequestOutcome::Conflict { current: 6 })]
 #[case::another_number(5, 0, Some(REQUEST), RequestOutcome::Conflict { current: 6 })]
-fn a_change_without_bytes_is_recognised_or_refused(
+fn change_without_bytes_is_recognised_by_request_hash_or_refused(
     #[case] version: u64, #[case] base: u64, #[case] request: Option<Blake3>, #[case] outcome: RequestOutcome,
 ) {
     let mut driver = head();
@@ -59,14 +59,14 @@
 
 /// The same bytes, sent whole, are the same change.
 #[test]
-fn a_change_is_recognised_by_its_bytes_as_well() {
+fn change_is_recognised_by_bytes_as_well() {
     let mut driver = head();
     driver.receive(2, submit(7, 4, 0, None, b"four"));
     assert_eq!(outcomes(&driver), [RequestOutcome::Accepted]);
 }
 
 #[test]
-fn a_change_without_bytes_is_never_written_nor_refused_on_the_current_version() {
+fn change_without_bytes_on_current_version_is_neither_appended_nor_refused() {
     let mut driver = head();
     driver.receive(2, submit(7, 9, 6, Some(OTHER), b""));
     driver.sync();
@@ -80,7 +80,7 @@
 #[rstest]
 #[case::whole(None)]
 #[case::from_a_request(Some(REQUEST))]
-fn a_mark_keeps_the_request(#[case] request: Option<Blake3>) {
+fn header_keeps_the_request_hash(#[case] request: Option<Blake3>) {
     let header = EntryHeader { index: 1, version: 4, base: 0, digest: Digest::of_request(b"four", request) };
     let mut bytes = Vec::new();
     ciborium::into_writer(&header, &mut bytes).expect("bytes");
--- a/crates/chain/src/view_planner_tests.rs
+++ b/crates/chain/src/view_planner_tests.rs
@@ -144,7 +144,7 @@
 #[case::one_comes_back(&[1, 2], &[says(2, &[1, 3]), says(3, &[1, 2])], &[1, 2, 3], Some(ViewChangeReason::ChainExtension))]
 #[case::one_is_not_heard_by_another(&[1, 2, 3], &[says(2, &[1]), says(3, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
 #[case::a_chain_that_others_see_whole(&[2, 3], &[says(2, &[1, 3])], &[1, 2], None)]
-fn the_chain_follows_the_links(
+fn chain_follows_the_links(
     #[case] chain: &[u8], #[case] said: &[Says], #[case] planned: &[u8],
     #[case] reason: Option<ViewChangeReason>,
 ) {
@@ -157,26 +157,26 @@
 #[rstest]
 #[case::hears_but_is_not_heard(&[says(2, &[3]), says(3, &[2])])]
 #[case::hears_nobody(&[])]
-fn a_process_that_reaches_no_majority_plans_nothing(#[case] said: &[Says]) {
+fn process_without_a_quorum_plans_nothing(#[case] said: &[Says]) {
     assert_eq!(plan(&view(&[1, 2, 3], &[1, 2, 3]), said), None);
 }
 
 #[test]
-fn a_full_disk_leaves_the_chain() {
+fn replica_with_unhealthy_disk_leaves_the_chain() {
     let full = Says { disk_healthy: false, ..says(3, &[1, 2]) };
     let (_, chain, reason) = plan(&view(&[1, 2, 3], &[3, 2, 1]), &[says(2, &[1, 3]), full]).unwrap();
     assert_eq!((chain, reason), (members(&[2, 1]), Some(ViewChangeReason::ChainBroken)));
 }
 
 #[test]
-fn a_chain_that_would_be_too_short_is_not_proposed() {
+fn insufficient_chain_is_not_proposed() {
     let full = Says { disk_healthy: false, ..says(2, &[1]) };
     let (_, _, reason) = plan(&view(&[1, 2, 3], &[1, 2, 3]), &[full]).unwrap();
     assert_eq!(reason, None);
 }
 
 #[test]
-fn a_new_disk_takes_the_place_of_the_lost_one() {
+fn new_disk_replaces_the_lost_one_at_its_address() {
     let new = Says { disk: 77, ..says(3, &[1, 2]) };
     let (planned, _, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &[says(2, &[1, 3]), new]).unwrap();
     assert_eq!(planned, vec![member(1), member(2), MemberId { address: address(3), disk: 77 }]);
@@ -191,13 +191,13 @@
 #[case::not_while_it_leaves_itself(&[says(2, &[1, 4]), leaves(says(4, &[1, 2]))], &[1, 2, 3])]
 #[case::not_while_it_lacks_history(&[says(2, &[1, 4]), behind(says(4, &[1, 2]))], &[1, 2, 3])]
 #[case::one_at_a_time(&[leaves(says(2, &[1, 3, 4, 5])), leaves(says(3, &[1, 2, 4, 5])), says(4, &[1, 2, 3, 5]), says(5, &[1, 2, 3, 4])], &[1, 4, 3])]
-fn a_newcomer_takes_a_place(#[case] said: &[Says], #[case] planned: &[u8]) {
+fn learner_replaces_at_most_one_member(#[case] said: &[Says], #[case] planned: &[u8]) {
     let (seen, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), said).unwrap();
     assert_eq!(seen, members(planned));
 }
 
 #[test]
-fn a_process_that_does_not_count_is_not_taken_in() {
+fn process_that_does_not_count_for_quorum_is_not_added() {
     let newcomer = Says { counts: false, ..says(4, &[1, 2]) };
     let (seen, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), &[says(2, &[1, 4]), newcomer]).unwrap();
     assert_eq!(seen, members(&[1, 2, 3]));
@@ -205,7 +205,7 @@
 
 /// A replica that leaves goes out of the chain while it still works.
 #[test]
-fn a_replica_that_leaves_is_not_in_the_next_chain() {
+fn leaving_replica_is_not_in_the_next_chain() {
     let said = [says(2, &[1, 3]), leaves(says(3, &[1, 2]))];
     let planned = plan(&view(&[1, 2, 3], &[1, 2, 3]), &said).unwrap();
     assert_eq!(planned, (members(&[1, 2, 3]), members(&[1, 2]), Some(ViewChangeReason::ChainBroken)));
@@ -215,14 +215,14 @@
 #[rstest]
 #[case::the_second(&[says(2, &[1, 4]), says(3, &[1]), says(4, &[1, 2])], &[1, 2])]
 #[case::the_third(&[says(2, &[1]), says(3, &[1, 4]), says(4, &[1, 3])], &[1, 3])]
-fn a_replica_that_others_reach_is_preferred(#[case] said: &[Says], #[case] planned: &[u8]) {
+fn replica_with_more_links_is_preferred(#[case] said: &[Says], #[case] planned: &[u8]) {
     let (_, chain, _) = plan(&view(&[1, 2, 3], &[1, 2, 3]), said).unwrap();
     assert_eq!(chain, members(planned));
 }
 
 /// The history that one alone holds is not left behind.
 #[test]
-fn a_holder_that_leaves_is_kept_until_others_hold_the_history() {
+fn leaving_holder_stays_until_others_hold_the_history() {
     let said = [says(2, &[1, 3, 4]), leaves(says(3, &[1, 2, 4])), says(4, &[1, 2, 3])];
     let (planned, chain, _) = plan_with(&view(&[1, 2, 3], &[1, 2, 3]), &said, &members(&[3])).unwrap();
     assert_eq!((planned, chain), (members(&[1, 2, 3]), members(&[1, 2, 3])));
@@ -232,7 +232,7 @@
 #[rstest]
 #[case::not_yet(false, &[1, 2, 3])]
 #[case::now(true, &[1, 4, 3])]
-fn a_place_changes_hands_once_enough_others_hold_the_history(#[case] holds: bool, #[case] planned: &[u8]) {
+fn member_is_replaced_once_enough_others_hold_the_history(#[case] holds: bool, #[case] planned: &[u8]) {
     let said = [Says { holds, ..says(3, &[1, 4]) }, says(4, &[1, 3])];
     let (seen, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &said).unwrap();
     assert_eq!((seen, reason), (members(planned), Some(ViewChangeReason::ChainBroken)));
@@ -241,7 +241,7 @@
 
 /// A member that lacks much history would hold up the view that takes it into the chain.
 #[test]
-fn a_member_that_is_behind_waits_outside_the_chain() {
+fn member_that_is_behind_stays_outside_the_chain() {
     let said = [says(2, &[1, 3]), behind(says(3, &[1, 2]))];
     let (_, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &said).unwrap();
     assert_eq!((chain, reason), (members(&[1, 2]), None));
@@ -249,7 +249,7 @@
 
 /// A disk that is new at its old address keeps the history first.
 #[test]
-fn a_new_disk_without_history_takes_no_place() {
+fn new_disk_without_history_is_no_member() {
     let said = [says(2, &[1, 3]), wiped(says(3, &[1, 2]))];
     let (planned, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), &said).unwrap();
     assert_eq!(planned, members(&[1, 2, 3]));
@@ -257,7 +257,7 @@
 
 /// A log of before may name four members; one that is well gives up its place too.
 #[test]
-fn an_even_number_of_members_gets_odd() {
+fn surplus_member_is_removed_from_an_even_number() {
     let all: Vec<Says> = (2..=4).map(|peer| says(peer, &[1, 2, 3, 4])).collect();
     let (planned, _, reason) = plan(&view(&[1, 2, 3, 4], &[1, 2, 4]), &all).unwrap();
     assert_eq!((planned, reason), (members(&[1, 2, 4]), Some(ViewChangeReason::MembershipChange)));
@@ -267,14 +267,14 @@
 #[rstest]
 #[case::one_learner(&[says(2, &[1])], &[1])]
 #[case::two_learners(&[says(2, &[1, 3]), says(3, &[1, 2])], &[1, 2, 3])]
-fn places_are_filled_to_an_odd_number(#[case] said: &[Says], #[case] planned: &[u8]) {
+fn vacancies_are_filled_to_an_odd_number(#[case] said: &[Says], #[case] planned: &[u8]) {
     let single = View { fault_tolerance: 0, min_members: 1, ..view(&[1], &[1]) };
     let (seen, _, _) = plan(&single, said).unwrap();
     assert_eq!(seen, members(planned));
 }
 
 #[test]
-fn a_surplus_member_that_is_gone_is_dropped() {
+fn surplus_member_that_is_gone_is_removed_first() {
     let said = [says(2, &[1, 3]), says(3, &[1, 2])];
     let (seen, chain, _) = plan(&view(&[1, 2, 3, 4], &[1, 2, 4]), &said).unwrap();
     assert_eq!((seen, chain), (members(&[1, 2, 3]), members(&[1, 2, 3])));
@@ -285,7 +285,7 @@
 #[case::nobody_in_particular(&[], &[1, 2, 3])]
 #[case::one_at_the_end(&[5], &[1, 2, 5])]
 #[case::one_that_is_in_it_anyway(&[2, 4], &[1, 2, 3])]
-fn a_holder_is_in_the_chain(#[case] holders: &[u8], #[case] planned: &[u8]) {
+fn holder_is_in_the_chain(#[case] holders: &[u8], #[case] planned: &[u8]) {
     let all = [1, 2, 3, 4, 5];
     let said: Vec<Says> = (2..=5).map(|peer| says(peer, &[1, 2, 3, 4, 5])).collect();
     let (_, chain, _) = plan_with(&view(&all, &[1, 2, 3]), &said, &members(holders)).unwrap();
@@ -294,7 +294,7 @@
 
 /// Two machines out of three reach each other; the one that holds the history is preferred to the other.
 #[test]
-fn a_holder_is_preferred_among_cliques() {
+fn clique_with_a_holder_is_preferred() {
     let said = [says(2, &[1]), says(3, &[1])];
     let (_, chain, _) = plan_with(&view(&[1, 2, 3], &[1, 2]), &said, &members(&[3])).unwrap();
     assert_eq!(chain, members(&[1, 3]));
