--- a/crates/lugwharf/tests/outside_forms.rs
+++ b/crates/lugwharf/tests/outside_forms.rs
@@ -186,6 +186,24 @@
     assert_eq!(output.status.code(), Some(0));
 }
 
+#[rstest]
+#[case::defaults(
+    "defaults",
+    "",
+    "FILE: TuningFile { routing: Tuning { draws_two: true, counts_in_flight: true, rises_at_once: true, starts_at_median: true, samples_failures: true, steers: true, prefers_home: true, ejects: true, refuses_early: true, passes_priority: true, resumes_streams: true, keeps_connections: true, decode_reads_at_most: 2048, decode_reads_after_failures: false, tau: 2.5s, normalisation: ByTokens, base_tokens: 512.0, sticky_key: LastShared, sticky_tolerance: 1.5, cache_age: 8s, cache_parts: 512, cross_zone_factor: 1.25, home_share: 0.5, report_age: 1.5s, report_weight: 0.25, full_factor: 3.0, cold_factor: 1.5, in_flight_factor: 8.0, in_flight_floor: 16, eject_first: 500ms, eject_most: 8s, eject_strikes: 2, misdirected: 4s, budget_share: 0.5, proxies_guess: 16, rejections: 3 }, stages: StageTuning { orders: true, least_decode_share: 0.2, decode_fill: 0.6 } }\n"
+)]
+#[case::changed(
+    "changed",
+    "[routing]\ntau_ms = 900\ndraws_two = false\nsticky_key = \"most_tokens\"\nnormalisation = \"plain\"\n[stages]\nleast_decode_share = 0.3\n",
+    "FILE: TuningFile { routing: Tuning { draws_two: false, counts_in_flight: true, rises_at_once: true, starts_at_median: true, samples_failures: true, steers: true, prefers_home: true, ejects: true, refuses_early: true, passes_priority: true, resumes_streams: true, keeps_connections: true, decode_reads_at_most: 2048, decode_reads_after_failures: false, tau: 900ms, normalisation: Plain, base_tokens: 512.0, sticky_key: MostTokens, sticky_tolerance: 1.5, cache_age: 8s, cache_parts: 512, cross_zone_factor: 1.25, home_share: 0.5, report_age: 1.5s, report_weight: 0.25, full_factor: 3.0, cold_factor: 1.5, in_flight_factor: 8.0, in_flight_floor: 16, eject_first: 500ms, eject_most: 8s, eject_strikes: 2, misdirected: 4s, budget_share: 0.5, proxies_guess: 16, rejections: 3 }, stages: StageTuning { orders: true, least_decode_share: 0.3, decode_fill: 0.6 } }\n"
+)]
+fn a_good_tuning(#[case] name: &str, #[case] text: &str, #[case] summary: &str) {
+    let file = File::new(&format!("tuning-good-{name}.toml"), text);
+    let output = run(&["check-tuning", file.path()]);
+    assert_eq!(String::from_utf8_lossy(&output.stdout).replace(file.path(), "FILE"), summary);
+    assert_eq!(output.status.code(), Some(0));
+}
+
 /// FNV-1a of 64 bits: a digest that needs no other crate.
 fn digest(bytes: &[u8]) -> String {
     let mix = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0100_0000_01b3);
