--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,7 +1,7 @@
 //! The operations on files that the log needs, and their implementation on the file system.
 
 use std::fs::{File, OpenOptions};
-use std::io::{self, Read, Seek, SeekFrom, Write};
+use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
 /// A directory on a disk. Renames and removals are durable only once the directory was synced.
@@ -63,14 +63,11 @@
     type File = DirectoryFile;
 
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
-        let mut file = match File::open(self.path.join(name)) {
-            Ok(file) => file,
-            Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-            Err(error) => return Err(error),
-        };
-        let mut bytes = Vec::new();
-        file.read_to_end(&mut bytes)?;
-        Ok(Some(bytes))
+        match std::fs::read(self.path.join(name)) {
+            Ok(bytes) => Ok(Some(bytes)),
+            Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
+            Err(error) => Err(error),
+        }
     }
 
     fn open(&self, name: &str) -> io::Result<DirectoryFile> {
