--- a/crates/agent/src/backoff_tests.rs
+++ b/crates/agent/src/backoff_tests.rs
@@ -1,4 +1,4 @@
-//! The pauses of the backoff.
+//! The delays of the backoff.
 
 use crate::backoff::Backoff;
 use std::time::Duration;
@@ -10,19 +10,19 @@
 }
 
 #[test]
-fn pauses_double_up_to_the_maximum_with_jitter() {
+fn delays_double_up_to_the_maximum_with_jitter() {
     let mut backoff = Backoff::new(SEED);
-    for max_pause in [100, 200, 400, 600, 600, 600] {
-        let pause = backoff.next();
+    for max_delay in [100, 200, 400, 600, 600, 600] {
+        let delay = backoff.next();
         assert!(
-            pause >= ms(max_pause / 2) && pause <= ms(max_pause),
-            "seed {SEED}: {pause:?} for {max_pause} ms"
+            delay >= ms(max_delay / 2) && delay <= ms(max_delay),
+            "seed {SEED}: {delay:?} for {max_delay} ms"
         );
     }
 }
 
 #[test]
-fn a_reset_returns_to_the_shortest_pause() {
+fn a_reset_returns_to_the_shortest_delay() {
     let mut backoff = Backoff::new(SEED);
     for _ in 0..5 {
         backoff.next();
@@ -32,8 +32,8 @@
 }
 
 #[test]
-fn different_seeds_draw_different_pauses() {
-    let pauses: std::collections::BTreeSet<Duration> =
+fn different_seeds_draw_different_delays() {
+    let delays: std::collections::BTreeSet<Duration> =
         (0..50).map(|seed| Backoff::new(seed).next()).collect();
-    assert!(pauses.len() > 45, "{}", pauses.len());
+    assert!(delays.len() > 45, "{}", delays.len());
 }
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -21,8 +21,8 @@
 const MAX_CONNECTIONS: usize = 64;
 /// A connection without a request for this long is closed; also the limit on writing a reply.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The pause after a failed accept, as when no descriptors are left.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failed accept, as when no descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Announced addresses that are retained.
 const MAX_ANNOUNCED: usize = 64;
 
@@ -31,7 +31,7 @@
     let capacity = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let Ok((stream, address)) = listener.accept().await else {
-            sleep(ACCEPT_RETRY_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let Ok(permit) = capacity.clone().try_acquire_owned() else { continue };
--- a/crates/agent/src/feed.rs
+++ b/crates/agent/src/feed.rs
@@ -10,8 +10,8 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::sleep;
 
-/// The pause after a failed accept, as when no descriptors are left.
-const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failed accept, as when no descriptors are left.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts the connections of proxies for as long as the process runs. There is one proxy; a second connection is that of its
 /// successor.
@@ -28,7 +28,7 @@
             }
             Err(error) => {
                 warn!("feed", kv: { outcome = "not_accepted", error: = error });
-                sleep(ACCEPT_RETRY_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -7,7 +7,7 @@
 //! | `table_owner` | the task that owns the tables; executes the commands of the others |
 //! | `control_link` | the task that pulls from one control process at a time, and moves on when it fails or has no quorum |
 //! | `control_connection`, `stall_timeout` | one connection to a control process and its time limits |
-//! | `backoff`, `fallback` | the pause between passes; the newest update without a quorum |
+//! | `backoff`, `fallback` | the delay between passes; the newest update without a quorum |
 //! | `feed` | the task that sends updates to the proxy and receives its reports |
 //! | [`discovery`] | the agent port of a machine without a replica |
 //! | `metrics` | counts and their text |
--- a/crates/agent/src/metrics_tests.rs
+++ b/crates/agent/src/metrics_tests.rs
@@ -1,4 +1,4 @@
-//! The text of the metrics, word for word: alarms and boards are written against these names.
+//! The literal text of the metrics: alarms and dashboards are written against these names.
 
 use super::{AgentMetrics, PullOutcome};
 use crate::table_owner::TableSummary;
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -89,11 +89,11 @@
         let value = CONFIGURATION_SCHEMA.parse(bytes)?;
         let configuration: Configuration = serde_json::from_value(value)
             .map_err(|e| ConfigError::new(ConfigErrorKind::Schema, "", e.to_string()))?;
-        configuration.check()?;
+        configuration.validate()?;
         Ok(configuration)
     }
 
-    fn check(&self) -> Result<(), ConfigError> {
+    fn validate(&self) -> Result<(), ConfigError> {
         let mut services = HashSet::new();
         for (index, service) in self.services.iter().enumerate() {
             if !services.insert(service.name.as_str()) {
@@ -107,7 +107,7 @@
         }
         let mut matches = HashSet::new();
         for (index, route) in self.routes.iter().enumerate() {
-            check_route(route, index, &services)?;
+            validate_route(route, index, &services)?;
             if !matches.insert((route.host.to_ascii_lowercase(), route.path_prefix.as_str())) {
                 let field = format!("/Routes/{index}/PathPrefix");
                 return Err(ConfigError::new(
@@ -121,7 +121,7 @@
     }
 }
 
-fn check_route(route: &Route, index: usize, services: &HashSet<&str>) -> Result<(), ConfigError> {
+fn validate_route(route: &Route, index: usize, services: &HashSet<&str>) -> Result<(), ConfigError> {
     let at = |name: &str| format!("/Routes/{index}/{name}");
     if !(route.timeout_ms.is_finite() && route.timeout_ms > 0.0) {
         return Err(ConfigError::new(ConfigErrorKind::ZeroTimeout, at("TimeoutMs"), "must be above 0"));
@@ -133,11 +133,11 @@
             "must begin and end with a slash",
         ));
     }
-    if let Some((name, _)) = route.targets().find(|(name, _)| !services.contains(name)) {
-        let reason = format!("no service is named {name:?}");
+    if let Some(target) = route.targets().find(|target| !services.contains(target.service)) {
+        let reason = format!("no service is named {:?}", target.service);
         return Err(ConfigError::new(ConfigErrorKind::UnknownService, at("Service"), reason));
     }
-    let weight: f64 = route.targets().map(|(_, weight)| weight).sum();
+    let weight: f64 = route.targets().map(|target| target.weight).sum();
     if !(weight.is_finite() && weight > 0.0) {
         return Err(ConfigError::new(
             ConfigErrorKind::ZeroWeight,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,7 +11,9 @@
 mod route_table;
 
 pub use check::{ConfigError, ConfigErrorKind};
-pub use model::{Configuration, Engine, Limits, Route, RouteKind, Service, VersionNumber, WeightedService};
+pub use model::{
+    Configuration, Engine, Limits, Route, RouteKind, RouteTarget, Service, VersionNumber, WeightedService,
+};
 pub use patch::ConfigurationPatch;
 pub use route_table::RouteTable;
 
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -27,6 +27,15 @@
     pub weight: f64,
 }
 
+/// A service that requests of a route go to, borrowed from the configuration.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct RouteTarget<'a> {
+    /// The name of the service.
+    pub service: &'a str,
+    /// Its share of the requests, relative to the other weights.
+    pub weight: f64,
+}
+
 /// A route: which requests it matches, where they go and by which limits.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
@@ -74,9 +83,10 @@
 
 impl Route {
     /// The services that its requests go to, with their weights; weight 1 if it is not split.
-    pub fn targets(&self) -> impl Iterator<Item = (&str, f64)> {
-        let single = self.service.iter().map(|service| (service.as_str(), 1.0));
-        single.chain(self.traffic_split.iter().map(|split| (split.service.as_str(), split.weight)))
+    pub fn targets(&self) -> impl Iterator<Item = RouteTarget<'_>> {
+        let single = self.service.iter().map(|service| RouteTarget { service, weight: 1.0 });
+        let split = self.traffic_split.iter();
+        single.chain(split.map(|target| RouteTarget { service: &target.service, weight: target.weight }))
     }
 
     /// Whether a request may be sent to a second server after a first one may have executed it.
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! Validation of configurations and the lookup of routes.
 
-use lugwharf_config::{ConfigErrorKind, Configuration, RouteKind, RouteTable};
+use lugwharf_config::{ConfigErrorKind, Configuration, RouteKind, RouteTable, RouteTarget};
 use rstest::rstest;
 use serde_json::{Value, json};
 
@@ -34,7 +34,8 @@
     assert_eq!(configuration.version, 7);
     assert_eq!(configuration.routes[0].route_kind, RouteKind::Streaming);
     assert!(configuration.routes[0].resumable);
-    assert_eq!(configuration.routes[1].targets().collect::<Vec<_>>(), [("s-1", 90.0), ("s-2", 10.0)]);
+    let split = [("s-1", 90.0), ("s-2", 10.0)].map(|(service, weight)| RouteTarget { service, weight });
+    assert_eq!(configuration.routes[1].targets().collect::<Vec<_>>(), split);
     assert_eq!(configuration.routes[1].max_attempts, 1);
     let engine = configuration.service("s-1").and_then(|service| service.engine.clone()).expect("an engine");
     assert_eq!((engine.slots, engine.kv_tokens), (64, 765_689));
@@ -60,8 +61,8 @@
 ) {
     let mut configuration = valid();
     *configuration.pointer_mut(pointer).expect("there") = value;
-    let fault = parse(&configuration).expect_err("invalid");
-    assert_eq!((fault.kind, fault.field.as_str()), (kind, field), "{fault}");
+    let error = parse(&configuration).expect_err("invalid");
+    assert_eq!((error.kind, error.field.as_str()), (kind, field), "{error}");
 }
 
 #[rstest]
@@ -80,8 +81,8 @@
 fn a_truncated_configuration_is_invalid_at_every_length() {
     let text = valid().to_string();
     for length in 0..text.len() {
-        let fault = Configuration::parse(&text.as_bytes()[..length]).expect_err("cut short");
-        assert_eq!(fault.kind, ConfigErrorKind::NotJson, "{length}");
+        let error = Configuration::parse(&text.as_bytes()[..length]).expect_err("cut short");
+        assert_eq!(error.kind, ConfigErrorKind::NotJson, "{length}");
     }
 }
 
--- a/crates/config/tests/patch.rs
+++ b/crates/config/tests/patch.rs
@@ -20,9 +20,9 @@
 }
 
 fn apply(patch: &Value) -> Result<Value, (ConfigErrorKind, String)> {
-    let fault = |fault: lugwharf_config::ConfigError| (fault.kind, fault.field);
-    let patch = ConfigurationPatch::parse(patch.to_string().as_bytes()).map_err(fault)?;
-    let bytes = patch.apply(base().to_string().as_bytes()).map_err(fault)?;
+    let place = |error: lugwharf_config::ConfigError| (error.kind, error.field);
+    let patch = ConfigurationPatch::parse(patch.to_string().as_bytes()).map_err(place)?;
+    let bytes = patch.apply(base().to_string().as_bytes()).map_err(place)?;
     Configuration::parse(&bytes).expect("a valid result");
     Ok(serde_json::from_slice(&bytes).expect("JSON"))
 }
@@ -89,8 +89,8 @@
 
 #[test]
 fn text_that_is_not_json_is_reported_as_such() {
-    let fault = ConfigurationPatch::parse(b"{").expect_err("a fault");
-    assert_eq!(fault.kind, ConfigErrorKind::NotJson);
+    let error = ConfigurationPatch::parse(b"{").expect_err("an error");
+    assert_eq!(error.kind, ConfigErrorKind::NotJson);
 }
 
 /// Two processes that apply the same patch must arrive at the same bytes.
--- a/crates/lugwharf/src/front_end.rs
+++ b/crates/lugwharf/src/front_end.rs
@@ -17,10 +17,10 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// The pause before the first restart of a hosted replica; it doubles with each restart.
-const MIN_RESTART_PAUSE: Duration = Duration::from_millis(250);
-/// The longest pause before a restart.
-const MAX_RESTART_PAUSE: Duration = Duration::from_secs(4);
+/// The delay before the first restart of a hosted replica; it doubles with each restart.
+const MIN_RESTART_DELAY: Duration = Duration::from_millis(250);
+/// The longest delay before a restart.
+const MAX_RESTART_DELAY: Duration = Duration::from_secs(4);
 
 /// Runs the agent until SIGTERM. A hosted replica shuts down gracefully at the same time, and is waited for.
 pub fn run_agent(settings: Settings, options: AgentOptions, stages: StageTuning) -> Result<()> {
@@ -70,11 +70,11 @@
 fn host_replica(settings: Settings, stages: StageTuning) -> Result<JoinHandle<()>> {
     let options = ControlOptions { stages, ..ControlOptions::default() };
     let run = move || {
-        let mut pause = MIN_RESTART_PAUSE;
+        let mut delay = MIN_RESTART_DELAY;
         while let Err(error) = block_on(lugwharf_control::run(settings.clone(), options.clone())) {
             error!("hosted_replica", kv: { outcome = "failed", error: = format!("{error:#}") });
-            thread::sleep(pause);
-            pause = (pause * 2).min(MAX_RESTART_PAUSE);
+            thread::sleep(delay);
+            delay = (delay * 2).min(MAX_RESTART_DELAY);
         }
     };
     thread::Builder::new().name("control".to_owned()).spawn(run).wrap_err("the thread of the replica")
--- a/crates/lugwharf/tests/outside_forms.rs
+++ b/crates/lugwharf/tests/outside_forms.rs
@@ -1,4 +1,4 @@
-//! What the binary says word for word: one line for each fault, its exit status, and the schemas that it prints.
+//! The literal outputs of the binary: the line of each error with its exit status, summaries and schemas.
 //!
 //! Captured from commit 1a8c4db; operators' tools match these lines.
 
@@ -38,9 +38,9 @@
 }
 
 /// Exactly this text on standard error, nothing on standard output, and this exit status. `FILE` stands for the path.
-fn assert_ends(output: &Output, status: i32, path: &str, told: &str) {
+fn assert_ends(output: &Output, status: i32, path: &str, message: &str) {
     let text = String::from_utf8_lossy(&output.stderr).replace(path, "FILE");
-    assert_eq!((output.status.code(), text.as_str()), (Some(status), told));
+    assert_eq!((output.status.code(), text.as_str()), (Some(status), message));
     assert!(output.stdout.is_empty(), "{output:?}");
 }
 
@@ -62,8 +62,8 @@
 #[case::port_zero(&["proxy", "--metrics", "0"], "lugwharf: --metrics: \"0\" is no port\n")]
 #[case::port_too_high(&["agent", "--metrics", "70000"], "lugwharf: --metrics: \"70000\" is no port\n")]
 #[case::port_no_number(&["control", "--metrics", "many"], "lugwharf: --metrics: \"many\" is no port\n")]
-fn a_wrong_command_line(#[case] arguments: &[&str], #[case] told: &str) {
-    assert_ends(&run(arguments), 2, "FILE", told);
+fn a_wrong_command_line_ends_with_status_2_and_this_line(#[case] arguments: &[&str], #[case] message: &str) {
+    assert_ends(&run(arguments), 2, "FILE", message);
 }
 
 #[rstest]
@@ -74,8 +74,8 @@
 #[case::check_config(&["check-config", "/nonexistent/file"], "lugwharf: /nonexistent/file: No such file or directory (os error 2)\n")]
 #[case::check_settings(&["check-settings", "/nonexistent/file"], "lugwharf: /nonexistent/file: No such file or directory (os error 2): No such file or directory (os error 2)\n")]
 #[case::check_tuning(&["check-tuning", "/nonexistent/file"], "lugwharf: /nonexistent/file: No such file or directory (os error 2)\n")]
-fn a_missing_file(#[case] arguments: &[&str], #[case] told: &str) {
-    assert_ends(&run(arguments), 1, "FILE", told);
+fn a_missing_file_ends_with_status_1_and_this_line(#[case] arguments: &[&str], #[case] message: &str) {
+    assert_ends(&run(arguments), 1, "FILE", message);
 }
 
 #[rstest]
@@ -87,7 +87,9 @@
 #[case::missing("proxy", ("Ip = \"127.0.0.1\"", ""), "lugwharf: settings: TOML parse error at line 1, column 1 | 1 | Node = \"node-0\" | ^ missing field `Ip`\n")]
 #[case::missing_checked("check-settings", ("Ip = \"127.0.0.1\"", ""), "lugwharf: FILE: TOML parse error at line 1, column 1 | 1 | Node = \"node-0\" | ^ missing field `Ip`\n")]
 #[case::few_ports_checked("check-settings", ("PortRange = [", "PortRange = [7, 7] #"), "lugwharf: FILE: PortRange: holds too few ports\n")]
-fn bad_settings(#[case] command: &str, #[case] (good, bad): (&str, &str), #[case] told: &str) {
+fn invalid_settings_end_with_status_1_and_this_line(
+    #[case] command: &str, #[case] (good, bad): (&str, &str), #[case] message: &str,
+) {
     let text = SettingsSpec::default().to_toml();
     assert!(text.contains(good), "{text}");
     let file = File::new(&format!("settings-{command}-{}.toml", bad.len()), &text.replace(good, bad));
@@ -95,7 +97,7 @@
         "check-settings" => vec![command, file.path()],
         role => vec![role, "--settings", file.path()],
     };
-    assert_ends(&run(&arguments), 1, file.path(), told);
+    assert_ends(&run(&arguments), 1, file.path(), message);
 }
 
 #[rstest]
@@ -108,7 +110,7 @@
     "check-settings",
     "lugwharf: FILE: DataDir: is missing on a machine that counts and serves control\n"
 )]
-fn control_without_a_disk(#[case] command: &str, #[case] told: &str) {
+fn control_without_a_disk_ends_with_status_1_and_this_line(#[case] command: &str, #[case] message: &str) {
     let control = Some("127.0.0.1:8166".parse().expect("an address"));
     let spec = SettingsSpec { control, counts_for_quorum: true, ..SettingsSpec::default() };
     let file = File::new(&format!("no-disk-{command}.toml"), &spec.to_toml());
@@ -116,7 +118,7 @@
         "check-settings" => vec![command, file.path()],
         role => vec![role, "--settings", file.path()],
     };
-    assert_ends(&run(&arguments), 1, file.path(), told);
+    assert_ends(&run(&arguments), 1, file.path(), message);
 }
 
 fn configuration() -> Value {
@@ -141,9 +143,11 @@
 #[case::no_time("no_time", replaced("/Routes/0/TimeoutMs", json!(0)), "lugwharf: FILE: /Routes/0/TimeoutMs: must be above 0\n")]
 #[case::bad_prefix("bad_prefix", replaced("/Routes/0/PathPrefix", json!("/work")), "lugwharf: FILE: /Routes/0/PathPrefix: must begin and end with a slash\n")]
 #[case::bad_kind("bad_kind", replaced("/Routes/0/RouteKind", json!("odd")), "lugwharf: FILE: /Routes/0/RouteKind: \"odd\" is not one of \"safe\", \"unsafe\" or \"streaming\"\n")]
-fn a_bad_configuration(#[case] name: &str, #[case] text: String, #[case] told: &str) {
+fn an_invalid_configuration_ends_with_status_1_and_this_line(
+    #[case] name: &str, #[case] text: String, #[case] message: &str,
+) {
     let file = File::new(&format!("{name}.json"), &text);
-    assert_ends(&run(&["check-config", file.path()]), 1, file.path(), told);
+    assert_ends(&run(&["check-config", file.path()]), 1, file.path(), message);
 }
 
 #[rstest]
@@ -172,13 +176,15 @@
     "[stages]\nhurry = 1\n",
     "lugwharf: FILE: TOML parse error at line 2, column 1 | 2 | hurry = 1 | ^^^^^ unknown field `hurry`, expected one of `orders`, `least_decode_share`, `decode_fill`\n"
 )]
-fn a_bad_tuning(#[case] name: &str, #[case] text: &str, #[case] told: &str) {
+fn an_invalid_tuning_ends_with_status_1_and_this_line(
+    #[case] name: &str, #[case] text: &str, #[case] message: &str,
+) {
     let file = File::new(&format!("tuning-{name}.toml"), text);
-    assert_ends(&run(&["check-tuning", file.path()]), 1, file.path(), told);
+    assert_ends(&run(&["check-tuning", file.path()]), 1, file.path(), message);
 }
 
 #[test]
-fn good_files_are_summed_up() {
+fn valid_settings_are_summarized() {
     let settings = File::new("good.toml", &SettingsSpec::default().to_toml());
     let output = run(&["check-settings", settings.path()]);
     let text = String::from_utf8_lossy(&output.stdout).replace(settings.path(), "FILE");
@@ -197,7 +203,7 @@
     "[routing]\ntau_ms = 900\ndraws_two = false\nsticky_key = \"most_tokens\"\nnormalisation = \"plain\"\n[stages]\nleast_decode_share = 0.3\n",
     "FILE: TuningFile { routing: Tuning { draws_two: false, counts_in_flight: true, rises_at_once: true, starts_at_median: true, samples_failures: true, steers: true, prefers_home: true, ejects: true, refuses_early: true, passes_priority: true, resumes_streams: true, keeps_connections: true, decode_reads_at_most: 2048, decode_reads_after_failures: false, tau: 900ms, normalisation: Plain, base_tokens: 512.0, sticky_key: MostTokens, sticky_tolerance: 1.5, cache_age: 8s, cache_parts: 512, cross_zone_factor: 1.25, home_share: 0.5, report_age: 1.5s, report_weight: 0.25, full_factor: 3.0, cold_factor: 1.5, in_flight_factor: 8.0, in_flight_floor: 16, eject_first: 500ms, eject_most: 8s, eject_strikes: 2, misdirected: 4s, budget_share: 0.5, proxies_guess: 16, rejections: 3 }, stages: StageTuning { orders: true, least_decode_share: 0.3, decode_fill: 0.6 } }\n"
 )]
-fn a_good_tuning(#[case] name: &str, #[case] text: &str, #[case] summary: &str) {
+fn a_valid_tuning_is_printed_with_these_names(#[case] name: &str, #[case] text: &str, #[case] summary: &str) {
     let file = File::new(&format!("tuning-good-{name}.toml"), text);
     let output = run(&["check-tuning", file.path()]);
     assert_eq!(String::from_utf8_lossy(&output.stdout).replace(file.path(), "FILE"), summary);
@@ -213,8 +219,8 @@
 #[rstest]
 #[case::configuration(&["print-schema"], "96ab074ec5c1cc01")]
 #[case::patch(&["print-schema", "--patch"], "dc28405de3de1082")]
-fn schemas_are_printed_as_they_were(#[case] arguments: &[&str], #[case] digested: &str) {
+fn schemas_are_printed_with_these_digests(#[case] arguments: &[&str], #[case] expected: &str) {
     let output = run(arguments);
     assert_eq!(output.status.code(), Some(0));
-    assert_eq!(digest(&output.stdout), digested);
+    assert_eq!(digest(&output.stdout), expected);
 }
--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -70,7 +70,7 @@
 }
 
 impl Bounds {
-    pub(crate) fn check(&self) -> Result<(), SettingsError> {
+    pub(crate) fn validate(&self) -> Result<(), SettingsError> {
         let non_negative = [
             ("Bounds.RetryBudget", self.retry_budget),
             ("Bounds.BudgetWindowS", self.budget_window_s),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -9,7 +9,7 @@
 mod ports;
 
 pub use bounds::Bounds;
-pub use ports::InternalPorts;
+pub use ports::{InternalPorts, PortRange};
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -32,7 +32,7 @@
         /// The error of the file system.
         source: std::io::Error,
     },
-    /// The text is not TOML, or a key has the wrong type or is missing.
+    /// The text is not TOML, or a key has the wrong type or is missing. The message of the parser, on one line.
     #[error("{0}")]
     Malformed(String),
     /// A key has a value that no process can work with.
@@ -137,8 +137,8 @@
     /// The region of the machine. Default empty.
     #[serde(default)]
     pub region: String,
-    /// The first and the last port that are free for internal traffic.
-    pub port_range: (u16, u16),
+    /// The ports that are free for internal traffic.
+    pub port_range: PortRange,
     /// The operator API addresses of some machines that serve it, to join the control plane by.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
@@ -180,7 +180,7 @@
     /// Parses and checks settings in TOML.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text).map_err(|e| SettingsError::Malformed(one_line(&e)))?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
@@ -226,12 +226,12 @@
         self.feed_address.unwrap_or(SocketAddr::from((Ipv4Addr::LOCALHOST, port)))
     }
 
-    fn check(&self) -> Result<(), SettingsError> {
+    fn validate(&self) -> Result<(), SettingsError> {
         let invalid = |field, reason| Err(SettingsError::Invalid { field, reason });
         if self.node.is_empty() {
             return invalid("Node", "must not be empty");
         }
-        let (first, last) = self.port_range;
+        let PortRange { first, last } = self.port_range;
         if first == 0 || last < first.saturating_add(InternalPorts::COUNT - 1) {
             return invalid("PortRange", "holds too few ports");
         }
@@ -240,7 +240,7 @@
         {
             return invalid("Cloud.RatePerS", "must be above 0");
         }
-        self.bounds.check()
+        self.bounds.validate()
     }
 }
 
--- a/crates/settings/tests/outside_form.rs
+++ b/crates/settings/tests/outside_form.rs
@@ -1,7 +1,7 @@
 //! The settings file as deployments write it: every key, every default and every error text, literally.
 
 use lugwharf_settings::{
-    Bounds, Cloud, DEFAULT_PATH, FaultTolerance, Limits, Listen, PATH_VARIABLE, Settings,
+    Bounds, Cloud, DEFAULT_PATH, FaultTolerance, Limits, Listen, PATH_VARIABLE, PortRange, Settings,
 };
 use rstest::rstest;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
         bind: Some("10.9.0.1".parse().expect("an address")),
         zone: "a".to_owned(),
         region: "r".to_owned(),
-        port_range: (7720, 7735),
+        port_range: PortRange { first: 7720, last: 7735 },
         seeds: vec![address("10.1.0.16:8166"), address("[::1]:8166")],
         bootstrap: true,
         counts_for_quorum: false,
@@ -117,7 +117,7 @@
         bind: None,
         zone: String::new(),
         region: String::new(),
-        port_range: (7720, 7735),
+        port_range: PortRange { first: 7720, last: 7735 },
         seeds: Vec::new(),
         bootstrap: false,
         counts_for_quorum: true,
