--- a/crates/lugwharf/tests/explained.rs
+++ b/crates/lugwharf/tests/explained.rs
@@ -56,7 +56,7 @@
     assert_eq!(told, [outcome, status, PLAIN_SERVICE, "1"], "{line}");
     let arrivals = fleet.world.request_log().arrivals_of(&request.request_id);
     assert_eq!(arrivals.len(), 1);
-    let send = format!("sends=[{}/whole connection:", arrivals[0].instance);
+    let send = format!("attempts=[{}/full connection:", arrivals[0].instance);
     assert!(line.contains(&send) && line.contains(" broken"), "{send} is not in {line}");
     // What it was routed by is found again at the agent, and the reader of the list at control.
     let [proxy, agent] = fleet.cluster.front_metrics(0).await.map(|text| metrics(&text.expect("metrics")));
@@ -79,7 +79,7 @@
     fleet.send(0, &request).await;
     let line = line_of(&fleet, &request.request_id).await;
     assert!(["deadline", "left"].contains(&field(&line, "outcome")), "{line}");
-    assert!(field(&line, "limit_ms").parse::<u64>().is_ok_and(|limit| limit <= 700), "{line}");
+    assert!(field(&line, "client_timeout_ms").parse::<u64>().is_ok_and(|limit| limit <= 700), "{line}");
 }
 
 /// What was refused without a route tells the configuration that has none.
@@ -106,7 +106,7 @@
     let answered = || async { Client::new(address).send(&request).await.status == Some(503) };
     assert!(poll(answered).await, "{}", fleet.cluster.logs());
     let line = line_of(&fleet, &request.request_id).await;
-    let told = ["outcome", "route", "config_version", "sends"].map(|name| field(&line, name));
+    let told = ["outcome", "route", "config_version", "attempts"].map(|name| field(&line, name));
     assert_eq!(told[..3], ["not_ready", "-", "0"], "{line}");
     assert!(told[3].starts_with("[]"), "{line}");
 }
--- a/crates/proxy/src/agent_feed.rs
+++ b/crates/proxy/src/agent_feed.rs
@@ -1,4 +1,6 @@
-//! The link to the agent on this machine. The proxy connects, tells what it has, and takes over what the agent sends.
+//! The link to the agent on this machine, by which configuration and endpoint list arrive.
+//!
+//! The proxy connects and reports the versions that it has; the agent sends what is newer.
 
 use crate::state::ProxyState;
 use lugwharf_protocol::{FeedMessage, FrameError, ProxyReport, read_frame, write_frame};
@@ -10,31 +12,33 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// The wait between tries while the agent is not there. Both processes of a machine start together, and one restarts alone at
-/// times: it has to be ready again within a second.
-const RETRY: Duration = Duration::from_millis(50);
+/// The backoff between connects. Proxy and agent of a machine start together, and one of them may restart alone: the proxy has to
+/// be ready again within a second.
+const RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How often the load is told: the parts of servers are planned by it, and that takes seconds.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+/// How often the load is reported. The planner of stages uses it, whose changes take seconds.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Keeps the link up for as long as the process runs.
-pub async fn follow(state: Rc<ProxyState>, agent: SocketAddr) {
-    let mut is_up = true;
+pub async fn run(state: Rc<ProxyState>, agent: SocketAddr) {
+    let mut was_up = true;
     loop {
-        match session(&state, agent).await {
+        match run_session(&state, agent).await {
             Ok(()) => spdlog::warn!("feed outcome=closed"),
-            Err(error) if std::mem::replace(&mut is_up, false) => {
+            // Logged once, not for each backoff.
+            Err(error) if std::mem::replace(&mut was_up, false) => {
                 spdlog::warn!("feed outcome=down error={error}")
             }
             Err(_) => {}
         }
-        sleep(RETRY).await;
+        sleep(RECONNECT_BACKOFF).await;
     }
 }
 
-/// One connection, until it ends.
-async fn session(state: &ProxyState, agent: SocketAddr) -> Result<(), FrameError> {
+/// One connection to the agent, until it closes.
+async fn run_session(state: &ProxyState, agent: SocketAddr) -> Result<(), FrameError> {
     let link = TcpStream::connect(agent).await?;
+    // Without the option updates are only slower.
     drop(link.set_nodelay(true));
     let (reader, writer) = link.into_split();
     let applied = Notify::new();
@@ -44,7 +48,7 @@
     }
 }
 
-/// Takes over what the agent sends until it ends.
+/// Applies the updates of the agent until it closes the connection.
 async fn read_updates(
     state: &ProxyState, mut reader: OwnedReadHalf, applied: &Notify,
 ) -> Result<(), FrameError> {
@@ -55,16 +59,16 @@
     Ok(())
 }
 
-/// Tells what this process has: at the start, after each update, and now and then for the load's sake.
+/// Reports versions and load: at the start, after each update, and each second.
 async fn write_reports(
     state: &ProxyState, mut writer: OwnedWriteHalf, applied: &Notify,
 ) -> Result<(), FrameError> {
     loop {
         let loads = state.balancer.borrow().in_flight_loads();
-        write_frame(&mut writer, &ProxyReport { have: state.have(), loads }).await?;
+        write_frame(&mut writer, &ProxyReport { have: state.versions(), loads }).await?;
         tokio::select! {
             () = applied.notified() => {}
-            () = sleep(REPORT_EVERY) => {}
+            () = sleep(REPORT_INTERVAL) => {}
         }
     }
 }
--- a/crates/proxy/src/agent_feed_tests.rs
+++ b/crates/proxy/src/agent_feed_tests.rs
@@ -1,6 +1,6 @@
 //! The link to the agent over its restarts: what belongs to one link never reaches the next one.
 
-use crate::agent_feed::follow;
+use crate::agent_feed::run;
 use crate::outbound::fixtures::{entry, listener, state};
 use crate::state::ProxyState;
 use lugwharf_protocol::{
@@ -31,7 +31,7 @@
     let address = agent.local_addr().expect("an address");
     let state = state(address);
     let local = LocalSet::new();
-    local.spawn_local(follow(state.clone(), address));
+    local.spawn_local(run(state.clone(), address));
     local.run_until(body(&agent, &state)).await;
 }
 
@@ -53,7 +53,7 @@
         assert_eq!(report.have.config, 0, "nothing of it was accepted");
         write_frame(&mut new, &config(8)).await.expect("sent");
         let report: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
-        assert_eq!((report.have.config, state.have().config), (8, 8));
+        assert_eq!((report.have.config, state.versions().config), (8, 8));
     })
     .await;
 }
--- a/crates/proxy/src/http/framing.rs
+++ b/crates/proxy/src/http/framing.rs
@@ -1,32 +1,32 @@
-//! How long a message's body is. Guards against messages that say it in two ways, by which a request could be smuggled inside
-//! another one.
+//! The framing of bodies (RFC 9112, section 6). Messages with ambiguous framing are rejected: a peer that reads them differently
+//! would see another request inside the body (request smuggling).
 
 use crate::http::head::{Headers, RequestHead, ResponseHead};
 
-/// The most digits of a length.
+/// The most digits of a `Content-Length`.
 const MAX_LENGTH_DIGITS: usize = 15;
 
 /// How a body ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// After so many bytes.
+    /// After this many bytes.
     Length(u64),
-    /// After a chunk of no bytes.
+    /// With an empty chunk.
     Chunked,
-    /// With the orderly end of the connection; responses only.
+    /// With the orderly close of the connection; responses only.
     UntilEnd,
 }
 
-/// The end of a body can't be told for sure.
+/// The framing is ambiguous or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the length of the body is not clear")]
+#[error("the length of the body is ambiguous")]
 pub struct FramingError;
 
 /// The framing of a request's body.
 pub fn request_framing(head: &RequestHead) -> Result<Framing, FramingError> {
-    match (is_chunked(&head.headers, head.is_http10)?, length(&head.headers)?) {
+    match (is_chunked(&head.headers, head.is_http10)?, content_length(&head.headers)?) {
         (true, None) => Ok(Framing::Chunked),
         (true, Some(_)) => Err(FramingError),
         (false, None | Some(0)) => Ok(Framing::Empty),
@@ -34,10 +34,10 @@
     }
 }
 
-/// The framing of a response's body. Without a length it ends with the connection: complete at an orderly end, broken off at a
-/// reset.
+/// The framing of a response's body; `to_head` for the response to a `HEAD` request. Without a length the body ends with the
+/// connection: it is complete at an orderly close, and broken off at a reset.
 pub fn response_framing(head: &ResponseHead, to_head: bool) -> Result<Framing, FramingError> {
-    let (chunked, length) = (is_chunked(&head.headers, head.is_http10)?, length(&head.headers)?);
+    let (chunked, length) = (is_chunked(&head.headers, head.is_http10)?, content_length(&head.headers)?);
     if to_head || matches!(head.status, 204 | 304) {
         return Ok(Framing::Empty);
     }
@@ -53,21 +53,21 @@
 fn is_chunked(headers: &Headers, is_http10: bool) -> Result<bool, FramingError> {
     let mut values = headers.all("transfer-encoding");
     let Some(value) = values.next() else { return Ok(false) };
-    let alone = values.next().is_none();
-    if alone && !is_http10 && value.trim_ascii().eq_ignore_ascii_case(b"chunked") {
+    let is_only = values.next().is_none();
+    if is_only && !is_http10 && value.trim_ascii().eq_ignore_ascii_case(b"chunked") {
         Ok(true)
     } else {
         Err(FramingError)
     }
 }
 
-fn length(headers: &Headers) -> Result<Option<u64>, FramingError> {
+fn content_length(headers: &Headers) -> Result<Option<u64>, FramingError> {
     let mut values = headers.all("content-length");
     let Some(value) = values.next() else { return Ok(None) };
     let value = value.trim_ascii();
-    let digits =
+    let is_number =
         !value.is_empty() && value.len() <= MAX_LENGTH_DIGITS && value.iter().all(u8::is_ascii_digit);
-    if values.next().is_some() || !digits {
+    if values.next().is_some() || !is_number {
         return Err(FramingError);
     }
     let text = std::str::from_utf8(value).map_err(|_| FramingError)?;
--- a/crates/proxy/src/http/head.rs
+++ b/crates/proxy/src/http/head.rs
@@ -1,21 +1,22 @@
-//! Heads of requests and responses: the raw bytes, and where in them the fields stand.
+//! Heads of requests and responses: the raw bytes, and the spans of their fields.
 
 use bytes::{Bytes, BytesMut};
 
-/// Fields that a head may have.
+/// The most fields of a head.
 const MAX_FIELDS: usize = 96;
 
-/// Why a head can't be used.
+/// Why a head was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// It is no HTTP/1 head.
+    /// The bytes are no head of HTTP/1.
     #[error("not a head of HTTP/1")]
     Malformed,
-    /// It has more fields than are looked at.
+    /// It has more than 96 fields.
     #[error("too many fields")]
     TooManyFields,
 }
 
+/// A range of the raw bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Span {
     start: u32,
@@ -25,7 +26,9 @@
 /// The fields of a head, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Headers {
+    /// The bytes of the complete head.
     raw: Bytes,
+    /// Name and value of each field.
     fields: Vec<(Span, Span)>,
 }
 
@@ -34,7 +37,7 @@
         self.raw.get(span.start as usize..span.end as usize).unwrap_or_default()
     }
 
-    /// Bytes of the whole head.
+    /// The size of the complete head, in bytes.
     pub fn size(&self) -> usize {
         self.raw.len()
     }
@@ -43,32 +46,32 @@
         std::str::from_utf8(self.bytes(span)).unwrap_or_default()
     }
 
-    /// All fields: name and value.
+    /// Name and value of all fields.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.fields.iter().map(|(name, value)| (self.text(*name), self.bytes(*value)))
     }
 
-    /// The values of a name, in order.
+    /// The values of all fields with a name, in order.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         self.iter().filter(move |(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// The first value of a name.
+    /// The value of the first field with a name.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         self.iter().find(|(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// The first value of a name, if it is text.
+    /// The trimmed value of the first field with a name; `None` if it is no UTF-8.
     pub fn get_text(&self, name: &str) -> Option<&str> {
         self.get(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
     }
 
-    /// Whether a name is there.
+    /// Whether there is a field with a name.
     pub fn has(&self, name: &str) -> bool {
         self.get(name).is_some()
     }
 
-    /// Whether one of the comma-separated items of a name is `token`.
+    /// Whether one of the comma-separated items of the fields with a name is `token`, in any case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).any(|value| {
             value
@@ -81,7 +84,7 @@
 /// The head of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestHead {
-    /// Its fields.
+    /// The fields.
     pub headers: Headers,
     method: Span,
     target: Span,
@@ -100,7 +103,7 @@
         self.headers.text(self.target)
     }
 
-    /// Whether its sender closes the connection after the answer, or wants it closed.
+    /// Whether the connection is to be closed behind the response.
     pub fn wants_close(&self) -> bool {
         self.is_http10 || self.headers.has_token("connection", "close")
     }
@@ -109,7 +112,7 @@
 /// The head of a response.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseHead {
-    /// Its fields.
+    /// The fields.
     pub headers: Headers,
     /// The status.
     pub status: u16,
@@ -119,27 +122,29 @@
 }
 
 impl ResponseHead {
-    /// The text behind the status.
+    /// The reason phrase.
     pub fn reason(&self) -> &str {
         self.headers.text(self.reason)
     }
 
-    /// Whether its sender closes the connection behind it.
+    /// Whether the server closes the connection behind it.
     pub fn says_close(&self) -> bool {
         self.is_http10 || self.headers.has_token("connection", "close")
     }
 
-    /// Whether it is a success.
+    /// Whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 }
 
-/// Takes a request's head off the front of `buffer`. `None` while it is not whole.
+/// Takes the head of a request off the front of `buffer`; `None` while it is incomplete.
 pub fn parse_request(buffer: &mut BytesMut) -> Result<Option<RequestHead>, HeadError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
-    let httparse::Status::Complete(length) = request.parse(buffer).map_err(fault)? else { return Ok(None) };
+    let httparse::Status::Complete(length) = request.parse(buffer).map_err(head_error)? else {
+        return Ok(None);
+    };
     if has_bare_newline(buffer.get(..length).unwrap_or_default()) {
         return Err(HeadError::Malformed);
     }
@@ -152,11 +157,13 @@
     Ok(Some(RequestHead { headers, method, target, is_http10 }))
 }
 
-/// Takes a response's head off the front of `buffer`. `None` while it is not whole.
+/// Takes the head of a response off the front of `buffer`; `None` while it is incomplete.
 pub fn parse_response(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, HeadError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = httparse::Response::new(&mut fields);
-    let httparse::Status::Complete(length) = response.parse(buffer).map_err(fault)? else { return Ok(None) };
+    let httparse::Status::Complete(length) = response.parse(buffer).map_err(head_error)? else {
+        return Ok(None);
+    };
     let base = buffer.as_ptr() as usize;
     let reason = span(base, response.reason.unwrap_or_default().as_bytes());
     let (status, is_http10) = (response.code.unwrap_or(0), response.version == Some(0));
@@ -165,19 +172,19 @@
     Ok(Some(ResponseHead { headers, status, reason, is_http10 }))
 }
 
-fn fault(error: httparse::Error) -> HeadError {
+fn head_error(error: httparse::Error) -> HeadError {
     match error {
         httparse::Error::TooManyHeaders => HeadError::TooManyFields,
         _ => HeadError::Malformed,
     }
 }
 
-/// Guards against peers that read a line's end differently: whoever sends a newline alone may mean a second request by it.
+/// Whether a line ends with LF alone. Peers disagree on those, which allows request smuggling.
 fn has_bare_newline(head: &[u8]) -> bool {
     head.windows(2).any(|pair| pair[1] == b'\n' && pair[0] != b'\r') || head.first() == Some(&b'\n')
 }
 
-/// Where a part of the buffer stands; empty parts need not lie in it.
+/// The span of a part of the buffer that starts at `base`. Empty parts need not lie in the buffer.
 fn span(base: usize, part: &[u8]) -> Span {
     if part.is_empty() {
         return Span::default();
--- a/crates/proxy/src/http/mod.rs
+++ b/crates/proxy/src/http/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 as the data plane speaks it on both sides.
+//! HTTP/1.1 (RFC 9112), for both sides of the proxy.
 //!
-//! Heads are parsed by `httparse`; framing, bodies and writing are here. A connection that rests holds no buffer, every byte that
-//! arrives behind a message is seen, and the writer knows whether the last byte of a message has gone out: a request may be
-//! sent again only on that proof.
+//! Heads are parsed by `httparse`; framing, bodies and writing are here rather than in an HTTP library, for three needs: an idle
+//! connection holds no buffer, every byte behind a message is noticed, and the writer knows whether the last byte of a request
+//! was sent, without which it must not be retried.
 
 mod body;
 #[cfg(test)]
@@ -12,8 +12,8 @@
 mod socket;
 mod write;
 
-pub use body::{BodyDecoder, Decoded};
-pub use framing::{Framing, request_framing, response_framing};
+pub use body::{BodyDecoder, BodyError, Decoded};
+pub use framing::{Framing, FramingError, request_framing, response_framing};
 pub use head::{HeadError, RequestHead, ResponseHead, parse_request, parse_response};
 pub use socket::{Fill, fill, is_ended, is_quiet, prepare, read_now};
 pub use write::{chunk, field, is_hop_by_hop, last_chunk, length_field, number};
--- a/crates/proxy/src/http/write.rs
+++ b/crates/proxy/src/http/write.rs
@@ -1,8 +1,8 @@
-//! Pieces of messages, written into a buffer.
+//! Encodes parts of messages into a buffer.
 
 use std::io::Write;
 
-/// Fields that concern one connection only.
+/// Fields that concern one connection only, and are never forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -41,11 +41,12 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a chunk. One of no bytes would end the body, and is left out.
+/// Appends a chunk. An empty one would end the body, and is omitted.
 pub fn chunk(out: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
     }
+    // Writing to a vector does not fail.
     drop(write!(out, "{:x}\r\n", data.len()));
     out.extend_from_slice(data);
     out.extend_from_slice(b"\r\n");
--- a/crates/proxy/src/inbound/connection.rs
+++ b/crates/proxy/src/inbound/connection.rs
@@ -1,4 +1,4 @@
-//! One client's connection: its requests, one after the other.
+//! One connection of a client: its requests, one after the other.
 
 use crate::http::{self, Fill};
 use crate::inbound::connections::ConnectionSlot;
@@ -17,80 +17,81 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::time::{Instant, timeout_at};
 
-/// After an answer that closes, what still comes is read for so long and so far, so that it does not reset the connection under the
-/// answer.
-const LINGER: Duration = Duration::from_millis(500);
+/// After a response that closes the connection, what the client still sends is read and discarded for this long and up to this
+/// many bytes (a lingering close). Closing with unread bytes would reset the connection, and the client could lose the response.
+const LINGER_TIME: Duration = Duration::from_millis(500);
 const LINGER_BYTES: usize = 256 * 1024;
 
-/// Serves the connection until it ends.
+/// Serves the connection until it closes.
 pub async fn serve(state: &Rc<ProxyState>, mut stream: TcpStream, slot: &ConnectionSlot) {
     let (read, mut write) = stream.split();
-    let mut intake = RequestReader::new(read);
+    let mut reader = RequestReader::new(read);
     loop {
         slot.idle_since.set(Some(Instant::now()));
-        let ended = Box::pin(one(state, &mut intake, &mut write, slot)).await;
-        match ended {
+        // Boxed, so that an idle connection doesn't hold the large future of a request.
+        let served = Box::pin(serve_request(state, &mut reader, &mut write, slot)).await;
+        match served {
             Ok(ResponseEnd::Complete) => {}
             Ok(ResponseEnd::Incomplete) => return,
-            Ok(ResponseEnd::CompleteAndClose) => return linger(intake.into_reader(), &mut write).await,
+            Ok(ResponseEnd::CompleteAndClose) => return linger(reader.into_read_half(), &mut write).await,
             Err(ReadEnd::Disconnected) => return,
-            Err(ReadEnd::Error(refusal)) => {
-                state.metrics.request_ended(RequestOutcome::Rejected(refusal));
-                spdlog::debug!("request outcome={}", refusal.name());
-                ResponseWriter::closing(&mut write, state).refuse(refusal).await;
-                return linger(intake.into_reader(), &mut write).await;
+            Err(ReadEnd::Error(error)) => {
+                state.metrics.record_request(RequestOutcome::Rejected(error));
+                spdlog::debug!("request outcome={}", error.name());
+                ResponseWriter::closing(&mut write, state).write_error(error).await;
+                return linger(reader.into_read_half(), &mut write).await;
             }
         }
     }
 }
 
-/// One request and its answer.
-async fn one(
-    state: &Rc<ProxyState>, intake: &mut RequestReader<'_>, write: &mut WriteHalf<'_>, slot: &ConnectionSlot,
+/// Reads one request and serves it, until its client disconnects.
+async fn serve_request(
+    state: &Rc<ProxyState>, reader: &mut RequestReader<'_>, write: &mut WriteHalf<'_>, slot: &ConnectionSlot,
 ) -> Result<ResponseEnd, ReadEnd> {
     let limits = state.limits();
-    let arrived = intake.begin(&limits, slot).await?;
+    let arrived = reader.wait_for_request(&limits, slot).await?;
     slot.idle_since.set(None);
-    let head = intake.read_head(&limits).await?;
-    let by = service::time_limit(state, &head).map(|limit| arrived + limit);
-    let mut room = BodyReservation::new(state);
-    let body = intake.read_body(write, &head, &limits, by, &mut room).await?;
+    let head = reader.read_head(&limits).await?;
+    let deadline = service::route_timeout(state, &head).map(|timeout| arrived + timeout);
+    let mut reservation = BodyReservation::new(state);
+    let body = reader.read_body(write, &head, &limits, deadline, &mut reservation).await?;
     let has_body = body.is_some();
     let request = ClientRequest { head, body: body.unwrap_or_default(), has_body, arrived };
     let trace = RequestTrace::default();
     let _guard = TraceGuard::new(&trace, state, &request);
-    // Its close may have come along with the request, as where this process was busy or stood still.
-    if intake.is_disconnected() {
+    // The client's close may have come with the request, as if this process was busy or paused.
+    if reader.is_disconnected() {
         trace.finish(state, &request, RequestOutcome::ClientDisconnected);
         return Err(ReadEnd::Disconnected);
     }
-    let mut reply = ResponseWriter::new(write, state, &request.head, &trace);
+    let mut writer = ResponseWriter::new(write, state, &request.head, &trace);
     tokio::select! {
         biased;
-        ended = service::serve(state, &request, &mut reply, &trace) => {
-            if ended == ResponseEnd::Incomplete && request.head.is_http10 {
-                intake.cut();
+        end = service::serve(state, &request, &mut writer, &trace) => {
+            if end == ResponseEnd::Incomplete && request.head.is_http10 {
+                reader.reset_on_close();
             }
-            Ok(ended)
+            Ok(end)
         }
-        () = intake.left() => {
+        () = reader.disconnected() => {
             trace.finish(state, &request, RequestOutcome::ClientDisconnected);
             Err(ReadEnd::Disconnected)
         }
     }
 }
 
-/// Closes the writing side and reads on for a moment.
+/// Shuts the writing side down, and discards what is still received.
 async fn linger(mut read: ReadHalf<'_>, write: &mut WriteHalf<'_>) {
     if write.shutdown().await.is_err() {
         return;
     }
-    let by = Instant::now() + LINGER;
-    let (mut buffer, mut seen) = (BytesMut::new(), 0);
-    while seen < LINGER_BYTES {
-        match timeout_at(by, http::fill(&mut read, &mut buffer)).await {
+    let deadline = Instant::now() + LINGER_TIME;
+    let (mut buffer, mut discarded) = (BytesMut::new(), 0);
+    while discarded < LINGER_BYTES {
+        match timeout_at(deadline, http::fill(&mut read, &mut buffer)).await {
             Ok(Ok(Fill::Bytes)) => {
-                seen += buffer.len();
+                discarded += buffer.len();
                 buffer.clear();
             }
             _ => return,
--- a/crates/proxy/src/inbound/connections.rs
+++ b/crates/proxy/src/inbound/connections.rs
@@ -1,4 +1,4 @@
-//! The clients' connections that are open, and a bound on them.
+//! The registry of clients' connections, and the limit on them.
 
 use lugwharf_invariants::{Invariant, check};
 use std::cell::{Cell, RefCell};
@@ -8,102 +8,102 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Of the descriptors that are not reserved, this share is for clients, in tenths.
-const CLIENTS_TENTHS: usize = 6;
-/// Descriptors reserved by the platform.
-const RESERVED: usize = 200;
+/// The share of the available descriptors that clients' connections may use, in tenths. Servers' connections need the rest.
+const CLIENT_SHARE_TENTHS: usize = 6;
+/// Descriptors that the platform reserves.
+const RESERVED_DESCRIPTORS: usize = 200;
+/// The least limit on clients' connections.
 const MIN_CLIENT_CONNECTIONS: usize = 16;
 
-/// One client's connection as others see it.
+/// What other tasks see of a client's connection.
 #[derive(Debug, Default)]
 pub struct ConnectionSlot {
-    /// Since when no request is open on it.
+    /// Since when no request is in progress on it; `None` while one is.
     pub idle_since: Cell<Option<Instant>>,
-    /// Told when it is to be closed as soon as nothing is owed on it.
+    /// Notified when it is to close as soon as no request is in progress.
     pub close: Notify,
 }
 
-/// All clients' connections.
+/// All open connections of clients.
 #[derive(Debug)]
 pub struct ClientConnections {
     slots: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
-    next: Cell<u64>,
-    most: usize,
-    /// Told when a connection has ended.
-    ended: Notify,
+    next_id: Cell<u64>,
+    max: usize,
+    /// Notified when a connection has closed.
+    closed: Notify,
 }
 
 impl ClientConnections {
-    /// For a process that may hold `descriptors`.
+    /// An empty registry for a process that may open `descriptors`.
     pub fn new(descriptors: usize) -> Rc<ClientConnections> {
-        let most = (descriptors.saturating_sub(RESERVED) * CLIENTS_TENTHS / 10).max(MIN_CLIENT_CONNECTIONS);
-        Rc::new(ClientConnections {
-            slots: RefCell::default(),
-            next: Cell::new(0),
-            most,
-            ended: Notify::new(),
-        })
+        let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+        let max = (available * CLIENT_SHARE_TENTHS / 10).max(MIN_CLIENT_CONNECTIONS);
+        let (slots, next_id) = (RefCell::default(), Cell::new(0));
+        Rc::new(ClientConnections { slots, next_id, max, closed: Notify::new() })
     }
 
-    /// Connections that are open.
+    /// The number of open connections.
     pub fn count(&self) -> usize {
         self.slots.borrow().len()
     }
 
-    /// Asks all to close that have rested for so long.
-    pub fn close_idle(&self, rested: Duration) {
+    /// Asks all connections to close that have been idle for `min_idle`.
+    pub fn close_idle(&self, min_idle: Duration) {
         let slots = self.slots.borrow();
-        let rests =
-            |slot: &&Rc<ConnectionSlot>| slot.idle_since.get().is_some_and(|since| since.elapsed() >= rested);
-        slots.values().filter(rests).for_each(|slot| slot.close.notify_one());
+        let is_idle = |slot: &&Rc<ConnectionSlot>| {
+            slot.idle_since.get().is_some_and(|since| since.elapsed() >= min_idle)
+        };
+        slots.values().filter(is_idle).for_each(|slot| slot.close.notify_one());
     }
 
-    /// Waits until a connection ends.
-    pub async fn ended(&self) {
-        self.ended.notified().await;
+    /// Waits until a connection closes.
+    pub async fn wait_for_close(&self) {
+        self.closed.notified().await;
     }
 
-    /// Counts one more; its number gives it back to [`ClientConnections::remove`].
-    pub fn add(&self) -> (u64, Rc<ConnectionSlot>) {
-        let (number, slot) = (self.next.get(), Rc::<ConnectionSlot>::default());
+    /// Registers a connection; its id is for [`ClientConnections::unregister`].
+    pub fn register(&self) -> (u64, Rc<ConnectionSlot>) {
+        let (id, slot) = (self.next_id.get(), Rc::<ConnectionSlot>::default());
         slot.idle_since.set(Some(Instant::now()));
-        self.next.set(number + 1);
-        self.slots.borrow_mut().insert(number, slot.clone());
+        self.next_id.set(id + 1);
+        self.slots.borrow_mut().insert(id, slot.clone());
         let open = self.count();
-        check(Invariant::ClientConnectionsBounded, open <= self.most, || format!("{open} of {}", self.most));
-        (number, slot)
+        check(Invariant::ClientConnectionsBounded, open <= self.max, || format!("{open} of {}", self.max));
+        (id, slot)
     }
 
-    /// One has ended.
-    pub fn remove(&self, number: u64) {
-        self.slots.borrow_mut().remove(&number);
-        self.ended.notify_one();
+    /// A connection has closed.
+    pub fn unregister(&self, id: u64) {
+        self.slots.borrow_mut().remove(&id);
+        self.closed.notify_one();
     }
 
-    /// Whether one more may be let in.
+    /// Whether one more connection may be admitted.
     pub fn has_capacity(&self) -> bool {
-        self.count() < self.most
+        self.count() < self.max
     }
 
-    /// The connection that has rested for longest gives way.
+    /// Asks the connection that has been idle for longest to close; returns whether there was one.
     pub fn evict_idlest(&self) -> bool {
         let slots = self.slots.borrow();
         let idle = slots.values().filter_map(|slot| Some((slot.idle_since.get()?, slot)));
-        let oldest = idle.min_by_key(|(since, _)| *since);
-        oldest.inspect(|(_, slot)| {
+        let idlest = idle.min_by_key(|(since, _)| *since);
+        idlest.inspect(|(_, slot)| {
+            // Not to be evicted twice.
             slot.idle_since.set(None);
             slot.close.notify_one();
         });
-        oldest.is_some()
+        idlest.is_some()
     }
 
-    /// Waits until one more may be let in.
+    /// Waits until one more connection may be admitted, which idle ones are evicted for.
     pub async fn wait_for_capacity(&self) {
         while !self.has_capacity() {
             if self.evict_idlest() {
                 tokio::task::yield_now().await;
             } else {
-                self.ended().await;
+                self.wait_for_close().await;
             }
         }
     }
--- a/crates/proxy/src/inbound/error_response_tests.rs
+++ b/crates/proxy/src/inbound/error_response_tests.rs
@@ -19,17 +19,21 @@
 #[case(RequestError::DeadlineBeforeExecution, 503, false)]
 #[case(RequestError::DeadlineExceeded, 504, true)]
 #[case(RequestError::BadGateway, 502, true)]
-fn each_kind_has_its_status(#[case] refusal: RequestError, #[case] status: u16, #[case] may_have_run: bool) {
-    let line = refusal.line();
-    assert_eq!(line.status, status);
+fn each_kind_has_its_status(#[case] error: RequestError, #[case] status: u16, #[case] may_have_run: bool) {
+    let response = error.response();
+    assert_eq!(response.status, status);
     assert!(!(may_have_run && PROMISES.contains(&status)));
-    assert_eq!(line.retry_after.is_some(), status == 503, "whoever may come again is told when");
-    assert_eq!(line.closes, matches!(status, 400 | 408 | 413 | 431), "what follows can't be read");
+    assert_eq!(response.retry_after.is_some(), status == 503, "whoever may come again is told when");
+    assert_eq!(
+        response.closes_connection,
+        matches!(status, 400 | 408 | 413 | 431),
+        "what follows can't be read"
+    );
 }
 
-fn written(refusal: RequestError, request_id: Option<&str>, close: bool, jitter: f64) -> String {
+fn written(error: RequestError, request_id: Option<&str>, close: bool, jitter: f64) -> String {
     let mut out = Vec::new();
-    refusal.write(&mut out, request_id.map(str::as_bytes), close, jitter);
+    error.write(&mut out, request_id.map(str::as_bytes), close, jitter);
     String::from_utf8(out).expect("text")
 }
 
@@ -50,12 +54,12 @@
 )]
 #[case(RequestError::DeadlineExceeded, "deadline", "504 Gateway Timeout\r\n")]
 #[case(RequestError::BadGateway, "broken", "502 Bad Gateway\r\n")]
-fn bytes_of_each_kind(#[case] refusal: RequestError, #[case] name: &str, #[case] start: &str) {
-    assert_eq!(refusal.name(), name);
+fn bytes_of_each_kind(#[case] error: RequestError, #[case] name: &str, #[case] start: &str) {
+    assert_eq!(error.name(), name);
     let expected = format!("HTTP/1.1 {start}Request-Id: r1\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!(written(refusal, Some("r1"), false, 0.5), expected);
+    assert_eq!(written(error, Some("r1"), false, 0.5), expected);
     let expected = format!("HTTP/1.1 {start}Content-Length: 0\r\nConnection: close\r\n\r\n");
-    assert_eq!(written(refusal, None, true, 0.5), expected);
+    assert_eq!(written(error, None, true, 0.5), expected);
 }
 
 #[rstest]
--- a/crates/proxy/src/inbound/request.rs
+++ b/crates/proxy/src/inbound/request.rs
@@ -1,4 +1,4 @@
-//! A client's whole request and the terms that it sets.
+//! A client's request.
 
 use crate::http::RequestHead;
 use bytes::Bytes;
@@ -6,33 +6,37 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A request that has been read whole.
+/// The bound on a client's own timeout, in seconds: a day.
+const MAX_CLIENT_TIMEOUT_SECONDS: f64 = 86_400.0;
+
+/// A request that was received completely.
 #[derive(Debug)]
 pub struct ClientRequest {
-    /// Its head.
+    /// The head.
     pub head: RequestHead,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
-    /// Whether a body was announced, if only of no bytes.
+    /// Whether a body was announced, even an empty one.
     pub has_body: bool,
-    /// When its first bytes came.
+    /// When its first bytes were received.
     pub arrived: Instant,
 }
 
 impl ClientRequest {
-    /// Its id, for logs.
+    /// The `Request-Id`, for logs; `-` without one.
     pub fn id(&self) -> &str {
         self.head.headers.get_text("request-id").unwrap_or("-")
     }
 
-    /// When the client stops to wait, as far as it tells.
+    /// How long the client waits for a response, by `Deadline-Ms`; `None` if that is absent or invalid.
     pub fn client_timeout(&self) -> Option<Duration> {
         let value = self.head.headers.get_text("deadline-ms")?;
         let ms: f64 = value.parse().ok()?;
-        (ms.is_finite() && ms >= 0.0).then(|| Duration::from_secs_f64((ms / 1e3).min(86_400.0)))
+        let is_valid = ms.is_finite() && ms >= 0.0;
+        is_valid.then(|| Duration::from_secs_f64((ms / 1e3).min(MAX_CLIENT_TIMEOUT_SECONDS)))
     }
 
-    /// What it tells of its prompt.
+    /// What the request says about its prompt.
     pub fn prompt(&self) -> Prompt {
         let headers = &self.head.headers;
         Prompt::parse(headers.get_text("prompt-prefix"), headers.get_text("token-counts"))
--- a/crates/proxy/src/inbound/response_writer.rs
+++ b/crates/proxy/src/inbound/response_writer.rs
@@ -1,4 +1,4 @@
-//! Writes answers to a client.
+//! Writes responses to a client.
 
 use crate::http::{RequestHead, ResponseHead, chunk, field, is_hop_by_hop, last_chunk, length_field, number};
 use crate::inbound::error_response::RequestError;
@@ -11,52 +11,53 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
 
-/// A client may leave an answer unread for so long beyond the request's time.
-const UNREAD: Duration = Duration::from_millis(200);
-/// An answer of this program, or one that is late anyway, may take so long.
-const SHORT_WRITE: Duration = Duration::from_secs(2);
+/// How long a client may leave a response unread beyond the deadline of its request.
+const UNREAD_GRACE: Duration = Duration::from_millis(200);
+/// The least time to write an error, or a complete response that is late anyway.
+const MIN_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseEnd {
-    /// It is whole, and the connection may carry another request.
+    /// The response is complete, and the connection may carry another request.
     Complete,
-    /// It is whole, and says that the connection closes behind it.
+    /// The response is complete, and the connection closes behind it.
     CompleteAndClose,
-    /// It is not whole.
+    /// The response is not complete.
     Incomplete,
 }
 
-/// How the body of an answer goes to the client.
+/// How a body is framed to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEncoding {
-    /// So many bytes, or none for an answer to `HEAD`, which may still tell a length.
+    /// `Content-Length`. A response to `HEAD` announces it without a body.
     Length(u64),
-    /// In chunks.
+    /// `Transfer-Encoding: chunked`; for HTTP/1.0 the body ends with the connection.
     Chunked,
-    /// None, and no length either.
+    /// No body, and no length either.
     Empty,
 }
 
-/// The writer of one answer.
+/// Writes the response to one request.
 pub struct ResponseWriter<'a, 'b> {
     write: &'a mut WriteHalf<'b>,
     state: &'a ProxyState,
     wants_close: bool,
     is_http10: bool,
-    /// The id of the request, which each answer of a server bears.
+    /// The id of the request, which each response of a server carries.
     request_id: Option<&'a [u8]>,
-    /// Whether the head has gone out.
-    pub has_begun: bool,
-    /// Heads that were written.
+    /// Whether a head was started; then no error can be written any more.
+    has_started: bool,
+    /// The heads that were written; only one is allowed.
     heads: u32,
-    /// Told the status of the answer.
+    /// Where the status is recorded.
     trace: Option<&'a RequestTrace>,
-    scratch: Vec<u8>,
+    /// Bytes that are written at the next flush.
+    buffer: Vec<u8>,
 }
 
 impl<'a, 'b> ResponseWriter<'a, 'b> {
-    /// For one request.
+    /// A writer for the response to one request.
     pub fn new(
         write: &'a mut WriteHalf<'b>, state: &'a ProxyState, head: &'a RequestHead, trace: &'a RequestTrace,
     ) -> Self {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// For bytes that make no request: the connection closes behind the answer.
+    /// A writer for the response to bytes that are no request: the connection closes behind it.
     pub fn closing(write: &'a mut WriteHalf<'b>, state: &'a ProxyState) -> Self {
         ResponseWriter {
             write,
@@ -77,17 +78,17 @@
             wants_close: true,
             is_http10: false,
             request_id: None,
-            has_begun: false,
+            has_started: false,
             heads: 0,
             trace: None,
-            scratch: Vec::new(),
+            buffer: Vec::new(),
         }
     }
 
-    /// Counts a head: a request gets one.
-    fn note_head(&mut self, status: u16) {
+    /// Records that a head is written, and checks that it is the only one.
+    fn record_head(&mut self, status: u16) {
         if let Some(trace) = self.trace {
-            trace.answered(status);
+            trace.record_status(status);
         }
         self.heads += 1;
         let heads = self.heads;
@@ -100,107 +101,113 @@
         String::from_utf8_lossy(self.request_id.unwrap_or(b"-")).into_owned()
     }
 
+    /// Whether the connection closes behind the response: as the client wants, or since the process is draining.
     fn closes(&self) -> bool {
         self.wants_close || self.state.is_draining()
     }
 
-    fn ended(&self) -> ResponseEnd {
-        if self.closes() { ResponseEnd::CompleteAndClose } else { ResponseEnd::Complete }
+    /// The end of a response whose last bytes were written with this result.
+    fn end_of(&self, written: io::Result<()>) -> ResponseEnd {
+        match written {
+            Ok(()) if self.closes() => ResponseEnd::CompleteAndClose,
+            Ok(()) => ResponseEnd::Complete,
+            Err(_) => ResponseEnd::Incomplete,
+        }
     }
 
-    /// Answers by itself.
-    pub async fn refuse(&mut self, refusal: RequestError) -> ResponseEnd {
-        if self.has_begun {
+    /// Writes the proxy's own response to an error. A response that was started already stays incomplete.
+    pub async fn write_error(&mut self, error: RequestError) -> ResponseEnd {
+        if self.has_started {
             return ResponseEnd::Incomplete;
         }
-        self.wants_close |= refusal.line().closes;
+        self.wants_close |= error.response().closes_connection;
         let (close, jitter) = (self.closes(), self.state.random_fraction());
-        let mut out = std::mem::take(&mut self.scratch);
-        self.note_head(refusal.line().status);
-        refusal.write(&mut out, self.request_id, close, jitter);
-        let written = self.send(&out, Instant::now() + SHORT_WRITE).await;
-        if written.is_ok() { self.ended() } else { ResponseEnd::Incomplete }
+        let mut out = std::mem::take(&mut self.buffer);
+        self.record_head(error.response().status);
+        error.write(&mut out, self.request_id, close, jitter);
+        let written = self.write(&out, Instant::now() + MIN_WRITE_TIMEOUT).await;
+        self.end_of(written)
     }
 
-    /// Passes a whole answer on.
-    pub async fn whole(
-        &mut self, head: &ResponseHead, kind: BodyEncoding, body: &[u8], by: Instant,
+    /// Writes a complete response.
+    pub async fn write_complete(
+        &mut self, head: &ResponseHead, encoding: BodyEncoding, body: &[u8], deadline: Instant,
     ) -> ResponseEnd {
-        let mut out = std::mem::take(&mut self.scratch);
-        self.write_head(&mut out, head, kind);
+        let mut out = std::mem::take(&mut self.buffer);
+        self.encode_head(&mut out, head, encoding);
         out.extend_from_slice(body);
-        let by = (by + UNREAD).max(Instant::now() + SHORT_WRITE);
-        let written = self.send(&out, by).await;
-        if written.is_ok() { self.ended() } else { ResponseEnd::Incomplete }
+        let deadline = (deadline + UNREAD_GRACE).max(Instant::now() + MIN_WRITE_TIMEOUT);
+        let written = self.write(&out, deadline).await;
+        self.end_of(written)
     }
 
-    /// Begins an answer whose body follows piece by piece. The head goes out with the first piece or [`ResponseWriter::flush`].
-    pub fn begin(&mut self, head: &ResponseHead, kind: BodyEncoding) {
-        let mut out = std::mem::take(&mut self.scratch);
-        self.write_head(&mut out, head, kind);
-        self.scratch = out;
-        self.has_begun = true;
+    /// Starts a response whose body follows in chunks. The head is written with the first chunk, or by [`ResponseWriter::flush`].
+    pub fn start(&mut self, head: &ResponseHead, encoding: BodyEncoding) {
+        let mut out = std::mem::take(&mut self.buffer);
+        self.encode_head(&mut out, head, encoding);
+        self.buffer = out;
+        self.has_started = true;
     }
 
-    /// Sends what is held.
-    pub async fn flush(&mut self, by: Instant) -> io::Result<()> {
-        if self.scratch.is_empty() {
+    /// Writes what is buffered.
+    pub async fn flush(&mut self, deadline: Instant) -> io::Result<()> {
+        if self.buffer.is_empty() {
             return Ok(());
         }
-        let mut out = std::mem::take(&mut self.scratch);
-        let written = self.send(&out, by).await;
+        let mut out = std::mem::take(&mut self.buffer);
+        let written = self.write(&out, deadline).await;
         out.clear();
-        self.scratch = out;
+        self.buffer = out;
         written
     }
 
-    /// Holds a piece of the body until the next flush.
-    pub fn hold(&mut self, kind: BodyEncoding, data: &[u8]) {
-        if self.is_chunked(kind) {
-            chunk(&mut self.scratch, data);
+    /// Buffers a chunk of the body until the next flush.
+    pub fn buffer_chunk(&mut self, encoding: BodyEncoding, data: &[u8]) {
+        if self.is_chunked(encoding) {
+            chunk(&mut self.buffer, data);
         } else {
-            self.scratch.extend_from_slice(data);
+            self.buffer.extend_from_slice(data);
         }
     }
 
-    /// Passes a piece of the body on.
-    pub async fn piece(&mut self, kind: BodyEncoding, data: &[u8], by: Instant) -> io::Result<()> {
-        self.hold(kind, data);
-        self.flush(by).await
+    /// Writes a chunk of the body.
+    pub async fn write_chunk(
+        &mut self, encoding: BodyEncoding, data: &[u8], deadline: Instant,
+    ) -> io::Result<()> {
+        self.buffer_chunk(encoding, data);
+        self.flush(deadline).await
     }
 
     /// Ends the body.
-    pub async fn end(&mut self, kind: BodyEncoding, by: Instant) -> ResponseEnd {
-        if self.is_chunked(kind) {
-            last_chunk(&mut self.scratch);
+    pub async fn finish(&mut self, encoding: BodyEncoding, deadline: Instant) -> ResponseEnd {
+        if self.is_chunked(encoding) {
+            last_chunk(&mut self.buffer);
         }
-        let written = self.flush(by).await;
-        if written.is_ok() { self.ended() } else { ResponseEnd::Incomplete }
+        let written = self.flush(deadline).await;
+        self.end_of(written)
     }
 
-    /// ClientConnections of HTTP/1.0 know no chunks: their body ends with the connection.
-    fn is_chunked(&self, kind: BodyEncoding) -> bool {
-        kind == BodyEncoding::Chunked && !self.is_http10
+    /// HTTP/1.0 has no chunks: there the body ends with the connection.
+    fn is_chunked(&self, encoding: BodyEncoding) -> bool {
+        encoding == BodyEncoding::Chunked && !self.is_http10
     }
 
-    fn write_head(&mut self, out: &mut Vec<u8>, head: &ResponseHead, kind: BodyEncoding) {
-        if kind == BodyEncoding::Chunked && self.is_http10 {
+    fn encode_head(&mut self, out: &mut Vec<u8>, head: &ResponseHead, encoding: BodyEncoding) {
+        if encoding == BodyEncoding::Chunked && self.is_http10 {
             self.wants_close = true;
         }
-        self.note_head(head.status);
-        let is_response_to_this = self.request_id.is_none_or(|id| head.headers.get("request-id") == Some(id));
-        check(Invariant::AnswerOfItsRequest, is_response_to_this, || {
-            format!("an answer to {:?}", self.request_text())
-        });
+        self.record_head(head.status);
+        let is_own = self.request_id.is_none_or(|id| head.headers.get("request-id") == Some(id));
+        check(Invariant::AnswerOfItsRequest, is_own, || format!("a response to {:?}", self.request_text()));
         out.extend_from_slice(b"HTTP/1.1 ");
         number(out, head.status.into());
         out.extend_from_slice(b" ");
         out.extend_from_slice(head.reason().as_bytes());
         out.extend_from_slice(b"\r\n");
-        for (name, value) in head.headers.iter().filter(|(name, _)| passes(head, name)) {
+        for (name, value) in head.headers.iter().filter(|(name, _)| is_forwarded(head, name)) {
             field(out, name, value);
         }
-        match kind {
+        match encoding {
             BodyEncoding::Length(length) => length_field(out, length),
             BodyEncoding::Chunked if !self.is_http10 => field(out, "Transfer-Encoding", b"chunked"),
             BodyEncoding::Chunked | BodyEncoding::Empty => {}
@@ -212,15 +219,15 @@
         out.extend_from_slice(b"\r\n");
     }
 
-    async fn send(&mut self, bytes: &[u8], by: Instant) -> io::Result<()> {
-        self.has_begun = true;
-        timeout_at(by, self.write.write_all(bytes))
-            .await
-            .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    async fn write(&mut self, bytes: &[u8], deadline: Instant) -> io::Result<()> {
+        self.has_started = true;
+        let written = timeout_at(deadline, self.write.write_all(bytes)).await;
+        written.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
-fn passes(head: &ResponseHead, name: &str) -> bool {
+/// Whether a field of a server's response goes to the client. The length is written anew.
+fn is_forwarded(head: &ResponseHead, name: &str) -> bool {
     let is_length = name.eq_ignore_ascii_case("content-length");
     !is_length && !is_hop_by_hop(name) && !head.headers.has_token("connection", name)
 }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,19 +1,16 @@
-//! The data plane: takes clients' requests, chooses servers, and brings answers back.
+//! The data plane: an HTTP/1.1 proxy that accepts clients' requests, selects servers, and forwards their responses.
 //!
-//! | module | execution |
+//! | module | concern |
 //! | --- | --- |
-//! | `listener`, `clients`, `client` | clients' connections |
-//! | `intake` | the reading of a request, and whether its client is still there |
-//! | `service`, `execution` | one request under way |
-//! | `forward`, `generate`, `handle` | an answer from one server, or from a pair |
-//! | `relay`, `events`, `reply` | answers and streams to the client |
-//! | `upstream` | connections to servers, one exchange |
-//! | `wire` | HTTP/1.1 |
-//! | `state`, `routes`, `feed` | the tables and their feed by the agent |
-//! | `outcome`, `trace`, `metrics` | how requests end, and what tells of it |
-//! | `ready`, `shutdown` | readiness, and the end |
+//! | `inbound` | clients' connections: reading requests, writing responses, errors |
+//! | `stack` | one request: route, retries, prefill and decode, forwarding of the response |
+//! | `outbound` | servers' connections: pool, one exchange |
+//! | `http` | HTTP/1.1: heads, framing, bodies |
+//! | `state`, `routes`, `agent_feed` | configuration and endpoint list, and the agent's updates of them |
+//! | `telemetry` | metrics, and the trace of each request |
+//! | `readiness`, `shutdown` | readiness checks, graceful shutdown |
 //!
-//! All of it runs on one thread. Decisions are made by `lugwharf_routing`.
+//! All tasks run on one thread. Routing decisions are made by `lugwharf_routing`.
 #![forbid(unsafe_code)]
 
 mod agent_feed;
@@ -45,28 +42,34 @@
 use tokio::task::LocalSet;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// How often connections that have rested for too long are looked for.
-const SWEEP: Duration = Duration::from_secs(1);
+/// How often expired connections to servers are closed.
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the command line may choose.
+/// What the command line sets.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyOptions {
-    /// The metrics of the decisions.
+    /// The constants of the routing decisions.
     pub tuning: Tuning,
-    /// Where the settings file stands, to be read again at SIGHUP. The usual place if absent.
+    /// The settings file, which is read again at SIGHUP. [`Settings::path`] if absent.
     pub settings_path: Option<PathBuf>,
-    /// The least level that is logged; the logger's own if absent.
+    /// The least level that is logged. The logger's own if absent.
     pub log_level: Option<spdlog::LevelFilter>,
     /// The port of `GET /metrics`; not served if absent.
     pub metrics_port: Option<u16>,
 }
 
-/// Runs the data plane until SIGTERM, on a current-thread runtime.
+/// Runs the data plane until SIGTERM, with default options. Needs a current-thread runtime.
+///
+/// # Errors
+/// As for [`run_until`].
 pub async fn run(settings: Settings) -> eyre::Result<()> {
     run_with(settings, ProxyOptions::default()).await
 }
 
 /// Like [`run`], with options.
+///
+/// # Errors
+/// As for [`run_until`].
 pub async fn run_with(settings: Settings, options: ProxyOptions) -> eyre::Result<()> {
     if let Some(level) = options.log_level {
         spdlog::default_logger().set_level_filter(level);
@@ -78,7 +81,10 @@
     run_until(settings, options, terminated).await
 }
 
-/// Like [`run_with`], until `stop` is over instead of SIGTERM.
+/// Like [`run_with`], until `stop` completes instead of SIGTERM. Returns after the graceful shutdown.
+///
+/// # Errors
+/// A setting is missing, a port can't be listened on, or a signal can't be handled.
 pub async fn run_until(
     settings: Settings, options: ProxyOptions, stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
@@ -86,51 +92,51 @@
     let ready = settings.listen.ready.ok_or_eyre("Listen.Ready is missing")?;
     let front = TcpListener::bind(front).await.wrap_err_with(|| format!("Listen.Front {front}"))?;
     let ready = TcpListener::bind(ready).await.wrap_err_with(|| format!("Listen.Ready {ready}"))?;
-    let hang_up = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
+    let hangup = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
     let path = options.settings_path.unwrap_or_else(Settings::path);
     let state = ProxyState::new(&settings, options.tuning, seed(&settings));
-    let clients = ClientConnections::new(settings.limits.max_fds);
+    let connections = ClientConnections::new(settings.limits.max_fds);
     let grace = Duration::from_secs_f64(settings.bounds.grace_s.min(3_600.0));
     let local = LocalSet::new();
-    local.spawn_local(agent_feed::follow(state.clone(), settings.feed_address()));
+    local.spawn_local(agent_feed::run(state.clone(), settings.feed_address()));
     local.spawn_local(readiness::listen(state.clone(), ready));
-    local.spawn_local(sweep(state.clone()));
+    local.spawn_local(close_expired(state.clone()));
     if let Some(port) = options.metrics_port
         && let Some(endpoint) = MetricsEndpoint::listen(SocketAddr::new(settings.listen_ip(), port)).await
     {
-        local.spawn_local(telemetry::metrics::serve(state.clone(), clients.clone(), endpoint));
+        local.spawn_local(telemetry::metrics_endpoint::serve(state.clone(), connections.clone(), endpoint));
     }
-    local.spawn_local(follow_settings(state.clone(), hang_up, path));
+    local.spawn_local(reload_at_hangup(state.clone(), hangup, path));
     let serving = async move {
         tokio::select! {
             () = stop => {}
-            () = inbound::listener::listen(&state, &clients, &front) => {}
+            () = inbound::listener::listen(&state, &connections, &front) => {}
         }
-        spdlog::info!("shutdown outcome=begun");
-        shutdown::drain(&state, &clients, front, grace).await;
+        spdlog::info!("shutdown outcome=started");
+        shutdown::drain(&state, &connections, front, grace).await;
     };
     local.run_until(serving).await;
     Ok(())
 }
 
-/// Differs from machine to machine and from start to start, so that proxies don't draw alike.
+/// A seed that differs by machine and by start, lest all proxies draw the same servers.
 fn seed(settings: &Settings) -> u64 {
     let mut rng = fastrand::Rng::new();
     settings.node.bytes().fold(rng.u64(..), |seed, byte| seed.rotate_left(7) ^ u64::from(byte))
 }
 
-async fn sweep(state: Rc<ProxyState>) {
-    let mut ticks = interval(SWEEP);
+async fn close_expired(state: Rc<ProxyState>) {
+    let mut ticks = interval(EXPIRY_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
-        state.pool.sweep();
+        state.pool.close_expired();
     }
 }
 
-/// Reads the settings file again at each SIGHUP. A file that can't be used changes nothing.
-async fn follow_settings(state: Rc<ProxyState>, mut hang_up: Signal, path: PathBuf) {
-    while hang_up.recv().await.is_some() {
+/// Reads the settings file again at each SIGHUP. An invalid file changes nothing.
+async fn reload_at_hangup(state: Rc<ProxyState>, mut hangup: Signal, path: PathBuf) {
+    while hangup.recv().await.is_some() {
         match Settings::read(&path) {
             Ok(settings) => {
                 state.reload(&settings);
--- a/crates/proxy/src/outbound/exchange_tests.rs
+++ b/crates/proxy/src/outbound/exchange_tests.rs
@@ -1,11 +1,10 @@
 //! What one send tells of whether the request may have run.
 
 use crate::outbound::connection::Connection;
-use crate::outbound::exchange::{
-    ExchangeError, ExchangeTerms, ServerResponse, connect_fault, exchange, last_byte_delay,
-};
+use crate::outbound::exchange::{ExchangeError, ExchangeTerms, connect_error, exchange, last_byte_delay};
 use crate::outbound::fixtures::{choice, connected, entry, key, list, listener, outbound, state};
 use crate::outbound::request::{AttemptHeaders, OutboundRequest};
+use crate::outbound::response::ServerResponse;
 use crate::state::ProxyState;
 use lugwharf_routing::Phase;
 use rstest::rstest;
@@ -17,12 +16,12 @@
 const LONG: usize = 32 << 20;
 const OWN: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n";
 
-fn terms(idempotent: bool, part: Phase) -> ExchangeTerms {
+fn terms(is_idempotent: bool, phase: Phase) -> ExchangeTerms {
     ExchangeTerms {
-        part,
-        by: Instant::now() + Duration::from_secs(3),
+        phase,
+        deadline: Instant::now() + Duration::from_secs(3),
         objective: Duration::from_millis(300),
-        idempotent,
+        is_idempotent,
         max_connections: None,
     }
 }
@@ -101,13 +100,14 @@
     let mut kept = None;
     if is_kept {
         let (connection, peer) = connected(&state, &listener).await;
-        state.pool.put(key(&state), connection.rest().expect("clean"));
+        state.pool.checkin(key(&state), connection.into_idle().expect("clean"));
         kept = Some(peer);
     }
     let mut outbound = request(4);
     let by = Instant::now() + Duration::from_millis(left);
     let result =
-        send(&state, &listener, &mut outbound, ExchangeTerms { by, ..terms(true, Phase::Full) }).await;
+        send(&state, &listener, &mut outbound, ExchangeTerms { deadline: by, ..terms(true, Phase::Full) })
+            .await;
     let expected = if is_late { ExchangeError::TooLate } else { ExchangeError::Timeout };
     assert_eq!(result.err(), Some(expected));
     assert_eq!(outbound.used_connections.is_empty(), is_late);
@@ -131,9 +131,9 @@
     let (state, listener) = world().await;
     tokio::time::pause();
     let (connection, _peer) = connected(&state, &listener).await;
-    let connection = connection.rest().expect("clean");
+    let connection = connection.into_idle().expect("clean");
     let (id, since) = (connection.id(), connection.idle_since);
-    state.pool.put(key(&state), connection);
+    state.pool.checkin(key(&state), connection);
     tokio::time::advance(Duration::from_millis(900)).await;
     let mut draining = entry(listener.local_addr().expect("an address"));
     draining.state = lugwharf_protocol::ServerState::Draining;
@@ -141,7 +141,7 @@
     let mut outbound = request(4);
     let result = send(&state, &listener, &mut outbound, terms(true, Phase::Full)).await;
     assert_eq!(result.err(), Some(ExchangeError::Aborted));
-    let connection = state.pool.take(key(&state), true, &[]).expect("kept");
+    let connection = state.pool.checkout(key(&state), true, &[]).expect("kept");
     assert_eq!((connection.id(), connection.idle_since), (id, since));
 }
 
@@ -158,7 +158,7 @@
     let mut peers = Vec::new();
     for _ in 0..dead {
         let (connection, peer) = connected(&state, &listener).await;
-        state.pool.put(key(&state), age(connection));
+        state.pool.checkin(key(&state), age(connection));
         peers.push(peer);
     }
     let mut outbound = request(4);
@@ -204,7 +204,7 @@
 
 /// A connection that has rested for long enough to be doubted.
 fn rested(connection: Connection) -> Connection {
-    let mut connection = connection.rest().expect("clean");
+    let mut connection = connection.into_idle().expect("clean");
     connection.idle_since -= Duration::from_millis(600);
     connection.maybe_closed_since -= Duration::from_millis(600);
     connection
@@ -212,7 +212,7 @@
 
 /// One whose last answer took its client as long to take: its server may have been done with it all the while.
 fn slowly_relayed(connection: Connection) -> Connection {
-    let mut connection = connection.rest().expect("clean");
+    let mut connection = connection.into_idle().expect("clean");
     connection.maybe_closed_since -= Duration::from_millis(600);
     connection
 }
@@ -235,8 +235,8 @@
         assert_eq!(outbound.used_connections.len(), round + 1);
         peers.push(peer);
     }
-    assert!(state.pool.take(key(&state), true, &outbound.used_connections).is_none());
-    assert!(state.pool.take(key(&state), true, &[]).is_some());
+    assert!(state.pool.checkout(key(&state), true, &outbound.used_connections).is_none());
+    assert!(state.pool.checkout(key(&state), true, &[]).is_some());
 }
 
 /// The connection that ended with its answer does not rest: it would take the place of one that could be opened.
@@ -297,7 +297,7 @@
     let mut kept = None;
     if is_kept {
         let (connection, peer) = connected(&state, &listener).await;
-        state.pool.put(key(&state), connection.rest().expect("clean"));
+        state.pool.checkin(key(&state), connection.into_idle().expect("clean"));
         kept = Some(peer);
     }
     let script = async {
@@ -328,5 +328,5 @@
 #[case::refused(111, ExchangeError::Connect)]
 #[case::no_route(113, ExchangeError::Connect)]
 fn a_shortage_of_its_own_is_no_failure_of_the_server(#[case] error: i32, #[case] fault: ExchangeError) {
-    assert_eq!(connect_fault(&std::io::Error::from_raw_os_error(error)), fault);
+    assert_eq!(connect_error(&std::io::Error::from_raw_os_error(error)), fault);
 }
--- a/crates/proxy/src/outbound/mod.rs
+++ b/crates/proxy/src/outbound/mod.rs
@@ -1,4 +1,4 @@
-//! The servers' side: connections, and one exchange of a request for an answer.
+//! The servers' side: connections, their pool, and one exchange of a request for a response.
 
 mod connection;
 mod exchange;
@@ -15,10 +15,10 @@
 mod request_writer;
 #[cfg(test)]
 mod request_writer_tests;
+mod response;
 
 pub use connection::Connection;
-pub use exchange::{
-    ExchangeError, ExchangeTerms, MAX_STRAY_BYTES, ServerResponse, discard_response, exchange,
-};
+pub use exchange::{ExchangeError, ExchangeTerms, exchange};
 pub use pool::ConnectionPool;
 pub use request::{AttemptHeaders, OutboundRequest};
+pub use response::{MAX_STRAY_BYTES, ServerResponse, discard_response};
--- a/crates/proxy/src/outbound/pool.rs
+++ b/crates/proxy/src/outbound/pool.rs
@@ -1,4 +1,4 @@
-//! Connections that rest between requests, by the server's incarnation: nothing at its address later on inherits them.
+//! The pool of idle connections, by the server's incarnation: a later server at the same address never inherits them.
 
 use crate::outbound::connection::{Connection, ConnectionId, ConnectionPermit};
 use lugwharf_routing::ServerKey;
@@ -8,92 +8,99 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A connection that has rested for longer is closed: few servers keep theirs for less, and a new one costs little.
+/// The longest idle time of a pooled connection: few servers close theirs earlier, and a new one is cheap.
 const MAX_IDLE: Duration = Duration::from_millis(4_000);
-/// The same for a request that can't be sent again: its server may be about to close it.
+/// The same for a request that is not idempotent: the server may be about to close the connection.
 const MAX_IDLE_NOT_IDEMPOTENT: Duration = Duration::from_millis(2_500);
-/// A connection is not used in this last part of the time after which its server closes it.
+/// A connection is not used any more this long before its server closes it.
 const CLOSE_MARGIN: Duration = Duration::from_millis(400);
-/// Connections that rest to one server.
+/// Idle connections to one server.
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// The least bound on own connections to a server.
+/// The least limit on open connections to one server.
 const MIN_CONNECTION_LIMIT: u32 = 6;
 
+/// The connections to one server.
 #[derive(Default)]
-struct Entry {
+struct ServerConnections {
+    /// The one used last at the end.
     idle: Vec<Connection>,
+    /// Open connections, idle or not.
     open: Rc<Cell<u32>>,
 }
 
 /// The connections to all servers.
 #[derive(Default)]
 pub struct ConnectionPool {
-    entries: RefCell<HashMap<ServerKey, Entry>>,
+    servers: RefCell<HashMap<ServerKey, ServerConnections>>,
     next_id: Cell<u64>,
-    reuse_is_off: bool,
+    is_reuse_off: bool,
 }
 
 impl ConnectionPool {
-    /// One that closes each connection after its request.
+    /// A pool that retains no connection, so that each is closed after its request.
     pub fn without_reuse() -> ConnectionPool {
-        ConnectionPool { reuse_is_off: true, ..ConnectionPool::default() }
+        ConnectionPool { is_reuse_off: true, ..ConnectionPool::default() }
     }
 
-    /// The connection used last that is still good, and is none of `excluded`.
-    pub fn take(&self, key: ServerKey, idempotent: bool, excluded: &[ConnectionId]) -> Option<Connection> {
-        let mut entries = self.entries.borrow_mut();
-        let idle = &mut entries.get_mut(&key)?.idle;
-        let most = if idempotent { MAX_IDLE } else { MAX_IDLE_NOT_IDEMPOTENT };
+    /// Takes the connection that was used last, among those that are usable and none of `excluded`. Unusable ones are closed.
+    pub fn checkout(
+        &self, key: ServerKey, is_idempotent: bool, excluded: &[ConnectionId],
+    ) -> Option<Connection> {
+        let mut servers = self.servers.borrow_mut();
+        let idle = &mut servers.get_mut(&key)?.idle;
+        let max_idle = if is_idempotent { MAX_IDLE } else { MAX_IDLE_NOT_IDEMPOTENT };
         let now = Instant::now();
         for at in (0..idle.len()).rev() {
             if idle.get(at).is_none_or(|connection| excluded.contains(&connection.id())) {
                 continue;
             }
             let connection = idle.remove(at);
-            if is_young(&connection, now, most) && connection.is_clean() {
+            if is_fresh(&connection, now, max_idle) && connection.is_clean() {
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Room for one more connection to a server that takes `most` from all proxies, of which there are `proxies`.
-    pub fn try_reserve(&self, key: ServerKey, most: Option<u32>, proxies: u32) -> Option<ConnectionPermit> {
-        let mut entries = self.entries.borrow_mut();
-        let entry = entries.entry(key).or_default();
-        let share = most.map_or(u32::MAX, |most| (most / proxies.max(1)).max(MIN_CONNECTION_LIMIT));
-        if entry.open.get() >= share {
+    /// Reserves one more open connection to a server that accepts `max` from all `proxies`; `None` if this proxy's share is used
+    /// up.
+    pub fn try_reserve(&self, key: ServerKey, max: Option<u32>, proxies: u32) -> Option<ConnectionPermit> {
+        let mut servers = self.servers.borrow_mut();
+        let server = servers.entry(key).or_default();
+        let limit = max.map_or(u32::MAX, |max| (max / proxies.max(1)).max(MIN_CONNECTION_LIMIT));
+        if server.open.get() >= limit {
             return None;
         }
         let id = ConnectionId(self.next_id.get());
         self.next_id.set(id.0 + 1);
-        Some(ConnectionPermit::new(id, &entry.open))
+        Some(ConnectionPermit::new(id, &server.open))
     }
 
-    /// Takes a connection that rests; for how long it has rested stays as it is.
-    pub fn put(&self, key: ServerKey, connection: Connection) {
-        let mut entries = self.entries.borrow_mut();
-        let Some(entry) = entries.get_mut(&key) else { return };
-        if entry.idle.len() < MAX_IDLE_CONNECTIONS && !self.reuse_is_off {
-            entry.idle.push(connection);
+    /// Returns an idle connection. It stays idle since when it was; it is closed if the server is no longer listed, or has enough
+    /// idle connections.
+    pub fn checkin(&self, key: ServerKey, connection: Connection) {
+        let mut servers = self.servers.borrow_mut();
+        let Some(server) = servers.get_mut(&key) else { return };
+        if server.idle.len() < MAX_IDLE_CONNECTIONS && !self.is_reuse_off {
+            server.idle.push(connection);
         }
     }
 
-    /// Closes what rests to servers that are gone.
+    /// Closes the idle connections to servers that are not listed any more.
     pub fn retain(&self, is_listed: impl Fn(ServerKey) -> bool) {
-        self.entries.borrow_mut().retain(|key, _| is_listed(*key));
+        self.servers.borrow_mut().retain(|key, _| is_listed(*key));
     }
 
-    /// Closes what has rested for too long.
-    pub fn sweep(&self) {
+    /// Closes connections that have been idle for too long.
+    pub fn close_expired(&self) {
         let now = Instant::now();
-        for entry in self.entries.borrow_mut().values_mut() {
-            entry.idle.retain(|connection| is_young(connection, now, MAX_IDLE));
+        for server in self.servers.borrow_mut().values_mut() {
+            server.idle.retain(|connection| is_fresh(connection, now, MAX_IDLE));
         }
     }
 }
 
-fn is_young(connection: &Connection, now: Instant, most: Duration) -> bool {
-    let closes = connection.server_closes_at.is_some_and(|at| now + CLOSE_MARGIN >= at);
-    now.duration_since(connection.idle_since) < most && !closes
+fn is_fresh(connection: &Connection, now: Instant, max_idle: Duration) -> bool {
+    let is_closing = connection.server_closes_at.is_some_and(|at| now + CLOSE_MARGIN >= at);
+    now.duration_since(connection.idle_since) < max_idle && !is_closing
 }
--- a/crates/proxy/src/outbound/pool_tests.rs
+++ b/crates/proxy/src/outbound/pool_tests.rs
@@ -17,7 +17,7 @@
 
 async fn resting(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
     let (connection, peer) = connected(state, listener).await;
-    (connection.rest().expect("clean"), peer)
+    (connection.into_idle().expect("clean"), peer)
 }
 
 #[tokio::test]
@@ -27,16 +27,16 @@
     for _ in 0..3 {
         let (connection, peer) = resting(&state, &listener).await;
         ids.push(connection.id());
-        state.pool.put(key(&state), connection);
+        state.pool.checkin(key(&state), connection);
         peers.push(peer);
     }
     assert!(ids[0] != ids[1] && ids[1] != ids[2]);
-    let accepted = state.pool.take(key(&state), true, &[ids[2]]).expect("one");
+    let accepted = state.pool.checkout(key(&state), true, &[ids[2]]).expect("one");
     assert_eq!(accepted.id(), ids[1]);
     // Those that were passed over are still there.
-    let accepted = state.pool.take(key(&state), true, &[]).expect("one");
+    let accepted = state.pool.checkout(key(&state), true, &[]).expect("one");
     assert_eq!(accepted.id(), ids[2]);
-    assert!(state.pool.take(key(&state), true, &ids).is_none());
+    assert!(state.pool.checkout(key(&state), true, &ids).is_none());
 }
 
 #[rstest]
@@ -46,13 +46,13 @@
 async fn one_on_which_something_has_come_is_not_given_out(#[case] ends: bool) {
     let (state, listener) = world().await;
     let (connection, mut peer) = resting(&state, &listener).await;
-    state.pool.put(key(&state), connection);
+    state.pool.checkin(key(&state), connection);
     if ends {
         drop(peer);
     } else {
         peer.write_all(b"surplus").await.expect("said");
     }
-    assert!(state.pool.take(key(&state), true, &[]).is_none());
+    assert!(state.pool.checkout(key(&state), true, &[]).is_none());
 }
 
 #[tokio::test]
@@ -60,7 +60,7 @@
     let (state, listener) = world().await;
     let (mut connection, _peer) = connected(&state, &listener).await;
     connection.must_close = true;
-    assert!(connection.rest().is_none());
+    assert!(connection.into_idle().is_none());
 }
 
 /// Ages in ms at which a connection is not given out, by what its server told and whether the request may be repeated.
@@ -79,9 +79,9 @@
     tokio::time::pause();
     let (mut connection, _peer) = resting(&state, &listener).await;
     connection.server_closes_at = closes.map(|closes| Instant::now() + Duration::from_millis(closes));
-    state.pool.put(key(&state), connection);
+    state.pool.checkin(key(&state), connection);
     tokio::time::advance(Duration::from_millis(age)).await;
-    assert_eq!(state.pool.take(key(&state), idempotent, &[]).is_some(), is_given);
+    assert_eq!(state.pool.checkout(key(&state), idempotent, &[]).is_some(), is_given);
 }
 
 #[tokio::test]
@@ -89,11 +89,11 @@
     let (state, listener) = world().await;
     tokio::time::pause();
     let (connection, peer) = resting(&state, &listener).await;
-    state.pool.put(key(&state), connection);
-    state.pool.sweep();
+    state.pool.checkin(key(&state), connection);
+    state.pool.close_expired();
     assert!(peer.try_read(&mut [0]).is_err(), "it is open");
     tokio::time::advance(Duration::from_secs(4)).await;
-    state.pool.sweep();
+    state.pool.close_expired();
     peer.readable().await.expect("its end");
     assert_eq!(peer.try_read(&mut [0]).expect("its end"), 0);
 }
@@ -105,15 +105,15 @@
     let gone = key(&state);
     let (connection, peer) = resting(&state, &listener).await;
     let (late, _late_peer) = resting(&state, &listener).await;
-    state.pool.put(gone, connection);
+    state.pool.checkin(gone, connection);
     list(&state, 2, Vec::new());
     peer.readable().await.expect("its end");
     assert_eq!(peer.try_read(&mut [0]).expect("its end"), 0);
-    state.pool.put(gone, late);
+    state.pool.checkin(gone, late);
     list(&state, 3, vec![entry(listener.local_addr().expect("an address"))]);
     assert_ne!(key(&state), gone, "the same id in another life of the list");
-    assert!(state.pool.take(gone, true, &[]).is_none());
-    assert!(state.pool.take(key(&state), true, &[]).is_none());
+    assert!(state.pool.checkout(gone, true, &[]).is_none());
+    assert!(state.pool.checkout(key(&state), true, &[]).is_none());
 }
 
 #[tokio::test]
@@ -122,10 +122,10 @@
     let mut peers = Vec::new();
     for _ in 0..17 {
         let (connection, peer) = resting(&state, &listener).await;
-        state.pool.put(key(&state), connection);
+        state.pool.checkin(key(&state), connection);
         peers.push(peer);
     }
-    let accepted = (0..17).filter_map(|_| state.pool.take(key(&state), true, &[])).count();
+    let accepted = (0..17).filter_map(|_| state.pool.checkout(key(&state), true, &[])).count();
     assert_eq!(accepted, 16);
 }
 
--- a/crates/proxy/src/outbound/request.rs
+++ b/crates/proxy/src/outbound/request.rs
@@ -1,4 +1,4 @@
-//! A client's request as it goes on to servers.
+//! A client's request as it is forwarded to servers.
 
 use crate::http::{RequestHead, ResponseHead, field, is_hop_by_hop, length_field, number};
 use crate::inbound::request::ClientRequest;
@@ -6,44 +6,50 @@
 use bytes::Bytes;
 use std::time::Duration;
 
-/// Fields that this program sets itself, or that are between it and the servers: a client's own must not get through.
-const OWN_FIELDS: [&str; 6] =
+/// Bodies up to this size, in bytes, are written together with the head.
+pub const INLINE_BODY: usize = 16 * 1024;
+/// The least urgent priority that servers accept.
+const MAX_PRIORITY: u8 = 9;
+
+/// Fields that only the proxy may set: a client's own must not reach a server.
+const RESERVED_FIELDS: [&str; 6] =
     ["content-length", "expect", "deadline-ms", "expect-instance", "serving-stage", "kv-from"];
 
-/// What a send adds to the client's request.
+/// The headers that one attempt adds to the client's.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptHeaders {
-    /// Only the prompt is to be read.
+    /// `Serving-Stage: prefill`: the server only prefills the prompt.
     pub is_prefill: bool,
-    /// Where the memory of the prompt is.
+    /// `Kv-From`: where the KV cache of the prompt is, as `ADDRESS/ID`.
     pub kv_from: Option<String>,
-    /// The stream goes on behind this event.
+    /// `Last-Event-Id`: the stream resumes behind this event.
     pub last_event_id: Option<Vec<u8>>,
-    /// The urgency, from 0 to 9.
+    /// `Priority`, from 0 (most urgent) to 9.
     pub priority: Option<u8>,
 }
 
-/// The parts of a request that are alike in all its sends.
+/// What all attempts of a request send alike.
 #[derive(Clone, Debug)]
 pub struct OutboundRequest {
-    /// The request line and the fields that go along, without the empty line.
+    /// The request line and the forwarded fields, without the empty line.
     head: Vec<u8>,
     /// The body.
     pub body: Bytes,
-    /// The id that the answer has to carry.
+    /// The id that the response has to carry.
     pub request_id: Option<Vec<u8>>,
-    /// Whether answers have no body.
+    /// Whether the method is `HEAD`, so that responses have no body.
     pub is_head: bool,
-    /// Connections that have carried it. No other send of it goes on one of these: its answers all bear one id, and a late
-    /// second copy of the first one's would pass for the other's.
+    /// The connections that have carried the request. Each carries it once: all its responses bear the same id, and a late second
+    /// copy of the first attempt's response would pass for the second attempt's.
     pub used_connections: Vec<ConnectionId>,
-    /// The client's own `Last-Event-Id` stands apart, since a resumed stream replaces it.
+    /// The client's own `Last-Event-Id`, apart from the head since a resumed stream replaces it.
     last_event_id: Option<Vec<u8>>,
+    /// The client's own `Priority`, apart from the head since the route's replaces it.
     priority: Option<Vec<u8>>,
 }
 
 impl OutboundRequest {
-    /// Takes over what goes along.
+    /// Takes over what is forwarded of a client's request.
     pub fn new(request: &ClientRequest) -> OutboundRequest {
         let head = &request.head;
         let mut out = Vec::with_capacity(512);
@@ -51,7 +57,7 @@
         out.extend_from_slice(b" ");
         out.extend_from_slice(head.target().as_bytes());
         out.extend_from_slice(b" HTTP/1.1\r\n");
-        for (name, value) in head.headers.iter().filter(|(name, _)| goes_along(head, name)) {
+        for (name, value) in head.headers.iter().filter(|(name, _)| is_forwarded(head, name)) {
             field(&mut out, name, value);
         }
         if request.has_body {
@@ -69,13 +75,13 @@
         }
     }
 
-    /// Whether its connection may carry other requests before and after it. Answers are told apart by their ids, and surplus
-    /// ones read over by their lengths: without an id, or with an answer whose length has no body, neither holds.
+    /// Whether its connection may carry other requests before and after it. Stray responses are recognised by their ids and
+    /// discarded by their lengths: a request without an id, or with a response whose length has no body, allows neither.
     pub fn may_share_connections(&self) -> bool {
         self.request_id.is_some() && !self.is_head
     }
 
-    /// Whether an answer is to this request.
+    /// Whether a response belongs to this request, by its id.
     pub fn is_response_to_this(&self, head: &ResponseHead) -> bool {
         match &self.request_id {
             Some(id) => head.headers.get("request-id").is_some_and(|other| other == id.as_slice()),
@@ -83,25 +89,25 @@
         }
     }
 
-    /// The head of one send.
-    pub fn encode(&self, instance: &str, left: Duration, extra: &AttemptHeaders) -> Vec<u8> {
+    /// The head for one attempt at the server `instance`, with `time_left` until its deadline.
+    pub fn encode(&self, instance: &str, time_left: Duration, headers: &AttemptHeaders) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.head.len() + self.body.len().min(INLINE_BODY) + 192);
         out.extend_from_slice(&self.head);
         field(&mut out, "Expect-Instance", instance.as_bytes());
         out.extend_from_slice(b"Deadline-Ms: ");
-        number(&mut out, left.as_millis().try_into().unwrap_or(u64::MAX));
+        number(&mut out, time_left.as_millis().try_into().unwrap_or(u64::MAX));
         out.extend_from_slice(b"\r\n");
-        if extra.is_prefill {
+        if headers.is_prefill {
             field(&mut out, "Serving-Stage", b"prefill");
         }
-        if let Some(from) = &extra.kv_from {
-            field(&mut out, "Kv-From", from.as_bytes());
+        if let Some(source) = &headers.kv_from {
+            field(&mut out, "Kv-From", source.as_bytes());
         }
-        if let Some(id) = extra.last_event_id.as_ref().or(self.last_event_id.as_ref()) {
+        if let Some(id) = headers.last_event_id.as_ref().or(self.last_event_id.as_ref()) {
             field(&mut out, "Last-Event-Id", id);
         }
-        match (extra.priority, &self.priority) {
-            (Some(priority), _) => field(&mut out, "Priority", &[b'0' + priority.min(9)]),
+        match (headers.priority, &self.priority) {
+            (Some(priority), _) => field(&mut out, "Priority", &[b'0' + priority.min(MAX_PRIORITY)]),
             (None, Some(own)) => field(&mut out, "Priority", own),
             (None, None) => {}
         }
@@ -110,11 +116,8 @@
     }
 }
 
-/// Bodies up to this size are written together with the head.
-pub const INLINE_BODY: usize = 16 * 1024;
-
-fn goes_along(head: &RequestHead, name: &str) -> bool {
-    let is_response_to_this = OWN_FIELDS.iter().any(|own| own.eq_ignore_ascii_case(name));
+fn is_forwarded(head: &RequestHead, name: &str) -> bool {
+    let is_reserved = RESERVED_FIELDS.iter().any(|reserved| reserved.eq_ignore_ascii_case(name));
     let is_apart = name.eq_ignore_ascii_case("last-event-id") || name.eq_ignore_ascii_case("priority");
-    !is_response_to_this && !is_apart && !is_hop_by_hop(name) && !head.headers.has_token("connection", name)
+    !is_reserved && !is_apart && !is_hop_by_hop(name) && !head.headers.has_token("connection", name)
 }
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's readiness checks.
+//! The platform's readiness checks: `GET /ready` on a port of its own.
 
 use crate::http::{self, Fill};
 use crate::state::ProxyState;
@@ -9,10 +9,12 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// A connection of checks may rest for so long; they come once a second.
-const IDLE: Duration = Duration::from_secs(10);
+/// The idle timeout of a connection. Checks come once a second.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The largest head of a check, in bytes.
 const MAX_HEAD_BYTES: usize = 4 * 1024;
-const ACCEPT_AGAIN: Duration = Duration::from_millis(20);
+/// The backoff after a failed accept.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Answers checks for as long as the process runs.
 pub async fn listen(state: Rc<ProxyState>, listener: TcpListener) {
@@ -22,19 +24,20 @@
                 let state = state.clone();
                 tokio::task::spawn_local(async move { serve(&state, stream).await });
             }
-            Err(_) => sleep(ACCEPT_AGAIN).await,
+            Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
 async fn serve(state: &ProxyState, mut stream: TcpStream) {
+    // Without the option responses are only slower.
     drop(stream.set_nodelay(true));
     let mut buffer = BytesMut::new();
     loop {
         let head = match http::parse_request(&mut buffer) {
             Ok(Some(head)) => head,
             Ok(None) if buffer.len() < MAX_HEAD_BYTES => {
-                match timeout(IDLE, http::fill(&mut stream, &mut buffer)).await {
+                match timeout(IDLE_TIMEOUT, http::fill(&mut stream, &mut buffer)).await {
                     Ok(Ok(Fill::Bytes)) => continue,
                     _ => return,
                 }
@@ -42,16 +45,15 @@
             Ok(None) | Err(_) => return,
         };
         let path = head.target().split('?').next().unwrap_or_default();
-        let is_check = path == "/ready";
-        let status = match (is_check, state.is_ready()) {
+        let status = match (path == "/ready", state.is_ready()) {
             (false, _) => "404 Not Found",
             (true, true) => "200 OK",
             (true, false) => "503 Service Unavailable",
         };
         let close = head.wants_close();
         let connection = if close { "Connection: close\r\n" } else { "" };
-        let answer = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{connection}\r\n");
-        if stream.write_all(answer.as_bytes()).await.is_err() || close {
+        let response = format!("HTTP/1.1 {status}\r\nContent-Length: 0\r\n{connection}\r\n");
+        if stream.write_all(response.as_bytes()).await.is_err() || close {
             return;
         }
     }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,5 +1,5 @@
-//! The end of the process: not ready first, then whoever comes until the platform has noticed is served, then what is under
-//! way comes to its end, all before the platform kills the process.
+//! Graceful shutdown, in four steps: the process reports not ready; it goes on accepting connections until the platform has
+//! noticed; it stops accepting; requests in progress complete. All of it ends before the platform kills the process.
 
 use crate::inbound::connections::ClientConnections;
 use crate::inbound::listener::{admit_accepted, listen};
@@ -9,31 +9,38 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout_at};
 
-/// The platform checks once a second, and sends nobody any more after two misses.
-const NOTICED: Duration = Duration::from_millis(2_300);
+/// How long the platform takes to stop sending clients: it checks once a second, and does so after two failed checks.
+const PLATFORM_NOTICE: Duration = Duration::from_millis(2_300);
 /// The process ends this much before it would be killed.
-const BEFORE_KILL: Duration = Duration::from_millis(300);
-/// Whoever has just connected, or been answered, may have a request on its way.
-const MAYBE_CLOSED_AFTER: Duration = Duration::from_millis(250);
-/// How often connections that rest are told to close.
-const LOOK: Duration = Duration::from_millis(50);
+const KILL_MARGIN: Duration = Duration::from_millis(300);
+/// The least idle time of connections that are closed: a client that has just connected, or received a response, may have a
+/// request on its way.
+const MIN_IDLE: Duration = Duration::from_millis(250);
+/// How often idle connections are asked to close.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shuts down, and returns once nothing is owed or the time is over.
+/// Shuts down. Returns once no connection is open, or shortly before the end of `grace`.
 pub async fn drain(
-    state: &Rc<ProxyState>, clients: &Rc<ClientConnections>, listener: TcpListener, grace: Duration,
+    state: &Rc<ProxyState>, connections: &Rc<ClientConnections>, listener: TcpListener, grace: Duration,
 ) {
-    let begun = Instant::now();
+    let started = Instant::now();
     state.drain();
-    let end = begun + grace.saturating_sub(BEFORE_KILL);
-    let noticed = (begun + NOTICED).min(end);
-    let _ = timeout_at(noticed, listen(state, clients, &listener)).await;
-    admit_accepted(state, clients, listener);
+    let end = started + grace.saturating_sub(KILL_MARGIN);
+    let noticed = (started + PLATFORM_NOTICE).min(end);
+    // Runs into its deadline: it never ends by itself.
+    let _ = timeout_at(noticed, listen(state, connections, &listener)).await;
+    admit_accepted(state, connections, listener);
     state.close();
-    clients.close_idle(MAYBE_CLOSED_AFTER);
-    while clients.count() > 0 && Instant::now() < end {
-        let next = (Instant::now() + LOOK).min(end);
-        let _ = timeout_at(next, clients.ended()).await;
-        clients.close_idle(MAYBE_CLOSED_AFTER);
+    connections.close_idle(MIN_IDLE);
+    while connections.count() > 0 && Instant::now() < end {
+        let next = (Instant::now() + CHECK_INTERVAL).min(end);
+        // Either a connection has closed or it is time for the next check.
+        let _ = timeout_at(next, connections.wait_for_close()).await;
+        connections.close_idle(MIN_IDLE);
     }
-    spdlog::info!("shutdown outcome=done open={} ms={}", clients.count(), begun.elapsed().as_millis());
+    let elapsed_ms = started.elapsed().as_millis();
+    spdlog::info!(
+        "shutdown outcome=completed open_connections={} elapsed_ms={elapsed_ms}",
+        connections.count()
+    );
 }
--- a/crates/proxy/src/stack/disaggregated.rs
+++ b/crates/proxy/src/stack/disaggregated.rs
@@ -1,12 +1,15 @@
-//! Gets a stream from a pair of servers: one reads the prompt, the other takes its memory over and makes the tokens.
+//! Disaggregated serving: a prefill server computes the KV cache of the prompt, and a decode server fetches it and generates the
+//! tokens.
 //!
-//! The decode server is chosen once the prompt is read, by what is known then. Where no prefill server can be used, a decode
-//! server reads the prompt itself.
+//! The decode server is selected after the prefill, by what is known then. Where no prefill server can be used, a decode server
+//! prefills the prompt itself.
 
 use crate::inbound::error_response::RequestError;
 use crate::outbound::{AttemptHeaders, ServerResponse};
-use crate::stack::execution::{AttemptOutcome, RequestExecution, ServerQuery};
-use crate::stack::forward::{AcceptedResponse, take};
+use crate::stack::attempt::AttemptOutcome;
+use crate::stack::execution::{RequestExecution, ServerQuery};
+use crate::stack::forward::{AcceptedResponse, accept};
+use crate::stack::in_flight::InFlightAttempt;
 use crate::stack::kv_handle::KvHandle;
 use crate::stack::response_class::{ResponseClass, classify};
 use lugwharf_invariants::{Invariant, check};
@@ -15,62 +18,69 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The largest answer to a prefill, in bytes.
+/// The largest response to a prefill, in bytes.
 const MAX_PREFILL_RESPONSE_BYTES: usize = 16 * 1024;
-/// A prefill may take so many times its estimate, and so many objectives at least, before another server is asked: one that is
-/// given up is read for nothing.
+/// A prefill may take this multiple of its estimate, and at least this multiple of the latency objective, before another server
+/// is tried: a prefill that is abandoned has been computed for nothing.
 const PREFILL_TIMEOUT_ESTIMATES: u32 = 6;
 const PREFILL_TIMEOUT_OBJECTIVES: u32 = 3;
-/// Prefill servers that are asked for one request.
+/// Prefill servers that are tried for one request.
 const MAX_PREFILL_ATTEMPTS: usize = 3;
-/// Each doubling of so many tokens is a rank of its own.
+/// Each doubling of this many tokens lowers the priority of a prefill by one.
 const PRIORITY_TOKENS: u32 = 1_024;
-/// The least urgent rank that servers know.
+/// The least urgent priority that servers accept.
 const MAX_PRIORITY: u8 = 9;
-/// Decode servers that are asked to take one handle.
+/// Decode servers that are tried with one KV handle.
 const MAX_DECODE_ATTEMPTS: u32 = 2;
+/// The longest KV handle, in bytes.
+const MAX_HANDLE_BYTES: usize = 256;
 
-/// What a prefill server answers.
+/// The body of a response to a prefill.
 #[derive(Deserialize)]
-struct PrefillAnswer {
+struct PrefillResponse {
     #[serde(rename = "KvHandle")]
     handle: String,
 }
 
-/// How the reading of the prompt went on.
+/// How the prefill of a prompt ended.
 enum Prefill {
-    /// A server has read it.
+    /// The KV cache waits at a prefill server.
     Completed(KvHandle),
-    /// No server reads it: a decode server has to.
+    /// No prefill server is used: a decode server has to prefill the prompt.
     Skipped,
 }
 
-/// Sends the request until a decode server gives an answer for the client.
-pub async fn obtain(
-    execution: &mut RequestExecution<'_>, extra: &AttemptHeaders,
+/// Executes the request, with retries, until a decode server gives a response for the client.
+///
+/// # Errors
+/// No server may be attempted any more.
+pub async fn execute(
+    execution: &mut RequestExecution<'_>, headers: &AttemptHeaders,
 ) -> Result<AcceptedResponse, RequestError> {
     let now = execution.state.now();
-    let mut pairs = execution.state.balancer.borrow_mut().try_kv_transfer(now, execution.service);
+    let service = execution.terms.service;
+    let mut may_transfer = execution.state.balancer.borrow_mut().try_kv_transfer(now, service);
     loop {
         if !execution.attempts.may_execute() {
-            return Err(execution.give_up(RequestError::Saturated));
+            return Err(execution.final_error(RequestError::Saturated));
         }
-        let reads = pairs || !may_read_after_failure(execution);
-        let handle = if reads { read_prompt(execution, extra).await? } else { None };
-        // Whatever becomes of this handle, a second reading would be one more extra call.
-        pairs = false;
-        if let Some(accepted) = decode(execution, extra, handle).await? {
+        let needs_prefill_server = may_transfer || !may_prefill_on_decode_after_failure(execution);
+        let handle = if needs_prefill_server { prefill(execution, headers).await? } else { None };
+        // Whatever becomes of this handle: a second prefill would cost one more delivery.
+        may_transfer = false;
+        if let Some(accepted) = decode(execution, headers, handle).await? {
             return Ok(accepted);
         }
     }
 }
 
-async fn read_prompt(
-    execution: &mut RequestExecution<'_>, extra: &AttemptHeaders,
+/// Has the prompt prefilled; `None` if a decode server has to do it.
+async fn prefill(
+    execution: &mut RequestExecution<'_>, headers: &AttemptHeaders,
 ) -> Result<Option<KvHandle>, RequestError> {
-    let mut tried: Vec<ServerKey> = Vec::new();
+    let mut attempted: Vec<ServerKey> = Vec::new();
     loop {
-        match prefill(execution, extra, &mut tried).await? {
+        match attempt_prefill(execution, headers, &mut attempted).await? {
             Some(Prefill::Completed(handle)) => return Ok(Some(handle)),
             Some(Prefill::Skipped) => return Ok(None),
             None => {}
@@ -78,190 +88,200 @@
     }
 }
 
-/// One call that has the prompt read; `None` if another server may be asked.
-async fn prefill(
-    execution: &mut RequestExecution<'_>, extra: &AttemptHeaders, tried: &mut Vec<ServerKey>,
+/// One attempt of a prefill; `None` if another server may be tried.
+async fn attempt_prefill(
+    execution: &mut RequestExecution<'_>, headers: &AttemptHeaders, attempted: &mut Vec<ServerKey>,
 ) -> Result<Option<Prefill>, RequestError> {
-    if !execution.attempts.may_prefill() || !execution.may_try() || tried.len() >= MAX_PREFILL_ATTEMPTS {
-        return read_by_decode(execution);
+    let may_prefill = execution.attempts.may_prefill() && execution.may_attempt();
+    if !may_prefill || attempted.len() >= MAX_PREFILL_ATTEMPTS {
+        return prefill_on_decode(execution).map(Some);
     }
-    let ask = ServerQuery { part: Phase::Prefill, zone: &execution.state.zone, excluded: tried };
-    let choice = match execution.choose(&ask) {
-        Ok(choice) => choice,
-        Err(SelectionError::NoServer) if tried.is_empty() => return Ok(Some(Prefill::Skipped)),
-        Err(SelectionError::NoServer) => return read_by_decode(execution),
-        Err(SelectionError::Saturated) => return Err(execution.give_up(RequestError::Saturated)),
+    let query = ServerQuery { phase: Phase::Prefill, zone: &execution.state.zone, excluded: attempted };
+    let selection = match execution.select(&query) {
+        Ok(selection) => selection,
+        Err(SelectionError::NoServer) if attempted.is_empty() => return Ok(Some(Prefill::Skipped)),
+        Err(SelectionError::NoServer) => return prefill_on_decode(execution).map(Some),
+        Err(SelectionError::Saturated) => return Err(execution.final_error(RequestError::Saturated)),
     };
-    if execution.is_hopeless(&choice) && execution.attempts.is_unexecuted() {
-        return Err(RequestError::Saturated);
+    execution.shed_if_hopeless(&selection)?;
+    if !execution.try_pay_delivery() {
+        return prefill_on_decode(execution).map(Some);
     }
-    if !execution.may_arrive() {
-        return read_by_decode(execution);
-    }
-    tried.push(choice.key);
-    let extra = AttemptHeaders {
-        is_prefill: true,
-        priority: extra.priority.map(|_| rank(choice.prefill_tokens)),
-        ..extra.clone()
-    };
-    let by = (Instant::now() + client_timeout(execution, &choice)).min(execution.by);
-    match execution.send(&choice, Phase::Prefill, &extra, by).await {
+    attempted.push(selection.key);
+    let priority = headers.priority.map(|_| prefill_priority(selection.prefill_tokens));
+    let headers = AttemptHeaders { is_prefill: true, priority, ..headers.clone() };
+    let deadline = (Instant::now() + prefill_timeout(execution, &selection)).min(execution.terms.deadline);
+    match execution.attempt(&selection, Phase::Prefill, &headers, deadline).await {
         AttemptOutcome::NotSent => Ok(None),
-        AttemptOutcome::TooLate => Err(execution.give_up(RequestError::DeadlineBeforeExecution)),
+        AttemptOutcome::TooLate => Err(execution.final_error(RequestError::DeadlineBeforeExecution)),
         AttemptOutcome::ConnectionBroken | AttemptOutcome::TimedOut => {
             execution.attempts.record_prefill_failure();
             Ok(None)
         }
-        AttemptOutcome::Response(answered, in_flight) => {
-            Ok(read_answer(execution, &choice, answered, in_flight, by).await)
+        AttemptOutcome::Response(response, in_flight) => {
+            Ok(read_prefill_response(execution, &selection, response, in_flight, deadline).await)
         }
     }
 }
 
-/// No other prefill server may be asked: a decode server reads the prompt if it is short. It reads between the tokens of others,
-/// so that a long one would hold up every stream there for longer than pauses may last, for a request that is late already. One
-/// that has run, as a stream that is resumed, can't be told to come back, and its client has a part of it.
-fn read_by_decode(execution: &RequestExecution<'_>) -> Result<Option<Prefill>, RequestError> {
-    let most = execution.state.balancer.borrow().tuning().max_decode_prefill_tokens;
-    if execution.prompt.input_tokens > most && execution.attempts.is_unexecuted() {
-        return Err(execution.give_up(RequestError::Saturated));
+/// No other prefill server may be tried: a decode server prefills the prompt if it is short.
+///
+/// It would prefill between the decode steps of other requests. A long prefill would pause all streams there for longer than
+/// clients accept, for a request that is late already. Only a request that was executed, as a stream that is resumed, can't be
+/// rejected: its client has received a part of the response.
+fn prefill_on_decode(execution: &RequestExecution<'_>) -> Result<Prefill, RequestError> {
+    let max_tokens = execution.state.balancer.borrow().tuning().max_decode_prefill_tokens;
+    if execution.terms.prompt.input_tokens > max_tokens && execution.attempts.is_unexecuted() {
+        return Err(execution.final_error(RequestError::Saturated));
     }
-    Ok(Some(Prefill::Skipped))
+    Ok(Prefill::Skipped)
 }
 
-/// Whether a decode server reads the prompt itself after hand-overs have failed.
-fn may_read_after_failure(execution: &RequestExecution<'_>) -> bool {
+/// Whether a decode server prefills the prompt itself after KV cache transfers have failed.
+fn may_prefill_on_decode_after_failure(execution: &RequestExecution<'_>) -> bool {
     let balancer = execution.state.balancer.borrow();
     let tuning = balancer.tuning();
-    let is_short = execution.prompt.input_tokens <= tuning.max_decode_prefill_tokens;
+    let is_short = execution.terms.prompt.input_tokens <= tuning.max_decode_prefill_tokens;
     tuning.decode_prefills_after_failures || is_short || !execution.attempts.is_unexecuted()
 }
 
-/// The rank of a prompt by its length, 0 for the shortest: reading a long one takes hundreds of milliseconds, in which short
-/// ones that wait behind it become late.
-fn rank(tokens: u32) -> u8 {
+/// The priority of a prefill by its length, 0 for the shortest. A long prefill takes hundreds of milliseconds, in which short
+/// ones that are queued behind it would become late.
+fn prefill_priority(tokens: u32) -> u8 {
     let doublings = (1 + tokens / PRIORITY_TOKENS).ilog2();
     doublings.min(u32::from(MAX_PRIORITY)) as u8
 }
 
-fn client_timeout(execution: &RequestExecution<'_>, choice: &Selection) -> Duration {
-    let usual = choice
-        .estimate
-        .saturating_mul(PREFILL_TIMEOUT_ESTIMATES)
-        .max(execution.objective() * PREFILL_TIMEOUT_OBJECTIVES);
-    usual.min(execution.left() / 2)
+/// How long a prefill may take before another server is tried; never more than half of the time left.
+fn prefill_timeout(execution: &RequestExecution<'_>, selection: &Selection) -> Duration {
+    let by_estimate = selection.estimate.saturating_mul(PREFILL_TIMEOUT_ESTIMATES);
+    let by_objective = execution.terms.objective * PREFILL_TIMEOUT_OBJECTIVES;
+    by_estimate.max(by_objective).min(execution.time_left() / 2)
 }
 
-async fn read_answer(
-    execution: &mut RequestExecution<'_>, choice: &Selection, mut answered: Box<ServerResponse>,
-    mut in_flight: crate::stack::in_flight::InFlightAttempt, by: Instant,
+/// Reads the KV handle from the response to a prefill; `None` if another server may be tried.
+async fn read_prefill_response(
+    execution: &mut RequestExecution<'_>, selection: &Selection, mut response: Box<ServerResponse>,
+    mut in_flight: InFlightAttempt, deadline: Instant,
 ) -> Option<Prefill> {
-    match classify(&answered.head) {
+    match classify(&response.head) {
         ResponseClass::Misdirected => {
             execution.attempts.record_rejection();
-            execution.misdirected(choice);
-            in_flight.void();
-            answered.discard(execution.state);
+            execution.record_misdirected(selection);
+            in_flight.record_inconclusive();
+            response.discard(execution.state);
             return None;
         }
         ResponseClass::Rejected => {
             execution.attempts.record_rejection();
-            in_flight.rejected();
-            answered.discard(execution.state);
+            in_flight.record_rejection();
+            response.discard(execution.state);
             return None;
         }
-        // This answer is not for the client, and bears no stamp.
-        _ if answered.head.status == 200 => {}
+        // This response does not go to the client, and carries no stamp.
+        _ if response.head.status == 200 => {}
         ResponseClass::Success
         | ResponseClass::Failure
         | ResponseClass::InvalidRequest
         | ResponseClass::Unusable => {
             execution.attempts.record_prefill_failure();
-            in_flight.failed(FailureKind::ServerError);
+            in_flight.record_failure(FailureKind::ServerError);
             return None;
         }
     }
-    let body = answered.collect(MAX_PREFILL_RESPONSE_BYTES, by).await;
-    let handle = body.ok().and_then(|body| serde_json::from_slice::<PrefillAnswer>(&body).ok());
-    let Some(PrefillAnswer { handle }) = handle.filter(|answer| is_plain(&answer.handle)) else {
+    let body = response.collect(MAX_PREFILL_RESPONSE_BYTES, deadline).await;
+    let Some(handle) = body.ok().and_then(|body| parse_handle(&body)) else {
         execution.attempts.record_prefill_failure();
-        in_flight.failed(FailureKind::ConnectionBroken);
+        in_flight.record_failure(FailureKind::ConnectionBroken);
         return None;
     };
-    execution.prefilled();
-    in_flight.answered(answered.sent.elapsed());
-    answered.finish(execution.state);
+    execution.record_prefill();
+    in_flight.record_success(response.sent_at.elapsed());
+    response.finish(execution.state);
     let now = execution.state.now();
-    execution.state.balancer.borrow_mut().record_prefill(now, choice.key, &execution.prompt);
-    Some(Prefill::Completed(KvHandle::new(execution.state, choice.clone(), handle)))
+    execution.state.balancer.borrow_mut().record_prefill(now, selection.key, &execution.terms.prompt);
+    Some(Prefill::Completed(KvHandle::new(execution.state, selection.clone(), handle)))
 }
 
-/// A handle stands in a path and in a header.
-fn is_plain(handle: &str) -> bool {
-    let plain = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'~');
-    !handle.is_empty() && handle.len() <= 256 && handle.bytes().all(plain)
+/// The KV handle of a response to a prefill. It is used in a path and in a header, so that only unreserved characters are
+/// accepted.
+fn parse_handle(body: &[u8]) -> Option<String> {
+    let PrefillResponse { handle } = serde_json::from_slice(body).ok()?;
+    let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'~');
+    let is_valid =
+        !handle.is_empty() && handle.len() <= MAX_HANDLE_BYTES && handle.bytes().all(is_unreserved);
+    is_valid.then_some(handle)
 }
 
-/// Has a decode server take the handle over, or read the prompt itself without one. `None` if the prompt has to be read again.
-/// A handle that nobody has accepted is freed at once.
+/// Has a decode server fetch the KV cache of the handle, or prefill the prompt itself without one. `None` if the prompt has to be
+/// prefilled again. A handle that no server has used is freed at once, by its drop.
 async fn decode(
-    execution: &mut RequestExecution<'_>, extra: &AttemptHeaders, handle: Option<KvHandle>,
+    execution: &mut RequestExecution<'_>, headers: &AttemptHeaders, handle: Option<KvHandle>,
 ) -> Result<Option<AcceptedResponse>, RequestError> {
+    // A transfer within the zone of the prefill server is faster.
     let zone = handle.as_ref().map(|handle| handle.zone().to_string());
     let zone = zone.as_deref().unwrap_or(&execution.state.zone);
-    let part = if handle.is_some() { Phase::Decode } else { Phase::Full };
-    let extra = AttemptHeaders { kv_from: handle.as_ref().map(KvHandle::source), ..extra.clone() };
+    let phase = if handle.is_some() { Phase::Decode } else { Phase::Full };
+    let headers = AttemptHeaders { kv_from: handle.as_ref().map(KvHandle::source), ..headers.clone() };
     let mut rejections = 0;
-    let runs_before = execution.attempts.executions();
+    let executions_before = execution.attempts.executions();
     loop {
-        if !execution.attempts.may_execute() || !execution.may_try() {
-            return Err(execution.give_up(RequestError::Saturated));
-        }
-        let ask = ServerQuery { part, zone, excluded: &execution.tried };
-        let choice = match execution.choose(&ask) {
-            Ok(choice) => choice,
-            // Those that turned the handle away may take the request without one.
-            Err(_) if handle.is_some() && rejections > 0 => return Ok(None),
-            Err(none) => return Err(execution.give_up(none.into())),
+        let may_drop_handle = handle.is_some() && rejections > 0;
+        let Some(selection) = select_decode(execution, phase, zone, may_drop_handle)? else {
+            return Ok(None);
         };
-        if execution.is_hopeless(&choice) && execution.attempts.is_unexecuted() {
-            return Err(RequestError::Saturated);
-        }
-        if !execution.may_arrive() {
-            return Err(execution.give_up(RequestError::Saturated));
-        }
-        let is_unused = handle.is_none() || execution.attempts.executions() == runs_before;
+        let is_unused = handle.is_none() || execution.attempts.executions() == executions_before;
         check(Invariant::HandleUsedOnce, is_unused, || format!("request {}", execution.request.id()));
-        let sent = execution.send(&choice, part, &extra, execution.by).await;
-        execution.tried.push(choice.key);
-        let has_arrived = !matches!(sent, AttemptOutcome::NotSent | AttemptOutcome::TooLate);
-        if let Some(accepted) = take(execution, &choice, sent)? {
+        let outcome = execution.attempt(&selection, phase, &headers, execution.terms.deadline).await;
+        execution.history.attempted_servers.push(selection.key);
+        let was_delivered = !matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::TooLate);
+        if let Some(accepted) = accept(execution, &selection, outcome)? {
             if let Some(handle) = handle.filter(|_| accepted.class == ResponseClass::Success) {
-                note_hand_over(execution, true);
-                handle.accepted();
+                record_kv_transfer(execution, true);
+                handle.consume();
             }
             return Ok(Some(accepted));
         }
-        // It may have run: the handle is used up.
-        if execution.attempts.executions() != runs_before {
+        // The request may have been executed, which uses the handle up.
+        if execution.attempts.executions() != executions_before {
             return Ok(None);
         }
-        rejections += u32::from(has_arrived);
-        if handle.is_some() && has_arrived {
-            // One that had room could not get the memory, and no other one will.
-            let is_gone = execution.was_full == Some(false);
-            if is_gone || rejections >= MAX_DECODE_ATTEMPTS {
-                // Full servers tell nothing of hand-overs.
-                if execution.was_full != Some(true) {
-                    note_hand_over(execution, false);
-                }
-                return Ok(None);
-            }
+        rejections += u32::from(was_delivered);
+        if handle.is_some() && was_delivered && abandons_handle(execution, rejections) {
+            return Ok(None);
         }
     }
 }
 
-fn note_hand_over(execution: &RequestExecution<'_>, succeeded: bool) {
+/// Selects a server that executes the request. `None` if there is no other one and `may_drop_handle`: servers that rejected the
+/// handle may accept the request without one.
+fn select_decode(
+    execution: &mut RequestExecution<'_>, phase: Phase, zone: &str, may_drop_handle: bool,
+) -> Result<Option<Selection>, RequestError> {
+    execution.may_execute()?;
+    let query = ServerQuery { phase, zone, excluded: &execution.history.attempted_servers };
+    let selection = match execution.select(&query) {
+        Ok(selection) => selection,
+        Err(_) if may_drop_handle => return Ok(None),
+        Err(error) => return Err(execution.final_error(error.into())),
+    };
+    execution.admit(&selection)?;
+    Ok(Some(selection))
+}
+
+/// Whether a handle is abandoned after a rejection. A server that was not saturated could not fetch the KV cache, and no other
+/// one will.
+fn abandons_handle(execution: &RequestExecution<'_>, rejections: u32) -> bool {
+    let was_saturated = execution.history.was_saturated;
+    let is_abandoned = was_saturated == Some(false) || rejections >= MAX_DECODE_ATTEMPTS;
+    // A rejection by a saturated server says nothing about transfers.
+    if is_abandoned && was_saturated != Some(true) {
+        record_kv_transfer(execution, false);
+    }
+    is_abandoned
+}
+
+fn record_kv_transfer(execution: &RequestExecution<'_>, succeeded: bool) {
     let now = execution.state.now();
-    execution.state.balancer.borrow_mut().record_kv_transfer(now, execution.service, succeeded);
+    execution.state.balancer.borrow_mut().record_kv_transfer(now, execution.terms.service, succeeded);
 }
--- a/crates/proxy/src/stack/execution.rs
+++ b/crates/proxy/src/stack/execution.rs
@@ -1,325 +1,207 @@
-//! One request under way: its route, its time, its sends.
+//! The execution of one request: its terms, its attempts so far, and what may still be attempted.
 
-use crate::http::RequestHead;
 use crate::inbound::error_response::RequestError;
 use crate::inbound::request::ClientRequest;
-use crate::outbound::{
-    AttemptHeaders, ExchangeError, ExchangeTerms, OutboundRequest, ServerResponse, exchange,
-};
+use crate::outbound::{AttemptHeaders, OutboundRequest};
 use crate::routes::Routes;
-use crate::stack::in_flight::InFlightAttempt;
-use crate::stack::response_class::classify;
+use crate::stack::delivery_budget::DeliveryBudget;
+use crate::stack::terms::RequestTerms;
 use crate::state::ProxyState;
-use crate::telemetry::outcome::AttemptLabel;
-use crate::telemetry::request_trace::{AttemptTrace, RequestTrace};
-use lugwharf_config::{Route, RouteKind};
+use crate::telemetry::request_trace::RequestTrace;
 use lugwharf_invariants::{Invariant, check};
-use lugwharf_routing::{
-    Attempts, FailureKind, Phase, Prompt, Selection, SelectionError, SelectionQuery, ServerKey,
-};
+use lugwharf_routing::{Attempts, Phase, Selection, SelectionError, SelectionQuery, ServerKey};
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::time::Instant;
 
-/// A final answer is on its way this much before the client stops to wait.
-const RETURN_MARGIN: Duration = Duration::from_millis(25);
-/// Sends of one request that may come to nothing since no connection came up or the server has just left the list.
+/// Attempts of one request that may end before anything is sent, since no connection was established or the server has just
+/// been removed from the endpoint list.
 const MAX_UNSENT_ATTEMPTS: u32 = 5;
-/// The objective where the route states none.
-const DEFAULT_OBJECTIVE: Duration = Duration::from_millis(500);
+/// The least urgent priority that servers accept.
+const MAX_PRIORITY: u8 = 9;
 
-/// A request with all that its sends need.
+/// One request with all that its attempts need.
 pub struct RequestExecution<'a> {
-    /// What all tasks share.
+    /// The state shared by all tasks.
     pub state: &'a Rc<ProxyState>,
     /// The request.
     pub request: &'a ClientRequest,
-    /// What explains its end.
+    /// Records what happens, for the log line of a failure.
     pub trace: &'a RequestTrace,
-    /// Its route.
-    pub route: &'a Route,
-    /// The service that it goes to.
-    pub service: &'a str,
-    /// Its final answer is due by then.
-    pub by: Instant,
-    /// What may still be sent for it.
+    /// The terms of the request.
+    pub terms: RequestTerms<'a>,
+    /// What may still be sent.
     pub attempts: Attempts,
-    /// Whether it may run more than once.
-    pub idempotent: bool,
-    /// What it tells of its prompt.
-    pub prompt: Prompt,
-    /// Servers that it is not sent to again.
-    pub tried: Vec<ServerKey>,
-    outbound: OutboundRequest,
-    max_connections: Option<u32>,
-    is_model: bool,
-    unsent: u32,
-    /// Whether the next arrival has been paid for.
-    paid: bool,
-    /// Whether the last one was.
-    paid_last: bool,
-    /// Whether the last server that turned the request away said that it was full; `None` if it did not tell its load.
-    pub was_full: Option<bool>,
+    /// What earlier attempts showed.
+    pub history: AttemptHistory,
+    pub(super) budget: DeliveryBudget,
+    pub(super) outbound: OutboundRequest,
 }
 
-/// How a send ended.
-pub enum AttemptOutcome {
-    /// An answer came.
-    Response(Box<ServerResponse>, InFlightAttempt),
-    /// Nothing went out; another server may be asked.
-    NotSent,
-    /// The time was over before anything went out.
-    TooLate,
-    /// It may have run; then the server failed.
-    ConnectionBroken,
-    /// It may have run; then its time was over.
-    TimedOut,
+/// What the attempts of one request showed so far.
+#[derive(Debug, Default)]
+pub struct AttemptHistory {
+    /// Servers that are not sent the request again.
+    pub attempted_servers: Vec<ServerKey>,
+    /// Whether the last server that rejected the request reported that it was saturated; `None` if it reported no load.
+    pub was_saturated: Option<bool>,
+    /// Attempts that ended before anything was sent.
+    pub(super) unsent: u32,
 }
 
-/// A choice with the send's terms.
+/// The part of a [`SelectionQuery`] that differs between the attempts of one request.
 pub struct ServerQuery<'a> {
     /// What the server is to do.
-    pub part: Phase,
-    /// The zone that is preferred.
+    pub phase: Phase,
+    /// The zone whose servers are preferred.
     pub zone: &'a str,
-    /// Servers that are out of the question.
+    /// Servers that must not be selected.
     pub excluded: &'a [ServerKey],
 }
 
 impl<'a> RequestExecution<'a> {
-    /// Prepares a request; what can't be served is refused.
+    /// Starts the execution of a request: matches its route, picks a service, and deposits into its retry budget.
+    ///
+    /// # Errors
+    /// The request is malformed, no route matches it, or its route has no service.
     pub fn new(
         state: &'a Rc<ProxyState>, request: &'a ClientRequest, routes: &'a Rc<Routes>,
         trace: &'a RequestTrace,
     ) -> Result<RequestExecution<'a>, RequestError> {
-        let route = find(&request.head, routes)?;
+        let route = routes.match_request(&request.head)?;
         let service = routes.target(route).ok_or(RequestError::Unavailable)?;
-        let definition = routes.service(service);
-        let timeout = time_limit(route);
-        let client_timeout = request.client_timeout().unwrap_or(timeout).min(timeout);
-        let idempotent = route.is_idempotent() || route.route_kind == RouteKind::Streaming && route.resumable;
+        let terms = RequestTerms::new(request, routes, route, service);
         let now = state.now();
-        trace.begin(state, routes, service, objective(route), client_timeout);
+        trace.record_route(state, routes, &terms);
         let mut balancer = state.balancer.borrow_mut();
         balancer.record_request(now, service);
-        let rejections = balancer.tuning().max_rejections;
+        let max_rejections = balancer.tuning().max_rejections;
         Ok(RequestExecution {
             state,
             request,
             trace,
-            route,
-            service,
-            by: request.arrived + client_timeout.saturating_sub(RETURN_MARGIN),
-            attempts: Attempts::new(idempotent, route.max_attempts, rejections),
-            idempotent,
-            prompt: request.prompt(),
-            tried: Vec::new(),
+            attempts: Attempts::new(terms.is_idempotent, route.max_attempts, max_rejections),
+            terms,
+            history: AttemptHistory::default(),
+            budget: DeliveryBudget::default(),
             outbound: OutboundRequest::new(request),
-            max_connections: definition.and_then(|service| service.max_conns),
-            is_model: definition.is_some_and(|service| service.engine.is_some()),
-            unsent: 0,
-            paid: false,
-            paid_last: false,
-            was_full: None,
         })
     }
 
-    /// Whether its service splits generations between prefill and decode servers.
-    pub fn is_split(&self) -> bool {
-        self.is_model && self.state.balancer.borrow().is_disaggregated(self.service)
+    /// Whether the service runs generations on pairs of a prefill and a decode server.
+    pub fn is_disaggregated(&self) -> bool {
+        self.terms.is_model_service && self.state.balancer.borrow().is_disaggregated(self.terms.service)
     }
 
-    /// The time within which an answer earns its full worth.
-    pub fn objective(&self) -> Duration {
-        objective(self.route)
+    /// The headers that each attempt adds to the client's.
+    pub fn attempt_headers(&self) -> AttemptHeaders {
+        let forwards_priority =
+            self.terms.is_model_service && self.state.balancer.borrow().tuning().forwards_priority;
+        let priority = forwards_priority.then(|| self.terms.route.priority.min(MAX_PRIORITY));
+        AttemptHeaders { priority, ..AttemptHeaders::default() }
     }
 
-    /// The time left.
-    pub fn left(&self) -> Duration {
-        self.by.saturating_duration_since(Instant::now())
+    /// Selects a server for an attempt.
+    pub fn select(&self, query: &ServerQuery<'_>) -> Result<Selection, SelectionError> {
+        let model = self.request.head.headers.get_text("model");
+        let query = SelectionQuery {
+            service: self.terms.service,
+            phase: query.phase,
+            model: model.filter(|_| self.terms.is_model_service),
+            prompt: &self.terms.prompt,
+            preferred_zone: query.zone,
+            excluded: query.excluded,
+            objective: self.terms.objective,
+        };
+        self.state.balancer.borrow_mut().select(self.state.now(), &query)
     }
 
-    /// What a send adds, before it is told more.
-    pub fn extra(&self) -> AttemptHeaders {
-        let passes = self.is_model && self.state.balancer.borrow().tuning().forwards_priority;
-        AttemptHeaders { priority: passes.then(|| self.route.priority.min(9)), ..AttemptHeaders::default() }
+    /// Whether a server may be selected that executes the request.
+    pub fn may_execute(&self) -> Result<(), RequestError> {
+        if self.attempts.may_execute() && self.may_attempt() {
+            Ok(())
+        } else {
+            Err(self.final_error(RequestError::Saturated))
+        }
     }
 
-    /// Chooses a server.
-    pub fn choose(&self, ask: &ServerQuery<'_>) -> Result<Selection, SelectionError> {
-        let query = SelectionQuery {
-            service: self.service,
-            phase: ask.part,
-            model: self.request.head.headers.get_text("model").filter(|_| self.is_model),
-            prompt: &self.prompt,
-            preferred_zone: ask.zone,
-            excluded: ask.excluded,
-            objective: self.objective(),
-        };
-        self.state.balancer.borrow_mut().select(self.state.now(), &query)
+    /// Whether the request may be sent to the selected server: sheds it if it can't be answered in time, and pays for its
+    /// delivery.
+    pub fn admit(&mut self, selection: &Selection) -> Result<(), RequestError> {
+        self.shed_if_hopeless(selection)?;
+        if self.try_pay_delivery() { Ok(()) } else { Err(self.final_error(RequestError::Saturated)) }
     }
 
-    /// Refused early: the server chosen is more than half full by its own report, and would take longer than there is time.
-    pub fn is_hopeless(&self, choice: &Selection) -> bool {
-        let refuses = self.state.balancer.borrow().tuning().sheds_hopeless_requests;
-        refuses && choice.is_busy && choice.estimate > self.left()
+    /// Load shedding: rejects a request that no server has executed, if the selected server is busy by its own report and the
+    /// estimate exceeds the time left. It would use up a slot for a response that comes too late.
+    pub fn shed_if_hopeless(&self, selection: &Selection) -> Result<(), RequestError> {
+        let may_shed = self.state.balancer.borrow().tuning().sheds_hopeless_requests;
+        let is_hopeless = may_shed && selection.is_busy && selection.estimate > self.terms.time_left();
+        if is_hopeless && self.attempts.is_unexecuted() { Err(RequestError::Saturated) } else { Ok(()) }
     }
 
-    /// Pays for the next arrival, if it has to be paid for. What was paid and not used stays paid.
-    pub fn may_arrive(&mut self) -> bool {
-        if !self.attempts.needs_retry_budget() || self.paid {
+    /// Pays for the next delivery from the retry budget, if it is not the first. Returns whether it may be sent.
+    pub fn try_pay_delivery(&mut self) -> bool {
+        if !self.attempts.needs_retry_budget() {
             return true;
         }
-        self.paid = self.state.balancer.borrow_mut().try_withdraw_retry(self.state.now(), self.service);
-        if !self.paid {
-            self.trace.record_budget_denial(self.state);
+        let (state, service) = (self.state, self.terms.service);
+        let is_paid =
+            self.budget.try_pay(|| state.balancer.borrow_mut().try_withdraw_retry(state.now(), service));
+        if !is_paid {
+            self.trace.record_budget_denial(&state.metrics);
         }
-        self.paid
+        is_paid
     }
 
-    /// Whether another send may come to nothing.
-    pub fn may_try(&self) -> bool {
-        self.unsent < MAX_UNSENT_ATTEMPTS
+    /// Whether another attempt may end before anything is sent.
+    pub fn may_attempt(&self) -> bool {
+        self.history.unsent < MAX_UNSENT_ATTEMPTS
     }
 
-    /// Sends it to a server, and counts.
-    pub async fn send(
-        &mut self, choice: &Selection, part: Phase, extra: &AttemptHeaders, by: Instant,
-    ) -> AttemptOutcome {
-        let may_be_sent = self.idempotent || self.attempts.is_unexecuted();
-        check(Invariant::UnrepeatableSentOnce, may_be_sent, || {
-            format!("request {} to {} as {part:?}", self.request.id(), choice.id)
-        });
-        let mut in_flight = InFlightAttempt::new(self.state, choice, part, by);
-        let objective = self.objective();
-        let terms = ExchangeTerms {
-            part,
-            by,
-            objective,
-            idempotent: self.idempotent,
-            max_connections: self.max_connections,
-        };
-        let (begun, left, used_connections) =
-            (self.request.arrived.elapsed(), self.left(), self.outbound.used_connections.len());
-        let result = exchange(self.state, choice, &mut self.outbound, extra, terms).await;
-        let outcome = match &result {
-            Ok(answered) => {
-                let (status, class) = (answered.head.status, classify(&answered.head));
-                AttemptLabel::Response { status, class }
-            }
-            Err(fault) => AttemptLabel::Failed(*fault),
-        };
-        self.state.metrics.send_ended(outcome);
-        self.trace.sent(AttemptTrace {
-            server: choice.id.clone(),
-            part,
-            connection: self
-                .outbound
-                .used_connections
-                .get(used_connections..)
-                .and_then(<[_]>::last)
-                .map(|id| id.0),
-            begun,
-            took: self.request.arrived.elapsed().saturating_sub(begun),
-            left,
-            paid: self.paid,
-            outcome,
-            body: None,
-        });
-        match result {
-            Ok(answered) => {
-                self.arrived();
-                AttemptOutcome::Response(Box::new(answered), in_flight)
-            }
-            Err(ExchangeError::Connect) => {
-                in_flight.failed(FailureKind::Connect);
-                self.unsent += 1;
-                AttemptOutcome::NotSent
-            }
-            Err(ExchangeError::Aborted) => {
-                in_flight.void();
-                self.unsent += 1;
-                AttemptOutcome::NotSent
-            }
-            Err(ExchangeError::TooLate) => {
-                in_flight.void();
-                AttemptOutcome::TooLate
-            }
-            Err(ExchangeError::ConnectionBroken) => {
-                in_flight.failed(FailureKind::ConnectionBroken);
-                self.arrived();
-                AttemptOutcome::ConnectionBroken
-            }
-            Err(ExchangeError::Timeout) => {
-                in_flight.failed(FailureKind::Timeout);
-                self.arrived();
-                AttemptOutcome::TimedOut
-            }
-        }
-    }
-
-    /// A server said that it is another one, has another part, or other weights. It is left out for a while, but where the
-    /// client itself asked for a version of the weights: that tells nothing of others' requests.
-    pub fn misdirected(&self, choice: &Selection) {
+    /// A server answered 421: it is another incarnation, or does not serve the stage, the model or its version. It is not
+    /// selected for a while, unless the client itself asked for a version, which says nothing about other requests.
+    pub fn record_misdirected(&self, selection: &Selection) {
         if self.request.head.headers.has("expect-version") {
             return;
         }
-        self.state.balancer.borrow_mut().record_misdirected(self.state.now(), choice.key);
+        self.state.balancer.borrow_mut().record_misdirected(self.state.now(), selection.key);
     }
 
-    /// The answer where nothing more is sent.
-    pub fn give_up(&self, unrun: RequestError) -> RequestError {
-        match (self.attempts.is_unexecuted(), self.left().is_zero()) {
-            (true, true) => RequestError::DeadlineBeforeExecution,
-            (true, false) => unrun,
-            (false, true) => RequestError::DeadlineExceeded,
-            (false, false) => RequestError::BadGateway,
-        }
+    /// A prefill was executed. If it was the free one, what was paid for it pays for the next delivery: an earlier prefill that
+    /// was rejected may have made it a retry.
+    pub fn record_prefill(&mut self) {
+        self.budget.record_prefill(self.attempts.has_free_prefill());
+        self.attempts.record_prefill();
     }
 
-    fn arrived(&mut self) {
-        let is_paid = self.paid || !self.attempts.needs_retry_budget();
+    /// The complete request was sent.
+    pub(super) fn record_delivery(&mut self) {
+        let is_paid = self.budget.is_next_paid() || !self.attempts.needs_retry_budget();
         check(Invariant::RetriesPaid, is_paid, || format!("request {}", self.request.id()));
-        self.paid_last = std::mem::replace(&mut self.paid, false);
+        self.budget.record_delivery();
         self.attempts.record_delivery();
     }
 
-    /// A server has accepted up the last send, which had the prompt read. The first such call is free: what was paid for it, after
-    /// another one was rejected, pays for the next arrival.
-    pub fn prefilled(&mut self) {
-        self.paid = self.attempts.has_free_prefill() && self.paid_last;
-        self.attempts.record_prefill();
-    }
-}
-
-/// The time within which an answer on this route earns its full worth.
-fn objective(route: &Route) -> Duration {
-    if route.slo_ms > 0.0 {
-        Duration::from_secs_f64((route.slo_ms / 1e3).min(86_400.0))
-    } else {
-        DEFAULT_OBJECTIVE
+    /// The error of a request that is not attempted again. `if_unexecuted` is used if no server has executed it and there is
+    /// time left: it promises the client that a retry is safe.
+    pub fn final_error(&self, if_unexecuted: RequestError) -> RequestError {
+        match (self.attempts.is_unexecuted(), self.terms.time_left().is_zero()) {
+            (true, true) => RequestError::DeadlineBeforeExecution,
+            (true, false) => if_unexecuted,
+            (false, true) => RequestError::DeadlineExceeded,
+            (false, false) => RequestError::BadGateway,
+        }
     }
-}
-
-/// The longest time that a request of this route may be held.
-pub fn time_limit(route: &Route) -> Duration {
-    Duration::from_secs_f64((route.timeout_ms / 1e3).clamp(0.0, 86_400.0))
-}
 
-/// The route of a request.
-pub fn find<'a>(head: &RequestHead, routes: &'a Routes) -> Result<&'a Route, RequestError> {
-    let mut hosts = head.headers.all("host");
-    let host = hosts.next().and_then(|host| std::str::from_utf8(host).ok()).ok_or(RequestError::Malformed)?;
-    let target = head.target();
-    if hosts.next().is_some() || !target.starts_with('/') {
-        return Err(RequestError::Malformed);
+    /// The time left until the deadline.
+    pub fn time_left(&self) -> Duration {
+        self.terms.time_left()
     }
-    routes.find(host.trim(), target).ok_or(RequestError::NoRoute)
 }
 
 impl From<SelectionError> for RequestError {
-    fn from(none: SelectionError) -> RequestError {
-        match none {
+    fn from(error: SelectionError) -> RequestError {
+        match error {
             SelectionError::NoServer => RequestError::Unavailable,
             SelectionError::Saturated => RequestError::Saturated,
         }
--- a/crates/proxy/src/stack/forward.rs
+++ b/crates/proxy/src/stack/forward.rs
@@ -1,64 +1,64 @@
-//! Gets an answer from one server, which does all of a request.
+//! Forwards a request to one server after the other, until one gives a response for the client.
 
 use crate::inbound::error_response::RequestError;
 use crate::outbound::{AttemptHeaders, ServerResponse};
-use crate::stack::execution::{AttemptOutcome, RequestExecution, ServerQuery};
+use crate::stack::attempt::AttemptOutcome;
+use crate::stack::execution::{RequestExecution, ServerQuery};
 use crate::stack::in_flight::InFlightAttempt;
 use crate::stack::response_class::{ResponseClass, classify};
 use lugwharf_routing::{FailureKind, LoadReport, Phase, Selection};
 use std::time::Duration;
 
-/// An answer for the client, whose body is still to come.
+/// A response that goes to the client. Its head was received, its body is still to be read.
 pub struct AcceptedResponse {
-    /// The answer.
-    pub answered: Box<ServerResponse>,
-    /// Its send.
+    /// The response.
+    pub response: Box<ServerResponse>,
+    /// The attempt that it belongs to.
     pub in_flight: InFlightAttempt,
-    /// What it is worth.
+    /// Its class.
     pub class: ResponseClass,
 }
 
-/// Sends the request until a server gives an answer for the client.
-pub async fn obtain(
-    execution: &mut RequestExecution<'_>, extra: &AttemptHeaders,
+/// Forwards the request, with retries, until a server gives a response for the client.
+///
+/// # Errors
+/// No server may be attempted any more.
+pub async fn execute(
+    execution: &mut RequestExecution<'_>, headers: &AttemptHeaders,
 ) -> Result<AcceptedResponse, RequestError> {
     loop {
-        let choice = next_server(execution)?;
-        let sent = execution.send(&choice, Phase::Full, extra, execution.by).await;
-        execution.tried.push(choice.key);
-        if let Some(accepted) = take(execution, &choice, sent)? {
+        let selection = select(execution)?;
+        let outcome = execution.attempt(&selection, Phase::Full, headers, execution.terms.deadline).await;
+        execution.history.attempted_servers.push(selection.key);
+        if let Some(accepted) = accept(execution, &selection, outcome)? {
             return Ok(accepted);
         }
     }
 }
 
-fn next_server(execution: &mut RequestExecution<'_>) -> Result<Selection, RequestError> {
-    if !execution.attempts.may_execute() || !execution.may_try() {
-        return Err(execution.give_up(RequestError::Saturated));
-    }
-    let ask = ServerQuery { part: Phase::Full, zone: &execution.state.zone, excluded: &execution.tried };
-    let choice = execution.choose(&ask).map_err(|none| execution.give_up(refusal(execution, none.into())))?;
-    if execution.is_hopeless(&choice) && execution.attempts.is_unexecuted() {
-        return Err(RequestError::Saturated);
-    }
-    if !execution.may_arrive() {
-        return Err(execution.give_up(RequestError::Saturated));
-    }
-    Ok(choice)
+fn select(execution: &mut RequestExecution<'_>) -> Result<Selection, RequestError> {
+    execution.may_execute()?;
+    let excluded = &execution.history.attempted_servers;
+    let query = ServerQuery { phase: Phase::Full, zone: &execution.state.zone, excluded };
+    let selection = execution.select(&query).map_err(|error| {
+        // If there were servers and all of them rejected the request, they are saturated.
+        let was_attempted = execution.attempts.was_attempted();
+        execution.final_error(if was_attempted { RequestError::Saturated } else { error.into() })
+    })?;
+    execution.admit(&selection)?;
+    Ok(selection)
 }
 
-/// Where servers were there and all turned the request away, they are full.
-fn refusal(execution: &RequestExecution<'_>, none: RequestError) -> RequestError {
-    if execution.attempts.was_attempted() { RequestError::Saturated } else { none }
-}
-
-/// What a send that may run the request has brought: an answer for the client, or `None` if another server may be asked.
-pub fn take(
-    execution: &mut RequestExecution<'_>, choice: &Selection, sent: AttemptOutcome,
+/// What an attempt that may execute the request has brought: a response for the client, or `None` if the request may be retried.
+///
+/// # Errors
+/// The request must not be attempted again.
+pub fn accept(
+    execution: &mut RequestExecution<'_>, selection: &Selection, outcome: AttemptOutcome,
 ) -> Result<Option<AcceptedResponse>, RequestError> {
-    match sent {
+    match outcome {
         AttemptOutcome::NotSent => Ok(None),
-        AttemptOutcome::TooLate => Err(execution.give_up(RequestError::DeadlineBeforeExecution)),
+        AttemptOutcome::TooLate => Err(execution.final_error(RequestError::DeadlineBeforeExecution)),
         AttemptOutcome::ConnectionBroken => {
             execution.attempts.record_execution();
             Ok(None)
@@ -67,55 +67,59 @@
             execution.attempts.record_execution();
             Err(RequestError::DeadlineExceeded)
         }
-        AttemptOutcome::Response(answered, in_flight) => Ok(weigh(execution, choice, answered, in_flight)),
+        AttemptOutcome::Response(response, in_flight) => {
+            Ok(accept_response(execution, selection, response, in_flight))
+        }
     }
 }
 
-fn weigh(
-    execution: &mut RequestExecution<'_>, choice: &Selection, answered: Box<ServerResponse>,
+/// Reports a response by its class; returns it if it goes to the client.
+fn accept_response(
+    execution: &mut RequestExecution<'_>, selection: &Selection, response: Box<ServerResponse>,
     mut in_flight: InFlightAttempt,
 ) -> Option<AcceptedResponse> {
-    let class = classify(&answered.head);
+    let class = classify(&response.head);
     match class {
         ResponseClass::Success => execution.attempts.record_execution(),
-        ResponseClass::InvalidRequest => in_flight.void(),
+        ResponseClass::InvalidRequest => in_flight.record_inconclusive(),
         ResponseClass::Failure => {
             execution.attempts.record_execution();
-            if answered.head.status >= 500 {
-                in_flight.failed(FailureKind::ServerError);
+            // What the request itself brought about, below 500, would only come again.
+            let is_server_error = response.head.status >= 500;
+            if is_server_error {
+                in_flight.record_failure(FailureKind::ServerError);
             } else {
-                in_flight.void();
+                in_flight.record_inconclusive();
             }
-            // What the request itself brought about would come again.
-            let is_servers = answered.head.status >= 500;
-            if is_servers && execution.attempts.may_execute() && execution.may_arrive() {
+            if is_server_error && execution.attempts.may_execute() && execution.try_pay_delivery() {
                 return None;
             }
         }
         ResponseClass::Rejected => {
             execution.attempts.record_rejection();
-            execution.was_full = full_by_own_word(&answered);
-            in_flight.rejected();
-            answered.discard(execution.state);
+            execution.history.was_saturated = reported_saturation(&response);
+            in_flight.record_rejection();
+            response.discard(execution.state);
             return None;
         }
         ResponseClass::Misdirected => {
             execution.attempts.record_rejection();
-            in_flight.void();
-            execution.misdirected(choice);
-            answered.discard(execution.state);
+            in_flight.record_inconclusive();
+            execution.record_misdirected(selection);
+            response.discard(execution.state);
             return None;
         }
         ResponseClass::Unusable => {
             execution.attempts.record_execution();
-            in_flight.failed(FailureKind::ConnectionBroken);
+            in_flight.record_failure(FailureKind::ConnectionBroken);
             return None;
         }
     }
-    Some(AcceptedResponse { answered, in_flight, class })
+    Some(AcceptedResponse { response, in_flight, class })
 }
 
-fn full_by_own_word(answered: &ServerResponse) -> Option<bool> {
-    let report = answered.head.headers.get_text("load-report")?;
+/// Whether the server reports that it is saturated; `None` without a report.
+fn reported_saturation(response: &ServerResponse) -> Option<bool> {
+    let report = response.head.headers.get_text("load-report")?;
     LoadReport::parse(report, Duration::ZERO).map(|report| report.is_saturated())
 }
--- a/crates/proxy/src/stack/in_flight.rs
+++ b/crates/proxy/src/stack/in_flight.rs
@@ -1,4 +1,4 @@
-//! One send in in_flight, as the balancer counts it.
+//! An attempt in flight, as the balancer counts it.
 
 use crate::state::ProxyState;
 use lugwharf_routing::{FailureKind, Observation, Phase, Selection, ServerKey, WorkSize};
@@ -6,65 +6,73 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A send that ends without a word after so long, since its client has left, counts as timed out: clients leave silent servers
-/// before the time is over.
-const SILENCE: Duration = Duration::from_millis(1_000);
+/// An attempt that is cancelled without an observation after this time, since its client has disconnected, counts as timed out:
+/// clients disconnect from an unresponsive server before the deadline passes.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_000);
 
-/// Counts as in in_flight while it exists.
+/// Counts an attempt as in flight while it exists, and reports to the balancer what it showed.
 pub struct InFlightAttempt {
     state: Rc<ProxyState>,
     key: ServerKey,
-    part: Phase,
+    phase: Phase,
     work: WorkSize,
-    begun: Instant,
+    started_at: Instant,
     timeout: Duration,
-    is_seen: bool,
+    is_observed: bool,
 }
 
 impl InFlightAttempt {
-    /// A server was chosen, and has until `by`.
-    pub fn new(state: &Rc<ProxyState>, choice: &Selection, part: Phase, by: Instant) -> InFlightAttempt {
-        state.balancer.borrow_mut().record_start(choice.key, part);
-        let begun = Instant::now();
-        let work = WorkSize { tokens: choice.prefill_tokens.into() };
-        let timeout = by.saturating_duration_since(begun);
-        InFlightAttempt { state: state.clone(), key: choice.key, part, work, begun, timeout, is_seen: false }
+    /// An attempt at the selected server starts, and has until `deadline`.
+    pub fn new(
+        state: &Rc<ProxyState>, selection: &Selection, phase: Phase, deadline: Instant,
+    ) -> InFlightAttempt {
+        state.balancer.borrow_mut().record_start(selection.key, phase);
+        let started_at = Instant::now();
+        InFlightAttempt {
+            state: state.clone(),
+            key: selection.key,
+            phase,
+            work: WorkSize { tokens: selection.prefill_tokens.into() },
+            started_at,
+            timeout: deadline.saturating_duration_since(started_at),
+            is_observed: false,
+        }
     }
 
-    /// The server did its part, so long after it was sent the request.
-    pub fn answered(&mut self, took: Duration) {
-        self.observe(Observation::Success { elapsed: took, work: self.work });
+    /// The server did its work, `elapsed` after the request was sent.
+    pub fn record_success(&mut self, elapsed: Duration) {
+        self.record(Observation::Success { elapsed, work: self.work });
     }
 
     /// The server failed.
-    pub fn failed(&mut self, failure: FailureKind) {
-        let (took, timeout, work) = (self.begun.elapsed(), self.timeout, self.work);
-        self.observe(Observation::Failure { kind: failure, elapsed: took, timeout, work });
+    pub fn record_failure(&mut self, kind: FailureKind) {
+        let (elapsed, timeout, work) = (self.started_at.elapsed(), self.timeout, self.work);
+        self.record(Observation::Failure { kind, elapsed, timeout, work });
     }
 
-    /// Nothing was sent, or the answer tells nothing of the server.
-    pub fn void(&mut self) {
-        self.observe(Observation::Inconclusive);
+    /// Nothing was sent, or the response says nothing about the server.
+    pub fn record_inconclusive(&mut self) {
+        self.record(Observation::Inconclusive);
     }
 
-    /// The server turned the request away since it is full.
-    pub fn rejected(&mut self) {
-        self.observe(Observation::Rejected);
+    /// The server rejected the request since it is saturated.
+    pub fn record_rejection(&mut self) {
+        self.record(Observation::Rejected);
     }
 
-    fn observe(&mut self, sample: Observation) {
-        self.is_seen = true;
+    fn record(&mut self, observation: Observation) {
+        self.is_observed = true;
         let now = self.state.now();
-        self.state.balancer.borrow_mut().record_observation(now, self.key, self.part, sample);
+        self.state.balancer.borrow_mut().record_observation(now, self.key, self.phase, observation);
     }
 }
 
 impl Drop for InFlightAttempt {
     fn drop(&mut self) {
-        if !self.is_seen && self.begun.elapsed() >= SILENCE {
-            self.timeout = self.begun.elapsed();
-            self.failed(FailureKind::Timeout);
+        if !self.is_observed && self.started_at.elapsed() >= UNRESPONSIVE_AFTER {
+            self.timeout = self.started_at.elapsed();
+            self.record_failure(FailureKind::Timeout);
         }
-        self.state.balancer.borrow_mut().record_end(self.key, self.part);
+        self.state.balancer.borrow_mut().record_end(self.key, self.phase);
     }
 }
--- a/crates/proxy/src/stack/kv_handle.rs
+++ b/crates/proxy/src/stack/kv_handle.rs
@@ -1,9 +1,4 @@
-//! The memory of a prompt that a prefill server holds for one request. It is never given to another request, and freed at once
-//! if nobody takes it.
-
-#[cfg(test)]
-#[path = "kv_handle_tests.rs"]
-mod kv_handle_tests;
+//! Handles of KV caches that wait at prefill servers.
 
 use crate::http::field;
 use crate::outbound::{Connection, MAX_STRAY_BYTES, discard_response};
@@ -14,47 +9,52 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Freeing a handle may take so long; then it lapses by itself.
-const FREE_WITHIN: Duration = Duration::from_millis(1_500);
+#[cfg(test)]
+#[path = "kv_handle_tests.rs"]
+mod kv_handle_tests;
+
+/// How long the call that frees a handle may take. After that the handle expires by itself at the server.
+const FREE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A handle that nobody has accepted yet.
+/// The KV cache of one request's prompt at its prefill server. It is never used for another request; dropping the handle without
+/// [`KvHandle::consume`] frees the KV cache in the background.
 pub struct KvHandle {
     state: Rc<ProxyState>,
     server: Selection,
     id: String,
-    is_taken: bool,
+    is_consumed: bool,
 }
 
 impl KvHandle {
-    /// `server` holds the memory.
+    /// The handle `id` of a KV cache at `server`.
     pub fn new(state: &Rc<ProxyState>, server: Selection, id: String) -> KvHandle {
-        KvHandle { state: state.clone(), server, id, is_taken: false }
+        KvHandle { state: state.clone(), server, id, is_consumed: false }
     }
 
-    /// What `Kv-From` says.
+    /// The value of `Kv-From`: `ADDRESS/ID`.
     pub fn source(&self) -> String {
         format!("{}/{}", self.server.address, self.id)
     }
 
-    /// The zone of its server.
+    /// The zone of the prefill server.
     pub fn zone(&self) -> &str {
         &self.server.zone
     }
 
-    /// A decode server has accepted it.
-    pub fn accepted(mut self) {
-        self.is_taken = true;
+    /// A decode server has fetched the KV cache.
+    pub fn consume(mut self) {
+        self.is_consumed = true;
     }
 }
 
 impl Drop for KvHandle {
     fn drop(&mut self) {
-        if self.is_taken {
+        if self.is_consumed {
             return;
         }
         let (state, server, id) = (self.state.clone(), self.server.clone(), std::mem::take(&mut self.id));
         tokio::task::spawn_local(async move {
-            let freed = timeout(FREE_WITHIN, free(&state, &server, &id)).await;
+            let freed = timeout(FREE_TIMEOUT, free(&state, &server, &id)).await;
             let is_freed = freed.is_ok_and(|freed| freed == Some(true));
             let metrics = &state.metrics;
             increment(if is_freed { &metrics.handles_freed } else { &metrics.handles_left });
@@ -64,28 +64,30 @@
     }
 }
 
-/// `DELETE /kv-handle/ID` at the server that holds it; whether it was done. The call has no id that its answer could bear, so its
-/// connection carries nothing more: a late copy of another call's answer may have come in place of its own.
+/// Calls `DELETE /kv-handle/ID` at the prefill server; returns whether the server confirmed it.
+///
+/// The call has no id that its response could carry: a late copy of another request's response may come in place of its own. So
+/// the connection is not reused.
 async fn free(state: &ProxyState, server: &Selection, id: &str) -> Option<bool> {
     if !state.balancer.borrow().is_eligible(state.now(), server.key, Phase::Prefill) {
         return None;
     }
-    let mut connection = match state.pool.take(server.key, true, &[]) {
+    let mut connection = match state.pool.checkout(server.key, true, &[]) {
         Some(connection) => connection,
         None => {
             let proxies = state.balancer.borrow().proxy_count();
-            let open = state.pool.try_reserve(server.key, None, proxies)?;
-            Connection::open(server.address, open).await.ok()?
+            let permit = state.pool.try_reserve(server.key, None, proxies)?;
+            Connection::open(server.address, permit).await.ok()?
         }
     };
     connection.write(&request(server, id)).await.ok()?;
-    let mut room = MAX_STRAY_BYTES;
+    let mut remaining = MAX_STRAY_BYTES;
     loop {
         let head = connection.read_head().await.ok()?;
         if !head.headers.has("request-id") {
             return Some(head.is_success());
         }
-        discard_response(&mut connection, &head, &mut room).await.ok()?;
+        discard_response(&mut connection, &head, &mut remaining).await.ok()?;
     }
 }
 
--- a/crates/proxy/src/stack/kv_handle_tests.rs
+++ b/crates/proxy/src/stack/kv_handle_tests.rs
@@ -1,4 +1,4 @@
-//! The call that frees a handle, byte for byte.
+//! The call that frees a KV handle, byte for byte.
 
 use super::request;
 use crate::outbound::fixtures::{choice, state};
--- a/crates/proxy/src/stack/response_class.rs
+++ b/crates/proxy/src/stack/response_class.rs
@@ -1,35 +1,38 @@
-//! What an answer of a server is worth.
+//! What a response of a server means for retries: the response classification of linkerd2-proxy.
 
 use crate::http::ResponseHead;
 
-/// The kinds of answers.
+/// The class of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseClass {
-    /// A success with the server's stamp.
+    /// A success with `Server-Stamp`, which proves that the server made it.
     Success,
-    /// A failure of the server's own. It has run the request.
+    /// A failure of the server's own. The server has executed the request.
     Failure,
-    /// The server says that it did not run the request, and why it never will.
+    /// The server did not execute the request and never will: it is invalid. Goes to the client; not retried.
     InvalidRequest,
-    /// The server did not run the request since it is full or leaving.
+    /// The server did not execute the request since it is saturated or draining. May be retried.
     Rejected,
-    /// The server did not run the request since it is another one, or has another part.
+    /// The server did not execute the request since it is another one, or does not serve the stage or model. May be retried.
     Misdirected,
-    /// An answer that must not go to the client. The request may have run.
+    /// The response must not go to the client. The server may have executed the request.
     Unusable,
 }
 
-/// Judges an answer that carries the request's id.
+/// Classifies a response that carries the id of the request.
+///
+/// A status alone proves nothing: only `Not-Executed` with a status that goes with it, or a 421, proves that the request was not
+/// executed.
 pub fn classify(head: &ResponseHead) -> ResponseClass {
-    let not_executed = head.headers.has("not-executed");
+    let is_unexecuted = head.headers.has("not-executed");
     let has_stamp = head.headers.has("server-stamp");
     match head.status {
         421 => ResponseClass::Misdirected,
-        429 | 503 if not_executed => ResponseClass::Rejected,
-        400 if not_executed => ResponseClass::InvalidRequest,
+        429 | 503 if is_unexecuted => ResponseClass::Rejected,
+        400 if is_unexecuted => ResponseClass::InvalidRequest,
         200..300 if has_stamp => ResponseClass::Success,
         200..300 => ResponseClass::Unusable,
-        // These would promise that nothing has run, which the server did not say.
+        // To the client these would promise that nothing was executed, which the server did not say.
         408 | 429 | 503 => ResponseClass::Unusable,
         _ => ResponseClass::Failure,
     }
--- a/crates/proxy/src/stack/service.rs
+++ b/crates/proxy/src/stack/service.rs
@@ -1,16 +1,16 @@
-//! Serves one request, from its route to the end of its answer.
+//! Serves one request, from its route to the end of its response.
 
 use crate::http::RequestHead;
 use crate::inbound::error_response::RequestError;
 use crate::inbound::request::ClientRequest;
 use crate::inbound::response_writer::{BodyEncoding, ResponseEnd, ResponseWriter};
 use crate::outbound::AttemptHeaders;
-use crate::stack::disaggregated;
-use crate::stack::execution::{self, RequestExecution};
+use crate::stack::execution::RequestExecution;
 use crate::stack::forward::{self, AcceptedResponse};
 use crate::stack::relay::{self, RelayOutcome, StreamEnd};
 use crate::stack::response_class::ResponseClass;
 use crate::stack::sse::EventBuffer;
+use crate::stack::{disaggregated, terms};
 use crate::state::ProxyState;
 use crate::telemetry::outcome::RequestOutcome;
 use crate::telemetry::request_trace::RequestTrace;
@@ -18,130 +18,140 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The longest time that its route allows for a request, if it has one.
-pub fn time_limit(state: &ProxyState, head: &RequestHead) -> Option<Duration> {
+/// The timeout of the route of a request, if it has a route.
+pub fn route_timeout(state: &ProxyState, head: &RequestHead) -> Option<Duration> {
     let routes = state.routes()?;
-    execution::find(head, &routes).ok().map(execution::time_limit)
+    routes.match_request(head).ok().map(terms::route_timeout)
 }
 
-/// Serves a request, and tells its trace how it ended.
+/// Serves a request, and finishes its trace.
 pub async fn serve(
-    state: &Rc<ProxyState>, request: &ClientRequest, reply: &mut ResponseWriter<'_, '_>, trace: &RequestTrace,
+    state: &Rc<ProxyState>, request: &ClientRequest, writer: &mut ResponseWriter<'_, '_>,
+    trace: &RequestTrace,
 ) -> ResponseEnd {
-    let (ended, outcome) = match answer(state, request, reply, trace).await {
-        Ok(ended) => (ended, answered(ended, trace)),
-        Err(refusal) => (reply.refuse(refusal).await, RequestOutcome::Rejected(refusal)),
+    let (end, outcome) = match respond(state, request, writer, trace).await {
+        Ok(end) => (end, forwarded_outcome(end, trace)),
+        Err(error) => (writer.write_error(error).await, RequestOutcome::Rejected(error)),
     };
     trace.finish(state, request, outcome);
-    ended
+    end
 }
 
-fn answered(ended: ResponseEnd, trace: &RequestTrace) -> RequestOutcome {
+/// The outcome of a request whose response came from a server.
+fn forwarded_outcome(end: ResponseEnd, trace: &RequestTrace) -> RequestOutcome {
     let is_success = trace.status().is_some_and(|status| status < 400);
-    match ended {
+    match end {
         ResponseEnd::Incomplete => RequestOutcome::Interrupted,
         ResponseEnd::Complete | ResponseEnd::CompleteAndClose if is_success => RequestOutcome::Success,
         ResponseEnd::Complete | ResponseEnd::CompleteAndClose => RequestOutcome::ServerFailure,
     }
 }
 
-/// Brings the client an answer of a server.
-async fn answer(
-    state: &Rc<ProxyState>, request: &ClientRequest, reply: &mut ResponseWriter<'_, '_>, trace: &RequestTrace,
+/// Forwards the request and its response.
+///
+/// # Errors
+/// No server has given a response; the proxy has to answer itself.
+async fn respond(
+    state: &Rc<ProxyState>, request: &ClientRequest, writer: &mut ResponseWriter<'_, '_>,
+    trace: &RequestTrace,
 ) -> Result<ResponseEnd, RequestError> {
     let routes = state.routes().ok_or(RequestError::NotReady)?;
     let mut execution = RequestExecution::new(state, request, &routes, trace)?;
-    if execution.left().is_zero() {
+    if execution.time_left().is_zero() {
         return Err(RequestError::DeadlineBeforeExecution);
     }
-    match execution.route.route_kind {
-        RouteKind::Streaming => stream(&mut execution, reply).await,
-        RouteKind::Safe | RouteKind::Unsafe => plain(&mut execution, reply).await,
+    match execution.terms.route.route_kind {
+        RouteKind::Streaming => stream(&mut execution, writer).await,
+        RouteKind::Safe | RouteKind::Unsafe => unary(&mut execution, writer).await,
     }
 }
 
-async fn plain(
-    execution: &mut RequestExecution<'_>, reply: &mut ResponseWriter<'_, '_>,
+/// A request with one complete response.
+async fn unary(
+    execution: &mut RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>,
 ) -> Result<ResponseEnd, RequestError> {
-    let extra = execution.extra();
+    let headers = execution.attempt_headers();
     loop {
-        let accepted = forward::obtain(execution, &extra).await?;
-        if let RelayOutcome::ResponseEnd(ended) = relay::answer(execution, reply, accepted).await {
-            return Ok(ended);
+        let accepted = forward::execute(execution, &headers).await?;
+        if let RelayOutcome::Ended(end) = relay::forward_response(execution, writer, accepted).await {
+            return Ok(end);
         }
-        unbegun(execution)?;
+        check_may_retry_body(execution)?;
     }
 }
 
-/// An answer broke off before anything of it went on: whether it may be asked for again.
-fn unbegun(execution: &RequestExecution<'_>) -> Result<(), RequestError> {
-    if execution.attempts.may_execute() && !execution.left().is_zero() {
+/// Whether a request whose response broke off before any of it was forwarded may be retried.
+fn check_may_retry_body(execution: &RequestExecution<'_>) -> Result<(), RequestError> {
+    if execution.attempts.may_execute() && !execution.time_left().is_zero() {
         Ok(())
     } else {
-        Err(execution.give_up(RequestError::BadGateway))
+        Err(execution.final_error(RequestError::BadGateway))
     }
 }
 
-async fn obtain(
-    execution: &mut RequestExecution<'_>, extra: &AttemptHeaders,
+async fn execute(
+    execution: &mut RequestExecution<'_>, headers: &AttemptHeaders,
 ) -> Result<AcceptedResponse, RequestError> {
-    if execution.is_split() {
-        disaggregated::obtain(execution, extra).await
+    if execution.is_disaggregated() {
+        disaggregated::execute(execution, headers).await
     } else {
-        forward::obtain(execution, extra).await
+        forward::execute(execution, headers).await
     }
 }
 
+/// A request whose response is a stream of events, resumed at other servers if it breaks off.
 async fn stream(
-    execution: &mut RequestExecution<'_>, reply: &mut ResponseWriter<'_, '_>,
+    execution: &mut RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>,
 ) -> Result<ResponseEnd, RequestError> {
-    let mut extra = execution.extra();
+    let mut headers = execution.attempt_headers();
     let mut accepted = loop {
-        let accepted = obtain(execution, &extra).await?;
-        if is_stream(&accepted) {
+        let accepted = execute(execution, &headers).await?;
+        if is_event_stream(&accepted) {
             break accepted;
         }
-        if let RelayOutcome::ResponseEnd(ended) = relay::answer(execution, reply, accepted).await {
-            return Ok(ended);
+        if let RelayOutcome::Ended(end) = relay::forward_response(execution, writer, accepted).await {
+            return Ok(end);
         }
-        unbegun(execution)?;
+        check_may_retry_body(execution)?;
     };
-    reply.begin(&accepted.answered.head, BodyEncoding::Chunked);
+    writer.start(&accepted.response.head, BodyEncoding::Chunked);
     let mut events = EventBuffer::default();
     loop {
-        match relay::events(execution, reply, &mut accepted, &mut events).await {
+        match relay::forward_events(execution, writer, &mut accepted, &mut events).await {
             StreamEnd::Complete => {
-                let ended = reply.end(BodyEncoding::Chunked, execution.by).await;
-                accepted.answered.finish(execution.state);
-                return Ok(ended);
+                let end = writer.finish(BodyEncoding::Chunked, execution.terms.deadline).await;
+                accepted.response.finish(execution.state);
+                return Ok(end);
             }
             StreamEnd::Terminated => return Ok(ResponseEnd::Incomplete),
             StreamEnd::Interrupted => {}
         }
+        // The attempt must not count as in flight while the next server is selected.
         drop(accepted);
-        let Some(next) = resume(execution, &mut events, &mut extra).await else {
+        let Some(resumed) = resume(execution, &mut events, &mut headers).await else {
             return Ok(ResponseEnd::Incomplete);
         };
-        accepted = next;
+        accepted = resumed;
     }
 }
 
-/// The next run of a stream that was cut, if there may be one. The answer keeps the head of its first server.
+/// Resumes a stream that broke off at another server, behind the last event that was forwarded; `None` if that is not possible.
+/// The client has received the head of the first response already.
 async fn resume(
-    execution: &mut RequestExecution<'_>, events: &mut EventBuffer, extra: &mut AttemptHeaders,
+    execution: &mut RequestExecution<'_>, events: &mut EventBuffer, headers: &mut AttemptHeaders,
 ) -> Option<AcceptedResponse> {
-    let resumes = execution.state.balancer.borrow().tuning().resumes_streams;
-    if !resumes || !execution.attempts.may_execute() || !events.can_resume() {
+    let resumes_streams = execution.state.balancer.borrow().tuning().resumes_streams;
+    if !resumes_streams || !execution.attempts.may_execute() || !events.can_resume() {
         return None;
     }
-    events.resume();
-    extra.last_event_id = events.last_id().map(<[u8]>::to_vec);
+    events.prepare_resumption();
+    headers.last_event_id = events.last_event_id().map(<[u8]>::to_vec);
     spdlog::debug!("request={} outcome=resuming", execution.request.id());
-    let accepted = obtain(execution, extra).await.ok()?;
-    is_stream(&accepted).then_some(accepted)
+    let accepted = execute(execution, headers).await.ok()?;
+    is_event_stream(&accepted).then_some(accepted)
 }
 
-fn is_stream(accepted: &AcceptedResponse) -> bool {
-    let kind = accepted.answered.head.headers.get_text("content-type").unwrap_or_default();
-    accepted.class == ResponseClass::Success && kind.starts_with("text/event-stream")
+fn is_event_stream(accepted: &AcceptedResponse) -> bool {
+    let content_type = accepted.response.head.headers.get_text("content-type").unwrap_or_default();
+    accepted.class == ResponseClass::Success && content_type.starts_with("text/event-stream")
 }
--- a/crates/proxy/src/stack/sse_tests.rs
+++ b/crates/proxy/src/stack/sse_tests.rs
@@ -6,8 +6,8 @@
     let (mut events, mut out) = (EventBuffer::default(), Vec::new());
     for piece in text.as_bytes().chunks(size) {
         events.push(piece).expect("events");
-        out.extend_from_slice(events.whole());
-        events.passed();
+        out.extend_from_slice(events.complete());
+        events.drop_complete();
     }
     (String::from_utf8(out).expect("text"), events)
 }
@@ -29,7 +29,7 @@
     for size in 1..=text.len() {
         let (out, events) = passed(text, size);
         assert_eq!(out, expected, "in pieces of {size}");
-        assert_eq!(events.last_id(), last.map(str::as_bytes), "in pieces of {size}");
+        assert_eq!(events.last_event_id(), last.map(str::as_bytes), "in pieces of {size}");
     }
 }
 
@@ -37,7 +37,7 @@
 fn an_end_passes_the_rest_on() {
     let (_, mut events) = passed("id: 1\n\nrest", 3);
     events.finish();
-    assert_eq!(events.whole(), b"rest");
+    assert_eq!(events.complete(), b"rest");
 }
 
 #[rstest]
@@ -47,7 +47,7 @@
 #[case("3", false)]
 fn a_resumed_stream_has_to_rise(#[case] next: &str, #[case] rises: bool) {
     let (_, mut events) = passed("id: 4\ndata: a\n\nid: 5\nda", 4);
-    events.resume();
+    events.prepare_resumption();
     let pushed = events.push(format!("id: {next}\ndata: b\n\n").as_bytes());
     assert_eq!(pushed, if rises { Ok(()) } else { Err(EventError::RepeatedEvent) });
 }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,7 +1,7 @@
-//! What all tasks of the process share: the tables, the connections to servers, whether it is shutting down.
+//! The state shared by all tasks: the configuration, the balancer, the connection pool, and the phase of shutdown.
 //!
-//! Everything runs on one thread. The feed's task is the only writer of the tables; request tasks take a snapshot of the
-//! configuration and borrow the balancer for the length of one decision.
+//! All tasks run on one thread. The agent feed's task is the only one that applies updates; tasks of requests take a snapshot of
+//! the routes, and borrow the balancer for the length of one decision.
 
 use crate::outbound::ConnectionPool;
 use crate::routes::Routes;
@@ -16,128 +16,134 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Bytes of request bodies that are held at once, as a share of the process's memory.
-const BODIES_SHARE: u64 = 4;
+/// The process's memory over the memory for request bodies: a quarter is for bodies.
+const BODY_MEMORY_DIVISOR: u64 = 4;
+/// The least memory that is assumed, in MiB.
+const MIN_MEMORY_MB: u64 = 16;
 
-/// ProxyState by all tasks.
+/// The state shared by all tasks.
 pub struct ProxyState {
     /// The zone of this machine.
     pub zone: String,
-    /// The balancer; borrowed for one decision at a time, never across a wait.
+    /// The balancer. Borrowed for one decision at a time, never across an await.
     pub balancer: RefCell<Balancer>,
-    /// Connections to servers.
+    /// The connections to servers.
     pub pool: ConnectionPool,
-    /// Bytes of request bodies that may still be accepted in.
+    /// Bytes of request bodies that may still be read into memory.
     pub free_body_bytes: Cell<u64>,
-    /// What is counted.
+    /// The counters.
     pub metrics: Metrics,
     routes: RefCell<Option<Rc<Routes>>>,
     limits: RefCell<Limits>,
-    draining: Cell<bool>,
-    /// Whether nobody more is let in.
-    closed: Cell<bool>,
-    max_body_bytes_in_flight: u64,
+    is_draining: Cell<bool>,
+    /// Whether no further connection is admitted.
+    is_closed: Cell<bool>,
+    max_body_bytes: u64,
     started: Instant,
-    jitter: RefCell<fastrand::Rng>,
+    rng: RefCell<fastrand::Rng>,
 }
 
 impl ProxyState {
-    /// Before anything is known.
+    /// The state of a process that has no configuration and no endpoint list yet.
     pub fn new(settings: &Settings, tuning: Tuning, seed: u64) -> Rc<ProxyState> {
         let pool = if tuning.reuses_connections {
             ConnectionPool::default()
         } else {
             ConnectionPool::without_reuse()
         };
-        let balancer = Balancer::new(tuning, terms(&settings.bounds), seed);
-        let max_body_bytes_in_flight = settings.limits.memory_mb.max(16) * 1024 * 1024 / BODIES_SHARE;
+        let balancer = Balancer::new(tuning, retry_budget(&settings.bounds), seed);
+        let memory = settings.limits.memory_mb.max(MIN_MEMORY_MB) * 1024 * 1024;
+        let max_body_bytes = memory / BODY_MEMORY_DIVISOR;
         Rc::new(ProxyState {
             zone: settings.zone.clone(),
             balancer: RefCell::new(balancer),
             pool,
-            free_body_bytes: Cell::new(max_body_bytes_in_flight),
-            max_body_bytes_in_flight,
+            free_body_bytes: Cell::new(max_body_bytes),
+            max_body_bytes,
             metrics: Metrics::default(),
             routes: RefCell::default(),
             limits: RefCell::default(),
-            draining: Cell::new(false),
-            closed: Cell::new(false),
+            is_draining: Cell::new(false),
+            is_closed: Cell::new(false),
             started: Instant::now(),
-            jitter: RefCell::new(fastrand::Rng::with_seed(seed ^ u64::MAX)),
+            // The balancer's draws must not depend on how often others draw.
+            rng: RefCell::new(fastrand::Rng::with_seed(seed ^ u64::MAX)),
         })
     }
 
-    /// The time as the balancer counts it.
+    /// The time since the start of the process, as the balancer counts it.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The configuration in force.
+    /// The routes in force; `None` without a configuration.
     pub fn routes(&self) -> Option<Rc<Routes>> {
         self.routes.borrow().clone()
     }
 
-    /// What clients may send.
+    /// The limits on what clients may send.
     pub fn limits(&self) -> Limits {
         self.limits.borrow().clone()
     }
 
-    /// Whether requests can be served and are wanted.
+    /// Whether the process is ready: it has a configuration and servers, and is not draining.
     pub fn is_ready(&self) -> bool {
         let has_tables = self.routes.borrow().is_some() && self.balancer.borrow().has_servers();
         has_tables && !self.is_draining()
     }
 
-    /// Whether the process is shutting down.
+    /// Whether the process is draining.
     pub fn is_draining(&self) -> bool {
-        self.draining.get()
+        self.is_draining.get()
     }
 
-    /// The process begins to shut down.
+    /// The process starts to drain: it is not ready any more, and connections close behind their responses.
     pub fn drain(&self) {
-        self.draining.set(true);
+        self.is_draining.set(true);
     }
 
-    /// From now on nobody is let in.
+    /// No connection is admitted from now on.
     pub fn close(&self) {
-        self.closed.set(true);
+        self.is_closed.set(true);
     }
 
-    /// Somebody was let in.
+    /// A connection was admitted.
     pub fn record_admission(&self) {
-        check(Invariant::NothingNewAfterDrain, !self.closed.get(), || "a connection was let in".to_owned());
+        check(Invariant::NothingNewAfterDrain, !self.is_closed.get(), || {
+            "a connection was admitted".to_owned()
+        });
     }
 
-    /// Bytes of request bodies that are held.
+    /// Bytes of request bodies in memory.
     pub fn body_bytes(&self) -> u64 {
-        self.max_body_bytes_in_flight.saturating_sub(self.free_body_bytes.get())
+        self.max_body_bytes.saturating_sub(self.free_body_bytes.get())
     }
 
-    /// Gives bytes of a request's body back.
+    /// Releases the memory of a request's body.
     pub fn release_body_bytes(&self, bytes: u64) {
-        let (room, most) = (self.free_body_bytes.get() + bytes, self.max_body_bytes_in_flight);
-        check(Invariant::BodyBytesBounded, room <= most, || format!("room of {room} bytes of {most}"));
-        self.free_body_bytes.set(room);
+        let (free, max) = (self.free_body_bytes.get() + bytes, self.max_body_bytes);
+        check(Invariant::BodyBytesBounded, free <= max, || format!("{free} bytes free of {max}"));
+        self.free_body_bytes.set(free);
     }
 
-    /// A random number from 0 to below 1.
+    /// A random number in `0.0..1.0`.
     pub fn random_fraction(&self) -> f64 {
-        self.jitter.borrow_mut().f64()
+        self.rng.borrow_mut().f64()
     }
 
-    /// Takes over what may change while the process runs.
+    /// Applies those settings that may change while the process runs: the retry budget.
     pub fn reload(&self, settings: &Settings) {
-        self.balancer.borrow_mut().set_retry_budget(terms(&settings.bounds));
+        self.balancer.borrow_mut().set_retry_budget(retry_budget(&settings.bounds));
     }
 
-    /// What this process has.
-    pub fn have(&self) -> VersionVector {
+    /// The versions of the tables in force; zeros for what is missing.
+    pub fn versions(&self) -> VersionVector {
         let balancer = self.balancer.borrow();
         let config = self.routes.borrow().as_ref().map_or(0, |routes| routes.version());
         VersionVector { config, servers: balancer.position(), live_proxies: balancer.reported_proxy_count() }
     }
 
-    /// Takes an update over; what is older than what is held changes nothing.
+    /// Applies an update of the agent. Older versions than those in force are ignored.
     pub fn apply(&self, update: &Update) {
         if let Some(fleet) = update.fleet {
             self.balancer.borrow_mut().set_live_proxies(fleet.live_proxies);
@@ -150,10 +156,10 @@
             }
         }
         if let Some(record) = &update.config
-            && record.version > self.have().config
+            && record.version > self.versions().config
         {
             match Configuration::parse_unchecked(&record.bytes) {
-                Ok(configuration) => self.enforce(configuration),
+                Ok(configuration) => self.set_configuration(configuration),
                 Err(error) => {
                     spdlog::error!("config version={} outcome=unreadable error={error}", record.version)
                 }
@@ -161,8 +167,8 @@
         }
     }
 
-    fn enforce(&self, configuration: Configuration) {
-        let (before, version) = (self.have().config, configuration.version);
+    fn set_configuration(&self, configuration: Configuration) {
+        let (before, version) = (self.versions().config, configuration.version);
         check(Invariant::ProxyVersionClimbs, version > before, || format!("{version} after {before}"));
         spdlog::info!("config version={} routes={}", configuration.version, configuration.routes.len());
         self.balancer.borrow_mut().retain_services(|name| configuration.service(name).is_some());
@@ -171,7 +177,8 @@
     }
 }
 
-fn terms(bounds: &Bounds) -> RetryBudgetConfig {
+/// The fleet's retry budget by the settings. The balancer sets this proxy's share.
+fn retry_budget(bounds: &Bounds) -> RetryBudgetConfig {
     RetryBudgetConfig {
         ratio: bounds.retry_budget,
         reserve: bounds.budget_slack,
--- a/crates/proxy/src/telemetry/metrics_tests.rs
+++ b/crates/proxy/src/telemetry/metrics_tests.rs
@@ -5,7 +5,8 @@
 use crate::outbound::ExchangeError;
 use crate::outbound::fixtures::state;
 use crate::stack::response_class::ResponseClass;
-use crate::telemetry::metrics::{increment, render};
+use crate::telemetry::metrics::increment;
+use crate::telemetry::metrics_endpoint::render;
 use crate::telemetry::outcome::{AttemptLabel, RequestOutcome};
 
 const EXPECTED: [&str; 54] = [
@@ -78,12 +79,12 @@
 async fn names_and_values_of_all_metrics() {
     let state = state(([127, 0, 0, 1], 9).into());
     let clients = ClientConnections::new(4_096);
-    let _ = clients.add();
+    let _ = clients.register();
     state.free_body_bytes.set(state.free_body_bytes.get() - 321);
     for (times, outcome) in RequestOutcome::all().enumerate() {
-        (0..=times).for_each(|_| state.metrics.request_ended(outcome));
+        (0..=times).for_each(|_| state.metrics.record_request(outcome));
     }
-    let verdicts = [
+    let classes = [
         ResponseClass::Success,
         ResponseClass::Failure,
         ResponseClass::InvalidRequest,
@@ -91,24 +92,24 @@
         ResponseClass::Misdirected,
         ResponseClass::Unusable,
     ];
-    let answered = verdicts.map(|class| AttemptLabel::Response { status: 200, class });
-    let faults = [
+    let answered = classes.map(|class| AttemptLabel::Response { status: 200, class });
+    let errors = [
         ExchangeError::Connect,
         ExchangeError::Aborted,
         ExchangeError::TooLate,
         ExchangeError::ConnectionBroken,
         ExchangeError::Timeout,
     ];
-    let ends = answered.into_iter().chain(faults.map(AttemptLabel::Failed));
+    let ends = answered.into_iter().chain(errors.map(AttemptLabel::Failed));
     for (times, outcome) in ends.enumerate() {
-        (0..=times).for_each(|_| state.metrics.send_ended(outcome));
+        (0..=times).for_each(|_| state.metrics.record_attempt(outcome));
     }
     increment(&state.metrics.budget_denials);
     (0..2).for_each(|_| increment(&state.metrics.handles_freed));
     (0..3).for_each(|_| increment(&state.metrics.handles_left));
     // A burst of five lines is written, and two are left out.
     let outcome = RequestOutcome::Rejected(RequestError::Saturated);
-    let written = (0..7).filter(|_| state.metrics.may_write_line(state.now(), outcome).is_some());
-    assert_eq!(written.count(), 5);
+    let logged = (0..7).filter(|_| state.metrics.try_log_request(state.now(), outcome).is_some());
+    assert_eq!(logged.count(), 5);
     assert_eq!(sorted(&render(&state, &clients)), EXPECTED);
 }
--- a/crates/proxy/src/telemetry/mod.rs
+++ b/crates/proxy/src/telemetry/mod.rs
@@ -1,6 +1,7 @@
-//! How requests end, and what tells of it: metrics and the trace of each request.
+//! How requests and attempts end, and what records it: metrics, and the trace of each request.
 
 pub mod metrics;
+pub mod metrics_endpoint;
 #[cfg(test)]
 mod metrics_tests;
 pub mod outcome;
--- a/crates/proxy/src/telemetry/outcome.rs
+++ b/crates/proxy/src/telemetry/outcome.rs
@@ -1,42 +1,42 @@
-//! How requests and their sends end, by the names that metrics and logs use.
+//! How requests and attempts end, by the names that metrics and logs use. The names are fixed: alarms use them.
 
 use crate::inbound::error_response::RequestError;
 use crate::outbound::ExchangeError;
 use crate::stack::response_class::ResponseClass;
 
-/// How a request of a client ended.
+/// How a client's request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A server's success went on whole.
+    /// A server's success was forwarded completely.
     Success,
-    /// A server's failure went on whole.
+    /// A server's failure was forwarded completely.
     ServerFailure,
-    /// An answer had begun and is not whole.
+    /// The response was started and not completed.
     Interrupted,
-    /// The client left before its answer was whole.
+    /// The client disconnected before its response was complete.
     ClientDisconnected,
-    /// This program answered by itself.
+    /// The proxy answered itself.
     Rejected(RequestError),
 }
 
 impl RequestOutcome {
-    /// How many there are.
+    /// The number of outcomes.
     pub const COUNT: usize = 4 + RequestError::ALL.len();
 
-    /// All of them, in the order of [`RequestOutcome::index`].
+    /// All outcomes, in the order of [`RequestOutcome::index`].
     pub fn all() -> impl Iterator<Item = RequestOutcome> {
-        let answered = [Self::Success, Self::ServerFailure, Self::Interrupted, Self::ClientDisconnected];
-        answered.into_iter().chain(RequestError::ALL.into_iter().map(Self::Rejected))
+        let others = [Self::Success, Self::ServerFailure, Self::Interrupted, Self::ClientDisconnected];
+        others.into_iter().chain(RequestError::ALL.into_iter().map(Self::Rejected))
     }
 
-    /// Its place among all.
+    /// The index among all outcomes.
     pub fn index(self) -> usize {
         match self {
             Self::Success => 0,
             Self::ServerFailure => 1,
             Self::Interrupted => 2,
             Self::ClientDisconnected => 3,
-            Self::Rejected(refusal) => 4 + refusal as usize,
+            Self::Rejected(error) => 4 + error as usize,
         }
     }
 
@@ -47,27 +47,27 @@
             Self::ServerFailure => "server_failure",
             Self::Interrupted => "cut",
             Self::ClientDisconnected => "left",
-            Self::Rejected(refusal) => refusal.name(),
+            Self::Rejected(error) => error.name(),
         }
     }
 }
 
-/// How one send ended.
+/// How an attempt ended, as metrics and logs tell attempts apart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptLabel {
-    /// The head of an answer came.
+    /// The head of a response was received.
     Response {
         /// Its status.
         status: u16,
-        /// What it is worth.
+        /// Its class.
         class: ResponseClass,
     },
-    /// None came.
+    /// No response was received.
     Failed(ExchangeError),
 }
 
 impl AttemptLabel {
-    /// The names of all.
+    /// The names of all labels, by [`AttemptLabel::index`].
     pub const NAMES: [&'static str; 11] = [
         "success",
         "failure",
@@ -82,7 +82,7 @@
         "timeout",
     ];
 
-    /// Its place in [`AttemptLabel::NAMES`].
+    /// The index in [`AttemptLabel::NAMES`].
     pub fn index(self) -> usize {
         match self {
             Self::Response { class, .. } => match class {
@@ -93,7 +93,7 @@
                 ResponseClass::Misdirected => 4,
                 ResponseClass::Unusable => 5,
             },
-            Self::Failed(fault) => match fault {
+            Self::Failed(error) => match error {
                 ExchangeError::Connect => 6,
                 ExchangeError::Aborted => 7,
                 ExchangeError::TooLate => 8,
@@ -109,16 +109,16 @@
     }
 }
 
-/// What became of the body of an answer whose head came.
+/// How the body of a response failed whose head was received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyOutcome {
     /// The server broke it off.
     Broken,
-    /// It was not whole in time.
+    /// It was not complete at the deadline.
     Timeout,
-    /// The client did not take it.
+    /// The client stopped reading it.
     Unread,
-    /// It was not what may go on.
+    /// It must not be forwarded.
     Invalid,
 }
 
--- a/crates/proxy/src/telemetry/request_trace.rs
+++ b/crates/proxy/src/telemetry/request_trace.rs
@@ -1,12 +1,12 @@
-//! What explains the end of one request: its terms, its sends and how each of them ended.
+//! The trace of one request: its terms, its attempts, and how each of them ended.
 //!
-//! The trace outlives the task that serves the request, so that it also tells of a request whose client has left.
+//! The trace outlives the task that serves the request, so that it also records requests whose clients disconnect.
 
 use crate::inbound::request::ClientRequest;
 use crate::routes::Routes;
-use crate::stack::execution::find;
+use crate::stack::terms::RequestTerms;
 use crate::state::ProxyState;
-use crate::telemetry::metrics::increment;
+use crate::telemetry::metrics::{Metrics, increment};
 use crate::telemetry::outcome::{AttemptLabel, BodyOutcome, RequestOutcome};
 use lugwharf_protocol::VersionVector;
 use lugwharf_routing::Phase;
@@ -16,78 +16,79 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Sends that one line tells of.
+/// The attempts that one log line lists; further ones are only counted by the metrics.
 const MAX_LOGGED_ATTEMPTS: usize = 16;
 
-/// One send of the request.
+/// One attempt of the request.
 #[derive(Debug)]
 pub struct AttemptTrace {
-    /// The server's incarnation.
+    /// The id of the server, which names its incarnation.
     pub server: Rc<str>,
-    /// What it was to do.
-    pub part: Phase,
-    /// The connection that carried it last, if any did.
+    /// What the server was to do.
+    pub phase: Phase,
+    /// The last connection that carried the request; absent if none did.
     pub connection: Option<u64>,
-    /// Since the request arrived.
-    pub begun: Duration,
-    /// Until it ended or its head came.
-    pub took: Duration,
-    /// The time that the request had left when it was sent.
-    pub left: Duration,
-    /// Whether it was paid from the retry budget.
-    pub paid: bool,
+    /// When the attempt started, since the arrival of the request.
+    pub started_at: Duration,
+    /// The time until the attempt failed or the head of the response was received.
+    pub elapsed: Duration,
+    /// The time until the request's deadline when the attempt started.
+    pub time_left: Duration,
+    /// Whether it was withdrawn from the retry budget.
+    pub is_paid: bool,
     /// How it ended.
-    pub outcome: AttemptLabel,
-    /// How the body of its answer ended, where that went wrong.
+    pub label: AttemptLabel,
+    /// How the body of the response failed, if it did.
     pub body: Option<BodyOutcome>,
 }
 
+/// `SERVER/PHASE connection:ID at_ms:N took_ms:N left_ms:N [budgeted] LABEL[:STATUS] [BODY]`
 impl fmt::Display for AttemptTrace {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let part = match self.part {
-            Phase::Full => "whole",
+        let phase = match self.phase {
+            Phase::Full => "full",
             Phase::Prefill => "prefill",
             Phase::Decode => "decode",
         };
-        write!(f, "{}/{part}", self.server)?;
+        write!(f, "{}/{phase}", self.server)?;
         if let Some(connection) = self.connection {
             write!(f, " connection:{connection}")?;
         }
-        let ms = |time: Duration| time.as_millis();
-        write!(f, " at_ms:{} took_ms:{} left_ms:{}", ms(self.begun), ms(self.took), ms(self.left))?;
-        if self.paid {
-            f.write_str(" paid")?;
+        let (at, took, left) = (millis(self.started_at), millis(self.elapsed), millis(self.time_left));
+        write!(f, " at_ms:{at} took_ms:{took} left_ms:{left}")?;
+        if self.is_paid {
+            f.write_str(" budgeted")?;
         }
-        write!(f, " {}", self.outcome.name())?;
-        if let AttemptLabel::Response { status, .. } = self.outcome {
+        write!(f, " {}", self.label.name())?;
+        if let AttemptLabel::Response { status, .. } = self.label {
             write!(f, ":{status}")?;
         }
         self.body.map_or(Ok(()), |body| write!(f, " {}", body.name()))
     }
 }
 
-/// The terms under which a request was served.
+/// What the request was routed by.
 #[derive(Debug)]
-struct RequestTerms {
+struct RoutingContext {
     routes: Rc<Routes>,
     service: String,
     objective: Duration,
-    limit: Duration,
-    have: VersionVector,
+    client_timeout: Duration,
+    versions: VersionVector,
 }
 
 /// The trace of one request.
 #[derive(Debug, Default)]
 pub struct RequestTrace {
-    terms: RefCell<Option<RequestTerms>>,
-    sends: RefCell<Vec<AttemptTrace>>,
-    record_budget_denial: Cell<bool>,
-    /// The status of the answer that has begun.
+    context: RefCell<Option<RoutingContext>>,
+    attempts: RefCell<Vec<AttemptTrace>>,
+    was_budget_denied: Cell<bool>,
+    /// The status of the response to the client, once it was started.
     status: Cell<Option<u16>>,
     is_finished: Cell<bool>,
 }
 
-/// Sees to it that a request whose task is dropped, as at the end of the process, is counted and told of as cut.
+/// Finishes the trace of a request whose task is dropped, as at the end of the process. Such a request counts as interrupted.
 pub struct TraceGuard<'a> {
     trace: &'a RequestTrace,
     state: &'a ProxyState,
@@ -95,7 +96,7 @@
 }
 
 impl<'a> TraceGuard<'a> {
-    /// For the time in which the request is served.
+    /// Guards the trace while the request is served.
     pub fn new(trace: &'a RequestTrace, state: &'a ProxyState, request: &'a ClientRequest) -> TraceGuard<'a> {
         TraceGuard { trace, state, request }
     }
@@ -110,66 +111,64 @@
 }
 
 impl RequestTrace {
-    /// The request has a route, and these terms.
-    pub fn begin(
-        &self, state: &ProxyState, routes: &Rc<Routes>, service: &str, objective: Duration, limit: Duration,
-    ) {
-        let terms = RequestTerms {
+    /// Records the route and terms of the request, and the versions in force.
+    pub fn record_route(&self, state: &ProxyState, routes: &Rc<Routes>, terms: &RequestTerms<'_>) {
+        let context = RoutingContext {
             routes: routes.clone(),
-            service: service.to_owned(),
-            objective,
-            limit,
-            have: state.have(),
+            service: terms.service.to_owned(),
+            objective: terms.objective,
+            client_timeout: terms.client_timeout,
+            versions: state.versions(),
         };
-        *self.terms.borrow_mut() = Some(terms);
+        *self.context.borrow_mut() = Some(context);
     }
 
-    /// A send has ended.
-    pub fn sent(&self, send: AttemptTrace) {
-        let mut sends = self.sends.borrow_mut();
-        if sends.len() < MAX_LOGGED_ATTEMPTS {
-            sends.push(send);
+    /// Records an attempt that has ended.
+    pub fn record_attempt(&self, attempt: AttemptTrace) {
+        let mut attempts = self.attempts.borrow_mut();
+        if attempts.len() < MAX_LOGGED_ATTEMPTS {
+            attempts.push(attempt);
         }
     }
 
-    /// The body of the last send's answer went wrong.
-    pub fn body_ended(&self, body: BodyOutcome) {
-        if let Some(send) = self.sends.borrow_mut().last_mut() {
-            send.body = Some(body);
+    /// Records how the body of the last attempt's response failed.
+    pub fn record_body_failure(&self, body: BodyOutcome) {
+        if let Some(attempt) = self.attempts.borrow_mut().last_mut() {
+            attempt.body = Some(body);
         }
     }
 
-    /// The retry budget did not allow another send.
-    pub fn record_budget_denial(&self, state: &ProxyState) {
-        self.record_budget_denial.set(true);
-        increment(&state.metrics.budget_denials);
+    /// Records and counts a retry that the retry budget did not allow.
+    pub fn record_budget_denial(&self, metrics: &Metrics) {
+        self.was_budget_denied.set(true);
+        increment(&metrics.budget_denials);
     }
 
-    /// An answer with this status begins.
-    pub fn answered(&self, status: u16) {
+    /// Records the status of the response that is started.
+    pub fn record_status(&self, status: u16) {
         self.status.set(Some(status));
     }
 
-    /// The status of the answer that has begun.
+    /// The status of the response that was started.
     pub fn status(&self) -> Option<u16> {
         self.status.get()
     }
 
-    /// Counts the request, and writes a line if it failed.
+    /// Counts the request, and logs it if it failed and the rate limit allows it.
     pub fn finish(&self, state: &ProxyState, request: &ClientRequest, outcome: RequestOutcome) {
         self.is_finished.set(true);
-        state.metrics.request_ended(outcome);
+        state.metrics.record_request(outcome);
         if self.is_failure(request, outcome)
-            && let Some(permit) = state.metrics.may_write_line(state.now(), outcome)
+            && let Some(permit) = state.metrics.try_log_request(state.now(), outcome)
         {
-            self.write(state, request, outcome, permit.omitted);
+            self.log(state, request, outcome, permit.omitted);
         }
     }
 
-    /// A client that leaves before an answer is due has its own reasons.
+    /// Whether the request failed. A client that disconnects before its objective has reasons of its own.
     fn is_failure(&self, request: &ClientRequest, outcome: RequestOutcome) -> bool {
-        let terms = self.terms.borrow();
-        let objective = terms.as_ref().map_or(Duration::ZERO, |terms| terms.objective);
+        let context = self.context.borrow();
+        let objective = context.as_ref().map_or(Duration::ZERO, |context| context.objective);
         match outcome {
             RequestOutcome::Success => false,
             RequestOutcome::ClientDisconnected => request.arrived.elapsed() >= objective,
@@ -177,29 +176,30 @@
         }
     }
 
-    fn write(&self, state: &ProxyState, request: &ClientRequest, outcome: RequestOutcome, omitted: u64) {
-        let terms = self.terms.borrow();
-        let terms = terms.as_ref();
-        let route = terms.and_then(|terms| find(&request.head, &terms.routes).ok());
+    fn log(&self, state: &ProxyState, request: &ClientRequest, outcome: RequestOutcome, omitted: u64) {
+        let context = self.context.borrow();
+        let context = context.as_ref();
+        let route = context.and_then(|context| context.routes.match_request(&request.head).ok());
         let route = route.map_or("-", |route| &route.name);
-        let service = terms.map_or("-", |terms| &terms.service);
-        let limit_ms = terms.map_or(0, |terms| millis(terms.limit));
-        let have = terms.map_or_else(|| state.have(), |terms| terms.have);
-        let sends = self.sends_text();
+        let service = context.map_or("-", |context| &context.service);
+        let client_timeout_ms = context.map_or(0, |context| millis(context.client_timeout));
+        let versions = context.map_or_else(|| state.versions(), |context| context.versions);
+        let attempts = self.attempts_text();
         warn!("request", kv: {
             outcome = outcome.name(), request_id = request.id(), status = self.status.get().unwrap_or(0), route, service,
-            ms = millis(request.arrived.elapsed()), limit_ms, config_version = have.config,
-            list_epoch = have.servers.epoch, list_sequence = have.servers.sequence,
-            live_proxies = have.live_proxies, record_budget_denial = self.record_budget_denial.get(), sends = sends.as_str(), omitted
+            elapsed_ms = millis(request.arrived.elapsed()), client_timeout_ms, config_version = versions.config,
+            list_epoch = versions.servers.epoch, list_sequence = versions.servers.sequence,
+            live_proxies = versions.live_proxies, budget_denied = self.was_budget_denied.get(),
+            attempts = attempts.as_str(), omitted
         });
     }
 
-    fn sends_text(&self) -> String {
+    fn attempts_text(&self) -> String {
         let mut text = String::from("[");
-        for (index, send) in self.sends.borrow().iter().enumerate() {
+        for (index, attempt) in self.attempts.borrow().iter().enumerate() {
             let separator = if index == 0 { "" } else { "; " };
             // Writing to a string does not fail.
-            let _ = write!(text, "{separator}{send}");
+            let _ = write!(text, "{separator}{attempt}");
         }
         text.push(']');
         text
