--- a/crates/proxy/src/telemetry/request_trace_tests.rs
+++ b/crates/proxy/src/telemetry/request_trace_tests.rs
@@ -1,4 +1,4 @@
-//! What the line about a failed request says of its sends.
+//! The attempts in the log line of a failed request.
 
 use crate::inbound::error_response::RequestError;
 use crate::outbound::ExchangeError;
@@ -9,43 +9,43 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-fn send(outcome: AttemptLabel) -> AttemptTrace {
+fn attempt(label: AttemptLabel) -> AttemptTrace {
     AttemptTrace {
         server: "i-1".into(),
-        part: Phase::Decode,
+        phase: Phase::Decode,
         connection: Some(7),
-        begun: Duration::from_millis(3),
-        took: Duration::from_millis(20),
-        left: Duration::from_millis(480),
-        paid: false,
-        outcome,
+        started_at: Duration::from_millis(3),
+        elapsed: Duration::from_millis(20),
+        time_left: Duration::from_millis(480),
+        is_paid: false,
+        label,
         body: None,
     }
 }
 
 #[test]
-fn a_send_tells_its_server_its_connection_its_times_and_its_end() {
-    let broken = send(AttemptLabel::Failed(ExchangeError::ConnectionBroken));
+fn attempt_is_shown_with_server_connection_times_and_outcome() {
+    let broken = attempt(AttemptLabel::Failed(ExchangeError::ConnectionBroken));
     assert_eq!(broken.to_string(), "i-1/decode connection:7 at_ms:3 took_ms:20 left_ms:480 broken");
     let class = ResponseClass::Success;
     let answered = AttemptTrace {
-        paid: true,
+        is_paid: true,
         body: Some(BodyOutcome::Timeout),
-        ..send(AttemptLabel::Response { status: 200, class })
+        ..attempt(AttemptLabel::Response { status: 200, class })
     };
-    let text = "i-1/decode connection:7 at_ms:3 took_ms:20 left_ms:480 paid success:200 body_timeout";
+    let text = "i-1/decode connection:7 at_ms:3 took_ms:20 left_ms:480 budgeted success:200 body_timeout";
     assert_eq!(answered.to_string(), text);
-    let unsent = AttemptTrace { connection: None, ..send(AttemptLabel::Failed(ExchangeError::Connect)) };
-    assert_eq!(unsent.to_string(), "i-1/decode at_ms:3 took_ms:20 left_ms:480 connect");
+    let not_sent = AttemptTrace { connection: None, ..attempt(AttemptLabel::Failed(ExchangeError::Connect)) };
+    assert_eq!(not_sent.to_string(), "i-1/decode at_ms:3 took_ms:20 left_ms:480 connect");
 }
 
 #[test]
-fn each_end_of_a_request_has_a_place_and_a_name_of_its_own() {
+fn each_outcome_of_a_request_has_its_own_index_and_name() {
     let outcomes: Vec<RequestOutcome> = RequestOutcome::all().collect();
-    let places: Vec<usize> = outcomes.iter().map(|outcome| outcome.index()).collect();
-    assert_eq!(places, (0..RequestOutcome::COUNT).collect::<Vec<_>>());
+    let indexes: Vec<usize> = outcomes.iter().map(|outcome| outcome.index()).collect();
+    assert_eq!(indexes, (0..RequestOutcome::COUNT).collect::<Vec<_>>());
     let names: BTreeSet<&str> = outcomes.iter().map(|outcome| outcome.name()).collect();
     assert_eq!(names.len(), RequestOutcome::COUNT);
-    let kinds: Vec<usize> = RequestError::ALL.iter().map(|refusal| *refusal as usize).collect();
-    assert_eq!(kinds, (0..RequestError::ALL.len()).collect::<Vec<_>>());
+    let discriminants: Vec<usize> = RequestError::ALL.iter().map(|error| *error as usize).collect();
+    assert_eq!(discriminants, (0..RequestError::ALL.len()).collect::<Vec<_>>());
 }
