--- a/tests/sockets/connections.rs
+++ b/tests/sockets/connections.rs
@@ -4,6 +4,7 @@
 use crate::{ok, rest};
 use serde_json::json;
 use std::io::{Read, Write};
+use std::sync::{Mutex, mpsc};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -38,7 +39,8 @@
     let sidecar = Sidecar::start(&[&upstream]);
     for _ in 0..5 {
         assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
-        // After its answer a connection rests for a moment, and is not used at once.
+        // After its answer a connection rests for 10 ms and is not used at once. That is real time inside the sidecar's
+        // process, and nothing outside shows its end.
         std::thread::sleep(Duration::from_millis(50));
     }
     assert_eq!(upstream.state().accepted, 1, "one connection for all");
@@ -54,6 +56,7 @@
     let sidecar =
         Sidecar::with(&[&upstream], |config| config["settings"]["policyLimits"]["keepalive"] = json!(400.0));
     assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
+    // Idle time is real time inside the sidecar's process; a tenth of the 400 ms is its margin.
     std::thread::sleep(Duration::from_millis(370));
     assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
     assert_eq!(upstream.state().accepted, 2);
@@ -61,8 +64,13 @@
 
 #[test]
 fn at_sigterm_what_is_owed_and_who_still_comes_is_served_before_a_clean_end() {
-    let upstream = Upstream::start(|_| {
-        std::thread::sleep(Duration::from_millis(400));
+    // The first request is answered when the test says so: once a client that came after SIGTERM has its answer.
+    let (release, released) = mpsc::channel::<()>();
+    let (released, requests) = (Mutex::new(released), Shared::default());
+    let upstream = Upstream::start(move |_| {
+        if requests.count() == 1 {
+            released.lock().expect("no panic").recv().expect("the test goes on");
+        }
         ok("served")
     });
     let mut sidecar = Sidecar::start(&[&upstream]);
@@ -76,6 +84,7 @@
     sidecar.wait_until("readiness fails", |sidecar| sidecar.ready() == 503);
     let late = sidecar.ask(&call("pay", 3.0));
     assert_eq!((late.status, late.header("connection")), (200, Some("close")), "a newcomer is served");
+    release.send(()).expect("the upstream waits");
     let early = Answer::read(&mut early);
     assert_eq!((early.status, early.header("connection")), (200, Some("close")));
     assert_eq!(kept.read(&mut [0; 8]).expect("an end"), 0, "an idle connection is closed");
@@ -109,6 +118,7 @@
     let silent: Vec<_> = (0..60).map(|_| sidecar.connect()).collect();
     sidecar.wait_for_line("accept: Too many open files");
     let used = sidecar.cpu_ticks();
+    // CPU time is measured against real time.
     std::thread::sleep(Duration::from_millis(500));
     assert!(sidecar.cpu_ticks() - used < 20, "less than 200 ms of CPU in the meantime");
     drop(silent);
--- a/tests/sockets/upstreams.rs
+++ b/tests/sockets/upstreams.rs
@@ -127,8 +127,7 @@
     let sidecar = Sidecar::start(&[&upstream]);
     let (before, since) = (sidecar.discovery.calls(), Instant::now());
     (0..1_000).for_each(|_| sidecar.discovery.say(1, false, &[]));
-    std::thread::sleep(Duration::from_millis(500));
-    let calls = sidecar.discovery.calls() - before;
+    let calls = sidecar.discovery.wait_for_calls(before + 8) - before;
     assert!(calls as u128 <= 3 + since.elapsed().as_millis() / 100, "{calls} calls in {:?}", since.elapsed());
 }
 
--- a/tests/sockets/world/discovery.rs
+++ b/tests/sockets/world/discovery.rs
@@ -72,6 +72,11 @@
         self.registry.get().calls
     }
 
+    /// Waits until it was called so often in all, and returns how often it was.
+    pub fn wait_for_calls(&self, calls: usize) -> usize {
+        self.registry.wait("calls", |r| r.calls >= calls).calls
+    }
+
     /// The next call is answered with these members, and from then on they are part of the whole list.
     pub fn say(&self, revision: u64, complete: bool, members: &[Value]) {
         let list = json!({"revision": revision, "complete": complete, "members": members});
