--- a/src/bin/lugwharf-sidecar/config_tests.rs
+++ b/src/bin/lugwharf-sidecar/config_tests.rs
@@ -8,7 +8,7 @@
     "requestClasses":[{"name":"pay","aim":290.0,"idempotency":"fragile"}]}}"#;
 
 #[test]
-fn nested_settings_are_read_by_the_adapters_reader() {
+fn nested_settings_are_flattened_and_parsed() {
     let config = Config::read(JSON, |_| None).expect("readable");
     assert_eq!((config.seed, config.max_descriptors, config.settings.zone), (0x8c1f_30d2_7a5b_e964, 300, 1));
     assert_eq!(config.settings.classes[0].latency_target, Duration::from_millis(290));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_environment_wins_and_bad_values_are_named() {
+fn the_environment_takes_precedence_and_errors_name_the_key() {
     let env = |key: &str| (key == "BALANCER_LISTEN").then(|| "127.0.0.2:1".to_owned());
     assert_eq!(Config::read(JSON, env).expect("readable").listen.to_string(), "127.0.0.2:1");
     for (from, to, said) in [
--- a/src/bin/lugwharf-sidecar/discovery/discovery_tests.rs
+++ b/src/bin/lugwharf-sidecar/discovery/discovery_tests.rs
@@ -99,7 +99,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_agent_that_counts_anew_is_not_asked_for_what_comes_after_its_old_count() {
+async fn an_agent_that_restarted_its_revisions_is_asked_for_the_complete_list() {
     let agent = Agent::start().await;
     let mut follower = follow_from(&agent, "pushed");
     // At the start, and after a watch was reset.
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_silent_watch_is_noticed_in_time_to_ask_again_before_its_news_counts_as_told() {
+async fn a_watch_that_times_out_is_renewed_within_its_grace() {
     for (how, wait) in [("pushed", PUSHED_WATCH_TIME), ("on_request", ON_REQUEST_WATCH_TIME)] {
         let agent = Agent::start().await;
         let mut follower = follow_from(&agent, how);
@@ -140,7 +140,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_new_address_counts_at_once_whatever_the_old_one_is_at() {
+async fn a_new_address_ends_the_running_call_or_backoff() {
     for silent_connect in [false, true] {
         let (old, new) = (Agent::start().await, Agent::start().await);
         let mut follower = follow_from(&old, "pushed");
@@ -170,7 +170,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_that_does_not_come_up_takes_none_of_a_watchs_patience() {
+async fn a_connect_timeout_is_shorter_than_a_watch() {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
     // Nobody accepts: once the backlog is full, no further connection comes up.
@@ -191,7 +191,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_turns_calls_away_or_breaks_them_again_is_no_broken_watch() {
+async fn rejected_or_repeatedly_failing_calls_are_no_interrupted_watch() {
     let agent = Agent::start().await;
     let mut follower = follow_from(&agent, "on_request");
     for how in [ServerListEvent::Interrupted, ServerListEvent::Failed] {
--- a/src/bin/lugwharf-sidecar/pool_tests.rs
+++ b/src/bin/lugwharf-sidecar/pool_tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[tokio::test]
-async fn nothing_is_sent_to_an_upstream_that_drains_while_its_connection_comes_up() {
+async fn an_endpoint_closed_while_its_connection_opens_gets_no_request() {
     let (listener, addr) = listener().await;
     let pool = Pool::new(4, LONG, LONG, true);
     let endpoint = pool.endpoint(addr);
@@ -34,7 +34,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_never_comes_up_proves_that_nothing_ran() {
+async fn a_connect_timeout_ends_as_connect_failed() {
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
     let listener = socket.listen(1).expect("listening");
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test]
-async fn connections_stay_within_the_limit_and_the_one_idle_longest_gives_way() {
+async fn the_longest_idle_connection_is_evicted_at_the_limit() {
     let pool = Pool::new(2, LONG, LONG, true);
     let (mut listeners, mut endpoints) = (Vec::new(), Vec::new());
     for _ in 0..3 {
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn a_target_that_was_taken_back_keeps_nothing() {
+async fn a_closed_endpoint_keeps_no_idle_connection() {
     let (_listener, addr) = listener().await;
     let pool = Pool::new(2, LONG, LONG, true);
     let (old, deadline) = (pool.endpoint(addr), Instant::now() + LONG);
@@ -82,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_with_something_more_to_read_is_not_clean() {
+async fn a_connection_with_unread_bytes_is_not_clean() {
     let (listener, addr) = listener().await;
     let pool = Pool::new(2, LONG, LONG, true);
     let endpoint = pool.endpoint(addr);
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_connection_is_waited_for_until_it_has_rested_where_another_costs_more() {
+async fn a_resting_connection_is_waited_for_where_a_new_one_costs_more() {
     let (_listener, addr) = listener().await;
     let instant = Duration::ZERO;
     // Whether a connection has a price, what one takes to come up, the time left, and whether it is waited for.
--- a/src/bin/lugwharf-sidecar/request_tests.rs
+++ b/src/bin/lugwharf-sidecar/request_tests.rs
@@ -22,7 +22,7 @@
 const LOOK: [(&str, &str); 3] = [("X-Call-Id", "1"), ("X-Call-Class", "look"), ("X-Budget", "0.5")];
 
 #[test]
-fn what_fits_its_class_is_taken() {
+fn requests_that_fit_their_class_are_accepted() {
     let with = |of: &[(&'static str, &'static str)], more| [of, &[more]].concat();
     assert_eq!(check("POST", &PAY).expect("fits").client_timeout, Duration::from_millis(500));
     assert_eq!(check("POST", &with(&REPORT, ("Idempotency-Key", "k"))).expect("fits").class, 1);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_turned_away() {
+fn requests_that_do_not_fit_are_rejected() {
     for (method, of, more) in [
         ("GET", PAY, vec![]),
         ("POST", PAY, vec![("Idempotency-Key", "k")]),
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_time_and_a_cost_past_all_measure_are_bounded_by_the_deadline() {
+fn budget_and_cost_are_bounded_by_the_deadline() {
     let terms = check("POST", &[&PAY[..2], &[("X-Budget", "1e18"), ("X-Call-Cost", "1e22")]].concat());
     let terms = terms.expect("fits");
     let deadline = Duration::from_millis(740);
--- a/src/bin/lugwharf-sidecar/server/server_tests.rs
+++ b/src/bin/lugwharf-sidecar/server/server_tests.rs
@@ -84,7 +84,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_that_leaves_is_noticed_whatever_lies_unread_behind_its_request() {
+async fn a_client_disconnect_is_noticed_behind_unread_bytes() {
     for behind in [0, 1, 300] {
         for reset in [false, true] {
             let mut side = side(60_000, None).await;
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_read_ahead_is_the_next_request() {
+async fn bytes_read_ahead_are_the_next_request() {
     let mut side = side(60_000, None).await;
     let mut client = Blocking::connect(side.addr).expect("accepted");
     client.write_all((text("one", "body", 4) + &text("two", "more", 4)).as_bytes()).expect("written");
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_slow_reader_has_its_whole_answer_however_often_its_connection_is_told_to_close() {
+async fn a_slow_reader_gets_its_complete_answer_despite_close_requests() {
     let mut side = side(60_000, Some(4_096)).await;
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
     let socket = socket.expect("a socket");
@@ -149,7 +149,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_gives_way_and_asks_at_that_moment_is_served_and_counted() {
+async fn a_request_that_crosses_its_eviction_is_served() {
     let mut side = side(60_000, None).await;
     let mut client = Blocking::connect(side.addr).expect("accepted");
     side.wait_for(ClientPhase::New).await;
@@ -164,7 +164,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_shutdown_waits_for_an_answer_as_long_as_the_settings_let_its_client() {
+async fn a_shutdown_waits_for_answers_until_their_deadline() {
     let mut side = side(9_000, None).await;
     let mut client = Blocking::connect(side.addr).expect("accepted");
     client.write_all(text("long", "", 0).as_bytes()).expect("written");
@@ -187,7 +187,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_shutdown_ends_before_it_is_killed_whatever_is_left() {
+async fn a_shutdown_ends_before_sigkill_whatever_is_left() {
     for (deadline, killed) in [(1_200, 3_700), (4_000, 4_700), (12_000, 12_700)] {
         let mut side = side(deadline, Some(4_096)).await;
         // One never reads its answer, which fits neither here nor there; one never has any.
@@ -214,7 +214,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_has_connected_by_the_last_call_is_served() {
+async fn clients_connected_when_accepting_stops_are_served() {
     let mut side = side(9_000, None).await;
     // The server has no turn before the last call.
     let mut client = Blocking::connect(side.addr).expect("accepted");
@@ -229,7 +229,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn who_stops_in_the_middle_of_a_request_hears_of_it_within_three_seconds() {
+async fn an_incomplete_request_is_answered_within_three_seconds() {
     let mut side = side(60_000, None).await;
     let whole = text("half", "body", 9);
     for (pause, sent) in [(0, whole.len()), (1_900, whole.len()), (0, 30), (0, 0)] {
--- a/src/bin/lugwharf-sidecar/upstream/upstream_tests.rs
+++ b/src/bin/lugwharf-sidecar/upstream/upstream_tests.rs
@@ -47,7 +47,7 @@
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew";
 
 #[tokio::test]
-async fn what_nobody_waits_for_any_more_is_not_finished_and_frees_its_connection() {
+async fn an_abandoned_attempt_is_not_written_completely() {
     let (listener, pool, endpoint) = peer();
     let abandoned = Arc::new(Notify::new());
     let tell = abandoned.clone();
@@ -72,7 +72,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_nobody_waits_for_any_more_does_not_wait_for_a_connection() {
+async fn an_abandoned_attempt_does_not_wait_for_a_connection() {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
     let addr = socket.local_addr().expect("an address");
@@ -96,7 +96,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_too_late_for_a_repeat_does_not_wait_for_a_connection() {
+async fn an_attempt_past_its_write_deadline_does_not_wait_for_a_connection() {
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
     let addr = socket.local_addr().expect("an address");
@@ -113,7 +113,7 @@
 }
 
 #[tokio::test]
-async fn what_is_too_late_for_a_repeat_is_not_finished() {
+async fn an_attempt_past_its_write_deadline_is_not_written_completely() {
     let (listener, pool, endpoint) = peer();
     // The last byte is withheld for a second, and after half of it the time is over.
     let peer = std::thread::spawn(move || {
@@ -142,7 +142,7 @@
 }
 
 #[tokio::test]
-async fn what_may_have_run_is_waited_for_also_when_its_client_has_left() {
+async fn an_attempt_that_may_have_run_is_awaited_after_its_client_disconnected() {
     let (listener, pool, endpoint) = peer();
     let abandoned = Arc::new(Notify::new());
     let tell = abandoned.clone();
@@ -164,7 +164,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn nothing_is_sent_on_a_kept_connection_once_the_time_is_over() {
+async fn nothing_is_written_to_an_idle_connection_after_the_deadline() {
     let (listener, pool, endpoint) = peer();
     let answer_by = Instant::now();
     let kept = pool.connection(&endpoint, answer_by + LONG).await.expect("room");
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_is_there_beats_the_time_out_of_the_same_moment() {
+async fn an_answer_beats_the_timeout_of_the_same_moment() {
     let (listener, pool, endpoint) = peer();
     // In a hurry, so that nothing is held back.
     let time = MIN_TIME_FOR_HOLD_BACK / 2;
@@ -245,7 +245,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_closes_before_the_last_byte_proves_that_nothing_ran() {
+async fn a_connection_closed_before_the_last_byte_is_replaced() {
     for body in ["", "some body"] {
         assert_eq!(after_breaks(2, body, LONG).await, (Some(Outcome::Ok), 3), "another is taken");
         assert_eq!(after_breaks(9, body, LONG).await, (Some(Outcome::ConnectFailed), MAX_CONNECTIONS));
@@ -253,7 +253,7 @@
 }
 
 #[tokio::test]
-async fn an_answer_that_comes_before_the_requests_last_byte_was_made_for_another() {
+async fn an_answer_before_the_requests_last_byte_is_discarded() {
     for early in ["200 OK", "503 X\r\nX-Rejected: 1", "500 X"] {
         let (listener, pool, endpoint) = peer();
         let peer = std::thread::spawn(move || {
@@ -309,7 +309,7 @@
 }
 
 #[tokio::test]
-async fn a_second_answer_is_not_taken_for_that_of_the_request_behind_it() {
+async fn a_duplicate_answer_is_not_taken_for_the_next_requests() {
     let (listener, pool, endpoint) = peer();
     let peer = answers_twice(listener, b"some body", ["old", "new"]);
     // In a hurry, so that nothing but the rest holds its last byte back.
@@ -333,7 +333,7 @@
 }
 
 #[tokio::test]
-async fn a_second_answer_is_not_taken_for_that_of_the_probe_behind_it() {
+async fn a_duplicate_answer_is_not_taken_for_the_next_probes() {
     let (listener, pool, endpoint) = peer();
     let peer = answers_twice(listener, b"\r\n\r\n", ["{\"held\":1}", "{\"held\":2}"]);
     for held in [1.0, 2.0] {
@@ -349,7 +349,7 @@
 }
 
 #[tokio::test]
-async fn a_request_in_a_hurry_holds_nothing_back() {
+async fn a_request_with_little_time_left_holds_no_byte_back() {
     // Its last byte is out before the connection breaks, so that it may have run.
     assert_eq!(after_breaks(1, "some body", MIN_TIME_FOR_HOLD_BACK / 2).await, (Some(Outcome::Reset), 1));
 }
--- a/src/decision/latency_tests.rs
+++ b/src/decision/latency_tests.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_slower_sample_replaces_and_a_faster_one_decays_by_time() {
+fn a_slower_sample_replaces_the_ewma_and_a_faster_one_decays_it_by_time() {
     let mut s = server();
     s.record_latency(0.0, TAU, 50.0);
     s.record_latency(10.0, TAU, 400.0);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn old_news_fades_to_what_is_usual_and_no_news_starts_at_the_typical() {
+fn the_latency_fades_to_the_baseline_and_starts_at_the_median() {
     let mut s = server();
     near(s.latency_at(5_000.0, TAU, 70.0), 70.0);
     s.record_latency(0.0, TAU, 270.0);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn the_age_of_the_oldest_attempt_counts_once_it_is_over_the_average() {
+fn the_age_of_the_oldest_attempt_counts_once_it_exceeds_the_ewma() {
     let mut s = server();
     s.record_latency(0.0, TAU, 100.0);
     s.in_flight.push(InFlightAttempt {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_report_fades_by_its_age() {
+fn a_load_report_fades_by_its_age() {
     let mut s = server();
     assert_eq!(s.load_at(5.0, TAU), None);
     s.load_report = Some(LoadReport { in_flight: 8.0, received_at_ms: 10.0 });
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn news_is_old_sooner_where_answers_are_wanted_sooner() {
+fn the_time_constant_is_proportional_to_the_latency_target() {
     let tau = |latency_target: u64| {
         let (latency_target, deadline) = (Duration::from_millis(latency_target), Duration::ZERO);
         let (value, late_value, latency_target_per_work, idempotency) =
--- a/src/decision/memory_tests.rs
+++ b/src/decision/memory_tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn nothing_is_kept_of_what_has_ended_or_left() {
+fn state_is_bounded_by_listed_servers_and_open_requests() {
     let (mut rng, mut balancer) = (fastrand::Rng::with_seed(5), Balancer::new(settings(), 5));
     let (mut out, mut flying) = (Vec::new(), BTreeSet::new());
     let mut listed: Vec<u64> = Vec::new();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_clock_that_goes_back_stands_still() {
+fn a_clock_reading_that_goes_back_is_ignored() {
     let (mut balancer, mut out) = (Balancer::new(settings(), 1), Vec::new());
     for reading in [100, 50, 120] {
         balancer.handle(Duration::from_millis(reading), Event::Timer(TimerId(1)), &mut out);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_attempt_cancelled_early_is_no_fast_answer() {
+fn an_attempt_cancelled_early_does_not_lower_the_latency() {
     let (mut balancer, mut out) = (Balancer::new(settings(), 1), Vec::new());
     let (availability, started, server) = (Availability::Ready, None, ServerId(1));
     let line = ServerEntry { server, availability, cell: 0, zone: 0, kind: 0, weight: 1.0, started };
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_request_is_sent_to_the_listed_server_and_its_end_says_nothing_more() {
+fn a_request_is_sent_to_the_listed_server_and_its_end_causes_no_action() {
     let input =
         [start(1.0, 3, 9), frame(6.0, &[inbound(3, 77)], &[]), frame(36.0, &[done(3, 77, 1, 1)], &[])];
     let output = run(&input.concat());
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn lists_are_resolved_by_order_and_instances_restart_inside_a_batch() {
+fn lists_are_resolved_in_record_order_and_instances_restart_inside_a_batch() {
     // Number 0 is declared twice in one batch; the two instances hold different lists.
     let tail = [SETTINGS.as_bytes(), &entry(1), &entry(2)].concat();
     let at = SETTINGS.len();
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn what_is_not_known_is_skipped_with_a_message() {
+fn unknown_codes_and_instances_are_skipped_with_a_message() {
     let input = [start(1.0, 0, 1), frame(2.0, &[event(99, 0, &[]), event(0, 5, &[]), inbound(0, 4)], &[])];
     let output = run(&input.concat());
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn no_bytes_make_it_panic() {
+fn corrupt_frames_never_panic() {
     let mut rng = fastrand::Rng::with_seed(20);
     let whole = [start(1.0, 0, 1), frame(6.0, &[inbound(0, 77)], &[]), frame(9.0, &[done(0, 77, 2, 0)], &[])];
     let whole = whole.concat();
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_probe_goes_out_and_its_report_decides() {
+fn the_load_that_probes_report_decides() {
     let settings = format!("{SETTINGS}policyLimits.probes=true\nreport.fields=load_share,concurrent\n");
     let entries: Vec<u8> = (0..20).flat_map(entry).collect();
     let at = settings.len();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -42,7 +42,7 @@
     }
 }
 
-pub fn line(server: u64) -> ServerEntry {
+pub fn entry(server: u64) -> ServerEntry {
     ServerEntry {
         server: ServerId(server),
         availability: Availability::Ready,
@@ -54,7 +54,7 @@
     }
 }
 
-pub struct Rig {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: u64,
     pub timers: Vec<(u64, TimerId)>,
@@ -63,23 +63,23 @@
     next_id: u32,
 }
 
-impl Rig {
-    pub fn new(settings: Settings, servers: Vec<ServerEntry>) -> Rig {
-        Rig::seeded(settings, servers, 1)
+impl Harness {
+    pub fn new(settings: Settings, servers: Vec<ServerEntry>) -> Harness {
+        Harness::seeded(settings, servers, 1)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<ServerEntry>, seed: u64) -> Rig {
+    pub fn seeded(settings: Settings, servers: Vec<ServerEntry>, seed: u64) -> Harness {
         let balancer = Balancer::new(settings, seed);
-        let mut rig = Rig { balancer, now: 0, timers: vec![], log: vec![], next_id: 0 };
-        rig.tell(Event::ServerList(ServerListEvent::Cached(servers)));
-        rig
+        let mut harness = Harness { balancer, now: 0, timers: vec![], log: vec![], next_id: 0 };
+        harness.handle(Event::ServerList(ServerListEvent::Cached(servers)));
+        harness
     }
 
     /// Tells one event and returns the actions, timers aside.
-    pub fn tell(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.balancer.handle(ms(self.now), event, &mut out);
-        let mut said = vec![];
+        let mut actions = vec![];
         for action in out {
             match action {
                 Action::SetTimer { timer, after } => {
@@ -87,16 +87,16 @@
                 }
                 action => {
                     self.log.push((self.now, action.clone()));
-                    said.push(action);
+                    actions.push(action);
                 }
             }
         }
-        said
+        actions
     }
 
     /// Advances the clock in ticks of 5 ms and fires what falls due.
-    pub fn wait(&mut self, time: u64) -> Vec<Action> {
-        let mut said = vec![];
+    pub fn advance(&mut self, time: u64) -> Vec<Action> {
+        let mut actions = vec![];
         let end = self.now + time;
         while self.now < end {
             self.now = (self.now + 5).min(end);
@@ -104,31 +104,33 @@
             self.timers = later;
             let due: Vec<(u64, TimerId)> = due;
             for (_, timer) in due {
-                said.extend(self.tell(Event::Timer(timer)));
+                actions.extend(self.handle(Event::Timer(timer)));
             }
         }
-        said
+        actions
     }
 
     /// A request with an id of the test's own, of this class.
     pub fn arrive(&mut self, id: u32, class: usize, client_timeout: u64, origin: Origin) -> Vec<Action> {
         let (id, cost, client_timeout) = (RequestId(id), None, ms(client_timeout));
-        self.tell(Event::Request(Arrival { id, class, cost, client_timeout, origin }))
+        self.handle(Event::Request(Arrival { id, class, cost, client_timeout, origin }))
     }
 
-    pub fn ask_as(&mut self, class: usize, client_timeout: u64) -> (RequestId, Vec<Action>) {
+    pub fn request_of_class(&mut self, class: usize, client_timeout: u64) -> (RequestId, Vec<Action>) {
         let id = RequestId(self.next_id);
         self.next_id += 1;
         (id, self.arrive(id.0, class, client_timeout, Origin::Fresh))
     }
 
-    pub fn ask(&mut self) -> (RequestId, Vec<Action>) {
-        self.ask_as(0, 1_200)
+    pub fn request(&mut self) -> (RequestId, Vec<Action>) {
+        self.request_of_class(0, 1_200)
     }
 
-    pub fn end(&mut self, id: RequestId, attempt: usize, outcome: Outcome, elapsed: u64) -> Vec<Action> {
+    pub fn end_attempt(
+        &mut self, id: RequestId, attempt: usize, outcome: Outcome, elapsed: u64,
+    ) -> Vec<Action> {
         let progress = if outcome == Outcome::Ok { Progress::Finished } else { Progress::AwaitingAnswer };
-        self.tell(Event::Outcome { id, attempt, outcome, elapsed: ms(elapsed), progress })
+        self.handle(Event::Outcome { id, attempt, outcome, elapsed: ms(elapsed), progress })
     }
 
     /// Some requests, one after the other.
@@ -140,26 +142,26 @@
 
     /// One request, answered after `took` by whichever server it went to.
     pub fn serve(&mut self, elapsed: impl Fn(ServerId) -> u64) -> ServerId {
-        let (id, said) = self.ask();
-        let server = sent(&said).expect("sent at once");
+        let (id, actions) = self.request();
+        let server = sent_to(&actions).expect("sent at once");
         let elapsed = elapsed(server);
-        self.wait(elapsed);
-        self.end(id, 0, Outcome::Ok, elapsed);
+        self.advance(elapsed);
+        self.end_attempt(id, 0, Outcome::Ok, elapsed);
         server
     }
 }
 
-pub fn sent(said: &[Action]) -> Option<ServerId> {
-    said.iter().find_map(|a| match a {
+pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
+    actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn refused(said: &[Action]) -> bool {
-    said.iter().any(|a| matches!(a, Action::Reject { .. }))
+pub fn is_rejected(actions: &[Action]) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(said: &[Action]) -> bool {
-    said.iter().any(|a| matches!(a, Action::Fail(_)))
+pub fn is_failed(actions: &[Action]) -> bool {
+    actions.iter().any(|a| matches!(a, Action::Fail(_)))
 }
--- a/tests/module/main.rs
+++ b/tests/module/main.rs
@@ -1,13 +1,13 @@
 //! Behaviour of the module by scenario.
 
+mod admission;
 mod attempts;
-mod choice;
 #[path = "../common/mod.rs"]
 mod common;
-mod health;
-mod list;
-mod overload;
+mod outlier_ejection;
 mod probing;
+mod selection;
+mod server_list;
 
 use common::*;
 use lugwharf_sidecar::api::*;
@@ -18,10 +18,10 @@
     Idempotency::Keyed { scope, window: ms(800) }
 }
 
-fn listed(n: u64) -> Vec<ServerEntry> {
-    (1..=n).map(line).collect()
+fn entries(n: u64) -> Vec<ServerEntry> {
+    (1..=n).map(entry).collect()
 }
 
-fn rig(idempotency: Idempotency, servers: u64) -> Rig {
-    Rig::new(settings(vec![class(idempotency)]), listed(servers))
+fn harness(idempotency: Idempotency, servers: u64) -> Harness {
+    Harness::new(settings(vec![class(idempotency)]), entries(servers))
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -18,7 +18,7 @@
 
 /// A day of random steps against the rules. `choices` decides everything.
 struct Day {
-    rig: Rig,
+    harness: Harness,
     requests: BTreeMap<RequestId, Tracked>,
     states: BTreeMap<u64, Availability>,
     /// Probes not answered yet.
@@ -41,14 +41,14 @@
         settings.discovery = discovery;
         settings.cross_zone_price = 0.05;
         settings.probes = if probes { Permit::Granted } else { Permit::Denied };
-        let rig = Rig::seeded(settings, vec![], seed);
+        let harness = Harness::seeded(settings, vec![], seed);
         let (requests, states, servers) = (BTreeMap::new(), BTreeMap::new(), if probes { 70 } else { 7 });
-        Day { rig, requests, states, probes: vec![], servers }
+        Day { harness, requests, states, probes: vec![], servers }
     }
 
-    fn check(&mut self, said: Vec<Action>) {
-        let now = self.rig.now;
-        for action in said {
+    fn check(&mut self, actions: Vec<Action>) {
+        let now = self.harness.now;
+        for action in actions {
             match action {
                 Action::Send { id, server, .. } => {
                     assert_eq!(self.states.get(&server.0), Some(&Availability::Ready), "a drain kept");
@@ -85,24 +85,24 @@
         }
     }
 
-    fn wait(&mut self, time: u64) {
+    fn advance(&mut self, time: u64) {
         for _ in 0..time / 5 {
-            let said = self.rig.wait(5);
-            self.check(said);
+            let actions = self.harness.advance(5);
+            self.check(actions);
             self.expire();
         }
     }
 
     /// Attempts time out with their clients.
     fn expire(&mut self) {
-        let now = self.rig.now;
+        let now = self.harness.now;
         let late = |r: &Tracked| r.attempts.iter().any(|a| a.2.is_none()) && r.due <= now;
         let ids: Vec<RequestId> = self.requests.iter().filter(|(_, r)| late(r)).map(|(id, _)| *id).collect();
-        ids.into_iter().for_each(|id| self.end(id, Outcome::Timeout));
+        ids.into_iter().for_each(|id| self.end_attempt(id, Outcome::Timeout));
     }
 
-    fn end(&mut self, id: RequestId, outcome: Outcome) {
-        let now = self.rig.now;
+    fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
+        let now = self.harness.now;
         loop {
             let request = self.requests.get_mut(&id).expect("known");
             let Some(no) = request.attempts.iter().position(|a| a.2.is_none()) else { return };
@@ -112,8 +112,8 @@
             let progress = if request.answers > 0 { Progress::Finished } else { Progress::AwaitingAnswer };
             let elapsed = ms(now - request.attempts[no].1);
             let event = Event::Outcome { id, attempt: no, outcome, elapsed, progress };
-            let said = self.rig.tell(event);
-            self.check(said);
+            let actions = self.harness.handle(event);
+            self.check(actions);
             if outcome != Outcome::Timeout {
                 return;
             }
@@ -124,12 +124,12 @@
         match kind {
             0..=4 => {
                 let (class, client_timeout) = ((x % 3) as usize, 50 + x % 1_500);
-                let due = self.rig.now + client_timeout;
+                let due = self.harness.now + client_timeout;
                 let next = RequestId(self.requests.len() as u32);
                 self.requests.insert(next, Tracked { class, due, ..Tracked::default() });
-                let (id, said) = self.rig.ask_as(class, client_timeout);
+                let (id, actions) = self.harness.request_of_class(class, client_timeout);
                 assert_eq!(id, next);
-                self.check(said);
+                self.check(actions);
             }
             5..=7 => {
                 let out = |r: &Tracked| r.attempts.iter().any(|a| a.2.is_none());
@@ -139,7 +139,7 @@
                     let outcomes = [Outcome::Ok, Outcome::Ok, Outcome::Error, Outcome::Rejected];
                     let more = [Outcome::ConnectFailed, Outcome::Reset, Outcome::Cancelled, Outcome::NotSent];
                     let outcome = [outcomes, more].concat()[(x / 7 % 8) as usize];
-                    self.end(ids[(x % ids.len() as u64) as usize], outcome);
+                    self.end_attempt(ids[(x % ids.len() as u64) as usize], outcome);
                 }
             }
             8 => {
@@ -150,53 +150,54 @@
                     _ => Availability::Ready,
                 };
                 self.states.insert(server, availability);
-                let started = (x % 5 == 0).then(|| ms(self.rig.now));
-                let base = line(server);
+                let started = (x % 5 == 0).then(|| ms(self.harness.now));
+                let base = entry(server);
                 let line =
                     ServerEntry { availability, cell: cell(server), zone: cell(server), started, ..base };
-                let said = self.rig.tell(Event::ServerList(ServerListEvent::Delta(vec![line])));
-                self.check(said);
+                let actions = self.harness.handle(Event::ServerList(ServerListEvent::Delta(vec![line])));
+                self.check(actions);
             }
             9 => {
-                let said = self.rig.tell(Event::ServerList(ServerListEvent::Failed));
-                self.check(said);
+                let actions = self.harness.handle(Event::ServerList(ServerListEvent::Failed));
+                self.check(actions);
             }
             10 if !self.probes.is_empty() => {
                 for server in std::mem::take(&mut self.probes) {
                     let outcome =
                         [Outcome::Ok, Outcome::Ok, Outcome::Rejected, Outcome::Timeout][(x % 4) as usize];
-                    let said = self.rig.tell(Event::ProbeCompleted {
+                    let actions = self.harness.handle(Event::ProbeCompleted {
                         server,
                         outcome,
                         reported_load: Some((x % 5) as f64),
                     });
-                    self.check(said);
+                    self.check(actions);
                 }
             }
-            _ => self.wait(5 + x % (60 * self.servers / 7)),
+            _ => self.advance(5 + x % (60 * self.servers / 7)),
         }
     }
 }
 
 #[test]
-fn no_rule_is_broken_on_random_days() {
+fn random_days_keep_every_invariant() {
     let config = Config { cases: 150, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let steps = prop::collection::vec((0u8..12, any::<u32>()), 50..400);
     let day = (any::<u64>(), any::<bool>(), steps);
-    let looked = std::cell::RefCell::new(0);
+    let days_with_probes = std::cell::RefCell::new(0);
     let run = |(seed, pushed, steps): (u64, bool, Vec<(u8, u32)>)| {
         let asked = Discovery::OnRequest { max_poll_interval: ms(10_000) };
         let mut day = Day::new(seed, if pushed { Discovery::Pushed } else { asked }, seed % 2 == 0);
         (0..day.servers - 2).for_each(|server| day.step(8, day.servers * 2 + server));
         steps.into_iter().for_each(|(kind, x)| day.step(kind, u64::from(x)));
-        day.wait(2_000);
-        *looked.borrow_mut() += usize::from(day.rig.log.iter().any(|(_, a)| matches!(a, Action::Probe(_))));
+        day.advance(2_000);
+        *days_with_probes.borrow_mut() +=
+            usize::from(day.harness.log.iter().any(|(_, a)| matches!(a, Action::Probe(_))));
         for (id, r) in &day.requests {
             assert_eq!(r.answers, 1, "{id:?} due {} {:?} class {}", r.due, r.attempts, r.class);
         }
         Ok(())
     };
     TestRunner::new_with_rng(config, rng).run(&day, run).expect("rules kept");
-    assert!(looked.into_inner() > 30, "days with looks are among them");
+    assert!(days_with_probes.into_inner() > 30, "days with looks are among them");
 }
--- a/tests/sockets/connections.rs
+++ b/tests/sockets/connections.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_silent_upstream_is_given_up_in_time_and_its_connection_closed_at_once() {
+fn an_attempt_at_a_silent_upstream_times_out_and_closes_its_connection() {
     let upstream = Upstream::start(|_| Reply::Silence);
     let sidecar = Sidecar::start(&[&upstream]);
     let start = Instant::now();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
+fn a_client_disconnect_ends_its_attempt() {
     let upstream = Upstream::start(|_| Reply::Silence);
     let sidecar = Sidecar::start(&[&upstream]);
     // Also with further bytes behind its request that nobody has read.
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn connections_are_kept_but_not_those_that_saw_their_end() {
+fn idle_connections_are_reused_unless_the_upstream_closed_them() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     for _ in 0..5 {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_connection_idle_for_nearly_as_long_as_its_upstream_allows_is_not_used_again() {
+fn a_connection_idle_for_nearly_its_keep_alive_time_is_not_reused() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar =
         Sidecar::with(&[&upstream], |config| config["settings"]["policyLimits"]["keepalive"] = json!(400.0));
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn at_sigterm_what_is_owed_and_who_still_comes_is_served_before_a_clean_end() {
+fn at_sigterm_open_and_new_requests_are_served_before_a_clean_exit() {
     // The first request is answered when the test says so: once a client that came after SIGTERM has its answer.
     let (release, released) = mpsc::channel::<()>();
     let (released, requests) = (Mutex::new(released), Shared::default());
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn connections_beyond_the_limit_wait_for_those_that_are_idle_and_give_way() {
+fn idle_connections_are_evicted_for_new_ones_at_the_limit() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::with(&[&upstream], |config| config["limits"]["sockets"] = json!(32));
     // Three times as many connections as there is room for, all kept by their clients.
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn without_descriptors_it_neither_ends_nor_spins_and_they_come_back() {
+fn without_descriptors_accepting_neither_ends_nor_spins() {
     let upstream = Upstream::start(|_| ok("served"));
     // Its limit of the system is lower than what it was told.
     let sidecar = Sidecar::under("ulimit -n 40", &[&upstream]);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn clients_that_say_nothing_or_stay_are_closed_and_keep_nobody_out() {
+fn silent_and_idle_clients_are_closed_and_block_nobody() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::with(&[&upstream], |config| config["limits"]["sockets"] = json!(48));
     let mut stayed = sidecar.connect();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn who_asks_once_and_stays_gives_way_before_clients_hold_all_that_they_may() {
+fn clients_that_stay_after_one_request_are_evicted_first() {
     let upstream = Upstream::start(|_| ok("served"));
     // Clients may hold 32 connections.
     let sidecar = Sidecar::with(&[&upstream], |config| config["limits"]["sockets"] = json!(96));
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn a_new_start_at_an_old_address_inherits_no_connection() {
+fn a_restarted_server_inherits_no_connection() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
--- a/tests/sockets/requests.rs
+++ b/tests/sockets/requests.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_request_is_passed_on_unchanged_and_its_answer_as_it_is() {
+fn a_request_and_its_answer_are_forwarded_unchanged() {
     let upstream = Upstream::start(|_| ok("\u{0}the answer"));
     let sidecar = Sidecar::start(&[&upstream]);
     let call = call("report", 2.0).header("X-Call-Id", "call 1").header("Idempotency-Key", "k1");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_has_failed_and_goes_nowhere_else() {
+fn a_non_idempotent_request_that_may_have_run_fails_without_a_retry() {
     let may_have_run: [(&str, Reply); 8] = [
         ("an error", Reply::text(500, "", "")),
         ("a 503 that proves nothing", Reply::text(503, "", "")),
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_surely_never_ran_goes_elsewhere() {
+fn a_request_that_never_ran_is_retried() {
     for status in [503, 504] {
         // Whichever has the fifteenth turns it away; requests before it have earned it another attempt.
         let asked = Shared::default();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn malformed_requests_are_answered_and_go_nowhere() {
+fn malformed_requests_are_rejected_and_not_forwarded() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let long = "x".repeat(64 * 1024 + 1);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn what_comes_malformed_from_an_upstream_is_a_failure_and_no_panic() {
+fn malformed_upstream_answers_are_failures() {
     for raw in [
         "\u{1}\u{2}garbage\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: soon\r\n\r\n",
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_keyed_request_that_may_have_run_is_repeated_only_in_its_cell() {
+fn a_keyed_request_that_may_have_run_is_retried_only_in_its_cell() {
     for (other_cell, status, sent) in [(0, 200, 17), (1, 502, 16)] {
         // Whichever has the sixteenth breaks the connection; those before have earned it another attempt.
         let asked = Shared::default();
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_refusal_says_when_to_come_back_and_comes_as_soon_as_the_module_gives_up() {
+fn a_rejection_has_retry_after_and_comes_when_the_queue_wait_is_over() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::with(&[&upstream], |config| {
         config["settings"]["requestClasses"][0]["aim"] = json!(400.0);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_budget_or_a_cost_past_all_measure_harms_nobody() {
+fn a_huge_budget_or_cost_is_bounded() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     for huge in ["1e19", "18446744073709551615", "1e300"] {
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_request_hidden_in_the_body_of_another_goes_nowhere() {
+fn a_smuggled_request_is_not_forwarded() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let hidden = call("pay", 2.0).text();
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn the_id_of_an_open_request_is_turned_away_and_free_again_afterwards() {
+fn the_id_of_an_open_request_is_rejected_until_it_is_released() {
     let upstream = Upstream::start(|seen| if seen.body == "stay" { Reply::Silence } else { ok("served") });
     let sidecar = Sidecar::start(&[&upstream]);
     let mut first = sidecar.connect();
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_length_past_all_measure_is_answered_before_the_body_has_come() {
+fn a_huge_content_length_is_rejected_before_the_body_is_read() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     for length in ["60000000", "-1", "18446744073709551616", "1x"] {
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn little_is_kept_back_of_a_short_time() {
+fn the_answer_margin_of_a_short_budget_is_small() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     // The most of many: a busy machine takes its part of some.
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn a_request_is_not_waited_for_when_its_answer_would_earn_nothing() {
+fn a_request_fails_at_its_latency_target_where_late_answers_have_no_value() {
     let upstream = Upstream::start(|_| Reply::Silence);
     let sidecar = Sidecar::with(&[&upstream], |config| {
         config["settings"]["requestClasses"][0]["aim"] = json!(200.0);
--- a/tests/sockets/upstreams.rs
+++ b/tests/sockets/upstreams.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn the_list_is_followed_and_kept_through_failures() {
+fn the_server_list_is_followed_and_retained_through_failures() {
     let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
     let sidecar = Sidecar::start(&[&a, &b]);
     let served_by = |expected: &Upstream, other: &Upstream| {
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_upstream_whose_address_changes_is_found_at_the_new_one() {
+fn an_upstream_is_reached_at_its_new_address() {
     let [old, new] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
     let sidecar = Sidecar::start(&[&old]);
     assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn the_next_watch_comes_at_once_and_names_the_revision_held() {
+fn the_next_watch_follows_at_once_from_the_current_revision() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     // The shortest of several waits: a busy machine may delay some, a pause of the sidecar's own would all.
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_discovery_is_asked_for_is_watched_once_the_module_subscribes() {
+fn discovery_on_request_is_watched_once_the_module_subscribes() {
     let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
     let sidecar = Sidecar::with(&[&a], |config| {
         config["settings"]["discovery"] = json!("on_request");
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_quiet_sidecar_asks_upstreams_for_their_load_first() {
+fn a_quiet_sidecar_probes_upstreams_before_it_sends() {
     let many: Vec<Upstream> = (0..6)
         .map(|i| {
             Upstream::start(move |request| match request.line.as_str() {
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_cold_upstream_gets_little_also_from_a_sidecar_that_has_just_started() {
+fn a_warming_upstream_gets_few_requests_from_a_new_sidecar() {
     let [warm, cold] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
     let now =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock").as_millis();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_watch_that_does_not_wait_is_not_asked_without_a_pause() {
+fn a_watch_that_returns_at_once_is_repeated_with_a_pause() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let (before, since) = (sidecar.discovery.calls(), Instant::now());
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn at_sighup_it_follows_the_discovery_that_the_file_names_and_no_other() {
+fn at_sighup_discovery_moves_to_the_address_in_the_file() {
     for how in ["pushed", "on_request"] {
         let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
         let sidecar = Sidecar::with(&[&a], |config| config["settings"]["discovery"] = json!(how));
