--- a/src/bin/lugwharf-sidecar/discovery/discovery_tests.rs
+++ b/src/bin/lugwharf-sidecar/discovery/discovery_tests.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
-/// A discovery whose every step is the test's. It runs in the test's own runtime, so that its clock stands still
+/// A discovery service whose every step the test makes. It runs in the test's runtime, so that the paused clock stands still
 /// while there is something to do.
 struct Agent(TcpListener);
 
@@ -67,23 +67,23 @@
 struct Follower {
     address: watch::Sender<SocketAddr>,
     subscribe: Arc<Notify>,
-    told: mpsc::UnboundedReceiver<DriverEvent>,
+    events: mpsc::UnboundedReceiver<DriverEvent>,
 }
 
-/// One that knew revision 100.
+/// A follower that starts with revision 100.
 fn follow_from(agent: &Agent, how: &str) -> Follower {
     let json = JSON.replace("\"pushed\"", &format!("\"{how}\""));
     let config = Arc::new(Config::read(&json, |_| None).expect("readable"));
     let (address, from) = watch::channel(agent.addr());
-    let (driver, told) = DriverHandle::new();
+    let (driver, events) = DriverHandle::new();
     let subscribe = Arc::<Notify>::default();
     tokio::spawn(follow(config, from, Some(100), subscribe.clone(), driver));
-    Follower { address, subscribe, told }
+    Follower { address, subscribe, events }
 }
 
 impl Follower {
     async fn list(&mut self) -> u64 {
-        match self.told.recv().await {
+        match self.events.recv().await {
             Some(DriverEvent::List(news)) => news.revision,
             Some(DriverEvent::ListFailed(how)) => panic!("{how:?}"),
             _ => panic!("no list"),
@@ -91,7 +91,7 @@
     }
 
     async fn failed(&mut self) -> ServerListEvent {
-        match self.told.recv().await {
+        match self.events.recv().await {
             Some(DriverEvent::ListFailed(how)) => how,
             _ => panic!("no failure"),
         }
@@ -132,7 +132,7 @@
         let again = agent.accept().await;
         again.path().await;
         assert!(since.elapsed() < wait + Duration::from_millis(1_200), "{how}: {:?}", since.elapsed());
-        // A late answer on the old connection is nobody's.
+        // A late answer on the old connection is ignored.
         call.answer(500);
         again.answer(102);
         assert_eq!(follower.list().await, 102, "{how}");
@@ -149,12 +149,12 @@
         call.answer(7);
         follower.list().await;
         if silent_connect {
-            // The watch broke just before, and its next call is on its way.
+            // The watch was reset just before, and the next call is on its way.
             call.path().await;
             call.reset();
             assert_eq!(follower.failed().await, ServerListEvent::Interrupted);
         } else {
-            // The watch is out, its answer written in the same moment.
+            // The watch is waiting, and its answer is written in the same moment.
             call.path().await;
             call.answer(900);
         }
--- a/src/bin/lugwharf-sidecar/driver/driver_tests.rs
+++ b/src/bin/lugwharf-sidecar/driver/driver_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of carrying out decisions.
+//! Tests of the driver.
 
 use super::event_loop::answer_margin;
 use super::pending_request::{AttemptTask, PendingAttempt};
@@ -24,7 +24,7 @@
 #[tokio::test]
 async fn a_request_that_the_module_does_not_decide_fails_at_its_answer_deadline() {
     let (mut driver, handle) = driver(crate::config::tests::JSON);
-    // The module holds a request of the same id, and ignores another.
+    // The module has a request of the same id already, and ignores another.
     let (id, client_timeout) = (RequestId(0), Duration::from_secs(3_600));
     let arrival = Arrival { id, class: 0, cost: None, client_timeout, origin: Origin::Fresh };
     driver.balancer.handle(driver.clock.now(), Event::Request(arrival), &mut Vec::new());
--- a/src/bin/lugwharf-sidecar/pool_tests.rs
+++ b/src/bin/lugwharf-sidecar/pool_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of kept connections and their limit.
+//! Tests of idle connections and the limit on all of them.
 
 use super::*;
 use std::io;
@@ -91,7 +91,7 @@
     assert!(pooled.connection.is_clean());
     peer.writable().await.expect("room to write");
     assert_eq!(peer.try_write(b"H").expect("written"), 1);
-    // The byte is in the socket, and nobody else has run since: HTTP can't have seen it.
+    // The byte is in the socket and no other task has run since: HTTP cannot have read it.
     assert!(!pooled.connection.is_clean());
 }
 
@@ -103,7 +103,7 @@
 async fn a_resting_connection_is_waited_for_where_a_new_one_costs_more() {
     let (_listener, addr) = listener().await;
     let instant = Duration::ZERO;
-    // Whether a connection has a price, what one takes to come up, the time left, and whether it is waited for.
+    // Whether a handshake has a price, the time to connect, the time left, and whether the idle connection is waited for.
     for (has_handshake_price, took, left, waits) in [
         (true, instant, LONG, true),
         (true, instant, REST_TIME + MIN_TIME_AFTER_REST / 2, false),
@@ -121,7 +121,7 @@
         assert_eq!(local(&next) == kept, waits, "{has_handshake_price} {took:?} {left:?}");
         assert_eq!(Instant::now(), begun, "its request begins at once, and only ends later");
         assert_eq!(next.rested_at > begun, waits);
-        // It is nobody else's, and one that has rested comes first.
+        // It is taken once only, and one that has rested comes first.
         let other = pool.connection(&endpoint, begun + LONG).await.expect("room");
         assert!(local(&other) != local(&next));
         pool.put_back(&endpoint, other);
--- a/src/bin/lugwharf-sidecar/server/server_tests.rs
+++ b/src/bin/lugwharf-sidecar/server/server_tests.rs
@@ -21,14 +21,14 @@
 use tokio::time::{Instant, sleep, timeout};
 
 /// A server whose driver is the test.
-struct Side {
+struct TestServer {
     server: Arc<Server>,
     events: mpsc::UnboundedReceiver<DriverEvent>,
     addr: SocketAddr,
 }
 
-/// Its class has this deadline, in milliseconds; its sockets hold as much unread as this, if given.
-async fn side(deadline: u32, send_buffer: Option<usize>) -> Side {
+/// Its class has this deadline in milliseconds; its sockets have this send buffer, if given.
+async fn start_server(deadline: u32, send_buffer: Option<usize>) -> TestServer {
     let text = JSON.replace("\"aim\":290.0", &format!("\"aim\":290.0,\"deadline\":{deadline}"));
     let config = Arc::new(Config::read(&text, |_| None).expect("readable"));
     let (handle, events) = DriverHandle::new();
@@ -39,10 +39,10 @@
     send_buffer.into_iter().for_each(|bytes| of.set_send_buffer_size(bytes).expect("set"));
     tokio::spawn(server.clone().listen(listener));
     tokio::spawn(server.clone().sweep());
-    Side { server, events, addr }
+    TestServer { server, events, addr }
 }
 
-impl Side {
+impl TestServer {
     async fn request(&mut self) -> (RequestId, Box<ClientRequest>, oneshot::Sender<FinalAnswer>) {
         match timeout(Duration::from_secs(30), self.events.recv()).await {
             Ok(Some(DriverEvent::Request { id, request, answer })) => (id, request, answer),
@@ -69,7 +69,7 @@
 }
 
 /// All that comes until the connection is closed; a reset ends it as well.
-async fn rest(client: Blocking) -> String {
+async fn read_to_end(client: Blocking) -> String {
     client.set_nonblocking(true).expect("set");
     let client = TcpStream::from_std(client).expect("a socket");
     let (mut all, mut bytes) = (Vec::new(), [0; 4_096]);
@@ -87,17 +87,17 @@
 async fn a_client_disconnect_is_noticed_behind_unread_bytes() {
     for behind in [0, 1, 300] {
         for reset in [false, true] {
-            let mut side = side(60_000, None).await;
-            let mut client = Blocking::connect(side.addr).expect("accepted");
+            let mut test_server = start_server(60_000, None).await;
+            let mut client = Blocking::connect(test_server.addr).expect("accepted");
             let more: String = (0..behind).map(|i| text(&i.to_string(), "", 0)).collect();
             client.write_all((text("first", "body", 4) + &more).as_bytes()).expect("written");
-            let (id, _, _answer) = side.request().await;
+            let (id, _, _answer) = test_server.request().await;
             let since = Instant::now();
             if reset {
                 socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("set");
             }
             drop(client);
-            let next = timeout(Duration::from_secs(30), side.events.recv()).await;
+            let next = timeout(Duration::from_secs(30), test_server.events.recv()).await;
             let left = matches!(next, Ok(Some(DriverEvent::ClientDisconnected(of))) if of == id);
             assert!(left, "{behind} behind it, reset {reset}");
             assert!(since.elapsed() <= Duration::from_millis(300), "{:?}", since.elapsed());
@@ -107,105 +107,105 @@
 
 #[tokio::test(start_paused = true)]
 async fn bytes_read_ahead_are_the_next_request() {
-    let mut side = side(60_000, None).await;
-    let mut client = Blocking::connect(side.addr).expect("accepted");
+    let mut test_server = start_server(60_000, None).await;
+    let mut client = Blocking::connect(test_server.addr).expect("accepted");
     client.write_all((text("one", "body", 4) + &text("two", "more", 4)).as_bytes()).expect("written");
     for body in ["body", "more"] {
-        let (_, request, answer) = side.request().await;
+        let (_, request, answer) = test_server.request().await;
         let ForwardedRequest { body: seen, .. } = request.forwarded;
         assert_eq!(seen, body);
         assert!(answer.send(served(3)).is_ok());
     }
     client.shutdown(Shutdown::Write).expect("shut");
-    assert_eq!(rest(client).await.matches("200 OK").count(), 2);
+    assert_eq!(read_to_end(client).await.matches("200 OK").count(), 2);
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_slow_reader_gets_its_complete_answer_despite_close_requests() {
-    let mut side = side(60_000, Some(4_096)).await;
+    let mut test_server = start_server(60_000, Some(4_096)).await;
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
     let socket = socket.expect("a socket");
-    // So that the answer fits neither here nor there.
+    // The answer fits into neither side's buffer.
     socket.set_recv_buffer_size(4_096).expect("set");
-    socket.connect(&side.addr.into()).expect("accepted");
+    socket.connect(&test_server.addr.into()).expect("accepted");
     let mut client = Blocking::from(socket);
     client.write_all(text("slow", "", 0).as_bytes()).expect("written");
-    let (_, _, answer) = side.request().await;
+    let (_, _, answer) = test_server.request().await;
     assert!(answer.send(served(MAX_BODY)).is_ok());
-    side.wait_for(ClientPhase::WritingAnswer).await;
+    test_server.wait_for(ClientPhase::WritingAnswer).await;
     let ending = tokio::spawn({
-        let server = side.server.clone();
+        let server = test_server.server.clone();
         async move { server.shut_down().await }
     });
     for _ in 0..50 {
-        side.server.close_where(|_, _| true);
+        test_server.server.close_where(|_, _| true);
         sleep(SWEEP_INTERVAL).await;
     }
     assert!(!ending.is_finished(), "an answer is not written yet");
-    assert!(!side.server.evict(|_| true), "nor does it give way");
-    let said = rest(client).await;
-    assert_eq!(said.matches('x').count(), MAX_BODY);
+    assert!(!test_server.server.evict(|_| true), "nor does it give way");
+    let answer_text = read_to_end(client).await;
+    assert_eq!(answer_text.matches('x').count(), MAX_BODY);
     ending.await.expect("an end");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_that_crosses_its_eviction_is_served() {
-    let mut side = side(60_000, None).await;
-    let mut client = Blocking::connect(side.addr).expect("accepted");
-    side.wait_for(ClientPhase::New).await;
-    // Its task has no turn between these two.
-    assert!(side.server.evict(|_| true));
+    let mut test_server = start_server(60_000, None).await;
+    let mut client = Blocking::connect(test_server.addr).expect("accepted");
+    test_server.wait_for(ClientPhase::New).await;
+    // The connection's task does not run between these two.
+    assert!(test_server.server.evict(|_| true));
     client.write_all(text("crossing", "", 0).as_bytes()).expect("written");
-    let (_, _, answer) = side.request().await;
-    assert_eq!(lock(&side.server.clients).len(), 1, "a shutdown sees it");
+    let (_, _, answer) = test_server.request().await;
+    assert_eq!(lock(&test_server.server.clients).len(), 1, "a shutdown sees it");
     assert!(answer.send(served(3)).is_ok());
-    let said = rest(client).await;
-    assert!(said.contains("200 OK") && said.contains("connection: close"), "{said}");
+    let answer_text = read_to_end(client).await;
+    assert!(answer_text.contains("200 OK") && answer_text.contains("connection: close"), "{answer_text}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_shutdown_waits_for_answers_until_their_deadline() {
-    let mut side = side(9_000, None).await;
-    let mut client = Blocking::connect(side.addr).expect("accepted");
+    let mut test_server = start_server(9_000, None).await;
+    let mut client = Blocking::connect(test_server.addr).expect("accepted");
     client.write_all(text("long", "", 0).as_bytes()).expect("written");
-    let (_, _, answer) = side.request().await;
-    // One that has come and is not let in yet, and one that has said nothing.
-    let _mute = Blocking::connect(side.addr).expect("accepted");
+    let (_, _, answer) = test_server.request().await;
+    // A client that connects and sends nothing.
+    let _mute = Blocking::connect(test_server.addr).expect("accepted");
     let late = async {
         sleep(Duration::from_millis(8_900)).await;
         assert!(answer.send(served(3)).is_ok());
     };
     let since = Instant::now();
     let ended = async {
-        side.server.shut_down().await;
+        test_server.server.shut_down().await;
         since.elapsed()
     };
     let (ended, ()) = tokio::join!(ended, late);
     assert!(ended >= Duration::from_millis(8_900), "{ended:?}");
     assert!(ended < Duration::from_secs(9) + MAX_ACCEPT_TIME, "{ended:?}");
-    assert!(rest(client).await.contains("200 OK"));
+    assert!(read_to_end(client).await.contains("200 OK"));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_shutdown_ends_before_sigkill_whatever_is_left() {
     for (deadline, killed) in [(1_200, 3_700), (4_000, 4_700), (12_000, 12_700)] {
-        let mut side = side(deadline, Some(4_096)).await;
-        // One never reads its answer, which fits neither here nor there; one never has any.
+        let mut test_server = start_server(deadline, Some(4_096)).await;
+        // One client never reads its answer, which fits into neither side's buffer; one never gets any.
         let clients = ["unread", "unanswered"].map(|id| {
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
             let socket = socket.expect("a socket");
             socket.set_recv_buffer_size(4_096).expect("set");
-            socket.connect(&side.addr.into()).expect("accepted");
+            socket.connect(&test_server.addr.into()).expect("accepted");
             let mut client = Blocking::from(socket);
             client.write_all(text(id, "", 0).as_bytes()).expect("written");
             client
         });
-        let (_, _, answer) = side.request().await;
-        let (_, _, _never) = side.request().await;
+        let (_, _, answer) = test_server.request().await;
+        let (_, _, _never) = test_server.request().await;
         assert!(answer.send(served(MAX_BODY)).is_ok());
-        side.wait_for(ClientPhase::WritingAnswer).await;
+        test_server.wait_for(ClientPhase::WritingAnswer).await;
         let since = Instant::now();
-        side.server.shut_down().await;
+        test_server.server.shut_down().await;
         let took = since.elapsed();
         assert!(took < Duration::from_millis(killed), "{deadline}: {took:?}");
         assert!(took >= Duration::from_millis(deadline.into()), "{deadline}: {took:?}");
@@ -215,32 +215,32 @@
 
 #[tokio::test(start_paused = true)]
 async fn clients_connected_when_accepting_stops_are_served() {
-    let mut side = side(9_000, None).await;
-    // The server has no turn before the last call.
-    let mut client = Blocking::connect(side.addr).expect("accepted");
+    let mut test_server = start_server(9_000, None).await;
+    // The server's task does not run before accepting stops.
+    let mut client = Blocking::connect(test_server.addr).expect("accepted");
     client.write_all(text("late", "", 0).as_bytes()).expect("written");
-    side.server.stop_accepting.notify_one();
-    let (_, _, answer) = side.request().await;
+    test_server.server.stop_accepting.notify_one();
+    let (_, _, answer) = test_server.request().await;
     assert!(answer.send(served(3)).is_ok());
-    tokio::join!(side.server.shut_down(), async {
-        assert!(rest(client).await.contains("200 OK"));
+    tokio::join!(test_server.server.shut_down(), async {
+        assert!(read_to_end(client).await.contains("200 OK"));
     });
-    assert!(Blocking::connect(side.addr).is_err(), "nobody else is let in");
+    assert!(Blocking::connect(test_server.addr).is_err(), "nobody else is let in");
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_incomplete_request_is_answered_within_three_seconds() {
-    let mut side = side(60_000, None).await;
+    let mut test_server = start_server(60_000, None).await;
     let whole = text("half", "body", 9);
     for (pause, sent) in [(0, whole.len()), (1_900, whole.len()), (0, 30), (0, 0)] {
-        let mut client = Blocking::connect(side.addr).expect("accepted");
+        let mut client = Blocking::connect(test_server.addr).expect("accepted");
         let since = Instant::now();
-        side.wait_for(ClientPhase::New).await;
+        test_server.wait_for(ClientPhase::New).await;
         sleep(Duration::from_millis(pause)).await;
         client.write_all(&whole.as_bytes()[..sent]).expect("written");
-        let said = rest(client).await;
+        let answer_text = read_to_end(client).await;
         assert!(since.elapsed() <= Duration::from_secs(3), "{sent} bytes: {:?}", since.elapsed());
-        assert!(said.is_empty() || said.starts_with("HTTP/1.1 408"), "{said}");
+        assert!(answer_text.is_empty() || answer_text.starts_with("HTTP/1.1 408"), "{answer_text}");
     }
-    assert!(side.events.try_recv().is_err(), "nothing is sent on");
+    assert!(test_server.events.try_recv().is_err(), "nothing is sent on");
 }
--- a/src/bin/lugwharf-sidecar/upstream/upstream_tests.rs
+++ b/src/bin/lugwharf-sidecar/upstream/upstream_tests.rs
@@ -24,7 +24,7 @@
     Arc::new(ForwardedRequest { method, uri, headers, body })
 }
 
-/// With no end to the time in which it may go out.
+/// Deadlines without a separate one for writing.
 fn until(answer_by: Instant) -> AttemptDeadlines {
     AttemptDeadlines { answer_by, write_by: answer_by }
 }
@@ -169,7 +169,7 @@
     let answer_by = Instant::now();
     let kept = pool.connection(&endpoint, answer_by + LONG).await.expect("room");
     pool.put_back(&endpoint, kept);
-    // It has rested, and is good.
+    // It has rested and is usable.
     tokio::time::advance(Duration::from_secs(1)).await;
     let mut outcome = None;
     let abandoned = Arc::default();
@@ -187,13 +187,13 @@
 #[tokio::test(start_paused = true)]
 async fn an_answer_beats_the_timeout_of_the_same_moment() {
     let (listener, pool, endpoint) = peer();
-    // In a hurry, so that nothing is held back.
+    // With so little time that no byte is held back.
     let time = MIN_TIME_FOR_HOLD_BACK / 2;
     let (to, result) = tokio::sync::oneshot::channel();
     let answered = |ended, served: ServedBody| drop(to.send((ended, served.body)));
     let (answer_by, abandoned) = (Instant::now() + time, Arc::default());
     tokio::spawn(attempt(pool, endpoint, outbound("some body"), until(answer_by), abandoned, answered));
-    // Read and answered with no turn of the runtime in between, and then the clock has gone past the time.
+    // The request is read and answered while the runtime does not run, and then the clock passes the deadline.
     listener.set_nonblocking(true).expect("set");
     let mut stream = loop {
         match listener.accept() {
@@ -215,7 +215,7 @@
     assert_eq!(result.await.expect("an outcome"), (Outcome::Ok, Bytes::from_static(b"new")));
 }
 
-/// How an attempt ends whose first so many connections break at their first byte, and how many were made.
+/// How an attempt ends whose first `breaks` connections break at their first byte, and how many were opened.
 async fn after_breaks(breaks: usize, body: &'static str, time: Duration) -> (Option<Outcome>, usize) {
     let (listener, pool, endpoint) = peer();
     let made = Arc::new(AtomicUsize::new(0));
@@ -283,8 +283,8 @@
     }
 }
 
-/// Answers what comes first, then again in the middle of what comes second, on the same connection, and gives the right
-/// answer on the next one.
+/// Answers the first request, then once more in the middle of the second on the same connection, and gives the right answer
+/// on the next connection.
 fn answers_twice(
     listener: TcpListener, end: &'static [u8], bodies: [&'static str; 2],
 ) -> std::thread::JoinHandle<Vec<u8>> {
@@ -312,7 +312,7 @@
 async fn a_duplicate_answer_is_not_taken_for_the_next_requests() {
     let (listener, pool, endpoint) = peer();
     let peer = answers_twice(listener, b"some body", ["old", "new"]);
-    // In a hurry, so that nothing but the rest holds its last byte back.
+    // With so little time that only the connection's rest holds the last byte back.
     let answer_by = Instant::now() + MIN_TIME_FOR_HOLD_BACK / 2;
     for body in ["old", "new"] {
         let (to, result) = tokio::sync::oneshot::channel();
--- a/src/decision/latency_tests.rs
+++ b/src/decision/latency_tests.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of the average: instant rise, timed decay, fading of old news, age.
+//! Tests of a server's latency: instant rise, timed decay, fading without samples, and the age of attempts in flight.
 
 use super::balancer::Balancer;
 use super::server::{InFlightAttempt, LoadReport, Locality, Server};
--- a/src/decision/memory_tests.rs
+++ b/src/decision/memory_tests.rs
@@ -1,4 +1,4 @@
-//! What the balancer remembers stays bounded by what is listed and in flight.
+//! Tests that the balancer's state stays bounded by the servers on the list and the requests that are open.
 
 use super::balancer::Balancer;
 use crate::api::*;
@@ -28,7 +28,7 @@
     for step in 0..60_000u32 {
         let now = Duration::from_millis(u64::from(step) * 3);
         let event = match rng.u32(0..100) {
-            // Servers come and go for good: each new one has an id of its own.
+            // Servers join and leave for good: each new one has its own id.
             0 => {
                 listed.push(u64::from(step));
                 if listed.len() > 8 {
@@ -74,7 +74,7 @@
         assert!(balancer.servers.all().len() <= listed.len() + flying.len());
         assert!(balancer.requests.len() <= balancer.queue.len() + flying.len());
     }
-    // What is still held ends with its time, and what is out with its outcome.
+    // Queued requests end with their time, attempts in flight with their outcome.
     let ids: Vec<RequestId> = balancer.requests.keys().copied().collect();
     let end = Duration::from_secs(1_000);
     for id in ids {
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The built adapter over pipes, on frames made by hand.
+//! Tests of the simulator's adapter over pipes, on frames that the tests build.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -119,7 +119,7 @@
     assert_eq!(sends[0][1..5], 3u32.to_le_bytes());
     assert_eq!(sends[0][5..9], 77u32.to_le_bytes());
     assert_eq!(sends[0][9..15], [10, 0, 0, 9, 0x23, 0x2b]);
-    // The aim: an answer after it earns nothing here.
+    // The latency target: a late answer has no value here.
     assert_eq!(sends[0][15..23], 400f64.to_le_bytes());
     assert!(replies[2].is_empty());
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A caller for tests: keeps the clock, the timers and what was sent.
+//! A caller of the module for tests, with its clock, its timers and a log of all actions.
 #![allow(dead_code)]
 
 use lugwharf_sidecar::{Balancer, api::*};
@@ -75,7 +75,7 @@
         harness
     }
 
-    /// Tells one event and returns the actions, timers aside.
+    /// Handles one event and returns the actions except timers, which it keeps.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.balancer.handle(ms(self.now), event, &mut out);
@@ -110,7 +110,7 @@
         actions
     }
 
-    /// A request with an id of the test's own, of this class.
+    /// Handles a request of this class with an id that the test chooses.
     pub fn arrive(&mut self, id: u32, class: usize, client_timeout: u64, origin: Origin) -> Vec<Action> {
         let (id, cost, client_timeout) = (RequestId(id), None, ms(client_timeout));
         self.handle(Event::Request(Arrival { id, class, cost, client_timeout, origin }))
@@ -133,14 +133,14 @@
         self.handle(Event::Outcome { id, attempt, outcome, elapsed: ms(elapsed), progress })
     }
 
-    /// Some requests, one after the other.
+    /// Serves some requests, one after the other.
     pub fn serve_many(&mut self, count: usize, elapsed: impl Fn(ServerId) -> u64) {
         for _ in 0..count {
             self.serve(&elapsed);
         }
     }
 
-    /// One request, answered after `took` by whichever server it went to.
+    /// Serves one request after the time that `elapsed` gives for the server it went to, and returns that server.
     pub fn serve(&mut self, elapsed: impl Fn(ServerId) -> u64) -> ServerId {
         let (id, actions) = self.request();
         let server = sent_to(&actions).expect("sent at once");
--- a/tests/module/admission.rs
+++ b/tests/module/admission.rs
@@ -7,7 +7,7 @@
 #[test]
 fn late_attempts_decrease_the_window_before_they_end() {
     let mut harness = harness(Idempotency::NonIdempotent, 4);
-    // Two dozen are sent on trust; none answers within its aim.
+    // The initial window is two dozen; none answers within its latency target.
     let sent_at_once = (0..40).filter(|_| sent_to(&harness.request().1).is_some()).count();
     assert_eq!(sent_at_once, 24);
     let actions = harness.advance(450);
@@ -17,7 +17,7 @@
 
 #[test]
 fn requests_cross_zones_after_a_wait_where_the_local_window_is_full() {
-    // Guards against refusing at a crowded home while the other zone stands idle.
+    // Rejecting at overloaded local servers while the other zone is idle would be a waste.
     let mut settings = settings(vec![class(Idempotency::NonIdempotent)]);
     (settings.cross_zone_price, settings.sidecar_count) = (0.1, 10);
     let mut lines = entries(8);
@@ -25,7 +25,7 @@
     let mut harness = Harness::new(settings, lines);
     let at_home: Vec<ServerId> = (0..4).filter_map(|_| sent_to(&harness.request().1)).collect();
     assert!(at_home.len() == 4 && at_home.iter().all(|s| s.0 % 2 == 0), "{at_home:?}");
-    // Home answers nothing: what comes now waits for it, and then goes where there is room.
+    // Local servers answer nothing: new requests wait for them, and then go to the other zone.
     assert!(sent_to(&harness.request().1).is_none());
     assert!(sent_to(&harness.advance(20)).is_none(), "home may have room soon");
     let actions = harness.advance(70);
@@ -50,7 +50,7 @@
     assert_eq!(ids.first(), Some(&dear), "{cheap:?} waits");
 }
 
-/// Asks until the window is full: what was sent, and the first that was held.
+/// Sends requests until the window is full: those that were sent, and the first that was queued.
 fn fill(harness: &mut Harness) -> (Vec<RequestId>, RequestId) {
     let mut busy = vec![];
     loop {
@@ -61,8 +61,7 @@
     }
 }
 
-/// Which of two held requests goes first after 200 of the first class were served, and as many
-/// of the second turned away.
+/// Which of two queued requests goes first after 200 of the first class were served, and as many of the second were not.
 fn first_after_neglect(worst_class: f64) -> (bool, bool) {
     let mut settings = settings(vec![class(SAFE); 2]);
     settings.goal = Goal { total_value: 0.8, worst_class };
@@ -101,11 +100,11 @@
 
 #[test]
 fn a_client_retry_past_its_latency_target_queues_behind_fresh_requests() {
-    // Guards against serving repeats that earn little any more, as in i84d305, while fresh ones are refused.
+    // Incident i84d305: client retries of little value were served while fresh requests were rejected.
     let mut harness = harness(SAFE, 1);
     harness.serve_many(20, |_| 30);
     let (busy, held) = fill(&mut harness);
-    // Of 1200 ms the client has 600 left: its aim of 400 is over. The other has 900 left, and thus 100 to its aim.
+    // Of 1200 ms the client has 600 left: its latency target of 400 is over. The other has 900 left, and so 100 to its target.
     harness.arrive(9_000, 0, 600, Origin::ClientRetry);
     harness.arrive(9_001, 0, 900, Origin::ClientRetry);
     harness.handle(Event::ClientDisconnected(held));
@@ -144,7 +143,7 @@
 
 #[test]
 fn the_limit_shrinks_with_the_servers_that_are_lost() {
-    // Guards against incident iea0a8a: the load of a lost half fell on the other at once.
+    // Incident iea0a8a: the load of a lost half of the servers fell on the other half at once.
     let mut harness = harness(SAFE, 8);
     harness.serve_many(60, |_| 50);
     let all = (0..60).map(|_| harness.request()).filter(|(_, actions)| sent_to(actions).is_some()).count();
@@ -173,7 +172,7 @@
 
 #[test]
 fn in_an_overload_a_quiet_sidecar_sends_only_a_share_of_its_requests() {
-    // Guards against incident ie2dd1e: one attempt in flight at each of many sidecars kept servers crowded.
+    // Incident ie2dd1e: one attempt in flight at each of many sidecars kept servers overloaded.
     let mut settings = settings(vec![class(SAFE)]);
     settings.sidecar_count = 100;
     let mut harness = Harness::new(settings, entries(10));
--- a/tests/module/attempts.rs
+++ b/tests/module/attempts.rs
@@ -1,4 +1,4 @@
-//! Tests of the final answer, and which attempts a request may have.
+//! Tests of final answers, and of which attempts a request may have.
 
 use crate::common::*;
 use crate::{SAFE, entries, harness, keyed};
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_request_timer_that_fires_early_by_less_than_a_tick_ends_the_queue_wait() {
-    // Guards against the lost requests of incident if274e6: the clock is coarser than the hold.
+    // Incident if274e6, lost requests: the clock is coarser than the queue wait.
     let mut b = Balancer::new(settings(vec![class(SAFE)]), 1);
     let mut out = vec![];
     b.handle(ms(0), Event::ServerList(ServerListEvent::Full(vec![])), &mut out);
@@ -119,7 +119,7 @@
 
 #[test]
 fn a_request_never_has_two_attempts_in_flight() {
-    // Guards against the waste and the crowding of copies: what is silent or slow is waited for.
+    // Hedged requests would waste capacity in an overload: a silent or slow server is waited for.
     let mut harness = harness(SAFE, 4);
     harness.serve_many(60, |_| 50);
     harness.request();
@@ -225,7 +225,7 @@
 
 #[test]
 fn a_keyed_retry_must_be_written_within_the_dedup_window() {
-    // Guards against a repeat that is chosen in time and then waits for a connection.
+    // A retry may be decided in time and then wait for a connection.
     let window = ms(1_000);
     for (idempotency, write_within) in [
         (Idempotency::Keyed { scope: DedupScope::All, window }, Some(700)),
--- a/tests/module/outlier_ejection.rs
+++ b/tests/module/outlier_ejection.rs
@@ -34,7 +34,7 @@
         harness.end_attempt(id, 0, Outcome::Ok, elapsed);
     }
     assert_eq!(trials.len(), 1, "tried again");
-    // While the trial is out, nothing else goes there.
+    // While the trial is in flight, nothing else goes there.
     for _ in 0..40 {
         let (id, actions) = harness.request();
         assert_ne!(sent_to(&actions), Some(bad));
@@ -99,8 +99,8 @@
     assert_eq!(sent_to(&harness.end_attempt(id, 0, Outcome::Error, 1)), Some(ServerId(1)));
 }
 
-/// Four servers of which the first fails everything; asks all the time and returns when it was sent to
-/// after its ejection.
+/// Four servers of which the first fails everything; sends requests all the time and returns when the first got one after
+/// its ejection.
 fn sends_to_the_ejected(harness: &mut Harness, time: u64, class: usize) -> Vec<u64> {
     let (mut times, end) = (vec![], harness.now + time);
     while harness.now < end {
@@ -140,7 +140,7 @@
 fn a_server_that_fails_one_class_is_ejected_for_it_and_readmitted() {
     let settings = settings(vec![class(Idempotency::NonIdempotent), class(SAFE)]);
     let mut harness = Harness::new(settings, entries(6));
-    // Half of the list, as far as it may go, fails two thirds of one class and serves the other well.
+    // Half of the list, the most that may be ejected, fails two thirds of one class and serves the other.
     let is_bad = |server: ServerId| server.0 % 2 == 0;
     let sends_to_bad = |harness: &mut Harness, failing: bool| {
         let mut sent_to_bad = [0; 2];
@@ -187,6 +187,6 @@
         }
     }
     let ejected = harness.log.iter().filter(|(_, a)| matches!(a, Action::Log(LogEvent::Ejected(_)))).count();
-    // One streak in a thousand or so; three in a row would come 34 times.
+    // By chance about one run of failures ejects; with three in a row as the threshold, 34 would.
     assert!(ejected < 10, "{ejected}");
 }
--- a/tests/module/probing.rs
+++ b/tests/module/probing.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn a_quiet_sidecar_probes_two_candidates_and_sends_to_the_less_loaded() {
-    // Guards against choosing by news that is minutes old.
+    // Statistics that are minutes old must not decide.
     let mut harness = Harness::new(probing(100), entries(40));
     let (_, actions) = harness.request();
     let pair = probes(&actions);
@@ -31,7 +31,7 @@
         "the other may be better"
     );
     assert_eq!(sent_to(&probed(&mut harness, pair[1], Outcome::Ok, Some(1.0))), Some(pair[1]));
-    // Where a report says nothing the first to answer has the shorter queue.
+    // Without reported load, the first to answer has the shorter queue.
     let pair = probes(&harness.request().1);
     probed(&mut harness, pair[0], Outcome::Ok, None);
     assert_eq!(sent_to(&harness.advance(10)), Some(pair[0]));
@@ -55,7 +55,7 @@
 
 #[test]
 fn the_window_applies_where_probes_report_no_load() {
-    // Guards against hundreds of quiet sidecars that all miss in a crowd, and then probe, send on and never hold back.
+    // Hundreds of quiet sidecars that all miss in an overload must not go on sending after their probes.
     let went_out = |load_reported: bool| {
         let settings = Settings { load_reported, ..probing(100) };
         let mut harness = Harness::new(settings, entries(40));
@@ -64,7 +64,7 @@
             for server in probes(&actions) {
                 probed(&mut harness, server, Outcome::Ok, None);
             }
-            // None is answered by its aim.
+            // None is answered within its latency target.
             harness.advance(500);
             harness.end_attempt(id, 0, Outcome::Timeout, 500);
         }
@@ -80,7 +80,7 @@
 
 #[test]
 fn a_quiet_sidecar_probes_only_where_misses_cost_more_than_probes() {
-    // Guards against a hundred quiet sidecars that pay for two probes with each request in a calm fleet.
+    // A hundred quiet sidecars in a healthy fleet must not pay for two probes with each request.
     let mut settings = probing(100);
     settings.probe_price = 0.03;
     let mut harness = Harness::new(settings, entries(40));
@@ -103,7 +103,7 @@
 
 #[test]
 fn candidates_that_do_not_answer_probes_get_no_requests() {
-    // Guards against hung and silent servers, and against crowding a fleet that is too busy to answer.
+    // Servers that hang must get nothing, and a fleet that is too busy to answer no more load.
     let mut harness = Harness::new(probing(100), entries(40));
     let (_, actions) = harness.request();
     let first = probes(&actions);
@@ -136,7 +136,7 @@
 
 #[test]
 fn an_expensive_request_is_not_rejected_where_a_server_is_idle() {
-    // Guards against refusing on a rough hint, or on the few answers seen so far.
+    // A rough cost hint, or few answers, must not reject.
     let mut harness = Harness::new(probing(100), entries(40));
     for (round, cost) in [(0u32, 10), (1, 100), (2, 100)] {
         let (id, client_timeout, origin) = (RequestId(round), ms(1_200), Origin::Fresh);
@@ -151,9 +151,9 @@
 
 #[test]
 fn a_request_past_its_latency_target_is_probed_only_once() {
-    // Guards against probes, each of them work for a server, for what is lost anyway on an overloaded day.
+    // Each probe is work for a server: none is spent on a request that is lost anyway.
     let mut harness = Harness::new(probing(100), entries(40));
-    // The aim was over before this repeat came.
+    // The latency target was over before this client retry came.
     let actions = harness.arrive(7, 0, 700, Origin::ClientRetry);
     let pair = probes(&actions);
     let mut more = vec![];
--- a/tests/module/selection.rs
+++ b/tests/module/selection.rs
@@ -1,4 +1,4 @@
-//! Tests of the ordinary choice of a server.
+//! Tests of choosing a server without probes.
 
 use crate::common::*;
 use crate::{SAFE, entries, harness};
@@ -17,7 +17,7 @@
 fn attempts_in_flight_raise_a_servers_score() {
     let mut harness = harness(SAFE, 2);
     harness.serve_many(10, |_| 50);
-    // With equal averages the next two go to different servers, as the first is still out.
+    // With equal latencies the next two go to different servers, as the first is still in flight.
     let (first, second) = (sent_to(&harness.request().1), sent_to(&harness.request().1));
     assert!(first.is_some() && second.is_some() && first != second);
 }
@@ -45,12 +45,12 @@
 
 #[test]
 fn the_baseline_of_a_slow_server_outlasts_its_peak_ewma() {
-    // Guards against incident i7368b0: a third of the sends went to slow machines, as news of them was old.
+    // Incident i7368b0: a third of the sends went to slow machines, as their samples had faded.
     let mut harness = harness(SAFE, 2);
     let elapsed = |server: ServerId| if server.0 == 1 { 90 } else { 30 };
     harness.serve_many(20, |_| 30);
     harness.serve_many(40, elapsed);
-    // What was usual fades within some ten seconds: that is how long it has to hold.
+    // The baseline fades within some ten seconds: that is how long it has to be remembered.
     for _ in 0..3 {
         harness.advance(5_000);
         assert_eq!(harness.serve(elapsed).0, 2);
@@ -132,7 +132,7 @@
 
 #[test]
 fn subsets_of_quiet_sidecars_are_small_and_cover_the_list_evenly() {
-    // Guards against a connection opened for almost every attempt, each costing its server work.
+    // Otherwise almost every attempt would open a connection, each of which costs its server work.
     let mut reached = BTreeSet::new();
     for number in 0..5 {
         let mut settings = settings(vec![class(SAFE)]);
@@ -152,7 +152,7 @@
 
 #[test]
 fn subsets_of_the_sidecars_in_one_zone_cover_the_zone_evenly() {
-    // Guards against clients times servers connections: where crossing has a price all draws are at home.
+    // Where crossing zones has a price all draws are local, which must not make clients times servers connections.
     let mut users: BTreeMap<u64, usize> = BTreeMap::new();
     // The sidecars of one zone are numbered in a block, among a hundred.
     for number in 30..75 {
@@ -184,7 +184,7 @@
 
 #[test]
 fn each_class_prefers_the_kind_of_machine_with_the_lower_relative_latency() {
-    // Guards against sending by a mean over classes where kinds of machine suit them differently.
+    // A mean over classes is wrong where kinds of machine suit them differently.
     let mut lines = entries(20);
     lines.iter_mut().for_each(|l| l.kind = (l.server.0 % 2) as u8);
     let mut harness = Harness::new(settings(vec![class(SAFE), class(SAFE)]), lines);
@@ -196,7 +196,7 @@
         let suits = server.0 % 2 == class as u64;
         suited += usize::from(suits && round >= 200);
         let elapsed = if suits { 30 } else { 90 };
-        // Each server is heard of rarely: its own average alone could not tell.
+        // Each server has few samples: its own average alone could not tell.
         harness.advance(elapsed);
         harness.end_attempt(id, 0, Outcome::Ok, elapsed);
         harness.advance(2_000);
--- a/tests/module/server_list.rs
+++ b/tests/module/server_list.rs
@@ -1,4 +1,4 @@
-//! Tests of the server list, cold servers and discovery.
+//! Tests of the server list, slow start and subscriptions.
 
 use crate::common::*;
 use crate::{SAFE, entries, harness};
@@ -84,7 +84,7 @@
     let mut harness = Harness::new(settings, entries(4));
     harness.serve_many(200, |_| 50);
     let mut cold = entry(9);
-    // By its weight it wins every draw: only the lot holds it back while it is cold.
+    // By its weight it wins every comparison: only the request's draw keeps requests away while it warms up.
     (cold.started, cold.weight) = (Some(ms(harness.now)), 100.0);
     harness.handle(Event::ServerList(ServerListEvent::Delta(vec![cold])));
     let to_cold = (0..100).filter(|_| harness.serve(|_| 50) == ServerId(9)).count();
@@ -93,7 +93,7 @@
 
 #[test]
 fn many_sidecars_together_do_not_overload_a_lone_warming_server() {
-    // Guards against all that comes where a cold server is the only one left at home.
+    // A warming server may be the only local one that is left.
     let (sidecars, mean, seconds) = (20u64, 50, 3);
     let mut to_cold = 0;
     for number in 0..sidecars {
@@ -111,15 +111,15 @@
             to_cold += u64::from(harness.serve(|_| mean).0 == 1);
         }
     }
-    // Each server's even share of all sends. A cold one may get three times its warmth, a fifth at first, and a little
-    // by chance at each sidecar; without a budget it gets about four shares here.
+    // Each server's even share of all sends. A warming one may get three times its capacity share, a fifth at first, and a
+    // little by chance at each sidecar; without the bound it gets about four even shares here.
     let even = sidecars * seconds * 1_000 / mean / 10;
     assert!(to_cold > 0 && 2 * to_cold < 3 * even, "{to_cold}, where {even} is a warm one's share");
 }
 
 #[test]
 fn subscription_delays_differ_between_sidecars() {
-    // Guards against calls in step, at the start too, that discovery cannot answer.
+    // Calls in step, at the start too, would be more than discovery can answer.
     let waits = |seed| {
         let mut settings = settings(vec![class(SAFE)]);
         settings.discovery = Discovery::OnRequest { max_poll_interval: ms(10_000) };
--- a/tests/sockets/answers.rs
+++ b/tests/sockets/answers.rs
@@ -1,15 +1,15 @@
 //! Literal answers to the application: status line, headers and body, but for the date.
 
-use crate::world::*;
-use crate::{ok, rest};
+use crate::harness::*;
+use crate::{ok, read_to_end};
 use serde_json::json;
 use std::io::Write;
 
-/// All that comes on a connection that this text is written to, once it is closed; the date is left out.
+/// Everything that comes on a new connection after this text is written, until it is closed; without the date.
 fn answer_to(sidecar: &Sidecar, text: &str) -> String {
     let mut client = sidecar.connect();
     client.write_all(text.as_bytes()).expect("written");
-    without_date(&rest(&mut client))
+    without_date(&read_to_end(&mut client))
 }
 
 fn without_date(text: &str) -> String {
@@ -20,7 +20,7 @@
     format!("{}\r\n\r\n{body}", kept.join("\r\n"))
 }
 
-/// One that closes after its answer, which the module does not get to see.
+/// The answer to a bad request, which closes its connection and never reaches the module.
 fn rejected(status: &str, why: &str) -> String {
     format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{why}", why.len())
 }
@@ -36,7 +36,7 @@
         config["settings"]["policyLimits"]["maxRetryAfter"] = json!(50.0);
         config["settings"]["requestClasses"][0]["aim"] = json!(4_000.0);
     });
-    let ask = |body: &str| {
+    let send = |body: &str| {
         let mut client = sidecar.connect();
         client.write_all(call("pay", 19.0).body(body).text().as_bytes()).expect("written");
         without_date(&Answer::read_text(&mut client))
@@ -48,14 +48,14 @@
     };
     assert_eq!(ready(), "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
     let typed = "HTTP/1.1 200 OK\r\ncontent-type: text/x-typed\r\ncontent-length: 5\r\n\r\nhello";
-    assert_eq!(ask("typed"), typed);
-    assert_eq!(ask(""), "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nplain");
-    assert_eq!(ask("broken"), "HTTP/1.1 502 Bad Gateway\r\ncontent-length: 6\r\n\r\nfailed");
-    sidecar.discovery.say(2, true, &[upstream.line("Terminating")]);
+    assert_eq!(send("typed"), typed);
+    assert_eq!(send(""), "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nplain");
+    assert_eq!(send("broken"), "HTTP/1.1 502 Bad Gateway\r\ncontent-length: 6\r\n\r\nfailed");
+    sidecar.discovery.publish(2, true, &[upstream.list_entry("Terminating")]);
     sidecar.discovery.wait_for_index(2);
     let refused =
         "HTTP/1.1 503 Service Unavailable\r\nretry-after: 0.050\r\ncontent-length: 7\r\n\r\nrefused";
-    assert_eq!(ask(""), refused);
+    assert_eq!(send(""), refused);
     assert_eq!(ready(), "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n");
 }
 
@@ -88,17 +88,20 @@
     ] {
         assert_eq!(answer_to(&sidecar, &text), rejected(status, why));
     }
-    // One whose body does not end, with the client still there.
+    // A body that does not end while its client stays connected.
     let mut client = sidecar.connect();
     let text = call("pay", 0.3).text().replace("Length: 0", "Length: 5");
     client.write_all(text.as_bytes()).expect("written");
-    assert_eq!(without_date(&rest(&mut client)), rejected("408 Request Timeout", "a body that does not end"));
+    assert_eq!(
+        without_date(&read_to_end(&mut client)),
+        rejected("408 Request Timeout", "a body that does not end")
+    );
     assert!(upstream.requests().is_empty());
 }
 
 #[test]
 fn the_id_of_an_open_request_is_rejected_with_its_literal_reason() {
-    let upstream = Upstream::start(|_| Reply::Silence);
+    let upstream = Upstream::start(|_| Reply::NoAnswer);
     let sidecar = Sidecar::start(&[&upstream]);
     let same = || call("pay", 20.0).header("X-Call-Id", "same").text();
     let mut first = sidecar.connect();
@@ -106,8 +109,8 @@
     upstream.wait_for("the request", |state| state.requests.len() == 1);
     let mut second = sidecar.connect();
     second.write_all(same().as_bytes()).expect("written");
-    let said = without_date(&rest(&mut second));
-    assert_eq!(said, rejected("409 Conflict", "the id of an open request"));
+    let answer_text = without_date(&read_to_end(&mut second));
+    assert_eq!(answer_text, rejected("409 Conflict", "the id of an open request"));
 }
 
 #[test]
@@ -119,7 +122,7 @@
         .header("Connection", "keep-alive")
         .header("TE", "trailers");
     assert_eq!(
-        sidecar.ask(&call.header("Expect", "nothing").header("X-Again", "1").body("hello")).status,
+        sidecar.send(&call.header("Expect", "nothing").header("X-Again", "1").body("hello")).status,
         200
     );
     let seen = upstream.requests();
--- a/tests/sockets/world/discovery.rs
+++ b/tests/sockets/harness/discovery.rs
@@ -1,6 +1,6 @@
-//! A discovery of the test's own.
+//! A discovery service under the test's control.
 
-use super::{LONG, Reply, Seen, Watched};
+use super::{LONG, ReceivedMessage, Reply, Watched};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::io::{BufReader, Write};
@@ -12,12 +12,12 @@
 #[derive(Default)]
 pub(super) struct Registry {
     calls: usize,
-    /// What the next calls are answered.
+    /// The answers to the next calls, with their revisions.
     next: VecDeque<(u64, Reply)>,
-    /// What a call for the whole list is answered when nothing else is to come.
-    pub(super) whole: Value,
+    /// The answer to a call for the complete list when no other answer is queued.
+    pub(super) complete_list: Value,
     answered: Option<Instant>,
-    /// Watches since the last news: the revision they name, and how long after the last answer they came.
+    /// Watches since the last update: the revision they name, and how long after the last answer they came.
     pub(super) watches: Vec<(u64, Duration)>,
 }
 
@@ -30,7 +30,7 @@
     pub fn start(list: &Value) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
-        let registry = Watched::new(Registry { whole: list.clone(), ..Registry::default() });
+        let registry = Watched::new(Registry { complete_list: list.clone(), ..Registry::default() });
         let of = registry.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
@@ -43,8 +43,8 @@
 
     fn serve(mut stream: TcpStream, registry: &Watched<Registry>) {
         let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
-        while let Some(seen) = Seen::read(&mut reader) {
-            let index = seen.line.split_once("index=").map(|(_, rest)| {
+        while let Some(seen) = ReceivedMessage::read(&mut reader) {
+            let index = seen.start_line.split_once("index=").map(|(_, rest)| {
                 let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
                 digits.parse::<u64>().expect("an index")
             });
@@ -57,42 +57,45 @@
                 let held = registry.1.wait_timeout_while(registry.get(), LONG, |r| r.next.is_empty());
                 held.expect("no panic").0.next.pop_front().map(|(_, reply)| reply)
             } else {
-                Some(Reply::text(200, "", &registry.get().whole.to_string()))
+                Some(Reply::text(200, "", &registry.get().complete_list.to_string()))
             };
             registry.change(|r| r.answered = Some(Instant::now()));
             match reply {
-                Some(Reply::Whole(text)) => drop(stream.write_all(text.as_bytes())),
+                Some(Reply::Complete(text)) => drop(stream.write_all(text.as_bytes())),
                 _ => drop(stream.shutdown(Shutdown::Both)),
             }
         }
     }
 
-    /// How often it was called.
+    /// The number of calls so far.
     pub fn calls(&self) -> usize {
         self.registry.get().calls
     }
 
-    /// Waits until it was called so often in all, and returns how often it was.
+    /// Waits until there were this many calls in all, and returns their number.
     pub fn wait_for_calls(&self, calls: usize) -> usize {
         self.registry.wait("calls", |r| r.calls >= calls).calls
     }
 
-    /// The next call is answered with these members, and from then on they are part of the whole list.
-    pub fn say(&self, revision: u64, complete: bool, members: &[Value]) {
+    /// The next call is answered with these members, which are part of the complete list from then on.
+    pub fn publish(&self, revision: u64, complete: bool, members: &[Value]) {
         let list = json!({"revision": revision, "complete": complete, "members": members});
         self.registry.change(|r| {
             r.watches.clear();
-            let mut whole =
-                if complete { Vec::new() } else { r.whole["members"].as_array().expect("a list").clone() };
-            whole.retain(|known| members.iter().all(|member| member["id"] != known["id"]));
-            whole.extend(members.iter().filter(|member| member["phase"] != "Gone").cloned());
-            r.whole = json!({"revision": revision, "complete": true, "members": whole});
+            let mut members_now = if complete {
+                Vec::new()
+            } else {
+                r.complete_list["members"].as_array().expect("a list").clone()
+            };
+            members_now.retain(|known| members.iter().all(|member| member["id"] != known["id"]));
+            members_now.extend(members.iter().filter(|member| member["phase"] != "Gone").cloned());
+            r.complete_list = json!({"revision": revision, "complete": true, "members": members_now});
             r.next.push_back((revision, Reply::text(200, "", &list.to_string())));
         });
     }
 
-    /// The next call goes wrong like this; waits until it has.
-    pub fn fail(&self, reply: Reply) {
+    /// Makes the next call fail with this answer, and waits until it has.
+    pub fn fail_next_call(&self, reply: Reply) {
         let calls = self.registry.change(|r| {
             r.next.push_back((0, reply));
             r.calls
@@ -100,7 +103,7 @@
         drop(self.registry.wait("a call after the failure", |r| r.next.is_empty() && r.calls > calls));
     }
 
-    /// Waits for a watch from this revision on, and tells how long after the last answer it came.
+    /// Waits for a watch from this revision on, and returns how long after the last answer it came.
     pub fn wait_for_index(&self, revision: u64) -> Duration {
         let named = |r: &Registry| r.watches.iter().find(|(index, _)| *index == revision).map(|w| w.1);
         let registry = self.registry.wait("a watch", |r| r.next.is_empty() && named(r).is_some());
--- a/tests/sockets/world/message.rs
+++ b/tests/sockets/harness/message.rs
@@ -6,15 +6,15 @@
 
 /// A message as it was read.
 #[derive(Clone, Debug)]
-pub struct Seen {
-    pub line: String,
+pub struct ReceivedMessage {
+    pub start_line: String,
     headers: Vec<(String, String)>,
     pub body: String,
 }
 
-impl Seen {
+impl ReceivedMessage {
     /// `None` at the end of the connection.
-    pub(super) fn read(from: &mut impl BufRead) -> Option<Seen> {
+    pub(super) fn read(from: &mut impl BufRead) -> Option<ReceivedMessage> {
         let mut line = || {
             let mut line = String::new();
             let length = from.read_line(&mut line).ok()?;
@@ -27,7 +27,7 @@
             let Some((name, value)) = line.split_once(':') else { break };
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
-        let mut seen = Seen { line: start, headers, body: String::new() };
+        let mut seen = ReceivedMessage { start_line: start, headers, body: String::new() };
         let length = seen.header("content-length").map_or(0, |text| text.parse().expect("a length"));
         let mut body = vec![0; length];
         from.read_exact(&mut body).ok()?;
@@ -48,16 +48,19 @@
 #[derive(Clone)]
 pub enum Reply {
     Raw(String),
-    /// Keeps the connection.
-    Whole(String),
+    /// Sends this text and keeps the connection.
+    Complete(String),
     Close,
-    /// Holds the connection until the other side closes it.
-    Silence,
+    /// Sends nothing and keeps the connection until the other side closes it.
+    NoAnswer,
 }
 
 impl Reply {
     pub fn text(status: u16, headers: &str, body: &str) -> Reply {
-        Reply::Whole(format!("HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len()))
+        Reply::Complete(format!(
+            "HTTP/1.1 {status} X\r\n{headers}Content-Length: {}\r\n\r\n{body}",
+            body.len()
+        ))
     }
 }
 
@@ -96,7 +99,7 @@
     }
 }
 
-/// With an id of its own, and a key where the class wants one.
+/// A request of this class and budget in seconds, with an id of its own and, for a keyed class, a key.
 pub fn call(class: &str, budget: f64) -> Call {
     static NUMBER: AtomicUsize = AtomicUsize::new(0);
     let id = format!("call-{}", NUMBER.fetch_add(1, Ordering::SeqCst));
@@ -110,7 +113,7 @@
 pub struct Answer {
     pub status: u16,
     pub body: String,
-    seen: Seen,
+    seen: ReceivedMessage,
 }
 
 impl Answer {
@@ -120,15 +123,15 @@
 
     /// The answer as it was written, up to the length that it names.
     pub fn read_text(from: &mut TcpStream) -> String {
-        let seen = Seen::read(&mut BufReader::new(from)).expect("an answer");
+        let seen = ReceivedMessage::read(&mut BufReader::new(from)).expect("an answer");
         let headers: String =
             seen.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
-        format!("{}\r\n{headers}\r\n{}", seen.line, seen.body)
+        format!("{}\r\n{headers}\r\n{}", seen.start_line, seen.body)
     }
 
     pub(super) fn try_read(from: &mut TcpStream) -> Option<Answer> {
-        let seen = Seen::read(&mut BufReader::new(from))?;
-        let status = seen.line.split(' ').nth(1).and_then(|text| text.parse().ok()).expect("a status");
+        let seen = ReceivedMessage::read(&mut BufReader::new(from))?;
+        let status = seen.start_line.split(' ').nth(1).and_then(|text| text.parse().ok()).expect("a status");
         Some(Answer { status, body: seen.body.clone(), seen })
     }
 
--- a/tests/sockets/world/mod.rs
+++ b/tests/sockets/harness/mod.rs
@@ -6,7 +6,7 @@
 mod upstream;
 
 pub use discovery::Discovery;
-pub use message::{Answer, Reply, Seen, call};
+pub use message::{Answer, ReceivedMessage, Reply, call};
 pub use sidecar::Sidecar;
 pub use upstream::Upstream;
 
--- a/tests/sockets/world/sidecar.rs
+++ b/tests/sockets/harness/sidecar.rs
@@ -15,7 +15,7 @@
     process: Child,
     addr: SocketAddr,
     pub discovery: Discovery,
-    /// What it has logged since it listens.
+    /// Its log lines since it started to listen.
     log: Arc<Watched<Vec<String>>>,
     config: Value,
     file: String,
@@ -26,7 +26,7 @@
         Sidecar::with(upstreams, |_| {})
     }
 
-    /// Starts one after this shell command.
+    /// Starts a sidecar after this shell command.
     pub fn under(shell: &str, upstreams: &[&Upstream]) -> Sidecar {
         Sidecar::launch(shell, upstreams, |_| {})
     }
@@ -35,9 +35,9 @@
         Sidecar::launch(":", upstreams, change)
     }
 
-    /// Starts one that is ready and has asked discovery, which knows these upstreams.
+    /// Starts a sidecar, and waits until it is ready and has called discovery, which lists these upstreams.
     fn launch(shell: &str, upstreams: &[&Upstream], change: impl FnOnce(&mut Value)) -> Sidecar {
-        let members: Vec<Value> = upstreams.iter().map(|upstream| upstream.line("Ready")).collect();
+        let members: Vec<Value> = upstreams.iter().map(|upstream| upstream.list_entry("Ready")).collect();
         let known = json!({"revision": 1, "complete": true, "members": members});
         let discovery = Discovery::start(&known);
         let mut config = json!({
@@ -54,7 +54,7 @@
             },
         });
         change(&mut config);
-        discovery.registry.change(|r| r.whole = config["known"].clone());
+        discovery.registry.change(|r| r.complete_list = config["known"].clone());
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let number = NUMBER.fetch_add(1, Ordering::SeqCst);
         let file = format!("{}/{}-{number}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
@@ -72,7 +72,7 @@
         let of = log.clone();
         thread::spawn(move || lines.map_while(Result::ok).for_each(|line| of.change(|log| log.push(line))));
         let sidecar = Sidecar { process, addr: addr.expect("it listens"), discovery, log, config, file };
-        sidecar.wait_until("readiness", |sidecar| sidecar.ready() == 200);
+        sidecar.wait_until("readiness", |sidecar| sidecar.readiness() == 200);
         if sidecar.config["settings"]["discovery"] == "pushed" {
             drop(sidecar.discovery.registry.wait("a call", |r| r.watches.iter().any(|w| w.0 == 1)));
         }
@@ -85,7 +85,7 @@
         self.signal("HUP");
     }
 
-    /// Tells it of another discovery, in its configuration.
+    /// Names another discovery in its configuration, and reloads it.
     pub fn move_to(&self, discovery: &Discovery) {
         let mut config = self.config.clone();
         config["discovery"] = json!(discovery.addr.to_string());
@@ -98,8 +98,8 @@
         stream
     }
 
-    /// On a connection of its own.
-    pub fn ask(&self, call: &Call) -> Answer {
+    /// Sends a request on a new connection and reads the answer.
+    pub fn send(&self, call: &Call) -> Answer {
         let mut stream = self.connect();
         // A long body may be answered before it is read to its end.
         drop(stream.write_all(call.text().as_bytes()));
@@ -107,7 +107,7 @@
     }
 
     /// The status of readiness; 0 if nobody answers.
-    pub fn ready(&self) -> u16 {
+    pub fn readiness(&self) -> u16 {
         let Ok(mut stream) = TcpStream::connect(self.addr) else { return 0 };
         stream.set_read_timeout(Some(LONG)).expect("set");
         drop(stream.write_all(b"GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n"));
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Waits until it has logged a line that begins so.
+    /// Waits until it has logged a line with this start.
     pub fn wait_for_line(&self, start: &str) {
         drop(self.log.wait(start, |log| log.iter().any(|line| line.starts_with(start))));
     }
--- a/tests/sockets/world/upstream.rs
+++ b/tests/sockets/harness/upstream.rs
@@ -1,6 +1,6 @@
-//! An upstream of the test's own.
+//! An upstream under the test's control.
 
-use super::{Reply, Seen, Watched};
+use super::{ReceivedMessage, Reply, Watched};
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,7 @@
 
 #[derive(Default)]
 pub struct State {
-    pub requests: Vec<Seen>,
+    pub requests: Vec<ReceivedMessage>,
     pub accepted: usize,
     pub closed_by_peer: usize,
     open: Vec<TcpStream>,
@@ -24,7 +24,7 @@
 }
 
 impl Upstream {
-    pub fn start(reply: impl Fn(&Seen) -> Reply + Send + Sync + 'static) -> Upstream {
+    pub fn start(reply: impl Fn(&ReceivedMessage) -> Reply + Send + Sync + 'static) -> Upstream {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
         let (state, stopped, reply) =
@@ -42,29 +42,29 @@
         Upstream { addr, state, stopped, listening: Mutex::new(Some(listening)) }
     }
 
-    fn serve(mut stream: TcpStream, state: &Watched<State>, reply: &dyn Fn(&Seen) -> Reply) {
+    fn serve(mut stream: TcpStream, state: &Watched<State>, reply: &dyn Fn(&ReceivedMessage) -> Reply) {
         let clone = || stream.try_clone().expect("a clone");
         let mut reader = BufReader::new(clone());
         state.change(|state| {
             state.accepted += 1;
             state.open.push(clone());
         });
-        while let Some(seen) = Seen::read(&mut reader) {
+        while let Some(seen) = ReceivedMessage::read(&mut reader) {
             state.change(|state| state.requests.push(seen.clone()));
             match reply(&seen) {
-                Reply::Whole(text) => drop(stream.write_all(text.as_bytes())),
+                Reply::Complete(text) => drop(stream.write_all(text.as_bytes())),
                 Reply::Raw(text) => {
                     drop(stream.write_all(text.as_bytes()));
                     drop(stream.shutdown(Shutdown::Write));
                 }
                 Reply::Close => drop(stream.shutdown(Shutdown::Both)),
-                Reply::Silence => {}
+                Reply::NoAnswer => {}
             }
         }
         state.change(|state| state.closed_by_peer += 1);
     }
 
-    pub fn line(&self, phase: &str) -> Value {
+    pub fn list_entry(&self, phase: &str) -> Value {
         let (id, addr) = (format!("s-{:08x}", self.addr.port()), self.addr.to_string());
         json!({"id": id, "host_port": addr, "locality": "a", "flavor": "m", "cell": 0, "phase": phase,
             "size": 1.0, "up_since_ms": 0})
@@ -75,7 +75,7 @@
     }
 
     /// The requests so far.
-    pub fn requests(&self) -> Vec<Seen> {
+    pub fn requests(&self) -> Vec<ReceivedMessage> {
         self.state().requests.clone()
     }
 
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -2,19 +2,19 @@
 
 mod answers;
 mod connections;
+mod harness;
 mod requests;
 mod upstreams;
-mod world;
 
+use harness::*;
 use std::io::Read;
-use world::*;
 
 fn ok(body: &str) -> Reply {
     Reply::text(200, "", body)
 }
 
 /// All that comes until the connection is closed.
-fn rest(client: &mut std::net::TcpStream) -> String {
+fn read_to_end(client: &mut std::net::TcpStream) -> String {
     let mut bytes = Vec::new();
     // A reset ends it as well.
     drop(client.read_to_end(&mut bytes));
--- a/tests/sockets/requests.rs
+++ b/tests/sockets/requests.rs
@@ -1,7 +1,7 @@
-//! Tests of what is passed on, what is repeated and what is turned away.
+//! Tests of what is forwarded, retried and rejected.
 
-use crate::world::*;
-use crate::{ok, rest};
+use crate::harness::*;
+use crate::{ok, read_to_end};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
@@ -11,11 +11,11 @@
     let upstream = Upstream::start(|_| ok("\u{0}the answer"));
     let sidecar = Sidecar::start(&[&upstream]);
     let call = call("report", 2.0).header("X-Call-Id", "call 1").header("Idempotency-Key", "k1");
-    let answer = sidecar.ask(&call.path("/api?x=1%20y").body("hello"));
+    let answer = sidecar.send(&call.path("/api?x=1%20y").body("hello"));
     assert_eq!((answer.status, answer.body.as_str()), (200, "\u{0}the answer"));
     let seen = upstream.requests();
     assert_eq!(seen.len(), 1);
-    assert_eq!((seen[0].line.as_str(), seen[0].body.as_str()), ("POST /api?x=1%20y HTTP/1.1", "hello"));
+    assert_eq!((seen[0].start_line.as_str(), seen[0].body.as_str()), ("POST /api?x=1%20y HTTP/1.1", "hello"));
     assert_eq!(seen[0].header("x-call-id"), Some("call 1"));
     assert_eq!(seen[0].header("idempotency-key"), Some("k1"));
     let budget: f64 = seen[0].header("x-budget").expect("a budget").parse().expect("seconds");
@@ -45,7 +45,7 @@
             })
         });
         let sidecar = Sidecar::start(&[&a, &b]);
-        let answer = sidecar.ask(&call("pay", 2.0));
+        let answer = sidecar.send(&call("pay", 2.0));
         assert!(![200, 429, 503].contains(&answer.status), "{what}: {}", answer.status);
         assert_eq!(a.requests().len() + b.requests().len(), 1, "{what}: sent once");
     }
@@ -54,7 +54,7 @@
 #[test]
 fn a_request_that_never_ran_is_retried() {
     for status in [503, 504] {
-        // Whichever has the fifteenth turns it away; requests before it have earned it another attempt.
+        // The fifteenth request is rejected wherever it goes; those before it have filled the retry budget.
         let asked = Shared::default();
         let both = [(); 2].map(|()| {
             let asked = asked.clone();
@@ -65,16 +65,16 @@
         });
         let sidecar = Sidecar::start(&[&both[0], &both[1]]);
         for _ in 0..16 {
-            assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
+            assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
         }
         assert_eq!(asked.count(), 18, "one was sent twice");
     }
-    // Nobody listens at the other's address; a connection refused costs nothing and proves that nothing ran.
+    // Nobody listens at the other's address; a refused connection is free and proves that nothing ran.
     let (up, down) = (Upstream::start(|_| ok("served")), Upstream::start(|_| ok("")));
     down.stop();
     let sidecar = Sidecar::start(&[&up, &down]);
     for _ in 0..6 {
-        assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
+        assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
     }
 }
 
@@ -94,17 +94,17 @@
         call("report", 5.0).without("Idempotency-Key"),
     ];
     for call in bad {
-        let answer = sidecar.ask(&call);
+        let answer = sidecar.send(&call);
         assert!((400..500).contains(&answer.status) && answer.status != 429, "{}", answer.status);
         assert_eq!(answer.header("connection"), Some("close"));
     }
     let mut client = sidecar.connect();
     client.write_all(b"\x16\x03\x01 no http at all\r\n\r\n").expect("written");
-    let mut said = String::new();
-    client.read_to_string(&mut said).expect("an end");
-    assert!(said.is_empty() || said.starts_with("HTTP/1.1 400"), "{said}");
+    let mut answer_text = String::new();
+    client.read_to_string(&mut answer_text).expect("an end");
+    assert!(answer_text.is_empty() || answer_text.starts_with("HTTP/1.1 400"), "{answer_text}");
     assert!(upstream.requests().is_empty());
-    assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
+    assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
 }
 
 #[test]
@@ -116,18 +116,18 @@
     ] {
         let upstream = Upstream::start(move |_| Reply::Raw(raw.into()));
         let sidecar = Sidecar::start(&[&upstream]);
-        assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 502, "{raw}");
+        assert_eq!(sidecar.send(&call("pay", 2.0)).status, 502, "{raw}");
     }
     let long = "x".repeat(64 * 1024 + 1);
     let upstream = Upstream::start(move |_| ok(&long));
     let sidecar = Sidecar::start(&[&upstream]);
-    assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 502, "over the cap");
+    assert_eq!(sidecar.send(&call("pay", 2.0)).status, 502, "over the cap");
 }
 
 #[test]
 fn a_keyed_request_that_may_have_run_is_retried_only_in_its_cell() {
     for (other_cell, status, sent) in [(0, 200, 17), (1, 502, 16)] {
-        // Whichever has the sixteenth breaks the connection; those before have earned it another attempt.
+        // The sixteenth request breaks its connection wherever it goes; those before it have filled the retry budget.
         let asked = Shared::default();
         let both = [(); 2].map(|()| {
             let asked = asked.clone();
@@ -137,9 +137,9 @@
             config["known"]["members"][1]["cell"] = json!(other_cell);
         });
         for _ in 0..15 {
-            assert_eq!(sidecar.ask(&call("report", 2.0)).status, 200);
+            assert_eq!(sidecar.send(&call("report", 2.0)).status, 200);
         }
-        assert_eq!(sidecar.ask(&call("report", 2.0)).status, status, "cell {other_cell}");
+        assert_eq!(sidecar.send(&call("report", 2.0)).status, status, "cell {other_cell}");
         assert_eq!(both[0].requests().len() + both[1].requests().len(), sent, "cell {other_cell}");
     }
 }
@@ -150,14 +150,14 @@
     let sidecar = Sidecar::with(&[&upstream], |config| {
         config["settings"]["requestClasses"][0]["aim"] = json!(400.0);
     });
-    sidecar.discovery.say(2, true, &[upstream.line("Terminating")]);
+    sidecar.discovery.publish(2, true, &[upstream.list_entry("Terminating")]);
     sidecar.discovery.wait_for_index(2);
     let start = Instant::now();
-    let answer = sidecar.ask(&call("pay", 60.0));
+    let answer = sidecar.send(&call("pay", 60.0));
     let retry_after: f64 = answer.header("retry-after").expect("advice").parse().expect("seconds");
     assert_eq!(answer.status, 503);
     assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
-    // A quarter of the aim is how long the module holds what it can't send.
+    // The module queues a request that it cannot send for a quarter of the latency target.
     assert!(start.elapsed() < Duration::from_secs(20), "not held back until its time is over");
     assert!(upstream.requests().is_empty());
 }
@@ -167,9 +167,9 @@
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     for huge in ["1e19", "18446744073709551615", "1e300"] {
-        let answer = sidecar.ask(&call("pay", 2.0).header("X-Budget", huge).header("X-Call-Cost", huge));
+        let answer = sidecar.send(&call("pay", 2.0).header("X-Budget", huge).header("X-Call-Cost", huge));
         assert!(answer.status == 200 || answer.status == 400, "{huge}: {}", answer.status);
-        assert_eq!(sidecar.ask(&call("pay", 2.0).header("X-Call-Cost", "1000")).status, 200, "after {huge}");
+        assert_eq!(sidecar.send(&call("pay", 2.0).header("X-Call-Cost", "1000")).status, 200, "after {huge}");
     }
 }
 
@@ -186,26 +186,29 @@
         let outer = call("pay", 2.0).text().replace("Content-Length: 0\r\n", &framing);
         let mut client = sidecar.connect();
         client.write_all(format!("{outer}0\r\n\r\n{hidden}").as_bytes()).expect("written");
-        let said = rest(&mut client);
-        assert!(said.starts_with("HTTP/1.1 4") && said.matches("HTTP/1.1").count() == 1, "{framing}: {said}");
+        let answer_text = read_to_end(&mut client);
+        assert!(
+            answer_text.starts_with("HTTP/1.1 4") && answer_text.matches("HTTP/1.1").count() == 1,
+            "{framing}: {answer_text}"
+        );
     }
     assert!(upstream.requests().is_empty());
 }
 
 #[test]
 fn the_id_of_an_open_request_is_rejected_until_it_is_released() {
-    let upstream = Upstream::start(|seen| if seen.body == "stay" { Reply::Silence } else { ok("served") });
+    let upstream = Upstream::start(|seen| if seen.body == "stay" { Reply::NoAnswer } else { ok("served") });
     let sidecar = Sidecar::start(&[&upstream]);
     let mut first = sidecar.connect();
     let same = |body: &str| call("pay", 20.0).header("X-Call-Id", "same").body(body);
     first.write_all(same("stay").text().as_bytes()).expect("written");
     upstream.wait_for("the request", |state| state.requests.len() == 1);
-    assert_eq!(sidecar.ask(&same("")).status, 409);
-    assert_eq!(sidecar.ask(&call("pay", 20.0)).status, 200, "another id");
-    // The client leaves: its id is given back on that path too.
+    assert_eq!(sidecar.send(&same("")).status, 409);
+    assert_eq!(sidecar.send(&call("pay", 20.0)).status, 200, "another id");
+    // The client disconnects: its id is released on that path too.
     drop(first);
-    sidecar.wait_until("the id to be free", |sidecar| sidecar.ask(&same("")).status == 200);
-    assert_eq!(sidecar.ask(&same("")).status, 200);
+    sidecar.wait_until("the id to be free", |sidecar| sidecar.send(&same("")).status == 200);
+    assert_eq!(sidecar.send(&same("")).status, 200);
 }
 
 #[test]
@@ -216,14 +219,14 @@
         let mut client = sidecar.connect();
         let text = call("pay", 20.0).text().replace("Length: 0", &format!("Length: {length}"));
         client.write_all(text.as_bytes()).expect("written");
-        let said = rest(&mut client);
-        assert!(said.starts_with("HTTP/1.1 4"), "{length}: {said}");
+        let answer_text = read_to_end(&mut client);
+        assert!(answer_text.starts_with("HTTP/1.1 4"), "{length}: {answer_text}");
     }
-    // One that is right but for what is missing ends with the client's time.
+    // A valid length with a missing body is answered when the client's time is over.
     let mut client = sidecar.connect();
     let text = call("pay", 0.3).text().replace("Length: 0", "Length: 5");
     client.write_all(text.as_bytes()).expect("written");
-    assert!(rest(&mut client).starts_with("HTTP/1.1 408"));
+    assert!(read_to_end(&mut client).starts_with("HTTP/1.1 408"));
     assert!(upstream.requests().is_empty());
 }
 
@@ -231,11 +234,11 @@
 fn the_answer_margin_of_a_short_budget_is_small() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
-    // The most of many: a busy machine takes its part of some.
+    // The maximum of many: a busy machine delays some.
     for _ in 0..50 {
-        sidecar.ask(&call("pay", 0.1));
+        sidecar.send(&call("pay", 0.1));
     }
-    let told = |seen: crate::world::Seen| {
+    let told = |seen: crate::harness::ReceivedMessage| {
         seen.header("x-budget").expect("a budget").parse::<f64>().expect("seconds")
     };
     let most = upstream.requests().into_iter().map(told).fold(0.0, f64::max);
@@ -244,12 +247,12 @@
 
 #[test]
 fn a_request_fails_at_its_latency_target_where_late_answers_have_no_value() {
-    let upstream = Upstream::start(|_| Reply::Silence);
+    let upstream = Upstream::start(|_| Reply::NoAnswer);
     let sidecar = Sidecar::with(&[&upstream], |config| {
         config["settings"]["requestClasses"][0]["aim"] = json!(200.0);
     });
     let start = Instant::now();
-    assert_eq!(sidecar.ask(&call("pay", 19.0)).status, 502);
+    assert_eq!(sidecar.send(&call("pay", 19.0)).status, 502);
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
     upstream.wait_for("the connection to close", |state| state.closed_by_peer == 1);
 }
--- a/tests/sockets/upstreams.rs
+++ b/tests/sockets/upstreams.rs
@@ -1,7 +1,7 @@
-//! Tests of the list of upstreams, their load and how they start.
+//! Tests of the server list, load reports and slow start.
 
+use crate::harness::*;
 use crate::ok;
-use crate::world::*;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
@@ -12,31 +12,31 @@
     let served_by = |expected: &Upstream, other: &Upstream| {
         let before = other.requests().len();
         for _ in 0..6 {
-            assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
+            assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
         }
         assert!(!expected.requests().is_empty());
         other.requests().len() == before
     };
-    // A change: one drains.
-    sidecar.discovery.say(2, false, &[b.line("Terminating")]);
+    // A delta: one server drains.
+    sidecar.discovery.publish(2, false, &[b.list_entry("Terminating")]);
     sidecar.discovery.wait_for_index(2);
     assert!(served_by(&a, &b), "nothing new to the one that drains");
-    // Discovery answers nonsense, an error, nothing: the list held stays.
-    sidecar.discovery.fail(Reply::text(200, "", "{"));
-    sidecar.discovery.fail(Reply::text(503, "", ""));
-    sidecar.discovery.fail(Reply::Close);
+    // Discovery answers garbage, an error, nothing: the current list stays in use.
+    sidecar.discovery.fail_next_call(Reply::text(200, "", "{"));
+    sidecar.discovery.fail_next_call(Reply::text(503, "", ""));
+    sidecar.discovery.fail_next_call(Reply::Close);
     assert!(served_by(&a, &b));
-    // And what it has to say afterwards counts.
-    sidecar.discovery.say(3, false, &[b.line("Ready"), a.line("Gone")]);
+    // Later updates are applied.
+    sidecar.discovery.publish(3, false, &[b.list_entry("Ready"), a.list_entry("Gone")]);
     sidecar.discovery.wait_for_index(3);
     assert!(served_by(&b, &a));
-    // A whole list of a lower revision: it has begun to count anew.
-    sidecar.discovery.say(1, true, &[a.line("Ready")]);
+    // A complete list of a lower revision: discovery has restarted its count.
+    sidecar.discovery.publish(1, true, &[a.list_entry("Ready")]);
     sidecar.discovery.wait_for_index(1);
-    assert!(served_by(&a, &b), "who is missing from a whole list is gone");
-    // A change to a list older than the one held is no base: the whole list is asked for.
-    sidecar.discovery.say(0, false, &[b.line("Ready")]);
-    sidecar.discovery.say(5, true, &[b.line("Ready")]);
+    assert!(served_by(&a, &b), "servers missing from a complete list are gone");
+    // A change to a list older than the current one cannot be applied: the complete list is read.
+    sidecar.discovery.publish(0, false, &[b.list_entry("Ready")]);
+    sidecar.discovery.publish(5, true, &[b.list_entry("Ready")]);
     sidecar.discovery.wait_for_index(5);
     assert!(served_by(&b, &a));
 }
@@ -45,12 +45,12 @@
 fn an_upstream_is_reached_at_its_new_address() {
     let [old, new] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
     let sidecar = Sidecar::start(&[&old]);
-    assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
-    let mut line = old.line("Ready");
+    assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
+    let mut line = old.list_entry("Ready");
     line["host_port"] = json!(new.addr.to_string());
-    sidecar.discovery.say(2, false, &[line]);
+    sidecar.discovery.publish(2, false, &[line]);
     sidecar.discovery.wait_for_index(2);
-    assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
+    assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
     assert_eq!((old.requests().len(), new.requests().len()), (1, 1));
     old.wait_for("the kept connection to close", |state| state.closed_by_peer == 1);
 }
@@ -59,9 +59,9 @@
 fn the_next_watch_follows_at_once_from_the_current_revision() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
-    // The shortest of several waits: a busy machine may delay some, a pause of the sidecar's own would all.
+    // The shortest of several waits: a busy machine may delay some, a pause of the sidecar's own would delay all.
     let waits = (2..8).map(|revision| {
-        sidecar.discovery.say(revision, false, &[upstream.line("Ready")]);
+        sidecar.discovery.publish(revision, false, &[upstream.list_entry("Ready")]);
         sidecar.discovery.wait_for_index(revision)
     });
     let shortest = waits.min().expect("some");
@@ -75,9 +75,9 @@
         config["settings"]["discovery"] = json!("on_request");
         config["settings"]["obligations"] = json!({"mustAskIn": 200.0});
     });
-    sidecar.discovery.say(2, true, &[b.line("Ready")]);
+    sidecar.discovery.publish(2, true, &[b.list_entry("Ready")]);
     sidecar.discovery.wait_for_index(2);
-    assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
+    assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
     assert_eq!(b.requests().len(), 1);
 }
 
@@ -85,7 +85,7 @@
 fn a_quiet_sidecar_probes_upstreams_before_it_sends() {
     let many: Vec<Upstream> = (0..6)
         .map(|i| {
-            Upstream::start(move |request| match request.line.as_str() {
+            Upstream::start(move |request| match request.start_line.as_str() {
                 "GET /stats HTTP/1.1" => {
                     ok(&format!("{{\"depth\":0,\"concurrent\":{}}}", if i == 0 { 0 } else { 9 }))
                 }
@@ -95,14 +95,15 @@
         .collect();
     let sidecar = Sidecar::with(&many.iter().collect::<Vec<_>>(), |config| {
         config["settings"]["policyLimits"]["probes"] = json!(true);
-        // On a busy machine too a probe is answered by then.
+        // Long enough for a probe on a busy machine.
         config["settings"]["policyLimits"]["connectTimeout"] = json!(20_000.0);
         config["settings"]["report"] = json!({"how": "on_probe", "fields": ["depth", "concurrent"]});
     });
-    assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
-    let count =
-        |line: &str| many.iter().flat_map(|u| u.requests()).filter(|r| r.line.starts_with(line)).count();
-    // The other of the two has a tick to answer first, but is asked all the same.
+    assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
+    let count = |line: &str| {
+        many.iter().flat_map(|u| u.requests()).filter(|r| r.start_line.starts_with(line)).count()
+    };
+    // The request is sent one tick after the first answer, but both are probed.
     sidecar.wait_until("both to be asked", |_| count("GET /stats") >= 2);
     assert_eq!((count("GET /stats"), count("POST /api")), (2, 1));
 }
@@ -116,7 +117,7 @@
         config["known"]["members"][1]["up_since_ms"] = json!(now as u64);
     });
     for _ in 0..60 {
-        assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
+        assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
     }
     assert!(cold.requests().len() < 20, "{}", cold.requests().len());
 }
@@ -126,7 +127,7 @@
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let (before, since) = (sidecar.discovery.calls(), Instant::now());
-    (0..1_000).for_each(|_| sidecar.discovery.say(1, false, &[]));
+    (0..1_000).for_each(|_| sidecar.discovery.publish(1, false, &[]));
     let calls = sidecar.discovery.wait_for_calls(before + 8) - before;
     assert!(calls as u128 <= 3 + since.elapsed().as_millis() / 100, "{calls} calls in {:?}", since.elapsed());
 }
@@ -137,13 +138,14 @@
         let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
         let sidecar = Sidecar::with(&[&a], |config| config["settings"]["discovery"] = json!(how));
         sidecar.reload("{ no JSON");
-        assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200, "a file that can't be read changes nothing");
-        // The new one counts anew: its revision is that of the list held, but the list is another.
-        let new = Discovery::start(&json!({"revision": 1, "complete": true, "members": [b.line("Ready")]}));
+        assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200, "a file that can't be read changes nothing");
+        // The new discovery has its own count: the revision is that of the current list, but the list is another.
+        let new =
+            Discovery::start(&json!({"revision": 1, "complete": true, "members": [b.list_entry("Ready")]}));
         sidecar.move_to(&new);
         new.wait_for_index(1);
         let before = a.requests().len();
-        assert_eq!(sidecar.ask(&call("pay", 2.0)).status, 200);
+        assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
         assert_eq!((a.requests().len(), b.requests().len()), (before, 1), "{how}");
     }
 }
