--- a/crates/chain/tests/simulation/cases/fault_cases.rs
+++ b/crates/chain/tests/simulation/cases/fault_cases.rs
@@ -3,7 +3,7 @@
 use crate::cases::support::{
     SECOND, bootstrapped_cluster, commit_change, crash, lose_power, read_back, submit,
 };
-use crate::harness::{Cluster, CutMode, Fault, FaultSchedule, FaultTrigger, Scenario, address};
+use crate::harness::{Cluster, CutMode, Fault, FaultSchedule, Link, Scenario, ScheduledFault, address};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -36,17 +36,17 @@
 /// each other both ways, changes are acknowledged.
 #[test]
 fn every_pattern_of_cut_links_leads_to_a_stable_view() {
-    let links = [(0, 1), (1, 0), (0, 2), (2, 0), (1, 2), (2, 1)];
+    let links = [Link::both(0, 1), Link::both(0, 2), Link::both(1, 2)].concat();
     for pattern in 0_usize..1 << links.len() {
         let chosen = (0..links.len()).filter(|index| pattern & (1 << index) != 0);
-        let cut: Vec<(usize, usize)> = chosen.map(|index| links[index]).collect();
+        let cut: Vec<Link> = chosen.map(|index| links[index]).collect();
         let mut cluster = bootstrapped_cluster(pattern as u64, Scenario::three_nodes());
         let before = cluster.newest_view;
         cluster.inject(Fault::CutLinks { links: cut.clone(), mode: CutMode::Drop });
         cluster.run_for(20 * SECOND).unwrap();
         assert!(cluster.newest_view <= before + 2, "{cut:?}: {} views", cluster.newest_view - before);
         let is_connected =
-            |pair: &[usize; 2]| !cut.contains(&(pair[0], pair[1])) && !cut.contains(&(pair[1], pair[0]));
+            |pair: &[usize; 2]| Link::both(pair[0], pair[1]).iter().all(|link| !cut.contains(link));
         let pairs = [[0, 1], [0, 2], [1, 2]];
         let Some(pair) = pairs.into_iter().find(is_connected) else { continue };
         let request = cluster.draw_valid_submission();
@@ -277,12 +277,12 @@
 #[test]
 fn flapping_links_do_not_keep_the_others_from_serving() {
     let mut cluster = bootstrapped_cluster(11, Scenario::three_nodes());
-    let links = vec![(0, 1), (1, 0), (0, 2), (2, 0)];
+    let links = [Link::both(0, 1), Link::both(0, 2)].concat();
     let mut faults = Vec::new();
     for index in 0..6 {
         let at = Duration::from_millis(1_600 * index);
-        faults.push((FaultTrigger::At(at), Fault::CutLinks { links: links.clone(), mode: CutMode::Drop }));
-        faults.push((FaultTrigger::At(at + Duration::from_millis(900)), Fault::HealLinks));
+        faults.push(ScheduledFault::at(at, Fault::CutLinks { links: links.clone(), mode: CutMode::Drop }));
+        faults.push(ScheduledFault::at(at + Duration::from_millis(900), Fault::HealLinks));
     }
     cluster.run_round(FaultSchedule { faults, ..FaultSchedule::default() }).unwrap();
     assert!(cluster.newest_view < 14, "{} views", cluster.newest_view);
--- a/crates/chain/tests/simulation/cases/partition_cases.rs
+++ b/crates/chain/tests/simulation/cases/partition_cases.rs
@@ -1,7 +1,7 @@
 //! A machine that is partitioned or paused for a long time, with an operator that calls it.
 
 use crate::cases::support::{SECOND, bootstrapped_cluster, commit_change, read_back};
-use crate::harness::{ClientRequest, Cluster, CutMode, Fault, Scenario, address};
+use crate::harness::{ClientRequest, Cluster, CutMode, Fault, Link, Scenario, address};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -22,17 +22,17 @@
 }
 
 /// The links of a machine to all others.
-fn links_of(node_count: usize, cut: usize, direction: Direction) -> Vec<(usize, usize)> {
+fn links_of(node_count: usize, cut: usize, direction: Direction) -> Vec<Link> {
     let others = (0..node_count).filter(|other| *other != cut);
     others.flat_map(|other| links_between(cut, other, direction)).collect()
 }
 
 /// The links between two machines.
-fn links_between(cut: usize, other: usize, direction: Direction) -> Vec<(usize, usize)> {
+fn links_between(cut: usize, other: usize, direction: Direction) -> Vec<Link> {
     match direction {
-        Direction::Both => vec![(cut, other), (other, cut)],
-        Direction::From => vec![(cut, other)],
-        Direction::To => vec![(other, cut)],
+        Direction::Both => Link::both(cut, other).to_vec(),
+        Direction::From => vec![Link { from: cut, to: other }],
+        Direction::To => vec![Link { from: other, to: cut }],
     }
 }
 
@@ -126,7 +126,7 @@
         let learner = (0..node_count).find(|node| !chain.contains(&address(*node))).expect("a learner");
         let ends = [chain.first(), chain.last()].map(|end| *end.expect("a chain"));
         let is_end = |node: &usize| ends.contains(&address(*node));
-        let cut: Vec<(usize, usize)> =
+        let cut: Vec<Link> =
             (0..node_count).filter(is_end).flat_map(|end| links_between(learner, end, direction)).collect();
         cluster.inject(Fault::CutLinks { links: cut, mode });
         cluster.run_for(QUORUM_LOST_WITHIN).unwrap();
--- a/crates/chain/tests/simulation/cases/proposal_number_cases.rs
+++ b/crates/chain/tests/simulation/cases/proposal_number_cases.rs
@@ -1,7 +1,7 @@
 //! A proposal number is used for one proposal, also by a proposer that restarts.
 
 use crate::cases::support::bootstrapped_cluster;
-use crate::harness::{Fault, FaultSchedule, FaultTrigger, Scenario};
+use crate::harness::{Fault, FaultSchedule, FaultTrigger, Scenario, ScheduledFault};
 use crate::runs::RunKind;
 use rstest::rstest;
 use std::collections::BTreeSet;
@@ -21,7 +21,7 @@
     for seed in 0..200 {
         let scenario = Scenario { node_count, fault_tolerance, ..Scenario::three_nodes() };
         let mut cluster = bootstrapped_cluster(seed, scenario);
-        let mut faults = vec![(FaultTrigger::At(Duration::ZERO), Fault::Pause { node: 0 })];
+        let mut faults = vec![ScheduledFault::at(Duration::ZERO, Fault::Pause { node: 0 })];
         for _ in 0..LOSSES {
             // A sync takes 5 ms and a message up to 3 ms.
             let after = Duration::from_micros(cluster.rng.u64(0..30_000));
@@ -29,9 +29,9 @@
             let restart_after =
                 nodes.iter().map(|_| Duration::from_millis(cluster.rng.u64(1..120))).collect();
             let fault = Fault::LosePower { nodes, wiped: BTreeSet::new(), restart_after };
-            faults.push((FaultTrigger::AfterProposal(after), fault));
+            faults.push(ScheduledFault { trigger: FaultTrigger::AfterProposal(after), fault });
         }
-        faults.push((FaultTrigger::At(Duration::from_secs(9)), Fault::Resume { node: 0 }));
+        faults.push(ScheduledFault::at(Duration::from_secs(9), Fault::Resume { node: 0 }));
         let played = cluster.run_round(FaultSchedule { faults, ..FaultSchedule::default() });
         assert_eq!(played, Ok(()), "seed {seed}");
     }
--- a/crates/chain/tests/simulation/cases/retry_cases.rs
+++ b/crates/chain/tests/simulation/cases/retry_cases.rs
@@ -6,33 +6,50 @@
 use rstest::rstest;
 use std::time::Duration;
 
+/// Seeds of the cases that depend on timing.
 const SEEDS: u64 = 20;
 
+/// The same version on the same base, with other bytes.
 fn with_other_bytes(change: &Change) -> Change {
     Change { bytes: b"other bytes"[..].into(), ..change.clone() }
 }
 
-/// Submits a change to one machine. Returns how many acknowledgements and rejections it got.
-fn submit_to(cluster: &mut Cluster, change: &Change, node: usize) -> (usize, usize) {
-    let before = (cluster.checker.acknowledged_count, cluster.checker.rejected_count);
+/// The definite responses to a change.
+#[derive(Debug, PartialEq, Eq)]
+struct Responses {
+    acknowledged: usize,
+    rejected: usize,
+}
+
+const ACKNOWLEDGED: Responses = Responses { acknowledged: 1, rejected: 0 };
+const REJECTED: Responses = Responses { acknowledged: 0, rejected: 1 };
+
+/// All definite responses that clients have received so far.
+fn responses(cluster: &Cluster) -> Responses {
+    let checker = &cluster.checker;
+    Responses { acknowledged: checker.acknowledged_count, rejected: checker.rejected_count }
+}
+
+/// Submits a change to one machine. Returns the responses to it.
+fn submit_to(cluster: &mut Cluster, change: &Change, node: usize) -> Responses {
+    let before = responses(cluster);
     let end = cluster.now + 4 * SECOND;
     cluster.start_call_at(0, submit(change), end, &[node]);
     cluster.run_until(end).unwrap();
     assert!(cluster.clients[0].call.is_none(), "no answer");
-    (cluster.checker.acknowledged_count - before.0, cluster.checker.rejected_count - before.1)
+    let after = responses(cluster);
+    Responses {
+        acknowledged: after.acknowledged - before.acknowledged,
+        rejected: after.rejected - before.rejected,
+    }
 }
 
-/// The outcome of a change that is acknowledged.
-const ACCEPTED: (usize, usize) = (1, 0);
-/// The outcome of a change that is rejected.
-const REJECTED: (usize, usize) = (0, 1);
-
 #[rstest]
 fn other_bytes_under_a_committed_version_are_rejected(#[values(0, 1, 2)] node: usize) {
     let mut cluster = bootstrapped_cluster(1, Scenario::three_nodes());
     let change = commit_changes(&mut cluster, 1);
     assert_eq!(submit_to(&mut cluster, &with_other_bytes(&change), node), REJECTED);
-    assert_eq!(submit_to(&mut cluster, &change, node), ACCEPTED);
+    assert_eq!(submit_to(&mut cluster, &change, node), ACKNOWLEDGED);
 }
 
 /// Two changes with one version on one base reach the head while neither is on its disk.
@@ -58,9 +75,9 @@
     let on_older_base = Change { base: change.base - 1, ..change.clone() };
     assert_eq!(submit_to(&mut cluster, &on_older_base, node), REJECTED);
     let on_newer_base = Change { base: change.version, version: change.version + 1, ..change.clone() };
-    assert_eq!(submit_to(&mut cluster, &on_newer_base, node), ACCEPTED);
+    assert_eq!(submit_to(&mut cluster, &on_newer_base, node), ACKNOWLEDGED);
     assert_eq!(cluster.checker.committed_version(), change.version + 1);
-    assert_eq!(submit_to(&mut cluster, &change, node), ACCEPTED);
+    assert_eq!(submit_to(&mut cluster, &change, node), ACKNOWLEDGED);
 }
 
 /// A replica dies while the change is in flight, and the change is retried elsewhere at every moment of the view change.
@@ -96,7 +113,7 @@
     let change = commit_changes(&mut cluster, 40);
     lose_power(&mut cluster, &[0, 1, 2], &[], SECOND);
     cluster.run_for(4 * SECOND).unwrap();
-    assert_eq!(submit_to(&mut cluster, &change, node), ACCEPTED);
+    assert_eq!(submit_to(&mut cluster, &change, node), ACKNOWLEDGED);
     assert_eq!(submit_to(&mut cluster, &with_other_bytes(&change), node), REJECTED);
 }
 
@@ -126,7 +143,7 @@
     let call = cluster.clients[0].call.take().expect("no definite response");
     assert!(call.attempts > 3, "{call:?}");
     assert_eq!((cluster.checker.acknowledged_count, cluster.checker.rejected_count), (acknowledged, 0));
-    assert_eq!(submit_to(&mut cluster, &newest, node), ACCEPTED);
+    assert_eq!(submit_to(&mut cluster, &newest, node), ACKNOWLEDGED);
 }
 
 /// A change whose base shows that it is no retry is rejected, although headers were dropped.
--- a/crates/chain/tests/simulation/harness/driver.rs
+++ b/crates/chain/tests/simulation/harness/driver.rs
@@ -2,7 +2,7 @@
 
 use super::cluster::{Cluster, node_at};
 use super::event::SimulationEvent;
-use super::fault::{ChunkFault, Fault};
+use super::fault::{ChunkFault, Fault, WaitingFault};
 use super::network::Envelope;
 use super::node::DiskWrite;
 use lugwharf_chain::{Action, CommittedConfig, Event, LogEvent, Message, View};
@@ -122,8 +122,8 @@
     }
 
     /// Lets faults happen, each after its time.
-    pub fn schedule_faults(&mut self, faults: impl IntoIterator<Item = (Duration, Fault)>) {
-        for (after, fault) in faults {
+    pub fn schedule_faults(&mut self, faults: impl IntoIterator<Item = WaitingFault>) {
+        for WaitingFault { after, fault } in faults {
             self.schedule(after, SimulationEvent::Fault(fault));
         }
     }
--- a/crates/chain/tests/simulation/harness/fault.rs
+++ b/crates/chain/tests/simulation/harness/fault.rs
@@ -1,6 +1,6 @@
 //! Faults, when they happen, and schedules of them.
 
-use super::network::CutMode;
+use super::network::{CutMode, Link};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
     Pause { node: usize },
     /// A paused process goes on.
     Resume { node: usize },
-    /// Links are cut, each in one direction.
-    CutLinks { links: Vec<(usize, usize)>, mode: CutMode },
+    /// Links are cut.
+    CutLinks { links: Vec<Link>, mode: CutMode },
     /// All links are healed.
     HealLinks,
     /// A disk refuses writes, or takes them again.
@@ -82,15 +82,22 @@
     AfterViewChange(Duration),
 }
 
-/// Faults that wait for something to happen, each with the time after it.
+/// A fault that waits for something to happen.
+pub struct WaitingFault {
+    /// The time between what happens and the fault.
+    pub after: Duration,
+    pub fault: Fault,
+}
+
+/// Faults that wait for something to happen.
 #[derive(Default)]
 pub struct TriggeredFaults {
     /// All of them follow the next acknowledgement.
-    pub after_acknowledgement: Vec<(Duration, Fault)>,
+    pub after_acknowledgement: Vec<WaitingFault>,
     /// One of them, the last, follows each proposal.
-    pub after_proposal: Vec<(Duration, Fault)>,
+    pub after_proposal: Vec<WaitingFault>,
     /// One of them, the last, follows each time a process enters a view.
-    pub after_view_change: Vec<(Duration, Fault)>,
+    pub after_view_change: Vec<WaitingFault>,
 }
 
 impl TriggeredFaults {
@@ -102,10 +109,24 @@
     }
 }
 
+/// A fault with what triggers it.
+#[derive(Debug)]
+pub struct ScheduledFault {
+    pub trigger: FaultTrigger,
+    pub fault: Fault,
+}
+
+impl ScheduledFault {
+    /// A fault at a time after the start of the schedule.
+    pub fn at(at: Duration, fault: Fault) -> ScheduledFault {
+        ScheduledFault { trigger: FaultTrigger::At(at), fault }
+    }
+}
+
 /// The faults of a round.
 #[derive(Debug, Default)]
 pub struct FaultSchedule {
-    pub faults: Vec<(FaultTrigger, Fault)>,
+    pub faults: Vec<ScheduledFault>,
     /// Machines that stay faulty while the cluster counts as stable.
     pub faulty_minority: BTreeSet<usize>,
 }
--- a/crates/chain/tests/simulation/harness/fault_draw.rs
+++ b/crates/chain/tests/simulation/harness/fault_draw.rs
@@ -1,7 +1,7 @@
 //! Random schedules of faults.
 
-use super::fault::{Fault, FaultLimits, FaultSchedule, FaultTrigger};
-use super::network::CutMode;
+use super::fault::{Fault, FaultLimits, FaultSchedule, FaultTrigger, ScheduledFault};
+use super::network::{CutMode, Link};
 use std::collections::BTreeSet;
 use std::ops::Range;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     }
 
     fn add(&mut self, trigger: FaultTrigger, fault: Fault) {
-        self.schedule.faults.push((trigger, fault));
+        self.schedule.faults.push(ScheduledFault { trigger, fault });
     }
 
     fn add_at(&mut self, at: Duration, fault: Fault) {
@@ -139,22 +139,23 @@
     }
 
     /// Links to cut: all of a machine, those in one direction, those between two sides, some at random, or those of a pair.
-    fn choose_links(&mut self) -> Vec<(usize, usize)> {
+    fn choose_links(&mut self) -> Vec<Link> {
         let present = self.limits.present;
-        let pairs = present.iter().flat_map(|from| present.iter().map(move |to| (*from, *to)));
-        let links = pairs.filter(|(from, to)| from != to);
+        let pairs =
+            present.iter().flat_map(|from| present.iter().map(move |to| Link { from: *from, to: *to }));
+        let links = pairs.filter(|link| link.from != link.to);
         let node = self.choose_node();
         let count = self.rng.usize(1..present.len().max(2));
         let side: BTreeSet<usize> = self.choose_nodes(count).into_iter().collect();
         match self.rng.u32(..6) {
-            0 => links.filter(|(from, to)| *from == node || *to == node).collect(),
-            1 => links.filter(|(from, _)| *from == node).collect(),
-            2 => links.filter(|(_, to)| *to == node).collect(),
-            3 => links.filter(|(from, to)| side.contains(from) != side.contains(to)).collect(),
+            0 => links.filter(|link| link.touches(node)).collect(),
+            1 => links.filter(|link| link.from == node).collect(),
+            2 => links.filter(|link| link.to == node).collect(),
+            3 => links.filter(|link| side.contains(&link.from) != side.contains(&link.to)).collect(),
             4 => links.filter(|_| self.rng.u32(..4) == 0).collect(),
             _ => {
                 let other = self.choose_node();
-                links.filter(|link| *link == (node, other) || *link == (other, node)).collect()
+                links.filter(|link| Link::both(node, other).contains(link)).collect()
             }
         }
     }
@@ -266,7 +267,7 @@
             self.add_at(Duration::ZERO, Fault::AddMachine);
         }
         let mut at = self.millis(0..4_000);
-        let loses_disk = self.schedule.faults.iter().any(|(_, fault)| fault.destroys_disk());
+        let loses_disk = self.schedule.faults.iter().any(|scheduled| scheduled.fault.destroys_disk());
         let may_remove = !loses_disk && self.schedule.faulty_minority.is_empty();
         if may_remove && self.limits.max_lost_disks > 0 && self.rng.bool() {
             self.add_at(at, Fault::AddMachine);
@@ -294,7 +295,7 @@
                 1 => Fault::FillDisk { node, is_full: true },
                 2 => {
                     let others = present.iter().copied().filter(|other| *other != node);
-                    let links = others.flat_map(|other| [(node, other), (other, node)]).collect();
+                    let links = others.flat_map(|other| Link::both(node, other)).collect();
                     Fault::CutLinks { links, mode: self.choose_mode() }
                 }
                 _ => Fault::Pause { node },
--- a/crates/chain/tests/simulation/harness/fault_injection.rs
+++ b/crates/chain/tests/simulation/harness/fault_injection.rs
@@ -3,6 +3,7 @@
 use super::cluster::{Cluster, SEED_ADDRESS_COUNT, address};
 use super::event::SimulationEvent;
 use super::fault::Fault;
+use super::network::Link;
 use super::node::Node;
 use lugwharf_chain::{Event, LeaveState};
 use std::collections::BTreeSet;
@@ -36,8 +37,8 @@
             Fault::Pause { node } => self.nodes[node].is_paused = self.nodes[node].is_up(),
             Fault::Resume { node } => self.resume(node),
             Fault::CutLinks { links, mode } => {
-                for (from, to) in links {
-                    self.network.cut(from, to, mode);
+                for link in links {
+                    self.network.cut(link, mode);
                 }
             }
             Fault::HealLinks => self.heal_links(&BTreeSet::new()),
@@ -65,7 +66,7 @@
         }
         self.end_process(node);
         for peer in 0..self.nodes.len() {
-            if self.nodes[peer].is_up() && !self.network.is_cut(node, peer) {
+            if self.nodes[peer].is_up() && !self.network.is_cut(Link { from: node, to: peer }) {
                 let incarnation = self.nodes[peer].incarnation;
                 let event = SimulationEvent::LinkDown { node: peer, incarnation, peer: node };
                 self.schedule(LINK_DOWN_AFTER, event);
--- a/crates/chain/tests/simulation/harness/mod.rs
+++ b/crates/chain/tests/simulation/harness/mod.rs
@@ -35,6 +35,6 @@
 pub use checker::Change;
 pub use client::ClientRequest;
 pub use cluster::{Cluster, address};
-pub use fault::{ChunkFault, Fault, FaultSchedule, FaultTrigger};
-pub use network::CutMode;
+pub use fault::{ChunkFault, Fault, FaultSchedule, FaultTrigger, ScheduledFault};
+pub use network::{CutMode, Link};
 pub use scenario::Scenario;
--- a/crates/chain/tests/simulation/harness/network.rs
+++ b/crates/chain/tests/simulation/harness/network.rs
@@ -9,6 +9,25 @@
 /// The longest delay of a message is at least this, in microseconds.
 const MIN_MAX_DELAY_US: u64 = 200;
 
+/// A link between two machines, in one direction.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Link {
+    pub from: usize,
+    pub to: usize,
+}
+
+impl Link {
+    /// The links of two machines, in both directions.
+    pub fn both(one: usize, other: usize) -> [Link; 2] {
+        [Link { from: one, to: other }, Link { from: other, to: one }]
+    }
+
+    /// Whether it begins or ends at a machine.
+    pub fn touches(&self, node: usize) -> bool {
+        self.from == node || self.to == node
+    }
+}
+
 /// What happens to messages on a cut link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutMode {
@@ -28,14 +47,14 @@
     pub message: Message,
 }
 
-/// The links of all machines. A link is named by its two ends, sender first.
+/// The links of all machines.
 #[derive(Default)]
 pub struct Network {
-    cuts: BTreeMap<(usize, usize), CutMode>,
+    cuts: BTreeMap<Link, CutMode>,
     /// Messages on links that were cut with [`CutMode::Delay`].
-    delayed: BTreeMap<(usize, usize), Vec<Envelope>>,
+    delayed: BTreeMap<Link, Vec<Envelope>>,
     /// When the last message of a link arrives; later ones do not overtake it.
-    last_arrival: BTreeMap<(usize, usize), Duration>,
+    last_arrival: BTreeMap<Link, Duration>,
     /// One message in this many is lost; 0 for none.
     pub message_lost_one_in: u32,
     /// The longest delay of a message, in microseconds.
@@ -52,7 +71,7 @@
     pub fn route(
         &mut self, now: Duration, envelope: Envelope, rng: &mut fastrand::Rng,
     ) -> Option<(Duration, Envelope)> {
-        let link = (envelope.from, envelope.to);
+        let link = Link { from: envelope.from, to: envelope.to };
         match self.cuts.get(&link) {
             Some(CutMode::Drop) => return None,
             Some(CutMode::Delay) => {
@@ -71,27 +90,26 @@
         Some((at, envelope))
     }
 
-    /// Cuts a link in one direction.
-    pub fn cut(&mut self, from: usize, to: usize, mode: CutMode) {
-        self.cuts.insert((from, to), mode);
+    /// Cuts a link.
+    pub fn cut(&mut self, link: Link, mode: CutMode) {
+        self.cuts.insert(link, mode);
     }
 
-    /// Whether a link is cut in this direction.
-    pub fn is_cut(&self, from: usize, to: usize) -> bool {
-        self.cuts.contains_key(&(from, to))
+    /// Whether a link is cut.
+    pub fn is_cut(&self, link: Link) -> bool {
+        self.cuts.contains_key(&link)
     }
 
     /// Heals all links but those of some machines. Returns the messages that were delayed.
     pub fn heal(&mut self, except: &BTreeSet<usize>) -> Vec<Envelope> {
-        let stays_cut = |link: &(usize, usize)| except.contains(&link.0) || except.contains(&link.1);
+        let stays_cut = |link: &Link| except.contains(&link.from) || except.contains(&link.to);
         self.cuts.retain(|link, _| stays_cut(link));
-        let links: Vec<(usize, usize)> =
-            self.delayed.keys().copied().filter(|link| !stays_cut(link)).collect();
+        let links: Vec<Link> = self.delayed.keys().copied().filter(|link| !stays_cut(link)).collect();
         links.into_iter().filter_map(|link| self.delayed.remove(&link)).flatten().collect()
     }
 
     /// Resets the connections of a machine: its delayed messages are lost.
     pub fn reset_connections(&mut self, node: usize) {
-        self.delayed.retain(|link, _| link.0 != node);
+        self.delayed.retain(|link, _| link.from != node);
     }
 }
--- a/crates/chain/tests/simulation/harness/rounds.rs
+++ b/crates/chain/tests/simulation/harness/rounds.rs
@@ -3,7 +3,7 @@
 use super::client::ClientRequest;
 use super::cluster::Cluster;
 use super::event::SimulationEvent;
-use super::fault::{Fault, FaultSchedule, FaultTrigger};
+use super::fault::{Fault, FaultSchedule, FaultTrigger, ScheduledFault, WaitingFault};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -47,16 +47,20 @@
         for client in 0..self.clients.len() {
             self.wake_idle_client(client);
         }
-        for (trigger, fault) in schedule.faults {
+        for ScheduledFault { trigger, fault } in schedule.faults {
             let triggered = &mut self.triggered_faults;
             match trigger {
                 FaultTrigger::At(after) if after >= FAULT_PERIOD => {}
                 FaultTrigger::At(after) => self.schedule(after, SimulationEvent::Fault(fault)),
                 FaultTrigger::AfterAcknowledgement(after) => {
-                    triggered.after_acknowledgement.push((after, fault))
+                    triggered.after_acknowledgement.push(WaitingFault { after, fault });
+                }
+                FaultTrigger::AfterProposal(after) => {
+                    triggered.after_proposal.push(WaitingFault { after, fault });
+                }
+                FaultTrigger::AfterViewChange(after) => {
+                    triggered.after_view_change.push(WaitingFault { after, fault });
                 }
-                FaultTrigger::AfterProposal(after) => triggered.after_proposal.push((after, fault)),
-                FaultTrigger::AfterViewChange(after) => triggered.after_view_change.push((after, fault)),
             }
         }
         self.run_for(FAULT_PERIOD)
--- a/crates/chain/tests/simulation/runs.rs
+++ b/crates/chain/tests/simulation/runs.rs
@@ -140,7 +140,7 @@
         draw.add_faults_on_view_changes();
         let FaultSchedule { mut faults, faulty_minority } = draw.into_schedule();
         // Disks may be lost only after the last lost ones were replaced, which needs progress.
-        faults.retain(|(_, fault)| !fault.destroys_disk());
+        faults.retain(|scheduled| !scheduled.fault.destroys_disk());
         cluster.network.message_lost_one_in = rng.u32(8..100);
         cluster.run_fault_period(FaultSchedule { faults, faulty_minority })?;
         cluster.end_faults(&BTreeSet::new());
