--- a/crates/control/src/controller_tests.rs
+++ b/crates/control/src/controller_tests.rs
@@ -4,9 +4,13 @@
 use crate::command::Command;
 use crate::metrics::RejectionCounters;
 use crate::shutdown::ShutdownOutcome;
-use lugwharf_protocol::{AgentRequest, ControlReply, VersionVector, decode};
+use crate::status_tests::server;
+use lugwharf_protocol::{
+    AgentRequest, ControlReply, ServerEntry, ServerState, Update, VersionVector, decode,
+};
 use lugwharf_settings::Settings;
 use lugwharf_stages::StageTuning;
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use tokio::sync::mpsc::{self, Receiver, Sender};
@@ -61,7 +65,7 @@
     directory
 }
 
-/// Goes on until a core of one has founded itself.
+/// Steps until a core of one has founded itself.
 async fn bootstrap(controller: &mut Controller, queue: &mut Receiver<Command>) {
     let mut steps = 0;
     while !controller.replica.status().is_serving && steps < MAX_STEPS {
@@ -70,7 +74,7 @@
     }
 }
 
-/// What an agent that has nothing is told of contact.
+/// Whether an agent that has nothing is told that this process has a quorum.
 fn has_quorum_for_agents(controller: &mut Controller) -> bool {
     let (reply, mut answer) = oneshot::channel();
     let (node, incarnation, loads) = ("front-1".to_owned(), 1, Vec::new());
@@ -114,3 +118,86 @@
     assert_eq!(controller.views.current(), view);
     drop(std::fs::remove_dir_all(directory));
 }
+
+/// Steps until this process, alone in its core, holds the lease; returns its fencing token.
+async fn acquire_lease(controller: &mut Controller, queue: &mut Receiver<Command>) -> u64 {
+    for _ in 0..MAX_STEPS {
+        if let Some(lease) = controller.held_lease() {
+            return lease.token;
+        }
+        step(controller, queue).await;
+    }
+    panic!("no lease: {:?}", controller.replica.status());
+}
+
+fn server_ids(controller: &Controller) -> Vec<String> {
+    controller.tables.servers().entries().map(|entry| entry.id.clone()).collect()
+}
+
+fn list(id: &str) -> Vec<ServerEntry> {
+    vec![server(id, "model", ServerState::Ready, None)]
+}
+
+#[tokio::test]
+async fn list_is_applied_only_under_the_token_of_the_held_lease() {
+    let directory = folder("list");
+    let (mut controller, _commands, mut queue) = start(&directory);
+    controller.handle(Command::ListRead { epoch: 1, entries: list("without-lease") });
+    assert!(server_ids(&controller).is_empty());
+    bootstrap(&mut controller, &mut queue).await;
+    let token = acquire_lease(&mut controller, &mut queue).await;
+    controller.handle(Command::ListRead { epoch: token - 1, entries: list("older-token") });
+    assert!(server_ids(&controller).is_empty());
+    controller.handle(Command::ListRead { epoch: token, entries: list("current") });
+    assert_eq!(server_ids(&controller), ["current"]);
+    assert_eq!(controller.tables.servers().position().epoch, token);
+    drop(std::fs::remove_dir_all(directory));
+}
+
+#[tokio::test]
+async fn initial_list_is_applied_once_and_replaced_by_the_list_of_the_lease_holder() {
+    let directory = folder("initial-list");
+    let (mut controller, _commands, mut queue) = start(&directory);
+    assert!(controller.needs_initial_list());
+    controller.handle(Command::InitialListRead { entries: list("first") });
+    assert!(!controller.needs_initial_list());
+    controller.handle(Command::InitialListRead { entries: list("second") });
+    assert_eq!(server_ids(&controller), ["first"]);
+    bootstrap(&mut controller, &mut queue).await;
+    let token = acquire_lease(&mut controller, &mut queue).await;
+    controller.handle(Command::ListRead { epoch: token, entries: list("holder") });
+    assert_eq!(server_ids(&controller), ["holder"]);
+    drop(std::fs::remove_dir_all(directory));
+}
+
+#[tokio::test]
+async fn lease_is_retained_while_no_peer_may_reach_the_platform() {
+    let directory = folder("retained");
+    let (mut controller, _commands, mut queue) = start(&directory);
+    bootstrap(&mut controller, &mut queue).await;
+    let epoch = acquire_lease(&mut controller, &mut queue).await;
+    controller.handle(Command::ListReadFailed { epoch, should_step_down: true });
+    assert_eq!(controller.held_lease().map(|lease| lease.token), Some(epoch));
+    assert_eq!((controller.metrics.list_failures.get(), controller.metrics.stand_downs.get()), (1, 0));
+    drop(std::fs::remove_dir_all(directory));
+}
+
+#[tokio::test]
+async fn reply_to_an_announcement_names_this_process_and_never_has_a_quorum() {
+    let directory = folder("announcement");
+    let (mut controller, _commands, mut queue) = start(&directory);
+    bootstrap(&mut controller, &mut queue).await;
+    assert!(has_quorum_for_agents(&mut controller));
+    let (reply, mut response) = oneshot::channel();
+    let request = AgentRequest::Announce { control: Vec::new() };
+    controller.handle(Command::Pull { request, reply });
+    let frame = response.try_recv().expect("a reply");
+    let agent_port = controller.settings.internal_ports().agent;
+    let wanted = ControlReply::Update {
+        has_quorum: false,
+        control: vec![SocketAddr::new(controller.local_address.ip(), agent_port)],
+        update: Update::default(),
+    };
+    assert_eq!(decode::<ControlReply>(&frame[size_of::<u32>()..]).expect("a reply"), wanted);
+    drop(std::fs::remove_dir_all(directory));
+}
