--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -73,6 +73,8 @@
 mod seed_discovery;
 mod server_list;
 mod stage_planning;
+#[cfg(test)]
+mod stage_planning_tests;
 mod startup;
 mod state_machine_settings;
 mod status_report;
--- /dev/null
+++ b/crates/control/src/controller/stage_planning_tests.rs
@@ -0,0 +1,98 @@
+//! From a list and a load to an order, and the state of a server that changes its stage.
+
+use super::fleet_load::FleetLoad;
+use super::stage_planning::StagePlanning;
+use crate::lease::HeldLease;
+use crate::orders::AuthorizedOrder;
+use crate::status_tests::server;
+use lugwharf_protocol::{ServerEntry, ServerState, Stage};
+use lugwharf_stages::{OrderOutcome, StageTuning};
+use std::collections::BTreeSet;
+use std::time::Duration;
+use tokio::sync::mpsc::{self, Receiver};
+use tokio::time::Instant;
+
+const CONFIGURATION: &[u8] =
+    br#"{"Version":1,"Routes":[],"Services":[{"Name":"model","Engine":{"Slots":16,"SwitchS":2}}]}"#;
+/// After the delay between the acquisition of the lease and the first order (3.2 s).
+const PLANNED_AT: Duration = Duration::from_secs(4);
+/// After the announcement has reached all proxies (300 ms).
+const DUE_AT: Duration = Duration::from_secs(5);
+
+fn planning(tuning: StageTuning) -> (StagePlanning, Receiver<AuthorizedOrder>) {
+    let (order_queue, orders) = mpsc::channel(1);
+    let mut planning = StagePlanning::new(tuning, order_queue);
+    planning.set_configuration(CONFIGURATION);
+    planning.lease_acquired(Duration::ZERO);
+    (planning, orders)
+}
+
+/// Four servers in one zone, all of them in the prefill stage.
+fn prefill_servers() -> Vec<ServerEntry> {
+    let ids = ["a", "b", "c", "d"];
+    ids.map(|id| server(id, "model", ServerState::Ready, Some(Stage::Prefill))).to_vec()
+}
+
+fn draining(entries: &[ServerEntry]) -> BTreeSet<String> {
+    let draining = entries.iter().filter(|entry| entry.state == ServerState::Draining);
+    draining.map(|entry| entry.id.clone()).collect()
+}
+
+fn lease() -> HeldLease {
+    HeldLease { token: 7, expires_at: Instant::now() }
+}
+
+#[test]
+fn server_that_changes_its_stage_is_draining_in_the_list_and_gets_one_order() {
+    let (mut planning, mut orders) = planning(StageTuning::default());
+    let mut entries = prefill_servers();
+    planning.plan(PLANNED_AT, &mut entries, &FleetLoad::default());
+    let changing = draining(&entries);
+    assert_eq!(changing.len(), 1, "{entries:?}");
+    assert_eq!(planning.changing(entries.iter()), changing);
+    planning.send_due(PLANNED_AT, "core-1", lease());
+    assert!(orders.try_recv().is_err(), "the announcement is under way");
+    planning.send_due(DUE_AT, "core-1", lease());
+    let AuthorizedOrder { order, holder, lease } = orders.try_recv().expect("an order");
+    assert_eq!((holder.as_str(), lease.token, order.stage), ("core-1", 7, Stage::Decode));
+    assert!(changing.contains(&order.id), "{order:?}");
+    planning.send_due(DUE_AT, "core-1", lease);
+    assert!(orders.try_recv().is_err(), "it was sent once");
+}
+
+#[test]
+fn rejected_order_ends_the_change_and_an_accepted_one_settles() {
+    for (outcome, still_changes) in [(OrderOutcome::Rejected, false), (OrderOutcome::Accepted, true)] {
+        let (mut planning, mut orders) = planning(StageTuning::default());
+        let mut entries = prefill_servers();
+        planning.plan(PLANNED_AT, &mut entries, &FleetLoad::default());
+        planning.send_due(DUE_AT, "core-1", lease());
+        let id = orders.try_recv().expect("an order").order.id;
+        planning.complete(DUE_AT, &id, Some("model"), outcome);
+        assert_eq!(!planning.changing(entries.iter()).is_empty(), still_changes, "{outcome:?}");
+    }
+}
+
+#[test]
+fn order_that_fits_into_no_queue_counts_as_rejected() {
+    let (mut planning, orders) = planning(StageTuning::default());
+    let mut entries = prefill_servers();
+    planning.plan(PLANNED_AT, &mut entries, &FleetLoad::default());
+    drop(orders);
+    planning.send_due(DUE_AT, "core-1", lease());
+    assert!(planning.changing(entries.iter()).is_empty());
+}
+
+#[test]
+fn nothing_is_planned_without_orders_an_engine_or_the_lease() {
+    let (without_orders, _orders) = planning(StageTuning { orders: false, ..StageTuning::default() });
+    let (mut without_engine, _orders) = planning(StageTuning::default());
+    without_engine.set_configuration(b"{}");
+    let (mut without_lease, _orders) = planning(StageTuning::default());
+    without_lease.lease_lost();
+    for mut planning in [without_orders, without_engine, without_lease] {
+        let mut entries = prefill_servers();
+        planning.plan(PLANNED_AT, &mut entries, &FleetLoad::default());
+        assert!(draining(&entries).is_empty(), "{entries:?}");
+    }
+}
--- a/crates/control/src/controller_tests.rs
+++ b/crates/control/src/controller_tests.rs
@@ -2,6 +2,7 @@
 
 use super::Controller;
 use crate::command::Command;
+use crate::message::{PeerMessage, TablesMessage};
 use crate::metrics::RejectionCounters;
 use crate::shutdown::ShutdownOutcome;
 use crate::status_tests::server;
@@ -201,3 +202,22 @@
     assert_eq!(decode::<ControlReply>(&frame[size_of::<u32>()..]).expect("a reply"), wanted);
     drop(std::fs::remove_dir_all(directory));
 }
+
+#[tokio::test]
+async fn member_lists_only_processes_that_send_messages_themselves() {
+    let directory = folder("named");
+    let (mut controller, _commands, mut queue) = start(&directory);
+    bootstrap(&mut controller, &mut queue).await;
+    let [from, named] = [1, 2].map(|host| SocketAddr::from(([10, 0, 0, host], 7_700)));
+    let report = TablesMessage::Report {
+        vector: VersionVector::default(),
+        front_count: 0,
+        loads: Vec::new(),
+        is_platform_reachable: true,
+        processes: vec![named],
+    };
+    controller.handle(Command::Peer { from, body: PeerMessage::Tables(report) });
+    let listed = controller.process_directory.all(controller.now(), controller.local_address, &[]);
+    assert!(listed.contains(&from) && !listed.contains(&named), "{listed:?}");
+    drop(std::fs::remove_dir_all(directory));
+}
