--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -118,7 +118,8 @@
             _ => request.first_possible_run().is_none(),
         };
         // A client that comes back too late for its latency target would be in vain.
-        let spare_ms = request.profile.target_at_ms - self.now_ms - self.expected_latency(&request.profile);
+        let spare_ms =
+            request.profile.target_at_ms - self.now_ms - self.expected_latency_ms(&request.profile);
         let has_spare = spare_ms > 0.0;
         let advice =
             from_ms(if has_spare { spare_ms * WAIT_SHARE } else { request.profile.latency_target_ms / 2.0 });
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -14,7 +14,7 @@
 /// Time constant of latency samples, in mean latency targets. The longer it is, the longer one slow answer by chance keeps
 /// requests away from a good server.
 const TIME_CONSTANT_TARGETS: f64 = 3.5;
-/// [`Balancer::send_rate`] divides by this time at least, so that the first sends make no huge rate.
+/// [`Balancer::sends_per_ms`] divides by this time at least, so that the first sends make no huge rate.
 const MIN_RATE_SPAN_MS: f64 = 1e3;
 
 /// Timers of the module itself; request timers carry the request's id, which is below 2^32.
@@ -156,22 +156,22 @@
     }
 
     /// Attempts sent per millisecond, over the time that [`Balancer::recent_sends`] covers.
-    pub(crate) fn send_rate(&self) -> f64 {
+    pub(crate) fn sends_per_ms(&self) -> f64 {
         let ramp_ms = self.ramp_time_ms();
         let span_ms = ramp_ms * (1.0 - (-(self.now_ms - self.first_event_ms) / ramp_ms).exp());
         self.recent_sends.at(self.now_ms, ramp_ms) / span_ms.max(MIN_RATE_SPAN_MS)
     }
 
     /// The latency to expect of a request, by its class and cost; zero before the first answer.
-    pub(crate) fn expected_latency(&self, profile: &RequestProfile) -> f64 {
-        let of_class = self.class_means[profile.class].expected_latency(profile.cost_ms);
+    pub(crate) fn expected_latency_ms(&self, profile: &RequestProfile) -> f64 {
+        let of_class = self.class_means[profile.class].expected_latency_ms(profile.cost_ms);
         of_class.unwrap_or(self.mean_latency_ms)
     }
 
     /// The factor that turns a latency of this request into that of a mean request, so that expensive work does not make
     /// its server look slow.
     pub(crate) fn normalization(&self, profile: &RequestProfile) -> f64 {
-        let expected_ms = self.expected_latency(profile);
+        let expected_ms = self.expected_latency_ms(profile);
         if expected_ms > 0.0 { self.mean_latency_ms / expected_ms } else { 1.0 }
     }
 
@@ -184,7 +184,7 @@
     pub(crate) fn request_value(&self, profile: &RequestProfile) -> f64 {
         let value = self.settings.classes[profile.class].value;
         match self.settings.value_basis {
-            ValueBasis::PerWork => value * self.expected_latency(profile).max(1.0),
+            ValueBasis::PerWork => value * self.expected_latency_ms(profile).max(1.0),
             ValueBasis::PerRequest => value,
         }
     }
@@ -194,7 +194,7 @@
         let value = self.settings.classes[profile.class].value;
         match self.settings.value_basis {
             ValueBasis::PerWork => value,
-            ValueBasis::PerRequest => value / self.expected_latency(profile).max(1.0),
+            ValueBasis::PerRequest => value / self.expected_latency_ms(profile).max(1.0),
         }
     }
 
--- a/src/decision/latency_tests.rs
+++ b/src/decision/latency_tests.rs
@@ -24,24 +24,24 @@
     let mut s = server();
     s.record_latency(0.0, TAU, 50.0);
     s.record_latency(10.0, TAU, 400.0);
-    near(s.latency_at(10.0, TAU, 0.0), 400.0);
+    near(s.latency_ms_at(10.0, TAU, 0.0), 400.0);
     s.record_latency(510.0, TAU, 100.0);
     let keep = (-500.0 / TAU).exp();
-    near(s.latency_at(510.0, TAU, 0.0), 400.0 * keep + 100.0 * (1.0 - keep));
-    let before = s.latency_at(510.0, TAU, 0.0);
+    near(s.latency_ms_at(510.0, TAU, 0.0), 400.0 * keep + 100.0 * (1.0 - keep));
+    let before = s.latency_ms_at(510.0, TAU, 0.0);
     s.record_latency(510.0, TAU, 1.0);
-    near(s.latency_at(510.0, TAU, 0.0), before);
+    near(s.latency_ms_at(510.0, TAU, 0.0), before);
 }
 
 #[test]
 fn the_latency_fades_to_the_baseline_and_starts_at_the_median() {
     let mut s = server();
-    near(s.latency_at(5_000.0, TAU, 70.0), 70.0);
+    near(s.latency_ms_at(5_000.0, TAU, 70.0), 70.0);
     s.record_latency(0.0, TAU, 270.0);
-    near(s.latency_at(TAU, TAU, 70.0), 70.0 + 200.0 * (-1f64).exp());
+    near(s.latency_ms_at(TAU, TAU, 70.0), 70.0 + 200.0 * (-1f64).exp());
     s.baseline_ms = 110.0;
     let usual = 70.0 + 40.0 * (-1f64 / 8.0).exp();
-    near(s.latency_at(TAU, TAU, 70.0), usual + (270.0 - usual) * (-1f64).exp());
+    near(s.latency_ms_at(TAU, TAU, 70.0), usual + (270.0 - usual) * (-1f64).exp());
 }
 
 #[test]
@@ -55,9 +55,9 @@
         normalization: 0.5,
         locality: Locality::Local,
     });
-    near(s.latency_at(0.0, TAU, 100.0), 100.0);
-    near(s.latency_at(200.0, TAU, 100.0), 100.0);
-    near(s.latency_at(600.0, TAU, 100.0), 300.0);
+    near(s.latency_ms_at(0.0, TAU, 100.0), 100.0);
+    near(s.latency_ms_at(200.0, TAU, 100.0), 100.0);
+    near(s.latency_ms_at(600.0, TAU, 100.0), 300.0);
 }
 
 #[test]
--- a/src/decision/outcomes.rs
+++ b/src/decision/outcomes.rs
@@ -82,7 +82,7 @@
         // A retry storm feeds on attempts that cost servers work: only those are on the budget.
         let is_free = matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent);
         let price = if is_free { 0.0 } else { 1.0 };
-        let expected_ms = self.expected_latency(profile);
+        let expected_ms = self.expected_latency_ms(profile);
         let request = &self.requests[&id];
         let left_ms = request.deadline_ms - self.now_ms - expected_ms;
         if left_ms <= 0.0 || self.retry_scope(request).is_none() || self.retry_budget < price {
@@ -149,7 +149,7 @@
 
     /// Records how an answer compares with its class's mean, for the server's kind of machine.
     fn record_relative_latency(&mut self, server: ServerId, profile: &RequestProfile, elapsed_ms: f64) {
-        let expected_ms = self.expected_latency(profile);
+        let expected_ms = self.expected_latency_ms(profile);
         if let Some(server) = self.servers.get(server).filter(|_| expected_ms > 0.0) {
             let relative = self.relative_latency.entry((server.entry.kind, profile.class)).or_insert(1.0);
             update_ewma(relative, elapsed_ms / expected_ms, RELATIVE_LATENCY_GAIN);
@@ -166,7 +166,7 @@
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
         // An attempt that we cancelled only shows that an answer takes longer than it lasted.
         if outcome != Outcome::Cancelled
-            || failure.sample_ms > server.latency_at(now_ms, self.time_constant_ms, median_ms)
+            || failure.sample_ms > server.latency_ms_at(now_ms, self.time_constant_ms, median_ms)
         {
             server.record_latency(now_ms, self.time_constant_ms, failure.sample_ms);
         }
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -25,7 +25,7 @@
 pub(crate) const STALE_TIME_CONSTANTS: f64 = 4.0;
 
 impl Balancer {
-    fn history_time_constant(&self) -> f64 {
+    fn history_time_constant_ms(&self) -> f64 {
         HISTORY_TIME_CONSTANTS * self.time_constant_ms
     }
 
@@ -33,7 +33,7 @@
     /// median server. A server that fails one class and serves the others well shows neither in its latency nor in its
     /// failures in a row. Against the median, half of the list is ejected at most.
     pub(crate) fn record_class_outcome(&mut self, id: ServerId, class: usize, is_miss: bool) {
-        let (now_ms, time_constant_ms) = (self.now_ms, self.history_time_constant());
+        let (now_ms, time_constant_ms) = (self.now_ms, self.history_time_constant_ms());
         self.outcomes.record(is_miss, now_ms, self.time_constant_ms * STALE_TIME_CONSTANTS);
         let Some(server) = self.servers.get_mut(id) else { return };
         server.outcomes.record(is_miss, now_ms, time_constant_ms);
@@ -57,7 +57,7 @@
 
     /// The miss rate of the median ready server.
     fn median_miss_rate(&self, history: impl Fn(&Server) -> OutcomeHistory) -> f64 {
-        let time_constant_ms = self.history_time_constant();
+        let time_constant_ms = self.history_time_constant_ms();
         let miss_rate = |id: &ServerId| history(&self.servers[*id]).miss_rate(self.now_ms, time_constant_ms);
         let mut rates: Vec<f64> = self.servers.ready().iter().map(miss_rate).collect();
         rates.sort_unstable_by(f64::total_cmp);
@@ -79,7 +79,8 @@
             self.requests.get(&attempt.id).is_some_and(|request| request.profile.class == class)
         };
         history.ejected_above.is_finite()
-            && (history.outcomes.miss_rate(self.now_ms, self.history_time_constant()) > history.ejected_above
+            && (history.outcomes.miss_rate(self.now_ms, self.history_time_constant_ms())
+                > history.ejected_above
                 || server.in_flight.iter().any(is_of_class))
     }
 
--- a/src/decision/probing.rs
+++ b/src/decision/probing.rs
@@ -31,7 +31,7 @@
     /// Probes candidates for a request, which waits for a share of the time that it can spare.
     fn probe(&mut self, id: RequestId, candidates: &[ServerId], out: &mut Vec<Action>) {
         let (now_ms, tick_ms) = (self.now_ms, self.tick_ms());
-        let service_ms = self.expected_service_time(&self.requests[&id].profile);
+        let service_ms = self.expected_service_time_ms(&self.requests[&id].profile);
         let Some(request) = self.requests.get_mut(&id) else { return };
         let spare_ms = request.profile.target_at_ms - now_ms - service_ms;
         let wait_ms = (spare_ms * WAIT_SHARE).max(tick_ms);
@@ -90,13 +90,14 @@
         let passed: Vec<ServerId> = passed.map(|server| server.entry.server).collect();
         let best = self.lowest_score(&passed, profile.class);
         let is_in_time = |id: &ServerId| {
-            self.now_ms + self.expected_completion_time(&profile, &self.servers[*id]) <= profile.target_at_ms
+            self.now_ms + self.expected_completion_time_ms(&profile, &self.servers[*id])
+                <= profile.target_at_ms
         };
         if let Some(best) = best.filter(is_in_time) {
             self.awaiting_probes.remove(&id);
             return self.send(id, best, out);
         }
-        let spare_ms = profile.target_at_ms - self.now_ms - self.expected_service_time(&profile);
+        let spare_ms = profile.target_at_ms - self.now_ms - self.expected_service_time_ms(&profile);
         let may_probe_again = probe_rounds < MAX_PROBE_ROUNDS && spare_ms > 0.0;
         let drawn = if may_probe_again { self.draw_candidates(id, |_| true) } else { Vec::new() };
         if drawn.is_empty() { self.reject_or_fail(id, out) } else { self.probe(id, &drawn, out) }
@@ -104,15 +105,15 @@
 
     /// The latency to expect at a server: the request's own, and a mean one for each request in flight there, more while
     /// the server warms up.
-    fn expected_completion_time(&self, profile: &RequestProfile, server: &Server) -> f64 {
+    fn expected_completion_time_ms(&self, profile: &RequestProfile, server: &Server) -> f64 {
         let load = server.load_at(self.now_ms, self.time_constant_ms).unwrap_or(0.0);
-        (load * self.latency_per_load_ms + self.expected_service_time(profile))
+        (load * self.latency_per_load_ms + self.expected_service_time_ms(profile))
             / self.capacity_share(server).sqrt()
     }
 
     /// The latency to expect at an idle server. Half the latency target at most: a rough cost hint, or few samples, must
     /// not reject what an idle server may serve in time.
-    fn expected_service_time(&self, profile: &RequestProfile) -> f64 {
-        self.expected_latency(profile).min(profile.latency_target_ms / 2.0)
+    fn expected_service_time_ms(&self, profile: &RequestProfile) -> f64 {
+        self.expected_latency_ms(profile).min(profile.latency_target_ms / 2.0)
     }
 }
--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -37,7 +37,7 @@
         if let Some(cost_ms) = profile.cost_ms {
             self.class_means[profile.class].record_cost(cost_ms, MEAN_GAIN);
         }
-        let expected_ms = self.expected_latency(&profile);
+        let expected_ms = self.expected_latency_ms(&profile);
         // A client's retry is no new demand: it earns no retry.
         if arrival.origin == Origin::Fresh {
             self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
@@ -45,8 +45,8 @@
         }
         let wait_ms = ((profile.target_at_ms - self.now_ms - expected_ms) * WAIT_SHARE).max(0.0);
         let draw = self.rng.f64();
-        let attempt_time_ms = self.attempt_time(&profile, timeout_ms);
-        let deadline_ms = self.now_ms + attempt_time_ms.min(timeout_ms);
+        let max_attempt_time_ms = self.max_attempt_time_ms(&profile, timeout_ms);
+        let deadline_ms = self.now_ms + max_attempt_time_ms.min(timeout_ms);
         self.requests.insert(id, Request::new(profile, deadline_ms, self.now_ms + wait_ms, draw));
         self.enqueue(id, wait_ms, out);
     }
@@ -54,7 +54,7 @@
     /// How long attempts of a request may take. Where a late answer has no value, an attempt ends at the latency target: a
     /// few requests that take many times the usual would otherwise occupy every server. A client's retry whose target is
     /// over has as long as the target is.
-    fn attempt_time(&self, profile: &RequestProfile, timeout_ms: f64) -> f64 {
+    fn max_attempt_time_ms(&self, profile: &RequestProfile, timeout_ms: f64) -> f64 {
         let is_late_worthless = self.settings.classes[profile.class].late_value <= 0.0;
         if !is_late_worthless {
             return timeout_ms;
@@ -86,7 +86,7 @@
         let goal = &self.settings.goal;
         let worst_class =
             goal.worst_class * ClassService::worst_class_gain(&self.class_service, profile.class);
-        let answered_at_ms = self.now_ms + self.expected_latency(profile);
+        let answered_at_ms = self.now_ms + self.expected_latency_ms(profile);
         self.earned_share(profile, answered_at_ms)
             * self.value_per_work(profile)
             * (goal.total_value + worst_class)
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -63,7 +63,7 @@
     /// the load. Probes that show no load spare nothing in an overload and add to it.
     pub(crate) fn must_probe(&self) -> bool {
         let stale_after_ms = self.time_constant_ms * STALE_TIME_CONSTANTS;
-        let sends_until_stale = self.send_rate() * self.time_constant_ms * STALE_TIME_CONSTANTS;
+        let sends_until_stale = self.sends_per_ms() * self.time_constant_ms * STALE_TIME_CONSTANTS;
         let miss_rate = self.outcomes.miss_rate(self.now_ms, stale_after_ms);
         let pays = miss_rate >= PROBES_PER_ROUND * self.settings.probe_price.max(0.0);
         self.settings.probes == Permit::Granted
@@ -114,7 +114,7 @@
                 server.health == Health::Healthy || may_try_ejected && server.is_due_for_trial(self.now_ms);
             is_allowed(server) && is_in_use && !self.is_ejected_for_class(server, class)
         };
-        let bound = self.local_score_bound(&request.profile);
+        let bound = self.local_score_bound_ms(&request.profile);
         let is_fast_enough = |server: &Server| is_preferred(server) && self.score(server, class) < bound;
         let (ready, subset) = (self.servers.ready(), self.subset_size());
         let mut found = Vec::new();
@@ -134,7 +134,7 @@
     ///
     /// By Chebyshev's bound, a miss of the latency target is no likelier than (mean / target)^2. While that is below the
     /// price of crossing, crossing cannot pay. The score is a peak, hence [`PEAK_OVER_MEAN`].
-    fn local_score_bound(&self, profile: &RequestProfile) -> f64 {
+    fn local_score_bound_ms(&self, profile: &RequestProfile) -> f64 {
         let target_ms = profile.latency_target_ms * self.normalization(profile);
         PEAK_OVER_MEAN * target_ms * self.settings.cross_zone_price.max(0.0).sqrt()
     }
@@ -154,7 +154,7 @@
         let connections = if self.must_probe() {
             UNLIMITED_SUBSET
         } else {
-            self.send_rate() * to_ms(self.settings.keep_alive) / requests_per_connection
+            self.sends_per_ms() * to_ms(self.settings.keep_alive) / requests_per_connection
         };
         (connections as usize).clamp(MIN_SUBSET, self.servers.ready().len().max(MIN_SUBSET))
     }
@@ -186,7 +186,8 @@
         let weight = server.entry.weight.max(1.0) * self.capacity_share(server).sqrt();
         let reported_load = server.load_at(self.now_ms, self.time_constant_ms).unwrap_or(0.0);
         let in_flight = reported_load.max(server.in_flight.len() as f64);
-        let latency_ms = server.latency_at(self.now_ms, self.time_constant_ms, self.median_latency_ms.get());
+        let latency_ms =
+            server.latency_ms_at(self.now_ms, self.time_constant_ms, self.median_latency_ms.get());
         latency_ms.max(1.0) * self.relative_latency(server, class) * (in_flight + 1.0) / weight
     }
 }
--- a/src/decision/server.rs
+++ b/src/decision/server.rs
@@ -139,7 +139,7 @@
     /// that a quiet sidecar remembers which servers are slow; the baseline fades, slower, towards the median of all
     /// servers, which also stands for a server without samples. An attempt that has been in flight for longer than the
     /// result counts by its age.
-    pub(crate) fn latency_at(&self, now_ms: f64, time_constant_ms: f64, median_ms: f64) -> f64 {
+    pub(crate) fn latency_ms_at(&self, now_ms: f64, time_constant_ms: f64, median_ms: f64) -> f64 {
         let age = (now_ms - self.observed_at_ms) / time_constant_ms;
         let baseline = if self.baseline_ms > 0.0 { self.baseline_ms } else { median_ms };
         let baseline = median_ms + (baseline - median_ms) * (-age * BASELINE_GAIN).exp();
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -39,7 +39,7 @@
         let share = self.capacity_share(server);
         let ready = self.servers.ready().len();
         let drawn_from = self.subset_size().min(ready).max(1);
-        let even_share = |servers: f64| self.send_rate() * RECENT_SENDS_MS * share * multiple / servers;
+        let even_share = |servers: f64| self.sends_per_ms() * RECENT_SENDS_MS * share * multiple / servers;
         let of_all_sidecars = even_share(ready.max(1) as f64) * f64::from(self.settings.sidecar_count);
         share >= 1.0
             || request_size <= of_all_sidecars.max(SEND_BURST)
--- a/src/decision/statistics.rs
+++ b/src/decision/statistics.rs
@@ -65,7 +65,7 @@
 
 impl ClassMeans {
     /// The mean latency of a request with this expected work, if any answer was seen.
-    pub(crate) fn expected_latency(&self, cost_ms: Option<f64>) -> Option<f64> {
+    pub(crate) fn expected_latency_ms(&self, cost_ms: Option<f64>) -> Option<f64> {
         let relative = cost_ms.filter(|_| self.cost_ms > 0.0).map_or(1.0, |cost| cost / self.cost_ms);
         (self.latency_ms > 0.0).then_some(self.latency_ms * relative)
     }
