--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,6 +1,6 @@
 //! What the balancer asks its caller to do.
 
-use super::{RequestId, ServerId, TimerId};
+use super::id::{RequestId, ServerId, TimerId};
 use std::fmt;
 use std::time::Duration;
 
--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -1,6 +1,7 @@
 //! What the caller reports to the balancer.
 
-use super::{RequestId, ServerId, ServerListEvent, TimerId};
+use super::id::{RequestId, ServerId, TimerId};
+use super::server_list::ServerListEvent;
 use std::time::Duration;
 
 /// How an attempt or a probe ended.
--- a/src/api/server_list.rs
+++ b/src/api/server_list.rs
@@ -1,6 +1,6 @@
 //! The server list as the caller hands it over.
 
-use super::ServerId;
+use super::id::ServerId;
 use std::time::Duration;
 
 /// What the list says about whether a server takes requests.
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -4,6 +4,7 @@
 //! increases it while it is in full use, a late or rejected attempt decreases it.
 
 use super::balancer::Balancer;
+use super::concurrency_window::WINDOW_DECREASE;
 use super::request::{AttemptStatus, RequestPhase};
 use super::server::{LOCALITIES, Locality};
 use super::time::from_ms;
@@ -13,56 +14,27 @@
 const INITIAL_WINDOW: f64 = 12.0;
 /// Attempts by which an answer in time increases the window, or [`WINDOW_DECREASE`] of the window if that is less.
 const WINDOW_INCREASE: f64 = 0.3;
-/// The share by which a late attempt decreases the window.
-const WINDOW_DECREASE: f64 = 0.1;
-/// One overload decreases the window to this share at most: all attempts that were in flight together report the same one.
-const MAX_EPISODE_DECREASE: f64 = 0.5;
 /// The limit on attempts in flight never falls below this. Under one, it is the share of requests that go out.
 const MIN_LIMIT: f64 = 1.0 / 8.0;
 /// A request waits in the queue for this share of the time that it can spare before its latency target. Of what is left
 /// then, a rejected client is told to stay away for the same share, so that its retry can still be served in time.
 pub(crate) const WAIT_SHARE: f64 = 0.25;
 
-/// How many attempts may be in flight at the servers of one [`Locality`].
-#[derive(Clone, Copy)]
-pub(crate) struct ConcurrencyWindow {
-    /// Attempts in flight, those at ejected servers included.
-    pub(crate) in_flight: usize,
-    /// Attempts that may be in flight for each unit of [`Balancer::capacity`].
-    per_server: f64,
-    /// When the current overload was first noticed; 0 for never.
-    decreased_at_ms: f64,
-    /// How far the current overload may decrease `per_server`.
-    episode_floor: f64,
-}
-
-impl ConcurrencyWindow {
-    /// Before the first server list.
-    pub(crate) const CLOSED: ConcurrencyWindow =
-        ConcurrencyWindow { in_flight: 0, per_server: 1.0, decreased_at_ms: 0.0, episode_floor: 0.0 };
-}
-
 impl Balancer {
     /// Sets the windows for the first server list.
     pub(crate) fn open_windows(&mut self) {
         let per_server = INITIAL_WINDOW / f64::from(self.settings.sidecar_count.max(1));
         for locality in LOCALITIES {
-            self.windows[locality as usize].per_server = per_server.max(1.0 / self.capacity(locality));
+            let at_least_one = per_server.max(1.0 / self.capacity(locality));
+            self.windows[locality as usize].open(at_least_one);
         }
     }
 
-    /// Decreases the window of a server's locality after an attempt that was sent then is late. Attempts sent before the
-    /// current overload was noticed belong to it.
+    /// Decreases the window of a server's locality after an attempt that was sent then is late or rejected.
     pub(crate) fn decrease_window(&mut self, server: ServerId, sent_at_ms: f64) {
         let locality = self.locality_of(server);
-        let (now_ms, min_per_server) = (self.now_ms, MIN_LIMIT / self.capacity(locality));
-        let window = &mut self.windows[locality as usize];
-        if sent_at_ms >= window.decreased_at_ms {
-            window.decreased_at_ms = now_ms;
-            window.episode_floor = window.per_server * MAX_EPISODE_DECREASE;
-        }
-        let floor = window.episode_floor.min(window.per_server);
-        window.per_server = (window.per_server * (1.0 - WINDOW_DECREASE)).max(floor).max(min_per_server);
+        let min_per_server = MIN_LIMIT / self.capacity(locality);
+        self.windows[locality as usize].decrease(sent_at_ms, self.now_ms, min_per_server);
     }
 
     /// Increases the window of a server's locality after an answer in time, if it is in full use.
@@ -71,7 +43,7 @@
         let limit = self.limit(locality);
         if self.in_flight(locality) + 2.0 > limit {
             let increase = WINDOW_INCREASE.min(limit * WINDOW_DECREASE) / self.capacity(locality);
-            self.windows[locality as usize].per_server += increase;
+            self.windows[locality as usize].increase(increase);
         }
     }
 
@@ -81,7 +53,7 @@
         match self.ready_count(locality) {
             0 => 0.0,
             _ if self.must_probe() => f64::MAX,
-            _ => self.windows[locality as usize].per_server * self.capacity(locality),
+            _ => self.windows[locality as usize].per_server() * self.capacity(locality),
         }
     }
 
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -1,6 +1,6 @@
 //! The state of the balancer, the entry point for events, and what several concerns derive from the state.
 
-use super::admission::ConcurrencyWindow;
+use super::concurrency_window::ConcurrencyWindow;
 use super::outcome_history::OutcomeHistory;
 use super::request::{QueuedRequest, Request, RequestProfile};
 use super::server::{Locality, Server};
@@ -37,13 +37,13 @@
     pub(crate) servers: ServerTable,
     /// Requests that are not finished or have an attempt in flight.
     pub(crate) requests: BTreeMap<RequestId, Request>,
-    /// Requests that wait for capacity, by falling priority, then in order of arrival.
+    /// Requests that wait for capacity, by falling priority, then in order of arrival. All are in `requests`.
     pub(crate) queue: Vec<QueuedRequest>,
     /// Whether the queue's own timer is running.
     pub(crate) is_queue_timer_set: bool,
     /// Whether load shedding has been logged since the queue was last empty.
     pub(crate) is_shedding: bool,
-    /// Requests that wait for the probes of their candidates.
+    /// Requests that wait for the probes of their candidates. All are in `requests`.
     pub(crate) awaiting_probes: BTreeSet<RequestId>,
 
     /// How many attempts may be in flight, by [`Locality`].
@@ -85,7 +85,7 @@
             is_queue_timer_set: false,
             is_shedding: false,
             awaiting_probes: BTreeSet::new(),
-            windows: [ConcurrencyWindow::CLOSED; 2],
+            windows: [ConcurrencyWindow::INITIAL; 2],
             retry_budget: 0.0,
             class_means: vec![ClassMeans::default(); class_count],
             class_service: vec![ClassService::default(); class_count],
