--- a/src/bin/lugwharf-sidecar/discovery/discovery_tests.rs
+++ b/src/bin/lugwharf-sidecar/discovery/discovery_tests.rs
@@ -84,7 +84,7 @@
 impl Follower {
     async fn list(&mut self) -> u64 {
         match self.events.recv().await {
-            Some(DriverEvent::List(news)) => news.revision,
+            Some(DriverEvent::List(update)) => update.revision,
             Some(DriverEvent::ListFailed(how)) => panic!("{how:?}"),
             _ => panic!("no list"),
         }
@@ -207,5 +207,5 @@
     let call = agent.accept().await;
     call.path().await;
     call.0.try_write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").expect("written");
-    assert_eq!(follower.failed().await, ServerListEvent::Failed, "turned away");
+    assert_eq!(follower.failed().await, ServerListEvent::Failed, "rejected");
 }
--- a/src/bin/lugwharf-sidecar/driver/driver_tests.rs
+++ b/src/bin/lugwharf-sidecar/driver/driver_tests.rs
@@ -88,8 +88,8 @@
     let abandoned = put_in_flight(&mut driver, id);
     driver.on_event(DriverEvent::ClientDisconnected(id));
     assert!(driver.requests.contains_key(&id), "its attempt is still out");
-    let told = tokio::time::timeout(Duration::from_secs(1), abandoned.notified()).await;
-    assert!(told.is_ok(), "what is not all written stays here");
+    let notified = tokio::time::timeout(Duration::from_secs(1), abandoned.notified()).await;
+    assert!(notified.is_ok(), "what is not completely written is never sent");
     driver.on_event(ended(id, Outcome::NotSent, b""));
     assert!(driver.requests.is_empty());
 }
--- a/src/bin/lugwharf-sidecar/driver/event_loop.rs
+++ b/src/bin/lugwharf-sidecar/driver/event_loop.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// The part of a client's time-out that is kept back, since the answer has to be written and read within it. The module
+/// The part of a client's time-out that is reserved, since the answer has to be written and read within it. The module
 /// gets what is left after twice this margin; if it has not decided by then, the request is answered as failed when one
 /// margin is left. The way through this process takes a fraction of a millisecond.
 const MARGIN_DIVISOR: u32 = 40;
@@ -67,7 +67,7 @@
     /// Notified when the module wants the server list to be watched.
     pub(super) subscribe: Arc<Notify>,
     pub(super) config: Arc<Config>,
-    /// The module's output; kept for its memory.
+    /// The module's output, reused for its allocation.
     pub(super) actions: Vec<Action>,
     /// The last line that the module logged, and when.
     pub(super) last_logged: Option<(LogEvent, Instant)>,
@@ -207,7 +207,7 @@
         self.remove_if_finished(id);
     }
 
-    /// The module did not decide in time: the client is told that its request failed.
+    /// The module did not decide in time: the client gets a failure.
     fn on_answer_deadline(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(PendingRequest::is_awaiting_answer) {
             eprintln!("a request was left without an answer");
--- a/src/bin/lugwharf-sidecar/gated_stream.rs
+++ b/src/bin/lugwharf-sidecar/gated_stream.rs
@@ -1,7 +1,7 @@
 //! A socket that can hold back the last byte of a request.
 //!
 //! An upstream starts a request with its last byte. A connection that breaks before that byte is written proves that
-//! nothing ran, and the request may be sent again. A kept connection that its upstream has just closed shows that only
+//! nothing ran, and the request may be sent again. An idle connection that its upstream has just closed shows that only
 //! after a round trip, so the last byte waits for a moment.
 
 use crate::socket::{has_nothing_to_read, poll_read, poll_write};
--- a/src/bin/lugwharf-sidecar/pool.rs
+++ b/src/bin/lugwharf-sidecar/pool.rs
@@ -1,6 +1,6 @@
 //! The idle connections to upstreams, and the limit on all connections to them.
 //!
-//! This is a pool of our own: those of client libraries send a request again by themselves when a kept connection breaks
+//! This is a pool of our own: those of client libraries send a request again by themselves when an idle connection breaks
 //! under it, and so may run it twice.
 
 use crate::connection::TcpConnection;
--- a/src/bin/lugwharf-sidecar/pool_tests.rs
+++ b/src/bin/lugwharf-sidecar/pool_tests.rs
@@ -76,9 +76,9 @@
     let (kept, used) = (pool.connection(&old, deadline).await, pool.connection(&old, deadline).await);
     pool.put_back(&old, kept.expect("room"));
     old.close();
-    assert_eq!(pool.open.load(Ordering::Relaxed), 1, "the kept one is closed");
+    assert_eq!(pool.open.load(Ordering::Relaxed), 1, "the idle one is closed");
     pool.put_back(&old, used.expect("room"));
-    assert_eq!(pool.open.load(Ordering::Relaxed), 0, "and the one that was in use is not kept");
+    assert_eq!(pool.open.load(Ordering::Relaxed), 0, "and the one that was in use is not put back");
 }
 
 #[tokio::test]
--- a/src/bin/lugwharf-sidecar/server/listener.rs
+++ b/src/bin/lugwharf-sidecar/server/listener.rs
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Accepts connections until it is told to stop, and then all that the system has accepted by that time.
+    /// Accepts connections until accepting stops, and then all that the system has accepted by that time.
     pub async fn listen(self: Arc<Self>, listener: TcpListener) {
         let (mut next_number, mut waiting) = (0, None);
         tokio::select! {
--- a/src/bin/lugwharf-sidecar/server/server_tests.rs
+++ b/src/bin/lugwharf-sidecar/server/server_tests.rs
@@ -225,7 +225,7 @@
     tokio::join!(test_server.server.shut_down(), async {
         assert!(read_to_end(client).await.contains("200 OK"));
     });
-    assert!(Blocking::connect(test_server.addr).is_err(), "nobody else is let in");
+    assert!(Blocking::connect(test_server.addr).is_err(), "no later client is accepted");
 }
 
 #[tokio::test(start_paused = true)]
@@ -242,5 +242,5 @@
         assert!(since.elapsed() <= Duration::from_secs(3), "{sent} bytes: {:?}", since.elapsed());
         assert!(answer_text.is_empty() || answer_text.starts_with("HTTP/1.1 408"), "{answer_text}");
     }
-    assert!(test_server.events.try_recv().is_err(), "nothing is sent on");
+    assert!(test_server.events.try_recv().is_err(), "nothing is forwarded");
 }
--- a/src/bin/lugwharf-sidecar/upstream/upstream_tests.rs
+++ b/src/bin/lugwharf-sidecar/upstream/upstream_tests.rs
@@ -345,7 +345,7 @@
         );
     }
     let rest = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
-    assert!(!rest.ends_with(b"\r\n\r\n"), "the probe was not whole there");
+    assert!(!rest.ends_with(b"\r\n\r\n"), "the probe was not written completely there");
 }
 
 #[tokio::test]
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -17,7 +17,7 @@
 /// The limit on attempts in flight never falls below this. Under one, it is the share of requests that go out.
 const MIN_LIMIT: f64 = 1.0 / 8.0;
 /// A request waits in the queue for this share of the time that it can spare before its latency target. Of what is left
-/// then, a rejected client is told to stay away for the same share, so that its retry can still be served in time.
+/// then, a rejected client is advised to stay away for the same share, so that its retry can still be served in time.
 pub(crate) const WAIT_SHARE: f64 = 0.25;
 
 impl Balancer {
@@ -109,7 +109,7 @@
             let in_flight = request.attempts.iter().position(|a| a.status == AttemptStatus::InFlight);
             out.extend(in_flight.map(|attempt| Action::Cancel { id, attempt }));
         }
-        // It is kept until its attempts have ended.
+        // It stays in the table until its attempts have ended.
         if !request.is_in_flight() {
             self.requests.remove(&id);
         }
--- a/tests/module/admission.rs
+++ b/tests/module/admission.rs
@@ -11,7 +11,7 @@
     let sent_at_once = (0..40).filter(|_| sent_to(&harness.request().1).is_some()).count();
     assert_eq!(sent_at_once, 24);
     let actions = harness.advance(450);
-    assert!(is_rejected(&actions), "what was held goes before it is worthless");
+    assert!(is_rejected(&actions), "queued requests are rejected before they lose their value");
     assert!(sent_to(&harness.request().1).is_none(), "and nothing new piles up");
 }
 
@@ -76,8 +76,8 @@
         harness.end_attempt(RequestId(next + 1), 0, Outcome::Cancelled, 0);
         next += 2;
     }
-    let (busy, held) = fill(&mut harness);
-    harness.handle(Event::ClientDisconnected(held));
+    let (busy, queued) = fill(&mut harness);
+    harness.handle(Event::ClientDisconnected(queued));
     harness.arrive(next, 0, 1_200, Origin::Fresh);
     harness.arrive(next + 1, second, 1_200, Origin::Fresh);
     let mut order = vec![];
@@ -103,11 +103,11 @@
     // Incident i84d305: client retries of little value were served while fresh requests were rejected.
     let mut harness = harness(SAFE, 1);
     harness.serve_many(20, |_| 30);
-    let (busy, held) = fill(&mut harness);
+    let (busy, queued) = fill(&mut harness);
     // Of 1200 ms the client has 600 left: its latency target of 400 is over. The other has 900 left, and so 100 to its target.
     harness.arrive(9_000, 0, 600, Origin::ClientRetry);
     harness.arrive(9_001, 0, 900, Origin::ClientRetry);
-    harness.handle(Event::ClientDisconnected(held));
+    harness.handle(Event::ClientDisconnected(queued));
     let actions = harness.advance(5);
     assert!(actions.contains(&Action::Reject { id: RequestId(9_000), retry_after: Some(ms(200)) }));
     assert_eq!(
@@ -191,8 +191,8 @@
     };
     assert_eq!(share(&mut harness, 50), 80, "in calm all go out");
     share(&mut harness, 900);
-    let crowded = share(&mut harness, 900);
-    assert!((2..40).contains(&crowded), "{crowded} of 80");
+    let overloaded = share(&mut harness, 900);
+    assert!((2..40).contains(&overloaded), "{overloaded} of 80");
     share(&mut harness, 50);
-    assert_eq!(share(&mut harness, 50), 80, "and again when the crowd has gone");
+    assert_eq!(share(&mut harness, 50), 80, "and again after the overload");
 }
--- a/tests/module/attempts.rs
+++ b/tests/module/attempts.rs
@@ -261,7 +261,7 @@
         };
         harness.log.iter().find_map(sent).expect("it is sent")
     };
-    assert_eq!(timeout(0.0, 1_200, Origin::Fresh), ms(400), "the aim");
+    assert_eq!(timeout(0.0, 1_200, Origin::Fresh), ms(400), "the latency target");
     assert_eq!(timeout(0.3, 1_200, Origin::Fresh), ms(1_200), "a late answer earns something");
     assert_eq!(timeout(0.0, 300, Origin::Fresh), ms(300), "the client leaves earlier");
     assert_eq!(timeout(0.0, 900, Origin::ClientRetry), ms(100), "300 may have gone before");
--- a/tests/module/outlier_ejection.rs
+++ b/tests/module/outlier_ejection.rs
@@ -162,8 +162,8 @@
     let [well, _] = sends_to_bad(&mut harness, false);
     assert!(well > 200, "of 600, while all are well: {well}");
     sends_to_bad(&mut harness, true);
-    let [shunned, other] = sends_to_bad(&mut harness, true);
-    assert!(shunned * 3 < other, "by the class that fails there and by the other: {shunned}, {other}");
+    let [ejected, other] = sends_to_bad(&mut harness, true);
+    assert!(ejected * 3 < other, "by the class that fails there and by the other: {ejected}, {other}");
     sends_to_bad(&mut harness, false);
     let [back, _] = sends_to_bad(&mut harness, false);
     assert!(back > 200, "of 600, when all are well again: {back}");
--- a/tests/module/probing.rs
+++ b/tests/module/probing.rs
@@ -71,11 +71,14 @@
         let of = |what: fn(&Action) -> bool| harness.log.iter().filter(|(_, action)| what(action)).count();
         (of(|a| matches!(a, Action::Send { .. })), of(|a| matches!(a, Action::Probe(_))))
     };
-    let (sent, looks) = went_out(false);
-    assert_eq!(looks, 0);
-    assert!(sent < 50, "{sent} of 100 sent into the crowd");
-    let (sent, looks) = went_out(true);
-    assert!(sent == 100 && looks > 0, "where it shows the load it is worth a look: {sent}, {looks}");
+    let (sent, probe_count) = went_out(false);
+    assert_eq!(probe_count, 0);
+    assert!(sent < 50, "{sent} of 100 sent into the overload");
+    let (sent, probe_count) = went_out(true);
+    assert!(
+        sent == 100 && probe_count > 0,
+        "where load is reported, probes replace the window: {sent}, {probe_count}"
+    );
 }
 
 #[test]
@@ -84,7 +87,7 @@
     let mut settings = probing(100);
     settings.probe_price = 0.03;
     let mut harness = Harness::new(settings, entries(40));
-    let mut looks_after = |elapsed: u64, pause: u64| {
+    let mut probes_after = |elapsed: u64, pause: u64| {
         for _ in 0..12 {
             let (id, actions) = harness.request();
             for server in probes(&actions) {
@@ -96,9 +99,9 @@
         harness.advance(pause);
         !probes(&harness.request().1).is_empty()
     };
-    assert!(!looks_after(50, 1_200), "all are answered in time: there is nothing to save");
-    assert!(looks_after(900, 1_200), "most are late: a look may spare one");
-    assert!(!looks_after(50, 30_000), "the misses have passed");
+    assert!(!probes_after(50, 1_200), "all are answered in time: there is nothing to save");
+    assert!(probes_after(900, 1_200), "most are late: a look may spare one");
+    assert!(!probes_after(50, 30_000), "the misses have passed");
 }
 
 #[test]
--- a/tests/module/selection.rs
+++ b/tests/module/selection.rs
@@ -40,7 +40,7 @@
     assert!((0..10).all(|_| harness.serve(|_| 50) != slow));
     harness.advance(20_000);
     let mut jitter = (0..60).map(|i| 40 + i * 7 % 20);
-    assert!(jitter.any(|elapsed| harness.serve(|_| elapsed) == slow), "old news fades");
+    assert!(jitter.any(|elapsed| harness.serve(|_| elapsed) == slow), "the sample fades");
 }
 
 #[test]
@@ -74,7 +74,7 @@
     let (_, actions) = none.request();
     assert!(sent_to(&actions).is_none() && !is_rejected(&actions));
     let actions = none.handle(Event::ServerList(ServerListEvent::Delta(entries(1))));
-    assert_eq!(sent_to(&actions), Some(ServerId(1)), "held, and sent when one appears");
+    assert_eq!(sent_to(&actions), Some(ServerId(1)), "queued, and sent when a server appears");
 }
 
 #[test]
--- a/tests/module/server_list.rs
+++ b/tests/module/server_list.rs
@@ -83,10 +83,10 @@
     settings.slow_start.ramp_time = ms(200_000);
     let mut harness = Harness::new(settings, entries(4));
     harness.serve_many(200, |_| 50);
-    let mut cold = entry(9);
+    let mut warming = entry(9);
     // By its weight it wins every comparison: only the request's draw keeps requests away while it warms up.
-    (cold.started, cold.weight) = (Some(ms(harness.now)), 100.0);
-    harness.handle(Event::ServerList(ServerListEvent::Delta(vec![cold])));
+    (warming.started, warming.weight) = (Some(ms(harness.now)), 100.0);
+    harness.handle(Event::ServerList(ServerListEvent::Delta(vec![warming])));
     let to_cold = (0..100).filter(|_| harness.serve(|_| 50) == ServerId(9)).count();
     assert!((3..=25).contains(&to_cold), "{to_cold} of 100, of which 40 drew it");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -51,7 +51,11 @@
         for action in actions {
             match action {
                 Action::Send { id, server, .. } => {
-                    assert_eq!(self.states.get(&server.0), Some(&Availability::Ready), "a drain kept");
+                    assert_eq!(
+                        self.states.get(&server.0),
+                        Some(&Availability::Ready),
+                        "a draining server gets nothing"
+                    );
                     let request = self.requests.get_mut(&id).expect("known");
                     assert_eq!(request.answers, 0, "nothing after the final answer");
                     assert!(request.attempts.len() < 3, "within the attempts allowed");
@@ -198,6 +202,6 @@
         }
         Ok(())
     };
-    TestRunner::new_with_rng(config, rng).run(&day, run).expect("rules kept");
+    TestRunner::new_with_rng(config, rng).run(&day, run).expect("all invariants hold");
     assert!(days_with_probes.into_inner() > 30, "days with looks are among them");
 }
--- a/tests/sockets/requests.rs
+++ b/tests/sockets/requests.rs
@@ -158,7 +158,7 @@
     assert_eq!(answer.status, 503);
     assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
     // The module queues a request that it cannot send for a quarter of the latency target.
-    assert!(start.elapsed() < Duration::from_secs(20), "not held back until its time is over");
+    assert!(start.elapsed() < Duration::from_secs(20), "not delayed until its time is over");
     assert!(upstream.requests().is_empty());
 }
 
@@ -238,10 +238,10 @@
     for _ in 0..50 {
         sidecar.send(&call("pay", 0.1));
     }
-    let told = |seen: crate::harness::ReceivedMessage| {
+    let budget = |seen: crate::harness::ReceivedMessage| {
         seen.header("x-budget").expect("a budget").parse::<f64>().expect("seconds")
     };
-    let most = upstream.requests().into_iter().map(told).fold(0.0, f64::max);
+    let most = upstream.requests().into_iter().map(budget).fold(0.0, f64::max);
     assert!(most > 0.085 && most < 0.1, "{most}");
 }
 
--- a/tests/sockets/upstreams.rs
+++ b/tests/sockets/upstreams.rs
@@ -52,7 +52,7 @@
     sidecar.discovery.wait_for_index(2);
     assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
     assert_eq!((old.requests().len(), new.requests().len()), (1, 1));
-    old.wait_for("the kept connection to close", |state| state.closed_by_peer == 1);
+    old.wait_for("the idle connection to close", |state| state.closed_by_peer == 1);
 }
 
 #[test]
@@ -110,16 +110,16 @@
 
 #[test]
 fn a_warming_upstream_gets_few_requests_from_a_new_sidecar() {
-    let [warm, cold] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
+    let [warm, warming] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
     let now =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock").as_millis();
-    let sidecar = Sidecar::with(&[&warm, &cold], |config| {
+    let sidecar = Sidecar::with(&[&warm, &warming], |config| {
         config["known"]["members"][1]["up_since_ms"] = json!(now as u64);
     });
     for _ in 0..60 {
         assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
     }
-    assert!(cold.requests().len() < 20, "{}", cold.requests().len());
+    assert!(warming.requests().len() < 20, "{}", warming.requests().len());
 }
 
 #[test]
