--- a/crates/chain/src/action.rs
+++ b/crates/chain/src/action.rs
@@ -8,6 +8,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
+/// The identity of a batch of records, unique within one run of the process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct BatchId(pub u64);
+
 /// An output of a replica. The driver carries actions out in order.
 #[derive(Clone, Debug)]
 pub enum Action {
@@ -21,15 +25,15 @@
     /// Append records to the log and sync it. Answered by [`Event::Persisted`] or [`Event::PersistFailed`]. At most one batch
     /// is in flight, rewrites included.
     Persist {
-        /// The number of the batch.
-        batch: u64,
+        /// The batch.
+        batch: BatchId,
         /// The encoded records, in order.
         records: Vec<Vec<u8>>,
     },
     /// Replace the whole log by these records. Answered as a batch.
     RewriteLog {
-        /// The number of the batch.
-        batch: u64,
+        /// The batch.
+        batch: BatchId,
         /// All records that the log needs.
         records: Vec<Vec<u8>>,
     },
--- a/crates/chain/src/error.rs
+++ b/crates/chain/src/error.rs
@@ -1,5 +1,10 @@
 //! The errors of a replica.
 
+/// The error of a record that could not be decoded: the message of the decoder.
+#[derive(Debug, thiserror::Error, PartialEq, Eq)]
+#[error("{0}")]
+pub struct DecodeError(pub String);
+
 /// The error of a replica that could not be recovered from its records.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum RecoverError {
@@ -8,8 +13,8 @@
     Unreadable {
         /// The position of the record in the log, from 0.
         index: usize,
-        /// The decoder's message.
-        reason: String,
+        /// The error of the decoder.
+        reason: DecodeError,
     },
     /// The first record is not an identity.
     #[error("the log has records but names no disk")]
--- a/crates/chain/src/event.rs
+++ b/crates/chain/src/event.rs
@@ -1,5 +1,6 @@
 //! The inputs of a replica.
 
+use crate::action::BatchId;
 use crate::digest::Blake3;
 use crate::message::Message;
 use crate::request::OperatorRequestId;
@@ -52,11 +53,11 @@
     /// A batch is synced to disk.
     Persisted {
         /// The batch, as named in [`Action::Persist`] or [`Action::RewriteLog`].
-        batch: u64,
+        batch: BatchId,
     },
     /// The disk refused a batch. What the append left on disk must be removed before the next batch.
     PersistFailed {
         /// The batch.
-        batch: u64,
+        batch: BatchId,
     },
 }
--- a/crates/chain/src/journal.rs
+++ b/crates/chain/src/journal.rs
@@ -4,6 +4,7 @@
 //! once every record that was added before it is on disk; this is how a promise, an acceptance or an acknowledgement is never
 //! sent before it is durable.
 
+use crate::action::BatchId;
 use crate::entry::EntryHeader;
 use crate::message::Message;
 use std::net::SocketAddr;
@@ -49,7 +50,7 @@
 #[derive(Clone, Debug)]
 pub struct Batch {
     /// Counts the batches from 1.
-    pub number: u64,
+    pub id: BatchId,
     /// The encoded records, in order.
     pub records: Vec<Vec<u8>>,
     /// Whether they replace the whole log.
@@ -73,7 +74,7 @@
     in_flight: Option<InFlight>,
     records: Vec<Vec<u8>>,
     effects: Vec<Effect>,
-    last_batch: u64,
+    last_batch: BatchId,
     log_bytes: usize,
 }
 
@@ -126,8 +127,8 @@
     }
 
     fn start(&mut self, now: Duration, records: Vec<Vec<u8>>, is_rewrite: bool) -> Batch {
-        self.last_batch += 1;
-        let batch = Batch { number: self.last_batch, records, is_rewrite };
+        self.last_batch = BatchId(self.last_batch.0 + 1);
+        let batch = Batch { id: self.last_batch, records, is_rewrite };
         self.in_flight = Some(InFlight {
             batch: batch.clone(),
             effects: std::mem::take(&mut self.effects),
@@ -139,16 +140,14 @@
     }
 
     /// Records that a batch is synced. Returns the effects that it releases.
-    pub fn record_persisted(&mut self, number: u64) -> Vec<Effect> {
-        let is_this =
-            |in_flight: &mut InFlight| in_flight.batch.number == number && in_flight.failed_at.is_none();
+    pub fn record_persisted(&mut self, id: BatchId) -> Vec<Effect> {
+        let is_this = |in_flight: &mut InFlight| in_flight.batch.id == id && in_flight.failed_at.is_none();
         self.in_flight.take_if(is_this).map_or_else(Vec::new, |in_flight| in_flight.effects)
     }
 
     /// Records that the disk refused a batch.
-    pub fn record_failure(&mut self, now: Duration, number: u64) {
-        if let Some(in_flight) = self.in_flight.as_mut().filter(|in_flight| in_flight.batch.number == number)
-        {
+    pub fn record_failure(&mut self, now: Duration, id: BatchId) {
+        if let Some(in_flight) = self.in_flight.as_mut().filter(|in_flight| in_flight.batch.id == id) {
             in_flight.failed_at = Some(now);
             in_flight.was_refused = true;
         }
--- a/crates/chain/src/journal_tests.rs
+++ b/crates/chain/src/journal_tests.rs
@@ -1,5 +1,6 @@
 //! Batches: one at a time, effects after the sync, refused ones again.
 
+use crate::action::BatchId;
 use crate::journal::{Effect, Journal};
 use std::time::Duration;
 
@@ -23,7 +24,7 @@
     let batch = journal.start_batch(at(0)).unwrap();
     journal.after_sync(Effect::BecomeReady);
     assert!(journal.take_released().is_empty());
-    assert_eq!(journal.record_persisted(batch.number).len(), 1);
+    assert_eq!(journal.record_persisted(batch.id).len(), 1);
     assert_eq!(journal.take_released().len(), 1);
 }
 
@@ -34,8 +35,8 @@
     journal.append(vec![2]);
     journal.append(vec![3]);
     assert!(journal.start_batch(at(1)).is_none());
-    assert!(journal.record_persisted(first.number + 1).is_empty());
-    journal.record_persisted(first.number);
+    assert!(journal.record_persisted(BatchId(first.id.0 + 1)).is_empty());
+    journal.record_persisted(first.id);
     let second = journal.start_batch(at(2)).unwrap();
     assert_eq!(second.records, vec![vec![2], vec![3]]);
 }
@@ -45,14 +46,14 @@
     let mut journal = journal();
     let batch = journal.start_batch(at(0)).unwrap();
     assert!(journal.is_healthy(at(10), PATIENCE));
-    journal.record_failure(at(10), batch.number);
+    journal.record_failure(at(10), batch.id);
     assert!(!journal.is_healthy(at(10), PATIENCE));
-    assert!(journal.record_persisted(batch.number).is_empty());
+    assert!(journal.record_persisted(batch.id).is_empty());
     assert!(journal.take_retry(at(100)).is_none());
     let again = journal.take_retry(at(500)).unwrap();
-    assert_eq!((again.number, &again.records), (batch.number, &batch.records));
+    assert_eq!((again.id, &again.records), (batch.id, &batch.records));
     assert!(!journal.is_healthy(at(501), PATIENCE));
-    assert_eq!(journal.record_persisted(batch.number).len(), 1);
+    assert_eq!(journal.record_persisted(batch.id).len(), 1);
     assert!(journal.is_healthy(at(502), PATIENCE));
 }
 
@@ -72,6 +73,6 @@
     let batch = journal.start_rewrite(at(0), vec![vec![9; 10]]);
     assert!(batch.is_rewrite);
     assert_eq!(journal.log_bytes(), 10);
-    assert_eq!(journal.record_persisted(batch.number).len(), 1);
+    assert_eq!(journal.record_persisted(batch.id).len(), 1);
     assert!(journal.start_batch(at(1)).is_none());
 }
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -93,17 +93,17 @@
 #[cfg(test)]
 mod view_planner_tests;
 
-pub use action::{Action, OperatorResponse};
+pub use action::{Action, BatchId, OperatorResponse};
 pub use digest::{Blake3, Digest, Fnv};
 pub use entry::{CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix};
-pub use error::RecoverError;
+pub use error::{DecodeError, RecoverError};
 pub use event::Event;
 pub use heartbeat::{Heartbeat, HistoryPosition, Link};
 pub use history_stream::{Chunk, ChunkRequest};
 pub use log_event::{LogEvent, ViewChangeReason};
 pub use member::MemberId;
 pub use message::Message;
-pub use paxos::ProposalNumber;
+pub use paxos::{AcceptedProposal, ProposalNumber};
 pub use replica::Replica;
 pub use request::{OperatorRequestId, RequestId, RequestOutcome};
 pub use settings::{HistoryLimits, ReplicaSettings};
--- a/crates/chain/src/message.rs
+++ b/crates/chain/src/message.rs
@@ -12,7 +12,7 @@
 use crate::heartbeat::{Heartbeat, HistoryPosition};
 use crate::history_stream::{Chunk, ChunkRequest};
 use crate::member::MemberId;
-use crate::paxos::ProposalNumber;
+use crate::paxos::{AcceptedProposal, ProposalNumber};
 use crate::request::{RequestId, RequestOutcome};
 use crate::view::View;
 use serde::{Deserialize, Serialize};
@@ -51,7 +51,7 @@
         #[serde(rename = "ballot")]
         proposal: ProposalNumber,
         /// What the sender has accepted in a lower proposal.
-        accepted: Option<Box<(ProposalNumber, View)>>,
+        accepted: Option<Box<AcceptedProposal>>,
         /// How far the history reaches that the sender holds. The proposer chooses the source of the view by it.
         #[serde(rename = "holding")]
         position: HistoryPosition,
--- a/crates/chain/src/paxos/acceptor.rs
+++ b/crates/chain/src/paxos/acceptor.rs
@@ -2,6 +2,29 @@
 
 use super::ProposalNumber;
 use crate::view::View;
+use serde::{Deserialize, Serialize};
+
+/// A view that an acceptor has accepted. Encoded as a pair, as earlier versions do.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(ProposalNumber, View)", into = "(ProposalNumber, View)")]
+pub struct AcceptedProposal {
+    /// The proposal in which it was accepted.
+    pub number: ProposalNumber,
+    /// The view.
+    pub view: View,
+}
+
+impl From<(ProposalNumber, View)> for AcceptedProposal {
+    fn from((number, view): (ProposalNumber, View)) -> AcceptedProposal {
+        AcceptedProposal { number, view }
+    }
+}
+
+impl From<AcceptedProposal> for (ProposalNumber, View) {
+    fn from(accepted: AcceptedProposal) -> (ProposalNumber, View) {
+        (accepted.number, accepted.view)
+    }
+}
 
 /// The state of an acceptor in the instance that decides the view after the newest one.
 ///
@@ -10,8 +33,8 @@
 pub struct Acceptor {
     /// The highest proposal that it has promised.
     pub promised: Option<ProposalNumber>,
-    /// The view that it has accepted, and in which proposal.
-    pub accepted: Option<Box<(ProposalNumber, View)>>,
+    /// What it has accepted in the highest proposal so far.
+    pub accepted: Option<Box<AcceptedProposal>>,
 }
 
 impl Acceptor {
@@ -23,8 +46,10 @@
     /// Compares an admitted proposal with the one that was accepted.
     pub fn compare_accepted(&self, proposal: ProposalNumber, view: &View) -> AcceptedComparison {
         match &self.accepted {
-            Some(accepted) if accepted.0 == proposal && accepted.1 == *view => AcceptedComparison::Identical,
-            Some(accepted) if accepted.0 == proposal => AcceptedComparison::OtherView,
+            Some(accepted) if accepted.number == proposal && accepted.view == *view => {
+                AcceptedComparison::Identical
+            }
+            Some(accepted) if accepted.number == proposal => AcceptedComparison::OtherView,
             _ => AcceptedComparison::Newer,
         }
     }
--- a/crates/chain/src/paxos/mod.rs
+++ b/crates/chain/src/paxos/mod.rs
@@ -14,7 +14,7 @@
 #[cfg(test)]
 mod proposer_tests;
 
-pub use acceptor::{AcceptedComparison, Acceptor};
+pub use acceptor::{AcceptedComparison, AcceptedProposal, Acceptor};
 pub use lineage::{Lineage, choose_source, replicas_with_history};
 pub use proposal_number::ProposalNumber;
 pub use proposer::{Attempt, Phase, Proposer, ReceivedPromise};
--- a/crates/chain/src/paxos/proposer.rs
+++ b/crates/chain/src/paxos/proposer.rs
@@ -1,6 +1,6 @@
 //! The state of a proposer.
 
-use super::ProposalNumber;
+use super::{AcceptedProposal, ProposalNumber};
 use crate::heartbeat::HistoryPosition;
 use crate::member::MemberId;
 use crate::view::View;
@@ -14,7 +14,7 @@
     /// The acceptor.
     pub member: MemberId,
     /// What the acceptor has accepted in a lower proposal.
-    pub accepted: Option<Box<(ProposalNumber, View)>>,
+    pub accepted: Option<Box<AcceptedProposal>>,
     /// How far the acceptor's history reaches.
     pub position: HistoryPosition,
 }
--- a/crates/chain/src/proposal_number_tests.rs
+++ b/crates/chain/src/proposal_number_tests.rs
@@ -1,8 +1,7 @@
 //! A proposal bears one value: the proposer's own promise is on disk before anybody else hears of the proposal.
 
 use crate::Message;
-use crate::paxos::ProposalNumber;
-use crate::paxos::{AcceptedComparison, Acceptor};
+use crate::paxos::{AcceptedComparison, AcceptedProposal, Acceptor, ProposalNumber};
 use crate::test_driver::{Driver, disk_of, member, view};
 use crate::view::View;
 use rstest::rstest;
@@ -45,7 +44,10 @@
 #[test]
 fn acceptor_distinguishes_two_views_under_one_proposal_number() {
     let proposal = ProposalNumber { round: 3, proposer: member(1) };
-    let acceptor = Acceptor { promised: Some(proposal), accepted: Some(Box::new((proposal, view(2, 3)))) };
+    let acceptor = Acceptor {
+        promised: Some(proposal),
+        accepted: Some(Box::new(AcceptedProposal { number: proposal, view: view(2, 3) })),
+    };
     let other = View { chain: vec![member(1), member(2)], ..view(2, 3) };
     let higher = ProposalNumber { round: 4, proposer: member(1) };
     assert_eq!(acceptor.compare_accepted(proposal, &view(2, 3)), AcceptedComparison::Identical);
--- a/crates/chain/src/record.rs
+++ b/crates/chain/src/record.rs
@@ -3,6 +3,7 @@
 //! The state of a replica is the sum of its records, in order. Encoded names are fixed; see docs/GLOSSARY.md.
 
 use crate::entry::{Entry, HistorySuffix};
+use crate::error::DecodeError;
 use crate::paxos::ProposalNumber;
 use crate::view::View;
 use serde::{Deserialize, Serialize};
@@ -95,8 +96,8 @@
         bytes
     }
 
-    /// Decodes a record. The error is the decoder's message.
-    pub fn decode(bytes: &[u8]) -> Result<Record, String> {
-        ciborium::from_reader(bytes).map_err(|error| error.to_string())
+    /// Decodes a record.
+    pub fn decode(bytes: &[u8]) -> Result<Record, DecodeError> {
+        ciborium::from_reader(bytes).map_err(|error| DecodeError(error.to_string()))
     }
 }
--- a/crates/chain/src/replica/acceptor.rs
+++ b/crates/chain/src/replica/acceptor.rs
@@ -6,7 +6,7 @@
 use crate::heartbeat::HistoryPosition;
 use crate::log_event::LogEvent;
 use crate::message::Message;
-use crate::paxos::{AcceptedComparison, ProposalNumber};
+use crate::paxos::{AcceptedComparison, AcceptedProposal, ProposalNumber};
 use crate::record::Record;
 use crate::view::View;
 use lugwharf_invariants::{Invariant, check};
@@ -59,7 +59,8 @@
             AcceptedComparison::Identical => {}
             AcceptedComparison::Newer => {
                 self.seal(proposal);
-                self.acceptor.accepted = Some(Box::new((proposal, view.clone())));
+                self.acceptor.accepted =
+                    Some(Box::new(AcceptedProposal { number: proposal, view: view.clone() }));
                 self.record(&Record::Accept { proposal, view });
             }
             AcceptedComparison::OtherView => {
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -33,7 +33,7 @@
 mod state_transfer;
 mod view_change;
 
-use crate::action::Action;
+use crate::action::{Action, BatchId};
 use crate::error::RecoverError;
 use crate::event::Event;
 use crate::history::History;
@@ -266,7 +266,7 @@
         }
     }
 
-    fn on_persisted(&mut self, batch: u64) {
+    fn on_persisted(&mut self, batch: BatchId) {
         let effects = self.journal.record_persisted(batch);
         self.apply(effects);
     }
@@ -317,7 +317,7 @@
     }
 
     fn persist(&mut self, batch: Batch) {
-        let Batch { number: batch, records, is_rewrite } = batch;
+        let Batch { id: batch, records, is_rewrite } = batch;
         self.outbox.push(match is_rewrite {
             true => Action::RewriteLog { batch, records },
             false => Action::Persist { batch, records },
--- a/crates/chain/src/replica/proposer.rs
+++ b/crates/chain/src/replica/proposer.rs
@@ -171,8 +171,8 @@
     /// a new one. `None` if no admissible view has a replica with every acknowledged entry.
     fn choose_view(&self, promises: &BTreeMap<SocketAddr, ReceivedPromise>) -> Option<View> {
         let accepted = promises.values().filter_map(|promise| promise.accepted.as_ref());
-        if let Some(highest) = accepted.max_by_key(|accepted| accepted.0) {
-            return Some(highest.1.clone());
+        if let Some(highest) = accepted.max_by_key(|accepted| accepted.number) {
+            return Some(highest.view.clone());
         }
         let planner = self.planner();
         let lineage = Lineage::after(&self.view, self.state_transfer.is_serving, promises);
--- a/crates/chain/src/replica/recovery.rs
+++ b/crates/chain/src/replica/recovery.rs
@@ -11,7 +11,7 @@
 use crate::journal::{Effect, Journal};
 use crate::log_event::LogEvent;
 use crate::member::MemberId;
-use crate::paxos::{Acceptor, ProposalNumber, Proposer};
+use crate::paxos::{AcceptedProposal, Acceptor, ProposalNumber, Proposer};
 use crate::peers::Peers;
 use crate::record::Record;
 use crate::settings::ReplicaSettings;
@@ -48,7 +48,7 @@
             Record::Promise { instance, proposal } => self.promise(instance, proposal),
             Record::Accept { proposal, view } => {
                 self.promise(view.number, proposal);
-                self.acceptor.accepted = Some(Box::new((proposal, view)));
+                self.acceptor.accepted = Some(Box::new(AcceptedProposal { number: proposal, view }));
             }
             Record::Decided { view } => {
                 self.view = Some(view);
@@ -202,7 +202,7 @@
         }
         let instance = self.view.number + 1;
         if let Some(accepted) = &self.acceptor.accepted {
-            records.push(Record::Accept { proposal: accepted.0, view: accepted.1.clone() });
+            records.push(Record::Accept { proposal: accepted.number, view: accepted.view.clone() });
         }
         if let Some(proposal) = self.acceptor.promised {
             records.push(Record::Promise { instance, proposal });
--- a/crates/chain/src/test_driver.rs
+++ b/crates/chain/src/test_driver.rs
@@ -7,8 +7,8 @@
 use crate::record::Record;
 use crate::view::View;
 use crate::{
-    Action, Event, Heartbeat, HistorySuffix, Link, Message, OperatorResponse, Replica, ReplicaSettings,
-    RequestId,
+    Action, BatchId, Event, Heartbeat, HistorySuffix, Link, Message, OperatorResponse, Replica,
+    ReplicaSettings, RequestId,
 };
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -95,7 +95,7 @@
 pub struct Driver {
     pub replica: Replica,
     pub synced: Vec<Vec<u8>>,
-    pub unsynced: Vec<(u64, Vec<Vec<u8>>)>,
+    pub unsynced: Vec<(BatchId, Vec<Vec<u8>>)>,
     pub sent: Vec<(SocketAddr, Message)>,
     pub answers: Vec<OperatorResponse>,
     pub now: Duration,
--- a/crates/chain/tests/simulation/harness/driver.rs
+++ b/crates/chain/tests/simulation/harness/driver.rs
@@ -5,7 +5,7 @@
 use super::fault::{ChunkFault, Fault, WaitingFault};
 use super::network::Envelope;
 use super::node::DiskWrite;
-use lugwharf_chain::{Action, CommittedConfig, Event, LogEvent, Message, View};
+use lugwharf_chain::{Action, BatchId, CommittedConfig, Event, LogEvent, Message, View};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -184,7 +184,7 @@
     }
 
     /// Writes a batch to the disk, and reports to the replica whether it was persisted.
-    pub fn finish_write(&mut self, node: usize, incarnation: u64, batch: u64) {
+    pub fn finish_write(&mut self, node: usize, incarnation: u64, batch: BatchId) {
         if self.nodes[node].incarnation != incarnation {
             return;
         }
--- a/crates/chain/tests/simulation/harness/event.rs
+++ b/crates/chain/tests/simulation/harness/event.rs
@@ -2,7 +2,7 @@
 
 use super::fault::Fault;
 use super::network::Envelope;
-use lugwharf_chain::{OperatorRequestId, OperatorResponse};
+use lugwharf_chain::{BatchId, OperatorRequestId, OperatorResponse};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 use std::time::Duration;
@@ -32,7 +32,7 @@
     WriteDone {
         node: usize,
         incarnation: u64,
-        batch: u64,
+        batch: BatchId,
     },
     Fault(Fault),
     /// A process that leaves gracefully is looked at: it ends if it is left out of the view, or at the deadline.
--- a/crates/chain/tests/simulation/harness/node.rs
+++ b/crates/chain/tests/simulation/harness/node.rs
@@ -1,7 +1,7 @@
 //! A simulated machine: its disk, and the process on it.
 
 use super::scenario::Scenario;
-use lugwharf_chain::{Action, Event, Replica, ReplicaSettings};
+use lugwharf_chain::{Action, BatchId, Event, Replica, ReplicaSettings};
 use lugwharf_store::simulated::SimulatedDisk;
 use lugwharf_store::{Log, StoreError};
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 /// A batch that is being written to the disk.
 #[derive(Clone, Debug)]
 pub struct DiskWrite {
-    pub batch: u64,
+    pub batch: BatchId,
     pub records: Vec<Vec<u8>>,
     /// Whether the records replace the log; else they are appended.
     pub replaces_log: bool,
--- a/crates/chain/tests/simulation/harness/transcript.rs
+++ b/crates/chain/tests/simulation/harness/transcript.rs
@@ -47,7 +47,7 @@
                 self.record_numbers("link down", &[*node as u64, *incarnation, *peer as u64]);
             }
             SimulationEvent::WriteDone { node, incarnation, batch } => {
-                self.record_numbers("disk done", &[*node as u64, *incarnation, *batch]);
+                self.record_numbers("disk done", &[*node as u64, *incarnation, batch.0]);
             }
             SimulationEvent::Fault(_) => self.record_numbers("fault", &[]),
             SimulationEvent::CheckDeparture { node, incarnation, .. } => {
@@ -75,8 +75,8 @@
                 self.record_bytes(to.to_string().as_bytes());
                 self.record_encoded(message);
             }
-            Action::Persist { batch, records } => self.record_batch("store", node, *batch, records),
-            Action::RewriteLog { batch, records } => self.record_batch("rewrite", node, *batch, records),
+            Action::Persist { batch, records } => self.record_batch("store", node, batch.0, records),
+            Action::RewriteLog { batch, records } => self.record_batch("rewrite", node, batch.0, records),
             Action::Respond { id, response } => {
                 self.record_numbers("answer", &[node, id.0]);
                 self.record_response(response);
--- a/crates/control/src/controller/replication.rs
+++ b/crates/control/src/controller/replication.rs
@@ -17,8 +17,13 @@
     pub(super) fn batch_persisted(&mut self, outcome: PersistOutcome) {
         let PersistOutcome { owner, batch, is_synced } = outcome;
         match owner {
-            RecordOwner::Chain if is_synced => self.handle_replica_event(chain::Event::Persisted { batch }),
-            RecordOwner::Chain => self.handle_replica_event(chain::Event::PersistFailed { batch }),
+            RecordOwner::Chain => {
+                let batch = chain::BatchId(batch);
+                self.handle_replica_event(match is_synced {
+                    true => chain::Event::Persisted { batch },
+                    false => chain::Event::PersistFailed { batch },
+                });
+            }
             RecordOwner::Election => {
                 let batch = election::BatchId(batch);
                 self.handle_elector_event(match is_synced {
@@ -46,10 +51,10 @@
                     self.peer_transport.send(to, PeerMessage::Chain(message));
                 }
                 chain::Action::Persist { batch, records } => {
-                    self.persist(RecordOwner::Chain, batch, records, false);
+                    self.persist(RecordOwner::Chain, batch.0, records, false);
                 }
                 chain::Action::RewriteLog { batch, records } => {
-                    self.persist(RecordOwner::Chain, batch, records, true);
+                    self.persist(RecordOwner::Chain, batch.0, records, true);
                 }
                 chain::Action::Respond { id, response } => self.pending_requests.respond(id, response),
                 chain::Action::Committed { config } => self.config_committed(&config),
