--- a/crates/proxy/src/agent_feed_tests.rs
+++ b/crates/proxy/src/agent_feed_tests.rs
@@ -1,4 +1,4 @@
-//! The link to the agent over its restarts: what belongs to one link never reaches the next one.
+//! The link to the agent over its restarts: what was received on one connection never reaches the next one.
 
 use crate::agent_feed::run;
 use crate::outbound::fixtures::{entry, listener, state};
@@ -19,11 +19,11 @@
     FeedMessage::Update(Update { config, ..Update::default() })
 }
 
-/// The proxy's next link, and what it says it has.
-async fn link(agent: &TcpListener) -> (TcpStream, ProxyReport) {
-    let mut link = agent.accept().await.expect("the proxy").0;
-    let report = read_frame(&mut link).await.expect("a report").expect("a report");
-    (link, report)
+/// Accepts the proxy's next connection, and its first report.
+async fn accept(agent: &TcpListener) -> (TcpStream, ProxyReport) {
+    let mut connection = agent.accept().await.expect("the proxy").0;
+    let report = read_frame(&mut connection).await.expect("a report").expect("a report");
+    (connection, report)
 }
 
 async fn with_agent(body: impl AsyncFnOnce(&TcpListener, &Rc<ProxyState>)) {
@@ -35,22 +35,22 @@
     local.run_until(body(&agent, &state)).await;
 }
 
-/// A message that was cut with its link is not joined with what the next link brings.
+/// A message that broke off with its connection is not joined with what the next one brings.
 #[rstest]
 #[case::in_the_length(2)]
 #[case::in_the_body(20)]
 #[case::all_but_the_last_byte(usize::MAX)]
 #[tokio::test]
-async fn half_a_message_ends_with_its_link(#[case] end: usize) {
+async fn partial_message_is_dropped_with_its_connection(#[case] end: usize) {
     with_agent(async |agent, state| {
-        let (mut old, report) = link(agent).await;
+        let (mut old, report) = accept(agent).await;
         assert_eq!(report.have.config, 0);
         let bytes = encode(&config(7)).expect("a frame");
         let end = end.min(bytes.len() - 1);
         old.write_all(&bytes[..end]).await.expect("sent");
         drop(old);
-        let (mut new, report) = link(agent).await;
-        assert_eq!(report.have.config, 0, "nothing of it was accepted");
+        let (mut new, report) = accept(agent).await;
+        assert_eq!(report.have.config, 0, "nothing of it was applied");
         write_frame(&mut new, &config(8)).await.expect("sent");
         let report: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
         assert_eq!((report.have.config, state.versions().config), (8, 8));
@@ -58,18 +58,18 @@
     .await;
 }
 
-/// An agent that has restarted knows less for a while: what it tells then takes nothing back.
+/// An agent that has restarted knows less for a while: its older versions are ignored.
 #[tokio::test]
-async fn what_an_earlier_agent_told_is_not_taken_back() {
+async fn older_versions_of_a_restarted_agent_are_ignored() {
     with_agent(async |agent, state| {
-        let (mut old, report) = link(agent).await;
+        let (mut old, report) = accept(agent).await;
         write_frame(&mut old, &config(7)).await.expect("sent");
         let after: ProxyReport = read_frame(&mut old).await.expect("a report").expect("a report");
         assert_eq!(after.have.config, 7);
         drop(old);
-        let (mut new, after) = link(agent).await;
+        let (mut new, after) = accept(agent).await;
         assert_eq!((after.have.config, after.have.servers), (7, report.have.servers));
-        // Made for another proxy's vector, or by an agent that knows an older list.
+        // Sent by an agent that knows an older list.
         let position = TablePosition { epoch: 0, sequence: 9 };
         let servers = Some(ServerDelta { position, is_full: true, entries: Vec::new(), removed: Vec::new() });
         write_frame(&mut new, &FeedMessage::Update(Update { servers, ..Update::default() }))
@@ -85,14 +85,14 @@
     .await;
 }
 
-/// A list that an older link brought and a newer one brings again changes nothing: servers keep their connections.
+/// The same list again, on a new connection, changes nothing: connections to servers stay.
 #[tokio::test]
-async fn the_same_list_again_keeps_servers_as_they_are() {
+async fn same_list_again_retains_the_servers() {
     with_agent(async |agent, state| {
-        let (old, report) = link(agent).await;
+        let (old, report) = accept(agent).await;
         let before: Vec<_> = state.balancer.borrow().server_keys().collect();
         drop(old);
-        let (mut new, _) = link(agent).await;
+        let (mut new, _) = accept(agent).await;
         let position = report.have.servers;
         let entries = vec![entry(agent.local_addr().expect("an address"))];
         let servers = Some(ServerDelta { position, is_full: true, entries, removed: Vec::new() });
--- a/crates/proxy/src/http/body_tests.rs
+++ b/crates/proxy/src/http/body_tests.rs
@@ -1,19 +1,21 @@
+//! Bodies, in all ways to split them into chunks of received bytes.
+
 use crate::http::{BodyDecoder, Decoded, Framing};
 use bytes::BytesMut;
 use rstest::rstest;
 
-/// Decodes `text` in pieces of `size`: the body, and what is left behind it; `None` if it is broken or not whole.
+/// Decodes `text`, received in steps of `size` bytes: the body, and the bytes behind it; `None` if it is invalid or incomplete.
 fn decode(framing: Framing, text: &str, size: usize) -> Option<(String, String)> {
     let (mut decoder, mut buffer, mut body) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
-    let mut pieces = text.as_bytes().chunks(size);
+    let mut steps = text.as_bytes().chunks(size);
     loop {
         match decoder.decode(&mut buffer).ok()? {
             Decoded::Data(data) => body.extend_from_slice(&data),
-            Decoded::More => buffer.extend_from_slice(pieces.next()?),
+            Decoded::More => buffer.extend_from_slice(steps.next()?),
             Decoded::End => break,
         }
     }
-    pieces.for_each(|piece| buffer.extend_from_slice(piece));
+    steps.for_each(|step| buffer.extend_from_slice(step));
     Some((String::from_utf8(body).ok()?, String::from_utf8(buffer.to_vec()).ok()?))
 }
 
@@ -24,24 +26,24 @@
 #[case::chunks(Framing::Chunked, "2\r\nab\r\nA\r\n0123456789\r\n0\r\n\r\nrest", Some(("ab0123456789", "rest")))]
 #[case::extensions(Framing::Chunked, "2;x=y\r\nab\r\n0\r\n\r\n", Some(("ab", "")))]
 #[case::trailers(Framing::Chunked, "1\r\na\r\n0\r\nX: y\r\nZ: 1\r\n\r\nrest", Some(("a", "rest")))]
-#[case::without_the_last(Framing::Chunked, "2\r\nab\r\n", None)]
+#[case::no_last_chunk(Framing::Chunked, "2\r\nab\r\n", None)]
 #[case::no_size(Framing::Chunked, "\r\nab\r\n", None)]
-#[case::a_sign(Framing::Chunked, "+2\r\nab\r\n0\r\n\r\n", None)]
+#[case::size_with_sign(Framing::Chunked, "+2\r\nab\r\n0\r\n\r\n", None)]
 #[case::hex_by_prefix(Framing::Chunked, "0x2\r\nab\r\n0\r\n\r\n", None)]
-#[case::a_size_too_long(Framing::Chunked, "0000000000002\r\nab\r\n0\r\n\r\n", None)]
-#[case::a_bare_newline(Framing::Chunked, "2\nab\r\n0\r\n\r\n", None)]
+#[case::size_too_long(Framing::Chunked, "0000000000002\r\nab\r\n0\r\n\r\n", None)]
+#[case::bare_newline(Framing::Chunked, "2\nab\r\n0\r\n\r\n", None)]
 #[case::no_end_of_chunk(Framing::Chunked, "2\r\nabc\r\n0\r\n\r\n", None)]
-fn bodies_are_read_alike_however_they_come(
+fn body_is_decoded_alike_however_it_is_received(
     #[case] framing: Framing, #[case] text: &str, #[case] expected: Option<(&str, &str)>,
 ) {
     let expected = expected.map(|(body, rest)| (body.to_owned(), rest.to_owned()));
     for size in 1..=text.len() {
-        assert_eq!(decode(framing, text, size), expected, "in pieces of {size}");
+        assert_eq!(decode(framing, text, size), expected, "in steps of {size}");
     }
 }
 
 #[test]
-fn lines_without_end_are_bounded() {
+fn endless_lines_are_rejected() {
     let (mut decoder, mut buffer) = (BodyDecoder::new(Framing::Chunked), BytesMut::new());
     buffer.extend_from_slice(&[b'1'; 300]);
     assert!(decoder.decode(&mut buffer).is_err());
--- a/crates/proxy/src/inbound/error_response_tests.rs
+++ b/crates/proxy/src/inbound/error_response_tests.rs
@@ -1,12 +1,12 @@
-//! The table from kind to answer.
+//! The response to each error.
 
 use super::RequestError;
 use rstest::rstest;
 
-/// The answers that promise that nothing has run, and never will.
-const PROMISES: [u16; 4] = [408, 421, 429, 503];
+/// The statuses that promise that the request was not executed and never will be.
+const UNEXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Each kind, with whether the request may have run.
+/// Each error, with whether the request may have been executed.
 #[rstest]
 #[case(RequestError::Malformed, 400, false)]
 #[case(RequestError::HeadTooLarge, 431, false)]
@@ -19,11 +19,13 @@
 #[case(RequestError::DeadlineBeforeExecution, 503, false)]
 #[case(RequestError::DeadlineExceeded, 504, true)]
 #[case(RequestError::BadGateway, 502, true)]
-fn each_kind_has_its_status(#[case] error: RequestError, #[case] status: u16, #[case] may_have_run: bool) {
+fn each_error_has_its_status(
+    #[case] error: RequestError, #[case] status: u16, #[case] may_be_executed: bool,
+) {
     let response = error.response();
     assert_eq!(response.status, status);
-    assert!(!(may_have_run && PROMISES.contains(&status)));
-    assert_eq!(response.retry_after.is_some(), status == 503, "whoever may come again is told when");
+    assert!(!(may_be_executed && UNEXECUTED_STATUSES.contains(&status)));
+    assert_eq!(response.retry_after.is_some(), status == 503, "a client that may retry is told when");
     assert_eq!(
         response.closes_connection,
         matches!(status, 400 | 408 | 413 | 431),
@@ -37,7 +39,7 @@
     String::from_utf8(out).expect("text")
 }
 
-/// The whole answer of each kind, byte for byte, with a request's id on a connection that stays, and its name in logs.
+/// The complete response to each error, byte for byte, with and without a request's id and a close, and the error's name in logs.
 #[rstest]
 #[case(RequestError::Malformed, "malformed", "400 Bad Request\r\n")]
 #[case(RequestError::HeadTooLarge, "head_too_large", "431 Request Header Fields Too Large\r\n")]
@@ -54,7 +56,7 @@
 )]
 #[case(RequestError::DeadlineExceeded, "deadline", "504 Gateway Timeout\r\n")]
 #[case(RequestError::BadGateway, "broken", "502 Bad Gateway\r\n")]
-fn bytes_of_each_kind(#[case] error: RequestError, #[case] name: &str, #[case] start: &str) {
+fn bytes_of_each_response(#[case] error: RequestError, #[case] name: &str, #[case] start: &str) {
     assert_eq!(error.name(), name);
     let expected = format!("HTTP/1.1 {start}Request-Id: r1\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(written(error, Some("r1"), false, 0.5), expected);
@@ -66,7 +68,7 @@
 #[case(0.0, "0.075")]
 #[case(0.25, "0.112")]
 #[case(0.999, "0.225")]
-fn the_time_to_come_again_is_spread_by_the_jitter(#[case] jitter: f64, #[case] seconds: &str) {
+fn retry_after_is_spread_by_the_jitter(#[case] jitter: f64, #[case] seconds: &str) {
     let expected =
         format!("HTTP/1.1 503 Service Unavailable\r\nRetry-After: {seconds}\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(written(RequestError::Saturated, None, false, jitter), expected);
--- a/crates/proxy/src/outbound/exchange_tests.rs
+++ b/crates/proxy/src/outbound/exchange_tests.rs
@@ -1,8 +1,8 @@
-//! What one send tells of whether the request may have run.
+//! Exchanges with a scripted server: what their errors say about execution, and which connections they use.
 
 use crate::outbound::connection::Connection;
 use crate::outbound::exchange::{ExchangeError, ExchangeTerms, connect_error, exchange, last_byte_delay};
-use crate::outbound::fixtures::{choice, connected, entry, key, list, listener, outbound, state};
+use crate::outbound::fixtures::{connected, entry, key, list, outbound, selection, server_and_state};
 use crate::outbound::request::{AttemptHeaders, OutboundRequest};
 use crate::outbound::response::ServerResponse;
 use crate::state::ProxyState;
@@ -14,7 +14,7 @@
 use tokio::time::Instant;
 
 const LONG: usize = 32 << 20;
-const OWN: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n";
+const RESPONSE: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n";
 
 fn terms(is_idempotent: bool, phase: Phase) -> ExchangeTerms {
     ExchangeTerms {
@@ -33,13 +33,8 @@
 async fn send(
     state: &ProxyState, listener: &TcpListener, outbound: &mut OutboundRequest, terms: ExchangeTerms,
 ) -> Result<ServerResponse, ExchangeError> {
-    let choice = choice(state, listener.local_addr().expect("an address"));
-    exchange(state, &choice, outbound, &AttemptHeaders::default(), terms).await
-}
-
-async fn world() -> (std::rc::Rc<ProxyState>, TcpListener) {
-    let listener = listener().await;
-    (state(listener.local_addr().expect("an address")), listener)
+    let selection = selection(state, listener.local_addr().expect("an address"));
+    exchange(state, &selection, outbound, &AttemptHeaders::default(), terms).await
 }
 
 async fn read(peer: &mut TcpStream, end: &[u8]) {
@@ -50,85 +45,87 @@
     }
 }
 
-/// Held back is what can't be repeated, where the connection may be dead.
+/// The last byte is withheld where the connection may be dead: of reused ones if idle for 250 ms, of new ones if the request must
+/// not be retried.
 #[rstest]
 #[case::new(false, Phase::Full, false, 0, true)]
 #[case::new_decode(false, Phase::Decode, false, 0, true)]
-#[case::rested(false, Phase::Full, true, 250, true)]
+#[case::idle(false, Phase::Full, true, 250, true)]
 #[case::just_used(false, Phase::Full, true, 249, false)]
-#[case::may_repeat(true, Phase::Full, false, 0, false)]
-#[case::may_repeat_rested(true, Phase::Full, true, 250, true)]
-#[case::may_repeat_just_used(true, Phase::Full, true, 249, false)]
-#[case::a_reading(false, Phase::Prefill, false, 0, false)]
-#[case::a_reading_rested(false, Phase::Prefill, true, 250, true)]
+#[case::idempotent(true, Phase::Full, false, 0, false)]
+#[case::idempotent_idle(true, Phase::Full, true, 250, true)]
+#[case::idempotent_just_used(true, Phase::Full, true, 249, false)]
+#[case::prefill(false, Phase::Prefill, false, 0, false)]
+#[case::prefill_idle(false, Phase::Prefill, true, 250, true)]
 #[tokio::test]
-async fn what_is_held_back(
-    #[case] idempotent: bool, #[case] part: Phase, #[case] is_reused: bool, #[case] rested: u64,
-    #[case] is_held: bool,
+async fn last_byte_is_withheld_where_the_connection_may_be_dead(
+    #[case] is_idempotent: bool, #[case] phase: Phase, #[case] is_reused: bool, #[case] idle_ms: u64,
+    #[case] is_withheld: bool,
 ) {
-    let rested = Duration::from_millis(rested);
-    assert_eq!(last_byte_delay(&terms(idempotent, part), is_reused, rested).is_some(), is_held);
+    let idle = Duration::from_millis(idle_ms);
+    assert_eq!(last_byte_delay(&terms(is_idempotent, phase), is_reused, idle).is_some(), is_withheld);
 }
 
-/// The time is over while the body is still due: a server that has begun to answer may have begun to work.
+/// The deadline passes while the body is being sent: a server that has begun to respond may have begun to execute.
 #[rstest]
 #[case::silent("", ExchangeError::TooLate)]
 #[case::begun("HTTP/1.1 2", ExchangeError::Timeout)]
 #[tokio::test]
-async fn time_over_before_the_last_byte(#[case] says: &str, #[case] expected: ExchangeError) {
-    let (state, listener) = world().await;
+async fn deadline_before_the_last_byte(#[case] received: &str, #[case] expected: ExchangeError) {
+    let (state, listener) = server_and_state().await;
     let mut outbound = request(LONG);
-    let script = async {
+    let server = async {
         let mut peer = listener.accept().await.expect("a connection").0;
         read(&mut peer, b"\r\n\r\n").await;
-        peer.write_all(says.as_bytes()).await.expect("said");
+        peer.write_all(received.as_bytes()).await.expect("sent");
         tokio::time::pause();
         peer
     };
     let (result, _peer) =
-        tokio::join!(send(&state, &listener, &mut outbound, terms(false, Phase::Full)), script);
+        tokio::join!(send(&state, &listener, &mut outbound, terms(false, Phase::Full)), server);
     assert_eq!(result.err(), Some(expected));
 }
 
 #[rstest]
-#[case::nothing_is_sent_when_the_time_is_over(19, true)]
-#[case::there_is_time(200, false)]
+#[case::too_little_time(19, true)]
+#[case::enough_time(200, false)]
 #[tokio::test]
-async fn little_time_left(#[case] left: u64, #[case] is_late: bool, #[values(true, false)] is_kept: bool) {
-    let (state, listener) = world().await;
+async fn nothing_is_sent_with_too_little_time_left(
+    #[case] left_ms: u64, #[case] is_late: bool, #[values(true, false)] is_reused: bool,
+) {
+    let (state, listener) = server_and_state().await;
     tokio::time::pause();
-    let mut kept = None;
-    if is_kept {
+    let mut pooled = None;
+    if is_reused {
         let (connection, peer) = connected(&state, &listener).await;
         state.pool.checkin(key(&state), connection.into_idle().expect("clean"));
-        kept = Some(peer);
+        pooled = Some(peer);
     }
     let mut outbound = request(4);
-    let by = Instant::now() + Duration::from_millis(left);
+    let deadline = Instant::now() + Duration::from_millis(left_ms);
     let result =
-        send(&state, &listener, &mut outbound, ExchangeTerms { deadline: by, ..terms(true, Phase::Full) })
-            .await;
+        send(&state, &listener, &mut outbound, ExchangeTerms { deadline, ..terms(true, Phase::Full) }).await;
     let expected = if is_late { ExchangeError::TooLate } else { ExchangeError::Timeout };
     assert_eq!(result.err(), Some(expected));
     assert_eq!(outbound.used_connections.is_empty(), is_late);
-    drop(kept);
+    drop(pooled);
 }
 
-/// A server that left the list while the connection came up gets nothing, and a kept connection stays as old as it is.
 #[tokio::test]
-async fn a_server_that_has_left_meanwhile_gets_nothing() {
-    let (state, listener) = world().await;
-    let choice = choice(&state, listener.local_addr().expect("an address"));
+async fn server_removed_since_its_selection_is_sent_nothing() {
+    let (state, listener) = server_and_state().await;
+    let selection = selection(&state, listener.local_addr().expect("an address"));
     list(&state, 2, Vec::new());
     let mut outbound = request(4);
     let result =
-        exchange(&state, &choice, &mut outbound, &AttemptHeaders::default(), terms(true, Phase::Full)).await;
+        exchange(&state, &selection, &mut outbound, &AttemptHeaders::default(), terms(true, Phase::Full))
+            .await;
     assert_eq!((result.err(), outbound.used_connections.len()), (Some(ExchangeError::Aborted), 0));
 }
 
 #[tokio::test]
-async fn a_kept_connection_that_was_not_used_is_as_old_as_before() {
-    let (state, listener) = world().await;
+async fn pooled_connection_that_was_not_used_keeps_its_idle_time() {
+    let (state, listener) = server_and_state().await;
     tokio::time::pause();
     let (connection, _peer) = connected(&state, &listener).await;
     let connection = connection.into_idle().expect("clean");
@@ -141,20 +138,20 @@
     let mut outbound = request(4);
     let result = send(&state, &listener, &mut outbound, terms(true, Phase::Full)).await;
     assert_eq!(result.err(), Some(ExchangeError::Aborted));
-    let connection = state.pool.checkout(key(&state), true, &[]).expect("kept");
+    let connection = state.pool.checkout(key(&state), true, &[]).expect("pooled");
     assert_eq!((connection.id(), connection.idle_since), (id, since));
 }
 
-/// Kept connections that turn out dead are left, one after the other, for a new one in the end.
+/// Reused connections that turn out dead are replaced, one after the other, by a new one in the end.
 #[rstest]
 #[case::some(3, true)]
 #[case::too_many(4, false)]
 #[tokio::test]
-async fn dead_connections_are_left_for_others(
+async fn dead_connections_are_replaced(
     #[case] dead: usize, #[case] is_sent: bool,
-    #[values(rested, slowly_relayed)] age: fn(Connection) -> Connection,
+    #[values(idle_for_long, slowly_forwarded)] age: fn(Connection) -> Connection,
 ) {
-    let (state, listener) = world().await;
+    let (state, listener) = server_and_state().await;
     let mut peers = Vec::new();
     for _ in 0..dead {
         let (connection, peer) = connected(&state, &listener).await;
@@ -162,8 +159,8 @@
         peers.push(peer);
     }
     let mut outbound = request(4);
-    let script = async {
-        // Each one ends while the last byte is held back: no time passes until the next connection is used.
+    let server = async {
+        // Each one closes while the last byte is withheld: no time passes until the next connection is used.
         let ends = async {
             for mut peer in peers.into_iter().rev() {
                 read(&mut peer, b"\r\n\r\nxxx").await;
@@ -172,13 +169,13 @@
         };
         let mut peer = frozen(ends).await;
         read(&mut peer, b"\r\n\r\nxxxx").await;
-        peer.write_all(OWN.as_bytes()).await.expect("said");
+        peer.write_all(RESPONSE.as_bytes()).await.expect("sent");
         peer
     };
     let sending = send(&state, &listener, &mut outbound, terms(false, Phase::Full));
     let result = tokio::select! {
         result = sending => result,
-        _ = async { script.await; std::future::pending::<()>().await } => unreachable!("it never ends"),
+        _ = async { server.await; std::future::pending::<()>().await } => unreachable!("it never ends"),
     };
     assert_eq!(result.err(), (!is_sent).then_some(ExchangeError::Aborted));
     assert_eq!(outbound.used_connections.len(), if is_sent { dead + 1 } else { dead });
@@ -202,119 +199,122 @@
     done
 }
 
-/// A connection that has rested for long enough to be doubted.
-fn rested(connection: Connection) -> Connection {
+/// A connection that was idle for long enough to be suspected dead.
+fn idle_for_long(connection: Connection) -> Connection {
     let mut connection = connection.into_idle().expect("clean");
     connection.idle_since -= Duration::from_millis(600);
     connection.maybe_closed_since -= Duration::from_millis(600);
     connection
 }
 
-/// One whose last answer took its client as long to take: its server may have been done with it all the while.
-fn slowly_relayed(connection: Connection) -> Connection {
+/// A connection whose last response was forwarded to a slow client: the server may have been done with it all the while.
+fn slowly_forwarded(connection: Connection) -> Connection {
     let mut connection = connection.into_idle().expect("clean");
     connection.maybe_closed_since -= Duration::from_millis(600);
     connection
 }
 
-/// Each request remembers what has carried it, and gets none of these again.
+/// A connection that has carried the request is not used for it again.
 #[tokio::test]
-async fn a_request_gets_no_connection_twice() {
-    let (state, listener) = world().await;
+async fn request_is_sent_once_per_connection() {
+    let (state, listener) = server_and_state().await;
     let (mut outbound, mut peers) = (request(4), Vec::new());
-    for round in 0..3 {
-        let script = async {
+    for attempt in 0..3 {
+        let server = async {
             let mut peer = listener.accept().await.expect("a connection").0;
             read(&mut peer, b"\r\n\r\nxxxx").await;
-            peer.write_all(OWN.as_bytes()).await.expect("said");
+            peer.write_all(RESPONSE.as_bytes()).await.expect("sent");
             peer
         };
         let sending = send(&state, &listener, &mut outbound, terms(true, Phase::Full));
-        let (result, peer) = tokio::join!(sending, script);
-        result.expect("an answer").finish(&state);
-        assert_eq!(outbound.used_connections.len(), round + 1);
+        let (result, peer) = tokio::join!(sending, server);
+        result.expect("a response").finish(&state);
+        assert_eq!(outbound.used_connections.len(), attempt + 1);
         peers.push(peer);
     }
     assert!(state.pool.checkout(key(&state), true, &outbound.used_connections).is_none());
     assert!(state.pool.checkout(key(&state), true, &[]).is_some());
 }
 
-/// The connection that ended with its answer does not rest: it would take the place of one that could be opened.
+/// A connection that ended with its response is not pooled: it would use up the limit on open ones.
 #[rstest]
-#[case::with_a_length(OWN, true)]
-#[case::until_its_end("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\nall", false)]
+#[case::with_a_length(RESPONSE, true)]
+#[case::until_the_close("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\nall", false)]
 #[tokio::test]
-async fn an_answer_without_a_length_is_its_connections_last(#[case] says: &str, #[case] rests: bool) {
-    let (state, listener) = world().await;
+async fn connection_of_a_response_without_length_is_not_pooled(
+    #[case] response: &str, #[case] is_pooled: bool,
+) {
+    let (state, listener) = server_and_state().await;
     let mut outbound = request(4);
-    let script = async {
+    let server = async {
         let mut peer = listener.accept().await.expect("a connection").0;
         read(&mut peer, b"\r\n\r\nxxxx").await;
-        peer.write_all(says.as_bytes()).await.expect("said");
-        rests.then_some(peer)
+        peer.write_all(response.as_bytes()).await.expect("sent");
+        is_pooled.then_some(peer)
     };
     let sending = async {
-        let mut answered =
-            send(&state, &listener, &mut outbound, terms(true, Phase::Full)).await.expect("an answer");
-        answered.collect(100, Instant::now() + Duration::from_secs(3)).await.expect("a body");
-        answered.finish(&state);
+        let mut response =
+            send(&state, &listener, &mut outbound, terms(true, Phase::Full)).await.expect("a response");
+        response.collect(100, Instant::now() + Duration::from_secs(3)).await.expect("a body");
+        response.finish(&state);
     };
-    let ((), _peer) = tokio::join!(sending, script);
+    let ((), _peer) = tokio::join!(sending, server);
     let open = std::iter::from_fn(|| state.pool.try_reserve(key(&state), Some(6), 1));
-    assert_eq!(open.take(7).collect::<Vec<_>>().len(), if rests { 5 } else { 6 });
+    assert_eq!(open.take(7).collect::<Vec<_>>().len(), if is_pooled { 5 } else { 6 });
 }
 
-/// A body that is larger than asked for is no body.
 #[rstest]
 #[case::as_long(3, true)]
 #[case::longer(2, false)]
 #[tokio::test]
-async fn a_collected_body_is_bounded(#[case] most: usize, #[case] is_taken: bool) {
-    let (state, listener) = world().await;
+async fn collected_body_is_limited(#[case] max: usize, #[case] is_accepted: bool) {
+    let (state, listener) = server_and_state().await;
     let mut outbound = request(4);
-    let script = async {
+    let server = async {
         let mut peer = listener.accept().await.expect("a connection").0;
         read(&mut peer, b"\r\n\r\nxxxx").await;
-        let said = OWN.replace("Length: 0", "Length: 3") + "all";
-        peer.write_all(said.as_bytes()).await.expect("said");
+        let response = RESPONSE.replace("Length: 0", "Length: 3") + "all";
+        peer.write_all(response.as_bytes()).await.expect("sent");
         peer
     };
     let sending = send(&state, &listener, &mut outbound, terms(true, Phase::Full));
-    let (answered, _peer) = tokio::join!(sending, script);
-    let body = answered.expect("an answer").collect(most, Instant::now() + Duration::from_secs(3)).await;
-    assert_eq!(body.ok(), is_taken.then(|| b"all".to_vec()));
+    let (response, _peer) = tokio::join!(sending, server);
+    let body = response.expect("a response").collect(max, Instant::now() + Duration::from_secs(3)).await;
+    assert_eq!(body.ok(), is_accepted.then(|| b"all".to_vec()));
 }
 
-/// Answers to other requests are read over up to a bound, on connections that were used before only.
+/// Responses to other requests are discarded up to 64 KiB, and only on reused connections.
 #[rstest]
-#[case::little(10, true, true)]
-#[case::much(70_000, true, false)]
+#[case::small(10, true, true)]
+#[case::large(70_000, true, false)]
 #[case::on_a_new_connection(10, false, false)]
 #[tokio::test]
-async fn another_requests_answer(#[case] length: usize, #[case] is_kept: bool, #[case] is_passed: bool) {
-    let (state, listener) = world().await;
+async fn response_to_another_request(
+    #[case] length: usize, #[case] is_reused: bool, #[case] is_discarded: bool,
+) {
+    let (state, listener) = server_and_state().await;
     let mut outbound = request(4);
-    let mut kept = None;
-    if is_kept {
+    let mut pooled = None;
+    if is_reused {
         let (connection, peer) = connected(&state, &listener).await;
         state.pool.checkin(key(&state), connection.into_idle().expect("clean"));
-        kept = Some(peer);
+        pooled = Some(peer);
     }
-    let script = async {
-        let mut peer = match kept {
+    let server = async {
+        let mut peer = match pooled {
             Some(peer) => peer,
             None => listener.accept().await.expect("a connection").0,
         };
         read(&mut peer, b"\r\n\r\nxxxx").await;
         let body = "x".repeat(length);
         let other = format!("HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nContent-Length: {length}\r\n\r\n{body}");
-        // The reader may be gone before all is written.
-        drop(peer.write_all(format!("{other}{OWN}").as_bytes()).await);
+        // The proxy may close before all is written.
+        drop(peer.write_all(format!("{other}{RESPONSE}").as_bytes()).await);
         peer
     };
     let sending = send(&state, &listener, &mut outbound, terms(true, Phase::Full));
-    let (result, _peer) = tokio::join!(sending, script);
-    assert_eq!(result.err(), (!is_passed).then_some(ExchangeError::ConnectionBroken));
+    let (result, _peer) = tokio::join!(sending, server);
+    assert_eq!(result.err(), (!is_discarded).then_some(ExchangeError::ConnectionBroken));
 }
 
 #[rstest]
@@ -327,6 +327,6 @@
 #[case::timed_out(110, ExchangeError::Connect)]
 #[case::refused(111, ExchangeError::Connect)]
 #[case::no_route(113, ExchangeError::Connect)]
-fn a_shortage_of_its_own_is_no_failure_of_the_server(#[case] error: i32, #[case] fault: ExchangeError) {
-    assert_eq!(connect_error(&std::io::Error::from_raw_os_error(error)), fault);
+fn shortage_on_this_machine_is_no_failure_of_the_server(#[case] errno: i32, #[case] expected: ExchangeError) {
+    assert_eq!(connect_error(&std::io::Error::from_raw_os_error(errno)), expected);
 }
--- a/crates/proxy/src/outbound/fixtures.rs
+++ b/crates/proxy/src/outbound/fixtures.rs
@@ -1,4 +1,4 @@
-//! What the tests of this folder share: a process that knows one server, and requests to it.
+//! Fixtures of the tests: a proxy that knows one server, and requests to it.
 
 use crate::http::parse_request;
 use crate::inbound::request::ClientRequest;
@@ -15,12 +15,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// A listener that stands for a server.
+/// The listener of a scripted server.
 pub async fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.expect("a port")
 }
 
-/// A process that knows the server at `address`.
+/// A scripted server, and the state of a proxy that knows it.
+pub async fn server_and_state() -> (Rc<ProxyState>, TcpListener) {
+    let listener = listener().await;
+    (state(listener.local_addr().expect("an address")), listener)
+}
+
+/// The state of a proxy that knows the server at `address`.
 pub fn state(address: SocketAddr) -> Rc<ProxyState> {
     let text = r#"
         Node = "front-1"
@@ -34,7 +40,7 @@
     state
 }
 
-/// Has the process hear of a list.
+/// Applies an endpoint list.
 pub fn list(state: &ProxyState, sequence: u64, entries: Vec<ServerEntry>) {
     let position = TablePosition { epoch: 1, sequence };
     let servers = Some(ServerDelta { position, is_full: true, entries, removed: Vec::new() });
@@ -60,8 +66,8 @@
     state.balancer.borrow().server_keys().next().expect("a server")
 }
 
-/// The choice of the only server.
-pub fn choice(state: &ProxyState, address: SocketAddr) -> Selection {
+/// The selection of the only server.
+pub fn selection(state: &ProxyState, address: SocketAddr) -> Selection {
     Selection {
         key: key(state),
         id: "i-a".into(),
@@ -73,18 +79,18 @@
     }
 }
 
-/// A connection of the process to the server, and the server's end.
+/// A connection of the proxy to the server, and the server's side of it.
 pub async fn connected(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
     let address = listener.local_addr().expect("an address");
-    let open = state.pool.try_reserve(key(state), None, 1).expect("room");
-    let (connection, accepted) = tokio::join!(Connection::open(address, open), listener.accept());
+    let permit = state.pool.try_reserve(key(state), None, 1).expect("capacity");
+    let (connection, accepted) = tokio::join!(Connection::open(address, permit), listener.accept());
     (connection.expect("a connection"), accepted.expect("a connection").0)
 }
 
 /// A request with further lines in its head.
 pub fn outbound(method: &str, more: &str, body: Vec<u8>) -> OutboundRequest {
     let text = format!("{method} /r/x HTTP/1.1\r\nHost: h\r\n{more}\r\n");
-    let head = parse_request(&mut BytesMut::from(text.as_str())).expect("a head").expect("a whole head");
+    let head = parse_request(&mut BytesMut::from(text.as_str())).expect("a head").expect("a complete head");
     OutboundRequest::new(&ClientRequest {
         head,
         has_body: true,
--- a/crates/proxy/src/outbound/request_writer_tests.rs
+++ b/crates/proxy/src/outbound/request_writer_tests.rs
@@ -1,4 +1,4 @@
-//! What a broken or early answered send proves. The peer decides how far it reads and what it says.
+//! What an interrupted write proves. The peer decides how far it reads and what it sends.
 
 use crate::outbound::connection::Connection;
 use crate::outbound::fixtures::{connected, listener, outbound, state};
@@ -9,13 +9,13 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// More than the buffers of a connection hold: the writer waits until the peer reads on.
+/// More than the buffers of a connection take: the writer waits until the peer reads on.
 const LONG: usize = 32 << 20;
-/// The peer's doing ends the wait, not the time.
-const FOR_EVER: Option<Duration> = Some(Duration::from_secs(3_600));
+/// Longer than any test: only the peer ends the wait.
+const UNTIL_THE_PEER_ACTS: Option<Duration> = Some(Duration::from_secs(3_600));
 const HEAD: &[u8] = b"HEAD\r\n\r\n";
-const OWN: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n";
-const FOREIGN: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nContent-Length: 0\r\n\r\n";
+const RESPONSE: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n";
+const STRAY_RESPONSE: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nContent-Length: 0\r\n\r\n";
 const INTERIM: &str = "HTTP/1.1 100 Continue\r\n\r\n";
 
 async fn pair(is_reused: bool) -> (Connection, TcpStream) {
@@ -30,114 +30,115 @@
     outbound("POST", "Request-Id: r1\r\n", vec![b'x'; length])
 }
 
-/// The peer's part: reads `reads` bytes, says something, and then closes, with a reset if bytes are left unread.
-async fn act(peer: &mut TcpStream, reads: usize, says: &str) {
+/// Reads `reads` bytes as the peer, then sends `sends`. The peer's drop resets the connection if bytes are left unread.
+async fn act(peer: &mut TcpStream, reads: usize, sends: &str) {
     let mut bytes = vec![0; reads];
     peer.read_exact(&mut bytes).await.expect("that much");
-    peer.write_all(says.as_bytes()).await.expect("said");
+    peer.write_all(sends.as_bytes()).await.expect("sent");
 }
 
-/// Before its last byte is out, a request has not run if nothing of an answer to it has come; else it may have.
+/// Before its last byte was sent, a request was not executed if no byte of a response to it was received; else it may have been.
 #[rstest]
-#[case::an_answer(false, OWN, false, Some(WriteOutcome::EarlyResponse))]
-#[case::an_answer_and_the_end(false, OWN, true, Some(WriteOutcome::EarlyResponse))]
-#[case::half_an_answer_and_the_end(false, "HTTP/1.1 2", true, Some(WriteOutcome::EarlyResponse))]
-#[case::no_answer(false, "\u{1}\u{2}\r\n\r\n", false, Some(WriteOutcome::EarlyResponse))]
-#[case::anothers_on_a_new_connection(false, FOREIGN, false, Some(WriteOutcome::EarlyResponse))]
-#[case::nothing_and_the_end(false, "", true, None)]
-#[case::an_answer_on_a_kept_connection(true, OWN, false, Some(WriteOutcome::EarlyResponse))]
-#[case::a_final_answer_behind_an_interim_one(
+#[case::response(false, RESPONSE, false, Some(WriteOutcome::EarlyResponse))]
+#[case::response_and_close(false, RESPONSE, true, Some(WriteOutcome::EarlyResponse))]
+#[case::partial_response_and_close(false, "HTTP/1.1 2", true, Some(WriteOutcome::EarlyResponse))]
+#[case::invalid_response(false, "\u{1}\u{2}\r\n\r\n", false, Some(WriteOutcome::EarlyResponse))]
+#[case::stray_response_on_a_new_connection(false, STRAY_RESPONSE, false, Some(WriteOutcome::EarlyResponse))]
+#[case::close_without_response(false, "", true, None)]
+#[case::response_on_a_reused_connection(true, RESPONSE, false, Some(WriteOutcome::EarlyResponse))]
+#[case::final_response_behind_an_interim_one(
     false,
     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\n",
     false,
     Some(WriteOutcome::EarlyResponse)
 )]
 #[tokio::test]
-async fn what_comes_before_the_last_byte(
-    #[case] is_reused: bool, #[case] says: &str, #[case] ends: bool, #[case] expected: Option<WriteOutcome>,
-    #[values(4, LONG)] length: usize,
+async fn received_before_the_last_byte(
+    #[case] is_reused: bool, #[case] received: &str, #[case] closes: bool,
+    #[case] expected: Option<WriteOutcome>, #[values(4, LONG)] length: usize,
 ) {
     let (mut connection, mut peer) = pair(is_reused).await;
     let request = request(length);
-    let script = async {
-        act(&mut peer, HEAD.len() + 3, says).await;
-        (!ends).then_some(peer)
+    let server = async {
+        act(&mut peer, HEAD.len() + 3, received).await;
+        (!closes).then_some(peer)
     };
     let mut writer = RequestWriter::new(&mut connection, &request);
-    let (written, _peer) = tokio::join!(writer.write(HEAD.to_vec(), FOR_EVER), script);
+    let (written, _peer) = tokio::join!(writer.write(HEAD.to_vec(), UNTIL_THE_PEER_ACTS), server);
     assert_eq!(written.ok(), expected);
-    assert_eq!(connection.must_close, expected.is_some(), "the rest is due on it");
+    assert_eq!(connection.must_close, expected.is_some(), "the rest of the request was not sent on it");
 }
 
-/// Interim answers, and late copies of other requests' answers on a kept connection, leave the send as it is.
+/// Interim responses, partial ones, and stray ones on a reused connection don't end a write.
 #[rstest]
 #[case::interim(false, INTERIM)]
-#[case::another_requests(true, FOREIGN)]
-#[case::begun(false, "HTTP/1.1 2")]
+#[case::stray_response(true, STRAY_RESPONSE)]
+#[case::partial_response(false, "HTTP/1.1 2")]
 #[tokio::test]
-async fn what_does_not_end_a_send(
-    #[case] is_reused: bool, #[case] says: &str,
+async fn received_without_end_of_the_write(
+    #[case] is_reused: bool, #[case] received: &str,
     #[values(4, INLINE_BODY, INLINE_BODY + 1, LONG)] length: usize,
     #[values(None, Some(Duration::from_millis(1)))] last_byte_delay: Option<Duration>,
 ) {
     let (mut connection, mut peer) = pair(is_reused).await;
     let request = request(length);
-    let script = async {
-        act(&mut peer, HEAD.len() + 3, says).await;
+    let server = async {
+        act(&mut peer, HEAD.len() + 3, received).await;
         act(&mut peer, length - 3, "").await;
         let mut more = [0];
         assert!(peer.try_read(&mut more).is_err(), "no byte twice");
         peer
     };
     let mut writer = RequestWriter::new(&mut connection, &request);
-    let (written, _peer) = tokio::join!(writer.write(HEAD.to_vec(), last_byte_delay), script);
+    let (written, _peer) = tokio::join!(writer.write(HEAD.to_vec(), last_byte_delay), server);
     assert_eq!(written.ok(), Some(WriteOutcome::Complete));
     assert!(!connection.must_close);
 }
 
-/// The last byte waits; all others don't.
 #[tokio::test]
-async fn all_but_the_last_byte_go_out_at_once() {
+async fn all_but_the_last_byte_are_sent_at_once() {
     let (mut connection, mut peer) = pair(false).await;
     let request = request(4);
     let mut writer = RequestWriter::new(&mut connection, &request);
-    let script = async {
+    let server = async {
         act(&mut peer, HEAD.len() + 3, "").await;
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
-        assert!(peer.try_read(&mut [0]).is_err(), "held back");
+        assert!(peer.try_read(&mut [0]).is_err(), "the last byte is withheld");
         drop(peer);
     };
-    let (written, ()) = tokio::join!(writer.write(HEAD.to_vec(), FOR_EVER), script);
+    let (written, ()) = tokio::join!(writer.write(HEAD.to_vec(), UNTIL_THE_PEER_ACTS), server);
     assert!(written.is_err());
 }
 
 #[tokio::test]
-async fn a_request_without_a_body_is_held_back_too() {
+async fn last_byte_of_a_head_is_withheld_without_a_body() {
     let (mut connection, mut peer) = pair(false).await;
     let request = request(0);
     let mut writer = RequestWriter::new(&mut connection, &request);
-    let script = async {
+    let server = async {
         act(&mut peer, HEAD.len() - 1, "").await;
         drop(peer);
     };
-    let (written, ()) = tokio::join!(writer.write(HEAD.to_vec(), FOR_EVER), script);
+    let (written, ()) = tokio::join!(writer.write(HEAD.to_vec(), UNTIL_THE_PEER_ACTS), server);
     assert!(written.is_err());
 }
 
-/// The answer and the reset come between two looks at the connection, so that the write meets the reset first.
+/// Response and reset arrive between two polls of the socket, so that the write fails first.
 #[rstest]
-#[case::an_answer(OWN, Some(WriteOutcome::EarlyResponse))]
-#[case::half_an_answer("HTTP/1.1 2", Some(WriteOutcome::EarlyResponse))]
+#[case::response(RESPONSE, Some(WriteOutcome::EarlyResponse))]
+#[case::partial_response("HTTP/1.1 2", Some(WriteOutcome::EarlyResponse))]
 #[case::nothing("", None)]
 #[tokio::test]
-async fn an_answer_in_front_of_a_reset_is_found(#[case] says: &str, #[case] expected: Option<WriteOutcome>) {
+async fn response_in_front_of_a_reset_is_found(
+    #[case] received: &str, #[case] expected: Option<WriteOutcome>,
+) {
     let (mut connection, peer) = pair(false).await;
-    // The runtime has seen that it can be written to, and does not look again before the peer is done.
+    // The runtime knows that the socket is writable, and does not poll it again before the peer is done.
     let mut peer = peer.into_std().expect("a socket");
     peer.set_nonblocking(false).expect("set");
-    std::io::Write::write_all(&mut peer, says.as_bytes()).expect("said");
+    std::io::Write::write_all(&mut peer, received.as_bytes()).expect("sent");
     socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).expect("set");
     drop(peer);
     let request = request(4);
--- a/crates/proxy/src/stack/sse_tests.rs
+++ b/crates/proxy/src/stack/sse_tests.rs
@@ -1,11 +1,13 @@
+//! Server-sent events, in all ways to split a stream into received bytes.
+
 use crate::stack::sse::{EventBuffer, EventError};
 use rstest::rstest;
 
-/// What goes on when `text` comes in pieces of `size` bytes, and what is held back.
-fn passed(text: &str, size: usize) -> (String, EventBuffer) {
+/// What is forwarded of `text`, received in steps of `size` bytes, and the buffer with the rest.
+fn forward(text: &str, size: usize) -> (String, EventBuffer) {
     let (mut events, mut out) = (EventBuffer::default(), Vec::new());
-    for piece in text.as_bytes().chunks(size) {
-        events.push(piece).expect("events");
+    for step in text.as_bytes().chunks(size) {
+        events.push(step).expect("events");
         out.extend_from_slice(events.complete());
         events.drop_complete();
     }
@@ -13,29 +15,29 @@
 }
 
 #[rstest]
-#[case::whole("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", Some("2"))]
-#[case::torn("id: 1\ndata: a\n\nid: 2\ndata:", "id: 1\ndata: a\n\n", Some("1"))]
-#[case::torn_before_its_empty_line("id: 1\ndata: a\n", "", None)]
-#[case::with_returns("id: 1\r\ndata: a\r\n\r\nid: 2\r\n", "id: 1\r\ndata: a\r\n\r\n", Some("1"))]
+#[case::complete("id: 1\ndata: a\n\nid: 2\ndata: b\n\n", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", Some("2"))]
+#[case::partial("id: 1\ndata: a\n\nid: 2\ndata:", "id: 1\ndata: a\n\n", Some("1"))]
+#[case::partial_without_its_empty_line("id: 1\ndata: a\n", "", None)]
+#[case::with_carriage_returns("id: 1\r\ndata: a\r\n\r\nid: 2\r\n", "id: 1\r\ndata: a\r\n\r\n", Some("1"))]
 #[case::without_an_id("data: a\n\n", "data: a\n\n", None)]
 #[case::an_id_that_is_not_the_first_line(
     "versions: 3\nid:7\ndata: id: 9\n\n",
     "versions: 3\nid:7\ndata: id: 9\n\n",
     Some("7")
 )]
-fn only_whole_events_go_on_however_they_come(
+fn only_complete_events_are_forwarded_however_they_are_received(
     #[case] text: &str, #[case] expected: &str, #[case] last: Option<&str>,
 ) {
     for size in 1..=text.len() {
-        let (out, events) = passed(text, size);
-        assert_eq!(out, expected, "in pieces of {size}");
-        assert_eq!(events.last_event_id(), last.map(str::as_bytes), "in pieces of {size}");
+        let (out, events) = forward(text, size);
+        assert_eq!(out, expected, "in steps of {size}");
+        assert_eq!(events.last_event_id(), last.map(str::as_bytes), "in steps of {size}");
     }
 }
 
 #[test]
-fn an_end_passes_the_rest_on() {
-    let (_, mut events) = passed("id: 1\n\nrest", 3);
+fn end_of_the_stream_completes_the_rest() {
+    let (_, mut events) = forward("id: 1\n\nrest", 3);
     events.finish();
     assert_eq!(events.complete(), b"rest");
 }
@@ -45,24 +47,24 @@
 #[case("10", true)]
 #[case("4", false)]
 #[case("3", false)]
-fn a_resumed_stream_has_to_rise(#[case] next: &str, #[case] rises: bool) {
-    let (_, mut events) = passed("id: 4\ndata: a\n\nid: 5\nda", 4);
+fn resumed_stream_must_continue_behind_the_last_event(#[case] next: &str, #[case] follows: bool) {
+    let (_, mut events) = forward("id: 4\ndata: a\n\nid: 5\nda", 4);
     events.prepare_resumption();
     let pushed = events.push(format!("id: {next}\ndata: b\n\n").as_bytes());
-    assert_eq!(pushed, if rises { Ok(()) } else { Err(EventError::RepeatedEvent) });
+    assert_eq!(pushed, if follows { Ok(()) } else { Err(EventError::RepeatedEvent) });
 }
 
 #[test]
-fn without_ids_nothing_is_resumed_once_an_event_has_gone_on() {
-    assert!(passed("data: a", 2).1.can_resume());
-    assert!(!passed("data: a\n\n", 2).1.can_resume());
-    assert!(passed("id: 1\n\n", 2).1.can_resume());
+fn stream_without_ids_is_not_resumed_once_an_event_was_forwarded() {
+    assert!(forward("data: a", 2).1.can_resume());
+    assert!(!forward("data: a\n\n", 2).1.can_resume());
+    assert!(forward("id: 1\n\n", 2).1.can_resume());
 }
 
 #[test]
-fn an_event_without_end_is_bounded() {
+fn endless_event_is_rejected() {
     let mut events = EventBuffer::default();
-    let piece = [b'x'; 64 * 1024];
-    let ended = (0..8).map(|_| events.push(&piece)).find(Result::is_err);
+    let step = [b'x'; 64 * 1024];
+    let ended = (0..8).map(|_| events.push(&step)).find(Result::is_err);
     assert_eq!(ended, Some(Err(EventError::TooLarge)));
 }
--- a/crates/proxy/src/telemetry/request_trace.rs
+++ b/crates/proxy/src/telemetry/request_trace.rs
@@ -10,7 +10,7 @@
 use crate::telemetry::outcome::{AttemptLabel, BodyOutcome, RequestOutcome};
 use lugwharf_protocol::VersionVector;
 use lugwharf_routing::Phase;
-use spdlog::prelude::*;
+use spdlog::warn;
 use std::cell::{Cell, RefCell};
 use std::fmt::{self, Write};
 use std::rc::Rc;
