--- a/crates/proxy/src/outbound/exchange.rs
+++ b/crates/proxy/src/outbound/exchange.rs
@@ -4,12 +4,12 @@
 
 use crate::http::{BodyDecoder, response_framing};
 use crate::outbound::connection::Connection;
+use crate::outbound::error::ExchangeError;
 use crate::outbound::request::{AttemptHeaders, OutboundRequest};
 use crate::outbound::request_writer::{RequestWriter, WriteOutcome};
 use crate::outbound::response::{ServerResponse, read_response_head};
 use crate::state::ProxyState;
 use lugwharf_routing::{LoadReport, Phase, Selection, ServerKey};
-use std::io;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
@@ -29,30 +29,6 @@
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
 /// A reused connection may be dead once it has been idle for this long: servers may drop it silently after some 300 ms.
 const MAYBE_CLOSED_AFTER: Duration = Duration::from_millis(250);
-/// The errors of Linux that mean a shortage on this machine: `ENOMEM`, `ENFILE`, `EMFILE`, `EADDRNOTAVAIL` and `ENOBUFS`.
-const LOCAL_SHORTAGE_ERRNOS: [i32; 5] = [12, 23, 24, 99, 105];
-
-/// Why an exchange brought no response.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ExchangeError {
-    /// No connection was established: the server is down or unreachable. Nothing was sent.
-    #[error("no connection to the server")]
-    Connect,
-    /// Nothing was sent, through no fault of the server: it has been removed from the endpoint list, or there are too many
-    /// connections, or too few resources on this machine.
-    #[error("the exchange was aborted before anything was sent")]
-    Aborted,
-    /// The deadline passed before the complete request was sent.
-    #[error("too late to send the request")]
-    TooLate,
-    /// The complete request was sent. Then the connection broke, or what was received is no response to the request.
-    #[error("the connection broke before the response")]
-    ConnectionBroken,
-    /// The complete request was sent, or the server has begun to respond. Then the deadline passed.
-    #[error("no response before the deadline")]
-    Timeout,
-}
-
 /// The terms of one exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeTerms {
@@ -143,17 +119,11 @@
     let deadline = now + timeout.min(time_left / CONNECT_TIMEOUT_DIVISOR);
     match timeout_at(deadline, Connection::open(server.address, permit)).await {
         Ok(Ok(connection)) => Ok(connection),
-        Ok(Err(error)) => Err(connect_error(&error)),
+        Ok(Err(error)) => Err(ExchangeError::from_connect_error(&error)),
         Err(_) => Err(ExchangeError::Connect),
     }
 }
 
-/// What a failed connect means: a shortage on this machine says nothing about the server.
-pub fn connect_error(error: &io::Error) -> ExchangeError {
-    let is_local = error.raw_os_error().is_some_and(|errno| LOCAL_SHORTAGE_ERRNOS.contains(&errno));
-    if is_local { ExchangeError::Aborted } else { ExchangeError::Connect }
-}
-
 /// How long the last byte of a request is withheld; `None` if the connection is not suspected to be dead.
 ///
 /// On a reused connection that was `idle` for long it is withheld even if the request may be retried: each break uses up one of
--- a/crates/proxy/src/outbound/exchange_tests.rs
+++ b/crates/proxy/src/outbound/exchange_tests.rs
@@ -1,7 +1,8 @@
 //! Exchanges with a scripted server: what their errors say about execution, and which connections they use.
 
 use crate::outbound::connection::Connection;
-use crate::outbound::exchange::{ExchangeError, ExchangeTerms, connect_error, exchange, last_byte_delay};
+use crate::outbound::error::ExchangeError;
+use crate::outbound::exchange::{ExchangeTerms, exchange, last_byte_delay};
 use crate::outbound::fixtures::{connected, entry, key, list, outbound, selection, server_and_state};
 use crate::outbound::request::{AttemptHeaders, OutboundRequest};
 use crate::outbound::response::ServerResponse;
@@ -328,5 +329,5 @@
 #[case::refused(111, ExchangeError::Connect)]
 #[case::no_route(113, ExchangeError::Connect)]
 fn shortage_on_this_machine_is_no_failure_of_the_server(#[case] errno: i32, #[case] expected: ExchangeError) {
-    assert_eq!(connect_error(&std::io::Error::from_raw_os_error(errno)), expected);
+    assert_eq!(ExchangeError::from_connect_error(&std::io::Error::from_raw_os_error(errno)), expected);
 }
--- a/crates/proxy/src/outbound/mod.rs
+++ b/crates/proxy/src/outbound/mod.rs
@@ -1,6 +1,7 @@
 //! The servers' side: connections, their pool, and one exchange of a request for a response.
 
 mod connection;
+mod error;
 mod exchange;
 #[cfg(test)]
 mod exchange_tests;
@@ -18,7 +19,8 @@
 mod response;
 
 pub use connection::Connection;
-pub use exchange::{ExchangeError, ExchangeTerms, exchange};
+pub use error::ExchangeError;
+pub use exchange::{ExchangeTerms, exchange};
 pub use pool::ConnectionPool;
 pub use request::{AttemptHeaders, OutboundRequest};
 pub use response::{MAX_STRAY_BYTES, ServerResponse, discard_response};
--- a/crates/proxy/src/outbound/response.rs
+++ b/crates/proxy/src/outbound/response.rs
@@ -2,7 +2,7 @@
 
 use crate::http::{BodyDecoder, Decoded, Framing, ResponseHead, response_framing};
 use crate::outbound::connection::{Connection, ReadError};
-use crate::outbound::exchange::ExchangeError;
+use crate::outbound::error::ExchangeError;
 use crate::outbound::request::OutboundRequest;
 use crate::state::ProxyState;
 use lugwharf_routing::ServerKey;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -11,7 +11,7 @@
 //! | --- | --- |
 //! | `balancer`, `feedback` | the state of all servers; what callers report about attempts |
 //! | `endpoints`, `server` | the endpoint list; the state of one server |
-//! | `selection` | eligibility, and the order of the steps below |
+//! | `selection`, `query` | eligibility, and the order of the steps below; its query and result |
 //! | `p2c`, `scoring` | power of two choices; latency and score of a candidate |
 //! | `locality` | the local zone first |
 //! | `prefix_affinity`, `rendezvous` | requests that share a prompt prefix go to the same servers |
@@ -40,6 +40,7 @@
 mod prefix_affinity;
 mod prefix_cache;
 mod prompt;
+mod query;
 mod rendezvous;
 mod retry_budget;
 mod scoring;
@@ -59,9 +60,9 @@
 pub use phase::Phase;
 pub use prefix_cache::PrefixCacheTracker;
 pub use prompt::{Prompt, PromptSegment};
+pub use query::{Selection, SelectionError, SelectionQuery};
 pub use rendezvous::weight as rendezvous_weight;
 pub use retry_budget::{RetryBudget, RetryBudgetConfig};
-pub use selection::{Selection, SelectionError, SelectionQuery};
 pub use server::ServerKey;
 pub use traffic_split::{TrafficSplitter, by_weight};
 pub use tuning::{AffinityKey, Normalisation, Tuning};
--- a/crates/routing/src/scoring.rs
+++ b/crates/routing/src/scoring.rs
@@ -1,7 +1,7 @@
 //! The score of a candidate for one query.
 
 use crate::observation::WorkSize;
-use crate::selection::SelectionQuery;
+use crate::query::SelectionQuery;
 use crate::server::{Server, ServerKey};
 use crate::tuning::Tuning;
 use std::collections::HashMap;
