--- a/crates/routing/src/prefix_cache.rs
+++ b/crates/routing/src/prefix_cache.rs
@@ -6,8 +6,8 @@
 
 /// Tracks which prompt segments one server probably has in its prefix cache: those that this proxy sent there recently.
 ///
-/// Servers don't report their caches, and other proxies fill them too, so this is an underestimate. Its size is bounded; the
-/// older half is dropped on overflow.
+/// Only an estimate: servers don't report what they evict, and other proxies fill the same caches. Its size is bounded; on
+/// overflow the older half is dropped.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCacheTracker {
     /// The last use of each segment, by its id.
--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -146,7 +146,7 @@
     /// The number of proxies that is assumed while the fleet's size is not known. Default: 16.
     #[serde(rename = "proxies_guess")]
     pub assumed_proxies: u32,
-    /// Rejections of one request, each proof that it was not executed, after which it is not sent again. Default: 3.
+    /// How often one request may be retried after a rejection, which proves that it was not executed. Default: 3.
     #[serde(rename = "rejections")]
     pub max_rejections: u32,
 }
