--- a/crates/emulator/tests/settings_and_configurations.rs
+++ b/crates/emulator/tests/settings_and_configurations.rs
@@ -2,8 +2,10 @@
 
 use lugwharf_config::Configuration;
 use lugwharf_emulator::cluster::{SettingsSpec, Subnet, class, ports};
-use lugwharf_emulator::configuration::{ConfigurationSpec, EngineSpec, RouteSpec, ServiceSpec};
+use lugwharf_emulator::configuration::{ConfigurationSpec, EngineSpec, RouteSpec, ServiceSpec, SplitSpec};
+use lugwharf_emulator::content;
 use lugwharf_emulator::model_server::{ModelParameters, Stage};
+use lugwharf_emulator::platform::{InstanceEntry, InstanceState};
 use lugwharf_settings::Settings;
 
 #[test]
@@ -58,3 +60,61 @@
     assert_eq!((read.version, read.routes.len(), read.services.len()), (3, 2, 2));
     assert_eq!(read.services[0].engine.as_ref().map(|engine| engine.kv_tokens), Some(100_000));
 }
+
+/// A configuration with every optional field, as it was encoded at the start of the renames.
+#[test]
+fn configuration_keeps_its_encoded_form() {
+    let engine = EngineSpec::from(&ModelParameters::quick(Stage::Decode));
+    let split = RouteSpec {
+        service: None,
+        traffic_split: vec![SplitSpec { service: "plain".to_owned(), weight: 2.5 }],
+        ..RouteSpec::new("a.example", "/split/", "safe", "plain")
+    };
+    let spec = ConfigurationSpec::new(3)
+        .service(ServiceSpec::new("llm", Some(engine)))
+        .service(ServiceSpec::new("plain", None))
+        .route(RouteSpec::new("a.example", "/gen/", "streaming", "llm"))
+        .route(split);
+    assert_eq!(String::from_utf8_lossy(&spec.to_bytes()), ENCODED_CONFIGURATION);
+}
+
+/// Entries of the platform's list, as they were encoded at the start of the renames.
+#[test]
+fn listed_instances_keep_their_encoded_form() {
+    let address = ([10, 0, 0, 1], 8_080).into();
+    let plain = InstanceEntry::plain("i-1", "plain", address, "zone-a", 6);
+    let mut model = InstanceEntry::plain("i-2", "llm", address, "zone-b", 8).staged(Stage::Prefill, "m", 4);
+    model.state = InstanceState::Draining;
+    let encoded = serde_json::to_string(&[plain, model]).expect("a list");
+    assert_eq!(encoded, ENCODED_INSTANCES);
+}
+
+/// A settings file with every optional key, and one without any.
+#[test]
+fn settings_files_keep_their_text() {
+    let full = SettingsSpec {
+        node: "control-0".to_owned(),
+        role: "control".to_owned(),
+        machine_class: class::CORE,
+        serves: vec!["control".to_owned()],
+        ip: [127, 1, 2, 3].into(),
+        bind: Some([127, 1, 2, 53].into()),
+        seeds: vec![([127, 1, 2, 3], ports::CONTROL).into(), ([127, 1, 2, 4], ports::CONTROL).into()],
+        bootstrap: true,
+        counts_for_quorum: true,
+        fault_tolerance: 2,
+        data_dir: Some("/tmp/somewhere".into()),
+        front: Some(([127, 1, 2, 3], ports::FRONT).into()),
+        ready: Some(([127, 1, 2, 3], ports::READY).into()),
+        control: Some(([127, 1, 2, 3], ports::CONTROL).into()),
+        feed_address: Some(([127, 1, 2, 3], ports::FEED).into()),
+        cloud: Some(([127, 0, 0, 1], 9).into()),
+        max_fds: 512,
+        bounds: vec![("AckMs".to_owned(), "1234".to_owned()), ("Own".to_owned(), "7".to_owned())],
+    };
+    let hashes = [full, SettingsSpec::default()].map(|spec| content::hash(spec.to_toml().as_bytes()));
+    assert_eq!(hashes, [0x54dc_d549_5dee_e827, 0x9708_c6bd_6ade_c345], "{hashes:#x?}");
+}
+
+const ENCODED_CONFIGURATION: &str = r#"{"Limits":{"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000,"MaxBodyBytes":4194304,"MaxHeaderBytes":16384},"Routes":[{"Host":"a.example","MaxAttempts":2,"Name":"r-gen-","PathPrefix":"/gen/","Priority":0,"Resumable":false,"RouteKind":"streaming","Service":"llm","SloMs":500,"Sticky":true,"TimeoutMs":5000,"gap_aim_ms":300},{"Host":"a.example","MaxAttempts":2,"Name":"r-split-","PathPrefix":"/split/","Priority":0,"Resumable":false,"RouteKind":"safe","SloMs":500,"Sticky":false,"TimeoutMs":5000,"TrafficSplit":[{"Service":"plain","Weight":2.5}],"gap_aim_ms":300}],"Services":[{"Engine":{"KvHoldS":5.0,"KvTokenBytes":35136.0,"KvTokens":100000,"LinkMbps":1000000.0,"Slots":8,"SwitchS":0.02},"HealthPath":"/health","MaxConns":350,"Name":"llm","Protocol":"h1","Tls":false},{"HealthPath":"/health","MaxConns":350,"Name":"plain","Protocol":"h1","Tls":false}],"Version":3}"#;
+const ENCODED_INSTANCES: &str = r#"[{"Service":"plain","Address":"10.0.0.1:8080","Zone":"zone-a","Version":"v1","Slots":6,"State":"ready","ColdLeftMs":0,"Id":"i-1"},{"Service":"llm","Address":"10.0.0.1:8080","Zone":"zone-b","Version":"v1","Slots":8,"State":"draining","ColdLeftMs":0,"Stage":"prefill","Models":[{"Name":"m","Version":4,"Adapters":[]}],"Id":"i-2"}]"#;
