--- a/crates/emulator/src/configuration.rs
+++ b/crates/emulator/src/configuration.rs
@@ -45,7 +45,7 @@
     pub resumable: bool,
     /// The target for the pause between two events, in ms.
     #[serde(rename = "gap_aim_ms")]
-    pub gap_aim_ms: u64,
+    pub event_gap_target_ms: u64,
 }
 
 impl RouteSpec {
@@ -64,7 +64,7 @@
             max_attempts: 2,
             sticky: route_kind == "streaming",
             resumable: false,
-            gap_aim_ms: 300,
+            event_gap_target_ms: 300,
         }
     }
 }
@@ -82,7 +82,8 @@
     /// Bandwidth of KV transfers, in Mbit/s.
     pub link_mbps: f64,
     /// How long a KV handle waits to be fetched, in s.
-    pub kv_hold_s: f64,
+    #[serde(rename = "KvHoldS")]
+    pub kv_handle_ttl_s: f64,
     /// How long a change of stage takes, in s.
     pub switch_s: f64,
 }
@@ -94,7 +95,7 @@
             kv_tokens: parameters.kv_tokens,
             kv_token_bytes: parameters.kv_token_bytes,
             link_mbps: parameters.link_mbps,
-            kv_hold_s: parameters.handle_ttl.as_secs_f64(),
+            kv_handle_ttl_s: parameters.handle_ttl.as_secs_f64(),
             switch_s: parameters.switch_duration.as_secs_f64(),
         }
     }
--- a/crates/emulator/src/model_server/orders.rs
+++ b/crates/emulator/src/model_server/orders.rs
@@ -11,8 +11,10 @@
 #[serde(rename_all = "PascalCase")]
 struct Order {
     op: String,
-    holder: String,
-    fence: u64,
+    #[serde(rename = "Holder")]
+    lease_holder: String,
+    #[serde(rename = "Fence")]
+    fencing_token: u64,
     #[serde(default)]
     stage: Option<String>,
     #[serde(default)]
@@ -33,14 +35,14 @@
     pub stage: Stage,
     /// The revision: orders that were accepted.
     pub seq: u64,
-    highest_fence: u64,
-    fenced: bool,
+    highest_token: u64,
+    is_fenced: bool,
     switch: Option<Switch>,
 }
 
 impl OrderState {
-    pub fn new(stage: Stage, fenced: bool) -> OrderState {
-        OrderState { stage, seq: 0, highest_fence: 0, fenced, switch: None }
+    pub fn new(stage: Stage, is_fenced: bool) -> OrderState {
+        OrderState { stage, seq: 0, highest_token: 0, is_fenced, switch: None }
     }
 
     /// Whether an order is in progress.
@@ -54,10 +56,10 @@
         let Some((order, to)) = read(body) else {
             return Response::json(400, &json!({"Error": "no such order, or no Holder or Fence"}));
         };
-        if self.fenced && order.fence < self.highest_fence {
+        if self.is_fenced && order.fencing_token < self.highest_token {
             return Response::json(412, &json!({"Error": "a lower fencing token than was seen"}));
         }
-        self.highest_fence = self.highest_fence.max(order.fence);
+        self.highest_token = self.highest_token.max(order.fencing_token);
         if order.if_revision.is_some_and(|seq| seq != self.seq) {
             return Response::json(409, &json!({"Error": "another revision", "Seq": self.seq}));
         }
@@ -94,7 +96,7 @@
 
 fn read(body: &[u8]) -> Option<(Order, Stage)> {
     let order: Order = serde_json::from_slice(body).ok()?;
-    if order.op != "Stage" || order.holder.is_empty() {
+    if order.op != "Stage" || order.lease_holder.is_empty() {
         return None;
     }
     let to = Stage::parse(order.stage.as_deref()?)?;
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -51,7 +51,8 @@
     /// Whether it accepts requests.
     pub state: InstanceState,
     /// How much longer it warms up, in ms.
-    pub cold_left_ms: u64,
+    #[serde(rename = "ColdLeftMs")]
+    pub warmup_remaining_ms: u64,
     /// The stage of a model server.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub stage: Option<String>,
@@ -72,7 +73,7 @@
             version: "v1".to_owned(),
             slots,
             state: InstanceState::Ready,
-            cold_left_ms: 0,
+            warmup_remaining_ms: 0,
             stage: None,
             models: Vec::new(),
             id: id.to_owned(),
--- a/crates/lugwharf/tests/command_line.rs
+++ b/crates/lugwharf/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The command line of the real binary: what it prints, and how it ends.
+//! The command line of the real binary: output and exit status.
 
 use lugwharf_emulator::cluster::SettingsSpec;
 use lugwharf_emulator::configuration::{ConfigurationSpec, RouteSpec, ServiceSpec};
@@ -9,7 +9,7 @@
 
 const SUCCESS: i32 = 0;
 const FAILURE: i32 = 1;
-const WRONG_USAGE: i32 = 2;
+const USAGE_ERROR: i32 = 2;
 
 fn run(arguments: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lugwharf"));
@@ -21,14 +21,14 @@
     String::from_utf8(output.stdout.clone()).expect("text")
 }
 
-/// A file that goes when the test ends.
-struct File(PathBuf);
+/// A file that is removed when the test ends.
+struct TemporaryFile(PathBuf);
 
-impl File {
-    fn new(name: &str, text: &str) -> File {
+impl TemporaryFile {
+    fn new(name: &str, text: &str) -> TemporaryFile {
         let path = std::env::temp_dir().join(format!("lugwharf-command-line-{}-{name}", std::process::id()));
         std::fs::write(&path, text).expect("a file");
-        File(path)
+        TemporaryFile(path)
     }
 
     fn path(&self) -> &str {
@@ -36,7 +36,7 @@
     }
 }
 
-impl Drop for File {
+impl Drop for TemporaryFile {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.0);
     }
@@ -74,7 +74,7 @@
 #[case::two_files(&["check-settings", "a", "b"], "one file")]
 #[case::surplus_for_schema(&["print-schema", "x"], "\"x\"")]
 fn usage_error_has_its_own_exit_status(#[case] arguments: &[&str], #[case] wanted: &str) {
-    assert_ends(&run(arguments), WRONG_USAGE, &[wanted, "--help"]);
+    assert_ends(&run(arguments), USAGE_ERROR, &[wanted, "--help"]);
 }
 
 #[rstest]
@@ -103,29 +103,29 @@
 
 #[test]
 fn valid_configuration_is_summarised() {
-    let file = File::new("good.json", &configuration().to_string());
+    let file = TemporaryFile::new("good.json", &configuration().to_string());
     let output = run(&["check-config", file.path()]);
     assert_eq!(output.status.code(), Some(SUCCESS), "{output:?}");
     assert_eq!(stdout(&output), format!("{}: version 7, 1 routes, 1 services\n", file.path()));
 }
 
-/// A configuration with the value at that place replaced.
-fn spoiled(place: &str, value: Value) -> String {
-    let mut whole = configuration();
-    *whole.pointer_mut(place).expect("a place") = value;
-    whole.to_string()
+/// A valid configuration with the value at a JSON pointer replaced.
+fn with_value(pointer: &str, value: Value) -> String {
+    let mut configuration = configuration();
+    *configuration.pointer_mut(pointer).expect("a value there") = value;
+    configuration.to_string()
 }
 
 #[rstest]
 #[case::no_json("no_json", "{\n\"Version\": 7,\n".to_owned(), &["line 3"])]
-#[case::wrong_type("wrong_type", spoiled("/Version", json!("seven")), &["/Version"])]
-#[case::unknown_service("unknown_service", spoiled("/Routes/0/Service", json!("nobody")), &["/Routes/0/Service", "nobody"])]
-#[case::no_time("no_time", spoiled("/Routes/0/TimeoutMs", json!(0)), &["/Routes/0/TimeoutMs"])]
-#[case::bad_prefix("bad_prefix", spoiled("/Routes/0/PathPrefix", json!("/work")), &["/Routes/0/PathPrefix"])]
+#[case::wrong_type("wrong_type", with_value("/Version", json!("seven")), &["/Version"])]
+#[case::unknown_service("unknown_service", with_value("/Routes/0/Service", json!("nobody")), &["/Routes/0/Service", "nobody"])]
+#[case::zero_timeout("no_time", with_value("/Routes/0/TimeoutMs", json!(0)), &["/Routes/0/TimeoutMs"])]
+#[case::bad_prefix("bad_prefix", with_value("/Routes/0/PathPrefix", json!("/work")), &["/Routes/0/PathPrefix"])]
 fn invalid_configuration_is_reported_with_its_location(
     #[case] name: &str, #[case] text: String, #[case] wanted: &[&str],
 ) {
-    let file = File::new(&format!("{name}.json"), &text);
+    let file = TemporaryFile::new(&format!("{name}.json"), &text);
     let output = run(&["check-config", file.path()]);
     assert_ends(&output, FAILURE, wanted);
     assert_ends(&output, FAILURE, &[file.path()]);
@@ -133,7 +133,7 @@
 
 #[test]
 fn valid_settings_are_summarised() {
-    let file = File::new("good.toml", &SettingsSpec::default().to_toml());
+    let file = TemporaryFile::new("good.toml", &SettingsSpec::default().to_toml());
     let output = run(&["check-settings", file.path()]);
     assert_eq!(output.status.code(), Some(SUCCESS), "{output:?}");
     assert!(stdout(&output).contains("node node-0"));
@@ -149,7 +149,7 @@
 ) {
     let text = SettingsSpec::default().to_toml();
     assert!(text.contains(good), "{text}");
-    let file = File::new(&format!("{name}.toml"), &text.replace(good, bad));
+    let file = TemporaryFile::new(&format!("{name}.toml"), &text.replace(good, bad));
     let output = run(&["check-settings", file.path()]);
     assert_ends(&output, FAILURE, wanted);
     assert_ends(&output, FAILURE, &[file.path()]);
@@ -163,7 +163,7 @@
 fn control_without_a_disk_fails_with_one_line(#[case] arguments: &[&str]) {
     let control = Some("127.0.0.1:8166".parse().expect("an address"));
     let spec = SettingsSpec { control, counts_for_quorum: true, ..SettingsSpec::default() };
-    let file = File::new(&format!("no_disk_{}.toml", arguments[0]), &spec.to_toml());
+    let file = TemporaryFile::new(&format!("no_disk_{}.toml", arguments[0]), &spec.to_toml());
     let arguments: Vec<&str> = arguments.iter().copied().chain([file.path()]).collect();
     assert_ends(&run(&arguments), FAILURE, &["DataDir", "missing"]);
 }
@@ -173,7 +173,7 @@
 #[case::names("[routing]\nnormalisation = \"plain\"\nsticky_key = \"most_tokens\"\n", &["Plain", "MostTokens"])]
 #[case::nothing("", &["tau: 2.5s", "draws_two: true"])]
 fn valid_tuning_is_summarised(#[case] text: &str, #[case] wanted: &[&str]) {
-    let file = File::new(&format!("good-{}.toml", wanted[0].len()), text);
+    let file = TemporaryFile::new(&format!("good-{}.toml", wanted[0].len()), text);
     let output = run(&["check-tuning", file.path()]);
     assert_eq!(output.status.code(), Some(SUCCESS), "{output:?}");
     wanted.iter().for_each(|part| assert!(stdout(&output).contains(part), "{part:?}: {}", stdout(&output)));
@@ -182,7 +182,7 @@
 /// Word for word as 1a8c4db printed it: the names are those that operators write in the file.
 #[test]
 fn tuning_defaults_are_printed_by_name() {
-    let file = File::new("defaults.toml", "");
+    let file = TemporaryFile::new("defaults.toml", "");
     let output = run(&["check-tuning", file.path()]);
     let expected = "TuningFile { routing: Tuning { draws_two: true, counts_in_flight: true, rises_at_once: true, \
         starts_at_median: true, samples_failures: true, steers: true, prefers_home: true, ejects: true, \
@@ -205,9 +205,9 @@
     #[case] text: &str, #[case] wanted: &str,
     #[values("check-tuning", "proxy", "agent", "control")] command: &str,
 ) {
-    let tuning = File::new(&format!("bad-{command}-{wanted}.toml"), text);
+    let tuning = TemporaryFile::new(&format!("bad-{command}-{wanted}.toml"), text);
     let settings =
-        File::new(&format!("settings-{command}-{wanted}.toml"), &SettingsSpec::default().to_toml());
+        TemporaryFile::new(&format!("settings-{command}-{wanted}.toml"), &SettingsSpec::default().to_toml());
     let arguments = match command {
         "check-tuning" => vec![command, tuning.path()],
         role => vec![role, "--settings", settings.path(), "--tuning", tuning.path()],
