--- a/crates/lugwharf/tests/soak.rs
+++ b/crates/lugwharf/tests/soak.rs
@@ -44,13 +44,7 @@
     if outcome.findings.is_empty() {
         return;
     }
-<<<<<<< HEAD
-    let folder = std::env::temp_dir().join(format!("lugwharf-soak-{}-{seed}", std::process::id()));
-    write_run_folder(&folder, &outcome).expect("a folder");
-    panic!("seed {seed}: {:#?}\nrecords in {}", outcome.findings, folder.display());
-=======
     let directory = std::env::temp_dir().join(format!("lugwharf-soak-{}-{seed}", std::process::id()));
-    write_folder(&directory, &outcome).expect("a directory");
+    write_run_folder(&directory, &outcome).expect("a directory");
     panic!("seed {seed}: {:#?}\nrecords in {}", outcome.findings, directory.display());
->>>>>>> 449acc0 (Name lugwharf's process tests and their helpers in the field's terms)
 }
