--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -14,7 +14,7 @@
 //! | `frame` | the layout of the file |
 //! | `checksum` | CRC-32C |
 //! | `disk` | the operations on files that the log needs, and the file system |
-//! | [`simulated`] | a disk in memory with faults, for tests |
+//! | `simulated` (with the feature of that name) | a disk in memory with faults, for tests |
 #![forbid(unsafe_code)]
 
 mod checksum;
