--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -90,8 +90,6 @@
 mod test_driver;
 mod view;
 mod view_planner;
-#[cfg(test)]
-mod view_planner_tests;
 
 pub use action::{Action, BatchId, OperatorResponse};
 pub use digest::{Blake3, Digest, Fnv};
--- /dev/null
+++ b/crates/chain/src/view_planner/chain.rs
@@ -0,0 +1,133 @@
+//! The chain of the next view.
+
+use super::ViewPlanner;
+use crate::heartbeat::Heartbeat;
+use crate::member::MemberId;
+
+/// The rank of a chain. The fields are compared in this order, the most important one first.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct ChainRank {
+    /// Whether it contains a member that is known to hold every acknowledged entry.
+    has_holder: bool,
+    length: usize,
+    /// The number of links that its replicas have to all processes.
+    links: usize,
+    /// The number of replicas that it has in common with the current chain.
+    kept_replicas: usize,
+}
+
+impl ViewPlanner<'_> {
+    /// Whether a replica of the current chain is unusable, or two of its replicas do not reach each other.
+    pub(super) fn is_chain_broken(&self) -> bool {
+        let chain = &self.view.chain;
+        let has_unusable = chain.iter().any(|replica| self.is_unusable(*replica));
+        let is_severed = |one: &MemberId| {
+            chain.iter().any(|other| self.peers.is_severed(one.address, other.address, self.now))
+        };
+        has_unusable || chain.iter().any(is_severed)
+    }
+
+    /// Whether a replica of the current chain lost its disk, has an unhealthy one, leaves or is unreachable.
+    fn is_unusable(&self, replica: MemberId) -> bool {
+        if replica.address == self.local_member.address {
+            return replica != self.local_member || !self.disk_healthy;
+        }
+        match self.peers.live_heartbeat(replica.address, self.now) {
+            Some(heartbeat) => heartbeat.sender != replica || !heartbeat.disk_healthy || heartbeat.is_leaving,
+            None => !self.peers.is_heard_by_others(replica.address, self.now),
+        }
+    }
+
+    /// The chain of the next view: the largest set of members that all reach each other and include this process, with one of
+    /// `holders` if possible and with as many replicas of the current chain as possible, in the order of the current chain.
+    pub(super) fn next_chain(&self, members: &[MemberId], holders: &[MemberId]) -> Vec<MemberId> {
+        let mut candidates: Vec<MemberId> =
+            members.iter().copied().filter(|member| self.may_be_replica(*member, holders)).collect();
+        candidates.sort_by_key(|member| (self.view.position(*member).unwrap_or(usize::MAX), member.address));
+        let mut best = self.largest_clique(&candidates, holders);
+        let max_length = self.max_chain_length(members.len());
+        if best.len() > max_length {
+            let surplus = best.split_off(max_length);
+            let holder = surplus.into_iter().find(|member| holders.contains(member));
+            let has_holder = best.iter().any(|member| holders.contains(member));
+            // A surplus replica is only needed for a history that no other holds.
+            if let Some(holder) = holder.filter(|_| !has_holder) {
+                best.pop_if(|last| *last != self.local_member);
+                best.push(holder);
+            }
+        }
+        best
+    }
+
+    /// The best clique of the link graph among the candidates. Tries all subsets: there are no more candidates than members.
+    fn largest_clique(&self, candidates: &[MemberId], holders: &[MemberId]) -> Vec<MemberId> {
+        let is_linked =
+            |one: &MemberId, other: &MemberId| self.peers.is_linked(one.address, other.address, self.now);
+        let is_clique =
+            |set: &[MemberId]| set.iter().all(|one| set.iter().all(|other| is_linked(one, other)));
+        if is_clique(candidates) {
+            return candidates.to_vec();
+        }
+        let mut best = Vec::new();
+        for subset in 0..1_u32 << candidates.len() {
+            let chosen = select(candidates, subset);
+            let is_better = self.chain_rank(&chosen, holders) > self.chain_rank(&best, holders);
+            if is_better && chosen.contains(&self.local_member) && is_clique(&chosen) {
+                best = chosen;
+            }
+        }
+        best
+    }
+
+    /// The length of the longest useful chain. More replicas make each change slower.
+    fn max_chain_length(&self, member_count: usize) -> usize {
+        (self.view.min_members as usize).max(member_count.div_ceil(2))
+    }
+
+    fn chain_rank(&self, chain: &[MemberId], holders: &[MemberId]) -> ChainRank {
+        let has_holder = chain.iter().any(|member| holders.contains(member));
+        let kept_replicas = chain.iter().filter(|member| self.view.position(**member).is_some()).count();
+        let links = chain.iter().map(|member| self.link_count(*member)).sum();
+        ChainRank { has_holder, length: chain.len(), links, kept_replicas }
+    }
+
+    /// The number of processes that a member has a link with. Operators send requests to any process, which forwards them to the
+    /// ends of the chain.
+    fn link_count(&self, member: MemberId) -> usize {
+        let others = self.peers.live_addresses(self.now).into_iter();
+        others.filter(|other| self.peers.is_linked(member.address, *other, self.now)).count()
+    }
+
+    /// Whether a member may be a replica of the next chain, links aside.
+    fn may_be_replica(&self, member: MemberId, holders: &[MemberId]) -> bool {
+        if member == self.local_member {
+            return true;
+        }
+        let heartbeat = self.peers.live_heartbeat(member.address, self.now);
+        let Some(heartbeat) =
+            heartbeat.filter(|heartbeat| heartbeat.sender == member && heartbeat.disk_healthy)
+        else {
+            return false;
+        };
+        // One that leaves is only needed for a history that no other holds.
+        if heartbeat.is_leaving && holders != [member] {
+            return false;
+        }
+        let is_in_chain = self.view.position(member).is_some();
+        is_in_chain || self.view.number == 0 || self.may_join_chain(heartbeat)
+    }
+
+    /// Whether a member outside the chain may join it. It fetches what it lacks while the view does not serve yet, so it must not
+    /// lack much, unless the current view cannot serve without it.
+    fn may_join_chain(&self, heartbeat: &Heartbeat) -> bool {
+        let is_healthy =
+            self.peers.is_healthy_for(heartbeat.sender.address, self.settings.rejoin_after, self.now);
+        is_healthy && (self.is_caught_up(heartbeat) || !self.view.may_serve())
+    }
+}
+
+/// The candidates whose bits are set in `subset`.
+fn select(candidates: &[MemberId], subset: u32) -> Vec<MemberId> {
+    let chosen = candidates.iter().enumerate().filter(|(index, _)| subset & (1 << index) != 0);
+    chosen.map(|(_, member)| *member).collect()
+}
