--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -42,8 +42,6 @@
 //! - `from` is the address under which a peer listens, not the one from which it connected.
 #![forbid(unsafe_code)]
 
-#[cfg(test)]
-mod accepted_tests;
 mod action;
 mod byte_string;
 mod digest;
@@ -54,12 +52,8 @@
 #[cfg(test)]
 mod encoding_tests;
 mod entry;
-#[cfg(test)]
-mod entry_tests;
 mod error;
 mod event;
-#[cfg(test)]
-mod guard_tests;
 mod heartbeat;
 mod history;
 mod history_stream;
@@ -75,19 +69,11 @@
 mod message;
 mod paxos;
 mod peers;
-#[cfg(test)]
-mod proposal_number_tests;
 mod record;
 mod replica;
-#[cfg(test)]
-mod replication_guard_tests;
 mod request;
-#[cfg(test)]
-mod request_tests;
 mod settings;
 mod status;
-#[cfg(test)]
-mod test_driver;
 mod view;
 mod view_planner;
 
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -31,6 +31,8 @@
 mod recovery;
 mod replication;
 mod state_transfer;
+#[cfg(test)]
+mod tests;
 mod view_change;
 
 use crate::action::{Action, BatchId};
--- /dev/null
+++ b/crates/chain/src/replica/tests/sealing.rs
@@ -0,0 +1,60 @@
+//! A replica that has promised the next view takes no further part in the current one.
+
+use super::*;
+
+/// The entry that a sealed replica would still store could be in no history that the next view takes over.
+#[test]
+fn sealed_replica_stops_replicating() {
+    let mut driver = serving(2);
+    driver.receive(1, replicate(1));
+    driver.sync();
+    assert_eq!(driver.count(is_replicated), 1);
+    driver.receive(3, prepare());
+    driver.sync();
+    let records = driver.synced.len();
+    driver.receive(1, replicate(2));
+    driver.sync();
+    driver.run(1, &[1, 3]);
+    assert_eq!((driver.count(is_replicated), driver.synced.len()), (1, records));
+}
+
+/// What was on its way to the disk when the replica promised the next view is not reported as stored in this one.
+#[test]
+fn replica_sealed_during_sync_does_not_acknowledge() {
+    let mut driver = serving(2);
+    driver.receive(1, replicate(1));
+    driver.receive(3, prepare());
+    driver.sync();
+    assert_eq!(driver.count(is_replicated), 0);
+    assert_eq!(driver.count(is_promise), 1);
+}
+
+#[test]
+fn sealed_replica_confirms_no_view() {
+    let confirm = Message::Confirm { view: 1, request_id: QUESTION };
+    let mut driver = serving(2);
+    driver.receive(3, confirm.clone());
+    assert_eq!(driver.count(is_confirmed), 1);
+    driver.receive(3, prepare());
+    driver.receive(3, confirm);
+    assert_eq!(driver.count(is_confirmed), 1, "also before the promise is on disk");
+}
+
+/// A head that has promised the next view judges nothing and a tail answers nothing, also what had come before.
+#[rstest]
+#[case::the_head(1, submit(1, 0))]
+#[case::the_tail(3, Message::Read { request_id: QUESTION, forwarded: false })]
+fn sealed_head_and_tail_send_no_outcome(#[case] me: u8, #[case] asked: Message) {
+    let mut driver = serving(me);
+    let proposal = ProposalNumber { round: 9, proposer: member(2) };
+    driver.receive(2, Message::Prepare { instance: 2, proposal });
+    driver.sync();
+    let records = driver.synced.len();
+    driver.receive(2, asked);
+    driver.sync();
+    for number in 1..=3 {
+        let request_id = RequestId { incarnation: 0, sequence: 1 };
+        driver.receive(number, Message::Confirmed { view: 1, request_id });
+    }
+    assert_eq!((driver.count(is_outcome), driver.synced.len()), (0, records));
+}
--- /dev/null
+++ b/crates/chain/src/replica/tests/state_transfer.rs
@@ -0,0 +1,49 @@
+//! The history of a view: who sends it, who installs it, and when the view serves.
+
+use super::*;
+
+/// A replica tells its history only in the view that it holds it for, and only to members.
+#[rstest]
+#[case::a_member(3, 1, 1)]
+#[case::a_stranger(9, 1, 0)]
+#[case::another_view(3, 2, 0)]
+fn state_is_sent_only_to_members_of_the_view(
+    #[case] from: u8, #[case] number: u64, #[case] answers: usize,
+    #[values(None, Some(StreamAssembly::new(0).next_request()))] chunk: Option<ChunkRequest>,
+) {
+    let mut driver = serving(1);
+    driver.receive(from, Message::StateRequest { view: number, after: 0, chunk });
+    let is_state = |message: &Message| matches!(message, Message::State { .. } | Message::StateChunk { .. });
+    assert_eq!(driver.count(is_state), answers);
+}
+
+/// A replica that waits for the history of a view takes none of another view for it.
+#[rstest]
+#[case::of_this_view(2, true)]
+#[case::of_the_view_before(1, false)]
+#[case::of_a_later_view(3, false)]
+fn state_is_installed_only_for_the_current_view(#[case] number: u64, #[case] taken: bool) {
+    let mut driver = serving(3);
+    driver.receive(1, Message::Decided { view: view(2, 3) });
+    driver.sync();
+    let before = driver.synced.len();
+    let chunk = HistoryStream::new(history()).chunk(StreamAssembly::new(0).next_request(), usize::MAX);
+    driver.receive(1, Message::StateChunk { view: number, chunk });
+    driver.sync();
+    driver.receive(1, Message::State { view: number, suffix: history() });
+    driver.sync();
+    assert_eq!(driver.synced.len() > before, taken);
+}
+
+/// A view serves once its own replicas hold the history; another disk at the address of one of them is none.
+#[test]
+fn new_disk_at_replica_address_does_not_make_view_serve() {
+    let mut driver = Driver::start(3, disk_of(3, 3), 3);
+    let sender = MemberId { address: address(1), disk: 77 };
+    let beat = Heartbeat { sender, ..driver.heartbeat_of(1, &[2]) };
+    driver.receive(1, Message::Heartbeat(beat));
+    driver.run(1, &[2]);
+    assert!(!driver.replica.status().is_serving);
+    driver.run(1, &[1, 2]);
+    assert!(driver.replica.status().is_serving);
+}
--- /dev/null
+++ b/crates/chain/src/replica/tests/voting.rs
@@ -0,0 +1,228 @@
+//! Deciding the next view: who proposes, who votes, and what is on disk before it is sent.
+
+use super::*;
+
+fn recovered(records: &[Record]) -> Replica {
+    let settings = ReplicaSettings::new(member(1).address, vec![member(2).address], false, 1, 7);
+    let records: Vec<Vec<u8>> = records.iter().map(Record::encode).collect();
+    Replica::recover(settings, &records, Duration::ZERO, &mut Vec::new()).expect("readable")
+}
+
+#[test]
+fn status_reports_an_accepted_next_view_after_restart_until_it_is_decided() {
+    let identity = Record::Identity { disk: 1, bootstrap_seeds: None };
+    let proposal = ProposalNumber { round: 1, proposer: member(2) };
+    let mut records = vec![identity, Record::Decided { view: view(1, 3) }];
+    assert!(!recovered(&records).status().has_accepted_next_view);
+    records.push(Record::Promise { instance: 2, proposal });
+    assert!(!recovered(&records).status().has_accepted_next_view, "a promise chooses no view");
+    records.push(Record::Accept { proposal, view: view(2, 3) });
+    assert!(recovered(&records).status().has_accepted_next_view);
+    records.push(Record::Decided { view: view(2, 3) });
+    assert!(!recovered(&records).status().has_accepted_next_view);
+}
+
+fn proposal_numbers(driver: &Driver) -> Vec<ProposalNumber> {
+    let proposal = |message: &Message| match message {
+        Message::Prepare { proposal, .. } => Some(*proposal),
+        _ => None,
+    };
+    driver.sent.iter().filter_map(|(_, message)| proposal(message)).collect()
+}
+
+#[rstest]
+#[case::three(3)]
+#[case::five(5)]
+fn prepare_is_sent_after_own_promise_is_synced(#[case] members: u8) {
+    let mut driver = Driver::start(1, disk_of(1, members), members);
+    driver.until_it_proposes(2);
+    assert_eq!(proposal_numbers(&driver), Vec::new(), "before the own promise is on disk");
+    driver.sync();
+    assert_eq!(proposal_numbers(&driver).len(), usize::from(members) - 1, "each other member is asked");
+}
+
+#[rstest]
+#[case::three(3)]
+#[case::five(5)]
+fn restarted_proposer_uses_higher_proposal_numbers(#[case] members: u8) {
+    let mut first = Driver::start(1, disk_of(1, members), members);
+    first.until_it_proposes(2);
+    first.sync();
+    let before = proposal_numbers(&first);
+    let mut second = Driver::start(1, first.synced, members);
+    second.until_it_proposes(2);
+    second.sync();
+    let after = proposal_numbers(&second);
+    assert!(!before.is_empty() && !after.is_empty());
+    assert!(after.iter().all(|proposal| before.iter().all(|used| proposal > used)), "{before:?} {after:?}");
+}
+
+#[test]
+fn acceptor_distinguishes_two_views_under_one_proposal_number() {
+    let proposal = ProposalNumber { round: 3, proposer: member(1) };
+    let acceptor = Acceptor {
+        promised: Some(proposal),
+        accepted: Some(Box::new(AcceptedProposal { number: proposal, view: view(2, 3) })),
+    };
+    let other = View { chain: vec![member(1), member(2)], ..view(2, 3) };
+    let higher = ProposalNumber { round: 4, proposer: member(1) };
+    assert_eq!(acceptor.compare_accepted(proposal, &view(2, 3)), AcceptedComparison::Identical);
+    assert_eq!(acceptor.compare_accepted(proposal, &other), AcceptedComparison::OtherView);
+    assert_eq!(acceptor.compare_accepted(higher, &other), AcceptedComparison::Newer);
+}
+
+/// A second value under a proposal that was accepted for another one gets no answer and is not stored.
+#[test]
+fn acceptor_ignores_a_second_view_under_one_proposal_number() {
+    let mut driver = Driver::start(1, disk_of(1, 3), 3);
+    let proposal = ProposalNumber { round: 3, proposer: member(2) };
+    let accept = |view: View| Message::Accept { proposal, view };
+    driver.receive(2, accept(view(2, 3)));
+    driver.sync();
+    let accepted = |driver: &Driver| driver.count(|message| matches!(message, Message::Accepted { .. }));
+    assert_eq!(accepted(&driver), 1);
+    let synced = driver.synced.len();
+    // Such a proposal is itself a violation, which would stop the test.
+    let tolerance = lugwharf_invariants::tolerate();
+    let violations = || lugwharf_invariants::count(lugwharf_invariants::Invariant::OneValuePerBallot);
+    let before = violations();
+    driver.receive(2, accept(View { chain: vec![member(1), member(2)], ..view(2, 3) }));
+    drop(tolerance);
+    assert!(violations() > before);
+    driver.sync();
+    assert_eq!((accepted(&driver), driver.synced.len()), (1, synced));
+    driver.receive(2, accept(view(2, 3)));
+    driver.sync();
+    assert_eq!(accepted(&driver), 2, "the same again is answered again");
+}
+
+/// A machine whose disk was lost stands at the address of a member and is none.
+#[rstest]
+#[case::a_proposal(prepare(), is_promise)]
+#[case::a_question(Message::Confirm { view: 1, request_id: QUESTION }, is_confirmed)]
+#[case::an_entry(replicate(1), is_replicated)]
+fn new_disk_at_member_address_does_not_participate(
+    #[case] asked: Message, #[case] answers: fn(&Message) -> bool,
+) {
+    let mut driver = Driver::start(2, disk_of(77, 3), 3);
+    driver.run(3, &[1, 3]);
+    driver.receive(if matches!(asked, Message::Replicate { .. }) { 1 } else { 3 }, asked);
+    driver.sync();
+    assert_eq!(driver.count(answers), 0);
+}
+
+/// The same for a promise that it might send all the same.
+#[rstest]
+#[case::of_the_member(2, 1)]
+#[case::of_a_new_disk_at_its_address(77, 0)]
+fn promise_counts_only_from_the_member_disk(#[case] disk: u64, #[case] accepts: usize) {
+    let mut driver = Driver::start(1, disk_of(1, 3), 3);
+    driver.until_it_proposes(3);
+    driver.sync();
+    let prepared = driver.sent.iter().find_map(|(_, message)| match message {
+        Message::Prepare { proposal, .. } => Some(*proposal),
+        _ => None,
+    });
+    let proposal = prepared.expect("a proposal");
+    let sender = MemberId { address: address(2), disk };
+    let position = crate::HistoryPosition { installed_view: 1, last_index: 0 };
+    driver.receive(2, Message::Promise { sender, instance: 2, proposal, accepted: None, position });
+    driver.run(10, &[2]);
+    let is_accept = |message: &Message| matches!(message, Message::Accept { .. });
+    assert_eq!(driver.count(is_accept).min(1), accepts);
+}
+
+/// What a loss of power takes away was never said.
+#[rstest]
+#[case::a_promise(3, prepare(), is_promise)]
+#[case::an_acceptance(3, Message::Accept { proposal: PROPOSAL, view: view(2, 3) }, |message: &Message| matches!(message, Message::Accepted { .. }))]
+#[case::an_entry(1, replicate(1), is_replicated)]
+fn reply_is_sent_after_sync(
+    #[case] from: u8, #[case] message: Message, #[case] answers: fn(&Message) -> bool,
+) {
+    let mut driver = serving(2);
+    driver.receive(from, message.clone());
+    driver.run(1, &[1, 3]);
+    driver.receive(from, message);
+    assert_eq!(driver.count(answers), 0);
+    driver.sync();
+    assert!(driver.count(answers) > 0);
+}
+
+/// A replica whose disk refuses batches could not store its promise, so that it goes on with the present view.
+#[test]
+fn replica_with_unhealthy_disk_promises_nothing() {
+    let mut driver = serving(2);
+    driver.receive(1, replicate(1));
+    let (batch, _) = driver.unsynced.pop().expect("an entry for the disk");
+    driver.handle(Event::PersistFailed { batch });
+    driver.receive(3, prepare());
+    driver.receive(3, Message::Confirm { view: 1, request_id: QUESTION });
+    assert_eq!(driver.count(is_confirmed), 1);
+}
+
+/// A proposal is agreed by the members that accept it, not by whoever says so.
+#[rstest]
+#[case::a_member(2, true)]
+#[case::a_stranger(9, false)]
+fn only_acceptances_of_members_count(#[case] from: u8, #[case] agreed: bool) {
+    let mut driver = Driver::start(1, disk_of(1, 3), 3);
+    driver.until_it_proposes(3);
+    driver.sync();
+    let prepared = driver.sent.iter().find_map(|(_, message)| match message {
+        Message::Prepare { proposal, .. } => Some(*proposal),
+        _ => None,
+    });
+    let proposal = prepared.expect("a proposal");
+    let position = crate::HistoryPosition { installed_view: 1, last_index: 0 };
+    let sender = member(2);
+    driver.receive(2, Message::Promise { sender, instance: 2, proposal, accepted: None, position });
+    driver.run(10, &[2]);
+    driver.sync();
+    driver.receive(from, Message::Accepted { instance: 2, proposal });
+    assert_eq!(driver.replica.status().view == 2, agreed);
+}
+
+/// A view of another number than the next is neither promised nor accepted.
+#[rstest]
+#[case::the_present(1)]
+#[case::one_too_far(3)]
+fn acceptor_votes_only_on_the_next_view(#[case] instance: u64) {
+    let mut driver = serving(2);
+    driver.receive(3, Message::Prepare { instance, proposal: PROPOSAL });
+    driver.receive(3, Message::Accept { proposal: PROPOSAL, view: View { number: instance, ..view(2, 3) } });
+    driver.sync();
+    let voted = |message: &Message| is_promise(message) || matches!(message, Message::Accepted { .. });
+    assert_eq!(driver.count(voted), 0);
+    let sealed = driver.synced.iter().filter_map(|record| Record::decode(record).ok());
+    assert_eq!(
+        sealed.filter(|record| matches!(record, Record::Promise { .. } | Record::Accept { .. })).count(),
+        0
+    );
+}
+
+/// A process that is about to end proposes nothing.
+#[test]
+fn leaving_process_does_not_propose() {
+    let mut driver = serving(1);
+    driver.handle(Event::Leave);
+    for _ in 0..LONG {
+        driver.run(1, &[2]);
+        driver.sync();
+    }
+    assert_eq!(driver.count(|message| matches!(message, Message::Prepare { .. })), 0);
+}
+
+/// A heartbeat that names another address than it comes from says nothing of either.
+#[test]
+fn heartbeat_for_another_address_is_ignored() {
+    let mut driver = serving(1);
+    for _ in 0..LONG {
+        driver.run(1, &[2, 3]);
+        let beat = driver.heartbeat_of(3, &[2]);
+        driver.receive(2, Message::Heartbeat(beat));
+        driver.handle(Event::Tick);
+        driver.sync();
+    }
+    assert_eq!(driver.count(|message| matches!(message, Message::Prepare { .. })), 0);
+}
