--- a/crates/chain/src/digest_tests.rs
+++ b/crates/chain/src/digest_tests.rs
@@ -1,4 +1,4 @@
-//! The hashes against published values, and what a digest with one of them is taken for.
+//! The hashes against published values, and digests with one or both of them.
 
 use crate::digest::{Blake3, Digest, Fnv};
 use rstest::rstest;
--- a/crates/chain/src/earlier_version_tests.rs
+++ b/crates/chain/src/earlier_version_tests.rs
@@ -68,7 +68,7 @@
     assert!(matches!(record(IDENTITY), Record::Identity { disk: 7, bootstrap_seeds: Some(_) }));
 }
 
-/// Digests of kept bytes are worked out anew; where the bytes are gone, a resend is recognised by the older hash.
+/// Digests are completed if the bytes are retained; otherwise a resend is recognised by the older hash.
 #[rstest]
 #[case::appended(appended(), [true, true, true])]
 #[case::installed(installed(), [false, true, true])]
@@ -100,7 +100,7 @@
     assert_eq!((header.index, header.version), (3, 30));
 }
 
-/// A header as the earlier version reads it.
+/// A header as the earlier version decodes it.
 #[derive(Deserialize)]
 struct EarlierEntryHeader {
     index: u64,
@@ -109,7 +109,7 @@
     digest: Fnv,
 }
 
-/// A heartbeat as the earlier version reads it, as far as it matters here.
+/// A heartbeat as the earlier version decodes it, as far as it matters here.
 #[derive(Deserialize)]
 struct EarlierHeartbeat {
     committed: Option<EarlierEntryHeader>,
@@ -122,12 +122,12 @@
     let read: EarlierEntryHeader = reread(&header);
     assert_eq!((read.index, read.version, read.base), (3, 30, 20));
     assert_eq!(read.digest, Fnv::of(b"three"));
-    let Message::Heartbeat(beat) = message(HEARTBEAT) else { panic!("no heartbeat") };
-    let read: EarlierHeartbeat = reread(&Heartbeat { committed: Some(header), ..beat });
+    let Message::Heartbeat(heartbeat) = message(HEARTBEAT) else { panic!("no heartbeat") };
+    let read: EarlierHeartbeat = reread(&Heartbeat { committed: Some(header), ..heartbeat });
     assert_eq!((read.synced, read.committed.map(|header| header.index)), (3, Some(3)));
 }
 
-/// What an earlier version tells of an entry is less than what is held here, and still the same entry.
+/// A header from an earlier version has fewer hashes and is still the same entry.
 #[test]
 fn commit_from_an_earlier_version_is_recognised() {
     let mut history = appended();
--- a/crates/chain/src/history_stream_tests.rs
+++ b/crates/chain/src/history_stream_tests.rs
@@ -1,4 +1,4 @@
-//! Streams: cut, put together, resumed elsewhere, never mixed up.
+//! Streams of a history: chunks, reassembly, resumption at another source, corruption.
 
 use crate::digest::Digest;
 use crate::entry::{EntryBody, EntryHeader, HistorySuffix};
@@ -18,13 +18,13 @@
     HistorySuffix { after: 3, headers: (4..=entries).map(header).collect(), bodies: bodies.into() }
 }
 
-fn next(stream: &HistoryStream, assembly: &StreamAssembly, longest: usize) -> Chunk {
-    stream.chunk(assembly.next_request(), longest)
+fn next_chunk(stream: &HistoryStream, assembly: &StreamAssembly, max_bytes: usize) -> Chunk {
+    stream.chunk(assembly.next_request(), max_bytes)
 }
 
-fn finish(stream: &HistoryStream, assembly: &mut StreamAssembly, longest: usize) -> AssemblyProgress {
+fn receive_rest(stream: &HistoryStream, assembly: &mut StreamAssembly, max_bytes: usize) -> AssemblyProgress {
     loop {
-        match assembly.add(&next(stream, assembly, longest)) {
+        match assembly.add(&next_chunk(stream, assembly, max_bytes)) {
             AssemblyProgress::Incomplete => {}
             end => return end,
         }
@@ -32,10 +32,10 @@
 }
 
 #[rstest]
-fn stream_is_reassembled_from_chunks_of_any_length(#[values(1, 7, 100, 1_000_000)] longest: usize) {
+fn stream_is_reassembled_from_chunks_of_any_length(#[values(1, 7, 100, 1_000_000)] max_bytes: usize) {
     let stream = HistoryStream::new(suffix(9, 90));
     let mut assembly = StreamAssembly::new(3);
-    assert_eq!(finish(&stream, &mut assembly, longest), AssemblyProgress::Complete(suffix(9, 90)));
+    assert_eq!(receive_rest(&stream, &mut assembly, max_bytes), AssemblyProgress::Complete(suffix(9, 90)));
 }
 
 #[test]
@@ -43,113 +43,113 @@
     let stream = HistoryStream::new(suffix(9, 90));
     let mut assembly = StreamAssembly::new(3);
     for _ in 0..5 {
-        let chunk = next(&stream, &assembly, 64);
+        let chunk = next_chunk(&stream, &assembly, 64);
         assert_eq!(chunk.bytes.len(), 64);
         assert_eq!(assembly.add(&chunk), AssemblyProgress::Incomplete);
     }
 }
 
-/// A lost chunk is asked for again, a repeated one changes nothing, and another source with the same history goes on.
+/// A lost chunk is requested again, a repeated one is ignored, and another source with the same history resumes.
 #[test]
 fn stream_is_resumed_after_loss_and_at_another_source() {
     let stream = HistoryStream::new(suffix(9, 90));
     let mut assembly = StreamAssembly::new(3);
-    let first = next(&stream, &assembly, 100);
+    let first = next_chunk(&stream, &assembly, 100);
     assembly.add(&first);
-    let lost = next(&stream, &assembly, 100);
+    let lost = next_chunk(&stream, &assembly, 100);
     assert_eq!(assembly.add(&first), AssemblyProgress::Ignored);
-    assert_eq!(next(&stream, &assembly, 100), lost);
+    assert_eq!(next_chunk(&stream, &assembly, 100), lost);
     let other_source = HistoryStream::new(suffix(9, 90));
-    assert_eq!(finish(&other_source, &mut assembly, 100), AssemblyProgress::Complete(suffix(9, 90)));
+    assert_eq!(receive_rest(&other_source, &mut assembly, 100), AssemblyProgress::Complete(suffix(9, 90)));
 }
 
-/// The source holds another history by now: its stream begins anew, and nothing of the first stays.
+/// The source has another history by now: its stream starts again, and nothing of the first one remains.
 #[test]
 fn assembly_restarts_with_another_stream() {
     let mut assembly = StreamAssembly::new(3);
-    assembly.add(&next(&HistoryStream::new(suffix(9, 90)), &assembly, 100));
+    assembly.add(&next_chunk(&HistoryStream::new(suffix(9, 90)), &assembly, 100));
     let newer = HistoryStream::new(suffix(10, 90));
-    let chunk = next(&newer, &assembly, 100);
+    let chunk = next_chunk(&newer, &assembly, 100);
     assert_eq!(chunk.offset, 0);
     assert_eq!(assembly.add(&chunk), AssemblyProgress::Incomplete);
-    assert_eq!(finish(&newer, &mut assembly, 100), AssemblyProgress::Complete(suffix(10, 90)));
+    assert_eq!(receive_rest(&newer, &mut assembly, 100), AssemblyProgress::Complete(suffix(10, 90)));
 }
 
 #[test]
 fn chunk_from_within_another_stream_is_ignored() {
     let mut assembly = StreamAssembly::new(3);
     let (one, other) = (HistoryStream::new(suffix(9, 90)), HistoryStream::new(suffix(10, 90)));
-    assembly.add(&next(&one, &assembly, 100));
-    let begun = other.chunk(ChunkRequest { stream: None, offset: 0 }, 100);
-    let within = other.chunk(ChunkRequest { stream: Some(begun.stream), offset: 100 }, 100);
+    assembly.add(&next_chunk(&one, &assembly, 100));
+    let first = other.chunk(ChunkRequest { stream: None, offset: 0 }, 100);
+    let within = other.chunk(ChunkRequest { stream: Some(first.stream), offset: 100 }, 100);
     assert_eq!(assembly.add(&within), AssemblyProgress::Ignored);
-    assert_eq!(finish(&one, &mut assembly, 100), AssemblyProgress::Complete(suffix(9, 90)));
+    assert_eq!(receive_rest(&one, &mut assembly, 100), AssemblyProgress::Complete(suffix(9, 90)));
 }
 
 #[rstest]
-#[case::damaged(|chunk: Chunk| Chunk { bytes: vec![0; chunk.bytes.len()].into(), ..chunk })]
-#[case::one_byte_of_a_body(|chunk: Chunk| {
+#[case::other_bytes(|chunk: Chunk| Chunk { bytes: vec![0; chunk.bytes.len()].into(), ..chunk })]
+#[case::one_bit_of_a_body(|chunk: Chunk| {
     let mut bytes = chunk.bytes.to_vec();
     if let Some(last) = bytes.last_mut() {
         *last ^= 1;
     }
     Chunk { bytes: bytes.into(), ..chunk }
 })]
-#[case::longer_than_said(|chunk: Chunk| Chunk { total_bytes: 10, ..chunk })]
-#[case::endless(|chunk: Chunk| Chunk { total_bytes: u64::MAX, ..chunk })]
-fn corrupt_stream_is_detected(#[case] harm: fn(Chunk) -> Chunk) {
+#[case::longer_than_its_total(|chunk: Chunk| Chunk { total_bytes: 10, ..chunk })]
+#[case::too_long(|chunk: Chunk| Chunk { total_bytes: u64::MAX, ..chunk })]
+fn corrupt_stream_is_detected(#[case] corrupt: fn(Chunk) -> Chunk) {
     let mut assembly = StreamAssembly::new(3);
-    let chunk = next(&HistoryStream::new(suffix(9, 90)), &assembly, 1_000_000);
-    assert_eq!(assembly.add(&harm(chunk)), AssemblyProgress::Corrupt);
+    let chunk = next_chunk(&HistoryStream::new(suffix(9, 90)), &assembly, 1_000_000);
+    assert_eq!(assembly.add(&corrupt(chunk)), AssemblyProgress::Corrupt);
 }
 
 #[test]
 fn stream_behind_another_index_is_corrupt() {
     let mut assembly = StreamAssembly::new(4);
-    let chunk = next(&HistoryStream::new(suffix(9, 90)), &assembly, 1_000_000);
+    let chunk = next_chunk(&HistoryStream::new(suffix(9, 90)), &assembly, 1_000_000);
     assert_eq!(assembly.add(&chunk), AssemblyProgress::Corrupt);
 }
 
-fn chunk(streams: &mut StreamCache, wanted: ChunkRequest, entries: u64) -> Chunk {
-    let portion = ResponseLimits { chunk_bytes: 100, max_chunks: 1 };
-    let mut chunks = streams.chunks(NOW, wanted, portion, || suffix(entries, 90));
+fn cached_chunk(streams: &mut StreamCache, request: ChunkRequest, entries: u64) -> Chunk {
+    let limits = ResponseLimits { chunk_bytes: 100, max_chunks: 1 };
+    let mut chunks = streams.chunks(NOW, request, limits, || suffix(entries, 90));
     assert_eq!(chunks.len(), 1);
     chunks.remove(0)
 }
 
-/// Several chunks come for one request, and the last of them says so.
+/// One request gets several chunks, of which the last is marked.
 #[rstest]
 #[case::from_the_start(0, &[0, 100, 200])]
 #[case::from_within(300, &[300, 400, 500])]
 fn response_contains_several_chunks_and_marks_the_last(#[case] from: u64, #[case] offsets: &[u64]) {
-    let portion = ResponseLimits { chunk_bytes: 100, max_chunks: 3 };
+    let limits = ResponseLimits { chunk_bytes: 100, max_chunks: 3 };
     let mut streams = StreamCache::default();
-    let begun = chunk(&mut streams, ChunkRequest { stream: None, offset: 0 }, 9);
-    let wanted = ChunkRequest { stream: Some(begun.stream), offset: from };
-    let chunks = streams.chunks(NOW, wanted, portion, || suffix(9, 90));
+    let first = cached_chunk(&mut streams, ChunkRequest { stream: None, offset: 0 }, 9);
+    let request = ChunkRequest { stream: Some(first.stream), offset: from };
+    let chunks = streams.chunks(NOW, request, limits, || suffix(9, 90));
     assert_eq!(chunks.iter().map(|chunk| chunk.offset).collect::<Vec<u64>>(), offsets);
     assert_eq!(
         chunks.iter().map(|chunk| chunk.is_last_of_response).collect::<Vec<bool>>(),
         [false, false, true]
     );
-    let end = ChunkRequest { offset: begun.total_bytes - 1, ..wanted };
-    let chunks = streams.chunks(NOW, end, portion, || suffix(9, 90));
+    let end = ChunkRequest { offset: first.total_bytes - 1, ..request };
+    let chunks = streams.chunks(NOW, end, limits, || suffix(9, 90));
     assert_eq!(
         chunks.iter().map(|chunk| (chunk.bytes.len(), chunk.is_last_of_response)).collect::<Vec<_>>(),
         [(1, true)]
     );
 }
 
-/// A stream that was begun is sent to its end, whatever was added to the history; an idle one is dropped.
+/// A stream is sent to its end whatever is appended to the history meanwhile; an idle one is dropped.
 #[test]
 fn streams_are_retained_until_idle() {
     let mut streams = StreamCache::default();
-    let first = chunk(&mut streams, ChunkRequest { stream: None, offset: 0 }, 9);
-    let wanted = ChunkRequest { stream: Some(first.stream), offset: 100 };
-    let second = chunk(&mut streams, wanted, 10);
+    let first = cached_chunk(&mut streams, ChunkRequest { stream: None, offset: 0 }, 9);
+    let request = ChunkRequest { stream: Some(first.stream), offset: 100 };
+    let second = cached_chunk(&mut streams, request, 10);
     assert_eq!((second.stream, second.offset), (first.stream, 100));
     streams.drop_idle(NOW + Duration::from_secs(2));
-    let third = chunk(&mut streams, wanted, 10);
+    let third = cached_chunk(&mut streams, request, 10);
     assert_ne!(third.stream, first.stream);
     assert_eq!(third.offset, 0);
 }
--- a/crates/chain/src/history_tests.rs
+++ b/crates/chain/src/history_tests.rs
@@ -1,4 +1,4 @@
-//! The history: appending, finding resends, taking over another replica's.
+//! The history: append, recognition of resends, installation of another replica's history.
 
 use crate::digest::Digest;
 use crate::entry::{Entry, EntryHeader, HistorySuffix};
@@ -29,7 +29,7 @@
 }
 
 #[rstest]
-#[case::taken(20, 10, "text", Some(2))]
+#[case::same(20, 10, "text", Some(2))]
 #[case::other_base(20, 9, "text", None)]
 #[case::other_bytes(20, 10, "other", None)]
 #[case::unknown(25, 20, "text", None)]
@@ -50,13 +50,13 @@
 }
 
 #[rstest]
-#[case::nothing_held(0, 0)]
-#[case::a_part_held(2, 2)]
-#[case::all_held(5, 5)]
-#[case::an_entry_that_is_lost(3, 2)]
-fn install_takes_over_the_source_history(#[case] held: u64, #[case] committed: u64) {
+#[case::empty(0, 0)]
+#[case::shorter(2, 2)]
+#[case::complete(5, 5)]
+#[case::with_an_uncommitted_entry(3, 2)]
+fn install_takes_over_the_source_history(#[case] entries: u64, #[case] committed: u64) {
     let source = history(5);
-    let mut replica = history(held);
+    let mut replica = history(entries);
     assert!(replica.install(&source.suffix(committed)));
     assert_eq!(replica.suffix(0).headers, source.suffix(0).headers);
     assert_eq!(replica.config(5), source.config(5));
@@ -94,14 +94,14 @@
     assert_eq!(replica.last_index(), 6);
 }
 
-/// Entries 1 to 6 have versions 10 to 60; the headers of the last three are kept.
+/// Entries 1 to 6 have versions 10 to 60; the headers of the last three are retained.
 #[rstest]
-#[case::of_a_dropped_mark(30, 20, true)]
-#[case::between_dropped_marks(15, 10, true)]
-#[case::of_the_first_kept_mark(40, 30, false)]
-#[case::between_the_last_dropped_and_the_first_kept(35, 30, false)]
-#[case::builds_on_a_later_version(30, 60, false)]
-#[case::new(70, 60, false)]
+#[case::dropped_header(30, 20, true)]
+#[case::between_dropped_headers(15, 10, true)]
+#[case::first_retained_header(40, 30, false)]
+#[case::between_last_dropped_and_first_retained(35, 30, false)]
+#[case::on_a_later_base(30, 60, false)]
+#[case::newer(70, 60, false)]
 fn may_have_dropped_recognises_versions_before_the_first_header(
     #[case] version: u64, #[case] base: u64, #[case] dropped: bool,
 ) {
--- a/crates/chain/src/journal_tests.rs
+++ b/crates/chain/src/journal_tests.rs
@@ -1,10 +1,10 @@
-//! Batches: one at a time, effects after the sync, refused ones again.
+//! Batches: one in flight, effects after the sync, retries.
 
 use crate::action::BatchId;
 use crate::journal::{Effect, Journal};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_millis(700);
+const SUSPECT_AFTER: Duration = Duration::from_millis(700);
 
 fn at(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -45,26 +45,26 @@
 fn refused_batch_is_retried_and_disk_is_unhealthy_until_persisted() {
     let mut journal = journal();
     let batch = journal.start_batch(at(0)).unwrap();
-    assert!(journal.is_healthy(at(10), PATIENCE));
+    assert!(journal.is_healthy(at(10), SUSPECT_AFTER));
     journal.record_failure(at(10), batch.id);
-    assert!(!journal.is_healthy(at(10), PATIENCE));
+    assert!(!journal.is_healthy(at(10), SUSPECT_AFTER));
     assert!(journal.record_persisted(batch.id).is_empty());
     assert!(journal.take_retry(at(100)).is_none());
-    let again = journal.take_retry(at(500)).unwrap();
-    assert_eq!((again.id, &again.records), (batch.id, &batch.records));
-    assert!(!journal.is_healthy(at(501), PATIENCE));
+    let retried = journal.take_retry(at(500)).unwrap();
+    assert_eq!((retried.id, &retried.records), (batch.id, &batch.records));
+    assert!(!journal.is_healthy(at(501), SUSPECT_AFTER));
     assert_eq!(journal.record_persisted(batch.id).len(), 1);
-    assert!(journal.is_healthy(at(502), PATIENCE));
+    assert!(journal.is_healthy(at(502), SUSPECT_AFTER));
 }
 
 #[test]
 fn disk_that_hangs_is_unhealthy() {
     let mut journal = journal();
     journal.start_batch(at(0)).unwrap();
-    assert!(journal.is_healthy(at(699), PATIENCE));
-    assert!(!journal.is_healthy(at(700), PATIENCE));
+    assert!(journal.is_healthy(at(699), SUSPECT_AFTER));
+    assert!(!journal.is_healthy(at(700), SUSPECT_AFTER));
     journal.discount_pause(at(1_000));
-    assert!(journal.is_healthy(at(1_000), PATIENCE));
+    assert!(journal.is_healthy(at(1_000), SUSPECT_AFTER));
 }
 
 #[test]
--- a/crates/chain/src/paxos/proposer_tests.rs
+++ b/crates/chain/src/paxos/proposer_tests.rs
@@ -1,4 +1,4 @@
-//! Where the next view takes the history from.
+//! The lineage of a view and the choice of its source.
 
 use crate::heartbeat::HistoryPosition;
 use crate::member::MemberId;
@@ -13,8 +13,8 @@
     MemberId { address: SocketAddr::from(([10, 0, 0, number], 7000)), disk }
 }
 
-/// View 5 with three members and a chain of the first two, agreed when views 3 and 4 may have served, view 4 with a chain of the
-/// last two.
+/// View 5 with three members and a chain of the first two. It was decided when views 3 and 4 may have served, view 4 with a chain
+/// of the last two.
 fn view() -> View {
     let members = vec![member(1, 1), member(2, 2), member(3, 3)];
     View {
@@ -29,17 +29,17 @@
     }
 }
 
-/// Promises as (member, newest view whose history it holds, last entry).
+/// Promises as (member, installed view, last index).
 #[rstest]
-#[case::a_holder_of_the_view(&[(1, 5, 9), (3, 3, 8)], Some(1))]
-#[case::the_longest_of_two(&[(1, 5, 9), (2, 5, 10)], Some(2))]
-#[case::the_view_may_have_served(&[(1, 5, 9), (3, 4, 12)], Some(1))]
-#[case::it_never_served_and_one_holds_it(&[(1, 3, 9), (2, 5, 9)], Some(2))]
-#[case::neither_it_nor_the_one_before_served(&[(1, 3, 9), (3, 2, 9)], Some(1))]
-#[case::the_one_before_may_have_served(&[(1, 3, 9), (2, 4, 8)], Some(2))]
-#[case::the_one_before_may_have_served_elsewhere(&[(1, 3, 9)], None)]
-#[case::all_are_too_old(&[(1, 2, 9), (3, 2, 9)], None)]
-#[case::it_may_have_served_and_no_holder_promised(&[(3, 3, 9)], None)]
+#[case::replica_with_the_history(&[(1, 5, 9), (3, 3, 8)], Some(1))]
+#[case::longest_history(&[(1, 5, 9), (2, 5, 10)], Some(2))]
+#[case::view_may_have_served(&[(1, 5, 9), (3, 4, 12)], Some(1))]
+#[case::view_never_served_but_one_has_its_history(&[(1, 3, 9), (2, 5, 9)], Some(2))]
+#[case::neither_view_nor_ancestor_served(&[(1, 3, 9), (3, 2, 9)], Some(1))]
+#[case::ancestor_may_have_served(&[(1, 3, 9), (2, 4, 8)], Some(2))]
+#[case::ancestor_may_have_served_elsewhere(&[(1, 3, 9)], None)]
+#[case::all_histories_are_too_old(&[(1, 2, 9), (3, 2, 9)], None)]
+#[case::view_may_have_served_but_no_promise_has_its_history(&[(3, 3, 9)], None)]
 fn source_holds_every_acknowledged_entry(#[case] promises: &[(u8, u64, u64)], #[case] source: Option<u8>) {
     let promise = |&(number, installed, last_index): &(u8, u64, u64)| {
         let member = member(number, u64::from(number));
@@ -54,10 +54,10 @@
 
 #[test]
 fn member_with_a_lost_disk_is_no_source() {
-    let held = member(1, 1);
+    let lost = member(1, 1);
     let position = HistoryPosition { installed_view: 5, last_index: 9 };
     let promises =
-        BTreeMap::from([(held.address, ReceivedPromise { member: held, accepted: None, position })]);
+        BTreeMap::from([(lost.address, ReceivedPromise { member: lost, accepted: None, position })]);
     let chain = [member(1, 77), member(2, 2)];
     assert_eq!(
         choose_source(Lineage::after(&view(), false, &promises).min_source_view(), &chain, &promises),
@@ -89,14 +89,13 @@
 #[case::two_machines_in_all(2, 1, 2, 2, true)]
 #[case::a_single_machine(1, 0, 1, 1, true)]
 fn view_is_sufficient_with_enough_members_and_replicas(
-    #[case] required: u32, #[case] fault_tolerance: u32, #[case] members: usize, #[case] replicas: usize,
+    #[case] min_members: u32, #[case] fault_tolerance: u32, #[case] members: usize, #[case] replicas: usize,
     #[case] is_sufficient: bool,
 ) {
-    let view = View { min_members: required, fault_tolerance, ..view() };
+    let view = View { min_members, fault_tolerance, ..view() };
     assert_eq!(view.is_sufficient(members, replicas), is_sufficient);
 }
 
-/// An acceptor takes part in no proposal below the one that it has promised.
 #[rstest]
 #[case::lower(2, 1, false)]
 #[case::lower_by_its_proposer(3, 1, false)]
--- a/crates/chain/src/replica/tests/driver.rs
+++ b/crates/chain/src/replica/tests/driver.rs
@@ -1,5 +1,5 @@
-//! One process with its disk and clock in the hands of a test: what it wants stored is on disk once the test says so, and what it
-//! sends lies here.
+//! A driver of one replica for tests: the test advances the clock, sends messages, and decides when records are synced. What the
+//! replica sends is collected.
 
 use crate::digest::{Digest, Fnv};
 use crate::entry::{Entry, EntryHeader};
@@ -13,10 +13,10 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often the driver says that time has passed.
+/// The time between two ticks.
 pub const TICK: Duration = Duration::from_millis(20);
-/// Ticks until a process that hears nobody proposes a view, with room.
-const MANY_TICKS: u32 = 500;
+/// More ticks than a process without peers needs to propose a view.
+const MAX_TICKS_TO_PROPOSE: u32 = 500;
 
 pub fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7000))
@@ -26,7 +26,7 @@
     MemberId { address: address(number), disk: u64::from(number) }
 }
 
-/// A view of members 1 to `members`, all of them in the chain in that order.
+/// A view of members 1 to `members`, all of them replicas of the chain in that order.
 pub fn view(number: u64, members: u8) -> View {
     let members: Vec<MemberId> = (1..=members).map(member).collect();
     let required = members.len() as u32;
@@ -42,14 +42,14 @@
     }
 }
 
-/// Entry `index` of a history in which each version is its place.
+/// Entry `index` of a history in which each version is the index.
 pub fn entry(index: u64) -> Entry {
     let bytes: Vec<u8> = format!("configuration {index}").into_bytes();
     let header = EntryHeader { index, version: index, base: index - 1, digest: Digest::of(&bytes) };
     Entry { header, bytes: bytes.into() }
 }
 
-/// The records of the disk of member `disk` that holds view 1 with an empty history.
+/// The records of a disk that holds view 1 with an empty history.
 pub fn disk_of(disk: u64, members: u8) -> Vec<Vec<u8>> {
     let suffix = HistorySuffix::default();
     let records = [
@@ -60,13 +60,13 @@
     records.iter().map(Record::encode).collect()
 }
 
-/// A request_id or call of another process.
-pub const QUESTION: RequestId = RequestId { incarnation: 5, sequence: 1 };
+/// A request of another process.
+pub const REQUEST_ID: RequestId = RequestId { incarnation: 5, sequence: 1 };
 
-/// A member of a view of three that serves, as it hears the other two.
-pub fn serving(me: u8) -> Driver {
-    let mut driver = Driver::start(me, disk_of(u64::from(me), 3), 3);
-    let others: Vec<u8> = (1..=3).filter(|number| *number != me).collect();
+/// A member of a view of three that serves, with links to the other two.
+pub fn serving(number: u8) -> Driver {
+    let mut driver = Driver::start(number, disk_of(u64::from(number), 3), 3);
+    let others: Vec<u8> = (1..=3).filter(|other| *other != number).collect();
     driver.run(3, &others);
     assert!(driver.replica.status().is_serving);
     driver.sent.clear();
@@ -77,7 +77,7 @@
 pub fn submit(version: u64, base: u64) -> Message {
     let bytes: Vec<u8> = format!("configuration {version}").into_bytes();
     Message::Submit {
-        request_id: QUESTION,
+        request_id: REQUEST_ID,
         base,
         version,
         digest: Fnv::of(&bytes),
@@ -91,81 +91,82 @@
     matches!(message, Message::Outcome { .. })
 }
 
-/// One process and what it wants done.
+/// A replica with its clock, its disk and what it has sent.
 pub struct Driver {
     pub replica: Replica,
     pub synced: Vec<Vec<u8>>,
     pub unsynced: Vec<(BatchId, Vec<Vec<u8>>)>,
     pub sent: Vec<(SocketAddr, Message)>,
-    pub answers: Vec<OperatorResponse>,
+    pub responses: Vec<OperatorResponse>,
     pub now: Duration,
-    me: u8,
+    number: u8,
     members: u8,
 }
 
 impl Driver {
-    /// Starts member `me` from these records, ready to be told something.
-    pub fn start(me: u8, synced: Vec<Vec<u8>>, members: u8) -> Driver {
-        let settings = ReplicaSettings::new(address(me), Vec::new(), false, 1, 7);
-        let mut out = Vec::new();
-        let replica = Replica::recover(settings, &synced, Duration::ZERO, &mut out).expect("readable");
-        let (sent, unsynced, answers) = (Vec::new(), Vec::new(), Vec::new());
-        let mut driver =
-            Driver { replica, synced, unsynced, sent, answers, now: Duration::ZERO, me, members };
-        driver.carry_out(out);
+    /// Starts member `number` from these records and lets one tick pass.
+    pub fn start(number: u8, synced: Vec<Vec<u8>>, members: u8) -> Driver {
+        let settings = ReplicaSettings::new(address(number), Vec::new(), false, 1, 7);
+        let mut actions = Vec::new();
+        let replica = Replica::recover(settings, &synced, Duration::ZERO, &mut actions).expect("readable");
+        let (sent, unsynced, responses) = (Vec::new(), Vec::new(), Vec::new());
+        let now = Duration::ZERO;
+        let mut driver = Driver { replica, synced, unsynced, sent, responses, now, number, members };
+        driver.execute(actions);
         driver.handle(Event::Tick);
         driver
     }
 
+    /// Hands an event to the replica.
     pub fn handle(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.replica.handle(self.now, event, &mut out);
-        self.carry_out(out);
+        let mut actions = Vec::new();
+        self.replica.handle(self.now, event, &mut actions);
+        self.execute(actions);
     }
 
-    /// A message of another process.
+    /// Delivers a message from another process.
     pub fn receive(&mut self, from: u8, message: Message) {
         self.handle(Event::Message { from: address(from), message });
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>) {
+    fn execute(&mut self, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send { to, message } => self.sent.push((to, message)),
                 Action::Persist { batch, records } => self.unsynced.push((batch, records)),
-                Action::Respond { response, .. } => self.answers.push(response),
+                Action::Respond { response, .. } => self.responses.push(response),
                 _ => {}
             }
         }
     }
 
-    /// Lets time pass with heartbeats of these processes.
-    pub fn run(&mut self, ticks: u32, beating: &[u8]) {
+    /// Lets ticks pass, each with heartbeats of these processes.
+    pub fn run(&mut self, ticks: u32, live: &[u8]) {
         for _ in 0..ticks {
             self.now += TICK;
-            for number in beating {
-                self.receive(*number, Message::Heartbeat(self.heartbeat_of(*number, beating)));
+            for number in live {
+                self.receive(*number, Message::Heartbeat(self.heartbeat_of(*number, live)));
             }
             self.handle(Event::Tick);
         }
     }
 
-    /// Lets time pass while all others but one beat, until records wait for the disk.
-    pub fn until_it_proposes(&mut self, silent: u8) {
-        let beating: Vec<u8> =
-            (1..=self.members).filter(|number| *number != self.me && *number != silent).collect();
-        for _ in 0..MANY_TICKS {
+    /// Lets ticks pass with heartbeats of all others but one, until records wait for the disk.
+    pub fn run_until_proposal(&mut self, silent: u8) {
+        let live: Vec<u8> =
+            (1..=self.members).filter(|number| *number != self.number && *number != silent).collect();
+        for _ in 0..MAX_TICKS_TO_PROPOSE {
             if !self.unsynced.is_empty() {
                 return;
             }
-            self.run(1, &beating);
+            self.run(1, &live);
         }
         panic!("no proposal");
     }
 
-    /// The heartbeat of a process that hears this one and these.
-    pub fn heartbeat_of(&self, number: u8, beating: &[u8]) -> Heartbeat {
-        let others = beating.iter().copied().chain([self.me]).filter(|other| *other != number);
+    /// The heartbeat of a process with bidirectional links to this one and to these.
+    pub fn heartbeat_of(&self, number: u8, linked: &[u8]) -> Heartbeat {
+        let others = linked.iter().copied().chain([self.number]).filter(|other| *other != number);
         let links = others.map(|other| Link { peer: address(other), bidirectional: true }).collect();
         Heartbeat {
             sender: member(number),
@@ -184,7 +185,7 @@
         }
     }
 
-    /// The disk has what it was given.
+    /// Syncs all records that wait for the disk.
     pub fn sync(&mut self) {
         while !self.unsynced.is_empty() {
             for (batch, records) in std::mem::take(&mut self.unsynced) {
@@ -194,7 +195,7 @@
         }
     }
 
-    /// How many messages of a kind were sent.
+    /// The number of messages of a kind that were sent.
     pub fn count(&self, is_wanted: impl Fn(&Message) -> bool) -> usize {
         self.sent.iter().filter(|(_, message)| is_wanted(message)).count()
     }
--- a/crates/chain/src/replica/tests/learner.rs
+++ b/crates/chain/src/replica/tests/learner.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Nothing behind what is known to be committed is handed to a learner.
+/// A learner gets no entry behind the commit index.
 #[test]
 fn learner_gets_only_committed_history() {
     let mut driver = serving(2);
@@ -23,7 +23,7 @@
     assert_eq!(suffix.headers, [entry(1).header]);
 }
 
-/// A learner that is behind, and the history up to entry 2 that it asked for.
+/// A learner that is behind, and the history up to entry 2 that it has requested.
 fn learner_behind() -> (Driver, Message) {
     let mut driver = Driver::start(9, disk_of(9, 3), 3);
     driver.run(3, &[1, 2, 3]);
@@ -41,7 +41,7 @@
     (driver, Message::HistoryChunk { chunk })
 }
 
-/// A learner says that it holds an entry once it is on its disk.
+/// A learner reports an entry once it is on its disk.
 #[test]
 fn learner_reports_durable_commit_index_after_sync() {
     let (mut driver, history) = learner_behind();
@@ -58,7 +58,7 @@
     );
 }
 
-/// It takes history only from whom it asked.
+/// History from another process than the requested source is ignored.
 #[test]
 fn learner_installs_history_only_from_the_requested_source() {
     let (mut driver, history) = learner_behind();
@@ -67,7 +67,7 @@
     assert_eq!(driver.replica.status().durable_commit_index, 0);
 }
 
-/// What it asked for as a learner is nothing to it once it has a place in the chain.
+/// History that was requested as a learner is ignored once the process is in the chain.
 #[test]
 fn replica_in_chain_ignores_history_requested_as_learner() {
     let (mut driver, history) = learner_behind();
@@ -81,7 +81,7 @@
     assert_eq!(driver.replica.status().committed_version, None);
 }
 
-/// An entry that was never committed is on the disk at the place of one that was: it is not counted as held.
+/// An uncommitted entry is on the disk at the index of a committed one: it does not count as durable.
 #[test]
 fn learner_does_not_count_a_superseded_entry_as_durable() {
     let mut other = entry(1);
@@ -117,7 +117,7 @@
     assert_eq!(driver.replica.status().durable_commit_index, 2);
 }
 
-/// A member outside the chain of view 2 that hears of the committed entry 2 from member 2, and has asked for the history.
+/// A member outside the chain of view 2 that knows of the committed entry 2 from member 2 and has requested the history.
 fn behind(mut driver: Driver) -> Driver {
     let next = View { chain: vec![member(1), member(2)], ..view(2, 3) };
     driver.receive(1, Message::Decided { view: next });
@@ -135,7 +135,7 @@
     driver
 }
 
-/// An entry on its way to the disk gave way to a committed one: its write tells nothing of the other.
+/// An entry that is being synced was replaced by a committed one: its sync says nothing about the other.
 #[test]
 fn sync_of_a_superseded_entry_does_not_advance_durable_commit_index() {
     let mut driver = serving(3);
@@ -154,11 +154,11 @@
     assert_eq!(driver.replica.status().durable_commit_index, 2);
 }
 
-/// A process that does not answer is not asked for ever.
+/// After a timeout the next source is requested.
 #[test]
 fn learner_requests_history_from_another_source_after_timeout() {
     let mut driver = Driver::start(9, disk_of(9, 3), 3);
-    for _ in 0..LONG {
+    for _ in 0..MANY_TICKS {
         for holder in [1, 2] {
             let ahead = Heartbeat { durable_commit_index: Some(2), ..driver.heartbeat_of(holder, &[1, 2]) };
             driver.receive(holder, Message::Heartbeat(ahead));
--- a/crates/chain/src/replica/tests/mod.rs
+++ b/crates/chain/src/replica/tests/mod.rs
@@ -23,7 +23,7 @@
     EntryBody, Event, Heartbeat, HistorySuffix, Message, OperatorRequestId, OperatorResponse, Replica,
     ReplicaSettings, RequestId,
 };
-use driver::{Driver, QUESTION, address, disk_of, entry, is_outcome, member, serving, submit, view};
+use driver::{Driver, REQUEST_ID, address, disk_of, entry, is_outcome, member, serving, submit, view};
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,8 +34,8 @@
     address: std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::new(10, 0, 0, 3)), 7000),
     disk: 3,
 };
-/// More than a process is silent before it is suspected.
-const LONG: u32 = 100;
+/// More ticks than any timeout in the settings takes.
+const MANY_TICKS: u32 = 100;
 
 fn prepare() -> Message {
     Message::Prepare { instance: 2, proposal: PROPOSAL }
@@ -58,12 +58,12 @@
 }
 
 /// A member of a view whose other replicas do not hold the history yet.
-fn not_serving(me: u8) -> Driver {
-    let mut driver = Driver::start(me, disk_of(u64::from(me), 3), 3);
-    let others: Vec<u8> = (1..=3).filter(|number| *number != me).collect();
-    for number in &others {
-        let beat = Heartbeat { installed_view: 0, ..driver.heartbeat_of(*number, &others) };
-        driver.receive(*number, Message::Heartbeat(beat));
+fn not_serving(number: u8) -> Driver {
+    let mut driver = Driver::start(number, disk_of(u64::from(number), 3), 3);
+    let others: Vec<u8> = (1..=3).filter(|other| *other != number).collect();
+    for other in &others {
+        let heartbeat = Heartbeat { installed_view: 0, ..driver.heartbeat_of(*other, &others) };
+        driver.receive(*other, Message::Heartbeat(heartbeat));
     }
     assert!(!driver.replica.status().is_serving);
     driver
--- a/crates/chain/src/replica/tests/read_only.rs
+++ b/crates/chain/src/replica/tests/read_only.rs
@@ -5,32 +5,33 @@
 #[test]
 fn tail_answers_no_read_before_view_serves() {
     let mut driver = not_serving(3);
-    driver.receive(2, Message::Read { request_id: QUESTION, forwarded: false });
+    driver.receive(2, Message::Read { request_id: REQUEST_ID, forwarded: false });
     let asked = driver.sent.iter().find_map(|(_, message)| match message {
         Message::Confirm { request_id, .. } => Some(*request_id),
         _ => None,
     });
-    driver.receive(1, Message::Confirmed { view: 1, request_id: asked.expect("a request_id") });
+    driver
+        .receive(1, Message::Confirmed { view: 1, request_id: asked.expect("a confirmation was requested") });
     assert_eq!(driver.count(is_outcome), 0);
 }
 
-/// A tail answers a read after a majority has confirmed this view, asked in this run and for this read.
+/// A tail answers a read after a majority has confirmed this view, in this incarnation and in a round for this read.
 #[rstest]
-#[case::as_asked(0, 0, 1)]
-#[case::of_another_run(1, 0, 0)]
-#[case::of_another_view(0, 1, 0)]
+#[case::this_round(0, 0, 1)]
+#[case::another_incarnation(1, 0, 0)]
+#[case::another_view(0, 1, 0)]
 fn confirmation_counts_only_for_its_round_view_and_incarnation(
-    #[case] other_run: u64, #[case] other_view: u64, #[case] answers: usize,
+    #[case] incarnation_offset: u64, #[case] view_offset: u64, #[case] answers: usize,
 ) {
     let mut driver = serving(3);
-    driver.receive(2, Message::Read { request_id: QUESTION, forwarded: false });
+    driver.receive(2, Message::Read { request_id: REQUEST_ID, forwarded: false });
     let asked = driver.sent.iter().find_map(|(_, message)| match message {
         Message::Confirm { request_id, .. } => Some(*request_id),
         _ => None,
     });
-    let request_id = asked.expect("a request_id");
-    let incarnation = request_id.incarnation.wrapping_add(other_run);
+    let request_id = asked.expect("a confirmation was requested");
+    let incarnation = request_id.incarnation.wrapping_add(incarnation_offset);
     let request_id = RequestId { incarnation, ..request_id };
-    driver.receive(1, Message::Confirmed { view: 1 + other_view, request_id });
+    driver.receive(1, Message::Confirmed { view: 1 + view_offset, request_id });
     assert_eq!(driver.count(is_outcome), answers);
 }
--- a/crates/chain/src/replica/tests/replication.rs
+++ b/crates/chain/src/replica/tests/replication.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The tail commits what is on its own disk, and not before the view serves.
+/// The tail commits what is on its own disk, and only once the view serves.
 #[rstest]
 #[case::in_a_view_that_serves(true)]
 #[case::in_one_that_does_not(false)]
@@ -27,14 +27,14 @@
     assert!(driver.unsynced.is_empty());
 }
 
-/// The write that another change waits behind may still be lost: nothing is refused because of it.
+/// An uncommitted change may still be lost: no other is refused because of it.
 #[test]
 fn change_is_not_refused_because_of_an_uncommitted_one() {
     let mut driver = serving(1);
     driver.receive(2, submit(1, 0));
     driver.sync();
     let Message::Submit { base, version, digest, bytes, .. } = submit(2, 0) else { unreachable!("a change") };
-    let request_id = RequestId { sequence: 2, ..QUESTION };
+    let request_id = RequestId { sequence: 2, ..REQUEST_ID };
     driver.receive(
         3,
         Message::Submit { request_id, base, version, digest, bytes, request_hash: None, forwarded: false },
@@ -47,7 +47,7 @@
     assert_eq!(driver.count(is_conflict), 1);
 }
 
-/// Entries come from the predecessor in the chain of this view alone.
+/// Entries of other processes or views are ignored.
 #[rstest]
 #[case::its_predecessor(1, 1, true)]
 #[case::another_member(3, 1, false)]
@@ -61,7 +61,7 @@
     assert_eq!(!driver.unsynced.is_empty(), taken);
 }
 
-/// An entry goes on being sent until the successor says in this view that it has it.
+/// An entry is sent again until the successor acknowledges it in this view.
 #[rstest]
 #[case::in_this_view(1, false)]
 #[case::in_another(2, true)]
@@ -72,6 +72,6 @@
     let is_entry = |message: &Message| matches!(message, Message::Replicate { .. });
     let sent = driver.count(is_entry);
     driver.receive(2, Message::Replicated { view: number, index: 1 });
-    driver.run(LONG, &[2, 3]);
+    driver.run(MANY_TICKS, &[2, 3]);
     assert_eq!(driver.count(is_entry) > sent, again);
 }
--- a/crates/chain/src/replica/tests/requests.rs
+++ b/crates/chain/src/replica/tests/requests.rs
@@ -5,8 +5,8 @@
 const REQUEST: Blake3 = Blake3(3, 4);
 const OTHER: Blake3 = Blake3(5, 6);
 
-fn submit_change(ticket: u64, version: u64, base: u64, request: Option<Blake3>, bytes: &[u8]) -> Message {
-    let request_id = RequestId { incarnation: 9, sequence: ticket };
+fn submit_change(sequence: u64, version: u64, base: u64, request: Option<Blake3>, bytes: &[u8]) -> Message {
+    let request_id = RequestId { incarnation: 9, sequence };
     let bytes: Arc<[u8]> = bytes.into();
     let digest = Digest::of(&bytes).fnv;
     Message::Submit { request_id, base, version, digest, bytes, request_hash: request, forwarded: false }
@@ -15,13 +15,14 @@
 /// The head of a view whose first two entries are committed, the first one from [`REQUEST`].
 fn head() -> Driver {
     let mut driver = serving(1);
-    for (ticket, version, request, bytes) in
+    for (sequence, version, request, bytes) in
         [(1, 4, Some(REQUEST), b"four".as_slice()), (2, 6, None, b"six".as_slice())]
     {
         let base = if version == 4 { 0 } else { 4 };
-        driver.receive(2, submit_change(ticket, version, base, request, bytes));
+        driver.receive(2, submit_change(sequence, version, base, request, bytes));
         driver.sync();
-        let header = EntryHeader { index: ticket, version, base, digest: Digest::of_request(bytes, request) };
+        let header =
+            EntryHeader { index: sequence, version, base, digest: Digest::of_request(bytes, request) };
         driver.receive(3, Message::Committed { header });
     }
     driver.sent.clear();
@@ -36,7 +37,7 @@
     driver.sent.iter().filter_map(|(_, message)| outcome(message)).collect()
 }
 
-/// Its base is no longer at hand, so that its bytes can't be computed anew.
+/// The base is no longer retained, so the bytes cannot be computed again.
 #[rstest]
 #[case::that_request(4, 0, Some(REQUEST), RequestOutcome::Accepted)]
 #[case::another_request(4, 0, Some(OTHER), RequestOutcome::Conflict { current: 6 })]
@@ -50,7 +51,7 @@
     assert_eq!(outcomes(&driver), [outcome]);
 }
 
-/// The same bytes, sent whole, are the same change.
+/// The same bytes in a full configuration are the same change.
 #[test]
 fn change_is_recognised_by_bytes_as_well() {
     let mut driver = head();
@@ -69,7 +70,7 @@
     assert_eq!(driver.count(is_replicate), 0);
 }
 
-/// Marks of earlier versions have no request, and are read; a header with one is read back with it.
+/// Headers of earlier versions have no request hash and are decoded; a header with one is decoded with it.
 #[rstest]
 #[case::whole(None)]
 #[case::from_a_request(Some(REQUEST))]
@@ -82,13 +83,13 @@
     assert_eq!(names_request, request.is_some());
 }
 
-/// A process that serves calls of the operator passes on an outcome only for the call of this run that it belongs to.
+/// An outcome counts only for a request of this incarnation.
 #[rstest]
-#[case::its_own(0, 1, Some(OperatorResponse::Conflict { current: 7 }))]
-#[case::of_the_run_before(1, 1, None)]
-#[case::of_another_call(0, 2, None)]
+#[case::own_request(0, 1, Some(OperatorResponse::Conflict { current: 7 }))]
+#[case::earlier_incarnation(1, 1, None)]
+#[case::another_request(0, 2, None)]
 fn outcome_answers_only_its_own_request(
-    #[case] other_run: u64, #[case] ticket: u64, #[case] answer: Option<OperatorResponse>,
+    #[case] incarnation_offset: u64, #[case] sequence: u64, #[case] response: Option<OperatorResponse>,
 ) {
     let mut driver = serving(2);
     let event = Event::Submit {
@@ -99,44 +100,44 @@
         bytes: b"{}".as_slice().into(),
     };
     driver.handle(event);
-    let passed = driver.sent.iter().find_map(|(_, message)| match message {
+    let forwarded = driver.sent.iter().find_map(|(_, message)| match message {
         Message::Submit { request_id, .. } => Some(*request_id),
         _ => None,
     });
-    let incarnation = passed.expect("a call for the head").incarnation.wrapping_add(other_run);
+    let incarnation = forwarded.expect("a request for the head").incarnation.wrapping_add(incarnation_offset);
     let outcome = crate::RequestOutcome::Conflict { current: 7 };
-    driver.receive(1, Message::Outcome { request_id: RequestId { incarnation, sequence: ticket }, outcome });
-    assert_eq!(driver.answers.first().cloned(), answer);
+    driver.receive(1, Message::Outcome { request_id: RequestId { incarnation, sequence }, outcome });
+    assert_eq!(driver.responses.first().cloned(), response);
 }
 
-/// A call of another process goes on to the head or the tail once, and its outcome back to that process.
+/// A request of another process is forwarded to the head or the tail once, and its outcome back to that process.
 #[rstest]
-#[case::a_change(submit(1, 0), 1)]
-#[case::a_read(Message::Read { request_id: QUESTION, forwarded: false }, 3)]
-fn request_is_forwarded_once_and_outcome_returned(#[case] asked: Message, #[case] end: u8) {
+#[case::change(submit(1, 0), 1)]
+#[case::read(Message::Read { request_id: REQUEST_ID, forwarded: false }, 3)]
+fn request_is_forwarded_once_and_outcome_returned(#[case] request: Message, #[case] end: u8) {
     let mut driver = serving(2);
     let origin = address(9);
-    driver.handle(Event::Message { from: origin, message: asked.clone() });
-    let passed: Vec<(SocketAddr, Message)> =
-        driver.sent.iter().filter(|(_, message)| is_call(message)).cloned().collect();
-    let [(to, message)] = passed.as_slice() else { panic!("{passed:?}") };
+    driver.handle(Event::Message { from: origin, message: request.clone() });
+    let forwarded: Vec<(SocketAddr, Message)> =
+        driver.sent.iter().filter(|(_, message)| is_request(message)).cloned().collect();
+    let [(to, message)] = forwarded.as_slice() else { panic!("{forwarded:?}") };
     assert_eq!(*to, address(end));
-    // It does not go on again, so that no two processes send it to and fro.
+    // It is not forwarded again, so that no two processes send it to and fro.
     driver.sent.clear();
     driver.receive(if end == 1 { 3 } else { 1 }, message.clone());
-    assert_eq!(driver.count(is_call), 0);
+    assert_eq!(driver.count(is_request), 0);
     let outcome = RequestOutcome::Accepted;
-    driver.receive(end, Message::Outcome { request_id: QUESTION, outcome });
+    driver.receive(end, Message::Outcome { request_id: REQUEST_ID, outcome });
     let back = driver.sent.iter().find(|(_, message)| is_outcome(message)).map(|(to, _)| *to);
     assert_eq!(back, Some(origin));
-    // Nor does a second outcome.
+    // Nor is a second outcome.
     driver.sent.clear();
-    driver.receive(end, Message::Outcome { request_id: QUESTION, outcome });
+    driver.receive(end, Message::Outcome { request_id: REQUEST_ID, outcome });
     assert_eq!(driver.count(is_outcome), 0);
-    driver.receive(end, asked);
-    assert_eq!(driver.count(is_call), 0, "an end that asks gets nothing back from itself");
+    driver.receive(end, request);
+    assert_eq!(driver.count(is_request), 0, "a request of an end of the chain is not forwarded back to it");
 }
 
-fn is_call(message: &Message) -> bool {
+fn is_request(message: &Message) -> bool {
     matches!(message, Message::Submit { .. } | Message::Read { .. })
 }
--- a/crates/chain/src/replica/tests/sealing.rs
+++ b/crates/chain/src/replica/tests/sealing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// The entry that a sealed replica would still store could be in no history that the next view takes over.
+/// An entry that a sealed replica still appended might be in no history that the next view installs.
 #[test]
 fn sealed_replica_stops_replicating() {
     let mut driver = serving(2);
@@ -18,7 +18,7 @@
     assert_eq!((driver.count(is_replicated), driver.synced.len()), (1, records));
 }
 
-/// What was on its way to the disk when the replica promised the next view is not reported as stored in this one.
+/// An entry that was being synced when the replica promised the next view is not acknowledged in this one.
 #[test]
 fn replica_sealed_during_sync_does_not_acknowledge() {
     let mut driver = serving(2);
@@ -31,7 +31,7 @@
 
 #[test]
 fn sealed_replica_confirms_no_view() {
-    let confirm = Message::Confirm { view: 1, request_id: QUESTION };
+    let confirm = Message::Confirm { view: 1, request_id: REQUEST_ID };
     let mut driver = serving(2);
     driver.receive(3, confirm.clone());
     assert_eq!(driver.count(is_confirmed), 1);
@@ -40,17 +40,17 @@
     assert_eq!(driver.count(is_confirmed), 1, "also before the promise is on disk");
 }
 
-/// A head that has promised the next view judges nothing and a tail answers nothing, also what had come before.
+/// A head that has promised the next view decides no change and a tail answers no read, not even earlier ones.
 #[rstest]
-#[case::the_head(1, submit(1, 0))]
-#[case::the_tail(3, Message::Read { request_id: QUESTION, forwarded: false })]
-fn sealed_head_and_tail_send_no_outcome(#[case] me: u8, #[case] asked: Message) {
-    let mut driver = serving(me);
+#[case::head(1, submit(1, 0))]
+#[case::tail(3, Message::Read { request_id: REQUEST_ID, forwarded: false })]
+fn sealed_head_and_tail_send_no_outcome(#[case] local: u8, #[case] message: Message) {
+    let mut driver = serving(local);
     let proposal = ProposalNumber { round: 9, proposer: member(2) };
     driver.receive(2, Message::Prepare { instance: 2, proposal });
     driver.sync();
     let records = driver.synced.len();
-    driver.receive(2, asked);
+    driver.receive(2, message);
     driver.sync();
     for number in 1..=3 {
         let request_id = RequestId { incarnation: 0, sequence: 1 };
--- a/crates/chain/src/replica/tests/state_transfer.rs
+++ b/crates/chain/src/replica/tests/state_transfer.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// A replica tells its history only in the view that it holds it for, and only to members.
+/// A replica sends its history only for the view that it installed, and only to members.
 #[rstest]
-#[case::a_member(3, 1, 1)]
-#[case::a_stranger(9, 1, 0)]
+#[case::member(3, 1, 1)]
+#[case::no_member(9, 1, 0)]
 #[case::another_view(3, 2, 0)]
 fn state_is_sent_only_to_members_of_the_view(
     #[case] from: u8, #[case] number: u64, #[case] answers: usize,
@@ -17,7 +17,7 @@
     assert_eq!(driver.count(is_state), answers);
 }
 
-/// A replica that waits for the history of a view takes none of another view for it.
+/// A replica that waits for the history of a view ignores that of another view.
 #[rstest]
 #[case::of_this_view(2, true)]
 #[case::of_the_view_before(1, false)]
@@ -35,13 +35,13 @@
     assert_eq!(driver.synced.len() > before, taken);
 }
 
-/// A view serves once its own replicas hold the history; another disk at the address of one of them is none.
+/// A view serves once its replicas hold the history; another disk at the address of one of them does not count.
 #[test]
 fn new_disk_at_replica_address_does_not_make_view_serve() {
     let mut driver = Driver::start(3, disk_of(3, 3), 3);
     let sender = MemberId { address: address(1), disk: 77 };
-    let beat = Heartbeat { sender, ..driver.heartbeat_of(1, &[2]) };
-    driver.receive(1, Message::Heartbeat(beat));
+    let heartbeat = Heartbeat { sender, ..driver.heartbeat_of(1, &[2]) };
+    driver.receive(1, Message::Heartbeat(heartbeat));
     driver.run(1, &[2]);
     assert!(!driver.replica.status().is_serving);
     driver.run(1, &[1, 2]);
--- a/crates/chain/src/replica/tests/voting.rs
+++ b/crates/chain/src/replica/tests/voting.rs
@@ -35,7 +35,7 @@
 #[case::five(5)]
 fn prepare_is_sent_after_own_promise_is_synced(#[case] members: u8) {
     let mut driver = Driver::start(1, disk_of(1, members), members);
-    driver.until_it_proposes(2);
+    driver.run_until_proposal(2);
     assert_eq!(proposal_numbers(&driver), Vec::new(), "before the own promise is on disk");
     driver.sync();
     assert_eq!(proposal_numbers(&driver).len(), usize::from(members) - 1, "each other member is asked");
@@ -46,11 +46,11 @@
 #[case::five(5)]
 fn restarted_proposer_uses_higher_proposal_numbers(#[case] members: u8) {
     let mut first = Driver::start(1, disk_of(1, members), members);
-    first.until_it_proposes(2);
+    first.run_until_proposal(2);
     first.sync();
     let before = proposal_numbers(&first);
     let mut second = Driver::start(1, first.synced, members);
-    second.until_it_proposes(2);
+    second.run_until_proposal(2);
     second.sync();
     let after = proposal_numbers(&second);
     assert!(!before.is_empty() && !after.is_empty());
@@ -71,7 +71,7 @@
     assert_eq!(acceptor.compare_accepted(higher, &other), AcceptedComparison::Newer);
 }
 
-/// A second value under a proposal that was accepted for another one gets no answer and is not stored.
+/// A second view under the number of an accepted proposal gets no reply and is not persisted.
 #[test]
 fn acceptor_ignores_a_second_view_under_one_proposal_number() {
     let mut driver = Driver::start(1, disk_of(1, 3), 3);
@@ -82,7 +82,7 @@
     let accepted = |driver: &Driver| driver.count(|message| matches!(message, Message::Accepted { .. }));
     assert_eq!(accepted(&driver), 1);
     let synced = driver.synced.len();
-    // Such a proposal is itself a violation, which would stop the test.
+    // Such a proposal is itself a violation of an invariant, which would stop the test.
     let tolerance = lugwharf_invariants::tolerate();
     let violations = || lugwharf_invariants::count(lugwharf_invariants::Invariant::OneValuePerBallot);
     let before = violations();
@@ -93,31 +93,31 @@
     assert_eq!((accepted(&driver), driver.synced.len()), (1, synced));
     driver.receive(2, accept(view(2, 3)));
     driver.sync();
-    assert_eq!(accepted(&driver), 2, "the same again is answered again");
+    assert_eq!(accepted(&driver), 2, "a repeat is answered again");
 }
 
-/// A machine whose disk was lost stands at the address of a member and is none.
+/// A machine whose disk was lost is at the address of a member, but is not that member.
 #[rstest]
-#[case::a_proposal(prepare(), is_promise)]
-#[case::a_question(Message::Confirm { view: 1, request_id: QUESTION }, is_confirmed)]
-#[case::an_entry(replicate(1), is_replicated)]
+#[case::prepare(prepare(), is_promise)]
+#[case::confirm(Message::Confirm { view: 1, request_id: REQUEST_ID }, is_confirmed)]
+#[case::entry(replicate(1), is_replicated)]
 fn new_disk_at_member_address_does_not_participate(
-    #[case] asked: Message, #[case] answers: fn(&Message) -> bool,
+    #[case] message: Message, #[case] answers: fn(&Message) -> bool,
 ) {
     let mut driver = Driver::start(2, disk_of(77, 3), 3);
     driver.run(3, &[1, 3]);
-    driver.receive(if matches!(asked, Message::Replicate { .. }) { 1 } else { 3 }, asked);
+    driver.receive(if matches!(message, Message::Replicate { .. }) { 1 } else { 3 }, message);
     driver.sync();
     assert_eq!(driver.count(answers), 0);
 }
 
-/// The same for a promise that it might send all the same.
+/// A promise that such a machine sends all the same does not count.
 #[rstest]
 #[case::of_the_member(2, 1)]
 #[case::of_a_new_disk_at_its_address(77, 0)]
 fn promise_counts_only_from_the_member_disk(#[case] disk: u64, #[case] accepts: usize) {
     let mut driver = Driver::start(1, disk_of(1, 3), 3);
-    driver.until_it_proposes(3);
+    driver.run_until_proposal(3);
     driver.sync();
     let prepared = driver.sent.iter().find_map(|(_, message)| match message {
         Message::Prepare { proposal, .. } => Some(*proposal),
@@ -132,11 +132,11 @@
     assert_eq!(driver.count(is_accept).min(1), accepts);
 }
 
-/// What a loss of power takes away was never said.
+/// What a loss of power can take back was never sent.
 #[rstest]
-#[case::a_promise(3, prepare(), is_promise)]
-#[case::an_acceptance(3, Message::Accept { proposal: PROPOSAL, view: view(2, 3) }, |message: &Message| matches!(message, Message::Accepted { .. }))]
-#[case::an_entry(1, replicate(1), is_replicated)]
+#[case::promise(3, prepare(), is_promise)]
+#[case::acceptance(3, Message::Accept { proposal: PROPOSAL, view: view(2, 3) }, |message: &Message| matches!(message, Message::Accepted { .. }))]
+#[case::entry(1, replicate(1), is_replicated)]
 fn reply_is_sent_after_sync(
     #[case] from: u8, #[case] message: Message, #[case] answers: fn(&Message) -> bool,
 ) {
@@ -149,7 +149,7 @@
     assert!(driver.count(answers) > 0);
 }
 
-/// A replica whose disk refuses batches could not store its promise, so that it goes on with the present view.
+/// A replica whose disk refuses batches could not persist its promise, so it goes on with the current view.
 #[test]
 fn replica_with_unhealthy_disk_promises_nothing() {
     let mut driver = serving(2);
@@ -157,17 +157,17 @@
     let (batch, _) = driver.unsynced.pop().expect("an entry for the disk");
     driver.handle(Event::PersistFailed { batch });
     driver.receive(3, prepare());
-    driver.receive(3, Message::Confirm { view: 1, request_id: QUESTION });
+    driver.receive(3, Message::Confirm { view: 1, request_id: REQUEST_ID });
     assert_eq!(driver.count(is_confirmed), 1);
 }
 
-/// A proposal is agreed by the members that accept it, not by whoever says so.
+/// A view is decided by the acceptances of members alone.
 #[rstest]
-#[case::a_member(2, true)]
-#[case::a_stranger(9, false)]
+#[case::member(2, true)]
+#[case::no_member(9, false)]
 fn only_acceptances_of_members_count(#[case] from: u8, #[case] agreed: bool) {
     let mut driver = Driver::start(1, disk_of(1, 3), 3);
-    driver.until_it_proposes(3);
+    driver.run_until_proposal(3);
     driver.sync();
     let prepared = driver.sent.iter().find_map(|(_, message)| match message {
         Message::Prepare { proposal, .. } => Some(*proposal),
@@ -183,10 +183,10 @@
     assert_eq!(driver.replica.status().view == 2, agreed);
 }
 
-/// A view of another number than the next is neither promised nor accepted.
+/// An instance other than the next one is neither promised nor accepted.
 #[rstest]
-#[case::the_present(1)]
-#[case::one_too_far(3)]
+#[case::current_view(1)]
+#[case::view_after_next(3)]
 fn acceptor_votes_only_on_the_next_view(#[case] instance: u64) {
     let mut driver = serving(2);
     driver.receive(3, Message::Prepare { instance, proposal: PROPOSAL });
@@ -201,26 +201,26 @@
     );
 }
 
-/// A process that is about to end proposes nothing.
+/// A process that is shutting down proposes nothing.
 #[test]
 fn leaving_process_does_not_propose() {
     let mut driver = serving(1);
     driver.handle(Event::Leave);
-    for _ in 0..LONG {
+    for _ in 0..MANY_TICKS {
         driver.run(1, &[2]);
         driver.sync();
     }
     assert_eq!(driver.count(|message| matches!(message, Message::Prepare { .. })), 0);
 }
 
-/// A heartbeat that names another address than it comes from says nothing of either.
+/// A heartbeat that names another address than the one it comes from is ignored.
 #[test]
 fn heartbeat_for_another_address_is_ignored() {
     let mut driver = serving(1);
-    for _ in 0..LONG {
+    for _ in 0..MANY_TICKS {
         driver.run(1, &[2, 3]);
-        let beat = driver.heartbeat_of(3, &[2]);
-        driver.receive(2, Message::Heartbeat(beat));
+        let heartbeat = driver.heartbeat_of(3, &[2]);
+        driver.receive(2, Message::Heartbeat(heartbeat));
         driver.handle(Event::Tick);
         driver.sync();
     }
--- a/crates/chain/src/view_planner/tests.rs
+++ b/crates/chain/src/view_planner/tests.rs
@@ -1,4 +1,4 @@
-//! Which view suits what is heard of the others.
+//! Plans for views from the heartbeats of the peers.
 
 use crate::heartbeat::{Heartbeat, Link};
 use crate::log_event::ViewChangeReason;
@@ -12,10 +12,10 @@
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(100);
-/// Long enough for every pause in the settings.
-const LONG: u32 = 60;
-/// The newest committed entry.
-const COMMITTED: u64 = 100;
+/// More steps than any timeout in the settings takes.
+const MANY_STEPS: u32 = 60;
+/// The index of the newest committed entry.
+const COMMITTED_INDEX: u64 = 100;
 
 fn address(number: u8) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, number], 7000))
@@ -38,66 +38,68 @@
     }
 }
 
-/// What one peer says.
+/// What one peer reports.
 #[derive(Clone)]
-struct Says {
+struct Report {
     peer: u8,
     disk: u64,
-    hears: &'static [u8],
+    linked: &'static [u8],
     disk_healthy: bool,
-    counts: bool,
-    held: u64,
+    counts_for_quorum: bool,
+    durable_commit_index: u64,
     /// Whether it holds the history of the view.
-    holds: bool,
-    leaving: bool,
+    holds_history: bool,
+    is_leaving: bool,
 }
 
-fn says(peer: u8, hears: &'static [u8]) -> Says {
-    Says {
+fn reports(peer: u8, linked: &'static [u8]) -> Report {
+    Report {
         peer,
         disk: u64::from(peer),
-        hears,
+        linked,
         disk_healthy: true,
-        counts: true,
-        held: COMMITTED,
-        holds: true,
-        leaving: false,
+        counts_for_quorum: true,
+        durable_commit_index: COMMITTED_INDEX,
+        holds_history: true,
+        is_leaving: false,
     }
 }
 
-fn leaves(says: Says) -> Says {
-    Says { leaving: true, ..says }
+fn leaving(report: Report) -> Report {
+    Report { is_leaving: true, ..report }
 }
 
-/// It has a new disk that holds nothing yet.
-fn wiped(says: Says) -> Says {
-    Says { disk: 77, held: 0, holds: false, ..says }
+/// It has a new, empty disk.
+fn wiped(report: Report) -> Report {
+    Report { disk: 77, durable_commit_index: 0, holds_history: false, ..report }
 }
 
-fn behind(says: Says) -> Says {
-    Says { held: COMMITTED / 2, holds: false, ..says }
+fn behind(report: Report) -> Report {
+    Report { durable_commit_index: COMMITTED_INDEX / 2, holds_history: false, ..report }
 }
 
-/// What process 1 plans after the peers have said this for a long time.
-fn plan(view: &View, said: &[Says]) -> Option<(Vec<MemberId>, Vec<MemberId>, Option<ViewChangeReason>)> {
-    plan_with(view, said, &[])
+/// The plan of process 1 after the peers have reported this for a long time.
+fn plan(
+    view: &View, reports_of_peers: &[Report],
+) -> Option<(Vec<MemberId>, Vec<MemberId>, Option<ViewChangeReason>)> {
+    plan_with(view, reports_of_peers, &[])
 }
 
-/// The same, for a chain that needs one of these holders.
+/// The same for a chain that needs one of these holders.
 fn plan_with(
-    view: &View, said: &[Says], holders: &[MemberId],
+    view: &View, reports_of_peers: &[Report], holders: &[MemberId],
 ) -> Option<(Vec<MemberId>, Vec<MemberId>, Option<ViewChangeReason>)> {
     let settings = ReplicaSettings::new(address(1), Vec::new(), false, 1, 1);
     let mut peers = Peers::new(address(1), settings.suspect_after);
     for member in &view.members {
         peers.add(member.address, Duration::ZERO);
     }
-    for step in 0..LONG {
-        for says in said {
-            peers.record_heartbeat(address(says.peer), heartbeat(says), STEP * step);
+    for step in 0..MANY_STEPS {
+        for report in reports_of_peers {
+            peers.record_heartbeat(address(report.peer), heartbeat(report), STEP * step);
         }
     }
-    let now = STEP * LONG;
+    let now = STEP * MANY_STEPS;
     let planner = ViewPlanner {
         view,
         local_member: member(1),
@@ -105,7 +107,7 @@
         may_bootstrap: false,
         is_leaving: false,
         installed_view: 4,
-        committed_index: COMMITTED,
+        committed_index: COMMITTED_INDEX,
         peers: &peers,
         settings: &settings,
         now,
@@ -115,22 +117,22 @@
     Some((plan.members, plan.chain, reason))
 }
 
-fn heartbeat(says: &Says) -> Heartbeat {
+fn heartbeat(report: &Report) -> Heartbeat {
     let link = |number: &u8| Link { peer: address(*number), bidirectional: true };
     Heartbeat {
-        sender: MemberId { address: address(says.peer), disk: says.disk },
+        sender: MemberId { address: address(report.peer), disk: report.disk },
         incarnation: 1,
         may_bootstrap: false,
-        counts_for_quorum: says.counts,
+        counts_for_quorum: report.counts_for_quorum,
         view: 4,
-        installed_view: if says.holds { 4 } else { 3 },
+        installed_view: if report.holds_history { 4 } else { 3 },
         sealed: false,
         synced_index: 0,
         committed: None,
-        durable_commit_index: Some(says.held),
-        is_leaving: says.leaving,
-        disk_healthy: says.disk_healthy,
-        links: says.hears.iter().map(link).collect(),
+        durable_commit_index: Some(report.durable_commit_index),
+        is_leaving: report.is_leaving,
+        disk_healthy: report.disk_healthy,
+        links: report.linked.iter().map(link).collect(),
     }
 }
 
@@ -139,163 +141,166 @@
 }
 
 #[rstest]
-#[case::all_is_well(&[1, 2, 3], &[says(2, &[1, 3]), says(3, &[1, 2])], &[1, 2, 3], None)]
-#[case::one_is_silent(&[1, 2, 3], &[says(2, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
-#[case::one_comes_back(&[1, 2], &[says(2, &[1, 3]), says(3, &[1, 2])], &[1, 2, 3], Some(ViewChangeReason::ChainExtension))]
-#[case::one_is_not_heard_by_another(&[1, 2, 3], &[says(2, &[1]), says(3, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
-#[case::a_chain_that_others_see_whole(&[2, 3], &[says(2, &[1, 3])], &[1, 2], None)]
+#[case::all_healthy(&[1, 2, 3], &[reports(2, &[1, 3]), reports(3, &[1, 2])], &[1, 2, 3], None)]
+#[case::one_silent(&[1, 2, 3], &[reports(2, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
+#[case::one_returns(&[1, 2], &[reports(2, &[1, 3]), reports(3, &[1, 2])], &[1, 2, 3], Some(ViewChangeReason::ChainExtension))]
+#[case::one_is_not_heard_by_another(&[1, 2, 3], &[reports(2, &[1]), reports(3, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
+#[case::chain_intact_for_others(&[2, 3], &[reports(2, &[1, 3])], &[1, 2], None)]
 fn chain_follows_the_links(
-    #[case] chain: &[u8], #[case] said: &[Says], #[case] planned: &[u8],
+    #[case] chain: &[u8], #[case] reports_of_peers: &[Report], #[case] planned: &[u8],
     #[case] reason: Option<ViewChangeReason>,
 ) {
     let mut planned = members(planned);
     let view = view(&[1, 2, 3], chain);
     planned.sort_by_key(|member| view.position(*member).unwrap_or(usize::MAX));
-    assert_eq!(plan(&view, said), Some((members(&[1, 2, 3]), planned, reason)));
+    assert_eq!(plan(&view, reports_of_peers), Some((members(&[1, 2, 3]), planned, reason)));
 }
 
 #[rstest]
-#[case::hears_but_is_not_heard(&[says(2, &[3]), says(3, &[2])])]
+#[case::hears_but_is_not_heard(&[reports(2, &[3]), reports(3, &[2])])]
 #[case::hears_nobody(&[])]
-fn process_without_a_quorum_plans_nothing(#[case] said: &[Says]) {
-    assert_eq!(plan(&view(&[1, 2, 3], &[1, 2, 3]), said), None);
+fn process_without_a_quorum_plans_nothing(#[case] reports_of_peers: &[Report]) {
+    assert_eq!(plan(&view(&[1, 2, 3], &[1, 2, 3]), reports_of_peers), None);
 }
 
 #[test]
 fn replica_with_unhealthy_disk_leaves_the_chain() {
-    let full = Says { disk_healthy: false, ..says(3, &[1, 2]) };
-    let (_, chain, reason) = plan(&view(&[1, 2, 3], &[3, 2, 1]), &[says(2, &[1, 3]), full]).unwrap();
+    let full = Report { disk_healthy: false, ..reports(3, &[1, 2]) };
+    let (_, chain, reason) = plan(&view(&[1, 2, 3], &[3, 2, 1]), &[reports(2, &[1, 3]), full]).unwrap();
     assert_eq!((chain, reason), (members(&[2, 1]), Some(ViewChangeReason::ChainBroken)));
 }
 
 #[test]
 fn insufficient_chain_is_not_proposed() {
-    let full = Says { disk_healthy: false, ..says(2, &[1]) };
+    let full = Report { disk_healthy: false, ..reports(2, &[1]) };
     let (_, _, reason) = plan(&view(&[1, 2, 3], &[1, 2, 3]), &[full]).unwrap();
     assert_eq!(reason, None);
 }
 
 #[test]
 fn new_disk_replaces_the_lost_one_at_its_address() {
-    let new = Says { disk: 77, ..says(3, &[1, 2]) };
-    let (planned, _, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &[says(2, &[1, 3]), new]).unwrap();
+    let new = Report { disk: 77, ..reports(3, &[1, 2]) };
+    let (planned, _, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &[reports(2, &[1, 3]), new]).unwrap();
     assert_eq!(planned, vec![member(1), member(2), MemberId { address: address(3), disk: 77 }]);
     assert_eq!(reason, Some(ViewChangeReason::MembershipChange));
 }
 
 #[rstest]
-#[case::of_one_that_is_gone(&[says(2, &[1, 4]), says(4, &[1, 2])], &[1, 2, 4])]
-#[case::of_none_while_all_are_there(&[says(2, &[1, 3, 4]), says(3, &[1, 2, 4]), says(4, &[1, 2, 3])], &[1, 2, 3])]
-#[case::of_one_that_leaves(&[says(2, &[1, 3, 4]), leaves(says(3, &[1, 2, 4])), says(4, &[1, 2, 3])], &[1, 2, 4])]
-#[case::of_one_that_lost_its_disk(&[says(2, &[1, 3, 4]), wiped(says(3, &[1, 2, 4])), says(4, &[1, 2, 3])], &[1, 2, 4])]
-#[case::not_while_it_leaves_itself(&[says(2, &[1, 4]), leaves(says(4, &[1, 2]))], &[1, 2, 3])]
-#[case::not_while_it_lacks_history(&[says(2, &[1, 4]), behind(says(4, &[1, 2]))], &[1, 2, 3])]
-#[case::one_at_a_time(&[leaves(says(2, &[1, 3, 4, 5])), leaves(says(3, &[1, 2, 4, 5])), says(4, &[1, 2, 3, 5]), says(5, &[1, 2, 3, 4])], &[1, 4, 3])]
-fn learner_replaces_at_most_one_member(#[case] said: &[Says], #[case] planned: &[u8]) {
-    let (seen, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), said).unwrap();
-    assert_eq!(seen, members(planned));
+#[case::for_one_that_is_gone(&[reports(2, &[1, 4]), reports(4, &[1, 2])], &[1, 2, 4])]
+#[case::for_none_while_all_are_alive(&[reports(2, &[1, 3, 4]), reports(3, &[1, 2, 4]), reports(4, &[1, 2, 3])], &[1, 2, 3])]
+#[case::for_one_that_leaves(&[reports(2, &[1, 3, 4]), leaving(reports(3, &[1, 2, 4])), reports(4, &[1, 2, 3])], &[1, 2, 4])]
+#[case::for_one_that_lost_its_disk(&[reports(2, &[1, 3, 4]), wiped(reports(3, &[1, 2, 4])), reports(4, &[1, 2, 3])], &[1, 2, 4])]
+#[case::not_while_it_leaves_itself(&[reports(2, &[1, 4]), leaving(reports(4, &[1, 2]))], &[1, 2, 3])]
+#[case::not_while_it_lacks_history(&[reports(2, &[1, 4]), behind(reports(4, &[1, 2]))], &[1, 2, 3])]
+#[case::one_at_a_time(&[leaving(reports(2, &[1, 3, 4, 5])), leaving(reports(3, &[1, 2, 4, 5])), reports(4, &[1, 2, 3, 5]), reports(5, &[1, 2, 3, 4])], &[1, 4, 3])]
+fn learner_replaces_at_most_one_member(#[case] reports_of_peers: &[Report], #[case] planned: &[u8]) {
+    let (planned_members, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), reports_of_peers).unwrap();
+    assert_eq!(planned_members, members(planned));
 }
 
 #[test]
 fn process_that_does_not_count_for_quorum_is_not_added() {
-    let newcomer = Says { counts: false, ..says(4, &[1, 2]) };
-    let (seen, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), &[says(2, &[1, 4]), newcomer]).unwrap();
-    assert_eq!(seen, members(&[1, 2, 3]));
+    let newcomer = Report { counts_for_quorum: false, ..reports(4, &[1, 2]) };
+    let (planned_members, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), &[reports(2, &[1, 4]), newcomer]).unwrap();
+    assert_eq!(planned_members, members(&[1, 2, 3]));
 }
 
-/// A replica that leaves goes out of the chain while it still works.
+/// A leaving replica is removed from the chain while it still works.
 #[test]
 fn leaving_replica_is_not_in_the_next_chain() {
-    let said = [says(2, &[1, 3]), leaves(says(3, &[1, 2]))];
-    let planned = plan(&view(&[1, 2, 3], &[1, 2, 3]), &said).unwrap();
+    let reports_of_peers = [reports(2, &[1, 3]), leaving(reports(3, &[1, 2]))];
+    let planned = plan(&view(&[1, 2, 3], &[1, 2, 3]), &reports_of_peers).unwrap();
     assert_eq!(planned, (members(&[1, 2, 3]), members(&[1, 2]), Some(ViewChangeReason::ChainBroken)));
 }
 
-/// Of two replicas that can't be in one chain, the one is taken that the other processes reach too.
+/// Of two replicas that cannot be in one chain, the one with more links is chosen.
 #[rstest]
-#[case::the_second(&[says(2, &[1, 4]), says(3, &[1]), says(4, &[1, 2])], &[1, 2])]
-#[case::the_third(&[says(2, &[1]), says(3, &[1, 4]), says(4, &[1, 3])], &[1, 3])]
-fn replica_with_more_links_is_preferred(#[case] said: &[Says], #[case] planned: &[u8]) {
-    let (_, chain, _) = plan(&view(&[1, 2, 3], &[1, 2, 3]), said).unwrap();
+#[case::the_second(&[reports(2, &[1, 4]), reports(3, &[1]), reports(4, &[1, 2])], &[1, 2])]
+#[case::the_third(&[reports(2, &[1]), reports(3, &[1, 4]), reports(4, &[1, 3])], &[1, 3])]
+fn replica_with_more_links_is_preferred(#[case] reports_of_peers: &[Report], #[case] planned: &[u8]) {
+    let (_, chain, _) = plan(&view(&[1, 2, 3], &[1, 2, 3]), reports_of_peers).unwrap();
     assert_eq!(chain, members(planned));
 }
 
-/// The history that one alone holds is not left behind.
+/// A history that a single replica holds is not lost.
 #[test]
 fn leaving_holder_stays_until_others_hold_the_history() {
-    let said = [says(2, &[1, 3, 4]), leaves(says(3, &[1, 2, 4])), says(4, &[1, 2, 3])];
-    let (planned, chain, _) = plan_with(&view(&[1, 2, 3], &[1, 2, 3]), &said, &members(&[3])).unwrap();
+    let reports_of_peers = [reports(2, &[1, 3, 4]), leaving(reports(3, &[1, 2, 4])), reports(4, &[1, 2, 3])];
+    let (planned, chain, _) =
+        plan_with(&view(&[1, 2, 3], &[1, 2, 3]), &reports_of_peers, &members(&[3])).unwrap();
     assert_eq!((planned, chain), (members(&[1, 2, 3]), members(&[1, 2, 3])));
 }
 
-/// Of the two replicas that hold the view's history one is gone: its place changes hands once two that stay hold it.
+/// One of the two replicas that hold the view's history is gone: it is replaced once two remaining members hold it.
 #[rstest]
 #[case::not_yet(false, &[1, 2, 3])]
 #[case::now(true, &[1, 4, 3])]
-fn member_is_replaced_once_enough_others_hold_the_history(#[case] holds: bool, #[case] planned: &[u8]) {
-    let said = [Says { holds, ..says(3, &[1, 4]) }, says(4, &[1, 3])];
-    let (seen, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &said).unwrap();
-    assert_eq!((seen, reason), (members(planned), Some(ViewChangeReason::ChainBroken)));
+fn member_is_replaced_once_enough_others_hold_the_history(
+    #[case] holds_history: bool, #[case] planned: &[u8],
+) {
+    let reports_of_peers = [Report { holds_history, ..reports(3, &[1, 4]) }, reports(4, &[1, 3])];
+    let (planned_members, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &reports_of_peers).unwrap();
+    assert_eq!((planned_members, reason), (members(planned), Some(ViewChangeReason::ChainBroken)));
     assert!(chain.len() >= 2 && !chain.contains(&member(2)), "{chain:?}");
 }
 
-/// A member that lacks much history would hold up the view that takes it into the chain.
+/// A member that lacks much history would delay the view whose chain it joins.
 #[test]
 fn member_that_is_behind_stays_outside_the_chain() {
-    let said = [says(2, &[1, 3]), behind(says(3, &[1, 2]))];
-    let (_, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &said).unwrap();
+    let reports_of_peers = [reports(2, &[1, 3]), behind(reports(3, &[1, 2]))];
+    let (_, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &reports_of_peers).unwrap();
     assert_eq!((chain, reason), (members(&[1, 2]), None));
 }
 
-/// A disk that is new at its old address keeps the history first.
+/// A new disk at the address of a member learns the history first.
 #[test]
 fn new_disk_without_history_is_no_member() {
-    let said = [says(2, &[1, 3]), wiped(says(3, &[1, 2]))];
-    let (planned, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), &said).unwrap();
+    let reports_of_peers = [reports(2, &[1, 3]), wiped(reports(3, &[1, 2]))];
+    let (planned, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), &reports_of_peers).unwrap();
     assert_eq!(planned, members(&[1, 2, 3]));
 }
 
-/// A log of before may name four members; one that is well gives up its place too.
+/// A log of an earlier version may name four members; a healthy one is removed as well.
 #[test]
 fn surplus_member_is_removed_from_an_even_number() {
-    let all: Vec<Says> = (2..=4).map(|peer| says(peer, &[1, 2, 3, 4])).collect();
+    let all: Vec<Report> = (2..=4).map(|peer| reports(peer, &[1, 2, 3, 4])).collect();
     let (planned, _, reason) = plan(&view(&[1, 2, 3, 4], &[1, 2, 4]), &all).unwrap();
     assert_eq!((planned, reason), (members(&[1, 2, 4]), Some(ViewChangeReason::MembershipChange)));
 }
 
-/// A view that serves with one member takes in none or two.
+/// A view that serves with one member gets none or two more.
 #[rstest]
-#[case::one_learner(&[says(2, &[1])], &[1])]
-#[case::two_learners(&[says(2, &[1, 3]), says(3, &[1, 2])], &[1, 2, 3])]
-fn vacancies_are_filled_to_an_odd_number(#[case] said: &[Says], #[case] planned: &[u8]) {
+#[case::one_learner(&[reports(2, &[1])], &[1])]
+#[case::two_learners(&[reports(2, &[1, 3]), reports(3, &[1, 2])], &[1, 2, 3])]
+fn vacancies_are_filled_to_an_odd_number(#[case] reports_of_peers: &[Report], #[case] planned: &[u8]) {
     let single = View { fault_tolerance: 0, min_members: 1, ..view(&[1], &[1]) };
-    let (seen, _, _) = plan(&single, said).unwrap();
-    assert_eq!(seen, members(planned));
+    let (planned_members, _, _) = plan(&single, reports_of_peers).unwrap();
+    assert_eq!(planned_members, members(planned));
 }
 
 #[test]
 fn surplus_member_that_is_gone_is_removed_first() {
-    let said = [says(2, &[1, 3]), says(3, &[1, 2])];
-    let (seen, chain, _) = plan(&view(&[1, 2, 3, 4], &[1, 2, 4]), &said).unwrap();
-    assert_eq!((seen, chain), (members(&[1, 2, 3]), members(&[1, 2, 3])));
+    let reports_of_peers = [reports(2, &[1, 3]), reports(3, &[1, 2])];
+    let (planned_members, chain, _) = plan(&view(&[1, 2, 3, 4], &[1, 2, 4]), &reports_of_peers).unwrap();
+    assert_eq!((planned_members, chain), (members(&[1, 2, 3]), members(&[1, 2, 3])));
 }
 
-/// A chain is no longer than it must be, but a replica that alone holds the history is in it.
+/// A chain is no longer than needed, but contains a replica that alone holds the history.
 #[rstest]
 #[case::nobody_in_particular(&[], &[1, 2, 3])]
 #[case::one_at_the_end(&[5], &[1, 2, 5])]
 #[case::one_that_is_in_it_anyway(&[2, 4], &[1, 2, 3])]
 fn holder_is_in_the_chain(#[case] holders: &[u8], #[case] planned: &[u8]) {
     let all = [1, 2, 3, 4, 5];
-    let said: Vec<Says> = (2..=5).map(|peer| says(peer, &[1, 2, 3, 4, 5])).collect();
-    let (_, chain, _) = plan_with(&view(&all, &[1, 2, 3]), &said, &members(holders)).unwrap();
+    let reports_of_peers: Vec<Report> = (2..=5).map(|peer| reports(peer, &[1, 2, 3, 4, 5])).collect();
+    let (_, chain, _) = plan_with(&view(&all, &[1, 2, 3]), &reports_of_peers, &members(holders)).unwrap();
     assert_eq!(chain, members(planned));
 }
 
-/// Two machines out of three reach each other; the one that holds the history is preferred to the other.
+/// Process 1 has links to two members that have none to each other; the one that holds the history is preferred.
 #[test]
 fn clique_with_a_holder_is_preferred() {
-    let said = [says(2, &[1]), says(3, &[1])];
-    let (_, chain, _) = plan_with(&view(&[1, 2, 3], &[1, 2]), &said, &members(&[3])).unwrap();
+    let reports_of_peers = [reports(2, &[1]), reports(3, &[1])];
+    let (_, chain, _) = plan_with(&view(&[1, 2, 3], &[1, 2]), &reports_of_peers, &members(&[3])).unwrap();
     assert_eq!(chain, members(&[1, 3]));
 }
