--- a/crates/chain/src/action.rs
+++ b/crates/chain/src/action.rs
@@ -22,8 +22,8 @@
         /// The message.
         message: Message,
     },
-    /// Append records to the log and sync it. Answered by [`Event::Persisted`] or [`Event::PersistFailed`]. At most one batch
-    /// is in flight, rewrites included.
+    /// Append records to the log and sync it. Answered by [`crate::Event::Persisted`] or [`crate::Event::PersistFailed`]. At
+    /// most one batch is in flight, rewrites included.
     Persist {
         /// The batch.
         batch: BatchId,
--- a/crates/chain/src/event.rs
+++ b/crates/chain/src/event.rs
@@ -26,7 +26,7 @@
     },
     /// The operator submits a configuration that was already validated.
     Submit {
-        /// The request, named again in its [`Action::Respond`].
+        /// The request, named again in its [`crate::Action::Respond`].
         id: OperatorRequestId,
         /// The version that it builds on (`If-Match`).
         base: u64,
@@ -40,7 +40,7 @@
     },
     /// The operator reads the newest committed configuration.
     Read {
-        /// The request, named again in its [`Action::Respond`].
+        /// The request, named again in its [`crate::Action::Respond`].
         id: OperatorRequestId,
     },
     /// The operator has disconnected; no response is wanted.
@@ -48,11 +48,11 @@
         /// The request.
         id: OperatorRequestId,
     },
-    /// The process is shutting down and asks to be left out of the next view; see [`LeaveState`].
+    /// The process is shutting down and asks to be left out of the next view; see [`crate::LeaveState`].
     Leave,
     /// A batch is synced to disk.
     Persisted {
-        /// The batch, as named in [`Action::Persist`] or [`Action::RewriteLog`].
+        /// The batch, as named in [`crate::Action::Persist`] or [`crate::Action::RewriteLog`].
         batch: BatchId,
     },
     /// The disk refused a batch. What the append left on disk must be removed before the next batch.
--- a/crates/chain/src/history.rs
+++ b/crates/chain/src/history.rs
@@ -94,12 +94,12 @@
         follows
     }
 
-    /// What a replica lacks that holds the committed history up to `after`.
+    /// The suffix for a replica that holds the committed history up to `after`.
     pub fn suffix(&self, after: u64) -> HistorySuffix {
         self.suffix_up_to(after, u64::MAX)
     }
 
-    /// What a replica lacks that holds the committed history up to `after`, without the entries behind `last`.
+    /// The suffix for a replica that holds the committed history up to `after`, without the entries behind `last`.
     pub fn suffix_up_to(&self, after: u64, last: u64) -> HistorySuffix {
         let is_included = |index: u64| index > after && index <= last;
         let headers = self.headers.iter().filter(|header| is_included(header.index)).copied().collect();
--- a/crates/chain/src/journal.rs
+++ b/crates/chain/src/journal.rs
@@ -1,4 +1,4 @@
-//! The journal: collects records into batches for the disk, and holds effects back until their records are synced.
+//! The journal: collects records into batches for the disk, and delays effects until their records are synced.
 //!
 //! At most one batch is in flight. Records that arrive meanwhile form the next one (group commit). An [`Effect`] is released
 //! once every record that was added before it is on disk; this is how a promise, an acceptance or an acknowledgement is never
@@ -53,7 +53,7 @@
     pub id: BatchId,
     /// The encoded records, in order.
     pub records: Vec<Vec<u8>>,
-    /// Whether they replace the whole log.
+    /// Whether they replace the complete log.
     pub is_rewrite: bool,
 }
 
--- a/crates/chain/src/message.rs
+++ b/crates/chain/src/message.rs
@@ -52,7 +52,7 @@
         proposal: ProposalNumber,
         /// What the sender has accepted in a lower proposal.
         accepted: Option<Box<AcceptedProposal>>,
-        /// How far the history reaches that the sender holds. The proposer chooses the source of the view by it.
+        /// How far the sender's history reaches. The proposer chooses the source of the view by it.
         #[serde(rename = "holding")]
         position: HistoryPosition,
     },
--- a/crates/chain/src/paxos/lineage.rs
+++ b/crates/chain/src/paxos/lineage.rs
@@ -13,7 +13,7 @@
 /// without ever serving.
 const MAX_ANCESTORS: usize = 16;
 
-/// The views that may have been the last to serve, as far as a proposer of the next view can tell.
+/// The views that may have been the last to serve, as far as a proposer of the next view can know.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lineage {
     /// These views, newest first.
--- a/crates/chain/src/peers.rs
+++ b/crates/chain/src/peers.rs
@@ -1,4 +1,4 @@
-//! What heartbeats tell about the other processes of the core, and about the links between them.
+//! The state of the other processes of the core and of the links between them, as heartbeats report it.
 //!
 //! A failure detector with a fixed timeout: a peer is alive as long as its last heartbeat is younger than `suspect_after`. A
 //! link between two processes counts as up if each of them reports that it receives the other's heartbeats in both directions,
--- a/crates/chain/src/record.rs
+++ b/crates/chain/src/record.rs
@@ -45,7 +45,7 @@
     Install {
         /// The number of the view.
         view: u64,
-        /// The entries that replace what was held behind their first.
+        /// The entries that replace those behind `suffix.after`.
         #[serde(rename = "transfer")]
         suffix: HistorySuffix,
     },
@@ -56,8 +56,8 @@
     },
 }
 
-/// An installation with longer bodies is split into several records, so that a rewrite never holds two encoded copies of the
-/// whole history in memory. A record is then no longer than this and one configuration.
+/// An installation with longer bodies is split into several records, so that a rewrite never needs two encoded copies of the
+/// complete history in memory. A record is then no longer than this and one configuration.
 const MAX_UNSPLIT_BODY_BYTES: usize = 1024 * 1024;
 /// The most headers in one record. Their encoding is well below [`MAX_UNSPLIT_BODY_BYTES`].
 const MAX_HEADERS_PER_RECORD: usize = 1_000;
--- a/crates/chain/src/status.rs
+++ b/crates/chain/src/status.rs
@@ -43,7 +43,7 @@
     pub uptime: Duration,
 }
 
-/// The progress of a process that asked to be left out of the next view ([`Event::Leave`]).
+/// The progress of a process that asked to be left out of the next view ([`crate::Event::Leave`]).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaveState {
     /// It has not asked.
--- a/crates/chain/src/view_planner/members.rs
+++ b/crates/chain/src/view_planner/members.rs
@@ -87,7 +87,7 @@
         self.has_lost_disk(member) || holder_count > self.view.fault_tolerance as usize
     }
 
-    /// Whether a member holds the history: as promises tell, or as its heartbeat tells while there are none.
+    /// Whether a member holds the history: according to the promises, or to its heartbeat while there are none.
     fn holds_history(&self, member: MemberId, holders: &[MemberId]) -> bool {
         if !holders.is_empty() {
             return holders.contains(&member);
--- a/crates/chain/src/view_planner/mod.rs
+++ b/crates/chain/src/view_planner/mod.rs
@@ -1,4 +1,4 @@
-//! Plans the next view from what heartbeats tell.
+//! Plans the next view from the heartbeats of the peers.
 //!
 //! Members are replaced one at a time, so that enough members that know the history remain. The chain is the largest set of
 //! members that all reach each other, since a change passes through each of its replicas. A view that may serve is only replaced
@@ -52,7 +52,7 @@
 
 impl ViewPlanner<'_> {
     /// Plans a view. Its chain contains one of `holders` if that is possible: the members that are known to hold every
-    /// acknowledged entry, none before promises tell. `None` if this process is not fit to propose.
+    /// acknowledged entry, none before there are promises. `None` if this process is not fit to propose.
     pub fn plan(&self, holders: &[MemberId]) -> Option<Plan> {
         if !self.disk_healthy || self.is_leaving || !self.reaches_majority() {
             return None;
