--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -1,4 +1,4 @@
-//! The configuration history: chain replication over the core, reconfigured by views that Paxos decides.
+//! The configuration history: chain replication over the control plane, reconfigured by views that Paxos decides.
 //!
 //! [`Replica`] is a deterministic state machine without I/O, in the manner of raft-rs: a driver hands it [`Event`]s with the
 //! monotonic time and carries out the resulting [`Action`]s in order.
--- a/crates/chain/src/member.rs
+++ b/crates/chain/src/member.rs
@@ -1,4 +1,4 @@
-//! The identity of a member of the core.
+//! The identity of a member of the control plane.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
--- a/crates/chain/src/paxos/lineage.rs
+++ b/crates/chain/src/paxos/lineage.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// The most views in a lineage. As long as the core has no more faults than it must bear, fewer views in a row are decided
+/// The most views in a lineage. As long as the control plane has no more faults than it must bear, fewer views in a row are decided
 /// without ever serving.
 const MAX_ANCESTORS: usize = 16;
 
--- a/crates/chain/src/peers.rs
+++ b/crates/chain/src/peers.rs
@@ -1,4 +1,4 @@
-//! The state of the other processes of the core and of the links between them, as heartbeats report it.
+//! The state of the other processes of the control plane and of the links between them, as heartbeats report it.
 //!
 //! A failure detector with a fixed timeout: a peer is alive as long as its last heartbeat is younger than `suspect_after`. A
 //! link between two processes counts as up if each of them reports that it receives the other's heartbeats in both directions,
@@ -10,7 +10,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The most peers that are kept; more than a core has processes. Bounds what unknown senders can make this process remember.
+/// The most peers that are kept; more than a control plane has processes. Bounds what unknown senders can make this process remember.
 const MAX_PEERS: usize = 64;
 /// A silent peer that is neither member nor seed is forgotten after this.
 const FORGET_AFTER: Duration = Duration::from_secs(15);
--- a/crates/chain/src/replica/acceptor.rs
+++ b/crates/chain/src/replica/acceptor.rs
@@ -61,7 +61,7 @@
                 self.seal(proposal);
                 self.acceptor.accepted =
                     Some(Box::new(AcceptedProposal { number: proposal, view: view.clone() }));
-                self.record(&Record::Accept { proposal, view });
+                self.append_record(&Record::Accept { proposal, view });
             }
             AcceptedComparison::OtherView => {
                 let details = || format!("view {instance}, proposal {proposal:?}");
@@ -76,7 +76,7 @@
     pub(super) fn promise(&mut self, instance: u64, proposal: ProposalNumber) {
         if self.acceptor.promised != Some(proposal) {
             self.seal(proposal);
-            self.record(&Record::Promise { instance, proposal });
+            self.append_record(&Record::Promise { instance, proposal });
         }
     }
 
--- a/crates/chain/src/replica/learner.rs
+++ b/crates/chain/src/replica/learner.rs
@@ -1,7 +1,9 @@
 //! The learner: keeps the committed history outside the chain, as a member or as a process that may become one.
 //!
+//! Other than a learner of raft-rs it may vote: members outside the chain vote on the next view and follow the history here.
+//!
 //! A learner stores only what is known to be committed. So its history is a prefix of the committed one, or such a prefix and
-//! one entry of an earlier view whose fate it has not learned. Its installed view does not change, so what it stores here does
+//! one entry of an earlier view that may or may not be committed. Its installed view does not change, so what it stores here does
 //! not make it a source of a view.
 //!
 //! Learners cost the chain nothing while a change is in flight: a learner builds the newest entry from the commit and the
@@ -30,8 +32,8 @@
     behind_since: Option<Duration>,
     assembly: Option<StreamAssembly>,
     request: Option<SentRequest>,
-    /// The number of sources that did not answer or sent a corrupt stream. Selects the next source.
-    failed_sources: usize,
+    /// Advances with each source that did not answer or sent an invalid stream, and selects the next one, modulo the sources.
+    source_cursor: usize,
     /// The streams sent to other learners. Replicas of the chain need the history of a view instead.
     pub(super) streams: StreamCache,
 }
@@ -44,8 +46,8 @@
 }
 
 impl Learner {
-    /// Cancels catching up.
-    pub fn cancel_catch_up(&mut self) {
+    /// Forgets the transfer in progress: it is complete, has failed, or is not needed any more.
+    pub fn reset_catch_up(&mut self) {
         self.behind_since = None;
         self.assembly = None;
         self.request = None;
@@ -58,8 +60,8 @@
         self.synced_index.min(self.commit_index)
     }
 
-    /// Whether this process keeps the history outside the chain. Not once it has reported its position to a proposer, which
-    /// relies on it.
+    /// Whether this process keeps the history outside the chain. Not once it has promised the next view
+    /// and reported its history to the proposer, which relies on that history.
     fn is_learner(&self) -> bool {
         let is_outside = self.view.number > 0 && self.view.position(self.identity).is_none();
         let is_eligible = self.is_member() || self.settings.counts_for_quorum;
@@ -85,7 +87,7 @@
         }
         let entry = Entry { header, bytes: config.bytes.clone() };
         if self.history.append(entry.clone()) {
-            self.record(&Record::Append { entry });
+            self.append_record(&Record::Append { entry });
             self.journal.after_sync(Effect::LearnerSynced { index: header.index });
             self.commit(header);
         }
@@ -93,7 +95,7 @@
 
     pub(super) fn catch_up_if_due(&mut self) {
         if !self.is_learner() || !self.is_behind() {
-            return self.learner.cancel_catch_up();
+            return self.learner.reset_catch_up();
         }
         let behind_since = *self.learner.behind_since.get_or_insert(self.now);
         if self.now < behind_since + CATCH_UP_AFTER {
@@ -101,7 +103,7 @@
         }
         match &self.learner.request {
             Some(request) if self.now < request.sent_at + REQUEST_TIMEOUT => return,
-            Some(_) => self.learner.failed_sources += 1,
+            Some(_) => self.learner.source_cursor += 1,
             None => {}
         }
         self.request_history();
@@ -119,7 +121,7 @@
     /// A live peer that holds more than this process; the next one after each that failed.
     fn choose_history_source(&self) -> Option<SocketAddr> {
         let sources = self.peers.with_history_beyond(self.commit_index, self.now);
-        sources.get(self.learner.failed_sources.checked_rem(sources.len())?).copied()
+        sources.get(self.learner.source_cursor.checked_rem(sources.len())?).copied()
     }
 
     pub(super) fn on_history_request(&mut self, from: SocketAddr, after: u64, request: ChunkRequest) {
@@ -134,7 +136,9 @@
         }
     }
 
-    /// Handles a chunk. The next one is requested with the next tick.
+    /// Handles a chunk from the source of the request in flight. The next chunk is requested with the next tick; after an
+    /// invalid stream a new transfer starts at the next source once `CATCH_UP_AFTER` has passed again. A chunk that does not
+    /// belong to the transfer leaves the request to its timeout.
     pub(super) fn on_history_chunk(&mut self, from: SocketAddr, chunk: &Chunk) {
         let is_expected = self.learner.request.as_ref().is_some_and(|request| request.source == from);
         if !is_expected || !self.is_learner() {
@@ -145,12 +149,12 @@
             AssemblyProgress::Ignored => {}
             AssemblyProgress::Incomplete => self.learner.request = None,
             AssemblyProgress::Complete(suffix) => {
-                self.learner.cancel_catch_up();
+                self.learner.reset_catch_up();
                 self.install_committed(&suffix);
             }
             AssemblyProgress::Corrupt => {
-                self.learner.cancel_catch_up();
-                self.learner.failed_sources += 1;
+                self.learner.reset_catch_up();
+                self.learner.source_cursor += 1;
             }
         }
     }
@@ -158,6 +162,7 @@
     /// Installs committed entries.
     fn install_committed(&mut self, suffix: &HistorySuffix) {
         let Some(last) = suffix.headers.last().copied() else { return };
+        // Entries that were committed during the transfer may have been appended already (`append_newest_committed`).
         let extends_history = suffix.after <= self.commit_index && last.index > self.commit_index;
         if !extends_history || !self.history.install(suffix) {
             return;
@@ -165,7 +170,7 @@
         self.synced_index = self.synced_index.min(suffix.after);
         let installed_view = self.state_transfer.installed_view;
         for record in Record::installation(installed_view, installed_view, suffix) {
-            self.record(&record);
+            self.append_record(&record);
         }
         self.journal.after_sync(Effect::LearnerSynced { index: last.index });
         self.commit(last);
--- a/crates/chain/src/replica/leave.rs
+++ b/crates/chain/src/replica/leave.rs
@@ -1,4 +1,4 @@
-//! Leaving the core gracefully before the process ends.
+//! Leaving the control plane gracefully before the process ends.
 //!
 //! A process that shuts down reports it in its heartbeats. The others decide a view whose chain is without it and, if a learner
 //! is ready, in which that learner replaces it as a member. It takes part until then.
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! The replica: one process of the core.
+//! The replica: the state machine of one control process.
 //!
 //! | module | concern | state |
 //! | --- | --- | --- |
@@ -11,7 +11,7 @@
 //! | `replication` | entries down the chain, acknowledgements back up | [`Successor`] |
 //! | `commit` | what is committed, and spreading it | commit index, [`NewestCommitted`] |
 //! | `learner` | keeping the committed history outside the chain | [`Learner`] |
-//! | `leave` | leaving the core before the process ends | |
+//! | `leave` | leaving the control plane before the process ends | |
 //! | `change_queue` | deciding on the operator's changes, at the head | [`ChangeQueue`] |
 //! | `read_only` | linearizable reads at the tail; confirming that the view is still in force | [`ReadOnly`] |
 //! | `pending_requests` | the operator's requests at this process | [`PendingRequests`] |
@@ -67,7 +67,7 @@
 /// A longer time between two events was a pause of the whole process: ticks come every 20 to 50 ms.
 const MAX_EVENT_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A replica: the state machine of one process of the core.
+/// A replica: the state machine of one process of the control plane.
 ///
 /// It does no I/O and reads no clock. It is deterministic: the same settings, records and events give the same actions.
 pub struct Replica {
@@ -149,7 +149,7 @@
             Event::Persisted { batch } => self.on_persisted(batch),
             Event::PersistFailed { batch } => self.journal.record_failure(now, batch),
         }
-        self.settle();
+        self.run_to_quiescence();
         self.outbox.append_to(actions);
     }
 
@@ -285,8 +285,9 @@
         }
     }
 
-    /// Handles this process's messages to itself and the effects that wait for no record, then starts the next batch.
-    fn settle(&mut self) {
+    /// Handles this process's messages to itself and the effects that need no sync, until there are none, then starts the next
+    /// batch.
+    fn run_to_quiescence(&mut self) {
         loop {
             let effects = self.journal.take_released();
             let had_effects = !effects.is_empty();
@@ -326,7 +327,7 @@
         });
     }
 
-    fn record(&mut self, record: &Record) {
+    fn append_record(&mut self, record: &Record) {
         self.journal.append(record.encode());
     }
 
--- a/crates/chain/src/replica/recovery.rs
+++ b/crates/chain/src/replica/recovery.rs
@@ -174,7 +174,7 @@
 impl Replica {
     fn start(&mut self, is_new_disk: bool) {
         if is_new_disk {
-            self.record(&self.identity_record());
+            self.append_record(&self.identity_record());
         }
         self.journal.after_sync(Effect::BecomeReady);
         let may_bootstrap = self.bootstrap_seeds.is_some();
--- a/crates/chain/src/replica/replication.rs
+++ b/crates/chain/src/replica/replication.rs
@@ -56,7 +56,7 @@
     pub(super) fn append_entry(&mut self, entry: Entry) {
         let header = entry.header;
         if self.history.append(entry.clone()) {
-            self.record(&Record::Append { entry });
+            self.append_record(&Record::Append { entry });
             self.journal.after_sync(Effect::EntrySynced { view: self.view.number, header });
         }
     }
--- a/crates/chain/src/replica/state_transfer.rs
+++ b/crates/chain/src/replica/state_transfer.rs
@@ -138,7 +138,7 @@
         self.state_transfer.assembly = None;
         self.synced_index = self.synced_index.min(suffix.after);
         for record in Record::installation(installed_before, view, suffix) {
-            self.record(&record);
+            self.append_record(&record);
         }
         self.journal.after_sync(Effect::StateInstalled { view, last_index: self.history.last_index() });
         if let Some(superseded) = last_before.filter(|header| !self.history.contains(header)) {
--- a/crates/chain/src/replica/view_change.rs
+++ b/crates/chain/src/replica/view_change.rs
@@ -27,7 +27,7 @@
                 self.peers.record_flap(replica.address);
             }
         }
-        self.record(&Record::Decided { view: view.clone() });
+        self.append_record(&Record::Decided { view: view.clone() });
         self.acceptor = Acceptor::default();
         self.proposer.attempt = None;
         self.proposer.consecutive_failures = 0;
@@ -41,7 +41,7 @@
         self.change_queue.clear();
         self.read_only.reset();
         self.successor.reset();
-        self.learner.cancel_catch_up();
+        self.learner.reset_catch_up();
         self.outbox.push(Action::ViewChanged(self.view.clone()));
         self.start_state_transfer();
         self.send_heartbeats();
--- a/crates/chain/src/settings.rs
+++ b/crates/chain/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a replica. The default timings suit a core within one region.
+//! The settings of a replica. The default timings suit a control plane within one region.
 
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -1,4 +1,4 @@
-//! Views: the agreed configurations of the core.
+//! Views: the agreed configurations of the control plane.
 //!
 //! Encoded names are fixed by `serde(rename)` where the code uses another term; see docs/GLOSSARY.md.
 
@@ -9,7 +9,7 @@
 /// With fewer members than this, the restart of one would leave no majority.
 const MIN_TARGET_MEMBERS: usize = 3;
 
-/// One decided configuration of the core: its members and its chain. View `n + 1` is decided by the members of view `n`.
+/// One decided configuration of the control plane: its members and its chain. View `n + 1` is decided by the members of view `n`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     /// Counts views from 1. View 0 stands for the seeds before anything was decided.
--- a/crates/control/src/controller/state_machine_settings.rs
+++ b/crates/control/src/controller/state_machine_settings.rs
@@ -14,7 +14,7 @@
 /// How much faster one monotonic clock may run than another; real ones differ by far less.
 const CLOCK_DRIFT_PERCENT: u32 = 2;
 
-/// The replica's settings. A process whose log was quarantined may not found a core: it does not start for the first time.
+/// The replica's settings. A process whose log was quarantined may not found a control plane: it does not start for the first time.
 pub fn replica_settings(
     settings: &Settings, local_address: SocketAddr, seed: u64, was_log_quarantined: bool,
 ) -> ReplicaSettings {
--- a/crates/control/src/controller_tests.rs
+++ b/crates/control/src/controller_tests.rs
@@ -1,4 +1,4 @@
-//! A controller with a core of one: shutdown, and a restart in the view on its disk.
+//! A controller with a control plane of one: shutdown, and a restart in the view on its disk.
 
 use super::Controller;
 use crate::command::Command;
@@ -18,7 +18,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Steps until a core of one has founded itself; each ends with the next command or after this time.
+/// Steps until a control plane of one has founded itself; each ends with the next command or after this time.
 const MAX_STEPS: usize = 1_000;
 const STEP_TIMEOUT: Duration = Duration::from_millis(20);
 
@@ -66,7 +66,7 @@
     directory
 }
 
-/// Steps until a core of one has founded itself.
+/// Steps until a control plane of one has founded itself.
 async fn bootstrap(controller: &mut Controller, queue: &mut Receiver<Command>) {
     let mut steps = 0;
     while !controller.replica.status().is_serving && steps < MAX_STEPS {
@@ -114,7 +114,7 @@
     assert!(controller.replica.status().is_serving && view > 0, "{:?}", controller.replica.status());
     drop((controller, commands, queue));
 
-    // Nothing new is agreed: the core goes on in that view.
+    // Nothing new is agreed: the control plane goes on in that view.
     let (controller, _commands, _queue) = start(&directory);
     assert_eq!(controller.views.current(), view);
     drop(std::fs::remove_dir_all(directory));
--- a/crates/control/src/operator_error.rs
+++ b/crates/control/src/operator_error.rs
@@ -24,7 +24,7 @@
     Unreadable,
     /// There is no configuration yet.
     NoConfiguration,
-    /// The core can't decide now; nothing is promised. The operator may send the same request again.
+    /// The control plane can't decide now; nothing is promised. The operator may send the same request again.
     Unavailable,
     /// There is nothing at this path.
     NotFound,
@@ -96,7 +96,7 @@
         OperatorError { kind, body: ErrorBody { error, field: None, reason: reason.into(), current: None } }
     }
 
-    /// The core can't decide now.
+    /// The control plane can't decide now.
     pub fn unavailable() -> OperatorError {
         OperatorError::new(ErrorKind::Unavailable, "the core can't decide now")
     }
--- a/crates/control/src/operator_tests.rs
+++ b/crates/control/src/operator_tests.rs
@@ -23,7 +23,7 @@
 const HEADERS: u64 = 10_000;
 const BODIES: u64 = 2;
 
-/// A configuration that is accepted must also fit through the core, or the chain could never grow again.
+/// A configuration that is accepted must also fit through the control plane, or the chain could never grow again.
 #[test]
 fn history_with_the_largest_configurations_fits_into_a_frame() {
     let first = u64::MAX / 2;
--- a/crates/control/src/peer_transport.rs
+++ b/crates/control/src/peer_transport.rs
@@ -34,7 +34,7 @@
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// Messages queued for one peer; when it is full the newest is dropped.
 const QUEUE_LENGTH: usize = 64;
-/// Peers with a queue at most: machines of the core, and those that replaced them.
+/// Peers with a queue at most: machines of the control plane, and those that replaced them.
 const MAX_PEERS: usize = 128;
 /// Connections that peers may have open to this process.
 const MAX_CONNECTIONS: usize = 128;
