--- a/crates/soak/src/checker/configurations.rs
+++ b/crates/soak/src/checker/configurations.rs
@@ -1,7 +1,7 @@
 //! Checks of configurations: writes are linearizable on their base versions, and reads are never stale.
 
-use super::RunRecords;
 use super::excuses::is_control_calm;
+use super::records::RunRecords;
 use crate::configuration::version_of;
 use crate::finding::Finding;
 use crate::operator_log::{ConfigRead, ConfigWrite};
--- a/crates/soak/src/checker/excuses.rs
+++ b/crates/soak/src/checker/excuses.rs
@@ -3,7 +3,7 @@
 //! A fault explains failures at what it hits, from a margin before it to a margin after it. The margins cover what the fleet
 //! may need to notice and to recover.
 
-use super::RunRecords;
+use super::records::RunRecords;
 use crate::fault::{FaultKind, ScheduledFault};
 use crate::schedule::Schedule;
 use crate::traffic::Attempt;
--- a/crates/soak/src/checker/requests.rs
+++ b/crates/soak/src/checker/requests.rs
@@ -1,7 +1,7 @@
 //! Checks of client requests.
 
-use super::RunRecords;
 use super::excuses::{is_excused_by_front_fault, is_excused_by_server_fault};
+use super::records::RunRecords;
 use crate::configuration::service_of;
 use crate::fault::FaultKind;
 use crate::finding::Finding;
--- a/crates/soak/src/checker/servers.rs
+++ b/crates/soak/src/checker/servers.rs
@@ -1,7 +1,7 @@
 //! Checks of what servers received besides client requests, and of servers that drain.
 
-use super::RunRecords;
 use super::excuses::CONTROL_MARGIN;
+use super::records::RunRecords;
 use crate::finding::Finding;
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/soak/src/fault_injection.rs
+++ b/crates/soak/src/fault_injection.rs
@@ -102,25 +102,20 @@
             | FaultKind::FrontTerm
             | FaultKind::FrontFreeze
             | FaultKind::ProxyDescriptors
-            | FaultKind::AgentDescriptors => self.inject_front_fault(fleet)?,
-            FaultKind::Crowd => {
-                self.crowd = open_idle_connections(fleet.cluster.front_address(self.front)).await;
-            }
-            FaultKind::Reload => {
-                let mut processes = fleet.processes().into_iter();
-                processes.try_for_each(|process_id| fleet.signal(process_id, Signal::Reload))?;
-            }
-            FaultKind::PlatformDark => fleet.servers.platform.set_reachability(Reachability::Blackholed),
-            FaultKind::PlatformReset => fleet.servers.platform.set_reachability(Reachability::Refusing),
-            FaultKind::ServerCrash => fleet.servers.crash_server(self.server).await,
-            FaultKind::ServerDrain
+            | FaultKind::AgentDescriptors
+            | FaultKind::Crowd => self.inject_front_fault(fleet).await?,
+            FaultKind::Reload => reload_all(fleet)?,
+            FaultKind::PlatformDark
+            | FaultKind::PlatformReset
+            | FaultKind::ServerCrash
+            | FaultKind::ServerDrain
             | FaultKind::ServerDark
             | FaultKind::ServerFailing
             | FaultKind::AnswersLost
             | FaultKind::AnswersGarbled
             | FaultKind::AnswersSurplus
             | FaultKind::StreamsCut
-            | FaultKind::IdleRace => self.inject_server_fault(fleet),
+            | FaultKind::IdleRace => self.inject_server_fault(fleet).await,
             // Operators that have stopped take no requests, and none are needed any more.
             FaultKind::ConfigRace => drop(operators.send(OperatorRequest::RaceWrites)),
             FaultKind::ConfigBurst => drop(operators.send(OperatorRequest::BurstWrites)),
@@ -160,7 +155,7 @@
         }
     }
 
-    fn inject_front_fault(&self, fleet: &mut Fleet) -> Result<()> {
+    async fn inject_front_fault(&mut self, fleet: &mut Fleet) -> Result<()> {
         let proxy = ProcessId::Proxy(self.front);
         let mut processes = self.front_processes().into_iter();
         match self.fault.kind {
@@ -170,25 +165,38 @@
             FaultKind::FrontFreeze => processes.try_for_each(|process_id| fleet.pause(process_id)),
             FaultKind::ProxyDescriptors => fleet.limit_descriptors(proxy, DescriptorLimit::Exhausted),
             FaultKind::AgentDescriptors => fleet.limit_descriptors(self.agent, DescriptorLimit::Exhausted),
+            FaultKind::Crowd => {
+                self.crowd = open_idle_connections(fleet.cluster.front_address(self.front)).await;
+                Ok(())
+            }
             // `inject` sends no other kind here.
             _ => Ok(()),
         }
     }
 
-    fn inject_server_fault(&self, fleet: &Fleet) {
-        let servers = &fleet.servers;
-        let inject = |fault: Fault| servers.inject_request_fault(&fault, REQUEST_FAULTS_PER_SERVER);
+    async fn inject_server_fault(&self, fleet: &mut Fleet) {
+        let servers = &mut fleet.servers;
         match self.fault.kind {
+            FaultKind::PlatformDark => servers.platform.set_reachability(Reachability::Blackholed),
+            FaultKind::PlatformReset => servers.platform.set_reachability(Reachability::Refusing),
+            FaultKind::ServerCrash => servers.crash_server(self.server).await,
             FaultKind::ServerDrain => servers.drain_server(self.server),
             FaultKind::ServerDark => servers.set_server_reachability(self.server, Reachability::Blackholed),
             FaultKind::ServerFailing => servers.set_server_failing(self.server, true),
-            FaultKind::AnswersLost => inject(Fault::DropResponse),
-            FaultKind::AnswersGarbled => inject(Fault::Garbage),
+            FaultKind::AnswersLost => {
+                servers.inject_request_fault(&Fault::DropResponse, REQUEST_FAULTS_PER_SERVER)
+            }
+            FaultKind::AnswersGarbled => {
+                servers.inject_request_fault(&Fault::Garbage, REQUEST_FAULTS_PER_SERVER)
+            }
             FaultKind::AnswersSurplus => {
-                inject(Fault::SurplusResponse);
+                servers.inject_request_fault(&Fault::SurplusResponse, REQUEST_FAULTS_PER_SERVER);
                 servers.inject_request_fault(&Fault::WrongRequestId, 1);
             }
-            FaultKind::StreamsCut => inject(Fault::TruncateStream { after_events: 1, reset: true }),
+            FaultKind::StreamsCut => servers.inject_request_fault(
+                &Fault::TruncateStream { after_events: 1, reset: true },
+                REQUEST_FAULTS_PER_SERVER,
+            ),
             FaultKind::IdleRace => servers.set_drops_idle_connections(true),
             // `inject` sends no other kind here.
             _ => {}
@@ -272,6 +280,11 @@
     }
 }
 
+/// Has all processes reload their settings.
+fn reload_all(fleet: &mut Fleet) -> Result<()> {
+    fleet.processes().into_iter().try_for_each(|process_id| fleet.signal(process_id, Signal::Reload))
+}
+
 /// Opens connections to a front-end node and sends nothing on them.
 async fn open_idle_connections(front: SocketAddr) -> Vec<TcpStream> {
     let mut connections = Vec::new();
