--- a/crates/soak/src/checker_tests.rs
+++ b/crates/soak/src/checker_tests.rs
@@ -1,4 +1,4 @@
-//! The judgement of records made by hand, rule by rule.
+//! The findings of the checker on records made by hand, rule by rule.
 
 use crate::checker::{DrainedServer, RunRecords, check};
 use crate::finding::Finding;
@@ -18,7 +18,7 @@
     Duration::from_millis(millis)
 }
 
-/// Records of a run in which nothing has happened yet.
+/// The records of a run, to be filled in by a test.
 struct Scene {
     schedule: Schedule,
     request_log: RequestLog,
@@ -30,7 +30,7 @@
 }
 
 impl Scene {
-    /// A scene with these troubles, in the lines of a schedule.
+    /// Empty records of a run with these faults, in the text form of a schedule.
     fn new(schedule: &str) -> Scene {
         Scene {
             schedule: Schedule::parse(schedule).expect("a schedule"),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_failed_request_needs_a_cause_and_a_line() {
+fn a_failed_request_is_reported_unless_a_fault_explains_it_and_a_log_line_records_it() {
     let mut scene = Scene::new("");
     assert_eq!(scene.findings(), []);
     scene.attempt(Behaviour::Steady, AttemptEnd::Truncated);
@@ -154,28 +154,28 @@
 #[case::after_the_grace("front_term 100 400 0 0", &["failed_without_cause", "unexplained"])]
 #[case::at_a_server("server_dark 8000 1001 0 0", &["unexplained"])]
 #[case::at_a_server_before("server_dark 8000 1000 0 0", &["failed_without_cause", "unexplained"])]
-#[case::at_a_server_late_by_the_rig("server_failing 10249 1000 0 0", &["unexplained"])]
+#[case::at_a_server_within_the_lag_of_the_harness("server_failing 10249 1000 0 0", &["unexplained"])]
 #[case::at_a_server_afterwards("server_failing 10250 1000 0 0", &["failed_without_cause", "unexplained"])]
 #[case::while_a_server_is_gone("server_crash 8000 5000 0 0", &["failed_without_cause", "unexplained"])]
 #[case::as_a_server_crashes("server_crash 9001 5000 0 0", &["unexplained"])]
 #[case::while_a_server_drains("server_drain 9500 5000 0 0", &["failed_without_cause", "unexplained"])]
 #[case::as_a_drained_server_ends("server_drain 5000 5000 0 0", &["unexplained"])]
-#[case::of_control("control_kill 10000 1000 0 0", &["failed_without_cause", "unexplained"])]
-fn a_trouble_excuses_requests_that_it_can_reach(#[case] schedule: &str, #[case] expected: &[&str]) {
+#[case::at_control("control_kill 10000 1000 0 0", &["failed_without_cause", "unexplained"])]
+fn a_fault_excuses_only_the_requests_that_it_can_affect(#[case] schedule: &str, #[case] expected: &[&str]) {
     let mut scene = Scene::new(schedule);
     scene.attempt(Behaviour::Slow, AttemptEnd::Truncated);
     assert_eq!(scene.rules(), expected);
 }
 
 #[rstest]
-#[case::asked_to_end("front_term 10000 100 0 0", AttemptEnd::Truncated, true, &["failed_without_cause", "unexplained"])]
+#[case::terminated("front_term 10000 100 0 0", AttemptEnd::Truncated, true, &["failed_without_cause", "unexplained"])]
 #[case::crowded("crowd 10000 100 0 0", AttemptEnd::Truncated, true, &["failed_without_cause", "unexplained"])]
 #[case::killed("proxy_kill 10000 100 0 0", AttemptEnd::Truncated, true, &[])]
-#[case::not_passed_on("front_term 10000 100 0 0", AttemptEnd::Truncated, false, &[])]
+#[case::not_forwarded("front_term 10000 100 0 0", AttemptEnd::Truncated, false, &[])]
 #[case::not_connected("front_term 10000 100 0 0", AttemptEnd::ConnectFailed, true, &[])]
 #[case::outlasting_the_grace("front_term 3533 100 0 0", AttemptEnd::Truncated, true, &[])]
 #[case::within_the_grace("front_term 3534 100 0 0", AttemptEnd::Truncated, true, &["failed_without_cause", "unexplained"])]
-fn a_front_that_ends_politely_owes_what_it_has_passed_on(
+fn a_front_that_terminates_must_complete_the_requests_that_it_forwarded(
     #[case] schedule: &str, #[case] ending: AttemptEnd, #[case] has_arrived: bool, #[case] expected: &[&str],
 ) {
     let mut scene = Scene::new(schedule);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn clients_that_misbehave_are_owed_nothing_but_a_right_answer() {
+fn clients_that_disconnect_may_fail_but_get_no_wrong_response() {
     let mut scene = Scene::new("");
     scene.attempt(Behaviour::Stopping, AttemptEnd::Truncated);
     scene.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn servers_excuse_nothing_once_all_is_well() {
+fn server_faults_excuse_no_request_after_the_recovery() {
     let mut scene = Scene::new("server_dark 49500 1000 0 0");
     scene.omitted_log_lines[0] = 1;
     let attempt = scene.attempt(Behaviour::Steady, AttemptEnd::Truncated);
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_run_that_no_client_asked_for_is_found() {
+fn an_execution_without_a_client_request_is_reported() {
     let scene = Scene::new("");
     scene.request_log.record_execution(Execution {
         at: ms(1),
@@ -225,10 +225,10 @@
 #[rstest]
 #[case::in_time("", 10_700, &[])]
 #[case::late("", 10_701, &["gone", "gone"])]
-#[case::at_a_server_in_the_dark("server_dark 10000 500 0 0", 10_701, &[])]
+#[case::at_a_blackholed_server("server_dark 10000 500 0 0", 10_701, &[])]
 #[case::at_a_server_that_fails("server_failing 10000 500 0 0", 10_701, &["gone"])]
-#[case::at_a_front_that_stood_still("front_freeze 10000 500 0 0", 10_701, &[])]
-fn nothing_of_a_client_that_left_reaches_servers_later(
+#[case::at_a_paused_front("front_freeze 10000 500 0 0", 10_701, &[])]
+fn a_request_that_reaches_a_server_long_after_its_client_disconnected_is_reported(
     #[case] schedule: &str, #[case] at: u64, #[case] expected: &[&str],
 ) {
     let mut scene = Scene::new(schedule);
@@ -241,12 +241,14 @@
 #[rstest]
 #[case::in_time("", 8_300, &[])]
 #[case::late("", 8_301, &["drain"])]
-#[case::with_an_agent_cut_off("agent_silent 8000 100 0 0", 8_301, &[])]
+#[case::with_an_agent_partitioned("agent_silent 8000 100 0 0", 8_301, &[])]
 #[case::with_an_agent_killed("agent_kill 8000 100 0 0", 8_301, &[])]
 #[case::with_a_failing_server("server_failing 8000 100 0 0", 8_301, &["drain"])]
-#[case::with_an_older_trouble("control_kill 100 1000 0 0", 12_000, &[])]
-#[case::with_a_later_trouble("control_kill 12000 1000 0 0", 12_000, &["drain"])]
-fn a_server_that_drains_is_left_alone(#[case] schedule: &str, #[case] at: u64, #[case] expected: &[&str]) {
+#[case::with_an_earlier_fault("control_kill 100 1000 0 0", 12_000, &[])]
+#[case::with_a_later_fault("control_kill 12000 1000 0 0", 12_000, &["drain"])]
+fn a_request_that_reaches_a_draining_server_late_is_reported(
+    #[case] schedule: &str, #[case] at: u64, #[case] expected: &[&str],
+) {
     let mut scene = Scene::new(schedule);
     scene.drained_servers.push(DrainedServer { instance: "i-5-1".to_owned(), since: ms(5_000) });
     scene.arrive("i-5-1", ms(at));
@@ -255,7 +257,7 @@
 }
 
 #[test]
-fn orders_have_one_holder_a_token_and_do_not_go_to_and_fro() {
+fn two_holders_of_a_token_and_repeated_orders_are_reported() {
     let mut scene = Scene::new("");
     scene.order(r#"{"Fence":4,"Holder":"a"}"#);
     scene.order(r#"{"Fence":5,"Holder":"b"}"#);
@@ -275,11 +277,13 @@
 #[case::control_killed("control_kill 9000 2000 0 0", &[])]
 #[case::control_killed_long_ago("control_kill 1000 2000 0 0", &["not_acknowledged", "not_acknowledged", "not_read"])]
 #[case::control_killed_before("control_kill 1000 2001 0 0", &[])]
-#[case::servers_in_the_dark("server_dark 9000 2000 0 0", &["not_acknowledged", "not_acknowledged", "not_read"])]
-// Agents may host control, which the judgement does not know: issue 27, point 6.
+#[case::servers_blackholed("server_dark 9000 2000 0 0", &["not_acknowledged", "not_acknowledged", "not_read"])]
+// An agent may host control, which the checker does not know: a known defect (issue 27, point 6).
 #[case::agent_killed("agent_kill 9000 2000 0 0", &["not_acknowledged", "not_acknowledged", "not_read"])]
 #[case::agent_silent("agent_silent 9000 2000 0 0", &["not_acknowledged", "not_acknowledged", "not_read"])]
-fn in_calm_changes_are_acknowledged_and_reads_answered(#[case] schedule: &str, #[case] expected: &[&str]) {
+fn without_control_faults_unanswered_writes_and_reads_are_reported(
+    #[case] schedule: &str, #[case] expected: &[&str],
+) {
     let scene = Scene::new(schedule);
     scene.operator_log.record_write(put(2, 1, 10_000, CallOutcome::Unknown));
     scene.operator_log.record_write(ConfigWrite { ended_at: ms(14_000), ..put(3, 2, 10_000, refused()) });
@@ -289,10 +293,10 @@
 }
 
 #[rstest]
-#[case::fine(vec![put(2, 1, 100, acknowledged()), put(3, 2, 300, CallOutcome::Unknown)], vec![read(1, 50), read(3, 500)], &[])]
+#[case::consistent(vec![put(2, 1, 100, acknowledged()), put(3, 2, 300, CallOutcome::Unknown)], vec![read(1, 50), read(3, 500)], &[])]
 #[case::invalid(vec![ConfigWrite { is_valid: false, ..put(2, 1, 100, acknowledged()) }], vec![],
     &["version 2 is invalid and was acknowledged"])]
-#[case::both(vec![put(2, 1, 100, acknowledged()), put(3, 1, 100, acknowledged())], vec![],
+#[case::two_on_one_base(vec![put(2, 1, 100, acknowledged()), put(3, 1, 100, acknowledged())], vec![],
     &["versions 2 and 3 on 1 were both acknowledged"])]
 #[case::refused_later(vec![ConfigWrite { is_resend: true, ..put(2, 1, 100, refused()) }], vec![],
     &["version 2 was acknowledged and then refused: Refused(Response { status: 409, headers: Headers([]), body: [] })"])]
@@ -306,13 +310,13 @@
 #[case::older_than_acknowledged(vec![put(2, 1, 100, acknowledged())], vec![read(1, 201)],
     &["version 1 was read at 127.0.0.9:80 from 201 ms on, after 2 was acknowledged"])]
 #[case::as_it_is_acknowledged(vec![put(2, 1, 100, acknowledged())], vec![read(1, 200)], &[])]
-#[case::backwards(vec![put(2, 1, 100, CallOutcome::Unknown)], vec![read(2, 300), read(1, 311)],
+#[case::older_than_read_before(vec![put(2, 1, 100, CallOutcome::Unknown)], vec![read(2, 300), read(1, 311)],
     &["version 1 was read at 127.0.0.9:80 after 2"])]
-#[case::side_by_side(vec![put(2, 1, 100, CallOutcome::Unknown)], vec![read(2, 300), read(1, 310)], &[])]
-fn configurations_are_as_operators_were_told(
+#[case::concurrent_reads(vec![put(2, 1, 100, CallOutcome::Unknown)], vec![read(2, 300), read(1, 310)], &[])]
+fn inconsistent_writes_and_stale_reads_are_reported(
     #[case] writes: Vec<ConfigWrite>, #[case] reads: Vec<ConfigRead>, #[case] expected: &[&str],
 ) {
-    // A trouble of control leaves only the rules about configurations.
+    // A fault of control for the whole run leaves only the rules about configurations.
     let scene = Scene::new("control_kill 0 60000 0 0");
     writes.into_iter().for_each(|put| scene.operator_log.record_write(put));
     reads.into_iter().for_each(|read| scene.operator_log.record_read(read));
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -39,6 +39,8 @@
 #[cfg(test)]
 mod report_tests;
 mod run_log;
+#[cfg(test)]
+mod run_log_tests;
 mod schedule;
 #[cfg(test)]
 mod schedule_tests;
--- a/crates/soak/src/link_proxy_tests.rs
+++ b/crates/soak/src/link_proxy_tests.rs
@@ -1,4 +1,4 @@
-//! Bytes through a relay whose links are cut and opened.
+//! Bytes through a link proxy whose links are blackholed, reset and opened.
 
 use crate::link_proxy::{Link, LinkProxy, LinkState, LinkTable};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -10,17 +10,18 @@
 
 struct Bench {
     links: LinkTable,
-    relay: SocketAddr,
+    public: SocketAddr,
     far: TcpListener,
-    _relay: LinkProxy,
+    _proxy: LinkProxy,
 }
 
 async fn bench() -> Bench {
     let far = TcpListener::bind((FAR, 0)).await.expect("a port");
     let port = TcpListener::bind((FAR, 0)).await.expect("a port").local_addr().expect("an address");
     let links = LinkTable::default();
-    let relay = LinkProxy::start(&links, port, far.local_addr().expect("an address")).await.expect("a relay");
-    Bench { links, relay: port, far, _relay: relay }
+    let proxy =
+        LinkProxy::start(&links, port, far.local_addr().expect("an address")).await.expect("a link proxy");
+    Bench { links, public: port, far, _proxy: proxy }
 }
 
 async fn connect(to: SocketAddr) -> TcpStream {
@@ -30,9 +31,9 @@
 }
 
 #[tokio::test]
-async fn bytes_wait_in_the_direction_that_is_cut_and_flow_in_the_other() {
+async fn a_blackholed_link_delays_bytes_in_its_direction_only() {
     let bench = bench().await;
-    let mut near = connect(bench.relay).await;
+    let mut near = connect(bench.public).await;
     let (mut far, _) = bench.far.accept().await.expect("a connection");
     bench.links.set(Link { from: NEAR, to: FAR }, LinkState::Blackholed);
     near.write_all(b"there").await.expect("a write");
@@ -40,7 +41,7 @@
     let mut back = [0; 4];
     near.read_exact(&mut back).await.expect("bytes");
     assert_eq!(&back, b"back");
-    // Nothing has come the other way, although what was sent later has come back.
+    // Nothing has arrived in the blackholed direction, although bytes sent later have arrived in the other.
     assert!(far.try_read(&mut [0; 8]).is_err());
     bench.links.open_all();
     let mut there = [0; 5];
@@ -49,22 +50,22 @@
 }
 
 #[tokio::test]
-async fn a_reset_ends_open_connections_and_new_ones() {
+async fn a_reset_link_resets_open_connections_and_new_ones() {
     let bench = bench().await;
-    let mut near = connect(bench.relay).await;
+    let mut near = connect(bench.public).await;
     let (mut far, _) = bench.far.accept().await.expect("a connection");
     bench.links.set(Link { from: FAR, to: NEAR }, LinkState::Reset);
     assert!(!matches!(near.read(&mut [0; 8]).await, Ok(1..)));
     assert!(!matches!(far.read(&mut [0; 8]).await, Ok(1..)));
-    let mut newer = connect(bench.relay).await;
+    let mut newer = connect(bench.public).await;
     assert!(!matches!(newer.read(&mut [0; 8]).await, Ok(1..)));
 }
 
 #[tokio::test]
-async fn a_connection_that_is_opened_across_a_cut_comes_up_once_it_is_over() {
+async fn a_connection_opened_over_a_blackholed_link_is_established_once_the_link_opens() {
     let bench = bench().await;
     bench.links.set(Link { from: FAR, to: NEAR }, LinkState::Blackholed);
-    let mut near = connect(bench.relay).await;
+    let mut near = connect(bench.public).await;
     near.write_all(b"there").await.expect("a write");
     bench.links.open_all();
     let (mut far, _) = bench.far.accept().await.expect("a connection");
--- a/crates/soak/src/report_tests.rs
+++ b/crates/soak/src/report_tests.rs
@@ -1,4 +1,4 @@
-//! The text of the summary, and the files of a failing seed.
+//! The files of a failing seed, and the text of the summary.
 
 use crate::finding::Finding;
 use crate::harness::RunOutcome;
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_folder_holds_schedule_findings_ledger_and_logs() {
+fn a_run_folder_holds_schedule_findings_ledger_and_logs() {
     let folder = std::env::temp_dir().join(format!("lugwharf-soak-report-{}", std::process::id()));
     write_run_folder(&folder, &outcome()).expect("a folder");
     let mut files: Vec<(String, String)> = std::fs::read_dir(&folder)
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_summary_counts_seeds_requests_troubles_pairs_and_rules() {
+fn a_summary_counts_seeds_requests_faults_overlapping_kinds_and_rules() {
     let mut summary = Summary::default();
     assert!(summary.is_clean());
     summary.add(9, &outcome());
--- a/crates/soak/src/schedule_tests.rs
+++ b/crates/soak/src/schedule_tests.rs
@@ -1,4 +1,4 @@
-//! Schedules are a function of their seed, and can be written down and read again.
+//! Schedules are a function of their seed, and their text form can be parsed.
 
 use crate::fault::FaultKind;
 use crate::schedule::{Overlap, Scenario, Schedule};
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_seed_gives_the_same_troubles_each_time_and_others_give_others() {
+fn a_seed_always_draws_the_same_schedule_and_it_survives_its_text_form() {
     let first = Schedule::draw(&scenario(7, 3));
     assert_eq!(first, Schedule::draw(&scenario(7, 3)));
     assert_ne!(first, Schedule::draw(&scenario(8, 3)));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn all_kinds_come_up_and_troubles_overlap_as_far_as_they_may() {
+fn all_default_kinds_are_drawn_and_overlap_up_to_the_limit() {
     let mut kinds = BTreeSet::new();
     let mut most = 0;
     for seed in 0..200 {
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn kinds_that_are_named_are_drawn() {
+fn only_the_named_kinds_are_drawn() {
     let faults = Schedule::draw_from_kinds(&scenario(1, 3), &[FaultKind::IdleRace]).faults;
     assert!(!faults.is_empty() && faults.iter().all(|fault| fault.kind == FaultKind::IdleRace));
 }
@@ -54,7 +54,7 @@
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Digests of the schedules of one to three troubles at a time. They change with any change to the draws or their order.
+/// Digests of the schedules with one to three faults at a time. They change with any change to the draws or their order.
 #[rstest]
 #[case::seed(Scenario::with_core, 0, [0x18f2_4c8c_ff14_f3c9, 0x3419_58ba_740e_49d1, 0x0d19_84c5_fd6b_9722])]
 #[case::seed(Scenario::without_core, 0, [0x4775_1b79_a664_106a, 0x2d50_6b6e_bff3_2069, 0x0405_4fa4_2d19_04b6])]
@@ -110,7 +110,7 @@
 #[case::seed(Scenario::without_core, 7_700_001, [0xb035_2373_6936_ea8e, 0x4b88_19c9_4e35_51c3, 0x32e6_66d8_2057_e1c5])]
 #[case::seed(Scenario::with_core, u64::MAX, [0xf036_53d3_3459_9aba, 0xc905_09ac_6449_a120, 0xafd2_837b_1d0b_ed68])]
 #[case::seed(Scenario::without_core, u64::MAX, [0xca47_a66c_153e_e3f7, 0x5a0e_dadd_b8dd_76bf, 0x0908_f13b_9537_26fe])]
-fn a_seed_draws_the_schedules_that_it_always_drew(
+fn the_schedules_of_a_seed_are_unchanged(
     #[case] scenario: fn(u64, Overlap, Duration) -> Scenario, #[case] seed: u64, #[case] expected: [u64; 3],
 ) {
     let digests = [1, 2, 3].map(|overlap| {
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_schedule_is_written_as_one_line_per_trouble() {
+fn the_text_form_of_a_schedule_has_one_line_per_fault() {
     let expected = "\
 streams_cut 893 852 3 20\n\
 agent_kill 1351 689 37 59\n\
@@ -181,7 +181,7 @@
 ];
 
 #[test]
-fn kinds_keep_their_names_their_order_and_what_they_excuse() {
+fn kinds_keep_their_names_their_order_and_what_they_disrupt() {
     let table: Vec<(&str, String)> = FaultKind::ALL
         .iter()
         .map(|kind| {
@@ -200,3 +200,12 @@
     let table: Vec<(&str, &str)> = table.iter().map(|(name, letters)| (*name, letters.as_str())).collect();
     assert_eq!(table, KINDS);
 }
+
+#[rstest]
+#[case::unknown_kind("storm 1 2 3 4")]
+#[case::no_number("crowd 1 2 x 4")]
+#[case::too_short("crowd 1 2 3")]
+fn a_line_that_is_no_fault_is_named_in_the_error(#[case] line: &str) {
+    let error = Schedule::parse(&format!("mute 1 2 3 4\n\n{line}\n")).expect_err("no fault");
+    assert_eq!(error.to_string(), format!("no trouble: {line:?}"));
+}
