--- a/crates/soak/src/fault_injection.rs
+++ b/crates/soak/src/fault_injection.rs
@@ -66,6 +66,7 @@
         ActiveFault {
             fault: fault.clone(),
             control_node,
+            // A fleet has at least three control nodes, and a replacement keeps their number.
             peer_control_node: peers[fault.peer % peers.len()],
             control_nodes: fleet.control_nodes.clone(),
             front,
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -114,7 +114,7 @@
         Operator::new(self.operator_addresses())
     }
 
-    /// The control node in use that the target of a fault selects.
+    /// The control node in use that the target of a fault selects. There is always one: replacements keep their number.
     pub fn control_node(&self, target: usize) -> usize {
         self.control_nodes[target % self.control_nodes.len()]
     }
