--- a/crates/proxy/tests/kv_handles.rs
+++ b/crates/proxy/tests/kv_handles.rs
@@ -171,12 +171,13 @@
 #[tokio::test]
 async fn rejected_prefill_attempts_are_limited_to_three() {
     with_proxy(generation(&["p", "q", "s", "t"], &["d"]), async |proxy| {
-        let _client = proxy.send_request("r1", "").await;
+        let mut client = proxy.send_request("r1", "").await;
         let mut attempts = 0;
         loop {
             let mut server = tokio::select! {
                 (accepted, _) = proxy.accept_any(&["p", "q", "s", "t"]) => accepted,
                 _ = proxy.accept("d") => break,
+                response = client.read_message() => panic!("ended before a decode: {response:?}"),
             };
             server.read_request().await;
             attempts += 1;
@@ -198,7 +199,7 @@
 #[case::long(LONG, false)]
 #[tokio::test]
 async fn after_a_failed_prefill_only_short_prompts_run_on_a_decode_server(
-    #[case] prompt: &str, #[case] is_retried: bool,
+    #[case] prompt: &str, #[case] is_executed: bool,
 ) {
     with_proxy(generation(&["p", "q"], &["d"]).max_attempts(1), async |proxy| {
         let mut client = proxy.send_request("r1", prompt).await;
@@ -208,7 +209,7 @@
             _ = proxy.accept("d") => None,
             response = client.read_message() => response,
         };
-        assert_eq!(refused.is_none(), is_retried);
+        assert_eq!(refused.is_none(), is_executed);
         if let Some(response) = refused {
             assert_eq!(response.status(), 503);
             assert!(response.header("retry-after").is_some());
@@ -238,8 +239,8 @@
 #[case::one(1, false)]
 #[case::three(3, true)]
 #[tokio::test]
-async fn long_prompt_with_a_rejected_handle_is_retried_again_or_refused(
-    #[case] attempts: u32, #[case] is_retried: bool,
+async fn long_prompt_with_a_rejected_handle_is_prefilled_again_or_refused(
+    #[case] attempts: u32, #[case] is_prefilled: bool,
 ) {
     with_proxy(generation(&["p", "q"], &["d", "e", "f"]).max_attempts(attempts), async |proxy| {
         let mut client = proxy.send_request("r1", LONG).await;
@@ -262,7 +263,7 @@
             }
             response = client.read_message() => response.map(|response| response.status()),
         };
-        assert_eq!(status, if is_retried { None } else { Some(503) });
+        assert_eq!(status, if is_prefilled { None } else { Some(503) });
     })
     .await;
 }
