--- a/crates/election/src/elector/inbound.rs
+++ b/crates/election/src/elector/inbound.rs
@@ -22,7 +22,7 @@
             return;
         }
         let is_of_view = message.view == view.number;
-        let is_current = is_of_view && view.members.contains(&from);
+        let is_from_current_member = is_of_view && view.members.contains(&from);
         match message.body {
             // A holder that is no member of the new view releases its lease there too.
             MessageBody::ReleaseLease { token, was_holder } if is_of_view && token.view() <= view.number => {
@@ -31,7 +31,7 @@
             MessageBody::PreVoteGranted { .. }
             | MessageBody::VoteGranted { .. }
             | MessageBody::VoteDenied { .. }
-                if is_current =>
+                if is_from_current_member =>
             {
                 self.on_response(now, from, message.body, actions);
             }
@@ -40,7 +40,7 @@
             | MessageBody::RenewLease { .. }
                 if view.is_voter =>
             {
-                self.on_request(now, from, message.body, is_current, actions);
+                self.on_request(now, from, message.body, is_from_current_member, actions);
             }
             _ => {}
         }
@@ -62,14 +62,15 @@
         }
     }
 
-    /// Handles a request as a voter. `is_current` says that a member sent it in the current view; any other one is denied.
+    /// Handles a request as a voter. `is_from_current_member`: it was sent in the current view, by a member of that view.
+    /// Any other request is denied.
     fn on_request(
-        &mut self, now: Duration, from: SocketAddr, body: MessageBody, is_current: bool,
+        &mut self, now: Duration, from: SocketAddr, body: MessageBody, is_from_current_member: bool,
         actions: &mut Vec<Action>,
     ) {
         let (kind, request_id, token) = match body {
             MessageBody::PreVote { request_id } => {
-                self.on_pre_vote(now, from, request_id, is_current, actions);
+                self.on_pre_vote(now, from, request_id, is_from_current_member, actions);
                 return;
             }
             MessageBody::RequestVote { request_id, token } => (RequestKind::Election, request_id, token),
@@ -78,7 +79,7 @@
         };
         let Some(view) = self.view.as_ref().map(|view| view.number) else { return };
         let request = VoteRequest { kind, requester: from, view, request_id, token };
-        if !is_current {
+        if !is_from_current_member {
             // The denial carries this view: a requester in an earlier one learns that its view is over.
             self.deny_vote(now, request, actions);
             return;
--- a/crates/election/src/elector/voting.rs
+++ b/crates/election/src/elector/voting.rs
@@ -1,4 +1,7 @@
-//! How an elector answers requests for votes, and how its own requests are answered by its own voter.
+//! The voter's side of an elector: answers to pre-votes, and decisions on votes and renewals.
+//!
+//! Requests of other processes are answered by a message. A request of this process for its own vote takes the same way
+//! through the voter, but its answer is handed to this process's candidate or holder by a direct call.
 
 use super::{Elector, ElectorState};
 use crate::action::{Action, BatchId};
@@ -8,17 +11,23 @@
 use std::time::Duration;
 
 impl Elector {
-    /// Answers whether this process would vote for another one. Neither answer binds it.
+    /// Answers whether this process would vote for another one.
+    ///
+    /// Neither answer binds the voter: no vote is recorded and no lease is granted. A grant does reschedule a campaign of
+    /// this process, and draws from the generator, so that the other one can finish its campaign undisturbed.
+    ///
+    /// `is_from_current_member` as in [`Elector::on_request`].
     pub(super) fn on_pre_vote(
-        &mut self, now: Duration, candidate: SocketAddr, request_id: u64, is_current: bool,
+        &mut self, now: Duration, candidate: SocketAddr, request_id: u64, is_from_current_member: bool,
         actions: &mut Vec<Action>,
     ) {
         let view = self.view.as_ref().map_or(0, |view| view.number);
         let highest_token = self.voter.highest_token();
-        let is_granted =
-            is_current && self.voter.would_vote_for(now, view, candidate) && self.yields_to(candidate);
+        let is_granted = is_from_current_member
+            && self.voter.would_vote_for(now, view, candidate)
+            && self.yields_to(candidate);
         if is_granted {
-            self.postpone_campaign(now);
+            self.reschedule_campaign(now);
         }
         let body = if is_granted {
             MessageBody::PreVoteGranted { request_id, highest_token }
@@ -28,12 +37,17 @@
         self.send(candidate, body, actions);
     }
 
-    /// Lets another process, which has sent a pre-vote, finish its campaign before this one starts its own.
-    fn postpone_campaign(&mut self, now: Duration) {
-        let backoff = self.max_backoff();
-        let later = now + backoff + self.draw_backoff(backoff);
+    /// Sets this process's next campaign to between one and two of the longest backoffs from now, so that another one,
+    /// whose pre-vote it grants, can finish its campaign first.
+    ///
+    /// This replaces whatever was scheduled: it sets a campaign if there was none, and brings one forward that a longer
+    /// backoff after failed campaigns had put off. There is one draw from the generator in every state, also where nothing
+    /// is scheduled.
+    fn reschedule_campaign(&mut self, now: Duration) {
+        let max_backoff = self.max_backoff();
+        let rescheduled_to = now + max_backoff + self.draw_backoff(max_backoff);
         if let ElectorState::Follower { campaign_at } = &mut self.state {
-            *campaign_at = Some(later);
+            *campaign_at = Some(rescheduled_to);
         }
     }
 
--- a/crates/election/src/lib.rs
+++ b/crates/election/src/lib.rs
@@ -9,7 +9,7 @@
 //! The members of the current membership view vote; a majority of them elects the holder.
 //!
 //! 1. Pre-vote (Ongaro's thesis, section 9.6): a member that has granted no running lease asks whether the others would
-//!    vote for it. The answer binds nobody, so that a process that merely can't hear the holder disturbs no one.
+//!    vote for it. The answer grants nothing, so that a process that merely can't hear the holder disturbs no one.
 //! 2. Election: if a majority would, the member is a candidate under a token above all that they know. It syncs its vote
 //!    for itself first, then requests the votes of the others. A voter syncs its vote before it sends it, and grants no
 //!    other process a lease until this one ends.
@@ -21,6 +21,20 @@
 //! bound. Unlike there, a voter counts the lease itself and no log orders the holders; what they do is ordered by the
 //! fencing token that goes with it.
 //!
+//! # Terms of Raft
+//!
+//! | here | in Raft |
+//! | --- | --- |
+//! | holder | leader, but of a role and without a log |
+//! | [`FencingToken`] | term: grows with each election, has one holder at most, and is persisted before a vote is sent |
+//! | view | configuration; its number stands in the upper bits of the token |
+//! | `request_id` | none: it pairs a response with its request, since messages are sent one way and may be late |
+//!
+//! A pre-vote carries no token, where Raft's carries the next term: the candidate chooses its token only after the pre-vote,
+//! above all that the responses report, so a voter's answer can't depend on it. A denied pre-vote and a denied vote are the
+//! same message ([`MessageBody::VoteDenied`]), since they say the same: the request and the highest token that the voter
+//! knows. The request id tells them apart, since each phase of a campaign has its own.
+//!
 //! # Why there is one holder at a time
 //!
 //! - Within a view: two majorities share a voter. The holder counts its lease from before it sent the request, the voter
--- a/crates/election/src/message.rs
+++ b/crates/election/src/message.rs
@@ -20,8 +20,8 @@
 /// Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum MessageBody {
-    /// Asks whether the receiver would vote for the sender; binds neither of them. Pre-vote of Ongaro's thesis,
-    /// section 9.6.
+    /// Asks whether the receiver would vote for the sender; grants no lease. Pre-vote of Ongaro's thesis, section 9.6. It
+    /// carries no token, since the candidate chooses one only after the responses.
     #[serde(rename = "Ask")]
     PreVote {
         /// The requester's number.
@@ -66,7 +66,8 @@
         /// The token granted.
         token: FencingToken,
     },
-    /// The voter denies a pre-vote, a vote or a renewal.
+    /// The voter denies a pre-vote, a vote or a renewal; `request_id` says which. All three need the same content: a
+    /// candidate chooses its token above the highest one, also from the denials of its pre-vote.
     #[serde(rename = "Refuse")]
     VoteDenied {
         /// The requester's number.
