--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -4,7 +4,10 @@
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// A directory on a disk. Renames and removals are durable only once the directory was synced.
+/// The operations of one flat directory that the log needs: [`Directory`] on a file system, or a simulated disk in tests.
+/// Names are those of files in that directory.
+///
+/// Renames and removals are durable only once the directory was synced.
 pub trait Disk {
     /// An open file.
     type File: DiskFile;
@@ -15,7 +18,11 @@
     /// Opens a file that exists.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Creates a file, or truncates it to nothing. Its name is durable once the file was synced.
+    /// Creates a file, or truncates an existing one to nothing.
+    ///
+    /// Nothing is durable before a sync. The name of a new file counts as durable once the file was synced, as in practice
+    /// on Linux file systems with a journal (ext4, XFS), but POSIX does not promise it. The log does not rely on this: it
+    /// renames a new file and syncs the directory before it appends to it.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
     /// Renames a file, and replaces the one that has the new name.
@@ -30,13 +37,16 @@
 
 /// An open file.
 pub trait DiskFile {
-    /// Writes all bytes at an offset; the file grows as needed.
-    fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
+    /// Writes all bytes at an offset. The file grows as needed; a gap between its end and the offset reads as zeros.
+    ///
+    /// After an error any part of the bytes may have been written, also none or all of them, and the file may have grown.
+    fn write_all_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
     /// Truncates or extends the file to a length in bytes.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
 
-    /// Makes the content and the length durable (`fdatasync`).
+    /// Makes the content and the length durable (`fdatasync`). After an error it is unknown which part is durable, and a
+    /// later sync that succeeds does not prove that the writes before the error are: write them again.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -95,7 +105,7 @@
 }
 
 impl DiskFile for DirectoryFile {
-    fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
+    fn write_all_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         self.file.seek(SeekFrom::Start(offset))?;
         self.file.write_all(bytes)
     }
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -116,7 +116,7 @@
     fn create(disk: D) -> Result<(Log<D>, Recovered), StoreError> {
         let generation = 1;
         let mut file = disk.create(NEW_LOG)?;
-        file.write_at(0, &frame::encode_header(generation))?;
+        file.write_all_at(0, &frame::encode_header(generation))?;
         file.sync()?;
         disk.rename(NEW_LOG, LOG)?;
         disk.sync_directory()?;
@@ -147,7 +147,7 @@
         self.repair()?;
         let frame = frame::encode_frame(self.generation, self.next_sequence, records);
         self.has_failed_append = true;
-        self.file.write_at(self.valid_bytes, &frame)?;
+        self.file.write_all_at(self.valid_bytes, &frame)?;
         self.file.sync()?;
         self.has_failed_append = false;
         self.valid_bytes += frame.len() as u64;
@@ -197,7 +197,7 @@
         for (sequence, records) in (1..).zip(batches) {
             let mut content = if offset == 0 { frame::encode_header(generation) } else { Vec::new() };
             content.extend(frame::encode_frame(generation, sequence, records));
-            file.write_at(offset, &content)?;
+            file.write_all_at(offset, &content)?;
             offset += content.len() as u64;
         }
         file.sync()?;
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/simulated.rs
@@ -32,9 +32,9 @@
     /// The directory as it is after a loss of all unsynced changes.
     durable_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
-    /// Whether every write and sync fails.
+    /// Whether every operation that consumes a fault step fails (see [`State::consume_fault_step`]).
     refuses: bool,
-    /// How many more operations succeed before one fails; `None` for all.
+    /// How many more of these operations succeed before one fails; `None` for all.
     fails_after: Option<usize>,
 }
 
@@ -43,14 +43,14 @@
     /// The content as processes see it.
     content: Vec<u8>,
     /// The content at the last sync.
-    durable: Vec<u8>,
+    durable_content: Vec<u8>,
     unsynced: Vec<ContentChange>,
 }
 
 #[derive(Clone, Debug)]
 enum ContentChange {
     Write { offset: usize, bytes: Vec<u8> },
-    Length(usize),
+    SetLength(usize),
 }
 
 #[derive(Clone, Debug)]
@@ -73,23 +73,27 @@
         SimulatedDisk::default()
     }
 
-    /// Sets whether every write and sync fails from now on, as on a full disk.
+    /// Sets whether every operation that changes or syncs the disk fails from now on, as on a full disk: creations, renames,
+    /// removals, syncs of the directory, and of an open file writes, changes of length and syncs. The first half of a write
+    /// that fails is written nevertheless. Reads and openings succeed.
     pub fn set_refuses(&self, refuses: bool) {
         lock(&self.state).refuses = refuses;
     }
 
-    /// Lets this many operations succeed, the next one fail and all later ones succeed. The first half of a failed write is
-    /// written.
+    /// Lets this many operations succeed, the next one fail and all later ones succeed. The operations that count are those
+    /// of [`SimulatedDisk::set_refuses`], which fails without counting. The first half of a failed write is written.
     pub fn fail_after(&self, operations: usize) {
         lock(&self.state).fails_after = Some(operations);
     }
 
-    /// Loses power: each unsynced change is kept, lost or torn.
+    /// Loses power: each unsynced change is kept, lost or torn. Files that were open can still be used, and have the content
+    /// that is left, but their names may be gone.
     pub fn lose_power(&self, rng: &mut fastrand::Rng) {
         lock(&self.state).lose_power(rng);
     }
 
-    /// Erases the disk.
+    /// Erases the disk, its faults too, as if another empty disk stood in its place. Files that were open refer to files
+    /// that are gone: using one panics, or reaches another file that was created since. Drop them before.
     pub fn wipe(&self) {
         *lock(&self.state) = State::default();
     }
@@ -100,7 +104,7 @@
         let Some(inode) = state.names.get(name).copied() else { return };
         let inode = &mut state.inodes[inode];
         inode.content[offset] ^= 0x55;
-        inode.durable = inode.content.clone();
+        inode.durable_content = inode.content.clone();
     }
 
     /// Truncates a file, as a torn write would.
@@ -109,7 +113,7 @@
         let Some(inode) = state.names.get(name).copied() else { return };
         let inode = &mut state.inodes[inode];
         inode.content.truncate(length);
-        inode.durable = inode.content.clone();
+        inode.durable_content = inode.content.clone();
     }
 }
 
@@ -126,7 +130,9 @@
 }
 
 impl State {
-    fn check_fault(&mut self) -> io::Result<()> {
+    /// Fails if the next operation is to fail, and counts that operation: call it once for each one. An operation that does
+    /// not call it, as a read or an opening, never fails by an injected fault.
+    fn consume_fault_step(&mut self) -> io::Result<()> {
         if self.refuses {
             return Err(refused());
         }
@@ -171,11 +177,11 @@
             }
             match rng.u8(..3) {
                 0 => {}
-                1 => apply_content(&mut self.durable, &change),
-                _ => apply_torn(&mut self.durable, &change, rng),
+                1 => apply_content(&mut self.durable_content, &change),
+                _ => apply_torn(&mut self.durable_content, &change, rng),
             }
         }
-        self.content = self.durable.clone();
+        self.content = self.durable_content.clone();
     }
 }
 
@@ -188,7 +194,7 @@
             }
             content[*offset..end].copy_from_slice(bytes);
         }
-        ContentChange::Length(length) => content.resize(*length, 0),
+        ContentChange::SetLength(length) => content.resize(*length, 0),
     }
 }
 
@@ -242,9 +248,9 @@
 
     fn create(&self, name: &str) -> io::Result<SimulatedFile> {
         let mut state = lock(&self.state);
-        state.check_fault()?;
+        state.consume_fault_step()?;
         if let Some(inode) = state.names.get(name).copied() {
-            state.inodes[inode].apply(ContentChange::Length(0));
+            state.inodes[inode].apply(ContentChange::SetLength(0));
             return Ok(SimulatedFile { state: self.state.clone(), inode });
         }
         let inode = state.inodes.len();
@@ -256,7 +262,7 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.check_fault()?;
+        state.consume_fault_step()?;
         let inode = state.names.get(from).copied().ok_or_else(|| missing(from))?;
         let change = NameChange::Renamed { from: from.to_owned(), to: to.to_owned(), inode };
         apply_name(&mut state.names, &change);
@@ -266,7 +272,7 @@
 
     fn remove(&self, name: &str) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.check_fault()?;
+        state.consume_fault_step()?;
         if !state.names.contains_key(name) {
             return Err(missing(name));
         }
@@ -278,7 +284,7 @@
 
     fn sync_directory(&self) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.check_fault()?;
+        state.consume_fault_step()?;
         state.durable_names = state.names.clone();
         state.unsynced_names.clear();
         Ok(())
@@ -286,9 +292,9 @@
 }
 
 impl DiskFile for SimulatedFile {
-    fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
+    fn write_all_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         let mut state = lock(&self.state);
-        let checked = state.check_fault();
+        let checked = state.consume_fault_step();
         let written = if checked.is_ok() { bytes } else { &bytes[..bytes.len() / 2] };
         let change = ContentChange::Write { offset: offset as usize, bytes: written.to_vec() };
         state.inodes[self.inode].apply(change);
@@ -297,23 +303,23 @@
 
     fn set_length(&mut self, length: u64) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.check_fault()?;
-        state.inodes[self.inode].apply(ContentChange::Length(length as usize));
+        state.consume_fault_step()?;
+        state.inodes[self.inode].apply(ContentChange::SetLength(length as usize));
         Ok(())
     }
 
     fn sync(&mut self) -> io::Result<()> {
         let mut state = lock(&self.state);
-        state.check_fault()?;
+        state.consume_fault_step()?;
         let inode = &mut state.inodes[self.inode];
-        inode.durable = inode.content.clone();
+        inode.durable_content = inode.content.clone();
         inode.unsynced.clear();
         let is_creation =
             |change: &NameChange| matches!(change, NameChange::Created { inode, .. } if *inode == self.inode);
-        let (durable, rest) = std::mem::take(&mut state.unsynced_names).into_iter().partition(is_creation);
+        let (creations, rest) = std::mem::take(&mut state.unsynced_names).into_iter().partition(is_creation);
         state.unsynced_names = rest;
-        let durable: Vec<NameChange> = durable;
-        for change in &durable {
+        let creations: Vec<NameChange> = creations;
+        for change in &creations {
             apply_name(&mut state.durable_names, change);
         }
         Ok(())
--- a/crates/store/tests/file_format.rs
+++ b/crates/store/tests/file_format.rs
@@ -39,7 +39,7 @@
 
 fn disk_with(name: &str, content: &[u8]) -> SimulatedDisk {
     let disk = SimulatedDisk::new();
-    disk.create(name).expect("a file").write_at(0, content).expect("a write");
+    disk.create(name).expect("a file").write_all_at(0, content).expect("a write");
     disk
 }
 
--- a/crates/store/tests/simulated.rs
+++ b/crates/store/tests/simulated.rs
@@ -30,7 +30,7 @@
 fn synced_content_survives() {
     let synced = outcomes(|disk| {
         let mut file = disk.create("file").unwrap();
-        file.write_at(0, &content()).unwrap();
+        file.write_all_at(0, &content()).unwrap();
         file.sync().unwrap();
     });
     assert_eq!(synced, BTreeSet::from([Some(content())]));
@@ -41,7 +41,7 @@
     let outcomes = outcomes(|disk| {
         let mut file = disk.create("file").unwrap();
         file.sync().unwrap();
-        file.write_at(0, &content()).unwrap();
+        file.write_all_at(0, &content()).unwrap();
     });
     assert!(outcomes.contains(&Some(content())) && outcomes.contains(&Some(Vec::new())));
     let torn = outcomes.iter().flatten().filter(|bytes| !bytes.is_empty() && **bytes != content());
@@ -61,7 +61,7 @@
     let outcomes = outcomes(|disk| {
         let mut file = disk.create("file").unwrap();
         file.sync().unwrap();
-        file.write_at(0, &content()).unwrap();
+        file.write_all_at(0, &content()).unwrap();
     });
     let second_only: Vec<u8> = [vec![0; SECTOR_BYTES], vec![2; SECTOR_BYTES]].concat();
     assert!(outcomes.contains(&Some(second_only)));
@@ -71,7 +71,7 @@
 fn an_unsynced_length_is_kept_or_lost() {
     let outcomes = outcomes(|disk| {
         let mut file = disk.create("file").unwrap();
-        file.write_at(0, &content()).unwrap();
+        file.write_all_at(0, &content()).unwrap();
         file.sync().unwrap();
         file.set_length(10).unwrap();
     });
@@ -90,7 +90,7 @@
 fn a_rename_is_durable_once_the_directory_is_synced(#[case] synced: bool, #[case] wanted: &[Option<usize>]) {
     let outcomes = outcomes(|disk| {
         let mut file = disk.create("new").unwrap();
-        file.write_at(0, &[7]).unwrap();
+        file.write_all_at(0, &[7]).unwrap();
         file.sync().unwrap();
         disk.rename("new", "file").unwrap();
         if synced {
@@ -131,7 +131,7 @@
             let mut file = disk.create(&index.to_string()).unwrap();
             if writes {
                 file.sync().unwrap();
-                file.write_at(0, &[1]).unwrap();
+                file.write_all_at(0, &[1]).unwrap();
             }
         }
         disk.lose_power(&mut fastrand::Rng::with_seed(seed));
@@ -167,7 +167,7 @@
     let disk = SimulatedDisk::new();
     let mut file = disk.create("file").unwrap();
     disk.fail_after(0);
-    assert!(file.write_at(0, &[1; 10]).is_err());
+    assert!(file.write_all_at(0, &[1; 10]).is_err());
     assert_eq!(disk.read("file").unwrap(), Some(vec![1; 5]));
 }
 
@@ -178,8 +178,8 @@
 fn an_overwrite_keeps_the_other_bytes(#[case] offset: u64, #[case] length: usize) {
     let disk = SimulatedDisk::new();
     let mut file = disk.create("file").unwrap();
-    file.write_at(0, &[1; 5]).unwrap();
-    file.write_at(offset, &vec![2; length]).unwrap();
+    file.write_all_at(0, &[1; 5]).unwrap();
+    file.write_all_at(offset, &vec![2; length]).unwrap();
     let mut wanted = vec![1; 5];
     wanted[offset as usize..offset as usize + length].fill(2);
     assert_eq!(disk.read("file").unwrap(), Some(wanted));
@@ -218,7 +218,7 @@
     let scratch = Scratch::new("cut");
     let directory = Directory::new(&scratch.0);
     let mut file = directory.create("log").unwrap();
-    file.write_at(0, b"abcdef").unwrap();
+    file.write_all_at(0, b"abcdef").unwrap();
     file.set_length(3).unwrap();
     assert_eq!(directory.read("log").unwrap(), Some(b"abc".to_vec()));
     directory.remove("log").unwrap();
