--- a/crates/agent/src/control_connection.rs
+++ b/crates/agent/src/control_connection.rs
@@ -17,8 +17,8 @@
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// The longest pause inside a reply: as long as a busy control process may take for the next bytes.
 const STALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// The longest time for a complete reply after its first byte was due. A list of thousands of servers takes far less over a
-/// narrow link; what takes longer comes from a faulty process.
+/// What a complete call may take beyond its `write_and_first_byte_timeout`. A list of thousands of servers takes far less
+/// over a narrow link; what takes longer comes from a faulty process that sends its reply byte by byte.
 const COMPLETE_REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// An open connection. A call that fails or is cancelled closes it, since its reply may still come and would be taken for the
@@ -38,28 +38,41 @@
         Ok(ControlConnection { stream: Some(stream) })
     }
 
-    /// Sends a request and reads the reply, whose first byte must come within `first_byte_timeout`. After that the reply may
-    /// take its time as long as bytes keep coming: one limit for all of it would never let a long list through a link that is
-    /// too narrow for it.
+    /// Sends a request and reads the reply. There are two kinds of limit:
+    ///
+    /// - On each step: the request must be written within `write_and_first_byte_timeout`, the first byte of the reply must
+    ///   come within the same time after that, and each pause inside the reply is at most 400 ms (`STALL_TIMEOUT`). So a
+    ///   long list gets through a narrow link as long as bytes keep coming.
+    /// - On the complete call, as a backstop against a peer that sends byte by byte: `write_and_first_byte_timeout` plus 3 s
+    ///   (`COMPLETE_REPLY_TIMEOUT`). It counts from the start of the call, so a slow write leaves less for the reply.
+    ///
+    /// # Errors
+    ///
+    /// [`FrameError::Io`] of the kind `TimedOut` after either limit, `UnexpectedEof` if the peer closed the connection
+    /// before the reply, `NotConnected` after a call that failed or was cancelled; other kinds as the socket or the frame
+    /// fails.
     pub async fn call(
-        &mut self, request: &AgentRequest, first_byte_timeout: Duration,
+        &mut self, request: &AgentRequest, write_and_first_byte_timeout: Duration,
     ) -> Result<ControlReply, FrameError> {
         let mut stream =
             self.stream.take().ok_or_else(|| FrameError::Io(io::ErrorKind::NotConnected.into()))?;
-        let limit = first_byte_timeout + COMPLETE_REPLY_TIMEOUT;
-        let exchange = timeout(limit, exchange(&mut stream, request, first_byte_timeout)).await;
-        let reply = exchange.map_err(|_| timed_out("waiting for the rest of a reply"))??;
+        let call_timeout = write_and_first_byte_timeout + COMPLETE_REPLY_TIMEOUT;
+        let call = send_and_receive(&mut stream, request, write_and_first_byte_timeout);
+        let result = timeout(call_timeout, call).await;
+        let reply = result.map_err(|_| timed_out("waiting for the rest of a reply"))??;
         self.stream = Some(stream);
         Ok(reply)
     }
 }
 
-async fn exchange(
-    stream: &mut TcpStream, request: &AgentRequest, first_byte_timeout: Duration,
+/// Writes the request and reads the reply, with the limits on each step. `write_and_first_byte_timeout` is used twice: for
+/// the write, and then anew until the first byte of the reply.
+async fn send_and_receive(
+    stream: &mut TcpStream, request: &AgentRequest, write_and_first_byte_timeout: Duration,
 ) -> Result<ControlReply, FrameError> {
-    let written = timeout(first_byte_timeout, write_frame(stream, request)).await;
+    let written = timeout(write_and_first_byte_timeout, write_frame(stream, request)).await;
     written.map_err(|_| timed_out("sending a request"))??;
-    let mut reader = StallTimeoutReader::new(stream, first_byte_timeout, STALL_TIMEOUT);
+    let mut reader = StallTimeoutReader::new(stream, write_and_first_byte_timeout, STALL_TIMEOUT);
     let reply = read_frame(&mut reader).await?;
     reply.ok_or_else(|| FrameError::Io(io::ErrorKind::UnexpectedEof.into()))
 }
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -10,7 +10,7 @@
 /// The beginning of all names.
 const PREFIX: &str = "lugwharf_agent";
 
-/// How a pull from a control process ended, or the attempt to connect to it.
+/// How a pull from a control process ended, or the attempt to connect to it, or a round of pulls from all of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PullOutcome {
     /// It replied and has a quorum.
@@ -19,7 +19,8 @@
     NoQuorum,
     /// There was no reply, or a malformed one.
     Failed,
-    /// No control process has a quorum: the newest update of one without was applied.
+    /// No control process has a quorum: the newest update of one without was applied. Counted in addition to the outcomes
+    /// of the pulls of that round, so the sum over all outcomes is more than the number of pulls.
     Fallback,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl AgentMetrics {
-    /// Counts a pull that has ended.
+    /// Counts a pull that has ended, or a round of pulls ([`PullOutcome::Fallback`]).
     pub fn record_pull(&self, outcome: PullOutcome) {
         self.pulls[outcome as usize].fetch_add(1, Ordering::Relaxed);
     }
@@ -57,7 +58,7 @@
         self.followed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The text in the OpenMetrics format.
+    /// The text in the OpenMetrics format. `started_at` is the time from which `uptime_seconds` counts.
     fn render(&self, started_at: Instant, tables: &TableSummary) -> String {
         let mut text = Exposition::new(PREFIX);
         let pulls = PullOutcome::ALL.into_iter().zip(&self.pulls);
@@ -85,18 +86,21 @@
     }
 }
 
-/// Answers requests for the metrics for as long as the process runs.
+/// Answers requests for the metrics, one at a time. Ends when the endpoint is gone, or the table owner, without which there
+/// is no summary of the tables.
+///
+/// The uptime counts from the start of this task, which the agent starts together with its other ones.
 pub async fn serve(endpoint: MetricsEndpoint, metrics: Arc<AgentMetrics>, commands: mpsc::Sender<Command>) {
     let started_at = Instant::now();
     let MetricsEndpoint { mut requests } = endpoint;
-    while let Some(request) = requests.recv().await {
-        let (reply, summary) = oneshot::channel();
-        if commands.send(Command::Summarize { reply }).await.is_err() {
+    while let Some(reply) = requests.recv().await {
+        let (summary_reply, summary) = oneshot::channel();
+        if commands.send(Command::Summarize { reply: summary_reply }).await.is_err() {
             return;
         }
         let Ok(summary) = summary.await else { return };
         // The collector may have disconnected.
-        let _ = request.send(metrics.render(started_at, &summary));
+        let _ = reply.send(metrics.render(started_at, &summary));
     }
 }
 
--- a/crates/agent/src/stall_timeout.rs
+++ b/crates/agent/src/stall_timeout.rs
@@ -12,11 +12,14 @@
 #[path = "stall_timeout_tests.rs"]
 mod stall_timeout_tests;
 
-/// A reader that fails with `TimedOut` once no bytes have come for too long.
+/// A reader that fails with `TimedOut` once no bytes have come for too long. The text of the error says whether it was the
+/// first byte or a later one.
 pub struct StallTimeoutReader<'a, R> {
     reader: &'a mut R,
     /// The longest time between two reads that return bytes.
     stall_timeout: Duration,
+    /// Whether any byte has come.
+    has_first_byte: bool,
     deadline: Pin<Box<Sleep>>,
 }
 
@@ -24,7 +27,8 @@
     /// Wraps `reader`: the first bytes must come within `first_byte_timeout`, and each further ones within `stall_timeout`
     /// after the ones before.
     pub fn new(reader: &'a mut R, first_byte_timeout: Duration, stall_timeout: Duration) -> Self {
-        StallTimeoutReader { reader, stall_timeout, deadline: Box::pin(sleep(first_byte_timeout)) }
+        let deadline = Box::pin(sleep(first_byte_timeout));
+        StallTimeoutReader { reader, stall_timeout, has_first_byte: false, deadline }
     }
 }
 
@@ -37,11 +41,17 @@
         let read = Pin::new(&mut *this.reader).poll_read(context, buffer);
         if read.is_ready() {
             if buffer.filled().len() > filled_before {
+                this.has_first_byte = true;
                 let deadline = Instant::now() + this.stall_timeout;
                 this.deadline.as_mut().reset(deadline);
             }
             return read;
         }
-        this.deadline.as_mut().poll(context).map(|()| Err(io::ErrorKind::TimedOut.into()))
+        let awaited = if this.has_first_byte { "next" } else { "first" };
+        let stalled = |()| {
+            let text = format!("timed out waiting for the {awaited} byte");
+            Err(io::Error::new(io::ErrorKind::TimedOut, text))
+        };
+        this.deadline.as_mut().poll(context).map(stalled)
     }
 }
