--- a/crates/agent/src/stall_timeout_tests.rs
+++ b/crates/agent/src/stall_timeout_tests.rs
@@ -39,11 +39,14 @@
 }
 
 #[rstest]
-#[case::nothing_comes(5_000, 0, 900)]
-#[case::nothing_more_comes(100, 5_000, 500)]
+#[case::nothing_comes(5_000, 0, 900, "timed out waiting for the first byte")]
+#[case::nothing_more_comes(100, 5_000, 500, "timed out waiting for the next byte")]
 #[tokio::test(start_paused = true)]
-async fn a_long_pause_times_out(#[case] before: u64, #[case] between: u64, #[case] ends_ms: u64) {
+async fn a_long_pause_times_out(
+    #[case] before: u64, #[case] between: u64, #[case] ends_ms: u64, #[case] text: &str,
+) {
     let (read, took) = read(before, between).await;
-    assert_eq!(read.expect_err("a timeout").kind(), io::ErrorKind::TimedOut);
+    let error = read.expect_err("a timeout");
+    assert_eq!((error.kind(), error.to_string().as_str()), (io::ErrorKind::TimedOut, text));
     assert!(took.abs_diff(Duration::from_millis(ends_ms)) <= Duration::from_millis(2), "{took:?}");
 }
