--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -14,7 +14,7 @@
 //! | `list_watcher_role` | the elector and the lease |
 //! | `stage_planning` | orders to model servers |
 //! | `view_changes` | views of the replica, for the elector |
-//! | `seed_discovery` | seeds that run no control process |
+//! | `seed_discovery` | finds control processes through seeds that run none |
 //! | `graceful_shutdown` | the steps after SIGTERM |
 //! | `status_report` | `GET /status`, `GET /metrics` |
 //!
@@ -94,7 +94,7 @@
 use platform_reachability::PlatformReachability;
 use process_directory::ProcessDirectory;
 use stage_planning::StagePlanning;
-use state_machine_settings::seeds;
+use state_machine_settings::replica_seeds;
 use view_tracker::ViewTracker;
 
 /// All state of a control process.
@@ -183,10 +183,11 @@
         }
     }
 
-    /// Applies what may change while the process runs: the seeds. Listening addresses and the data directory stay.
+    /// Applies what may change while the process runs: the seeds, which also discards those that were learned from
+    /// announcements. Listening addresses and the data directory stay.
     fn reload(&mut self, settings: Settings) {
         info!("settings", kv: { outcome = "reloaded", seeds = settings.seeds.len() });
-        self.replica.set_seeds(seeds(&settings));
+        self.replica.set_seeds(replica_seeds(&settings));
         self.settings = settings;
     }
 
--- a/crates/control/src/controller/agent_requests.rs
+++ b/crates/control/src/controller/agent_requests.rs
@@ -33,7 +33,7 @@
         self.learn_announced_processes(control);
         let members = self.replica.status().members;
         let processes = self.process_directory.all(self.now(), self.local_address, &members);
-        let context = ReplyContext { has_quorum: false, control: self.agent_addresses(&processes) };
+        let context = ReplyContext { has_quorum: false, control: self.control_agent_addresses(&processes) };
         // Without a reply the connection is closed.
         if let Some(frame) = context.encode(Update::default()) {
             send_reply(reply, frame);
@@ -46,7 +46,7 @@
         let now = self.now();
         let processes = self.process_directory.all(now, self.local_address, &replica.members);
         let has_quorum = self.may_serve_agents(now, &replica);
-        let context = ReplyContext { has_quorum, control: self.agent_addresses(&processes) };
+        let context = ReplyContext { has_quorum, control: self.control_agent_addresses(&processes) };
         let served = self.pending_pulls.serve(now, &self.tables, &context);
         self.metrics.record_pulls(served.updated, served.unchanged);
         for SentConfig { node, version } in served.configs {
@@ -59,8 +59,8 @@
         replica.has_quorum && !self.pause_detector.is_contact_in_doubt(now) && self.shutdown.is_none()
     }
 
-    /// The agent addresses of control processes, from their peer addresses.
-    pub(super) fn agent_addresses(&self, processes: &[SocketAddr]) -> Vec<SocketAddr> {
+    /// The addresses of the agent ports of control processes, from their peer addresses: the ports are the same on all hosts.
+    pub(super) fn control_agent_addresses(&self, processes: &[SocketAddr]) -> Vec<SocketAddr> {
         let port = self.settings.internal_ports().agent;
         processes.iter().map(|process| SocketAddr::new(process.ip(), port)).collect()
     }
--- a/crates/control/src/controller/startup.rs
+++ b/crates/control/src/controller/startup.rs
@@ -65,13 +65,13 @@
 /// Recovers both state machines from the records of the log, with one seed for their random delays.
 fn recover(settings: &Settings, log: &OpenedLog) -> Result<Recovered, chain::RecoverError> {
     let local_address = local_address(settings);
-    let seed = fastrand::u64(..);
+    let rng_seed = fastrand::u64(..);
     let mut actions = Vec::new();
-    let replica_settings = replica_settings(settings, local_address, seed, log.was_quarantined);
+    let replica_settings = replica_settings(settings, local_address, rng_seed, log.was_quarantined);
     let records = RecordOwner::Chain.untagged_records(&log.records);
     let replica = Replica::recover(replica_settings, &records, Duration::ZERO, &mut actions)?;
     let records = RecordOwner::Election.untagged_records(&log.records);
-    let elector = Elector::recover(elector_settings(local_address, seed), &records, Duration::ZERO);
+    let elector = Elector::recover(elector_settings(local_address, rng_seed), &records, Duration::ZERO);
     Ok(Recovered { replica, elector, actions })
 }
 
--- a/crates/control/src/controller/state_machine_settings.rs
+++ b/crates/control/src/controller/state_machine_settings.rs
@@ -16,34 +16,34 @@
 
 /// The replica's settings. A process whose log was quarantined may not found a control plane: it does not start for the first time.
 pub fn replica_settings(
-    settings: &Settings, local_address: SocketAddr, seed: u64, was_log_quarantined: bool,
+    settings: &Settings, local_address: SocketAddr, rng_seed: u64, was_log_quarantined: bool,
 ) -> ReplicaSettings {
     let bootstrap = settings.bootstrap && !was_log_quarantined;
     let counts_for_quorum = settings.counts_for_quorum;
     let replica = ReplicaSettings::new(
         local_address,
-        seeds(settings),
+        replica_seeds(settings),
         bootstrap,
         settings.fault_tolerance.machines,
-        seed,
+        rng_seed,
     );
     ReplicaSettings { counts_for_quorum, ..replica }
 }
 
-/// The peer addresses of the seeds.
-pub fn seeds(settings: &Settings) -> Vec<SocketAddr> {
+/// The seeds of the replica as the settings have them: the peer addresses of the seeds' machines.
+pub fn replica_seeds(settings: &Settings) -> Vec<SocketAddr> {
     let peer = settings.internal_ports().peer;
     settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), peer)).collect()
 }
 
 /// The settings of the elector of the list watcher.
-pub fn elector_settings(local_address: SocketAddr, seed: u64) -> ElectorSettings {
+pub fn elector_settings(local_address: SocketAddr, rng_seed: u64) -> ElectorSettings {
     ElectorSettings {
         local_address,
         role: Role::ListWatcher,
         lease_duration: LEASE_DURATION,
         renew_interval: LEASE_RENEW_INTERVAL,
         clock_drift_percent: CLOCK_DRIFT_PERCENT,
-        seed,
+        seed: rng_seed,
     }
 }
--- a/crates/control/src/controller/status_report.rs
+++ b/crates/control/src/controller/status_report.rs
@@ -37,6 +37,6 @@
 
     /// The answer to `GET /metrics`.
     pub(super) fn metrics_text(&self) -> String {
-        self.metrics.render(&self.status(), self.tables.servers().entries())
+        self.metrics.update_and_encode(&self.status(), self.tables.servers().entries())
     }
 }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -2,7 +2,8 @@
 //!
 //! The controller counts events; only rejected requests are counted where they are answered. Gauges are set from the status at
 //! each scrape, so that they cost nothing in between. `docs/OPERATING.md` lists the names, which never change; a field here has
-//! the name of its metric where that is not misleading.
+//! the name of its metric where that is not misleading. The list reader of these names is the list watcher, an older word for
+//! the same role.
 
 use crate::command::Command;
 use crate::operator_error::ErrorKind;
@@ -78,7 +79,8 @@
     pub list_reads: Counter,
     /// Failed reads of the platform's list.
     pub list_failures: Counter,
-    /// Times that this process stepped down as list watcher because it could not reach the platform.
+    /// Times that this process stepped down as list watcher: its reads of the platform's list kept failing, and a peer might
+    /// reach the platform. A resignation at shutdown is not counted, though the help text would allow it.
     pub stand_downs: Counter,
     orders: Family<AnswerLabel, Counter>,
     pulls: Family<AnswerLabel, Counter>,
@@ -191,8 +193,13 @@
         }
     }
 
-    /// The text for this status and these servers.
-    pub fn render<'a>(&self, status: &Status, servers: impl Iterator<Item = &'a ServerEntry>) -> String {
+    /// Sets the gauges to this status and these servers, then encodes all metrics.
+    ///
+    /// For one caller at a time, which is the controller: the gauges of servers are cleared and counted anew, and a second
+    /// caller would see or clear them half way.
+    pub fn update_and_encode<'a>(
+        &self, status: &Status, servers: impl Iterator<Item = &'a ServerEntry>,
+    ) -> String {
         self.gauges.set(status);
         self.invariants.refresh();
         // Services and stages come and go, and a gauge of one that has gone would stay.
--- a/crates/control/src/metrics_tests.rs
+++ b/crates/control/src/metrics_tests.rs
@@ -33,14 +33,14 @@
     rejections.count(ErrorKind::Conflict);
     rejections.count(ErrorKind::Unavailable);
     let gone = [server("x", "gone", ServerState::Ready, None)];
-    metrics.render(&example(), gone.iter());
+    metrics.update_and_encode(&example(), gone.iter());
     let servers = [
         server("a", "model", ServerState::Ready, Some(Stage::Decode)),
         server("b", "model", ServerState::Ready, Some(Stage::Decode)),
         server("c", "model", ServerState::Draining, Some(Stage::Prefill)),
         server("d", "plain", ServerState::Ready, None),
     ];
-    metrics.render(&behind(example()), servers.iter())
+    metrics.update_and_encode(&behind(example()), servers.iter())
 }
 
 #[rstest]
