--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -4,10 +4,10 @@
 use std::collections::VecDeque;
 
 /// The most removed servers that are remembered. A release of the largest services removes some thousand servers. A reader
-/// that is further behind gets the full list, which is then hardly longer than a delta.
+/// that is further behind gets a snapshot, which is then hardly longer than a delta.
 pub const MAX_TOMBSTONES: usize = 4_096;
-/// The most earlier epochs whose ends are remembered. A reader that has missed so many changes of the writer gets the full
-/// list.
+/// The most earlier epochs whose ends are remembered. A reader that has missed so many changes of the writer gets a
+/// snapshot.
 pub const MAX_EPOCH_CHANGES: usize = 32;
 
 /// The epoch of a list that a process read for itself, before it knew any holder of the list watcher's role.
@@ -28,7 +28,7 @@
 }
 
 impl History {
-    /// A history that starts at `floor`, as after a full list was applied.
+    /// A history that starts at `floor`, as after a snapshot was applied.
     pub(crate) fn starting_at(floor: TablePosition) -> Self {
         Self { floor, ..Self::default() }
     }
--- a/crates/distribution/src/server_table.rs
+++ b/crates/distribution/src/server_table.rs
@@ -1,4 +1,4 @@
-//! The list of servers, with enough history to make deltas.
+//! The server table, with enough history to make deltas.
 
 use crate::error::{ApplyError, StaleEpoch};
 use crate::history::History;
@@ -13,7 +13,7 @@
     changed_at: TablePosition,
 }
 
-/// The list of servers, with enough history to make deltas.
+/// The server table: the servers of the platform's list, with enough history to make deltas.
 ///
 /// Positions are ordered by epoch, then sequence. A new epoch continues with the content that its writer held, so that a
 /// reader at a position of an earlier epoch still gets a delta if the content went through that position.
@@ -36,12 +36,12 @@
         self.position
     }
 
-    /// The number of servers in the list.
+    /// The number of servers in the table.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether the list has no server.
+    /// Whether the table has no server.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
@@ -136,6 +136,7 @@
         Some(ServerDelta { position: self.position, is_full: false, entries, removed })
     }
 
+    /// A snapshot in the form of a delta: it replaces whatever the reader has.
     fn full_delta(&self) -> ServerDelta {
         let entries = self.entries().cloned().collect();
         ServerDelta { position: self.position, is_full: true, entries, removed: Vec::new() }
@@ -147,6 +148,7 @@
         TablePosition { epoch, sequence }
     }
 
+    /// Replaces the content by a snapshot. Nothing is known of the time before, so the history starts at its position.
     fn apply_full(&mut self, delta: &ServerDelta) {
         self.servers.clear();
         for entry in &delta.entries {
--- a/crates/distribution/src/tables.rs
+++ b/crates/distribution/src/tables.rs
@@ -5,7 +5,7 @@
 use lugwharf_protocol::{ConfigRecord, FleetSummary, ServerDelta, Update, VersionVector};
 use std::sync::Arc;
 
-/// All tables of one process: the configuration, the list of servers and the number of live proxies. The first two only
+/// All tables of one process: the configuration, the server table and the number of live proxies. The first two only
 /// advance.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
@@ -44,12 +44,12 @@
         self.config.as_ref()
     }
 
-    /// The list of servers.
+    /// The server table.
     pub fn servers(&self) -> &ServerTable {
         &self.servers
     }
 
-    /// The list of servers, for its writer.
+    /// The server table, for its writer.
     pub fn servers_mut(&mut self) -> &mut ServerTable {
         &mut self.servers
     }
@@ -71,11 +71,12 @@
     pub fn update_since(&self, have: &VersionVector) -> Option<Update> {
         let config = self.config.as_ref().filter(|config| config.version > have.config);
         let servers = self.servers.delta_since(have.servers);
-        let has_other_fleet = self.live_proxies > 0 && self.live_proxies != have.live_proxies;
-        if config.is_none() && servers.is_none() && !has_other_fleet {
+        // The count has no version: it may go down as well as up, and a reader with any other one gets it.
+        let has_different_count = self.live_proxies > 0 && self.live_proxies != have.live_proxies;
+        if config.is_none() && servers.is_none() && !has_different_count {
             return None;
         }
-        let fleet = has_other_fleet.then_some(FleetSummary { live_proxies: self.live_proxies });
+        let fleet = has_different_count.then_some(FleetSummary { live_proxies: self.live_proxies });
         let vector = VersionVector {
             config: config.map_or(have.config, |config| config.version),
             servers: servers.as_ref().map_or(have.servers, |delta| delta.position),
--- a/crates/protocol/src/agent.rs
+++ b/crates/protocol/src/agent.rs
@@ -4,14 +4,18 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The version of each table that a process has. Two vectors are compared component by component.
+/// The versions of the tables that a process has: one for each table, not one for each replica as in the version vectors of
+/// the literature. Vectors are compared component by component, and there is no order of whole vectors.
+///
+/// `config` and `servers` only grow, so the larger one is newer. `live_proxies` is no version but the value itself, which is
+/// only compared for equality.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct VersionVector {
     /// The version of the configuration; 0 for none.
     pub config: u64,
     /// The position in the server table.
     pub servers: TablePosition,
-    /// The number of live proxies, as last reported.
+    /// The number of live proxies, as last reported; 0 while it is unknown. A value, not a version.
     pub live_proxies: u32,
 }
 
--- a/crates/protocol/src/packed.rs
+++ b/crates/protocol/src/packed.rs
@@ -1,6 +1,6 @@
 //! The encoded form of a [`ServerDelta`].
 //!
-//! A full list goes to every front-end node at once after a restart of the whole system, so its size decides how soon a large
+//! A snapshot goes to every front-end node at once after a restart of the whole system, so its size decides how soon a large
 //! fleet serves again. Entries are arrays instead of maps, and values that many entries share (services, zones, sets of
 //! models) are sent once and referred to by index: some 33 bytes an entry instead of 143.
 
--- a/crates/protocol/src/table.rs
+++ b/crates/protocol/src/table.rs
@@ -79,7 +79,8 @@
 pub struct ServerDelta {
     /// The position of the table after this change.
     pub position: TablePosition,
-    /// Whether `entries` is the full table; otherwise it contains only entries that are new or different.
+    /// Whether this is a snapshot in the form of a delta: `entries` is then the complete table, which replaces what the
+    /// receiver has. Otherwise `entries` contains only those that are new or different.
     pub is_full: bool,
     /// Entries to insert, or to replace by id.
     pub entries: Vec<ServerEntry>,
