--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -82,7 +82,11 @@
         (self.windows[locality as usize].in_flight - at_ejected) as f64
     }
 
-    /// Gives a final answer: a rejection where it is true that nothing ran or a repeat is harmless, otherwise a failure.
+    /// Answers the client for the last time without a server's answer, and finishes the request.
+    ///
+    /// The answer is [`Action::Reject`] where the client may safely send the request again: no attempt can have run, or the
+    /// class is idempotent, or all servers drop a repeat by its key. Otherwise it is [`Action::Fail`]. Only a rejection
+    /// advises the client when to come back, and only where clients heed that.
     pub(crate) fn reject_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let is_harmless = match self.settings.classes[request.profile.class].idempotency {
@@ -100,12 +104,17 @@
         self.finish(id, out);
     }
 
-    /// Ends a request: nothing more is sent for it, and an attempt in flight is cancelled.
+    /// Ends a request: nothing more is sent for it, and it waits neither in the queue nor for probes. This does not answer
+    /// the client; the caller has done so, or the client has left.
+    ///
+    /// An attempt in flight is cancelled only where [`Settings::cancel`](crate::api::Settings::cancel) grants it. Either way
+    /// it keeps its slot in the concurrency window until its outcome is reported. So this is called twice, by design, for a
+    /// request that ends before its attempt: here it stays in the table, and the outcome's call removes it.
     pub(crate) fn finish(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let is_first =
+        let was_open =
             std::mem::replace(&mut request.phase, RequestPhase::Finished) != RequestPhase::Finished;
-        if is_first && self.settings.cancel == Permit::Granted {
+        if was_open && self.settings.cancel == Permit::Granted {
             let in_flight = request.attempts.iter().position(|a| a.status == AttemptStatus::InFlight);
             out.extend(in_flight.map(|attempt| Action::Cancel { id, attempt }));
         }
--- a/src/decision/outcomes.rs
+++ b/src/decision/outcomes.rs
@@ -84,14 +84,14 @@
         let price = if is_free { 0.0 } else { 1.0 };
         let expected_ms = self.expected_latency_ms(profile);
         let request = &self.requests[&id];
-        let left_ms = request.deadline_ms - self.now_ms - expected_ms;
+        let left_ms = request.deadline_at_ms - self.now_ms - expected_ms;
         if left_ms <= 0.0 || self.retry_scope(request).is_none() || self.retry_budget < price {
             return self.reject_or_fail(id, out);
         }
         self.retry_budget -= price;
-        let wait_until_ms = self.now_ms + left_ms;
+        let wait_ends_at_ms = self.now_ms + left_ms;
         if let Some(request) = self.requests.get_mut(&id) {
-            (request.phase, request.wait_until_ms) = (RequestPhase::Queued, wait_until_ms);
+            (request.phase, request.wait_ends_at_ms) = (RequestPhase::Queued, wait_ends_at_ms);
             request.candidates.clear();
         }
         self.enqueue(id, left_ms, out);
--- a/src/decision/probing.rs
+++ b/src/decision/probing.rs
@@ -16,9 +16,9 @@
     /// Draws two candidates and sends the request to the better one, at once or after a probe of both. Returns `false` if
     /// the request may go nowhere now.
     pub(crate) fn try_send(
-        &mut self, id: RequestId, is_open: impl Fn(Locality) -> bool, out: &mut Vec<Action>,
+        &mut self, id: RequestId, has_capacity: impl Fn(Locality) -> bool, out: &mut Vec<Action>,
     ) -> bool {
-        let drawn = self.draw_candidates(id, is_open);
+        let drawn = self.draw_candidates(id, has_capacity);
         let Some(better) = self.lowest_score(&drawn, self.requests[&id].profile.class) else { return false };
         if self.must_probe() {
             self.probe(id, &drawn, out);
@@ -35,7 +35,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let spare_ms = request.profile.target_at_ms - now_ms - service_ms;
         let wait_ms = (spare_ms * WAIT_SHARE).max(tick_ms);
-        (request.phase, request.wait_until_ms) = (RequestPhase::Probing, now_ms + wait_ms);
+        (request.phase, request.wait_ends_at_ms) = (RequestPhase::Probing, now_ms + wait_ms);
         request.probe_rounds += 1;
         let pending = candidates.iter().map(|&server| Candidate { server, probe: ProbeState::Pending });
         request.candidates.extend(pending);
@@ -67,9 +67,9 @@
         candidate.probe = if has_passed { ProbeState::Passed } else { ProbeState::Failed };
         if request.candidates.iter().all(|candidate| candidate.probe != ProbeState::Pending) {
             self.choose_probed(id, out);
-        } else if has_passed && request.wait_until_ms > now_ms + tick_ms {
+        } else if has_passed && request.wait_ends_at_ms > now_ms + tick_ms {
             // A probe waits in the server's queue: the first to answer is the less busy. The other has one more tick.
-            request.wait_until_ms = now_ms + tick_ms;
+            request.wait_ends_at_ms = now_ms + tick_ms;
             self.set_request_timer(id, tick_ms, out);
         }
     }
--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -46,8 +46,8 @@
         let wait_ms = ((profile.target_at_ms - self.now_ms - expected_ms) * WAIT_SHARE).max(0.0);
         let draw = self.rng.f64();
         let max_attempt_time_ms = self.max_attempt_time_ms(&profile, timeout_ms);
-        let deadline_ms = self.now_ms + max_attempt_time_ms.min(timeout_ms);
-        self.requests.insert(id, Request::new(profile, deadline_ms, self.now_ms + wait_ms, draw));
+        let deadline_at_ms = self.now_ms + max_attempt_time_ms.min(timeout_ms);
+        self.requests.insert(id, Request::new(profile, deadline_at_ms, self.now_ms + wait_ms, draw));
         self.enqueue(id, wait_ms, out);
     }
 
@@ -71,9 +71,9 @@
 
     /// Queues a request: by falling priority, then in order of arrival.
     pub(crate) fn enqueue(&mut self, id: RequestId, wait_ms: f64, out: &mut Vec<Action>) {
-        let may_cross_at_ms = self.now_ms + wait_ms * CROSS_ZONE_WAIT_SHARE;
+        let cross_zone_allowed_at_ms = self.now_ms + wait_ms * CROSS_ZONE_WAIT_SHARE;
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.may_cross_at_ms = may_cross_at_ms;
+        request.cross_zone_allowed_at_ms = cross_zone_allowed_at_ms;
         let profile = request.profile;
         let priority = self.priority(&profile);
         let at = self.queue.partition_point(|queued| queued.priority >= priority);
@@ -98,11 +98,11 @@
         let soon_ms = self.now_ms + self.tick_ms();
         let Some(request) = self.requests.get_mut(&id) else { return };
         match request.phase {
-            RequestPhase::Queued if soon_ms > request.wait_until_ms => {
+            RequestPhase::Queued if soon_ms > request.wait_ends_at_ms => {
                 self.log_shedding_once(out);
                 self.reject_or_fail(id, out);
             }
-            RequestPhase::Probing if soon_ms > request.wait_until_ms => self.choose_probed(id, out),
+            RequestPhase::Probing if soon_ms > request.wait_ends_at_ms => self.choose_probed(id, out),
             RequestPhase::InFlight => {
                 let late_if_sent_before_ms = soon_ms - request.profile.latency_target_ms;
                 let is_late = |attempt: &&mut Attempt| {
@@ -159,7 +159,7 @@
             // A limit under one is the share of requests that go out: the request's draw decides.
             free >= 1.0 || limit < 1.0 && request.draw > 1.0 - free
         });
-        let may_cross = self.now_ms >= request.may_cross_at_ms;
+        let may_cross = self.now_ms >= request.cross_zone_allowed_at_ms;
         open[Locality::Remote as usize] &= may_cross || open[Locality::Local as usize];
         open
     }
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -2,11 +2,14 @@
 
 use crate::api::{RequestId, ServerId};
 
-/// Whether an attempt may have had an effect.
+/// Whether a server may have executed an attempt. It decides whether the request may be sent again.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum AttemptStatus {
+    /// Sent, without an outcome so far. A server may be executing it.
     InFlight,
+    /// Ended, and its outcome shows that no server has executed it ([`Outcome::never_ran`](crate::api::Outcome::never_ran)).
     NeverRan,
+    /// Ended in any other way, success included.
     MayHaveRun,
 }
 
@@ -90,29 +93,36 @@
 /// A request that is not finished, or has an attempt in flight.
 pub(crate) struct Request {
     pub(crate) profile: RequestProfile,
-    /// When its last attempt times out.
-    pub(crate) deadline_ms: f64,
-    /// How long it stays queued, or waits for probes.
-    pub(crate) wait_until_ms: f64,
-    /// Where local servers are at their limit, it may go to remote ones from then on.
-    pub(crate) may_cross_at_ms: f64,
+    /// The instant at which every attempt of it times out: the client's time-out, or the latency target where a late answer
+    /// has no value. [`Class::deadline`](crate::api::Class::deadline) is something else: the duration that a client waits in
+    /// all, over its own retries.
+    pub(crate) deadline_at_ms: f64,
+    /// Until when it stays queued, or waits for probes.
+    pub(crate) wait_ends_at_ms: f64,
+    /// Cross-zone routing: from this instant on it may go to a remote server although the local window is full.
+    pub(crate) cross_zone_allowed_at_ms: f64,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) phase: RequestPhase,
     /// Servers probed for it, in all rounds.
     pub(crate) candidates: Vec<Candidate>,
     pub(crate) probe_rounds: u32,
-    /// Uniform on [0, 1), drawn once at its arrival. It decides which warming servers it may go to, and whether it goes
-    /// out where less than one attempt may be in flight.
+    /// A random number, uniform on [0, 1), drawn once at its arrival and compared with shares: only requests whose draw is
+    /// below a share of that size may go to a warming server, and where less than one attempt may be in flight, that
+    /// share of the requests goes out, by the highest draws. It stays the same when the request is looked at again: a
+    /// request that waits doesn't get through by drawing often.
     pub(crate) draw: f64,
 }
 
 impl Request {
-    pub(crate) fn new(profile: RequestProfile, deadline_ms: f64, wait_until_ms: f64, draw: f64) -> Self {
+    /// A request that has just arrived: queued, with no attempt and no probe. `deadline_at_ms` and `wait_ends_at_ms` are
+    /// instants; `draw` is uniform on [0, 1). Until [`Balancer::enqueue`](super::balancer::Balancer::enqueue) sets when it
+    /// may cross zones, it may not before its wait ends.
+    pub(crate) fn new(profile: RequestProfile, deadline_at_ms: f64, wait_ends_at_ms: f64, draw: f64) -> Self {
         Request {
             profile,
-            deadline_ms,
-            wait_until_ms,
-            may_cross_at_ms: wait_until_ms,
+            deadline_at_ms,
+            wait_ends_at_ms,
+            cross_zone_allowed_at_ms: wait_ends_at_ms,
             attempts: Vec::new(),
             phase: RequestPhase::Queued,
             candidates: Vec::new(),
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -1,8 +1,9 @@
 //! Choosing a server: power of two choices over peak-EWMA latency, within a subset of the list.
 //!
 //! Two distinct random candidates are drawn and the one with the lower score wins (Mitzenmacher, "The Power of Two Choices
-//! in Randomized Load Balancing"). The score is the peak-EWMA latency times the attempts in flight, as in Finagle's and
-//! linkerd's balancers.
+//! in Randomized Load Balancing"). The score is a cost, lower is better: the peak-EWMA latency times one more than the
+//! requests in flight, as in Finagle's and linkerd's balancers, here divided by the server's weight. Requests in flight are
+//! those of this sidecar, or those that the server reported, if these are more. [`Balancer::score`] has the whole formula.
 
 use super::balancer::Balancer;
 use super::outlier_ejection::STALE_TIME_CONSTANTS;
@@ -15,7 +16,7 @@
 const PEAK_OVER_MEAN: f64 = 3.0;
 /// Servers probed together; each has the price of a probe.
 const PROBES_PER_ROUND: f64 = 2.0;
-/// Random draws for a pair of candidates before all servers are searched in turn.
+/// Random draws for a pair of candidates before all servers are searched one after the other.
 const MAX_DRAWS: usize = 8;
 /// A connection is kept open by this many requests within its keep-alive time, or by as many as bring the price of its
 /// handshake down to [`MAX_HANDSHAKE_SHARE`] of a request's value.
@@ -34,7 +35,7 @@
         let (request, server) = (&self.requests[&id], &self.servers[server_id]);
         let (profile, attempt_number) = (request.profile, request.attempts.len());
         let idempotency = self.settings.classes[profile.class].idempotency;
-        let timeout_ms = request.deadline_ms - self.now_ms;
+        let timeout_ms = request.deadline_at_ms - self.now_ms;
         let write_within_ms = request
             .first_possible_run()
             .map_or(timeout_ms, |first| first.sent_at_ms + to_ms(idempotency.window()) - self.now_ms);
@@ -76,7 +77,7 @@
     pub(crate) fn retry_scope(&self, request: &Request) -> Option<RetryScope> {
         let is_spent = request.attempts.len() >= self.settings.max_attempts;
         let is_over = matches!(request.phase, RequestPhase::Finished | RequestPhase::Streaming)
-            || self.now_ms >= request.deadline_ms;
+            || self.now_ms >= request.deadline_at_ms;
         if is_spent || is_over || request.is_in_flight() {
             return None;
         }
@@ -92,9 +93,25 @@
         }
     }
 
-    /// Draws two distinct random ready servers for a request, fewer if there are fewer that it may go to.
+    /// Draws two distinct random ready servers for a request, fewer if there are fewer that it may go to. `has_capacity`
+    /// tells whether the window of a locality has room for the request.
+    ///
+    /// The servers are drawn from the first of these tiers that has any, even if that is only one:
+    /// 1. where crossing zones has a price: servers of the own zone, in the subset, that are in use and have a score below
+    ///    [`Balancer::local_score_bound_ms`];
+    /// 2. servers in the subset that are in use: healthy ones, and ejected ones that are due for a trial, but none that is
+    ///    ejected for the class;
+    /// 3. servers of the complete list that are in use;
+    /// 4. servers of the complete list, ejected ones included, as in Envoy's panic mode: if all look bad, the cause is
+    ///    probably elsewhere.
+    ///
+    /// In each tier only those count that the request may go to: by its retry scope, with capacity in their locality, not
+    /// tried or probed for it before, and warm enough.
+    ///
+    /// [`MAX_DRAWS`] random numbers are drawn in every call, whatever is found, and all tiers share them: so the sequence of
+    /// the generator does not depend on the list.
     pub(crate) fn draw_candidates(
-        &mut self, id: RequestId, is_open: impl Fn(Locality) -> bool,
+        &mut self, id: RequestId, has_capacity: impl Fn(Locality) -> bool,
     ) -> Vec<ServerId> {
         let draws = std::array::from_fn(|_| self.rng.u32(..) as usize);
         let request = &self.requests[&id];
@@ -103,11 +120,12 @@
         let idempotency = self.settings.classes[class].idempotency;
         let is_allowed = |server: &Server| {
             scope.includes(server.dedup_group(idempotency))
-                && is_open(self.locality(server))
+                && has_capacity(self.locality(server))
                 && !request.has_considered(server.entry.server)
                 && self.is_warm_enough(server, request)
         };
-        // A trial may fail: it is never made with a request that has only one attempt.
+        // A trial may fail after the server has executed the request: it is never made with a request that may not be sent
+        // again then.
         let may_try_ejected = idempotency != Idempotency::NonIdempotent;
         let is_preferred = |server: &Server| {
             let is_in_use =
@@ -122,9 +140,9 @@
             found = self.draw_pair(self.servers.ready_in_zone(), subset, draws, is_fast_enough);
         }
         // If the subset has none, the complete list is searched; if all servers look bad, all are used.
-        for part in [subset, usize::MAX] {
+        for max_servers in [subset, usize::MAX] {
             if found.is_empty() {
-                found = self.draw_pair(ready, part, draws, is_preferred);
+                found = self.draw_pair(ready, max_servers, draws, is_preferred);
             }
         }
         if found.is_empty() { self.draw_pair(ready, usize::MAX, draws, is_allowed) } else { found }
@@ -139,7 +157,7 @@
         PEAK_OVER_MEAN * target_ms * self.settings.cross_zone_price.max(0.0).sqrt()
     }
 
-    /// The candidate with the lowest score.
+    /// The candidate with the lowest score, which is the best one.
     pub(crate) fn lowest_score(&self, candidates: &[ServerId], class: usize) -> Option<ServerId> {
         let score = |id: &ServerId| self.score(&self.servers[*id], class);
         candidates.iter().copied().min_by(|a, b| score(a).total_cmp(&score(b)))
@@ -159,18 +177,19 @@
         (connections as usize).clamp(MIN_SUBSET, self.servers.ready().len().max(MIN_SUBSET))
     }
 
-    /// Two distinct random servers of the first `part` ones from this sidecar's own place in the list on, that are
-    /// eligible. When a few draws don't find them, all are searched, from a random place on.
+    /// Two distinct random eligible servers, fewer if there are fewer, among the `max_servers` that follow this sidecar's
+    /// own starting position in the list, which is taken as a circle. When the draws don't find two, all of these are searched
+    /// one after the other, from the position of the first draw on.
     fn draw_pair(
-        &self, list: &[ServerId], part: usize, draws: [usize; MAX_DRAWS],
+        &self, list: &[ServerId], max_servers: usize, draws: [usize; MAX_DRAWS],
         is_eligible: impl Fn(&Server) -> bool,
     ) -> Vec<ServerId> {
-        let (mut pair, part) = (Vec::new(), part.min(list.len()));
-        let place = (f64::from(self.settings.sidecar_index) * GOLDEN_RATIO_FRACTION).fract();
-        let start = (list.len() as f64 * place) as usize;
-        let in_turn = (0..part).map(|step| draws[0].wrapping_add(step));
-        let offsets = draws.into_iter().filter(|_| part > 0).chain(in_turn);
-        let mut ids = offsets.map(|offset| list[(start + offset % part) % list.len()]);
+        let (mut pair, count) = (Vec::new(), max_servers.min(list.len()));
+        let start_share = (f64::from(self.settings.sidecar_index) * GOLDEN_RATIO_FRACTION).fract();
+        let start = (list.len() as f64 * start_share) as usize;
+        let exhaustive = (0..count).map(|step| draws[0].wrapping_add(step));
+        let offsets = draws.into_iter().filter(|_| count > 0).chain(exhaustive);
+        let mut ids = offsets.map(|offset| list[(start + offset % count) % list.len()]);
         while let (0..2, Some(id)) = (pair.len(), ids.next()) {
             if !pair.contains(&id) && is_eligible(&self.servers[id]) {
                 pair.push(id);
@@ -179,9 +198,11 @@
         pair
     }
 
-    /// The score of a server: `latency * (in flight + 1) / max(weight, 1)`. The latency is that of the class at the kind
-    /// of machine. The weight counts by the capacity share while the server warms up: its true capacity lies between that
-    /// share and all of it, so the geometric mean of both is taken.
+    /// The score of a server, a cost in ms of which lower is better: `latency * relative latency * (in flight + 1) /
+    /// (weight * sqrt(capacity share))`. Latency (of a mean request) and weight count as 1 at least; the relative latency is
+    /// that of the class at the kind of machine. Requests in flight are the greater of the own ones and the reported load.
+    /// While a server warms up, its true capacity lies between the capacity share and 1; the square root is the geometric
+    /// mean of both.
     fn score(&self, server: &Server, class: usize) -> f64 {
         let weight = server.entry.weight.max(1.0) * self.capacity_share(server).sqrt();
         let reported_load = server.load_at(self.now_ms, self.time_constant_ms).unwrap_or(0.0);
--- a/src/decision/server_table.rs
+++ b/src/decision/server_table.rs
@@ -1,6 +1,6 @@
 //! The servers of the list, with the indexes that selection draws from.
 
-use super::server::{Health, Locality, Server};
+use super::server::{Health, InFlightAttempt, Locality, Server};
 use super::time::to_ms;
 use crate::api::{Availability, RequestId, ServerEntry, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,8 +12,8 @@
     pub(crate) started_at_ms: f64,
 }
 
-/// All servers that are listed or still have attempts in flight. It stays bounded by these: a server that left is
-/// removed once its attempts have ended.
+/// All servers that are listed or still have attempts in flight. It stays bounded by these: a server that is
+/// gone from the list is removed once its attempts have ended.
 pub(crate) struct ServerTable {
     /// The zone of this sidecar.
     zone: u16,
@@ -75,7 +75,9 @@
         &self.warming_up
     }
 
-    /// Ready servers that are ejected.
+    /// Servers that are ejected, until they are readmitted or the list changes them to one that is not ready.
+    ///
+    /// One that was not ready any more when it was ejected is included until then; one that has been removed is skipped.
     pub(crate) fn ejected(&self) -> impl Iterator<Item = &Server> {
         self.ejected.iter().filter_map(|id| self.by_id.get(id))
     }
@@ -122,24 +124,30 @@
         if !is_ready || is_healthy {
             self.ejected.remove(&id);
         }
-        self.remove_if_departed(id);
+        self.remove_if_gone(id);
     }
 
-    /// Removes an attempt that ended from its server, and returns where it counted.
+    /// Removes an attempt that has ended from the attempts in flight at its server.
+    ///
+    /// Returns the locality whose concurrency window the attempt was charged to, so that the caller can release it there;
+    /// `None` if the attempt was not in flight at this server. The last attempt of a server that is gone from the list
+    /// removes the server as well.
     pub(crate) fn remove_in_flight(
-        &mut self, server_id: ServerId, id: RequestId, attempt: usize,
+        &mut self, server_id: ServerId, request_id: RequestId, attempt_number: usize,
     ) -> Option<Locality> {
         let server = self.by_id.get_mut(&server_id)?;
-        let at = server.in_flight.iter().position(|other| other.id == id && other.attempt == attempt);
+        let is_ended = |other: &InFlightAttempt| other.id == request_id && other.attempt == attempt_number;
+        let at = server.in_flight.iter().position(is_ended);
         let locality = at.map(|at| server.in_flight.remove(at).locality);
-        self.remove_if_departed(server_id);
+        self.remove_if_gone(server_id);
         locality
     }
 
-    fn remove_if_departed(&mut self, id: ServerId) {
-        let departed =
+    /// Removes a server that is gone from the list and has no attempt in flight.
+    fn remove_if_gone(&mut self, id: ServerId) {
+        let is_gone =
             |server: &Server| server.has_availability(Availability::Gone) && server.in_flight.is_empty();
-        if self.by_id.get(&id).is_some_and(departed) {
+        if self.by_id.get(&id).is_some_and(is_gone) {
             self.by_id.remove(&id);
         }
     }
