--- a/src/bin/lugwharf-sidecar/discovery/follow.rs
+++ b/src/bin/lugwharf-sidecar/discovery/follow.rs
@@ -1,4 +1,7 @@
 //! Following the list: a call for the complete list, then watches from its revision on.
+//!
+//! A watch is a blocking query, as Consul calls its own: a long poll that names the known revision (`index`) and a longest wait
+//! (`wait`). Discovery answers as soon as there is a newer revision, and with an unchanged one after the wait.
 
 use super::error::DiscoveryError;
 use super::list::read;
@@ -26,9 +29,11 @@
 /// A watch has failed when its answer is this late. Changes that it misses count as known to the sidecar a second later,
 /// and that second has to do for asking again.
 const WATCH_GRACE: Duration = Duration::from_secs(1);
-/// The exponential backoff after failed calls to an agent. All steps are inside the 200 ms in which a watch has to go on.
-/// Where discovery is asked on request, the module says when to ask again.
+/// The first step of the exponential backoff after failed calls to an agent. Where discovery is asked on request, the module
+/// says when to ask again.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
+/// The longest step of that backoff: each is inside the 200 ms in which a watch has to go on. It is also the pause after a
+/// watch that returned without a change in less than this time, whichever way discovery is asked.
 const MAX_BACKOFF: Duration = Duration::from_millis(160);
 /// The most bytes of a list: some hundred for each upstream, so more than those of a request's body.
 const MAX_LIST_BYTES: usize = 64 * MAX_BODY;
@@ -108,19 +113,23 @@
         }
     }
 
+    /// Hands an update to the driver, and continues from its revision. A stale delta is dropped instead, and the complete
+    /// list is read next. Pauses before the next call if this one returned early without a change.
     async fn on_update(&mut self, update: ListUpdate, called_at: Instant) {
-        let is_older = self.revision.is_some_and(|current| update.revision < current);
-        // Changes to another list than the current one: the complete list is read next. A complete list counts whatever its
-        // revision, since discovery may have restarted its count.
-        if !update.is_complete && is_older {
+        // Changes to another list than the current one. A complete list counts whatever its revision, since discovery may
+        // have restarted its count.
+        let is_stale_delta =
+            !update.is_complete && self.revision.is_some_and(|current| update.revision < current);
+        if is_stale_delta {
             self.revision = None;
             return;
         }
-        let is_idle_answer = self.revision == Some(update.revision) && called_at.elapsed() < MAX_BACKOFF;
+        let returned_early_unchanged =
+            self.revision == Some(update.revision) && called_at.elapsed() < MAX_BACKOFF;
         (self.revision, self.backoff) = (Some(update.revision), MIN_BACKOFF);
         self.driver.send(DriverEvent::List(update));
         // A watch that does not wait must not be repeated without a pause.
-        if is_idle_answer {
+        if returned_early_unchanged {
             sleep(MAX_BACKOFF).await;
         }
     }
--- a/src/bin/lugwharf-sidecar/request.rs
+++ b/src/bin/lugwharf-sidecar/request.rs
@@ -1,4 +1,4 @@
-//! Checking a client's request: what it asks for, or why it is rejected. Nothing in it is trusted.
+//! Checking a client's request: what it asks for, or why it is invalid. Nothing in it is trusted.
 
 use crate::config::{self, Config, flat_name};
 use crate::upstream::MAX_BODY;
@@ -33,20 +33,21 @@
     "x-budget",
 ];
 
-/// Why a request is rejected: the status and the body of the answer.
+/// Why a client's request is not executed at all: the 4xx status and the body of the response. Not to be taken for
+/// [`FinalAnswer::Rejected`](crate::events::FinalAnswer::Rejected), the balancer's rejection of a valid request.
 #[derive(Debug)]
-pub struct Rejection {
+pub struct InvalidRequest {
     pub status: StatusCode,
     pub reason: &'static str,
 }
 
-impl Rejection {
+impl InvalidRequest {
     pub fn new(status: StatusCode, reason: &'static str) -> Self {
-        Rejection { status, reason }
+        InvalidRequest { status, reason }
     }
 
     fn bad_request(reason: &'static str) -> Self {
-        Rejection::new(StatusCode::BAD_REQUEST, reason)
+        InvalidRequest::new(StatusCode::BAD_REQUEST, reason)
     }
 }
 
@@ -72,21 +73,21 @@
 }
 
 /// Checks the head of a request.
-pub fn check(head: &Parts, config: &Config) -> Result<RequestTerms, Rejection> {
+pub fn check(head: &Parts, config: &Config) -> Result<RequestTerms, InvalidRequest> {
     let headers = &head.headers;
     let body_length = check_framing(headers)?;
     let has_id = |id: &&HeaderValue| !id.as_bytes().trim_ascii().is_empty();
-    let id = headers.get(ID).filter(has_id).ok_or(Rejection::bad_request("no id"))?;
+    let id = headers.get(ID).filter(has_id).ok_or(InvalidRequest::bad_request("no id"))?;
     let class_name = text(headers, CLASS).map(flat_name);
     let class = config.deployment.classes.iter().position(|name| Some(name) == class_name.as_ref());
-    let class = class.ok_or(Rejection::bad_request("no such class"))?;
+    let class = class.ok_or(InvalidRequest::bad_request("no such class"))?;
     let of_class = &config.settings.classes[class];
     if !fits_class(head, of_class.idempotency, body_length) {
-        return Err(Rejection::bad_request("a method or a key that does not fit the class"));
+        return Err(InvalidRequest::bad_request("a method or a key that does not fit the class"));
     }
     let seconds = number(headers, BUDGET);
     let budget = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
-    let budget = budget.ok_or(Rejection::bad_request("no readable budget"))?;
+    let budget = budget.ok_or(InvalidRequest::bad_request("no readable budget"))?;
     // No client waits past its class's deadline, and no clock could hold any time that a client names.
     let client_timeout = budget.min(config::client_timeout(of_class));
     let microseconds = number(headers, COST);
@@ -103,19 +104,19 @@
 }
 
 /// Checks that all readers see the same end of the request, and returns the length of its body.
-fn check_framing(headers: &HeaderMap) -> Result<u64, Rejection> {
+fn check_framing(headers: &HeaderMap) -> Result<u64, InvalidRequest> {
     // A request hidden in the body of another: where both a coding and a length are given, readers differ on where it ends,
     // and HTTP may have dropped the length by now. No request here needs a coding.
     if headers.contains_key(TRANSFER_ENCODING) {
-        return Err(Rejection::bad_request("a transfer coding"));
+        return Err(InvalidRequest::bad_request("a transfer coding"));
     }
     if SINGLE_VALUED.iter().any(|name| headers.get_all(name).iter().nth(1).is_some()) {
-        return Err(Rejection::bad_request("a header that comes twice"));
+        return Err(InvalidRequest::bad_request("a header that comes twice"));
     }
     let length = text(headers, CONTENT_LENGTH).map_or(Some(0), |length| length.parse::<u64>().ok());
-    let length = length.ok_or(Rejection::bad_request("no readable length"))?;
+    let length = length.ok_or(InvalidRequest::bad_request("no readable length"))?;
     if length > MAX_BODY as u64 {
-        return Err(Rejection::new(StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long"));
+        return Err(InvalidRequest::new(StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long"));
     }
     Ok(length)
 }
--- a/src/bin/lugwharf-sidecar/request_tests.rs
+++ b/src/bin/lugwharf-sidecar/request_tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use hyper::Request;
 
-fn check(method: &str, headers: &[(&str, &str)]) -> Result<RequestTerms, Rejection> {
+fn check(method: &str, headers: &[(&str, &str)]) -> Result<RequestTerms, InvalidRequest> {
     let json = crate::config::tests::JSON.replace(
         r#""idempotency":"fragile"}"#,
         r#""deadline":740.0,"idempotency":"fragile"},{"name":"report","aim":290.0,"deadline":740.0,
--- a/src/bin/lugwharf-sidecar/server/service.rs
+++ b/src/bin/lugwharf-sidecar/server/service.rs
@@ -1,10 +1,12 @@
 //! Serving one connection: its requests to the driver, and the answers in HTTP.
+//!
+//! An answer is what the driver gives for a request ([`FinalAnswer`]); a response is the HTTP message that carries it.
 
 use super::listener::{Server, lock};
 use crate::client_connection::{ClientConnection, ClientPhase, ClientStream};
 use crate::connection::{MAX_BUFFER, MAX_HEADERS};
 use crate::events::{ClientRequest, FinalAnswer};
-use crate::request::{self, Rejection};
+use crate::request::{self, InvalidRequest};
 use crate::upstream::{ForwardedRequest, MAX_BODY};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -89,7 +91,7 @@
         } else {
             match self.execute(request, client, reading_since).await {
                 Ok(answer) => (to_response(answer), false),
-                Err(rejection) => (plain_response(rejection.status, rejection.reason), true),
+                Err(invalid) => (plain_response(invalid.status, invalid.reason), true),
             }
         };
         // Nothing more is read on a connection with a bad request.
@@ -102,7 +104,7 @@
     /// Checks a request, reads it completely and has it executed. A request that cannot be read goes nowhere.
     async fn execute(
         &self, request: Request<Incoming>, client: &ClientConnection, reading_since: Instant,
-    ) -> Result<FinalAnswer, Rejection> {
+    ) -> Result<FinalAnswer, InvalidRequest> {
         let received_at = Instant::now();
         let (head, body) = request.into_parts();
         let terms = request::check(&head, &self.config)?;
@@ -110,11 +112,11 @@
         let body_timeout = left.max(MIN_BODY_TIMEOUT).min(terms.client_timeout);
         let body = timeout(body_timeout, Limited::new(body, MAX_BODY).collect()).await;
         let body =
-            body.map_err(|_| Rejection::new(StatusCode::REQUEST_TIMEOUT, "a body that does not end"))?;
-        let body = body.map_err(|_| Rejection::new(StatusCode::BAD_REQUEST, "a broken body"))?;
+            body.map_err(|_| InvalidRequest::new(StatusCode::REQUEST_TIMEOUT, "a body that does not end"))?;
+        let body = body.map_err(|_| InvalidRequest::new(StatusCode::BAD_REQUEST, "a broken body"))?;
         // An upstream may take one of two requests with the same id for the other.
         if !lock(&self.open_ids).insert(terms.id.clone()) {
-            return Err(Rejection::new(StatusCode::CONFLICT, "the id of an open request"));
+            return Err(InvalidRequest::new(StatusCode::CONFLICT, "the id of an open request"));
         }
         let _open_id = OpenId { server: self, id: terms.id };
         let headers = request::forwarded_headers(head.headers);
@@ -139,8 +141,9 @@
     response
 }
 
-/// The final answer in HTTP: 200 as the upstream gave it, 502 for a failure, 503 with `Retry-After` in seconds for a
-/// rejection.
+/// The final answer in HTTP: 200 with the body and the `Content-Type` of the upstream's response, and none of its other
+/// headers; 502 for a failure; 503 for a rejection, with `Retry-After` if the balancer advises a time. That header has
+/// seconds with three decimals, which the operators' clients read; RFC 9110 knows whole seconds only.
 fn to_response(answer: FinalAnswer) -> Response<Full<Bytes>> {
     match answer {
         FinalAnswer::Served(served) => {
