--- a/src/settings_text.rs
+++ b/src/settings_text.rs
@@ -1,7 +1,12 @@
 //! Reads the settings text into [`Settings`] and [`Deployment`].
 //!
-//! The text has one `path=value` a line. Times are milliseconds. Unknown keys are ignored; a missing key has the default
-//! that [`parse`] states, unless it is required. The simulator's adapter and the sidecar share this reader.
+//! The text has one `path=value` a line. Its keys and words are the operators' and fixed, also where the code has other
+//! names for them. Times are milliseconds. Unknown keys are ignored, and of a key that comes twice the last value counts
+//! (but see [`load_field`]). The simulator's adapter and the sidecar share this reader.
+//!
+//! A missing key has the default that [`parse`] or [`deployment`] states, unless it is required. These are the defaults of
+//! the text alone. Programs that build [`Settings`] themselves start from [`Settings::default`], which differs in two values:
+//! two attempts instead of one, and a tick of 1 ms instead of 5 ms.
 
 use crate::api::{Class, DedupScope, Discovery, Goal, Idempotency, Permit, Settings, SlowStart, ValueBasis};
 use std::collections::HashMap;
@@ -83,9 +88,23 @@
 ///
 /// Required are `zone`, `discovery` (`pushed`, `on_request`), `requestClasses.count` and, for each class, `aim` and
 /// `idempotency` (`retryable`, `fragile`, or `dedup`, which needs `group` and `dedupWindow`). The defaults of the others
-/// are the careful choice: permits are denied, prices are zero, `policyLimits.mostTries` is 1, `policyLimits.keepalive`
-/// 15 s, `tick` 5 ms, `obligations.coldFrom` 0.1, `obligations.rampTime` 30 s, `obligations.fallMultiple` 2,
-/// `obligations.mustAskIn` 10 s, `blend.whole` 1.
+/// are the careful choice:
+///
+/// | keys | default |
+/// | --- | --- |
+/// | `me`, `instances` | 0, 1 |
+/// | `policyLimits.cancel`, `policyLimits.probes`, `policyLimits.retryAfter` | `false` |
+/// | `policyLimits.mostTries` | 1 |
+/// | `policyLimits.keepalive` | 15 s |
+/// | `policyLimits.maxRetryAfter`, read only where `policyLimits.retryAfter` is `true` | 0 |
+/// | `prices.crossZone`, `prices.probe`, `prices.handshake` | 0 |
+/// | `worthBy` (`request`, `work`) | `request` |
+/// | `blend.whole`, `blend.worstWindow`, `blend.worstClass` | 1, 0, 0 |
+/// | `obligations.mustAskIn`, used only where `discovery` is `on_request` | 10 s |
+/// | `obligations.coldFrom`, `obligations.rampTime`, `obligations.fallMultiple` | 0.1, 30 s, 2 |
+/// | `tick` | 5 ms |
+/// | `report.fields` | no load reports |
+/// | of each class: `deadline`, `aimStretch`, `points`, `lateWorth` | 0 (unknown), 0, 1, 0 |
 pub fn parse(text: &str) -> Result<Settings, SettingError> {
     let values = KeyValues::new(text);
     let class_count = values.required("requestClasses.count", count)?;
@@ -178,7 +197,10 @@
 }
 
 /// The index of the value of a load report that says how many requests a server has in flight: those that it handles and
-/// those that wait (`concurrent`), or else those that wait alone (`depth`).
+/// those that wait (`concurrent`), or else those that wait alone (`depth`). `None` if the text names neither.
+///
+/// Where `report.fields` comes twice, the first line counts here, and the last one for the name that [`deployment`] finds by
+/// this index.
 pub fn load_field(text: &str) -> Option<usize> {
     let fields = text.lines().find_map(|line| line.trim_end().strip_prefix("report.fields="))?;
     let index_of = |name| fields.split(',').position(|field| field == name);
@@ -200,7 +222,8 @@
     pub load_field_name: Option<String>,
 }
 
-/// Reads the part of the settings that the network code needs. Required is the `name` of each class.
+/// Reads the part of the settings that the network code needs. Required are `requestClasses.count` and the `name` of each
+/// class. By default `areas`, `skus` and `report.fields` are empty, and `policyLimits.connectTimeout` is 250 ms.
 pub fn deployment(text: &str) -> Result<Deployment, SettingError> {
     let values = KeyValues::new(text);
     let class_count = values.required("requestClasses.count", count)?;
