--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -8,7 +8,8 @@
 use crate::server::ServerKey;
 use std::time::Duration;
 
-/// The largest share of a pool that may be ejected: if most servers look faulty, the fault is probably elsewhere.
+/// The largest share of a pool that may be ejected: if most servers look faulty, the fault is probably elsewhere. The pool
+/// of a server are the listed servers of the same service and stage, itself included.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
 impl Balancer {
@@ -31,6 +32,14 @@
     }
 
     /// Records what an attempt showed: in the latency of the phase, the ejection and the load of the server.
+    ///
+    /// A server whose ejection time is over gets one trial at a time, as in the half-open state of a circuit breaker:
+    /// - a success ends the ejection and clears the failures;
+    /// - a rejected or inconclusive attempt only releases the trial slot, so that another trial may start; a rejection also
+    ///   marks the server as overloaded;
+    /// - a failure releases the slot and counts. After enough failures in a row the server is ejected, again and for longer
+    ///   if this was a trial, where [`Tuning::ejects_outliers`](crate::Tuning::ejects_outliers) is set and at most half of
+    ///   its pool is ejected then.
     pub fn record_observation(
         &mut self, now: Duration, key: ServerKey, phase: Phase, observation: Observation,
     ) {
@@ -55,7 +64,8 @@
         }
     }
 
-    /// Ejects the server, unless more than [`MAX_EJECTED_SHARE`] of the servers with its stage would be ejected then.
+    /// Ejects the server, unless more than [`MAX_EJECTED_SHARE`] of the listed servers of its service and stage would be
+    /// ejected then.
     fn eject(&mut self, now: Duration, key: ServerKey) {
         let Some(server) = self.servers.get(&key) else { return };
         let stage = server.entry.stage;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -7,6 +7,11 @@
 //! two distinct candidates are drawn, and the lower `latency x (in_flight + 1)` wins, where latency is a
 //! [peak-sensitive EWMA](PeakEwma) as in Finagle and linkerd2-proxy. All constants that may be tuned are in [`Tuning`].
 //!
+//! The workspace has a second, older load balancer: the root package `lugwharf-sidecar`, which runs beside each calling
+//! process. The two share no code and no settings. They share the design: power of two choices over peak-EWMA latency, outlier
+//! ejection, a retry budget, and callers that pass in events and time. This crate adds what the serving of language models
+//! needs: phases, KV caches and affinity of prompts.
+//!
 //! | module | concern |
 //! | --- | --- |
 //! | `balancer`, `feedback` | the state of all servers; what callers report about attempts |
--- a/crates/routing/src/outlier_ejection.rs
+++ b/crates/routing/src/outlier_ejection.rs
@@ -1,6 +1,6 @@
 //! Outlier ejection: servers that fail in a row are left out of the selection for a while, and come back by single trials.
 //!
-//! As in Envoy's outlier detection there is a base and a maximum ejection time and a bound on the ejected share of a pool (see
+//! As in Envoy's outlier detection there is a base and a maximum ejection time and a bound on the ejected share of the servers of one service and stage (see
 //! [`Balancer`](crate::Balancer)). Unlike there, the ejection time doubles with each failed trial.
 
 use crate::observation::FailureKind;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,10 @@
 //! (power of two choices). Around that stand outlier ejection, a retry budget, slow start, subsetting and admission
 //! control. The module does no I/O and reads no clock: the caller reports events and carries out actions.
 //!
+//! The workspace has a second, younger load balancer: `lugwharf-routing`, which decides for the proxies of language model
+//! servers. The two share no code and no settings, but the design: power of two choices over peak-EWMA latency, outlier
+//! ejection, a retry budget, and no I/O in the decisions. This one is the older and stays in service as the sidecar.
+//!
 //! A caller hands each event to [`Balancer::handle`] and carries out the actions in order. It owes the module one
 //! [`Event::Outcome`](api::Event::Outcome) for each [`Action::Send`](api::Action::Send), and an
 //! [`Event::Timer`](api::Event::Timer) for each [`Action::SetTimer`](api::Action::SetTimer). The first answer with
