--- a/crates/proxy/src/telemetry/metrics.rs
+++ b/crates/proxy/src/telemetry/metrics.rs
@@ -8,9 +8,10 @@
 use std::cell::{Cell, RefCell};
 use std::time::Duration;
 
-/// The sustained rate of log lines about failed requests: one in this time for each outcome.
+/// The log lines about failed requests are limited by a token bucket for each outcome: one line is added in this time, up to
+/// [`LOG_BURST`].
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
-/// The burst of log lines about failed requests, for each outcome.
+/// The lines that the token bucket of an outcome holds at most, and at first.
 const LOG_BURST: u32 = 5;
 
 /// Counters since the start of the process.
--- a/crates/proxy/src/telemetry/outcome.rs
+++ b/crates/proxy/src/telemetry/outcome.rs
@@ -1,4 +1,8 @@
-//! How requests and attempts end, by the names that metrics and logs use. The names are fixed: alarms use them.
+//! How requests and attempts end, by the names that metrics and logs use.
+//!
+//! The names are the operators' and fixed, since alarms use them. Some are older than the terms of the code, and differ from
+//! the variants: `cut` ([`RequestOutcome::Interrupted`]), `left` ([`RequestOutcome::ClientDisconnected`]), `spoilt`
+//! ([`ResponseClass::Unusable`]), `moot` ([`ExchangeError::Aborted`]) and `late` ([`ExchangeError::TooLate`]).
 
 use crate::inbound::error_response::RequestError;
 use crate::outbound::ExchangeError;
@@ -15,7 +19,8 @@
     Interrupted,
     /// The client disconnected before its response was complete.
     ClientDisconnected,
-    /// The proxy answered itself.
+    /// The proxy answered itself, with the response to this error. Not only before any attempt: also after the attempts
+    /// failed or the deadline passed.
     Rejected(RequestError),
 }
 
@@ -52,7 +57,11 @@
     }
 }
 
-/// How an attempt ended, as metrics and logs tell attempts apart.
+/// How an attempt ended, as metrics and logs tell attempts apart. What the stack does next is
+/// [`AttemptOutcome`](crate::stack::attempt::AttemptOutcome).
+///
+/// A response counts when its head has been received, so a success may still fail in its body. That shows in the attempt's
+/// [`BodyOutcome`] in the log, and in the [`RequestOutcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptLabel {
     /// The head of a response was received.
@@ -67,7 +76,7 @@
 }
 
 impl AttemptLabel {
-    /// The names of all labels, by [`AttemptLabel::index`].
+    /// The names of all labels, by [`AttemptLabel::index`]. A test holds the two together.
     pub const NAMES: [&'static str; 11] = [
         "success",
         "failure",
--- a/crates/proxy/src/telemetry/request_trace_tests.rs
+++ b/crates/proxy/src/telemetry/request_trace_tests.rs
@@ -39,6 +39,28 @@
     assert_eq!(not_sent.to_string(), "i-1/decode at_ms:3 took_ms:20 left_ms:480 connect");
 }
 
+#[test]
+fn each_label_of_an_attempt_has_its_own_index_and_its_fixed_name() {
+    let response = |class| AttemptLabel::Response { status: 200, class };
+    let labels = [
+        (response(ResponseClass::Success), "success"),
+        (response(ResponseClass::Failure), "failure"),
+        (response(ResponseClass::InvalidRequest), "invalid"),
+        (response(ResponseClass::Rejected), "rejected"),
+        (response(ResponseClass::Misdirected), "misdirected"),
+        (response(ResponseClass::Unusable), "spoilt"),
+        (AttemptLabel::Failed(ExchangeError::Connect), "connect"),
+        (AttemptLabel::Failed(ExchangeError::Aborted), "moot"),
+        (AttemptLabel::Failed(ExchangeError::TooLate), "late"),
+        (AttemptLabel::Failed(ExchangeError::ConnectionBroken), "broken"),
+        (AttemptLabel::Failed(ExchangeError::Timeout), "timeout"),
+    ];
+    let indexes: Vec<usize> = labels.iter().map(|(label, _)| label.index()).collect();
+    assert_eq!(indexes, (0..AttemptLabel::NAMES.len()).collect::<Vec<_>>());
+    let names: Vec<&str> = labels.iter().map(|(label, _)| label.name()).collect();
+    assert_eq!(names, labels.map(|(_, name)| name));
+}
+
 #[test]
 fn each_outcome_of_a_request_has_its_own_index_and_name() {
     let outcomes: Vec<RequestOutcome> = RequestOutcome::all().collect();
