--- a/crates/lugwharf/tests/request_diagnostics.rs
+++ b/crates/lugwharf/tests/request_diagnostics.rs
@@ -30,6 +30,34 @@
     line.split_whitespace().find_map(|part| part.strip_prefix(start.as_str())).unwrap_or("")
 }
 
+/// The fields of a request's line, in order, as `docs/OPERATING.md` lists them.
+const KEYS: [&str; 14] = [
+    "outcome",
+    "request_id",
+    "status",
+    "route",
+    "service",
+    "elapsed_ms",
+    "client_timeout_ms",
+    "config_version",
+    "list_epoch",
+    "list_sequence",
+    "live_proxies",
+    "budget_denied",
+    "attempts",
+    "omitted",
+];
+
+/// The names of a line's fields, but for those inside of its attempts.
+fn keys(line: &str) -> Vec<&str> {
+    let (before, behind) = line.split_once("attempts=[").expect("attempts");
+    let (_, after) = behind.rsplit_once(']').expect("an end of the attempts");
+    let names = |text| {
+        str::split_whitespace(text).filter_map(|part: &str| part.split_once('=').map(|(name, _)| name))
+    };
+    names(before).chain(["attempts"]).chain(names(after)).collect()
+}
+
 #[rstest]
 #[case::dropped_response(Fault::DropResponse, "broken", "502")]
 #[case::garbage(Fault::Garbage, "broken", "502")]
@@ -54,6 +82,7 @@
     let line = line_of(&fleet, &request.request_id).await;
     let fields = ["outcome", "status", "service", "config_version"].map(|name| field(&line, name));
     assert_eq!(fields, [outcome, status, PLAIN_SERVICE, "1"], "{line}");
+    assert_eq!(keys(&line), KEYS, "{line}");
     let arrivals = fleet.world.request_log().arrivals_of(&request.request_id);
     assert_eq!(arrivals.len(), 1);
     let send = format!("attempts=[{}/full connection:", arrivals[0].instance);
