--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -4,8 +4,8 @@
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// The operations of one flat directory that the log needs: [`Directory`] on a file system, or a simulated disk in tests.
-/// Names are those of files in that directory.
+/// The operations of one flat directory that the log needs: [`FileSystemDirectory`] in production, a simulated disk in
+/// tests. Names are those of files in that directory.
 ///
 /// Renames and removals are durable only once the directory was synced.
 pub trait Disk {
@@ -50,27 +50,27 @@
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A directory of the file system.
+/// A directory of the file system; the [`Disk`] of production.
 #[derive(Clone, Debug)]
-pub struct Directory {
+pub struct FileSystemDirectory {
     path: PathBuf,
 }
 
-impl Directory {
+impl FileSystemDirectory {
     /// The directory at a path; it must exist before the first operation.
-    pub fn new(path: &Path) -> Directory {
-        Directory { path: path.to_owned() }
+    pub fn new(path: &Path) -> FileSystemDirectory {
+        FileSystemDirectory { path: path.to_owned() }
     }
 }
 
 /// A file of the file system.
 #[derive(Debug)]
-pub struct DirectoryFile {
+pub struct FileSystemFile {
     file: File,
 }
 
-impl Disk for Directory {
-    type File = DirectoryFile;
+impl Disk for FileSystemDirectory {
+    type File = FileSystemFile;
 
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         match std::fs::read(self.path.join(name)) {
@@ -80,15 +80,15 @@
         }
     }
 
-    fn open(&self, name: &str) -> io::Result<DirectoryFile> {
+    fn open(&self, name: &str) -> io::Result<FileSystemFile> {
         let file = OpenOptions::new().read(true).write(true).open(self.path.join(name))?;
-        Ok(DirectoryFile { file })
+        Ok(FileSystemFile { file })
     }
 
-    fn create(&self, name: &str) -> io::Result<DirectoryFile> {
+    fn create(&self, name: &str) -> io::Result<FileSystemFile> {
         let path = self.path.join(name);
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
-        Ok(DirectoryFile { file })
+        Ok(FileSystemFile { file })
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -104,7 +104,7 @@
     }
 }
 
-impl DiskFile for DirectoryFile {
+impl DiskFile for FileSystemFile {
     fn write_all_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()> {
         self.file.seek(SeekFrom::Start(offset))?;
         self.file.write_all(bytes)
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -26,6 +26,6 @@
 pub mod simulated;
 
 pub use checksum::crc32c;
-pub use disk::{Directory, DirectoryFile, Disk, DiskFile};
+pub use disk::{Disk, DiskFile, FileSystemDirectory, FileSystemFile};
 pub use error::StoreError;
 pub use log::{Log, Recovered, TornTail};
--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,6 +1,6 @@
 //! The log: opening and recovery, appends, rewrites.
 
-use crate::disk::{Directory, Disk, DiskFile};
+use crate::disk::{Disk, DiskFile, FileSystemDirectory};
 use crate::error::StoreError;
 use crate::frame::{self, HEADER_BYTES, MAX_FRAME_BYTES};
 use std::path::Path;
@@ -36,7 +36,7 @@
 
 /// An open log.
 #[derive(Debug)]
-pub struct Log<D: Disk = Directory> {
+pub struct Log<D: Disk = FileSystemDirectory> {
     disk: D,
     file: D::File,
     /// Counts the rewrites, from 1; part of each frame's checksum.
@@ -54,15 +54,15 @@
     is_poisoned: bool,
 }
 
-impl Log<Directory> {
+impl Log<FileSystemDirectory> {
     /// Opens the log in a directory of the file system, which must exist, or creates an empty one.
     pub fn open(directory: &Path) -> Result<(Log, Recovered), StoreError> {
-        Log::open_on(Directory::new(directory))
+        Log::open_on(FileSystemDirectory::new(directory))
     }
 
     /// Renames a corrupt log, so that the next opening creates an empty one.
     pub fn quarantine(directory: &Path) -> Result<(), StoreError> {
-        Log::quarantine_on(&Directory::new(directory))
+        Log::quarantine_on(&FileSystemDirectory::new(directory))
     }
 }
 
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -1,7 +1,7 @@
 //! The log on a healthy disk, truncated at every byte, corrupted at every byte, and on a disk that fails.
 
 use lugwharf_store::simulated::SimulatedDisk;
-use lugwharf_store::{Directory, Disk, Log, Recovered, StoreError, crc32c};
+use lugwharf_store::{Disk, FileSystemDirectory, Log, Recovered, StoreError, crc32c};
 use rstest::rstest;
 
 /// The length of the header and of a frame around its records, as the layout in `frame.rs` says.
@@ -199,7 +199,7 @@
     let (_, recovered) = Log::open(&path).unwrap();
     assert_eq!(recovered.records, vec![b"two".to_vec(), b"three".to_vec()]);
     Log::quarantine(&path).unwrap();
-    assert_eq!(Log::open_on(Directory::new(&path)).unwrap().1.records, Vec::<Vec<u8>>::new());
+    assert_eq!(Log::open_on(FileSystemDirectory::new(&path)).unwrap().1.records, Vec::<Vec<u8>>::new());
     std::fs::remove_dir_all(&path).unwrap();
 }
 
--- a/crates/store/tests/simulated.rs
+++ b/crates/store/tests/simulated.rs
@@ -1,7 +1,7 @@
 //! The simulated disk itself: a test of the log is worth as much as the faults that its disk plays.
 
 use lugwharf_store::simulated::SimulatedDisk;
-use lugwharf_store::{Directory, Disk, DiskFile};
+use lugwharf_store::{Disk, DiskFile, FileSystemDirectory};
 use rstest::rstest;
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
@@ -207,7 +207,7 @@
 #[test]
 fn an_unreadable_file_is_an_error_and_not_absent() {
     let scratch = Scratch::new("unreadable");
-    let directory = Directory::new(&scratch.0);
+    let directory = FileSystemDirectory::new(&scratch.0);
     assert!(matches!(directory.read("log"), Ok(None)));
     std::os::unix::fs::symlink("log", scratch.0.join("log")).unwrap();
     assert!(directory.read("log").is_err());
@@ -216,7 +216,7 @@
 #[test]
 fn a_file_of_the_file_system_is_truncated_and_removed() {
     let scratch = Scratch::new("cut");
-    let directory = Directory::new(&scratch.0);
+    let directory = FileSystemDirectory::new(&scratch.0);
     let mut file = directory.create("log").unwrap();
     file.write_all_at(0, b"abcdef").unwrap();
     file.set_length(3).unwrap();
@@ -230,7 +230,7 @@
 fn an_error_of_fsync_is_returned() {
     let scratch = Scratch::new("sync");
     std::os::unix::fs::symlink("/dev/null", scratch.0.join("log")).unwrap();
-    let mut device = Directory::new(&scratch.0).open("log").unwrap();
+    let mut device = FileSystemDirectory::new(&scratch.0).open("log").unwrap();
     assert!(device.sync().is_err());
-    assert!(Directory::new(&scratch.0.join("none")).sync_directory().is_err());
+    assert!(FileSystemDirectory::new(&scratch.0.join("none")).sync_directory().is_err());
 }
