--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -79,6 +79,8 @@
 }
 
 /// Puts the newest announcement first; earlier ones stay as far as there is room.
+///
+/// Of two announcements at once, on two connections, one may be lost. It comes again: replicas announce every 500 ms.
 fn record_announcement(control_plane: &ControlPlaneStatus, control: Vec<SocketAddr>) {
     let earlier = control_plane.announced.borrow().clone();
     let mut announced = control;
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -25,6 +25,7 @@
 }
 
 impl PullOutcome {
+    /// In the order of declaration: [`AgentMetrics`] finds the count of an outcome by its discriminant.
     const ALL: [PullOutcome; 4] =
         [PullOutcome::Served, PullOutcome::NoQuorum, PullOutcome::Failed, PullOutcome::Fallback];
 
@@ -42,6 +43,7 @@
 /// Counts since the start of the process, shared by its tasks.
 #[derive(Debug, Default)]
 pub struct AgentMetrics {
+    /// The counts in the order of [`PullOutcome::ALL`].
     pulls: [AtomicU64; PullOutcome::ALL.len()],
     /// How often the agent began to follow a control process.
     followed: AtomicU64,
--- a/crates/agent/src/stall_timeout.rs
+++ b/crates/agent/src/stall_timeout.rs
@@ -38,6 +38,8 @@
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let filled_before = buffer.filled().len();
+        // The reader goes first: bytes that have come are returned also if the deadline has passed meanwhile, as after a
+        // pause of the process.
         let read = Pin::new(&mut *this.reader).poll_read(context, buffer);
         if read.is_ready() {
             if buffer.filled().len() > filled_before {
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -35,6 +35,7 @@
 
     /// Records that the epoch of `last` ended there and another one follows.
     pub(crate) fn record_epoch_end(&mut self, last: TablePosition) {
+        // The floor stays where it is when an end is forgotten: `covers` refuses an earlier epoch whose end is not known.
         self.epoch_ends.push_back(last);
         if self.epoch_ends.len() > MAX_EPOCH_CHANGES {
             self.epoch_ends.pop_front();
--- a/crates/election/src/elector.rs
+++ b/crates/election/src/elector.rs
@@ -92,6 +92,8 @@
 
     /// Handles an event and appends what is to be done to `actions`. `now` never goes back from call to call.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
+        // First what has expired, so that no message is counted for a lease or a campaign that is over; last what is due, so
+        // that it is decided on the state after the event.
         self.expire(now, actions);
         match event {
             Event::Tick => {}
--- a/crates/election/src/elector/inbound.rs
+++ b/crates/election/src/elector/inbound.rs
@@ -18,6 +18,7 @@
         }
         if message.view > view.number {
             // The sender knows a later view, so this one is over.
+            // No underflow: the view is larger than another one.
             self.voter.seal(message.view - 1);
             return;
         }
