--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -60,7 +60,7 @@
             pool,
             free_body_bytes: Cell::new(max_body_bytes),
             max_body_bytes,
-            metrics: Metrics::default(),
+            metrics: Metrics::new(),
             routes: RefCell::default(),
             limits: RefCell::default(),
             is_draining: Cell::new(false),
--- a/crates/proxy/src/telemetry/metrics.rs
+++ b/crates/proxy/src/telemetry/metrics.rs
@@ -31,8 +31,14 @@
     log_limiters: RefCell<[LogRateLimiter; RequestOutcome::COUNT]>,
 }
 
-impl Default for Metrics {
-    fn default() -> Metrics {
+/// Increments a counter.
+pub fn increment(counter: &Cell<u64>) {
+    counter.set(counter.get() + 1);
+}
+
+impl Metrics {
+    /// All counters at zero, and full buckets of log lines.
+    pub fn new() -> Metrics {
         let limiter = |_| LogRateLimiter::new(LOG_INTERVAL, LOG_BURST);
         Metrics {
             requests: std::array::from_fn(|_| Cell::new(0)),
@@ -44,14 +50,7 @@
             log_limiters: RefCell::new(std::array::from_fn(limiter)),
         }
     }
-}
 
-/// Increments a counter.
-pub fn increment(counter: &Cell<u64>) {
-    counter.set(counter.get() + 1);
-}
-
-impl Metrics {
     /// Counts a request that has ended.
     pub fn record_request(&self, outcome: RequestOutcome) {
         increment(&self.requests[outcome.index()]);
