--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -14,5 +14,5 @@
 pub use id::{RequestId, ServerId, TimerId};
 pub use server_list::{Availability, ServerEntry, ServerListEvent};
 pub use settings::{
-    Class, DedupScope, Discovery, Goal, Idempotency, Permit, Settings, SlowStart, ValueBasis,
+    Class, DedupScope, Discovery, Goal, Idempotency, Permission, Settings, SlowStart, ValueBasis,
 };
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -4,7 +4,7 @@
 
 /// Whether the deployment permits something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Permit {
+pub enum Permission {
     /// The balancer may do it.
     Granted,
     /// The balancer must not do it.
@@ -131,9 +131,9 @@
     /// Attempts that a request may have in all, the first included.
     pub max_attempts: usize,
     /// Whether an attempt may be cancelled.
-    pub cancel: Permit,
+    pub cancel: Permission,
     /// Whether servers may be probed.
-    pub probes: Permit,
+    pub probes: Permission,
     /// The longest `Retry-After` that clients heed; `None` where they heed none.
     pub max_retry_after: Option<Duration>,
     /// How the list arrives.
@@ -160,8 +160,8 @@
             load_reported: false,
             goal: Goal { total_value: 1.0, worst_class: 0.0 },
             max_attempts: 2,
-            cancel: Permit::Denied,
-            probes: Permit::Denied,
+            cancel: Permission::Denied,
+            probes: Permission::Denied,
             max_retry_after: None,
             discovery: Discovery::Pushed,
             slow_start: SlowStart {
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -8,7 +8,7 @@
 use super::request::{AttemptStatus, RequestPhase};
 use super::server::{LOCALITIES, Locality};
 use super::time::from_ms;
-use crate::api::{Action, DedupScope, Idempotency, Permit, RequestId, ServerId};
+use crate::api::{Action, DedupScope, Idempotency, Permission, RequestId, ServerId};
 
 /// Attempts in flight per server that all sidecars together start with; each has a window of one attempt at least.
 const INITIAL_WINDOW: f64 = 12.0;
@@ -114,7 +114,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         let was_open =
             std::mem::replace(&mut request.phase, RequestPhase::Finished) != RequestPhase::Finished;
-        if was_open && self.settings.cancel == Permit::Granted {
+        if was_open && self.settings.cancel == Permission::Granted {
             let in_flight = request.attempts.iter().position(|a| a.status == AttemptStatus::InFlight);
             out.extend(in_flight.map(|attempt| Action::Cancel { id, attempt }));
         }
--- a/src/decision/memory_tests.rs
+++ b/src/decision/memory_tests.rs
@@ -17,7 +17,7 @@
         idempotency,
     };
     let discovery = Discovery::OnRequest { max_poll_interval: Duration::from_secs(10) };
-    Settings { classes: vec![class], cancel: Permit::Granted, discovery, ..Settings::default() }
+    Settings { classes: vec![class], cancel: Permission::Granted, discovery, ..Settings::default() }
 }
 
 #[test]
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -10,7 +10,7 @@
 use super::request::{Attempt, AttemptStatus, Request, RequestPhase, RequestProfile, RetryScope};
 use super::server::{Health, Locality, Server};
 use super::time::{from_ms, to_ms};
-use crate::api::{Action, Idempotency, Permit, RequestId, ServerId};
+use crate::api::{Action, Idempotency, Permission, RequestId, ServerId};
 
 /// A peak over some tens of answers is about this many times their mean, if they are distributed exponentially.
 const PEAK_OVER_MEAN: f64 = 3.0;
@@ -67,7 +67,7 @@
         let sends_until_stale = self.sends_per_ms() * self.time_constant_ms * STALE_TIME_CONSTANTS;
         let miss_rate = self.outcomes.miss_rate(self.now_ms, stale_after_ms);
         let pays = miss_rate >= PROBES_PER_ROUND * self.settings.probe_price.max(0.0);
-        self.settings.probes == Permit::Granted
+        self.settings.probes == Permission::Granted
             && pays
             && self.settings.load_reported
             && sends_until_stale < self.servers.ready().len() as f64
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -26,7 +26,7 @@
 //!     late_value: 0.5,
 //!     idempotency: Idempotency::Idempotent,
 //! };
-//! let settings = Settings { classes: vec![class], cancel: Permit::Granted, ..Settings::default() };
+//! let settings = Settings { classes: vec![class], cancel: Permission::Granted, ..Settings::default() };
 //! let mut balancer = Balancer::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
--- a/src/settings_text.rs
+++ b/src/settings_text.rs
@@ -8,7 +8,9 @@
 //! the text alone. Programs that build [`Settings`] themselves start from [`Settings::default`], which differs in two values:
 //! two attempts instead of one, and a tick of 1 ms instead of 5 ms.
 
-use crate::api::{Class, DedupScope, Discovery, Goal, Idempotency, Permit, Settings, SlowStart, ValueBasis};
+use crate::api::{
+    Class, DedupScope, Discovery, Goal, Idempotency, Permission, Settings, SlowStart, ValueBasis,
+};
 use std::collections::HashMap;
 use std::time::Duration;
 
@@ -58,9 +60,9 @@
         Ok(self.optional(key, time)?.unwrap_or(default))
     }
 
-    fn permit(&self, key: &str) -> Result<Permit, SettingError> {
+    fn permission(&self, key: &str) -> Result<Permission, SettingError> {
         let is_granted = self.optional(key, |text| text.parse::<bool>().ok())?.unwrap_or(false);
-        Ok(if is_granted { Permit::Granted } else { Permit::Denied })
+        Ok(if is_granted { Permission::Granted } else { Permission::Denied })
     }
 
     /// The items of a list that is separated by commas; none if the key is missing.
@@ -122,11 +124,11 @@
         load_reported: load_field(text).is_some(),
         goal: goal(&values)?,
         max_attempts: values.optional("policyLimits.mostTries", count)?.unwrap_or(1),
-        cancel: values.permit("policyLimits.cancel")?,
-        probes: values.permit("policyLimits.probes")?,
-        max_retry_after: match values.permit("policyLimits.retryAfter")? {
-            Permit::Granted => Some(values.time("policyLimits.maxRetryAfter", Duration::ZERO)?),
-            Permit::Denied => None,
+        cancel: values.permission("policyLimits.cancel")?,
+        probes: values.permission("policyLimits.probes")?,
+        max_retry_after: match values.permission("policyLimits.retryAfter")? {
+            Permission::Granted => Some(values.time("policyLimits.maxRetryAfter", Duration::ZERO)?),
+            Permission::Denied => None,
         },
         discovery: discovery(&values)?,
         slow_start: SlowStart {
--- a/tests/module/probing.rs
+++ b/tests/module/probing.rs
@@ -6,7 +6,7 @@
 
 fn probing(instances: u32) -> Settings {
     let mut settings = settings(vec![class(Idempotency::NonIdempotent)]);
-    (settings.probes, settings.sidecar_count) = (Permit::Granted, instances);
+    (settings.probes, settings.sidecar_count) = (Permission::Granted, instances);
     settings
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -40,7 +40,7 @@
             settings(vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NonIdempotent)]);
         settings.discovery = discovery;
         settings.cross_zone_price = 0.05;
-        settings.probes = if probes { Permit::Granted } else { Permit::Denied };
+        settings.probes = if probes { Permission::Granted } else { Permission::Denied };
         let harness = Harness::seeded(settings, vec![], seed);
         let (requests, states, servers) = (BTreeMap::new(), BTreeMap::new(), if probes { 70 } else { 7 });
         Day { harness, requests, states, probes: vec![], servers }
