--- a/crates/control/src/controller/view_changes.rs
+++ b/crates/control/src/controller/view_changes.rs
@@ -4,6 +4,7 @@
 use lugwharf_chain as chain;
 use lugwharf_election as election;
 use spdlog::prelude::*;
+use std::net::SocketAddr;
 
 impl Controller {
     /// Reports the replica's view to the elector if it is new: one that was agreed, or the one found on disk.
@@ -22,9 +23,10 @@
     fn enter_view(&mut self, status: &chain::ReplicaStatus) {
         self.metrics.view_changes.inc();
         let position = status.position.map_or_else(|| "none".to_owned(), |position| position.to_string());
+        let chain: Vec<String> = status.chain.iter().map(SocketAddr::to_string).collect();
         info!("view", kv: {
             outcome = "installed", view = status.view, members = status.members.len(),
-            replicas = status.chain.len(), position = position.as_str()
+            replicas = status.chain.len(), position = position.as_str(), chain = chain.join(",").as_str()
         });
         // Connections to others are opened again with the next message.
         let all = self.process_directory.all(self.now(), self.local_address, &status.members);
