--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -32,7 +32,7 @@
     pub(crate) time_constant_ms: f64,
     pub(crate) now_ms: f64,
     /// The clock at the first event; infinite before it.
-    pub(crate) first_event_ms: f64,
+    pub(crate) first_event_at_ms: f64,
 
     pub(crate) servers: ServerTable,
     /// Requests that are not finished or have an attempt in flight.
@@ -78,7 +78,7 @@
             rng: fastrand::Rng::with_seed(seed),
             time_constant_ms: (TIME_CONSTANT_TARGETS * targets_ms / class_count.max(1) as f64).max(1.0),
             now_ms: 0.0,
-            first_event_ms: f64::INFINITY,
+            first_event_at_ms: f64::INFINITY,
             servers: ServerTable::new(settings.zone, to_ms(settings.slow_start.ramp_time)),
             requests: BTreeMap::new(),
             queue: Vec::new(),
@@ -103,7 +103,7 @@
     /// latest.
     pub fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Action>) {
         self.now_ms = to_ms(now).max(self.now_ms);
-        self.first_event_ms = self.first_event_ms.min(self.now_ms);
+        self.first_event_at_ms = self.first_event_at_ms.min(self.now_ms);
         match event {
             Event::Request(arrival) => self.on_arrival(arrival, out),
             Event::ClientDisconnected(id) => self.finish(id, out),
@@ -158,7 +158,7 @@
     /// Attempts sent per millisecond, over the time that [`Balancer::recent_sends`] covers.
     pub(crate) fn sends_per_ms(&self) -> f64 {
         let ramp_ms = self.ramp_time_ms();
-        let span_ms = ramp_ms * (1.0 - (-(self.now_ms - self.first_event_ms) / ramp_ms).exp());
+        let span_ms = ramp_ms * (1.0 - (-(self.now_ms - self.first_event_at_ms) / ramp_ms).exp());
         self.recent_sends.at(self.now_ms, ramp_ms) / span_ms.max(MIN_RATE_SPAN_MS)
     }
 
--- a/src/decision/probing.rs
+++ b/src/decision/probing.rs
@@ -16,9 +16,9 @@
     /// Draws two candidates and sends the request to the better one, at once or after a probe of both. Returns `false` if
     /// the request may go nowhere now.
     pub(crate) fn try_send(
-        &mut self, id: RequestId, has_capacity: impl Fn(Locality) -> bool, out: &mut Vec<Action>,
+        &mut self, id: RequestId, may_use_locality: impl Fn(Locality) -> bool, out: &mut Vec<Action>,
     ) -> bool {
-        let drawn = self.draw_candidates(id, has_capacity);
+        let drawn = self.draw_candidates(id, may_use_locality);
         let Some(better) = self.lowest_score(&drawn, self.requests[&id].profile.class) else { return false };
         if self.must_probe() {
             self.probe(id, &drawn, out);
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -106,10 +106,10 @@
     /// Servers probed for it, in all rounds.
     pub(crate) candidates: Vec<Candidate>,
     pub(crate) probe_rounds: u32,
-    /// A random number, uniform on [0, 1), drawn once at its arrival and compared with shares: only requests whose draw is
-    /// below a share of that size may go to a warming server, and where less than one attempt may be in flight, that
-    /// share of the requests goes out, by the highest draws. It stays the same when the request is looked at again: a
-    /// request that waits doesn't get through by drawing often.
+    /// A random number, uniform on [0, 1), drawn once at its arrival. It decides where only a share of the requests may go
+    /// somewhere: to a warming server goes a request whose draw is below the share, and where less than one attempt may be
+    /// in flight, one whose draw is among the highest. Since it is not drawn again, a request does not get through by
+    /// waiting and being looked at often.
     pub(crate) draw: f64,
 }
 
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Draws two distinct random ready servers for a request, fewer if there are fewer that it may go to. `has_capacity`
-    /// tells whether the window of a locality has room for the request.
+    /// Draws two distinct random ready servers for a request, fewer if there are fewer that it may go to. `may_use_locality`
+    /// tells whether it may go to a locality now: by the room in the windows, and by whether it may cross zones.
     ///
     /// The servers are drawn from the first of these tiers that has any, even if that is only one:
     /// 1. where crossing zones has a price: servers of the own zone, in the subset, that are in use and have a score below
@@ -105,13 +105,13 @@
     /// 4. servers of the complete list, ejected ones included, as in Envoy's panic mode: if all look bad, the cause is
     ///    probably elsewhere.
     ///
-    /// In each tier only those count that the request may go to: by its retry scope, with capacity in their locality, not
-    /// tried or probed for it before, and warm enough.
+    /// In each tier only those count that the request may go to: by its retry scope, in a locality that it may use, not
+    /// attempted before nor probed since the last attempt, and warm enough.
     ///
     /// [`MAX_DRAWS`] random numbers are drawn in every call, whatever is found, and all tiers share them: so the sequence of
     /// the generator does not depend on the list.
     pub(crate) fn draw_candidates(
-        &mut self, id: RequestId, has_capacity: impl Fn(Locality) -> bool,
+        &mut self, id: RequestId, may_use_locality: impl Fn(Locality) -> bool,
     ) -> Vec<ServerId> {
         let draws = std::array::from_fn(|_| self.rng.u32(..) as usize);
         let request = &self.requests[&id];
@@ -120,12 +120,12 @@
         let idempotency = self.settings.classes[class].idempotency;
         let is_allowed = |server: &Server| {
             scope.includes(server.dedup_group(idempotency))
-                && has_capacity(self.locality(server))
+                && may_use_locality(self.locality(server))
                 && !request.has_considered(server.entry.server)
                 && self.is_warm_enough(server, request)
         };
-        // A trial may fail after the server has executed the request: it is never made with a request that may not be sent
-        // again then.
+        // A trial may fail after the server has executed the request, and a non-idempotent one may not be sent again then. So
+        // it makes no trial; it goes to an ejected server only where all look bad.
         let may_try_ejected = idempotency != Idempotency::NonIdempotent;
         let is_preferred = |server: &Server| {
             let is_in_use =
