--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The processes of one run, the relays between them, and what surrounds them.
 
 use crate::configuration::configuration;
-use crate::relay::{Links, Relay};
+use crate::link_proxy::{LinkProxy, LinkTable};
 use crate::schedule::Scenario;
 use crate::servers::Server;
 use eyre::{Result, WrapErr, ensure};
@@ -14,13 +14,13 @@
 use std::path::Path;
 
 /// Control machines at most, those included that replace others.
-const MOST_CONTROLS: usize = 8;
+const MAX_CONTROL_NODES: usize = 8;
 /// Descriptors that processes are told they may hold: a proxy then takes some 60 clients, which a crowd goes beyond.
 const MAX_FDS: usize = 300;
 /// Descriptors that a process may open beyond those that it has while these run out.
-const FEW_DESCRIPTORS: usize = 0;
+const DESCRIPTOR_HEADROOM: usize = 0;
 /// Enough for every process.
-const MANY_DESCRIPTORS: usize = 1_024;
+const AMPLE_DESCRIPTORS: usize = 1_024;
 
 /// All of one run.
 pub struct Fleet {
@@ -29,7 +29,7 @@
     /// The list of servers.
     pub platform: PlatformHost,
     /// The links between machines.
-    pub links: Links,
+    pub links: LinkTable,
     /// The processes.
     pub cluster: Cluster,
     /// The servers.
@@ -37,18 +37,18 @@
     /// Control machines that are in use.
     pub controls: Vec<usize>,
     /// How many troubles keep a process from running.
-    held: BTreeMap<String, usize>,
+    stop_counts: BTreeMap<String, usize>,
     /// How many troubles keep a process from going on.
-    frozen: BTreeMap<String, usize>,
+    pause_counts: BTreeMap<String, usize>,
     /// Processes that ended for good.
     pub retired: BTreeSet<String>,
     next_control: usize,
-    _relays: Vec<Relay>,
+    _relays: Vec<LinkProxy>,
 }
 
 /// A process of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unit {
+pub enum ProcessId {
     /// A control process.
     Control(usize),
     /// The proxy of a front.
@@ -57,13 +57,13 @@
     Agent(usize),
 }
 
-impl Unit {
+impl ProcessId {
     /// The name of its process in the cluster.
     pub fn name(self) -> String {
         match self {
-            Unit::Control(index) => format!("control-{index}"),
-            Unit::Proxy(index) => format!("front-{index}-proxy"),
-            Unit::Agent(index) => format!("front-{index}-agent"),
+            ProcessId::Control(index) => format!("control-{index}"),
+            ProcessId::Proxy(index) => format!("front-{index}-proxy"),
+            ProcessId::Agent(index) => format!("front-{index}-agent"),
         }
     }
 }
@@ -86,11 +86,11 @@
             relayed: true,
         };
         let cluster = Cluster::new(binary, Subnet::claim()?, options)?;
-        let links = Links::default();
+        let links = LinkTable::default();
         let mut relays = Vec::new();
-        for index in 0..MOST_CONTROLS {
+        for index in 0..MAX_CONTROL_NODES {
             for (public, bound) in cluster.relayed_addresses(index) {
-                relays.push(Relay::start(&links, public, bound).await.wrap_err("a relay")?);
+                relays.push(LinkProxy::start(&links, public, bound).await.wrap_err("a relay")?);
             }
         }
         let mut fleet = Fleet {
@@ -100,8 +100,8 @@
             cluster,
             servers: Vec::new(),
             controls: (0..scenario.controls).collect(),
-            held: BTreeMap::new(),
-            frozen: BTreeMap::new(),
+            stop_counts: BTreeMap::new(),
+            pause_counts: BTreeMap::new(),
             retired: BTreeSet::new(),
             next_control: scenario.controls,
             _relays: relays,
@@ -136,28 +136,28 @@
     }
 
     /// The agent of a front; the control process, where that is hosted by it.
-    pub fn agent(&self, front: usize) -> Unit {
-        if self.cluster.hosts_control(front) { Unit::Control(front) } else { Unit::Agent(front) }
+    pub fn agent(&self, front: usize) -> ProcessId {
+        if self.cluster.hosts_control(front) { ProcessId::Control(front) } else { ProcessId::Agent(front) }
     }
 
     /// The name of each process in use.
-    pub fn units(&self, fronts: usize) -> Vec<Unit> {
-        let controls = self.controls.iter().map(|index| Unit::Control(*index));
+    pub fn processes(&self, fronts: usize) -> Vec<ProcessId> {
+        let controls = self.controls.iter().map(|index| ProcessId::Control(*index));
         let agents =
-            (0..fronts).map(|front| self.agent(front)).filter(|agent| matches!(agent, Unit::Agent(_)));
-        controls.chain((0..fronts).map(Unit::Proxy)).chain(agents).collect()
+            (0..fronts).map(|front| self.agent(front)).filter(|agent| matches!(agent, ProcessId::Agent(_)));
+        controls.chain((0..fronts).map(ProcessId::Proxy)).chain(agents).collect()
     }
 
     /// Whether some trouble keeps the process from running or going on.
-    pub fn is_troubled(&self, name: &str) -> bool {
+    pub fn is_stopped_or_paused(&self, name: &str) -> bool {
         let counts = |table: &BTreeMap<String, usize>| table.get(name).is_some_and(|count| *count > 0);
-        counts(&self.held) || counts(&self.frozen) || self.retired.contains(name)
+        counts(&self.stop_counts) || counts(&self.pause_counts) || self.retired.contains(name)
     }
 
     /// Ends a process as a kill does, until it is released.
-    pub fn kill(&mut self, unit: Unit) -> Result<()> {
-        *self.held.entry(unit.name()).or_default() += 1;
-        if let Some(process) = self.cluster.process(&unit.name()) {
+    pub fn kill(&mut self, process_id: ProcessId) -> Result<()> {
+        *self.stop_counts.entry(process_id.name()).or_default() += 1;
+        if let Some(process) = self.cluster.process(&process_id.name()) {
             process.signal(Signal::Kill)?;
             process.wait()?;
         }
@@ -165,57 +165,57 @@
     }
 
     /// Asks a process to end, until it is released.
-    pub fn terminate(&mut self, unit: Unit) -> Result<()> {
-        *self.held.entry(unit.name()).or_default() += 1;
-        Ok(self.cluster.terminate(&unit.name())?)
+    pub fn terminate(&mut self, process_id: ProcessId) -> Result<()> {
+        *self.stop_counts.entry(process_id.name()).or_default() += 1;
+        Ok(self.cluster.terminate(&process_id.name())?)
     }
 
     /// Whether a process that was asked to end has ended.
-    pub fn has_ended(&mut self, unit: Unit) -> bool {
-        self.cluster.process(&unit.name()).is_none_or(|process| process.ended().is_some())
+    pub fn has_ended(&mut self, process_id: ProcessId) -> bool {
+        self.cluster.process(&process_id.name()).is_none_or(|process| process.ended().is_some())
     }
 
     /// One trouble less keeps the process from running; it starts again once none does.
-    pub fn release(&mut self, unit: Unit) -> Result<()> {
-        let count = self.held.entry(unit.name()).or_default();
+    pub fn release(&mut self, process_id: ProcessId) -> Result<()> {
+        let count = self.stop_counts.entry(process_id.name()).or_default();
         *count = count.saturating_sub(1);
-        let may_start = *count == 0 && !self.retired.contains(&unit.name());
-        if !may_start || !self.has_ended(unit) {
+        let may_start = *count == 0 && !self.retired.contains(&process_id.name());
+        if !may_start || !self.has_ended(process_id) {
             return Ok(());
         }
-        match unit {
-            Unit::Control(index) => self.cluster.start_control(index)?,
-            Unit::Proxy(front) => self.cluster.start_front_process(front, "proxy")?,
-            Unit::Agent(front) => self.cluster.start_front_process(front, "agent")?,
+        match process_id {
+            ProcessId::Control(index) => self.cluster.start_control(index)?,
+            ProcessId::Proxy(front) => self.cluster.start_front_process(front, "proxy")?,
+            ProcessId::Agent(front) => self.cluster.start_front_process(front, "agent")?,
         }
         Ok(())
     }
 
     /// Lets a process stand still.
-    pub fn freeze(&mut self, unit: Unit) -> Result<()> {
-        *self.frozen.entry(unit.name()).or_default() += 1;
-        self.signal(unit, Signal::Freeze)
+    pub fn pause(&mut self, process_id: ProcessId) -> Result<()> {
+        *self.pause_counts.entry(process_id.name()).or_default() += 1;
+        self.signal(process_id, Signal::Freeze)
     }
 
     /// One trouble less lets the process stand still.
-    pub fn thaw(&mut self, unit: Unit) -> Result<()> {
-        let count = self.frozen.entry(unit.name()).or_default();
+    pub fn resume(&mut self, process_id: ProcessId) -> Result<()> {
+        let count = self.pause_counts.entry(process_id.name()).or_default();
         *count = count.saturating_sub(1);
-        if *count == 0 { self.signal(unit, Signal::Thaw) } else { Ok(()) }
+        if *count == 0 { self.signal(process_id, Signal::Thaw) } else { Ok(()) }
     }
 
     /// Lets a process open hardly any more descriptors, or as many as it needs.
-    pub fn limit_descriptors(&mut self, unit: Unit, are_short: bool) -> Result<()> {
-        if let Some(process) = self.cluster.process(&unit.name()) {
-            let few = process.open_descriptors() + FEW_DESCRIPTORS;
-            process.limit_open_descriptors(if are_short { few } else { MANY_DESCRIPTORS })?;
+    pub fn limit_descriptors(&mut self, process_id: ProcessId, are_short: bool) -> Result<()> {
+        if let Some(process) = self.cluster.process(&process_id.name()) {
+            let few = process.open_descriptors() + DESCRIPTOR_HEADROOM;
+            process.limit_open_descriptors(if are_short { few } else { AMPLE_DESCRIPTORS })?;
         }
         Ok(())
     }
 
     /// Sends a signal.
-    pub fn signal(&mut self, unit: Unit, signal: Signal) -> Result<()> {
-        if let Some(process) = self.cluster.process(&unit.name()) {
+    pub fn signal(&mut self, process_id: ProcessId, signal: Signal) -> Result<()> {
+        if let Some(process) = self.cluster.process(&process_id.name()) {
             process.signal(signal)?;
         }
         Ok(())
@@ -223,7 +223,7 @@
 
     /// Adds an empty control machine.
     pub fn add_control(&mut self) -> Result<Option<usize>> {
-        if self.next_control >= MOST_CONTROLS {
+        if self.next_control >= MAX_CONTROL_NODES {
             return Ok(None);
         }
         let index = self.next_control;
@@ -234,7 +234,7 @@
 
     /// A control machine takes the place of another one, which was asked to end for good.
     pub fn replace_control(&mut self, old: usize, new: usize) {
-        self.retired.insert(Unit::Control(old).name());
+        self.retired.insert(ProcessId::Control(old).name());
         self.controls.retain(|index| *index != old);
         self.controls.push(new);
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -15,30 +15,30 @@
 //! | `report` | the folder of a failing seed, and the summary |
 #![forbid(unsafe_code)]
 
+mod checker;
+#[cfg(test)]
+mod checker_tests;
 mod configuration;
+mod fault_injection;
 mod fleet;
-mod heal;
-mod judge;
+mod harness;
+mod link_proxy;
 #[cfg(test)]
-mod judge_tests;
+mod link_proxy_tests;
 mod operators;
-mod relay;
-#[cfg(test)]
-mod relay_tests;
+mod process_monitor;
+mod recovery;
 mod report;
 #[cfg(test)]
 mod report_tests;
-mod run;
 mod schedule;
 #[cfg(test)]
 mod schedule_tests;
 mod servers;
-mod startle;
+mod startup_faults;
 mod traffic;
-mod trouble;
-mod watch;
 
-pub use judge::Finding;
-pub use report::{Summary, write_folder};
-pub use run::{Outcome, run};
-pub use schedule::{Kind, Overlap, Scenario, Schedule, Trouble};
+pub use checker::Finding;
+pub use harness::{RunOutcome, run};
+pub use report::{Summary, write_run_folder};
+pub use schedule::{FaultKind, Overlap, Scenario, Schedule, ScheduledFault};
--- a/crates/soak/src/relay.rs
+++ b/crates/soak/src/link_proxy.rs
@@ -23,11 +23,11 @@
     /// At once.
     Open,
     /// Not at all, and without a word: bytes wait until the link is open again.
-    Silent,
+    Blackholed,
     /// Connections are reset.
     Reset,
     /// Each piece this much later.
-    Slow(Duration),
+    Delayed(Duration),
 }
 
 /// A direction between two machines, by the addresses at which the processes listen.
@@ -35,18 +35,18 @@
 
 /// The states of all links; clones share them.
 #[derive(Clone, Debug)]
-pub struct Links {
+pub struct LinkTable {
     states: Arc<Mutex<HashMap<Link, LinkState>>>,
     changes: watch::Sender<u64>,
 }
 
-impl Default for Links {
-    fn default() -> Links {
-        Links { states: Arc::default(), changes: watch::Sender::new(0) }
+impl Default for LinkTable {
+    fn default() -> LinkTable {
+        LinkTable { states: Arc::default(), changes: watch::Sender::new(0) }
     }
 }
 
-impl Links {
+impl LinkTable {
     fn states(&self) -> MutexGuard<'_, HashMap<Link, LinkState>> {
         self.states.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -69,15 +69,15 @@
     }
 
     /// Waits until a direction carries bytes, and returns how much later; `None` if connections on it are reset.
-    async fn passing(&self, link: Link) -> Option<Duration> {
+    async fn wait_until_passable(&self, link: Link) -> Option<Duration> {
         let mut changes = self.changes.subscribe();
         loop {
             changes.borrow_and_update();
             match self.state(link) {
                 LinkState::Open => return Some(Duration::ZERO),
-                LinkState::Slow(delay) => return Some(delay),
+                LinkState::Delayed(delay) => return Some(delay),
                 LinkState::Reset => return None,
-                LinkState::Silent => {}
+                LinkState::Blackholed => {}
             }
             if changes.changed().await.is_err() {
                 return None;
@@ -86,7 +86,7 @@
     }
 
     /// Waits until connections in one of the directions are reset.
-    async fn reset(&self, there: Link, back: Link) {
+    async fn wait_for_reset(&self, there: Link, back: Link) {
         let mut changes = self.changes.subscribe();
         loop {
             changes.borrow_and_update();
@@ -102,37 +102,38 @@
 
 /// Listens on `public` and passes connections on to `target`, until it is dropped.
 #[derive(Debug)]
-pub struct Relay {
+pub struct LinkProxy {
     task: tokio::task::JoinHandle<()>,
 }
 
-impl Relay {
+impl LinkProxy {
     /// Starts to listen.
-    pub async fn start(links: &Links, public: SocketAddr, target: SocketAddr) -> io::Result<Relay> {
+    pub async fn start(links: &LinkTable, public: SocketAddr, target: SocketAddr) -> io::Result<LinkProxy> {
         let listener = TcpListener::bind(public).await?;
         let links = links.clone();
         let task = tokio::spawn(async move {
             loop {
                 if let Ok((stream, from)) = listener.accept().await {
-                    tokio::spawn(serve(links.clone(), stream, from, target));
+                    tokio::spawn(proxy_connection(links.clone(), stream, from, target));
                 }
             }
         });
-        Ok(Relay { task })
+        Ok(LinkProxy { task })
     }
 }
 
-impl Drop for Relay {
+impl Drop for LinkProxy {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-async fn serve(links: Links, near: TcpStream, from: SocketAddr, target: SocketAddr) {
+async fn proxy_connection(links: LinkTable, near: TcpStream, from: SocketAddr, target: SocketAddr) {
     let (SocketAddr::V4(from), SocketAddr::V4(to)) = (from, target) else { return };
     let (there, back) = ((*from.ip(), *to.ip()), (*to.ip(), *from.ip()));
     // An opening packet needs both ways.
-    let is_open = links.passing(there).await.is_some() && links.passing(back).await.is_some();
+    let is_open =
+        links.wait_until_passable(there).await.is_some() && links.wait_until_passable(back).await.is_some();
     let far = if is_open { TcpStream::connect(target).await.ok() } else { None };
     let Some(far) = far else { return abort(&near) };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
@@ -143,8 +144,8 @@
     );
     let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
     tokio::select! {
-        _ = async { tokio::join!(pump(&links, there, near_read, far_write), pump(&links, back, far_read, near_write)) } => {}
-        () = links.reset(there, back) => {}
+        _ = async { tokio::join!(copy_one_way(&links, there, near_read, far_write), copy_one_way(&links, back, far_read, near_write)) } => {}
+        () = links.wait_for_reset(there, back) => {}
     }
 }
 
@@ -153,16 +154,16 @@
 }
 
 /// Passes bytes on in one direction until its end, which goes on as well.
-async fn pump(links: &Links, link: Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
+async fn copy_one_way(links: &LinkTable, link: Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
     let mut chunk = vec![0; CHUNK];
     loop {
         let Ok(length) = from.read(&mut chunk).await else { return };
-        let Some(delay) = links.passing(link).await else { return };
+        let Some(delay) = links.wait_until_passable(link).await else { return };
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
         // The link may have been cut meanwhile.
-        if links.passing(link).await.is_none() {
+        if links.wait_until_passable(link).await.is_none() {
             return;
         }
         if length == 0 {
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -3,13 +3,13 @@
 
 use eyre::{Result, WrapErr, ensure, eyre};
 use getopts::{Matches, Options};
-use lugwharf_soak::{Kind, Outcome, Overlap, Scenario, Schedule, Summary, run, write_folder};
+use lugwharf_soak::{FaultKind, Overlap, RunOutcome, Scenario, Schedule, Summary, run, write_run_folder};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
 
 fn main() -> ExitCode {
-    match soak() {
+    match run_command() {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
@@ -55,16 +55,16 @@
     length: Duration,
     schedule: Option<Schedule>,
     /// The kinds that are drawn.
-    kinds: Vec<Kind>,
+    kinds: Vec<FaultKind>,
     /// Whether the first start has troubles too.
-    startles: bool,
+    has_startup_faults: bool,
     /// Whether fronts host control.
     is_without_core: bool,
     /// Whether runs that find nothing leave their records too.
     keeps_all: bool,
 }
 
-fn soak() -> Result<bool> {
+fn run_command() -> Result<bool> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let matches = options().parse(&arguments)?;
     if matches.opt_present("help") {
@@ -78,7 +78,7 @@
         length: Duration::from_secs(number(&matches, "seconds", 12)?),
         schedule: matches.opt_str("schedule").map(|path| read_schedule(&path)).transpose()?,
         kinds: kinds(&matches)?,
-        startles: matches.opt_present("startle"),
+        has_startup_faults: matches.opt_present("startle"),
         is_without_core: matches.opt_present("without-core"),
         keeps_all: matches.opt_present("keep"),
     };
@@ -88,12 +88,12 @@
         return minimize(&plan, seeds[0]);
     }
     let jobs = number(&matches, "jobs", 1)? as usize;
-    Ok(play_all(&plan, &seeds, jobs))
+    Ok(play_seeds(&plan, &seeds, jobs))
 }
 
-fn kinds(matches: &Matches) -> Result<Vec<Kind>> {
-    let Some(text) = matches.opt_str("only") else { return Ok(Kind::usual()) };
-    let named = |name: &str| Kind::ALL.iter().copied().find(|kind| kind.name() == name);
+fn kinds(matches: &Matches) -> Result<Vec<FaultKind>> {
+    let Some(text) = matches.opt_str("only") else { return Ok(FaultKind::default_kinds()) };
+    let named = |name: &str| FaultKind::ALL.iter().copied().find(|kind| kind.name() == name);
     let kinds = text.split(',').map(|name| named(name).ok_or_else(|| eyre!("no trouble {name:?}")));
     kinds.collect()
 }
@@ -119,7 +119,7 @@
 }
 
 /// Plays seeds side by side; whether none failed.
-fn play_all(plan: &Plan, seeds: &[u64], jobs: usize) -> bool {
+fn play_seeds(plan: &Plan, seeds: &[u64], jobs: usize) -> bool {
     let next = std::sync::atomic::AtomicUsize::new(0);
     let summary = std::sync::Mutex::new(Summary::default());
     let errors = std::sync::atomic::AtomicUsize::new(0);
@@ -129,7 +129,7 @@
                 loop {
                     let index = next.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
                     let Some(seed) = seeds.get(index) else { return };
-                    match play(plan, *seed, plan.schedule.clone()) {
+                    match play_seed(plan, *seed, plan.schedule.clone()) {
                         Ok(outcome) => {
                             report(plan, *seed, &outcome);
                             let mut summary = summary.lock().unwrap_or_else(|error| error.into_inner());
@@ -155,17 +155,17 @@
 
 fn scenario(plan: &Plan, seed: u64) -> Scenario {
     let draw = if plan.is_without_core { Scenario::without_core } else { Scenario::of };
-    Scenario { startles: plan.startles, ..draw(seed, plan.overlap, plan.length) }
+    Scenario { has_startup_faults: plan.has_startup_faults, ..draw(seed, plan.overlap, plan.length) }
 }
 
-fn play(plan: &Plan, seed: u64, schedule: Option<Schedule>) -> Result<Outcome> {
+fn play_seed(plan: &Plan, seed: u64, schedule: Option<Schedule>) -> Result<RunOutcome> {
     let scenario = scenario(plan, seed);
-    let schedule = schedule.unwrap_or_else(|| Schedule::draw_of(&scenario, &plan.kinds));
+    let schedule = schedule.unwrap_or_else(|| Schedule::draw_from_kinds(&scenario, &plan.kinds));
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(run(&plan.binary, &scenario, &schedule))
 }
 
-fn report(plan: &Plan, seed: u64, outcome: &Outcome) {
+fn report(plan: &Plan, seed: u64, outcome: &RunOutcome) {
     match outcome.findings.first() {
         None => println!("seed {seed}: ok, {} of {} requests", outcome.successes, outcome.requests),
         Some(first) => {
@@ -177,7 +177,7 @@
         return;
     }
     let folder = plan.folder.join(format!("seed-{seed}"));
-    match write_folder(&folder, outcome) {
+    match write_run_folder(&folder, outcome) {
         Ok(()) => println!("seed {seed}: records in {}", folder.display()),
         Err(error) => println!("seed {seed}: no records in {}: {error}", folder.display()),
     }
@@ -186,16 +186,17 @@
 /// Leaves out one trouble after the other of a failing seed, as long as it still fails with the same first finding.
 fn minimize(plan: &Plan, seed: u64) -> Result<bool> {
     let scenario = scenario(plan, seed);
-    let mut schedule = plan.schedule.clone().unwrap_or_else(|| Schedule::draw_of(&scenario, &plan.kinds));
+    let mut schedule =
+        plan.schedule.clone().unwrap_or_else(|| Schedule::draw_from_kinds(&scenario, &plan.kinds));
     let rule = first_rule(plan, seed, &schedule)?;
     let Some(rule) = rule else {
         println!("seed {seed} does not fail");
         return Ok(true);
     };
     let mut index = 0;
-    while index < schedule.troubles.len() {
+    while index < schedule.faults.len() {
         let mut shorter = schedule.clone();
-        let left_out = shorter.troubles.remove(index);
+        let left_out = shorter.faults.remove(index);
         if first_rule(plan, seed, &shorter)? == Some(rule) {
             println!("not needed: {left_out}");
             schedule = shorter;
@@ -209,7 +210,7 @@
 }
 
 fn first_rule(plan: &Plan, seed: u64, schedule: &Schedule) -> Result<Option<&'static str>> {
-    let outcome = play(plan, seed, Some(schedule.clone()))?;
+    let outcome = play_seed(plan, seed, Some(schedule.clone()))?;
     Ok(outcome.findings.first().map(|finding| finding.rule))
 }
 
--- a/crates/soak/src/heal.rs
+++ b/crates/soak/src/recovery.rs
@@ -1,9 +1,9 @@
 //! What has to be well again once all troubles are over.
 
+use crate::checker::Finding;
 use crate::configuration::{configuration, version_of};
 use crate::fleet::Fleet;
-use crate::judge::Finding;
-use crate::operators::{Book, Put};
+use crate::operators::{ConfigWrite, OperatorLog};
 use lugwharf_emulator::cluster::readiness_status;
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -11,29 +11,29 @@
 use tokio::time::Instant;
 
 /// `RecoveryS` of the fleet's settings, with the `CatchUpS` of a machine that has just come back.
-pub const RECOVERY: Duration = Duration::from_secs(16);
+pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(16);
 /// `ConfigMs` of the fleet's settings.
-const CONFIG: Duration = Duration::from_millis(2_000);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// Between two looks.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Waits until the fleet is well; tells what is not if it takes longer than [`RECOVERY`].
-pub async fn heal(fleet: &Fleet, fronts: usize) -> Vec<Finding> {
-    let by = Instant::now() + RECOVERY;
+pub async fn await_recovery(fleet: &Fleet, fronts: usize) -> Vec<Finding> {
+    let deadline = Instant::now() + RECOVERY_TIMEOUT;
     loop {
-        let ailments = ailments(fleet, fronts).await;
-        if ailments.is_empty() {
+        let unhealthy_conditions = unhealthy_conditions(fleet, fronts).await;
+        if unhealthy_conditions.is_empty() {
             return Vec::new();
         }
-        if Instant::now() >= by {
+        if Instant::now() >= deadline {
             let all = |facts: String| Finding { rule: "not_healed", facts };
-            return ailments.into_iter().map(all).collect();
+            return unhealthy_conditions.into_iter().map(all).collect();
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-async fn ailments(fleet: &Fleet, fronts: usize) -> Vec<String> {
+async fn unhealthy_conditions(fleet: &Fleet, fronts: usize) -> Vec<String> {
     let mut found = Vec::new();
     let mut views = BTreeSet::new();
     let mut holders = BTreeSet::new();
@@ -70,44 +70,46 @@
 
 /// Sends one more change, which has to be acknowledged and to reach every front in time. `version` is above all that were
 /// sent.
-pub async fn change_once_more(fleet: &Fleet, fronts: usize, version: u64, book: &Book) -> Vec<Finding> {
+pub async fn verify_final_write(
+    fleet: &Fleet, fronts: usize, version: u64, operator_log: &OperatorLog,
+) -> Vec<Finding> {
     let find = |facts: String| vec![Finding { rule: "not_healed", facts }];
     let operator = fleet.operator();
     let newest = operator.get().await;
     let Some(base) = version_of(newest.body()) else {
         return find(format!("no configuration is read back: {newest:?}"));
     };
-    let (began, bytes) = (fleet.world.now(), configuration(version).to_bytes());
-    let verdict = operator.put(&bytes, base).await;
-    book.note_put(Put {
+    let (started_at, bytes) = (fleet.world.now(), configuration(version).to_bytes());
+    let outcome = operator.put(&bytes, base).await;
+    operator_log.record_write(ConfigWrite {
         version,
         base,
         bytes: bytes.into(),
         is_valid: true,
-        began,
-        ended: fleet.world.now(),
-        verdict: verdict.clone(),
+        started_at,
+        ended_at: fleet.world.now(),
+        outcome: outcome.clone(),
         is_resend: false,
     });
-    if verdict.status() != Some(200) {
-        return find(format!("version {version} on {base}: {verdict:?}"));
+    if outcome.status() != Some(200) {
+        return find(format!("version {version} on {base}: {outcome:?}"));
     }
-    let by = Instant::now() + CONFIG;
-    let wanted = format!("lugwharf_proxy_config_version {version}");
-    let mut behind: Vec<usize> = (0..fronts).collect();
-    while !behind.is_empty() {
-        let mut late = Vec::new();
-        for front in behind {
+    let deadline = Instant::now() + PROPAGATION_TIMEOUT;
+    let expected_line = format!("lugwharf_proxy_config_version {version}");
+    let mut lagging: Vec<usize> = (0..fronts).collect();
+    while !lagging.is_empty() {
+        let mut still_lagging = Vec::new();
+        for front in lagging {
             let text = fleet.cluster.front_metrics(front).await.into_iter().next().flatten();
-            if !text.is_some_and(|text| text.lines().any(|line| line == wanted)) {
-                late.push(front);
+            if !text.is_some_and(|text| text.lines().any(|line| line == expected_line)) {
+                still_lagging.push(front);
             }
         }
-        behind = late;
-        if Instant::now() >= by && !behind.is_empty() {
-            return find(format!("fronts {behind:?} lack version {version}"));
+        lagging = still_lagging;
+        if Instant::now() >= deadline && !lagging.is_empty() {
+            return find(format!("fronts {lagging:?} lack version {version}"));
         }
-        tokio::time::sleep(LOOK / 4).await;
+        tokio::time::sleep(POLL_INTERVAL / 4).await;
     }
     Vec::new()
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,15 +1,15 @@
 //! The folder of a failing seed, and the summary of many.
 
-use crate::judge::Finding;
-use crate::run::Outcome;
-use crate::schedule::{Kind, Schedule};
+use crate::checker::Finding;
+use crate::harness::RunOutcome;
+use crate::schedule::{FaultKind, Schedule};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::io;
 use std::path::Path;
 
 /// Writes all that explains a run into a folder.
-pub fn write_folder(folder: &Path, outcome: &Outcome) -> io::Result<()> {
+pub fn write_run_folder(folder: &Path, outcome: &RunOutcome) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join("schedule.txt"), outcome.schedule.to_string())?;
     let findings: Vec<String> =
@@ -28,32 +28,32 @@
     successes: usize,
     changes: usize,
     reads: usize,
-    troubles: BTreeMap<Kind, usize>,
-    pairs: BTreeSet<(Kind, Kind)>,
+    faults: BTreeMap<FaultKind, usize>,
+    pairs: BTreeSet<(FaultKind, FaultKind)>,
     violations: BTreeMap<&'static str, usize>,
 }
 
 impl Summary {
     /// Adds a run.
-    pub fn add(&mut self, seed: u64, outcome: &Outcome) {
+    pub fn add(&mut self, seed: u64, outcome: &RunOutcome) {
         self.seeds += 1;
         self.requests += outcome.requests;
         self.successes += outcome.successes;
         self.changes += outcome.changes;
         self.reads += outcome.reads;
-        self.note_troubles(&outcome.schedule);
+        self.count_faults(&outcome.schedule);
         for finding in &outcome.findings {
             self.failed.insert(seed);
             *self.violations.entry(finding.rule).or_default() += 1;
         }
     }
 
-    fn note_troubles(&mut self, schedule: &Schedule) {
-        for (index, trouble) in schedule.troubles.iter().enumerate() {
-            *self.troubles.entry(trouble.kind).or_default() += 1;
-            for other in &schedule.troubles[..index] {
-                if other.end() > trouble.at {
-                    self.pairs.insert((other.kind.min(trouble.kind), other.kind.max(trouble.kind)));
+    fn count_faults(&mut self, schedule: &Schedule) {
+        for (index, fault) in schedule.faults.iter().enumerate() {
+            *self.faults.entry(fault.kind).or_default() += 1;
+            for other in &schedule.faults[..index] {
+                if other.end() > fault.start {
+                    self.pairs.insert((other.kind.min(fault.kind), other.kind.max(fault.kind)));
                 }
             }
         }
@@ -70,9 +70,9 @@
         writeln!(f, "seeds {}, failed {} {:?}", self.seeds, self.failed.len(), self.failed)?;
         writeln!(f, "requests {}, successes {}", self.requests, self.successes)?;
         writeln!(f, "changes {}, reads {}", self.changes, self.reads)?;
-        let possible = Kind::ALL.len() * (Kind::ALL.len() + 1) / 2;
+        let possible = FaultKind::ALL.len() * (FaultKind::ALL.len() + 1) / 2;
         writeln!(f, "pairs of troubles that overlapped {} of {possible}", self.pairs.len())?;
-        for (kind, count) in &self.troubles {
+        for (kind, count) in &self.faults {
             writeln!(f, "  {:<18}{count}", kind.name())?;
         }
         writeln!(f, "violations {}", self.violations.values().sum::<usize>())?;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -6,32 +6,32 @@
 use std::time::Duration;
 
 /// No trouble begins before: the fleet serves by then.
-const FIRST: Duration = Duration::from_millis(500);
+const EARLIEST_START: Duration = Duration::from_millis(500);
 /// The shortest trouble that lasts.
-const SHORTEST: u64 = 300;
+const MIN_DURATION_MS: u64 = 300;
 /// The longest, in ms: longer than leases, heartbeats and patience of any process.
-const LONGEST: u64 = 4_500;
+const MAX_DURATION_MS: u64 = 4_500;
 /// `DrainMs` of the fleet's settings, and some.
 const DRAIN: Duration = Duration::from_millis(3_500);
 /// A disk is lost at most once in a run: with a tolerance of one the second one would need the time to catch up in between.
-const MOST_WIPES: usize = 1;
+const MAX_DISK_LOSSES: usize = 1;
 
 macro_rules! kinds {
     ($($(#[doc = $help:literal])+ $variant:ident => $name:literal,)+) => {
         /// What goes wrong.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-        pub enum Kind {
+        pub enum FaultKind {
             $($(#[doc = $help])+ $variant,)+
         }
 
-        impl Kind {
+        impl FaultKind {
             /// All kinds.
-            pub const ALL: &'static [Kind] = &[$(Kind::$variant,)+];
+            pub const ALL: &'static [FaultKind] = &[$(FaultKind::$variant,)+];
 
             /// The name in schedules and summaries.
             pub fn name(self) -> &'static str {
                 match self {
-                    $(Kind::$variant => $name,)+
+                    $(FaultKind::$variant => $name,)+
                 }
             }
         }
@@ -115,72 +115,80 @@
     ConfigBurst => "config_burst",
 }
 
-impl Kind {
+impl FaultKind {
     /// Whether requests of clients may fail by it.
-    pub fn harms_requests(self) -> bool {
-        self.harms_fronts() || self.harms_servers()
+    pub fn disrupts_requests(self) -> bool {
+        self.disrupts_fronts() || self.disrupts_servers()
     }
 
     /// Whether a run without a cause for failing requests may fail them on a busy machine: the proxy waits 2 ms for the reset of
     /// a connection that was forgotten, and the rig's servers need a turn of the processor to send it.
     pub fn needs_idle_machine(self) -> bool {
-        self == Kind::IdleRace
+        self == FaultKind::IdleRace
     }
 
     /// The kinds that are drawn where none are named.
-    pub fn usual() -> Vec<Kind> {
-        Kind::ALL.iter().copied().filter(|kind| !kind.needs_idle_machine()).collect()
+    pub fn default_kinds() -> Vec<FaultKind> {
+        FaultKind::ALL.iter().copied().filter(|kind| !kind.needs_idle_machine()).collect()
     }
 
     /// Whether a front or its feed stops.
-    pub fn harms_fronts(self) -> bool {
+    pub fn disrupts_fronts(self) -> bool {
         matches!(
             self,
-            Kind::ProxyKill | Kind::FrontTerm | Kind::FrontFreeze | Kind::ProxyDescriptors | Kind::Crowd
+            FaultKind::ProxyKill
+                | FaultKind::FrontTerm
+                | FaultKind::FrontFreeze
+                | FaultKind::ProxyDescriptors
+                | FaultKind::Crowd
         )
     }
 
     /// Whether the list of servers may reach the fronts late.
-    pub fn delays_lists(self) -> bool {
+    pub fn delays_server_lists(self) -> bool {
         let harmless = matches!(
             self,
-            Kind::Reload | Kind::ConfigRace | Kind::ConfigBurst | Kind::Crowd | Kind::IdleRace
+            FaultKind::Reload
+                | FaultKind::ConfigRace
+                | FaultKind::ConfigBurst
+                | FaultKind::Crowd
+                | FaultKind::IdleRace
         );
-        !harmless && !self.harms_servers()
+        !harmless && !self.disrupts_servers()
     }
 
     /// Whether the control machines or the links between them are in trouble.
-    pub fn harms_control(self) -> bool {
+    pub fn disrupts_control(self) -> bool {
         matches!(
             self,
-            Kind::ControlKill
-                | Kind::ControlTerm
-                | Kind::ControlFreeze
-                | Kind::ControlWipe
-                | Kind::ControlHerd
-                | Kind::ControlReplace
-                | Kind::ControlDescriptors
-                | Kind::PairSilent
-                | Kind::PairReset
-                | Kind::PairOneWay
-                | Kind::PairSlow
-                | Kind::Halves
-                | Kind::Mute
+            FaultKind::ControlKill
+                | FaultKind::ControlTerm
+                | FaultKind::ControlFreeze
+                | FaultKind::ControlWipe
+                | FaultKind::ControlHerd
+                | FaultKind::ControlReplace
+                | FaultKind::ControlDescriptors
+                | FaultKind::PairSilent
+                | FaultKind::PairReset
+                | FaultKind::PairOneWay
+                | FaultKind::PairSlow
+                | FaultKind::Halves
+                | FaultKind::Mute
         )
     }
 
     /// Whether servers fail requests.
-    pub fn harms_servers(self) -> bool {
+    pub fn disrupts_servers(self) -> bool {
         matches!(
             self,
-            Kind::ServerCrash
-                | Kind::ServerDrain
-                | Kind::ServerDark
-                | Kind::ServerFailing
-                | Kind::AnswersLost
-                | Kind::AnswersGarbled
-                | Kind::AnswersSurplus
-                | Kind::StreamsCut
+            FaultKind::ServerCrash
+                | FaultKind::ServerDrain
+                | FaultKind::ServerDark
+                | FaultKind::ServerFailing
+                | FaultKind::AnswersLost
+                | FaultKind::AnswersGarbled
+                | FaultKind::AnswersSurplus
+                | FaultKind::StreamsCut
         )
     }
 }
@@ -191,48 +199,48 @@
 
 /// One trouble.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Trouble {
+pub struct ScheduledFault {
     /// What goes wrong.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// When, since the fleet serves.
-    pub at: Duration,
+    pub start: Duration,
     /// For how long, where it lasts; else the time before what was ended starts again.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Which machine or server, to be taken modulo how many there are.
     pub target: usize,
     /// Which other one.
-    pub other: usize,
+    pub peer: usize,
 }
 
-impl Trouble {
+impl ScheduledFault {
     /// When it is over.
     pub fn end(&self) -> Duration {
-        self.at + self.lasts
+        self.start + self.duration
     }
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for ScheduledFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Trouble { kind, at, lasts, target, other } = self;
-        write!(f, "{} {} {} {target} {other}", kind.name(), at.as_millis(), lasts.as_millis())
+        let ScheduledFault { kind, start, duration, target, peer } = self;
+        write!(f, "{} {} {} {target} {peer}", kind.name(), start.as_millis(), duration.as_millis())
     }
 }
 
-impl FromStr for Trouble {
+impl FromStr for ScheduledFault {
     type Err = String;
 
-    fn from_str(line: &str) -> Result<Trouble, String> {
+    fn from_str(line: &str) -> Result<ScheduledFault, String> {
         let wrong = || format!("no trouble: {line:?}");
         let mut words = line.split_whitespace();
         let name = words.next().ok_or_else(wrong)?;
-        let kind = *Kind::ALL.iter().find(|kind| kind.name() == name).ok_or_else(wrong)?;
+        let kind = *FaultKind::ALL.iter().find(|kind| kind.name() == name).ok_or_else(wrong)?;
         let mut number = || words.next().and_then(|word| word.parse::<u64>().ok()).ok_or_else(wrong);
-        Ok(Trouble {
+        Ok(ScheduledFault {
             kind,
-            at: Duration::from_millis(number()?),
-            lasts: Duration::from_millis(number()?),
+            start: Duration::from_millis(number()?),
+            duration: Duration::from_millis(number()?),
             target: number()? as usize,
-            other: number()? as usize,
+            peer: number()? as usize,
         })
     }
 }
@@ -251,29 +259,29 @@
     /// Troubles at a time.
     pub overlap: Overlap,
     /// For how long troubles go on.
-    pub length: Duration,
+    pub fault_phase: Duration,
     /// Whether processes are ended and frozen while everything starts for the first time.
-    pub startles: bool,
+    pub has_startup_faults: bool,
 }
 
 impl Scenario {
     /// The run of a seed.
-    pub fn of(seed: u64, overlap: Overlap, length: Duration) -> Scenario {
+    pub fn of(seed: u64, overlap: Overlap, fault_phase: Duration) -> Scenario {
         let controls = if seed % 4 == 3 { 5 } else { 3 };
         let placement = Placement::Core;
-        Scenario { seed, controls, fronts: 2, placement, overlap, length, startles: false }
+        Scenario { seed, controls, fronts: 2, placement, overlap, fault_phase, has_startup_faults: false }
     }
 
     /// The run of a seed in a fleet whose fronts host control, with one more front that does not.
-    pub fn without_core(seed: u64, overlap: Overlap, length: Duration) -> Scenario {
-        let scenario = Scenario::of(seed, overlap, length);
+    pub fn without_core(seed: u64, overlap: Overlap, fault_phase: Duration) -> Scenario {
+        let scenario = Scenario::of(seed, overlap, fault_phase);
         Scenario { fronts: scenario.controls + 1, placement: Placement::Fronts, ..scenario }
     }
 
     /// Whether the rig can bring such a trouble about here. A machine that hosts control is a front as well, whose clients
     /// would have to follow it to another address.
-    fn allows(&self, kind: Kind) -> bool {
-        self.placement == Placement::Core || kind != Kind::ControlReplace
+    fn allows(&self, kind: FaultKind) -> bool {
+        self.placement == Placement::Core || kind != FaultKind::ControlReplace
     }
 }
 
@@ -281,70 +289,72 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Schedule {
     /// The troubles.
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<ScheduledFault>,
 }
 
 impl Schedule {
     /// Draws troubles of the usual kinds.
     pub fn draw(scenario: &Scenario) -> Schedule {
-        Schedule::draw_of(scenario, &Kind::usual())
+        Schedule::draw_from_kinds(scenario, &FaultKind::default_kinds())
     }
 
     /// Draws troubles of these kinds: as many strands as may overlap, each with one trouble after the other.
-    pub fn draw_of(scenario: &Scenario, kinds: &[Kind]) -> Schedule {
+    pub fn draw_from_kinds(scenario: &Scenario, kinds: &[FaultKind]) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(scenario.seed ^ 0x50a4);
-        let kinds: Vec<Kind> = kinds.iter().copied().filter(|kind| scenario.allows(*kind)).collect();
-        let mut troubles = Vec::new();
+        let kinds: Vec<FaultKind> = kinds.iter().copied().filter(|kind| scenario.allows(*kind)).collect();
+        let mut faults = Vec::new();
         for _ in 0..scenario.overlap.0 {
-            let mut at = FIRST + Duration::from_millis(rng.u64(0..1_500));
-            while at < scenario.length {
-                let trouble = draw_trouble(&mut rng, &kinds, at, &troubles);
+            let mut start = EARLIEST_START + Duration::from_millis(rng.u64(0..1_500));
+            while start < scenario.fault_phase {
+                let fault = draw_fault(&mut rng, &kinds, start, &faults);
                 // The next one often begins while this one is being repaired.
-                at = trouble.end() + Duration::from_millis(rng.u64(0..1_200));
-                troubles.push(trouble);
+                start = fault.end() + Duration::from_millis(rng.u64(0..1_200));
+                faults.push(fault);
             }
         }
-        troubles.sort_by_key(|trouble| trouble.at);
-        Schedule { troubles }
+        faults.sort_by_key(|fault| fault.start);
+        Schedule { faults }
     }
 
     /// When the last trouble is over.
     pub fn end(&self) -> Duration {
-        self.troubles.iter().map(Trouble::end).max().unwrap_or_default()
+        self.faults.iter().map(ScheduledFault::end).max().unwrap_or_default()
     }
 
     /// Whether there is any trouble of such a kind.
-    pub fn has(&self, fits: impl Fn(Kind) -> bool) -> bool {
-        self.troubles.iter().any(|trouble| fits(trouble.kind))
+    pub fn has(&self, fits: impl Fn(FaultKind) -> bool) -> bool {
+        self.faults.iter().any(|fault| fits(fault.kind))
     }
 
     /// Reads the lines that [`Schedule`] is shown as.
     pub fn parse(text: &str) -> Result<Schedule, String> {
         let lines = text.lines().filter(|line| !line.trim().is_empty());
-        let troubles = lines.map(str::parse).collect::<Result<Vec<Trouble>, String>>()?;
-        Ok(Schedule { troubles })
+        let faults = lines.map(str::parse).collect::<Result<Vec<ScheduledFault>, String>>()?;
+        Ok(Schedule { faults })
     }
 }
 
 impl fmt::Display for Schedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        self.troubles.iter().try_for_each(|trouble| writeln!(f, "{trouble}"))
+        self.faults.iter().try_for_each(|fault| writeln!(f, "{fault}"))
     }
 }
 
-fn draw_trouble(rng: &mut fastrand::Rng, kinds: &[Kind], at: Duration, before: &[Trouble]) -> Trouble {
-    let loses_disk = |kind: Kind| matches!(kind, Kind::ControlWipe | Kind::ControlReplace);
-    let wipes = before.iter().filter(|trouble| loses_disk(trouble.kind)).count();
-    let allowed: Vec<Kind> =
-        kinds.iter().copied().filter(|kind| !loses_disk(*kind) || wipes < MOST_WIPES).collect();
+fn draw_fault(
+    rng: &mut fastrand::Rng, kinds: &[FaultKind], start: Duration, before: &[ScheduledFault],
+) -> ScheduledFault {
+    let loses_disk = |kind: FaultKind| matches!(kind, FaultKind::ControlWipe | FaultKind::ControlReplace);
+    let wipes = before.iter().filter(|fault| loses_disk(fault.kind)).count();
+    let allowed: Vec<FaultKind> =
+        kinds.iter().copied().filter(|kind| !loses_disk(*kind) || wipes < MAX_DISK_LOSSES).collect();
     // Where only losses of disks were asked for, and there was one, anything else does.
-    let kind = rng.choice(&allowed).copied().unwrap_or(Kind::Reload);
-    let lasts = Duration::from_millis(match rng.u32(..3) {
-        0 => rng.u64(SHORTEST..800),
+    let kind = rng.choice(&allowed).copied().unwrap_or(FaultKind::Reload);
+    let duration = Duration::from_millis(match rng.u32(..3) {
+        0 => rng.u64(MIN_DURATION_MS..800),
         1 => rng.u64(800..2_000),
-        _ => rng.u64(2_000..LONGEST),
+        _ => rng.u64(2_000..MAX_DURATION_MS),
     });
     // A server that drains is left standing for longer than the fronts may send to it.
-    let lasts = if kind == Kind::ServerDrain { lasts + DRAIN } else { lasts };
-    Trouble { kind, at, lasts, target: rng.usize(..64), other: rng.usize(..64) }
+    let duration = if kind == FaultKind::ServerDrain { duration + DRAIN } else { duration };
+    ScheduledFault { kind, start, duration, target: rng.usize(..64), peer: rng.usize(..64) }
 }
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -15,9 +15,9 @@
 /// The zone of all servers.
 const ZONE: &str = "zone-a";
 /// Servers by what they are at the start.
-const READERS: usize = 2;
-const MAKERS: usize = 3;
-const PLAIN: usize = 3;
+const PREFILL_SERVERS: usize = 2;
+const DECODE_SERVERS: usize = 3;
+const PLAIN_SERVERS: usize = 3;
 /// How long slow requests take.
 const SLOW_WORK: Duration = Duration::from_millis(1_500);
 /// Slow requests at once.
@@ -25,7 +25,7 @@
 
 /// What a server is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Part {
+enum ServerRole {
     Model(Stage),
     Plain,
     Slow,
@@ -38,7 +38,7 @@
 
 /// One server with the address that its successors take over.
 pub struct Server {
-    part: Part,
+    role: ServerRole,
     address: SocketAddr,
     /// The id of the incarnation that runs, or ran last.
     pub id: String,
@@ -49,13 +49,13 @@
 impl Fleet {
     /// Starts all servers, and lists them.
     pub(crate) async fn start_servers(&mut self) -> Result<()> {
-        let parts = std::iter::repeat_n(Part::Model(Stage::Prefill), READERS)
-            .chain(std::iter::repeat_n(Part::Model(Stage::Decode), MAKERS))
-            .chain(std::iter::repeat_n(Part::Plain, PLAIN))
-            .chain([Part::Slow]);
-        for part in parts {
+        let roles = std::iter::repeat_n(ServerRole::Model(Stage::Prefill), PREFILL_SERVERS)
+            .chain(std::iter::repeat_n(ServerRole::Model(Stage::Decode), DECODE_SERVERS))
+            .chain(std::iter::repeat_n(ServerRole::Plain, PLAIN_SERVERS))
+            .chain([ServerRole::Slow]);
+        for role in roles {
             let address = self.cluster.server_address(self.servers.len());
-            self.servers.push(Server { part, address, id: String::new(), running: None, incarnations: 0 });
+            self.servers.push(Server { role, address, id: String::new(), running: None, incarnations: 0 });
             self.start_server(self.servers.len() - 1).await?;
         }
         Ok(())
@@ -70,8 +70,8 @@
         server.incarnations += 1;
         server.id = format!("i-{index}-{}", server.incarnations);
         let (world, options) = (&self.world, ServerOptions::default());
-        let (running, listed) = match server.part {
-            Part::Model(stage) => {
+        let (running, listed) = match server.role {
+            ServerRole::Model(stage) => {
                 let parameters = ModelParameters::quick(stage);
                 let slots = u32::try_from(parameters.slots)?;
                 let mut identity = Identity::new(&server.id, MODEL_SERVICE);
@@ -83,8 +83,8 @@
                 let listed = InstanceEntry::plain(&server.id, MODEL_SERVICE, server.address, ZONE, slots);
                 (Running::Model(host), listed.staged(stage, "m", 1))
             }
-            Part::Plain | Part::Slow => {
-                let is_slow = server.part == Part::Slow;
+            ServerRole::Plain | ServerRole::Slow => {
+                let is_slow = server.role == ServerRole::Slow;
                 let service = if is_slow { SLOW_SERVICE } else { PLAIN_SERVICE };
                 let mut parameters = PlainParameters::default();
                 if is_slow {
--- a/crates/soak/src/startle.rs
+++ b/crates/soak/src/startup_faults.rs
@@ -1,6 +1,6 @@
 //! Troubles while everything starts for the first time, before the first configuration.
 
-use crate::fleet::{Fleet, Unit};
+use crate::fleet::{Fleet, ProcessId};
 use eyre::Result;
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 const PAUSE_MS: std::ops::Range<u64> = 0..400;
 
 /// Ends or freezes processes that have just started, and lets them go on.
-pub async fn startle(fleet: &mut Fleet, fronts: usize, seed: u64) -> Result<()> {
+pub async fn inject_startup_faults(fleet: &mut Fleet, fronts: usize, seed: u64) -> Result<()> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x57a7);
     for _ in 0..rng.u32(TROUBLES) {
         pause(&mut rng).await;
-        let units: Vec<Unit> = fleet.units(fronts);
-        let unit = units[rng.usize(..units.len())];
+        let processes: Vec<ProcessId> = fleet.processes(fronts);
+        let process_id = processes[rng.usize(..processes.len())];
         let together = rng.u32(..4) == 0;
-        let struck: Vec<Unit> = if together { units } else { vec![unit] };
+        let struck: Vec<ProcessId> = if together { processes } else { vec![process_id] };
         let freezes = rng.bool();
-        for unit in &struck {
-            if freezes { fleet.freeze(*unit)? } else { fleet.kill(*unit)? }
+        for process_id in &struck {
+            if freezes { fleet.pause(*process_id)? } else { fleet.kill(*process_id)? }
         }
         pause(&mut rng).await;
-        for unit in struck {
-            if freezes { fleet.thaw(unit)? } else { fleet.release(unit)? }
+        for process_id in struck {
+            if freezes { fleet.resume(process_id)? } else { fleet.release(process_id)? }
         }
     }
     Ok(())
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 /// Clients that send one request after the other.
-const STEADY: usize = 6;
+const STEADY_CLIENTS: usize = 6;
 /// Their pause between two requests, in ms.
 const PAUSE_MS: std::ops::Range<u64> = 5..60;
 /// One generation in so many is long.
@@ -22,7 +22,7 @@
 /// Clients wait longer than any route allows.
 const DEADLINE_MS: u64 = 32_000;
 /// Requests on one connection at most.
-const KEPT: u32 = 20;
+const MAX_REQUESTS_PER_CONNECTION: u32 = 20;
 
 /// How a client behaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,17 +45,17 @@
     /// How the client behaved.
     pub behaviour: Behaviour,
     /// Whether the connection had carried a request before.
-    pub is_kept: bool,
+    pub is_connection_reused: bool,
     /// When it was sent.
-    pub began: Duration,
+    pub started_at: Duration,
     /// When the client had its answer, or left.
-    pub ended: Duration,
+    pub ended_at: Duration,
     /// What the client got.
     pub outcome: Outcome,
 }
 
 #[derive(Clone)]
-struct Shared {
+struct ClientContext {
     world: World,
     fronts: Vec<SocketAddr>,
     attempts: Arc<Mutex<Vec<Attempt>>>,
@@ -74,24 +74,24 @@
     /// Starts them.
     pub fn start(world: &World, fronts: Vec<SocketAddr>, seed: u64) -> Traffic {
         let stop = watch::Sender::new(false);
-        let shared = Shared {
+        let context = ClientContext {
             world: world.clone(),
             fronts,
             attempts: Arc::default(),
             ids: Arc::new(AtomicU64::new(1)),
             stop: stop.subscribe(),
         };
-        let behaviours = std::iter::repeat_n(Behaviour::Steady, STEADY).chain([
+        let behaviours = std::iter::repeat_n(Behaviour::Steady, STEADY_CLIENTS).chain([
             Behaviour::Leaving,
             Behaviour::Slow,
             Behaviour::Stopping,
         ]);
         let tasks = behaviours.enumerate().map(|(number, behaviour)| {
             let rng = fastrand::Rng::with_seed(seed ^ (0xc0 + number as u64));
-            tokio::spawn(work(shared.clone(), behaviour, rng))
+            tokio::spawn(run_client(context.clone(), behaviour, rng))
         });
         let tasks = tasks.collect();
-        Traffic { attempts: shared.attempts, stop, tasks }
+        Traffic { attempts: context.attempts, stop, tasks }
     }
 
     /// Lets all clients finish, and returns what they got.
@@ -105,18 +105,18 @@
     }
 }
 
-async fn work(shared: Shared, behaviour: Behaviour, mut rng: fastrand::Rng) {
-    while !*shared.stop.borrow() {
-        let front = rng.usize(..shared.fronts.len());
-        let mut client = Client::new(shared.fronts[front]);
+async fn run_client(context: ClientContext, behaviour: Behaviour, mut rng: fastrand::Rng) {
+    while !*context.stop.borrow() {
+        let front = rng.usize(..context.fronts.len());
+        let mut client = Client::new(context.fronts[front]);
         if behaviour == Behaviour::Slow {
             client = client.with_mid_request_pause(Duration::from_millis(rng.u64(5..250)));
         }
-        for _ in 0..rng.u32(1..=KEPT) {
-            if *shared.stop.borrow() {
+        for _ in 0..rng.u32(1..=MAX_REQUESTS_PER_CONNECTION) {
+            if *context.stop.borrow() {
                 return;
             }
-            let is_open = one(&shared, behaviour, front, &mut client, &mut rng).await;
+            let is_open = send_one(&context, behaviour, front, &mut client, &mut rng).await;
             tokio::time::sleep(Duration::from_millis(rng.u64(PAUSE_MS))).await;
             if !is_open {
                 break;
@@ -126,28 +126,28 @@
 }
 
 /// One request; whether the connection is open for another.
-async fn one(
-    shared: &Shared, behaviour: Behaviour, front: usize, client: &mut Client, rng: &mut fastrand::Rng,
+async fn send_one(
+    context: &ClientContext, behaviour: Behaviour, front: usize, client: &mut Client, rng: &mut fastrand::Rng,
 ) -> bool {
-    let request = draw(shared, behaviour, rng);
-    let (is_kept, began) = (client.is_connected(), shared.world.now());
+    let request = draw_request(context, behaviour, rng);
+    let (is_connection_reused, started_at) = (client.is_connected(), context.world.now());
     let outcome = match behaviour {
         Behaviour::Steady | Behaviour::Slow => client.send(&request).await,
         Behaviour::Leaving => {
             let stay = Duration::from_millis(rng.u64(1..60));
             let sent = timeout(stay, client.send(&request)).await.ok();
             // Dropping the client is its leaving.
-            let address = shared.fronts[front];
+            let address = context.fronts[front];
             if sent.is_none() {
                 *client = Client::new(address);
             }
             sent.unwrap_or_else(|| Outcome { ending: AttemptEnd::TimedOut, ..request.outcome() })
         }
-        Behaviour::Stopping => stop_midway(shared.fronts[front], &request, rng).await,
+        Behaviour::Stopping => stop_midway(context.fronts[front], &request, rng).await,
     };
-    let ended = shared.world.now();
-    let attempt = Attempt { front, behaviour, is_kept, began, ended, outcome };
-    shared.attempts.lock().unwrap_or_else(PoisonError::into_inner).push(attempt);
+    let ended_at = context.world.now();
+    let attempt = Attempt { front, behaviour, is_connection_reused, started_at, ended_at, outcome };
+    context.attempts.lock().unwrap_or_else(PoisonError::into_inner).push(attempt);
     client.is_connected()
 }
 
@@ -166,16 +166,16 @@
     outcome
 }
 
-fn draw(shared: &Shared, behaviour: Behaviour, rng: &mut fastrand::Rng) -> ClientRequest {
-    let number = shared.ids.fetch_add(1, Ordering::Relaxed);
+fn draw_request(context: &ClientContext, behaviour: Behaviour, rng: &mut fastrand::Rng) -> ClientRequest {
+    let number = context.ids.fetch_add(1, Ordering::Relaxed);
     let id = format!("{:016x}", 0x50a4_0000_0000_0000_u64 + number);
     // What a client leaves behind should have gone on for seconds, and some streams outlive a trouble.
     let is_long = behaviour == Behaviour::Leaving || rng.u32(..LONG_ONE_IN) == 0;
     let out_tokens = if is_long { rng.u64(LONG_TOKENS) } else { rng.u64(1..80) };
     // Few parts of prompts are shared, so that some are read already.
     let parts = [(rng.u64(..20), 2_000), (0x1_0000 + number, 2_000)];
-    let draw = if behaviour == Behaviour::Leaving { rng.u32(3..10) } else { rng.u32(..8) };
-    let request = match draw {
+    let draw_request = if behaviour == Behaviour::Leaving { rng.u32(3..10) } else { rng.u32(..8) };
+    let request = match draw_request {
         0..=2 => ClientRequest::post(&id, HOST, "/work/1", Kind::Unsafe),
         3 => ClientRequest::post(&id, HOST, "/read/1", Kind::Safe),
         4 | 5 => ClientRequest::generation(&id, HOST, "/gen/1", (5_000, out_tokens), &parts),
