--- /dev/null
+++ b/crates/soak/src/checker/excuses.rs
@@ -0,0 +1,73 @@
+//! Which failed requests a scheduled fault explains.
+//!
+//! A fault explains failures at what it hits, from a margin before it to a margin after it. The margins cover what the fleet
+//! may need to notice and to recover.
+
+use super::RunRecords;
+use crate::fault::{FaultKind, ScheduledFault};
+use crate::schedule::Schedule;
+use crate::traffic::Attempt;
+use lugwharf_emulator::client::AttemptEnd;
+use std::time::Duration;
+
+/// A fault of a front-end node explains failures this long before and after it.
+const FRONT_MARGIN: Duration = Duration::from_millis(1_500);
+/// `GraceS` of the fleet's settings: a terminating proxy completes its requests in it.
+const GRACE_PERIOD: Duration = Duration::from_secs(8);
+/// The harness records the time of a fault a little after its effect.
+const HARNESS_LAG: Duration = Duration::from_millis(50);
+/// A fault of servers explains failures this long after it: connections and moving averages remember it.
+const SERVER_MARGIN: Duration = Duration::from_millis(1_000);
+/// A fault of control explains its effects this long after it: `ContactMs`, and the time to catch up.
+pub const CONTROL_MARGIN: Duration = Duration::from_millis(7_000);
+
+/// Whether a fault of its front-end node explains that an attempt failed.
+pub fn is_excused_by_front_fault(records: &RunRecords<'_>, attempt: &Attempt) -> bool {
+    front_faults_around(records, attempt).any(|fault| !must_complete(records, attempt, fault))
+}
+
+/// Whether a front-end node must complete a request despite a fault.
+///
+/// One that terminates, or has too many connections, completes each request that it has forwarded to a server. It rejects
+/// others, and one that it has not read may cross the end of its connection. What a server still executes in the last sixth
+/// of the grace period ends with the process.
+fn must_complete(records: &RunRecords<'_>, attempt: &Attempt, fault: &ScheduledFault) -> bool {
+    let is_graceful = matches!(fault.kind, FaultKind::FrontTerm | FaultKind::Crowd);
+    let was_forwarded = !records.request_log.arrivals_of(&attempt.outcome.request_id).is_empty();
+    let outlasts_grace =
+        fault.kind == FaultKind::FrontTerm && attempt.ended_at > fault.start + GRACE_PERIOD * 5 / 6;
+    is_graceful && attempt.outcome.ending == AttemptEnd::Truncated && was_forwarded && !outlasts_grace
+}
+
+/// The faults of its front-end node around an attempt.
+fn front_faults_around<'a>(
+    records: &'a RunRecords<'_>, attempt: &'a Attempt,
+) -> impl Iterator<Item = &'a ScheduledFault> {
+    let faults = records.schedule.faults.iter().filter(|fault| fault.kind.disrupts_fronts());
+    faults.filter(|fault| {
+        let grace = if fault.kind == FaultKind::FrontTerm { GRACE_PERIOD } else { Duration::ZERO };
+        let is_same_front = fault.target % records.front_count == attempt.front;
+        let until = fault.end() + grace + FRONT_MARGIN;
+        is_same_front && attempt.started_at < until && attempt.ended_at + FRONT_MARGIN > fault.start
+    })
+}
+
+/// Whether a fault of servers explains that an attempt failed. A server that ends fails what it executes at that moment; the
+/// time that it is gone, or listed as draining, explains nothing.
+pub fn is_excused_by_server_fault(schedule: &Schedule, attempt: &Attempt) -> bool {
+    let mut faults = schedule.faults.iter().filter(|fault| fault.kind.disrupts_servers());
+    faults.any(|fault| {
+        let (from, until) = match fault.kind {
+            FaultKind::ServerCrash => (fault.start, fault.start),
+            FaultKind::ServerDrain => (fault.end(), fault.end()),
+            _ => (fault.start, fault.end()),
+        };
+        attempt.started_at < until + SERVER_MARGIN && attempt.ended_at + HARNESS_LAG > from
+    })
+}
+
+/// Whether no fault of control is active, or has just been, between two times.
+pub fn is_control_calm(schedule: &Schedule, from: Duration, until: Duration) -> bool {
+    let mut faults = schedule.faults.iter().filter(|fault| fault.kind.disrupts_control());
+    !faults.any(|fault| fault.start < until && fault.end() + CONTROL_MARGIN > from)
+}
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -1,20 +1,20 @@
-//! The configurations that the operators send: the routes of all clients, and one that tells each from the others.
+//! The configurations that operators write: the routes of all clients, and one route that is different in each version.
 
 use lugwharf_emulator::configuration::{ConfigurationSpec, EngineSpec, RouteSpec, ServiceSpec};
 use lugwharf_emulator::model_server::{ModelParameters, Stage};
 
 /// The host of all routes.
 pub const HOST: &str = "shop.example";
-/// The service of generations.
+/// The service of generations, in prefill and decode stages.
 pub const MODEL_SERVICE: &str = "tutor";
-/// The service of other requests.
+/// The service of short requests.
 pub const PLAIN_SERVICE: &str = "board";
-/// The service of requests that take long, for clients that don't wait.
+/// The service of long requests, for clients that disconnect early.
 pub const SLOW_SERVICE: &str = "archive";
-/// The longest time for a stream, in ms. Long ones last up to 8 s on a machine with nothing else to do, and longer beside load.
+/// The timeout of streams, in ms. Long ones take up to 8 s on an idle machine, and longer on a busy one.
 const STREAM_TIMEOUT_MS: u64 = 30_000;
 
-/// The configuration of a version: the routes of all clients, and one that tells it from others.
+/// The configuration of a version.
 pub fn configuration(version: u64) -> ConfigurationSpec {
     let engine = EngineSpec::from(&ModelParameters::quick(Stage::Decode));
     ConfigurationSpec::new(version)
@@ -33,7 +33,7 @@
     RouteSpec { timeout_ms: STREAM_TIMEOUT_MS, ..RouteSpec::new(HOST, prefix, "streaming", MODEL_SERVICE) }
 }
 
-/// The service that a request of a client goes to.
+/// The service that may execute a client request with this target.
 pub fn service_of(target: &str) -> &'static str {
     if target.starts_with("/gen/") || target.starts_with("/resume/") {
         MODEL_SERVICE
@@ -44,7 +44,7 @@
     }
 }
 
-/// The version that a configuration's bytes bear.
+/// The version in the bytes of a configuration; `None` if they are no configuration.
 pub fn version_of(bytes: &[u8]) -> Option<u64> {
     let value: serde_json::Value = serde_json::from_slice(bytes).ok()?;
     value["Version"].as_u64()
--- a/crates/soak/src/fault_injection.rs
+++ b/crates/soak/src/fault_injection.rs
@@ -1,131 +1,129 @@
-//! Begins and ends one trouble.
+//! Injects a scheduled fault into a fleet, and recovers from it.
+//!
+//! Faults of links have no action of their own: `link_faults` derives the state of all links from the active faults.
 
-use crate::fleet::{Fleet, ProcessId};
-use crate::link_proxy::{Link, LinkState};
+use crate::fault::{FaultKind, ScheduledFault};
+use crate::fleet::{DescriptorLimit, Fleet};
 use crate::operators::OperatorRequest;
-use crate::schedule::{FaultKind, ScheduledFault};
+use crate::process_id::ProcessId;
 use eyre::Result;
 use lugwharf_emulator::cluster::Signal;
 use lugwharf_emulator::fault::{Fault, Reachability};
 use std::net::SocketAddr;
-use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::timeout;
 
-/// Requests at each server that meet a fault.
+/// Requests at each server that meet a planned fault.
 const REQUEST_FAULTS_PER_SERVER: usize = 3;
-
-/// Bits that tell which half a machine is in.
-const PARTITION_BITS: usize = 6;
-/// Connections of a crowd: more than a proxy takes.
+/// Idle connections of a crowd: more than a proxy accepts.
 const CROWD_CONNECTIONS: usize = 90;
-/// The rig waits no longer for one of them.
+/// The harness waits no longer for one of them.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A trouble that has begun, with what it was drawn for at that moment.
-#[derive(Clone, Debug)]
+/// A scheduled fault that is being injected, with the machines and servers that its draws selected.
+///
+/// The selection is made once, at the injection: later changes of the fleet do not move a fault.
+#[derive(Debug)]
 pub struct ActiveFault {
-    /// The trouble.
+    /// The fault.
     pub fault: ScheduledFault,
-    /// The control machine that it is for, and another one.
-    control: usize,
-    other: usize,
-    front: usize,
-    /// The agent of that front, or the control process that is hosted by it.
+    /// The control node that is hit.
+    pub control_node: usize,
+    /// Another control node, for faults between two.
+    pub peer_control_node: usize,
+    /// All control nodes at the injection.
+    pub control_nodes: Vec<usize>,
+    /// The front-end node that is hit.
+    pub front: usize,
+    /// The agent of that front-end node, or the control process that it hosts.
     agent: ProcessId,
+    /// The server that is hit.
     server: usize,
-    /// All control machines as it began.
-    controls: Vec<usize>,
-    /// The machine that was added.
-    added: Option<usize>,
-    /// Connections that rest.
-    crowd: Arc<Vec<TcpStream>>,
+    /// The control node that was added as a replacement.
+    added_control_node: Option<usize>,
+    /// The idle connections of a crowd.
+    crowd: Vec<TcpStream>,
 }
 
-/// Whether a trouble is over, or has to be looked at again.
+/// Whether the recovery of a fault is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recovery {
-    /// It is over.
+pub enum RecoveryProgress {
+    /// The fault is over.
     Complete,
-    /// A process that was asked to end still runs.
+    /// A process that was asked to terminate still runs; the recovery has to be tried again.
     Pending,
 }
 
 impl ActiveFault {
-    /// What the trouble is for, as things stand.
-    pub fn new(fleet: &Fleet, fault: &ScheduledFault, fronts: usize) -> ActiveFault {
-        let control = fleet.control(fault.target);
-        let others: Vec<usize> = fleet.controls.iter().copied().filter(|index| *index != control).collect();
+    /// Selects what the fault hits, among what the fleet has now.
+    pub fn select(fleet: &Fleet, fault: &ScheduledFault) -> ActiveFault {
+        let control_node = fleet.control_node(fault.target);
+        let peers: Vec<usize> =
+            fleet.control_nodes.iter().copied().filter(|index| *index != control_node).collect();
+        let front = fault.target % fleet.front_count;
         ActiveFault {
             fault: fault.clone(),
-            control,
-            other: others[fault.peer % others.len()],
-            front: fault.target % fronts,
-            agent: fleet.agent(fault.target % fronts),
+            control_node,
+            peer_control_node: peers[fault.peer % peers.len()],
+            control_nodes: fleet.control_nodes.clone(),
+            front,
+            agent: fleet.agent(front),
             server: fault.target % fleet.servers.len(),
-            controls: fleet.controls.clone(),
-            added: None,
-            crowd: Arc::default(),
+            added_control_node: None,
+            crowd: Vec::new(),
         }
     }
 
-    /// Begins it. What it does to links is applied by [`apply_links`].
+    /// The instance id of the server that the fault drains, if it drains one.
+    pub fn drained_instance(&self, fleet: &Fleet) -> Option<String> {
+        let drains = self.fault.kind == FaultKind::ServerDrain;
+        drains.then(|| fleet.servers.instance_id(self.server).to_owned())
+    }
+
+    /// Injects the fault. The caller applies the link faults.
+    ///
+    /// # Errors
+    /// A process cannot be signalled or started.
     pub async fn inject(
-        &mut self, fleet: &mut Fleet, fronts: usize, requests: &UnboundedSender<OperatorRequest>,
+        &mut self, fleet: &mut Fleet, operators: &UnboundedSender<OperatorRequest>,
     ) -> Result<()> {
-        let control = ProcessId::Control(self.control);
         match self.fault.kind {
-            FaultKind::ControlKill => fleet.kill(control)?,
-            FaultKind::ControlTerm => fleet.terminate(control)?,
-            FaultKind::ControlFreeze => fleet.pause(control)?,
-            FaultKind::ControlWipe => {
-                fleet.kill(control)?;
-                fleet.cluster.wipe_control_disk(self.control)?;
-            }
-            FaultKind::ControlHerd => {
-                self.controls.iter().try_for_each(|index| fleet.kill(ProcessId::Control(*index)))?;
-            }
-            FaultKind::ControlReplace => self.added = fleet.add_control()?,
-            FaultKind::ProxyKill => fleet.kill(ProcessId::Proxy(self.front))?,
-            FaultKind::AgentKill => fleet.kill(self.agent)?,
-            FaultKind::FrontTerm => {
-                self.front_units().into_iter().try_for_each(|process_id| fleet.terminate(process_id))?;
-            }
-            FaultKind::FrontFreeze => {
-                self.front_units().into_iter().try_for_each(|process_id| fleet.pause(process_id))?;
-            }
-            FaultKind::ControlDescriptors => fleet.limit_descriptors(control, true)?,
-            FaultKind::ProxyDescriptors => fleet.limit_descriptors(ProcessId::Proxy(self.front), true)?,
-            FaultKind::AgentDescriptors => fleet.limit_descriptors(self.agent, true)?,
+            FaultKind::ControlKill
+            | FaultKind::ControlTerm
+            | FaultKind::ControlFreeze
+            | FaultKind::ControlWipe
+            | FaultKind::ControlHerd
+            | FaultKind::ControlReplace
+            | FaultKind::ControlDescriptors => self.inject_control_fault(fleet)?,
+            FaultKind::ProxyKill
+            | FaultKind::AgentKill
+            | FaultKind::FrontTerm
+            | FaultKind::FrontFreeze
+            | FaultKind::ProxyDescriptors
+            | FaultKind::AgentDescriptors => self.inject_front_fault(fleet)?,
             FaultKind::Crowd => {
-                self.crowd = open_idle_connections(fleet.cluster.front_address(self.front)).await
+                self.crowd = open_idle_connections(fleet.cluster.front_address(self.front)).await;
             }
             FaultKind::Reload => {
-                fleet
-                    .processes(fronts)
-                    .into_iter()
-                    .try_for_each(|process_id| fleet.signal(process_id, Signal::Reload))?;
-            }
-            FaultKind::PlatformDark => fleet.platform.set_reachability(Reachability::Blackholed),
-            FaultKind::PlatformReset => fleet.platform.set_reachability(Reachability::Refusing),
-            FaultKind::ServerCrash => fleet.crash_server(self.server).await,
-            FaultKind::ServerDrain => fleet.drain_server(self.server),
-            FaultKind::ServerDark => fleet.reach_server(self.server, Reachability::Blackholed),
-            FaultKind::ServerFailing => fleet.fail_server(self.server, true),
-            FaultKind::AnswersLost => fleet.inject(&Fault::DropResponse, REQUEST_FAULTS_PER_SERVER),
-            FaultKind::AnswersGarbled => fleet.inject(&Fault::Garbage, REQUEST_FAULTS_PER_SERVER),
-            FaultKind::AnswersSurplus => {
-                fleet.inject(&Fault::SurplusResponse, REQUEST_FAULTS_PER_SERVER);
-                fleet.inject(&Fault::WrongRequestId, 1);
+                let mut processes = fleet.processes().into_iter();
+                processes.try_for_each(|process_id| fleet.signal(process_id, Signal::Reload))?;
             }
-            FaultKind::StreamsCut => fleet
-                .inject(&Fault::TruncateStream { after_events: 1, reset: true }, REQUEST_FAULTS_PER_SERVER),
-            FaultKind::IdleRace => fleet.forget_connections(true),
-            // Operators that have stopped wish for nothing more.
-            FaultKind::ConfigRace => drop(requests.send(OperatorRequest::Race)),
-            FaultKind::ConfigBurst => drop(requests.send(OperatorRequest::Burst)),
+            FaultKind::PlatformDark => fleet.servers.platform.set_reachability(Reachability::Blackholed),
+            FaultKind::PlatformReset => fleet.servers.platform.set_reachability(Reachability::Refusing),
+            FaultKind::ServerCrash => fleet.servers.crash_server(self.server).await,
+            FaultKind::ServerDrain
+            | FaultKind::ServerDark
+            | FaultKind::ServerFailing
+            | FaultKind::AnswersLost
+            | FaultKind::AnswersGarbled
+            | FaultKind::AnswersSurplus
+            | FaultKind::StreamsCut
+            | FaultKind::IdleRace => self.inject_server_fault(fleet),
+            // Operators that have stopped take no requests, and none are needed any more.
+            FaultKind::ConfigRace => drop(operators.send(OperatorRequest::RaceWrites)),
+            FaultKind::ConfigBurst => drop(operators.send(OperatorRequest::BurstWrites)),
             FaultKind::PairSilent
             | FaultKind::PairReset
             | FaultKind::PairOneWay
@@ -139,135 +137,161 @@
         Ok(())
     }
 
-    /// Ends it, or tells that it has to be looked at again.
-    pub async fn recover(&mut self, fleet: &mut Fleet) -> Result<Recovery> {
-        let control = ProcessId::Control(self.control);
+    fn inject_control_fault(&mut self, fleet: &mut Fleet) -> Result<()> {
+        let control = ProcessId::Control(self.control_node);
         match self.fault.kind {
-            FaultKind::ControlKill | FaultKind::ControlWipe => fleet.release(control)?,
-            FaultKind::ControlTerm => return restart(fleet, &[control]),
-            FaultKind::ControlFreeze => fleet.resume(control)?,
+            FaultKind::ControlKill => fleet.kill(control),
+            FaultKind::ControlTerm => fleet.terminate(control),
+            FaultKind::ControlFreeze => fleet.pause(control),
+            FaultKind::ControlWipe => {
+                fleet.kill(control)?;
+                Ok(fleet.cluster.wipe_control_disk(self.control_node)?)
+            }
             FaultKind::ControlHerd => {
-                self.controls.iter().try_for_each(|index| fleet.release(ProcessId::Control(*index)))?;
+                self.control_nodes.iter().try_for_each(|index| fleet.kill(ProcessId::Control(*index)))
             }
             FaultKind::ControlReplace => {
-                if let Some(added) = self.added.take() {
-                    fleet.cluster.terminate(&control.name())?;
-                    fleet.replace_control(self.control, added);
-                }
+                self.added_control_node = fleet.add_control_node()?;
+                Ok(())
             }
-            FaultKind::ProxyKill => fleet.release(ProcessId::Proxy(self.front))?,
-            FaultKind::AgentKill => fleet.release(self.agent)?,
-            FaultKind::FrontTerm => return restart(fleet, &self.front_units()),
-            FaultKind::FrontFreeze => {
-                self.front_units().into_iter().try_for_each(|process_id| fleet.resume(process_id))?;
+            FaultKind::ControlDescriptors => fleet.limit_descriptors(control, DescriptorLimit::Exhausted),
+            // `inject` sends no other kind here.
+            _ => Ok(()),
+        }
+    }
+
+    fn inject_front_fault(&self, fleet: &mut Fleet) -> Result<()> {
+        let proxy = ProcessId::Proxy(self.front);
+        let mut processes = self.front_processes().into_iter();
+        match self.fault.kind {
+            FaultKind::ProxyKill => fleet.kill(proxy),
+            FaultKind::AgentKill => fleet.kill(self.agent),
+            FaultKind::FrontTerm => processes.try_for_each(|process_id| fleet.terminate(process_id)),
+            FaultKind::FrontFreeze => processes.try_for_each(|process_id| fleet.pause(process_id)),
+            FaultKind::ProxyDescriptors => fleet.limit_descriptors(proxy, DescriptorLimit::Exhausted),
+            FaultKind::AgentDescriptors => fleet.limit_descriptors(self.agent, DescriptorLimit::Exhausted),
+            // `inject` sends no other kind here.
+            _ => Ok(()),
+        }
+    }
+
+    fn inject_server_fault(&self, fleet: &Fleet) {
+        let servers = &fleet.servers;
+        let inject = |fault: Fault| servers.inject_request_fault(&fault, REQUEST_FAULTS_PER_SERVER);
+        match self.fault.kind {
+            FaultKind::ServerDrain => servers.drain_server(self.server),
+            FaultKind::ServerDark => servers.set_server_reachability(self.server, Reachability::Blackholed),
+            FaultKind::ServerFailing => servers.set_server_failing(self.server, true),
+            FaultKind::AnswersLost => inject(Fault::DropResponse),
+            FaultKind::AnswersGarbled => inject(Fault::Garbage),
+            FaultKind::AnswersSurplus => {
+                inject(Fault::SurplusResponse);
+                servers.inject_request_fault(&Fault::WrongRequestId, 1);
             }
-            FaultKind::ControlDescriptors => fleet.limit_descriptors(control, false)?,
-            FaultKind::ProxyDescriptors => fleet.limit_descriptors(ProcessId::Proxy(self.front), false)?,
-            FaultKind::AgentDescriptors => fleet.limit_descriptors(self.agent, false)?,
-            FaultKind::Crowd => self.crowd = Arc::default(),
-            FaultKind::PlatformDark | FaultKind::PlatformReset => {
-                fleet.platform.set_reachability(Reachability::Serving)
+            FaultKind::StreamsCut => inject(Fault::TruncateStream { after_events: 1, reset: true }),
+            FaultKind::IdleRace => servers.set_drops_idle_connections(true),
+            // `inject` sends no other kind here.
+            _ => {}
+        }
+    }
+
+    /// Recovers from the fault, or says that recovery has to be tried again. The caller applies the link faults.
+    ///
+    /// # Errors
+    /// A process or server cannot be signalled or started.
+    pub async fn recover(&mut self, fleet: &mut Fleet) -> Result<RecoveryProgress> {
+        match self.fault.kind {
+            FaultKind::ControlTerm => {
+                return restart_once_exited(fleet, &[ProcessId::Control(self.control_node)]);
             }
-            FaultKind::ServerCrash => fleet.start_server(self.server).await?,
+            FaultKind::FrontTerm => return restart_once_exited(fleet, &self.front_processes()),
+            FaultKind::ServerCrash => fleet.servers.start_server(self.server).await?,
             FaultKind::ServerDrain => {
-                fleet.crash_server(self.server).await;
-                fleet.start_server(self.server).await?;
+                fleet.servers.crash_server(self.server).await;
+                fleet.servers.start_server(self.server).await?;
             }
-            FaultKind::ServerDark => fleet.reach_server(self.server, Reachability::Serving),
-            FaultKind::ServerFailing => fleet.fail_server(self.server, false),
-            FaultKind::AnswersLost
-            | FaultKind::AnswersGarbled
-            | FaultKind::AnswersSurplus
-            | FaultKind::StreamsCut => {
-                fleet.clear_faults();
+            FaultKind::Crowd => self.crowd.clear(),
+            FaultKind::PlatformDark | FaultKind::PlatformReset => {
+                fleet.servers.platform.set_reachability(Reachability::Serving);
+            }
+            _ => {
+                self.recover_processes(fleet)?;
+                self.recover_servers(fleet);
             }
-            FaultKind::IdleRace => fleet.forget_connections(false),
-            _ => {}
         }
-        Ok(Recovery::Complete)
-    }
-
-    fn front_units(&self) -> [ProcessId; 2] {
-        [ProcessId::Proxy(self.front), self.agent]
+        Ok(RecoveryProgress::Complete)
     }
 
-    /// The links that it harms, and how.
-    fn links(&self, fleet: &Fleet) -> Vec<(Link, LinkState)> {
-        let address = |index: usize| fleet.cluster.control_bind_ip(index);
-        let both = |one, other, state| vec![((one, other), state), ((other, one), state)];
-        let (one, other) = (address(self.control), address(self.other));
-        let agent = fleet.cluster.front_bind_ip(self.front);
-        let all = || self.controls.iter().map(|index| address(*index));
+    fn recover_processes(&mut self, fleet: &mut Fleet) -> Result<()> {
+        let control = ProcessId::Control(self.control_node);
         match self.fault.kind {
-            FaultKind::PairSilent => both(one, other, LinkState::Blackholed),
-            FaultKind::PairReset => both(one, other, LinkState::Reset),
-            FaultKind::PairOneWay => vec![((one, other), LinkState::Blackholed)],
-            FaultKind::PairSlow => {
-                let delay = Duration::from_millis(20 + 4 * self.fault.peer as u64);
-                both(one, other, LinkState::Delayed(delay))
+            FaultKind::ControlKill | FaultKind::ControlWipe => fleet.release_stop(control),
+            FaultKind::ControlFreeze => fleet.release_pause(control),
+            FaultKind::ControlHerd => {
+                self.control_nodes.iter().try_for_each(|index| fleet.release_stop(ProcessId::Control(*index)))
+            }
+            FaultKind::ControlReplace => {
+                if let Some(added) = self.added_control_node.take() {
+                    fleet.cluster.terminate(&control.name())?;
+                    fleet.replace_control_node(self.control_node, added);
+                }
+                Ok(())
             }
-            FaultKind::Halves => {
-                // Any division; where all would be on one side, the machine that the trouble is for is alone.
-                let side =
-                    |index: usize| (self.fault.target ^ self.fault.peer) >> (index % PARTITION_BITS) & 1;
-                let is_whole = self.controls.iter().all(|index| side(*index) == side(self.control));
-                let is_near = |index: &&usize| {
-                    if is_whole { **index == self.control } else { side(**index) == side(self.control) }
-                };
-                let (near, far): (Vec<&usize>, Vec<&usize>) = self.controls.iter().partition(is_near);
-                let pairs = near.iter().flat_map(|near| far.iter().map(move |far| (**near, **far)));
-                pairs
-                    .flat_map(|(near, far)| both(address(near), address(far), LinkState::Blackholed))
-                    .collect()
+            FaultKind::ProxyKill => fleet.release_stop(ProcessId::Proxy(self.front)),
+            FaultKind::AgentKill => fleet.release_stop(self.agent),
+            FaultKind::FrontFreeze => {
+                self.front_processes().into_iter().try_for_each(|process_id| fleet.release_pause(process_id))
             }
-            FaultKind::Mute => {
-                all().filter(|to| *to != one).map(|to| ((one, to), LinkState::Blackholed)).collect()
+            FaultKind::ControlDescriptors => fleet.limit_descriptors(control, DescriptorLimit::Ample),
+            FaultKind::ProxyDescriptors => {
+                fleet.limit_descriptors(ProcessId::Proxy(self.front), DescriptorLimit::Ample)
             }
-            FaultKind::AgentSilent => both(agent, one, LinkState::Blackholed),
-            FaultKind::AgentDeaf => all().map(|from| ((from, agent), LinkState::Blackholed)).collect(),
-            FaultKind::AgentReset => all().flat_map(|to| both(agent, to, LinkState::Reset)).collect(),
-            _ => Vec::new(),
+            FaultKind::AgentDescriptors => fleet.limit_descriptors(self.agent, DescriptorLimit::Ample),
+            // All other kinds leave processes as they are.
+            _ => Ok(()),
+        }
+    }
+
+    fn recover_servers(&self, fleet: &Fleet) {
+        let servers = &fleet.servers;
+        match self.fault.kind {
+            FaultKind::ServerDark => servers.set_server_reachability(self.server, Reachability::Serving),
+            FaultKind::ServerFailing => servers.set_server_failing(self.server, false),
+            FaultKind::AnswersLost
+            | FaultKind::AnswersGarbled
+            | FaultKind::AnswersSurplus
+            | FaultKind::StreamsCut => servers.clear_request_faults(),
+            FaultKind::IdleRace => servers.set_drops_idle_connections(false),
+            // All other kinds leave servers as they are.
+            _ => {}
         }
     }
+
+    fn front_processes(&self) -> [ProcessId; 2] {
+        [ProcessId::Proxy(self.front), self.agent]
+    }
 }
 
-/// Opens connections to a front that rest.
-async fn open_idle_connections(front: SocketAddr) -> Arc<Vec<TcpStream>> {
-    let mut crowd = Vec::new();
+/// Opens connections to a front-end node and sends nothing on them.
+async fn open_idle_connections(front: SocketAddr) -> Vec<TcpStream> {
+    let mut connections = Vec::new();
     for _ in 0..CROWD_CONNECTIONS {
         if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(front)).await {
-            crowd.push(stream);
+            connections.push(stream);
         }
     }
-    Arc::new(crowd)
+    connections
 }
 
-/// Starts processes again that were asked to end, once all of them have.
-fn restart(fleet: &mut Fleet, processes: &[ProcessId]) -> Result<Recovery> {
-    let mut have_ended = true;
+/// Restarts processes that were asked to terminate, once all of them have exited.
+fn restart_once_exited(fleet: &mut Fleet, processes: &[ProcessId]) -> Result<RecoveryProgress> {
+    let mut have_exited = true;
     for process_id in processes {
-        have_ended &= fleet.has_ended(*process_id);
-    }
-    if !have_ended {
-        return Ok(Recovery::Pending);
+        have_exited &= fleet.has_exited(*process_id);
     }
-    processes.iter().try_for_each(|process_id| fleet.release(*process_id))?;
-    Ok(Recovery::Complete)
-}
-
-/// Brings the links into the state that all troubles that go on give them; the worst counts.
-pub fn apply_link_faults(fleet: &Fleet, active: &[ActiveFault]) {
-    fleet.links.open_all();
-    let harms: Vec<(Link, LinkState)> = active.iter().flat_map(|active| active.links(fleet)).collect();
-    let rank = |state: &LinkState| match state {
-        LinkState::Open => 0,
-        LinkState::Delayed(_) => 1,
-        LinkState::Blackholed => 2,
-        LinkState::Reset => 3,
-    };
-    let mut sorted = harms;
-    sorted.sort_by_key(|(_, state)| rank(state));
-    for (link, state) in sorted {
-        fleet.links.set(link, state);
+    if !have_exited {
+        return Ok(RecoveryProgress::Pending);
     }
+    processes.iter().try_for_each(|process_id| fleet.release_stop(*process_id))?;
+    Ok(RecoveryProgress::Complete)
 }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,9 +1,13 @@
-//! The processes of one run, the relays between them, and what surrounds them.
+//! The processes of one run with the link proxies between them, their servers and their platform.
+//!
+//! Faults overlap, so that two of them may stop or pause the same process. The fleet counts the faults that stop and that
+//! pause each process; it runs again once both counts are zero.
 
 use crate::configuration::configuration;
 use crate::link_proxy::{LinkProxy, LinkTable};
+use crate::process_id::ProcessId;
 use crate::schedule::Scenario;
-use crate::servers::Server;
+use crate::servers::ServerPool;
 use eyre::{Result, WrapErr, ensure};
 use lugwharf_emulator::cluster::{Cluster, ClusterOptions, Signal, Subnet};
 use lugwharf_emulator::host::World;
@@ -13,150 +17,131 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Control machines at most, those included that replace others.
+/// Control nodes at most, those included that replace others.
 const MAX_CONTROL_NODES: usize = 8;
-/// Descriptors that processes are told they may hold: a proxy then takes some 60 clients, which a crowd goes beyond.
+/// The limit of descriptors in the settings. A proxy then accepts some 60 clients, fewer than a crowd opens.
 const MAX_FDS: usize = 300;
-/// Descriptors that a process may open beyond those that it has while these run out.
-const DESCRIPTOR_HEADROOM: usize = 0;
-/// Enough for every process.
+/// Descriptors that a process may open beyond those it has while it runs out of them.
+const EXHAUSTED_HEADROOM: usize = 0;
+/// A limit of descriptors that no process reaches.
 const AMPLE_DESCRIPTORS: usize = 1_024;
 
-/// All of one run.
+/// The limit of file descriptors of a process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum DescriptorLimit {
+    /// No further descriptor can be opened.
+    Exhausted,
+    /// More than a process needs.
+    Ample,
+}
+
+/// All processes of one run and what surrounds them.
 pub struct Fleet {
-    /// The clock and the record of the servers.
+    /// The clock of the run, and the log of what servers received.
     pub world: World,
-    /// The list of servers.
-    pub platform: PlatformHost,
+    /// The servers and the platform.
+    pub servers: ServerPool,
     /// The links between machines.
     pub links: LinkTable,
     /// The processes.
     pub cluster: Cluster,
-    /// The servers.
-    pub servers: Vec<Server>,
-    /// Control machines that are in use.
-    pub controls: Vec<usize>,
-    /// How many troubles keep a process from running.
+    /// The indices of the control nodes in use.
+    pub control_nodes: Vec<usize>,
+    /// The number of front-end nodes.
+    pub front_count: usize,
+    /// By process name: how many active faults have stopped it.
     stop_counts: BTreeMap<String, usize>,
-    /// How many troubles keep a process from going on.
+    /// By process name: how many active faults have paused it.
     pause_counts: BTreeMap<String, usize>,
-    /// Processes that ended for good.
-    pub retired: BTreeSet<String>,
-    next_control: usize,
-    _relays: Vec<LinkProxy>,
-}
-
-/// A process of the fleet.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProcessId {
-    /// A control process.
-    Control(usize),
-    /// The proxy of a front.
-    Proxy(usize),
-    /// The agent of a front.
-    Agent(usize),
-}
-
-impl ProcessId {
-    /// The name of its process in the cluster.
-    pub fn name(self) -> String {
-        match self {
-            ProcessId::Control(index) => format!("control-{index}"),
-            ProcessId::Proxy(index) => format!("front-{index}-proxy"),
-            ProcessId::Agent(index) => format!("front-{index}-agent"),
-        }
-    }
+    /// The names of processes that were replaced and stay down.
+    retired: BTreeSet<String>,
+    /// The index of the next control node to be added.
+    next_control_node: usize,
+    /// Proxies forward until they are dropped.
+    _link_proxies: Vec<LinkProxy>,
 }
 
 impl Fleet {
-    /// Starts everything and waits until it serves.
+    /// Starts the platform, the link proxies, the servers and all processes.
+    ///
+    /// # Errors
+    /// An address cannot be bound, or a process cannot be started.
     pub async fn start(scenario: &Scenario, binary: &Path) -> Result<Fleet> {
         let world = World::new();
-        let any: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let platform = PlatformHost::start(&world, any, PlatformParameters::default()).await?;
-        let options = ClusterOptions {
-            fronts: scenario.fronts,
-            controls: scenario.controls,
-            placement: scenario.placement,
-            fault_tolerance: if scenario.controls > 3 { 2 } else { 1 },
-            cloud: platform.address(),
-            bounds: Vec::new(),
-            arguments: ["--log", "info"].map(str::to_owned).to_vec(),
-            max_fds: MAX_FDS,
-            relayed: true,
-        };
+        let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
+        let platform = PlatformHost::start(&world, any_port, PlatformParameters::default()).await?;
+        let options = cluster_options(scenario, platform.address());
         let cluster = Cluster::new(binary, Subnet::claim()?, options)?;
         let links = LinkTable::default();
-        let mut relays = Vec::new();
-        for index in 0..MAX_CONTROL_NODES {
-            for (public, bound) in cluster.relayed_addresses(index) {
-                relays.push(LinkProxy::start(&links, public, bound).await.wrap_err("a relay")?);
-            }
-        }
+        let link_proxies = start_link_proxies(&cluster, &links).await?;
+        let servers = ServerPool::start(&world, platform, |index| cluster.server_address(index)).await?;
         let mut fleet = Fleet {
             world,
-            platform,
+            servers,
             links,
             cluster,
-            servers: Vec::new(),
-            controls: (0..scenario.controls).collect(),
+            control_nodes: (0..scenario.control_count).collect(),
+            front_count: scenario.front_count,
             stop_counts: BTreeMap::new(),
             pause_counts: BTreeMap::new(),
             retired: BTreeSet::new(),
-            next_control: scenario.controls,
-            _relays: relays,
+            next_control_node: scenario.control_count,
+            _link_proxies: link_proxies,
         };
-        fleet.start_servers().await?;
         fleet.cluster.start_all()?;
         Ok(fleet)
     }
 
-    /// Sends the first configuration and waits until all fronts are ready.
-    pub async fn open(&self) -> Result<()> {
-        let verdict = self.operator().put(&configuration(1).to_bytes(), 0).await;
-        ensure!(verdict.status() == Some(200), "the first configuration: {verdict:?}");
+    /// Writes the first configuration and waits until all front-end nodes are ready.
+    ///
+    /// # Errors
+    /// The write is not acknowledged, or a front-end node does not become ready in time.
+    pub async fn bring_into_service(&self) -> Result<()> {
+        let outcome = self.operator().put(&configuration(1).to_bytes(), 0).await;
+        ensure!(outcome.status() == Some(200), "the first configuration: {outcome:?}");
         ensure!(self.cluster.wait_ready().await, "a front is not ready");
         Ok(())
     }
 
-    /// Where operators call: the control machines in use, and the fronts that send them on.
+    /// The addresses that operators call: the control nodes in use, and the front-end nodes, which forward to them.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
-        let controls = self.controls.iter().map(|index| self.cluster.control_address(*index));
-        controls.chain(self.cluster.gateway_addresses()).collect()
+        let control_nodes = self.control_nodes.iter().map(|index| self.cluster.control_address(*index));
+        control_nodes.chain(self.cluster.gateway_addresses()).collect()
     }
 
-    /// An operator who knows all of them.
+    /// An operator that knows all operator addresses.
     pub fn operator(&self) -> Operator {
         Operator::new(self.operator_addresses())
     }
 
-    /// The control machine in use that a trouble's number stands for.
-    pub fn control(&self, target: usize) -> usize {
-        self.controls[target % self.controls.len()]
+    /// The control node in use that the target of a fault selects.
+    pub fn control_node(&self, target: usize) -> usize {
+        self.control_nodes[target % self.control_nodes.len()]
     }
 
-    /// The agent of a front; the control process, where that is hosted by it.
+    /// The agent of a front-end node; its control process where it hosts control, since that acts as the agent.
     pub fn agent(&self, front: usize) -> ProcessId {
         if self.cluster.hosts_control(front) { ProcessId::Control(front) } else { ProcessId::Agent(front) }
     }
 
-    /// The name of each process in use.
-    pub fn processes(&self, fronts: usize) -> Vec<ProcessId> {
-        let controls = self.controls.iter().map(|index| ProcessId::Control(*index));
-        let agents =
-            (0..fronts).map(|front| self.agent(front)).filter(|agent| matches!(agent, ProcessId::Agent(_)));
-        controls.chain((0..fronts).map(ProcessId::Proxy)).chain(agents).collect()
+    /// All processes in use: control, then proxies, then agents.
+    pub fn processes(&self) -> Vec<ProcessId> {
+        let control = self.control_nodes.iter().map(|index| ProcessId::Control(*index));
+        let proxies = (0..self.front_count).map(ProcessId::Proxy);
+        let agents = (0..self.front_count).map(|front| self.agent(front));
+        let agents = agents.filter(|agent| matches!(agent, ProcessId::Agent(_)));
+        control.chain(proxies).chain(agents).collect()
     }
 
-    /// Whether some trouble keeps the process from running or going on.
+    /// Whether an active fault stops or pauses the process, or it was replaced.
     pub fn is_stopped_or_paused(&self, name: &str) -> bool {
-        let counts = |table: &BTreeMap<String, usize>| table.get(name).is_some_and(|count| *count > 0);
-        counts(&self.stop_counts) || counts(&self.pause_counts) || self.retired.contains(name)
+        let is_counted = |counts: &BTreeMap<String, usize>| counts.get(name).is_some_and(|count| *count > 0);
+        is_counted(&self.stop_counts) || is_counted(&self.pause_counts) || self.retired.contains(name)
     }
 
-    /// Ends a process as a kill does, until it is released.
+    /// Kills a process (SIGKILL) and waits for its end. It stays down until [`Fleet::release_stop`].
     pub fn kill(&mut self, process_id: ProcessId) -> Result<()> {
-        *self.stop_counts.entry(process_id.name()).or_default() += 1;
+        self.count_stop(process_id);
         if let Some(process) = self.cluster.process(&process_id.name()) {
             process.signal(Signal::Kill)?;
             process.wait()?;
@@ -164,23 +149,27 @@
         Ok(())
     }
 
-    /// Asks a process to end, until it is released.
+    /// Asks a process to terminate (SIGTERM), without waiting. It stays down until [`Fleet::release_stop`].
     pub fn terminate(&mut self, process_id: ProcessId) -> Result<()> {
-        *self.stop_counts.entry(process_id.name()).or_default() += 1;
+        self.count_stop(process_id);
         Ok(self.cluster.terminate(&process_id.name())?)
     }
 
-    /// Whether a process that was asked to end has ended.
-    pub fn has_ended(&mut self, process_id: ProcessId) -> bool {
+    fn count_stop(&mut self, process_id: ProcessId) {
+        *self.stop_counts.entry(process_id.name()).or_default() += 1;
+    }
+
+    /// Whether a process has exited, or never ran.
+    pub fn has_exited(&mut self, process_id: ProcessId) -> bool {
         self.cluster.process(&process_id.name()).is_none_or(|process| process.ended().is_some())
     }
 
-    /// One trouble less keeps the process from running; it starts again once none does.
-    pub fn release(&mut self, process_id: ProcessId) -> Result<()> {
+    /// Takes back one stop. The process is restarted once no fault stops it, unless it was replaced or has not exited.
+    pub fn release_stop(&mut self, process_id: ProcessId) -> Result<()> {
         let count = self.stop_counts.entry(process_id.name()).or_default();
         *count = count.saturating_sub(1);
         let may_start = *count == 0 && !self.retired.contains(&process_id.name());
-        if !may_start || !self.has_ended(process_id) {
+        if !may_start || !self.has_exited(process_id) {
             return Ok(());
         }
         match process_id {
@@ -191,29 +180,31 @@
         Ok(())
     }
 
-    /// Lets a process stand still.
+    /// Pauses a process (SIGSTOP) until [`Fleet::release_pause`].
     pub fn pause(&mut self, process_id: ProcessId) -> Result<()> {
         *self.pause_counts.entry(process_id.name()).or_default() += 1;
         self.signal(process_id, Signal::Freeze)
     }
 
-    /// One trouble less lets the process stand still.
-    pub fn resume(&mut self, process_id: ProcessId) -> Result<()> {
+    /// Takes back one pause. The process continues (SIGCONT) once no fault pauses it.
+    pub fn release_pause(&mut self, process_id: ProcessId) -> Result<()> {
         let count = self.pause_counts.entry(process_id.name()).or_default();
         *count = count.saturating_sub(1);
         if *count == 0 { self.signal(process_id, Signal::Thaw) } else { Ok(()) }
     }
 
-    /// Lets a process open hardly any more descriptors, or as many as it needs.
-    pub fn limit_descriptors(&mut self, process_id: ProcessId, are_short: bool) -> Result<()> {
+    /// Sets the limit of file descriptors of a process that runs.
+    pub fn limit_descriptors(&mut self, process_id: ProcessId, limit: DescriptorLimit) -> Result<()> {
         if let Some(process) = self.cluster.process(&process_id.name()) {
-            let few = process.open_descriptors() + DESCRIPTOR_HEADROOM;
-            process.limit_open_descriptors(if are_short { few } else { AMPLE_DESCRIPTORS })?;
+            process.limit_open_descriptors(match limit {
+                DescriptorLimit::Exhausted => process.open_descriptors() + EXHAUSTED_HEADROOM,
+                DescriptorLimit::Ample => AMPLE_DESCRIPTORS,
+            })?;
         }
         Ok(())
     }
 
-    /// Sends a signal.
+    /// Sends a signal to a process that runs.
     pub fn signal(&mut self, process_id: ProcessId, signal: Signal) -> Result<()> {
         if let Some(process) = self.cluster.process(&process_id.name()) {
             process.signal(signal)?;
@@ -221,21 +212,46 @@
         Ok(())
     }
 
-    /// Adds an empty control machine.
-    pub fn add_control(&mut self) -> Result<Option<usize>> {
-        if self.next_control >= MAX_CONTROL_NODES {
+    /// Starts an empty control node and returns its index; `None` if all addresses are taken.
+    pub fn add_control_node(&mut self) -> Result<Option<usize>> {
+        if self.next_control_node >= MAX_CONTROL_NODES {
             return Ok(None);
         }
-        let index = self.next_control;
-        self.next_control += 1;
+        let index = self.next_control_node;
+        self.next_control_node += 1;
         self.cluster.start_control(index)?;
         Ok(Some(index))
     }
 
-    /// A control machine takes the place of another one, which was asked to end for good.
-    pub fn replace_control(&mut self, old: usize, new: usize) {
+    /// Replaces a control node, which was asked to terminate and stays down, by one that was added.
+    pub fn replace_control_node(&mut self, old: usize, new: usize) {
         self.retired.insert(ProcessId::Control(old).name());
-        self.controls.retain(|index| *index != old);
-        self.controls.push(new);
+        self.control_nodes.retain(|index| *index != old);
+        self.control_nodes.push(new);
+    }
+}
+
+fn cluster_options(scenario: &Scenario, platform: SocketAddr) -> ClusterOptions {
+    ClusterOptions {
+        fronts: scenario.front_count,
+        controls: scenario.control_count,
+        placement: scenario.placement,
+        fault_tolerance: if scenario.control_count > 3 { 2 } else { 1 },
+        cloud: platform,
+        bounds: Vec::new(),
+        arguments: ["--log", "info"].map(str::to_owned).to_vec(),
+        max_fds: MAX_FDS,
+        relayed: true,
+    }
+}
+
+/// Starts the proxies in front of all control nodes that a run may use.
+async fn start_link_proxies(cluster: &Cluster, links: &LinkTable) -> Result<Vec<LinkProxy>> {
+    let mut proxies = Vec::new();
+    for index in 0..MAX_CONTROL_NODES {
+        for (public, target) in cluster.relayed_addresses(index) {
+            proxies.push(LinkProxy::start(links, public, target).await.wrap_err("a relay")?);
+        }
     }
+    Ok(proxies)
 }
--- a/crates/soak/src/link_proxy.rs
+++ b/crates/soak/src/link_proxy.rs
@@ -1,7 +1,7 @@
-//! Links between machines that can be cut, reset and slowed, for each pair and direction.
+//! TCP proxies between the machines of a fleet, whose links can be blackholed, reset and delayed, one direction at a time.
 //!
-//! Each machine is reached under an address at which a relay listens; the process itself listens on another one and opens
-//! its connections from there, so that the relay knows both ends of a connection.
+//! A machine is reached at a public address, where a [`LinkProxy`] listens. Its process listens at another address and opens
+//! its own connections from there. The proxy so knows both ends of a connection, and with them its two links.
 
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -14,29 +14,43 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes that are passed on at once.
-const CHUNK: usize = 16 * 1024;
+/// The size of the buffer of one direction, in bytes.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// How a link carries bytes in one direction.
+/// How a link carries bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// At once.
+    /// Without delay.
     Open,
-    /// Not at all, and without a word: bytes wait until the link is open again.
+    /// Not at all: bytes wait until the link is passable again, and no end is notified.
     Blackholed,
-    /// Connections are reset.
+    /// Connections over it are reset.
     Reset,
-    /// Each piece this much later.
+    /// Each chunk after this delay.
     Delayed(Duration),
 }
 
-/// A direction between two machines, by the addresses at which the processes listen.
-pub type Link = (Ipv4Addr, Ipv4Addr);
+/// One direction between two machines, by the addresses at which their processes listen.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Link {
+    /// The sender.
+    pub from: Ipv4Addr,
+    /// The receiver.
+    pub to: Ipv4Addr,
+}
+
+impl Link {
+    /// The opposite direction.
+    pub fn reversed(self) -> Link {
+        Link { from: self.to, to: self.from }
+    }
+}
 
-/// The states of all links; clones share them.
+/// The states of all links; clones share them. A link that was never set is open.
 #[derive(Clone, Debug)]
 pub struct LinkTable {
     states: Arc<Mutex<HashMap<Link, LinkState>>>,
+    /// Counts changes, and so wakes those who wait for one.
     changes: watch::Sender<u64>,
 }
 
@@ -51,7 +65,7 @@
         self.states.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Changes one direction.
+    /// Sets the state of one link.
     pub fn set(&self, link: Link, state: LinkState) {
         self.states().insert(link, state);
         self.changes.send_modify(|changes| *changes += 1);
@@ -63,12 +77,12 @@
         self.changes.send_modify(|changes| *changes += 1);
     }
 
-    /// How one direction carries bytes now.
+    /// The current state of one link.
     pub fn state(&self, link: Link) -> LinkState {
         self.states().get(&link).copied().unwrap_or(LinkState::Open)
     }
 
-    /// Waits until a direction carries bytes, and returns how much later; `None` if connections on it are reset.
+    /// Waits until a link carries bytes and returns its delay; `None` if connections over it are reset.
     async fn wait_until_passable(&self, link: Link) -> Option<Duration> {
         let mut changes = self.changes.subscribe();
         loop {
@@ -85,12 +99,12 @@
         }
     }
 
-    /// Waits until connections in one of the directions are reset.
-    async fn wait_for_reset(&self, there: Link, back: Link) {
+    /// Waits until connections are reset in one direction of a link or the other.
+    async fn wait_for_reset(&self, link: Link) {
         let mut changes = self.changes.subscribe();
         loop {
             changes.borrow_and_update();
-            if [there, back].iter().any(|link| self.state(*link) == LinkState::Reset) {
+            if [link, link.reversed()].iter().any(|link| self.state(*link) == LinkState::Reset) {
                 return;
             }
             if changes.changed().await.is_err() {
@@ -100,14 +114,17 @@
     }
 }
 
-/// Listens on `public` and passes connections on to `target`, until it is dropped.
+/// Listens at a public address and forwards connections to a process, until it is dropped.
 #[derive(Debug)]
 pub struct LinkProxy {
     task: tokio::task::JoinHandle<()>,
 }
 
 impl LinkProxy {
-    /// Starts to listen.
+    /// Listens at `public` and forwards to `target`.
+    ///
+    /// # Errors
+    /// The address is in use or cannot be bound.
     pub async fn start(links: &LinkTable, public: SocketAddr, target: SocketAddr) -> io::Result<LinkProxy> {
         let listener = TcpListener::bind(public).await?;
         let links = links.clone();
@@ -128,45 +145,56 @@
     }
 }
 
-async fn proxy_connection(links: LinkTable, near: TcpStream, from: SocketAddr, target: SocketAddr) {
+/// Forwards one connection in both directions until both have ended or one of its links is reset.
+async fn proxy_connection(links: LinkTable, client: TcpStream, from: SocketAddr, target: SocketAddr) {
     let (SocketAddr::V4(from), SocketAddr::V4(to)) = (from, target) else { return };
-    let (there, back) = ((*from.ip(), *to.ip()), (*to.ip(), *from.ip()));
-    // An opening packet needs both ways.
-    let is_open =
-        links.wait_until_passable(there).await.is_some() && links.wait_until_passable(back).await.is_some();
-    let far = if is_open { TcpStream::connect(target).await.ok() } else { None };
-    let Some(far) = far else { return abort(&near) };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    // A pair of sockets that is dropped with unread bytes resets both ends, which is what a reset is to do.
-    let _ = (
-        SockRef::from(&near).set_linger(Some(Duration::ZERO)),
-        SockRef::from(&far).set_linger(Some(Duration::ZERO)),
-    );
-    let ((near_read, near_write), (far_read, far_write)) = (near.into_split(), far.into_split());
+    let outbound = Link { from: *from.ip(), to: *to.ip() };
+    let inbound = outbound.reversed();
+    // A handshake needs both directions.
+    let is_passable = links.wait_until_passable(outbound).await.is_some()
+        && links.wait_until_passable(inbound).await.is_some();
+    let server = if is_passable { TcpStream::connect(target).await.ok() } else { None };
+    let Some(server) = server else { return reset_on_close(&client) };
+    // A socket that has closed meanwhile takes no options; the copies then end at once.
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    // Without linger, dropping the sockets resets both ends, which is what a reset link has to do.
+    reset_on_close(&client);
+    reset_on_close(&server);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let copies = async {
+        tokio::join!(
+            copy_one_way(&links, outbound, client_read, server_write),
+            copy_one_way(&links, inbound, server_read, client_write),
+        )
+    };
     tokio::select! {
-        _ = async { tokio::join!(copy_one_way(&links, there, near_read, far_write), copy_one_way(&links, back, far_read, near_write)) } => {}
-        () = links.wait_for_reset(there, back) => {}
+        _ = copies => {}
+        () = links.wait_for_reset(outbound) => {}
     }
 }
 
-fn abort(stream: &TcpStream) {
+/// Makes the end of a socket a reset (RST) instead of an orderly close (FIN).
+fn reset_on_close(stream: &TcpStream) {
+    // A socket that is closed already needs no reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Passes bytes on in one direction until its end, which goes on as well.
+/// Copies bytes over one link until the end of input, which is forwarded as well.
 async fn copy_one_way(links: &LinkTable, link: Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
-    let mut chunk = vec![0; CHUNK];
+    let mut chunk = vec![0; CHUNK_BYTES];
     loop {
         let Ok(length) = from.read(&mut chunk).await else { return };
         let Some(delay) = links.wait_until_passable(link).await else { return };
         if !delay.is_zero() {
             tokio::time::sleep(delay).await;
         }
-        // The link may have been cut meanwhile.
+        // The link may have changed during the delay.
         if links.wait_until_passable(link).await.is_none() {
             return;
         }
         if length == 0 {
+            // A receiver that is gone needs no end of input.
             let _ = to.shutdown().await;
             return;
         }
--- a/crates/soak/src/operators.rs
+++ b/crates/soak/src/operators.rs
@@ -1,150 +1,81 @@
-//! Operators: configurations sent, raced, sent again and read back, with a record of what was told about them.
+//! The operators of a run: one task writes configurations, one after the other, raced and resent; another reads them back.
 
 use crate::configuration::{configuration, version_of};
+use crate::operator_log::{ConfigRead, ConfigWrite, OperatorLog};
 use lugwharf_emulator::host::World;
 use lugwharf_emulator::operator::{CallOutcome, Operator, call_once};
 use lugwharf_emulator::wire::Request;
 use std::net::SocketAddr;
-use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// The pause between two wishes of an operator, in ms.
-const PAUSE_MS: std::ops::Range<u64> = 100..900;
-/// Configurations of one burst.
-const BURST: usize = 6;
+/// The range of the pause between two writes, in ms.
+const WRITE_PAUSE_MS: std::ops::Range<u64> = 100..900;
+/// The range of the pause between two reads, in ms.
+const READ_PAUSE_MS: std::ops::Range<u64> = 10..120;
+/// Writes of one burst.
+const BURST_WRITES: usize = 6;
 
-/// What a trouble wants of the operators.
+/// What a fault asks of the operators, in place of their next write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorRequest {
-    /// Two different changes on one version.
-    Race,
-    /// Several changes without a pause.
-    Burst,
-}
-
-/// One change as it was sent.
-#[derive(Clone, Debug)]
-pub struct ConfigWrite {
-    /// Its version.
-    pub version: u64,
-    /// The version that it builds on.
-    pub base: u64,
-    /// Its bytes.
-    pub bytes: Arc<[u8]>,
-    /// Whether it can be in force at all.
-    pub is_valid: bool,
-    /// When it was sent first.
-    pub started_at: Duration,
-    /// When the last answer came.
-    pub ended_at: Duration,
-    /// What was told.
-    pub outcome: CallOutcome,
-    /// Whether it is a change that was acknowledged, sent again with no other one between.
-    pub is_resend: bool,
-}
-
-/// One read of the newest configuration at one machine.
-#[derive(Clone, Debug)]
-pub struct ConfigRead {
-    /// Where.
-    pub from: SocketAddr,
-    /// When it was sent.
-    pub started_at: Duration,
-    /// When the answer came.
-    pub ended_at: Duration,
-    /// The configuration, byte for byte; nothing for any other answer than 200.
-    pub bytes: Option<Vec<u8>>,
-}
-
-#[derive(Debug, Default)]
-struct Records {
-    writes: Vec<ConfigWrite>,
-    reads: Vec<ConfigRead>,
-}
-
-/// What the operators sent and were told; clones share it.
-#[derive(Clone, Debug, Default)]
-pub struct OperatorLog {
-    records: Arc<Mutex<Records>>,
-}
-
-impl OperatorLog {
-    fn records(&self) -> MutexGuard<'_, Records> {
-        self.records.lock().unwrap_or_else(PoisonError::into_inner)
-    }
-
-    /// All changes.
-    pub fn writes(&self) -> Vec<ConfigWrite> {
-        self.records().writes.clone()
-    }
-
-    /// All reads.
-    pub fn reads(&self) -> Vec<ConfigRead> {
-        self.records().reads.clone()
-    }
-
-    /// Adds a change.
-    pub fn record_write(&self, put: ConfigWrite) {
-        self.records().writes.push(put);
-    }
-
-    /// Adds a read.
-    pub fn record_read(&self, read: ConfigRead) {
-        self.records().reads.push(read);
-    }
+    /// Two different writes on one base version, at the same time.
+    RaceWrites,
+    /// Several writes without a pause.
+    BurstWrites,
 }
 
 /// The operators of one run.
 pub struct Operators {
-    /// What they sent and were told.
-    pub operator_log: OperatorLog,
-    /// What troubles want of them.
+    log: OperatorLog,
+    /// What faults ask of them.
     pub requests: UnboundedSender<OperatorRequest>,
-    /// The control machines in use.
+    /// The addresses that operators call; they change when a control node is replaced.
     pub addresses: watch::Sender<Vec<SocketAddr>>,
     stop: watch::Sender<bool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Operators {
-    /// Starts them; the first configuration is in force.
+    /// Starts the operators. Version 1 of the configuration is in force.
     pub fn start(world: &World, addresses: Vec<SocketAddr>, seed: u64) -> Operators {
-        let (requests, requested) = unbounded_channel();
+        let (requests, received_requests) = unbounded_channel();
         let (addresses, stop) = (watch::Sender::new(addresses), watch::Sender::new(false));
-        let operator_log = OperatorLog::default();
+        let log = OperatorLog::default();
         let context = OperatorContext {
             world: world.clone(),
-            operator_log: operator_log.clone(),
+            log: log.clone(),
             addresses: addresses.subscribe(),
             stop: stop.subscribe(),
         };
-        let bytes: Arc<[u8]> = configuration(1).to_bytes().into();
-        let writer = ConfigWriter { context: context.clone(), current: Some((1, bytes)), next_version: 2 };
+        let current = CurrentConfig { version: 1, bytes: configuration(1).to_bytes().into() };
+        let writer = ConfigWriter { context: context.clone(), current: Some(current), next_version: 2 };
         let tasks = vec![
-            tokio::spawn(writer.run(requested, fastrand::Rng::with_seed(seed ^ 0x0b))),
+            tokio::spawn(writer.run(received_requests, fastrand::Rng::with_seed(seed ^ 0x0b))),
             tokio::spawn(run_reader(context, fastrand::Rng::with_seed(seed ^ 0x0c))),
         ];
-        Operators { operator_log, requests, addresses, stop, tasks }
+        Operators { log, requests, addresses, stop, tasks }
     }
 
-    /// Lets them finish what they are at, and returns what they sent and were told.
+    /// Waits until the writes and reads in flight have ended, and returns the log.
     pub async fn finish(self) -> OperatorLog {
         self.stop.send_replace(true);
         for task in self.tasks {
             // An operator that panicked has nothing more to record.
             let _ = task.await;
         }
-        self.operator_log
+        self.log
     }
 }
 
+/// What both tasks share.
 #[derive(Clone)]
 struct OperatorContext {
     world: World,
-    operator_log: OperatorLog,
+    log: OperatorLog,
     addresses: watch::Receiver<Vec<SocketAddr>>,
     stop: watch::Receiver<bool>,
 }
@@ -157,46 +88,90 @@
     fn has_stopped(&self) -> bool {
         *self.stop.borrow()
     }
+
+    /// Sends a write until there is a clear response, and records it.
+    async fn write(&self, operator: &Operator, draft: Draft) -> CallOutcome {
+        let Draft { version, base, bytes, is_valid, is_resend } = draft;
+        let started_at = self.world.now();
+        let outcome = operator.put(&bytes, base).await;
+        let ended_at = self.world.now();
+        let write = ConfigWrite {
+            version,
+            base,
+            bytes,
+            is_valid,
+            started_at,
+            ended_at,
+            outcome: outcome.clone(),
+            is_resend,
+        };
+        self.log.record_write(write);
+        outcome
+    }
+}
+
+/// A configuration that is about to be written.
+struct Draft {
+    version: u64,
+    base: u64,
+    bytes: Arc<[u8]>,
+    is_valid: bool,
+    is_resend: bool,
+}
+
+impl Draft {
+    /// A valid configuration.
+    fn new(version: u64, base: u64) -> Draft {
+        let bytes = configuration(version).to_bytes().into();
+        Draft { version, base, bytes, is_valid: true, is_resend: false }
+    }
+}
+
+/// The configuration that is known to be in force.
+#[derive(Clone)]
+struct CurrentConfig {
+    version: u64,
+    bytes: Arc<[u8]>,
 }
 
-/// Sends changes, one on top of the other.
+/// Writes configurations, each based on the one before.
 struct ConfigWriter {
     context: OperatorContext,
-    /// The newest version and its bytes; nothing after a change without a clear answer.
-    current: Option<(u64, Arc<[u8]>)>,
+    /// `None` after a write without an acknowledgement: the newest version has to be read first.
+    current: Option<CurrentConfig>,
     next_version: u64,
 }
 
 impl ConfigWriter {
-    async fn run(mut self, mut requested: UnboundedReceiver<OperatorRequest>, mut rng: fastrand::Rng) {
+    async fn run(mut self, mut requests: UnboundedReceiver<OperatorRequest>, mut rng: fastrand::Rng) {
         while !self.context.has_stopped() {
-            let pause = Duration::from_millis(rng.u64(PAUSE_MS));
-            let request = timeout(pause, requested.recv()).await.ok().flatten();
+            let pause = Duration::from_millis(rng.u64(WRITE_PAUSE_MS));
+            let request = timeout(pause, requests.recv()).await.ok().flatten();
             if self.current.is_none() {
                 self.refresh_current().await;
             }
-            let Some((base, bytes)) = self.current.clone() else { continue };
+            let Some(current) = self.current.clone() else { continue };
             match request {
-                Some(OperatorRequest::Race) => self.race(base, &mut rng).await,
-                Some(OperatorRequest::Burst) => self.burst(&mut rng).await,
+                Some(OperatorRequest::RaceWrites) => self.race(current.version, &mut rng).await,
+                Some(OperatorRequest::BurstWrites) => self.burst(&mut rng).await,
                 None => match rng.u32(..6) {
-                    0 => self.resend(base, bytes, &mut rng).await,
-                    1 => self.send_invalid(base, &mut rng).await,
-                    _ => self.send_next(base, &mut rng).await,
+                    0 => self.resend(current, &mut rng).await,
+                    1 => self.write_invalid(current.version, &mut rng).await,
+                    _ => self.write_next(current.version, &mut rng).await,
                 },
             }
         }
     }
 
-    /// Asks for the newest version after a change without a clear answer.
+    /// Reads the newest version after a write without an acknowledgement.
     async fn refresh_current(&mut self) {
         let outcome = Operator::new(self.context.addresses()).get().await;
         if let Some(version) = version_of(outcome.body()) {
-            self.current = Some((version, outcome.body().into()));
+            self.current = Some(CurrentConfig { version, bytes: outcome.body().into() });
         }
     }
 
-    /// An operator that begins with any of the machines.
+    /// An operator that calls the addresses in a random order.
     fn operator(&self, rng: &mut fastrand::Rng) -> Operator {
         let mut addresses = self.context.addresses();
         rng.shuffle(&mut addresses);
@@ -209,99 +184,71 @@
         version
     }
 
-    async fn send_next(&mut self, base: u64, rng: &mut fastrand::Rng) {
-        let version = self.allocate_version();
-        let bytes: Arc<[u8]> = configuration(version).to_bytes().into();
+    async fn write_next(&mut self, base: u64, rng: &mut fastrand::Rng) {
+        let draft = Draft::new(self.allocate_version(), base);
+        let written = CurrentConfig { version: draft.version, bytes: draft.bytes.clone() };
         let operator = self.operator(rng);
-        let outcome = self.context.put(&operator, version, base, &bytes, true, false).await;
-        self.record_outcome(version, bytes, &outcome);
-    }
-
-    fn record_outcome(&mut self, version: u64, bytes: Arc<[u8]>, outcome: &CallOutcome) {
-        self.current = match outcome {
-            CallOutcome::Acknowledged(_) => Some((version, bytes)),
-            // Whether it is in force has to be asked; after a refusal another one is.
+        self.current = match self.context.write(&operator, draft).await {
+            CallOutcome::Acknowledged(_) => Some(written),
+            // A refusal means that another version is in force; without a clear response either may be.
             CallOutcome::Refused(_) | CallOutcome::Unknown => None,
         };
     }
 
-    async fn resend(&mut self, version: u64, bytes: Arc<[u8]>, rng: &mut fastrand::Rng) {
-        let writes = self.context.operator_log.writes();
-        let is_it = |put: &&ConfigWrite| {
-            put.version == version && matches!(put.outcome, CallOutcome::Acknowledged(_))
-        };
-        let Some(base) = writes.iter().find(is_it).map(|put| put.base) else { return };
+    /// Sends the current configuration again, which has to be acknowledged again.
+    async fn resend(&mut self, current: CurrentConfig, rng: &mut fastrand::Rng) {
+        let CurrentConfig { version, bytes } = current;
+        let writes = self.context.log.writes();
+        let mut acknowledged = writes.iter().filter(|write| write.is_acknowledged());
+        let Some(write) = acknowledged.find(|write| write.version == version) else { return };
         let operator = self.operator(rng);
-        self.context.put(&operator, version, base, &bytes, true, true).await;
+        let draft = Draft { version, base: write.base, bytes, is_valid: true, is_resend: true };
+        self.context.write(&operator, draft).await;
     }
 
-    async fn send_invalid(&mut self, base: u64, rng: &mut fastrand::Rng) {
+    /// Writes a configuration with a route to a service that does not exist.
+    async fn write_invalid(&mut self, base: u64, rng: &mut fastrand::Rng) {
         let version = self.allocate_version();
         let mut json = configuration(version).to_json();
         json["Routes"][1]["Service"] = "nobody".into();
-        let bytes: Arc<[u8]> = json.to_string().into_bytes().into();
+        let bytes = json.to_string().into_bytes().into();
         let operator = self.operator(rng);
-        self.context.put(&operator, version, base, &bytes, false, false).await;
+        let draft = Draft { version, base, bytes, is_valid: false, is_resend: false };
+        self.context.write(&operator, draft).await;
     }
 
+    /// Writes two configurations on one base at the same time; at most one may be acknowledged.
     async fn race(&mut self, base: u64, rng: &mut fastrand::Rng) {
-        let versions = [self.allocate_version(), self.allocate_version()];
-        let bodies = versions.map(|version| Arc::<[u8]>::from(configuration(version).to_bytes()));
+        let first = Draft::new(self.allocate_version(), base);
+        let second = Draft::new(self.allocate_version(), base);
         let operators = [self.operator(rng), self.operator(rng)];
-        let context = self.context.clone();
-        tokio::join!(
-            context.put(&operators[0], versions[0], base, &bodies[0], true, false),
-            context.put(&operators[1], versions[1], base, &bodies[1], true, false),
-        );
+        tokio::join!(self.context.write(&operators[0], first), self.context.write(&operators[1], second));
         self.current = None;
     }
 
     async fn burst(&mut self, rng: &mut fastrand::Rng) {
-        for _ in 0..BURST {
-            let Some((base, _)) = self.current else { return };
-            self.send_next(base, rng).await;
+        for _ in 0..BURST_WRITES {
+            let Some(base) = self.current.as_ref().map(|current| current.version) else { return };
+            self.write_next(base, rng).await;
         }
     }
 }
 
-impl OperatorContext {
-    async fn put(
-        &self, operator: &Operator, version: u64, base: u64, bytes: &Arc<[u8]>, is_valid: bool,
-        is_resend: bool,
-    ) -> CallOutcome {
-        let started_at = self.world.now();
-        let outcome = operator.put(bytes, base).await;
-        let (bytes, ended_at) = (bytes.clone(), self.world.now());
-        let result = outcome.clone();
-        self.operator_log.record_write(ConfigWrite {
-            version,
-            base,
-            bytes,
-            is_valid,
-            started_at,
-            ended_at,
-            outcome,
-            is_resend,
-        });
-        result
-    }
-}
-
-/// Reads at each machine in turn, each time at one alone.
+/// Reads at random addresses, one attempt each.
 async fn run_reader(context: OperatorContext, mut rng: fastrand::Rng) {
     while !context.has_stopped() {
         let addresses = context.addresses();
         let from = addresses[rng.usize(..addresses.len())];
         let read = read_once(&context.world, from).await;
-        context.operator_log.record_read(read);
-        tokio::time::sleep(Duration::from_millis(rng.u64(10..120))).await;
+        context.log.record_read(read);
+        tokio::time::sleep(Duration::from_millis(rng.u64(READ_PAUSE_MS))).await;
     }
 }
 
-/// Reads once at one machine.
+/// Reads the newest configuration once, at one address.
 pub async fn read_once(world: &World, from: SocketAddr) -> ConfigRead {
     let started_at = world.now();
-    let answer = call_once(from, &Request::new("GET", "/config")).await;
-    let bytes = answer.ok().filter(|answer| answer.status == 200).map(|answer| answer.body);
+    let response = call_once(from, &Request::new("GET", "/config")).await;
+    let bytes = response.ok().filter(|response| response.status == 200).map(|response| response.body);
     ConfigRead { from, started_at, ended_at: world.now(), bytes }
 }
--- a/crates/soak/src/process_monitor.rs
+++ b/crates/soak/src/process_monitor.rs
@@ -1,73 +1,80 @@
-//! Metrics and ends of the processes while the soak runs.
+//! Observes exits, metrics and resources of the processes during a run.
 
-use crate::checker::Finding;
-use crate::fleet::{Fleet, ProcessId};
+use crate::finding::Finding;
+use crate::fleet::Fleet;
+use crate::process_id::ProcessId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// A violation of an invariant in a text of metrics.
-const VIOLATIONS: &str = "_invariant_violations_total{invariant=\"";
-/// The rig waits no longer for the figures of one process.
+/// Marks the counter of a violated invariant in a text of metrics.
+const INVARIANT_VIOLATIONS: &str = "_invariant_violations_total{invariant=\"";
+/// The line of a control process that holds the list watcher's lease.
+const LIST_READER_METRIC: &str = "lugwharf_control_list_reader 1";
+/// The harness waits no longer for the metrics of one process.
 const METRICS_TIMEOUT: Duration = Duration::from_millis(150);
-/// Descriptors, threads and resident memory of one process at rest; far above what a small fleet needs.
+/// File descriptors of one idle process; this and the next two are far above what a small fleet needs.
 const MAX_DESCRIPTORS: usize = 300;
+/// Threads of one idle process.
 const MAX_THREADS: u64 = 8;
+/// Resident memory of one idle process, in KB.
 const MAX_RESIDENT_KB: u64 = 64 * 1024;
 
-/// What was seen of the processes so far.
+/// One incarnation of a process. The pid tells it from others of the same name.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Incarnation {
+    name: String,
+    pid: u32,
+}
+
+/// What was observed of the processes so far.
 #[derive(Debug, Default)]
 pub struct ProcessMonitor {
-    /// The configuration last told by each process, by its name and id.
-    versions: BTreeMap<(String, u32), u64>,
-    /// Lines left out by each proxy, by front and process id.
-    omitted_log_lines: BTreeMap<(usize, u32), u64>,
+    /// The configuration version that each incarnation reported last.
+    config_versions: BTreeMap<Incarnation, u64>,
+    /// Log lines that each incarnation of a proxy has omitted.
+    omitted_log_lines: BTreeMap<Incarnation, u64>,
     findings: BTreeSet<Finding>,
 }
 
 impl ProcessMonitor {
-    /// Looks at all processes once.
-    pub async fn observe(&mut self, fleet: &mut Fleet, fronts: usize) {
-        let mut holders: Vec<ProcessId> = Vec::new();
-        for process_id in fleet.processes(fronts) {
+    /// Observes all processes once.
+    pub async fn observe(&mut self, fleet: &mut Fleet) {
+        let mut lease_holders: Vec<ProcessId> = Vec::new();
+        for process_id in fleet.processes() {
             let name = process_id.name();
             let Some(process) = fleet.cluster.process(&name) else { continue };
             let (pid, exit_status) = (process.id(), process.ended());
-            if let Some(status) = exit_status {
-                if !fleet.is_stopped_or_paused(&name) {
-                    self.report("process_ended", format!("{name} ended by itself: {status}"));
-                }
+            // A paused process would let the harness wait for its metrics.
+            if fleet.is_stopped_or_paused(&name) {
                 continue;
             }
-            // One that stands still would keep the rig waiting.
-            if fleet.is_stopped_or_paused(&name) {
+            if let Some(status) = exit_status {
+                self.report("process_ended", format!("{name} ended by itself: {status}"));
                 continue;
             }
             if let Ok(Some(text)) = timeout(METRICS_TIMEOUT, metrics_of(fleet, process_id)).await {
-                self.record_metrics(process_id, pid, &text);
-                holders.extend(holds_list_reader_role(&text).then_some(process_id));
+                self.record_metrics(Incarnation { name, pid }, &text);
+                lease_holders.extend(holds_list_lease(&text).then_some(process_id));
             }
         }
-        self.check_lease_holders(fleet, &holders).await;
+        self.check_lease_holders(fleet, &lease_holders).await;
     }
 
-    /// Of two that said one after the other that they hold the role, the first may have lost it in between; not if it says so
-    /// again.
+    /// Reports several holders of one lease. They were asked one after the other, so that the first may have lost the lease
+    /// in between; it has not if it still holds it after the last was asked.
     async fn check_lease_holders(&mut self, fleet: &Fleet, holders: &[ProcessId]) {
-        let [first, others @ ..] = holders else { return };
-        if others.is_empty() {
-            return;
-        }
+        let [first, _, ..] = holders else { return };
         let text = timeout(METRICS_TIMEOUT, metrics_of(fleet, *first)).await.ok().flatten();
-        if text.is_some_and(|text| holds_list_reader_role(&text)) {
+        if text.is_some_and(|text| holds_list_lease(&text)) {
             let names: Vec<String> = holders.iter().map(|process_id| process_id.name()).collect();
             self.report("two_holders", format!("{names:?} at {} ms", fleet.world.now().as_millis()));
         }
     }
 
-    /// Looks at what each process holds at rest.
-    pub fn check_idle_resources(&mut self, fleet: &mut Fleet, fronts: usize) {
-        for process_id in fleet.processes(fronts) {
+    /// Checks the resources that each process holds while the fleet is idle.
+    pub fn check_idle_resources(&mut self, fleet: &mut Fleet) {
+        for process_id in fleet.processes() {
             let name = process_id.name();
             let Some(pid) = fleet.cluster.process(&name).map(|process| process.id()) else { continue };
             let descriptors = std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count);
@@ -80,40 +87,31 @@
         }
     }
 
-    fn record_metrics(&mut self, process_id: ProcessId, pid: u32, text: &str) {
-        let name = process_id.name();
-        for line in text.lines().filter(|line| line.contains(VIOLATIONS) && !line.ends_with(" 0")) {
-            self.report("invariant", format!("{name}: {line}"));
+    fn record_metrics(&mut self, incarnation: Incarnation, text: &str) {
+        let is_violation = |line: &&str| line.contains(INVARIANT_VIOLATIONS) && !line.ends_with(" 0");
+        for line in text.lines().filter(is_violation) {
+            self.report("invariant", format!("{}: {line}", incarnation.name));
         }
-        let sample = |metric: &str| {
-            let line =
-                text.lines().find(|line| line.split(' ').next().is_some_and(|name| name.ends_with(metric)));
-            line.and_then(|line| line.rsplit_once(' ')).and_then(|(_, value)| value.parse::<u64>().ok())
-        };
-        if let Some(version) = sample("_config_version") {
-            let before = self.versions.insert((name.clone(), pid), version).unwrap_or(0);
+        if let Some(version) = sample(text, "_config_version") {
+            let before = self.config_versions.insert(incarnation.clone(), version).unwrap_or(0);
             if version < before {
-                self.report("version_fell", format!("{name}: {version} after {before}"));
+                self.report("version_fell", format!("{}: {version} after {before}", incarnation.name));
             }
         }
-        if let (ProcessId::Proxy(front), Some(omitted_log_lines)) =
-            (process_id, sample("_request_lines_omitted_total"))
-        {
-            self.omitted_log_lines.insert((front, pid), omitted_log_lines);
+        if let Some(omitted) = sample(text, "_request_lines_omitted_total") {
+            self.omitted_log_lines.insert(incarnation, omitted);
         }
     }
 
-    /// Lines about failed requests that the proxy of a front has left out.
+    /// Log lines about failed requests that all incarnations of a front-end node's proxy have omitted.
     pub fn omitted_log_lines(&self, front: usize) -> u64 {
-        self.omitted_log_lines
-            .iter()
-            .filter(|((of, _), _)| *of == front)
-            .map(|(_, omitted_log_lines)| omitted_log_lines)
-            .sum()
+        let proxy = ProcessId::Proxy(front).name();
+        let of_proxy = self.omitted_log_lines.iter().filter(|(incarnation, _)| incarnation.name == proxy);
+        of_proxy.map(|(_, omitted)| omitted).sum()
     }
 
-    /// What is wrong.
-    pub fn findings(self) -> BTreeSet<Finding> {
+    /// All violations that were observed.
+    pub fn into_findings(self) -> BTreeSet<Finding> {
         self.findings
     }
 
@@ -122,20 +120,33 @@
     }
 }
 
-/// Whether a control process holds the list reader's role.
-fn holds_list_reader_role(text: &str) -> bool {
-    text.lines().any(|line| line == "lugwharf_control_list_reader 1")
+/// Whether a control process holds the list watcher's lease.
+fn holds_list_lease(metrics: &str) -> bool {
+    metrics.lines().any(|line| line == LIST_READER_METRIC)
+}
+
+/// The value of the first metric whose name has this suffix.
+fn sample(metrics: &str, suffix: &str) -> Option<u64> {
+    let has_suffix = |line: &&str| line.split(' ').next().is_some_and(|name| name.ends_with(suffix));
+    let (_, value) = metrics.lines().find(has_suffix)?.rsplit_once(' ')?;
+    value.parse().ok()
 }
 
 async fn metrics_of(fleet: &Fleet, process_id: ProcessId) -> Option<String> {
     match process_id {
         ProcessId::Control(index) => fleet.cluster.control_metrics(index).await,
-        ProcessId::Proxy(front) => fleet.cluster.front_metrics(front).await.into_iter().next().flatten(),
-        ProcessId::Agent(front) => fleet.cluster.front_metrics(front).await.into_iter().nth(1).flatten(),
+        ProcessId::Proxy(front) => {
+            let [proxy, _] = fleet.cluster.front_metrics(front).await;
+            proxy
+        }
+        ProcessId::Agent(front) => {
+            let [_, agent] = fleet.cluster.front_metrics(front).await;
+            agent
+        }
     }
 }
 
-/// The number behind a name in `/proc/ID/status`.
+/// The number of a field in `/proc/PID/status`; 0 if there is none.
 fn proc_field(status: &str, name: &str) -> u64 {
     let line = status.lines().find_map(|line| line.strip_prefix(name));
     line.and_then(|rest| rest.split_whitespace().next()).and_then(|value| value.parse().ok()).unwrap_or(0)
--- a/crates/soak/src/recovery.rs
+++ b/crates/soak/src/recovery.rs
@@ -1,87 +1,90 @@
-//! What has to be well again once all troubles are over.
+//! What has to hold once all faults are over: the fleet recovers by itself, and serves writes and reads again.
 
-use crate::checker::Finding;
 use crate::configuration::{configuration, version_of};
+use crate::finding::Finding;
 use crate::fleet::Fleet;
-use crate::operators::{ConfigWrite, OperatorLog};
+use crate::operator_log::{ConfigWrite, OperatorLog};
+use crate::operators::read_once;
 use lugwharf_emulator::cluster::readiness_status;
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// `RecoveryS` of the fleet's settings, with the `CatchUpS` of a machine that has just come back.
-pub const RECOVERY_TIMEOUT: Duration = Duration::from_secs(16);
-/// `ConfigMs` of the fleet's settings.
+/// `RecoveryS` of the fleet's settings, with the `CatchUpS` of a node that has just come back.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(16);
+/// `ConfigMs` of the fleet's settings: an acknowledged configuration reaches all front-end nodes within it.
 const PROPAGATION_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Between two looks.
-const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The pause between two checks of the fleet's condition.
+const CONDITION_INTERVAL: Duration = Duration::from_millis(100);
+/// The pause between two checks of the configurations in use.
+const PROPAGATION_INTERVAL: Duration = Duration::from_millis(25);
+/// The rule of all findings here.
+const RULE: &str = "not_healed";
 
-/// Waits until the fleet is well; tells what is not if it takes longer than [`RECOVERY`].
-pub async fn await_recovery(fleet: &Fleet, fronts: usize) -> Vec<Finding> {
+/// Waits until the fleet is healthy. If that takes too long, each condition that still fails is a finding.
+pub async fn await_recovery(fleet: &Fleet) -> Vec<Finding> {
     let deadline = Instant::now() + RECOVERY_TIMEOUT;
     loop {
-        let unhealthy_conditions = unhealthy_conditions(fleet, fronts).await;
-        if unhealthy_conditions.is_empty() {
+        let failing = failing_conditions(fleet).await;
+        if failing.is_empty() {
             return Vec::new();
         }
         if Instant::now() >= deadline {
-            let all = |facts: String| Finding { rule: "not_healed", facts };
-            return unhealthy_conditions.into_iter().map(all).collect();
+            return failing.into_iter().map(|facts| Finding { rule: RULE, facts }).collect();
         }
-        tokio::time::sleep(POLL_INTERVAL).await;
+        tokio::time::sleep(CONDITION_INTERVAL).await;
     }
 }
 
-async fn unhealthy_conditions(fleet: &Fleet, fronts: usize) -> Vec<String> {
-    let mut found = Vec::new();
+/// The conditions of a healthy fleet that do not hold: all control nodes serve in one view and agree on the holder of the
+/// list watcher's lease, and all front-end nodes are ready.
+async fn failing_conditions(fleet: &Fleet) -> Vec<String> {
+    let mut failing = Vec::new();
     let mut views = BTreeSet::new();
     let mut holders = BTreeSet::new();
-    for index in &fleet.controls {
+    for index in &fleet.control_nodes {
         let Some(status) = fleet.cluster.control_status(*index).await else {
-            found.push(format!("control-{index} does not answer"));
+            failing.push(format!("control-{index} does not answer"));
             continue;
         };
         for flag in ["Serving", "InTouch", "DiskWell", "Member"] {
             if status[flag] != Value::Bool(true) {
-                found.push(format!("control-{index}: {flag} is {}", status[flag]));
+                failing.push(format!("control-{index}: {flag} is {}", status[flag]));
             }
         }
         views.insert(status["View"].to_string());
         holders.insert(status["Roles"][0]["Holder"].to_string());
         let chain = status["Chain"].as_array().map_or(0, Vec::len);
-        if chain != fleet.controls.len() {
-            found.push(format!("control-{index}: a chain of {chain}"));
+        if chain != fleet.control_nodes.len() {
+            failing.push(format!("control-{index}: a chain of {chain}"));
         }
     }
     if views.len() > 1 {
-        found.push(format!("views {views:?}"));
+        failing.push(format!("views {views:?}"));
     }
     if holders.len() != 1 || holders.contains("null") {
-        found.push(format!("list reader {holders:?}"));
+        failing.push(format!("list reader {holders:?}"));
     }
-    for front in 0..fronts {
+    for front in 0..fleet.front_count {
         if readiness_status(fleet.cluster.ready_address(front)).await != Some(200) {
-            found.push(format!("front-{front} is not ready"));
+            failing.push(format!("front-{front} is not ready"));
         }
     }
-    found
+    failing
 }
 
-/// Sends one more change, which has to be acknowledged and to reach every front in time. `version` is above all that were
-/// sent.
-pub async fn verify_final_write(
-    fleet: &Fleet, fronts: usize, version: u64, operator_log: &OperatorLog,
-) -> Vec<Finding> {
-    let find = |facts: String| vec![Finding { rule: "not_healed", facts }];
+/// Writes one more configuration, which has to be acknowledged and to reach all front-end nodes in time. `version` is above
+/// all that were written.
+pub async fn verify_final_write(fleet: &Fleet, version: u64, log: &OperatorLog) -> Vec<Finding> {
     let operator = fleet.operator();
     let newest = operator.get().await;
     let Some(base) = version_of(newest.body()) else {
-        return find(format!("no configuration is read back: {newest:?}"));
+        return failed(format!("no configuration is read back: {newest:?}"));
     };
     let (started_at, bytes) = (fleet.world.now(), configuration(version).to_bytes());
     let outcome = operator.put(&bytes, base).await;
-    operator_log.record_write(ConfigWrite {
+    log.record_write(ConfigWrite {
         version,
         base,
         bytes: bytes.into(),
@@ -92,24 +95,47 @@
         is_resend: false,
     });
     if outcome.status() != Some(200) {
-        return find(format!("version {version} on {base}: {outcome:?}"));
+        return failed(format!("version {version} on {base}: {outcome:?}"));
     }
+    await_propagation(fleet, version).await
+}
+
+/// Waits until all front-end nodes use a version.
+async fn await_propagation(fleet: &Fleet, version: u64) -> Vec<Finding> {
     let deadline = Instant::now() + PROPAGATION_TIMEOUT;
-    let expected_line = format!("lugwharf_proxy_config_version {version}");
-    let mut lagging: Vec<usize> = (0..fronts).collect();
+    let expected = format!("lugwharf_proxy_config_version {version}");
+    let mut lagging: Vec<usize> = (0..fleet.front_count).collect();
     while !lagging.is_empty() {
         let mut still_lagging = Vec::new();
         for front in lagging {
-            let text = fleet.cluster.front_metrics(front).await.into_iter().next().flatten();
-            if !text.is_some_and(|text| text.lines().any(|line| line == expected_line)) {
+            let [metrics, _] = fleet.cluster.front_metrics(front).await;
+            if !metrics.is_some_and(|text| text.lines().any(|line| line == expected)) {
                 still_lagging.push(front);
             }
         }
         lagging = still_lagging;
         if Instant::now() >= deadline && !lagging.is_empty() {
-            return find(format!("fronts {lagging:?} lack version {version}"));
+            return failed(format!("fronts {lagging:?} lack version {version}"));
         }
-        tokio::time::sleep(POLL_INTERVAL / 4).await;
+        tokio::time::sleep(PROPAGATION_INTERVAL).await;
     }
     Vec::new()
 }
+
+fn failed(facts: String) -> Vec<Finding> {
+    vec![Finding { rule: RULE, facts }]
+}
+
+/// Reads the configuration at each control node. The checker compares what is read with what was written.
+pub async fn verify_final_reads(fleet: &Fleet, log: &OperatorLog) -> Vec<Finding> {
+    let mut found = Vec::new();
+    for index in &fleet.control_nodes {
+        let read = read_once(&fleet.world, fleet.cluster.control_address(*index)).await;
+        if read.bytes.is_none() {
+            let facts = format!("control-{index} does not read the configuration back");
+            found.push(Finding { rule: RULE, facts });
+        }
+        log.record_read(read);
+    }
+    found
+}
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,14 +1,18 @@
-//! The folder of a failing seed, and the summary of many.
+//! What a run leaves on disk, and the summary of many runs.
 
-use crate::checker::Finding;
+use crate::fault::FaultKind;
+use crate::finding::Finding;
 use crate::harness::RunOutcome;
-use crate::schedule::{FaultKind, Schedule};
+use crate::schedule::Schedule;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 use std::io;
 use std::path::Path;
 
-/// Writes all that explains a run into a folder.
+/// Writes schedule, findings, ledger and logs of a run into a folder, which is created.
+///
+/// # Errors
+/// The folder or a file cannot be written.
 pub fn write_run_folder(folder: &Path, outcome: &RunOutcome) -> io::Result<()> {
     std::fs::create_dir_all(folder)?;
     std::fs::write(folder.join("schedule.txt"), outcome.schedule.to_string())?;
@@ -19,7 +23,7 @@
     std::fs::write(folder.join("processes.log"), &outcome.logs)
 }
 
-/// What many runs showed.
+/// Counts over many runs.
 #[derive(Debug, Default)]
 pub struct Summary {
     seeds: usize,
@@ -29,12 +33,14 @@
     changes: usize,
     reads: usize,
     faults: BTreeMap<FaultKind, usize>,
-    pairs: BTreeSet<(FaultKind, FaultKind)>,
+    /// Kinds of faults that were active at the same time, the smaller kind first.
+    overlapping: BTreeSet<(FaultKind, FaultKind)>,
+    /// Findings by rule.
     violations: BTreeMap<&'static str, usize>,
 }
 
 impl Summary {
-    /// Adds a run.
+    /// Counts a run.
     pub fn add(&mut self, seed: u64, outcome: &RunOutcome) {
         self.seeds += 1;
         self.requests += outcome.requests;
@@ -53,13 +59,13 @@
             *self.faults.entry(fault.kind).or_default() += 1;
             for other in &schedule.faults[..index] {
                 if other.end() > fault.start {
-                    self.pairs.insert((other.kind.min(fault.kind), other.kind.max(fault.kind)));
+                    self.overlapping.insert((other.kind.min(fault.kind), other.kind.max(fault.kind)));
                 }
             }
         }
     }
 
-    /// Whether nothing was found.
+    /// Whether no run had findings.
     pub fn is_clean(&self) -> bool {
         self.failed.is_empty()
     }
@@ -71,7 +77,7 @@
         writeln!(f, "requests {}, successes {}", self.requests, self.successes)?;
         writeln!(f, "changes {}, reads {}", self.changes, self.reads)?;
         let possible = FaultKind::ALL.len() * (FaultKind::ALL.len() + 1) / 2;
-        writeln!(f, "pairs of troubles that overlapped {} of {possible}", self.pairs.len())?;
+        writeln!(f, "pairs of troubles that overlapped {} of {possible}", self.overlapping.len())?;
         for (kind, count) in &self.faults {
             writeln!(f, "  {:<18}{count}", kind.name())?;
         }
--- a/crates/soak/src/report_tests.rs
+++ b/crates/soak/src/report_tests.rs
@@ -1,6 +1,6 @@
 //! The text of the summary, and the files of a failing seed.
 
-use crate::checker::Finding;
+use crate::finding::Finding;
 use crate::harness::RunOutcome;
 use crate::report::{Summary, write_run_folder};
 use crate::schedule::Schedule;
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -1,174 +1,219 @@
-//! The servers of one run: each has an address that its successors take over.
+//! The emulated servers of a run, and the platform that lists them.
 
 use crate::configuration::{MODEL_SERVICE, PLAIN_SERVICE, SLOW_SERVICE};
-use crate::fleet::Fleet;
 use eyre::Result;
 use lugwharf_emulator::fault::{Fault, Matcher, Reachability};
-use lugwharf_emulator::host::{EmulatedServer, ServerOptions};
+use lugwharf_emulator::host::{EmulatedServer, ServerOptions, World};
 use lugwharf_emulator::model_server::{ModelParameters, ModelServer, Stage};
 use lugwharf_emulator::plain_server::{PlainParameters, PlainServer};
-use lugwharf_emulator::platform::InstanceEntry;
+use lugwharf_emulator::platform::{InstanceEntry, PlatformHost};
 use lugwharf_emulator::server_core::{Identity, ServerEvent};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// The zone of all servers.
 const ZONE: &str = "zone-a";
-/// Servers by what they are at the start.
+/// Model servers that start in the prefill stage.
 const PREFILL_SERVERS: usize = 2;
+/// Model servers that start in the decode stage.
 const DECODE_SERVERS: usize = 3;
+/// Servers of the plain service.
 const PLAIN_SERVERS: usize = 3;
-/// How long slow requests take.
-const SLOW_WORK: Duration = Duration::from_millis(1_500);
-/// Slow requests at once.
+/// Requests that the list says a server without stages executes at a time.
+const LISTED_SLOTS: u32 = 6;
+/// How long a request of the slow service takes.
+const SLOW_EXECUTION: Duration = Duration::from_millis(1_500);
+/// Requests that the server of the slow service executes at a time.
 const SLOW_SLOTS: usize = 64;
 
-/// What a server is.
+/// What a server runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServerRole {
+    /// Generations; starts in this stage.
     Model(Stage),
+    /// Short requests.
     Plain,
+    /// Long requests.
     Slow,
 }
 
-enum Running {
+/// A server that runs.
+enum RunningServer {
     Model(EmulatedServer<ModelServer>),
     Plain(EmulatedServer<PlainServer>),
 }
 
-/// One server with the address that its successors take over.
-pub struct Server {
+/// Evaluates an expression for the emulated server of either kind.
+macro_rules! with_host {
+    ($running:expr, $host:ident => $call:expr) => {
+        match $running {
+            RunningServer::Model($host) => $call,
+            RunningServer::Plain($host) => $call,
+        }
+    };
+}
+
+/// A server that has just started, and how the platform is to list it.
+struct StartedServer {
+    running: RunningServer,
+    address: SocketAddr,
+    entry: InstanceEntry,
+}
+
+/// A server address with the incarnation that runs there. A successor takes the address over under a new id.
+struct Server {
     role: ServerRole,
     address: SocketAddr,
-    /// The id of the incarnation that runs, or ran last.
-    pub id: String,
-    running: Option<Running>,
+    /// The id of the current incarnation, or of the last one.
+    instance_id: String,
+    running: Option<RunningServer>,
+    /// Incarnations so far.
     incarnations: u32,
 }
 
-impl Fleet {
-    /// Starts all servers, and lists them.
-    pub(crate) async fn start_servers(&mut self) -> Result<()> {
+/// The servers of a run and the platform that lists them.
+pub struct ServerPool {
+    world: World,
+    /// The platform.
+    pub platform: PlatformHost,
+    servers: Vec<Server>,
+}
+
+impl ServerPool {
+    /// Starts and lists all servers. `address_of` gives the address of the server with an index.
+    pub async fn start(
+        world: &World, platform: PlatformHost, address_of: impl Fn(usize) -> SocketAddr,
+    ) -> Result<ServerPool> {
         let roles = std::iter::repeat_n(ServerRole::Model(Stage::Prefill), PREFILL_SERVERS)
             .chain(std::iter::repeat_n(ServerRole::Model(Stage::Decode), DECODE_SERVERS))
             .chain(std::iter::repeat_n(ServerRole::Plain, PLAIN_SERVERS))
             .chain([ServerRole::Slow]);
-        for role in roles {
-            let address = self.cluster.server_address(self.servers.len());
-            self.servers.push(Server { role, address, id: String::new(), running: None, incarnations: 0 });
-            self.start_server(self.servers.len() - 1).await?;
+        let mut pool = ServerPool { world: world.clone(), platform, servers: Vec::new() };
+        for (index, role) in roles.enumerate() {
+            let address = address_of(index);
+            let instance_id = String::new();
+            pool.servers.push(Server { role, address, instance_id, running: None, incarnations: 0 });
+            pool.start_server(index).await?;
         }
-        Ok(())
+        Ok(pool)
+    }
+
+    /// The number of server addresses.
+    pub fn len(&self) -> usize {
+        self.servers.len()
+    }
+
+    /// The instance id of the current incarnation at an address, or of the last one.
+    pub fn instance_id(&self, index: usize) -> &str {
+        &self.servers[index].instance_id
     }
 
-    /// Starts another incarnation at the address of a server, and lists it.
+    /// Starts and lists another incarnation at the address of a server, unless one runs.
     pub async fn start_server(&mut self, index: usize) -> Result<()> {
         let server = &mut self.servers[index];
         if server.running.is_some() {
             return Ok(());
         }
         server.incarnations += 1;
-        server.id = format!("i-{index}-{}", server.incarnations);
-        let (world, options) = (&self.world, ServerOptions::default());
-        let (running, listed) = match server.role {
+        server.instance_id = format!("i-{index}-{}", server.incarnations);
+        let started = match server.role {
             ServerRole::Model(stage) => {
-                let parameters = ModelParameters::quick(stage);
-                let slots = u32::try_from(parameters.slots)?;
-                let mut identity = Identity::new(&server.id, MODEL_SERVICE);
-                identity.location.zone = ZONE.to_owned();
-                let core = ModelServer::new(identity, parameters);
-                let host = EmulatedServer::start(world, server.address, core, options).await?;
-                server.address = host.address();
-                self.platform.track_stage(&server.id, host.stage_source());
-                let listed = InstanceEntry::plain(&server.id, MODEL_SERVICE, server.address, ZONE, slots);
-                (Running::Model(host), listed.staged(stage, "m", 1))
+                start_model_server(&self.world, &self.platform, server, stage).await?
             }
-            ServerRole::Plain | ServerRole::Slow => {
-                let is_slow = server.role == ServerRole::Slow;
-                let service = if is_slow { SLOW_SERVICE } else { PLAIN_SERVICE };
-                let mut parameters = PlainParameters::default();
-                if is_slow {
-                    parameters = PlainParameters { work: SLOW_WORK, slots: SLOW_SLOTS, ..parameters };
-                }
-                let core = PlainServer::new(Identity::new(&server.id, service), parameters);
-                let host = EmulatedServer::start(world, server.address, core, options).await?;
-                server.address = host.address();
-                let listed = InstanceEntry::plain(&server.id, service, server.address, ZONE, 6);
-                (Running::Plain(host), listed)
+            ServerRole::Plain => {
+                start_plain_server(&self.world, server, PLAIN_SERVICE, PlainParameters::default()).await?
+            }
+            ServerRole::Slow => {
+                let slow =
+                    PlainParameters { work: SLOW_EXECUTION, slots: SLOW_SLOTS, ..PlainParameters::default() };
+                start_plain_server(&self.world, server, SLOW_SERVICE, slow).await?
             }
         };
-        server.running = Some(running);
-        self.platform.put(listed);
+        server.address = started.address;
+        server.running = Some(started.running);
+        self.platform.put(started.entry);
         Ok(())
     }
 
-    /// Ends a server as a crash does. The platform notices.
+    /// Ends a server as a crash does. The platform notices at once.
     pub async fn crash_server(&mut self, index: usize) {
         let server = &mut self.servers[index];
-        match server.running.take() {
-            Some(Running::Model(host)) => drop(host.crash().await),
-            Some(Running::Plain(host)) => drop(host.crash().await),
-            None => return,
-        }
-        self.platform.remove(&server.id);
+        let Some(running) = server.running.take() else { return };
+        with_host!(running, host => host.crash().await);
+        self.platform.remove(&server.instance_id);
     }
 
-    /// Tells the platform that a server is to end.
-    pub fn drain_server(&mut self, index: usize) {
-        if self.servers[index].running.is_some() {
-            self.platform.drain(&self.servers[index].id);
+    /// Lists a server as draining.
+    pub fn drain_server(&self, index: usize) {
+        let server = &self.servers[index];
+        if server.running.is_some() {
+            self.platform.drain(&server.instance_id);
         }
     }
 
-    /// Changes whether a server can be reached.
-    pub fn reach_server(&mut self, index: usize, reach: Reachability) {
-        match &self.servers[index].running {
-            Some(Running::Model(host)) => host.set_reachability(reach),
-            Some(Running::Plain(host)) => host.set_reachability(reach),
-            None => {}
+    /// Sets how a server responds to connections and requests.
+    pub fn set_server_reachability(&self, index: usize, reachability: Reachability) {
+        if let Some(running) = &self.servers[index].running {
+            with_host!(running, host => host.set_reachability(reachability));
         }
     }
 
-    /// Lets runs at a server fail, or no longer.
-    pub fn fail_server(&mut self, index: usize, failing: bool) {
-        let event = ServerEvent::SetFailing(failing);
-        match &self.servers[index].running {
-            Some(Running::Model(host)) => host.send_event(event),
-            Some(Running::Plain(host)) => host.send_event(event),
-            None => {}
+    /// Sets whether executions at a server fail.
+    pub fn set_server_failing(&self, index: usize, is_failing: bool) {
+        if let Some(running) = &self.servers[index].running {
+            with_host!(running, host => host.send_event(ServerEvent::SetFailing(is_failing)));
         }
     }
 
-    /// Lets all servers forget connections between two requests, or no longer.
-    pub fn forget_connections(&self, forgets: bool) {
-        for server in &self.servers {
-            match &server.running {
-                Some(Running::Model(host)) => host.drop_idle_connections(forgets),
-                Some(Running::Plain(host)) => host.drop_idle_connections(forgets),
-                None => {}
-            }
+    /// Sets whether all servers drop idle connections without closing them.
+    pub fn set_drops_idle_connections(&self, drops: bool) {
+        for running in self.running() {
+            with_host!(running, host => host.drop_idle_connections(drops));
         }
     }
 
-    /// Adds a fault at all servers, for so many requests each.
-    pub fn inject(&self, fault: &Fault, times: usize) {
-        for server in &self.servers {
-            match &server.running {
-                Some(Running::Model(host)) => host.inject(Matcher::any(), fault.clone(), times),
-                Some(Running::Plain(host)) => host.inject(Matcher::any(), fault.clone(), times),
-                None => {}
-            }
+    /// Plans a fault for the next requests at each server, `count` of them each.
+    pub fn inject_request_fault(&self, fault: &Fault, count: usize) {
+        for running in self.running() {
+            with_host!(running, host => host.inject(Matcher::any(), fault.clone(), count));
         }
     }
 
-    /// Forgets all faults of servers that were not used.
-    pub fn clear_faults(&self) {
-        for server in &self.servers {
-            match &server.running {
-                Some(Running::Model(host)) => host.clear_faults(),
-                Some(Running::Plain(host)) => host.clear_faults(),
-                None => {}
-            }
+    /// Cancels all planned faults of requests.
+    pub fn clear_request_faults(&self) {
+        for running in self.running() {
+            with_host!(running, host => host.clear_faults());
         }
     }
+
+    fn running(&self) -> impl Iterator<Item = &RunningServer> {
+        self.servers.iter().filter_map(|server| server.running.as_ref())
+    }
+}
+
+/// Starts a server of generations whose listed stage follows its own.
+async fn start_model_server(
+    world: &World, platform: &PlatformHost, server: &Server, stage: Stage,
+) -> Result<StartedServer> {
+    let parameters = ModelParameters::quick(stage);
+    let slots = u32::try_from(parameters.slots)?;
+    let mut identity = Identity::new(&server.instance_id, MODEL_SERVICE);
+    identity.location.zone = ZONE.to_owned();
+    let core = ModelServer::new(identity, parameters);
+    let host = EmulatedServer::start(world, server.address, core, ServerOptions::default()).await?;
+    let address = host.address();
+    platform.track_stage(&server.instance_id, host.stage_source());
+    let entry = InstanceEntry::plain(&server.instance_id, MODEL_SERVICE, address, ZONE, slots);
+    Ok(StartedServer { running: RunningServer::Model(host), address, entry: entry.staged(stage, "m", 1) })
+}
+
+/// Starts a server without stages.
+async fn start_plain_server(
+    world: &World, server: &Server, service: &str, parameters: PlainParameters,
+) -> Result<StartedServer> {
+    let core = PlainServer::new(Identity::new(&server.instance_id, service), parameters);
+    let host = EmulatedServer::start(world, server.address, core, ServerOptions::default()).await?;
+    let address = host.address();
+    let entry = InstanceEntry::plain(&server.instance_id, service, address, ZONE, LISTED_SLOTS);
+    Ok(StartedServer { running: RunningServer::Plain(host), address, entry })
 }
--- a/crates/soak/src/startup_faults.rs
+++ b/crates/soak/src/startup_faults.rs
@@ -1,35 +1,38 @@
-//! Troubles while everything starts for the first time, before the first configuration.
+//! Faults while the fleet starts for the first time, before the first configuration.
 
-use crate::fleet::{Fleet, ProcessId};
+use crate::fleet::Fleet;
+use crate::process_id::ProcessId;
 use eyre::Result;
 use std::time::Duration;
 
-/// Troubles of one start.
-const TROUBLES: std::ops::RangeInclusive<u32> = 1..=4;
-/// The time before each of them, and the time before what was ended starts again, in ms: founding takes some 300 ms.
+/// The number of faults of one start.
+const FAULTS: std::ops::RangeInclusive<u32> = 1..=4;
+/// The time before each fault and before its recovery, in ms. The first view forms within some 300 ms.
 const PAUSE_MS: std::ops::Range<u64> = 0..400;
+/// One fault in so many hits all processes.
+const ALL_PROCESSES_ONE_IN: u32 = 4;
 
-/// Ends or freezes processes that have just started, and lets them go on.
-pub async fn inject_startup_faults(fleet: &mut Fleet, fronts: usize, seed: u64) -> Result<()> {
+/// Kills or pauses processes that have just started, and lets them run again.
+pub async fn inject_startup_faults(fleet: &mut Fleet, seed: u64) -> Result<()> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x57a7);
-    for _ in 0..rng.u32(TROUBLES) {
-        pause(&mut rng).await;
-        let processes: Vec<ProcessId> = fleet.processes(fronts);
-        let process_id = processes[rng.usize(..processes.len())];
-        let together = rng.u32(..4) == 0;
-        let struck: Vec<ProcessId> = if together { processes } else { vec![process_id] };
-        let freezes = rng.bool();
-        for process_id in &struck {
-            if freezes { fleet.pause(*process_id)? } else { fleet.kill(*process_id)? }
+    for _ in 0..rng.u32(FAULTS) {
+        sleep(&mut rng).await;
+        let processes = fleet.processes();
+        let chosen = processes[rng.usize(..processes.len())];
+        let hits_all = rng.u32(..ALL_PROCESSES_ONE_IN) == 0;
+        let affected: Vec<ProcessId> = if hits_all { processes } else { vec![chosen] };
+        let is_pause = rng.bool();
+        for process_id in &affected {
+            if is_pause { fleet.pause(*process_id)? } else { fleet.kill(*process_id)? }
         }
-        pause(&mut rng).await;
-        for process_id in struck {
-            if freezes { fleet.resume(process_id)? } else { fleet.release(process_id)? }
+        sleep(&mut rng).await;
+        for process_id in affected {
+            if is_pause { fleet.release_pause(process_id)? } else { fleet.release_stop(process_id)? }
         }
     }
     Ok(())
 }
 
-async fn pause(rng: &mut fastrand::Rng) {
+async fn sleep(rng: &mut fastrand::Rng) {
     tokio::time::sleep(Duration::from_millis(rng.u64(PAUSE_MS))).await;
 }
--- /dev/null
+++ b/crates/soak/src/timeline.rs
@@ -0,0 +1,144 @@
+//! Plays a schedule: injects its faults and recovers from them at their times, and observes the processes in between.
+
+use crate::checker::DrainedServer;
+use crate::fault_injection::{ActiveFault, RecoveryProgress};
+use crate::fleet::Fleet;
+use crate::link_faults::apply_link_faults;
+use crate::operators::Operators;
+use crate::process_monitor::ProcessMonitor;
+use crate::schedule::Schedule;
+use eyre::Result;
+use std::time::Duration;
+use tokio::time::{Instant, sleep_until};
+
+/// The time between two observations of the processes.
+const OBSERVE_INTERVAL: Duration = Duration::from_millis(400);
+/// The pause before a recovery that waits for the exit of a process is tried again.
+const RECOVERY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+
+/// What was played.
+pub struct PlayedSchedule {
+    /// The faults, with the times at which they were injected and recovered from in fact.
+    pub schedule: Schedule,
+    /// The servers that were listed as draining.
+    pub drained_servers: Vec<DrainedServer>,
+}
+
+/// What a step does. Faults are named by their index in the schedule.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Action {
+    Inject(usize),
+    Recover(usize),
+    Observe,
+}
+
+/// Something that is due at a time of the world.
+#[derive(Clone, Copy, Debug)]
+struct Step {
+    due: Duration,
+    action: Action,
+}
+
+/// A fault that was injected and not recovered from yet.
+struct InjectedFault {
+    index: usize,
+    active: ActiveFault,
+}
+
+/// The state of a schedule that is being played.
+pub struct Timeline<'a> {
+    fleet: &'a mut Fleet,
+    operators: &'a Operators,
+    monitor: &'a mut ProcessMonitor,
+    /// The schedule as it was drawn, in the time of the world.
+    schedule: Schedule,
+    steps: Vec<Step>,
+    injected: Vec<InjectedFault>,
+    played: PlayedSchedule,
+    /// Processes are observed until then, also if no step is left.
+    observe_until: Duration,
+}
+
+impl<'a> Timeline<'a> {
+    /// Prepares a schedule, whose starts are in the time of the world.
+    pub fn new(
+        fleet: &'a mut Fleet, operators: &'a Operators, monitor: &'a mut ProcessMonitor, schedule: Schedule,
+        fault_phase: Duration,
+    ) -> Timeline<'a> {
+        let starts = schedule.faults.iter().enumerate();
+        let mut steps: Vec<Step> =
+            starts.map(|(index, fault)| Step { due: fault.start, action: Action::Inject(index) }).collect();
+        let now = fleet.world.now();
+        steps.push(Step { due: now + OBSERVE_INTERVAL, action: Action::Observe });
+        let played = PlayedSchedule { schedule: schedule.clone(), drained_servers: Vec::new() };
+        let (injected, observe_until) = (Vec::new(), now + fault_phase);
+        Timeline { fleet, operators, monitor, schedule, steps, injected, played, observe_until }
+    }
+
+    /// Plays all steps.
+    ///
+    /// # Errors
+    /// A fault cannot be injected or recovered from.
+    pub async fn play(mut self) -> Result<PlayedSchedule> {
+        while let Some(step) = self.take_next_step() {
+            let remaining = step.due.saturating_sub(self.fleet.world.now());
+            sleep_until(Instant::now() + remaining).await;
+            match step.action {
+                Action::Inject(index) => self.inject(index).await?,
+                Action::Recover(index) => self.recover(index).await?,
+                Action::Observe => self.observe().await,
+            }
+            apply_link_faults(self.fleet, self.injected.iter().map(|injected| &injected.active));
+        }
+        Ok(self.played)
+    }
+
+    /// The earliest step; of several at one time, the first.
+    fn take_next_step(&mut self) -> Option<Step> {
+        let (position, _) = self.steps.iter().enumerate().min_by_key(|(_, step)| step.due)?;
+        Some(self.steps.swap_remove(position))
+    }
+
+    fn schedule_step(&mut self, delay: Duration, action: Action) {
+        let due = self.fleet.world.now() + delay;
+        self.steps.push(Step { due, action });
+    }
+
+    async fn inject(&mut self, index: usize) -> Result<()> {
+        let fault = &self.schedule.faults[index];
+        let mut active = ActiveFault::select(self.fleet, fault);
+        let injected_at = self.fleet.world.now();
+        if let Some(instance) = active.drained_instance(self.fleet) {
+            self.played.drained_servers.push(DrainedServer { instance, since: injected_at });
+        }
+        self.played.schedule.faults[index].start = injected_at;
+        active.inject(self.fleet, &self.operators.requests).await?;
+        self.injected.push(InjectedFault { index, active });
+        self.steps.push(Step { due: fault.end(), action: Action::Recover(index) });
+        Ok(())
+    }
+
+    async fn recover(&mut self, index: usize) -> Result<()> {
+        let position = self.injected.iter().position(|injected| injected.index == index);
+        let Some(position) = position else { return Ok(()) };
+        let progress = self.injected[position].active.recover(self.fleet).await?;
+        let played = &mut self.played.schedule.faults[index];
+        played.duration = self.fleet.world.now() - played.start;
+        match progress {
+            RecoveryProgress::Complete => drop(self.injected.swap_remove(position)),
+            RecoveryProgress::Pending => {
+                self.schedule_step(RECOVERY_RETRY_INTERVAL, Action::Recover(index));
+            }
+        }
+        self.operators.addresses.send_replace(self.fleet.operator_addresses());
+        Ok(())
+    }
+
+    async fn observe(&mut self) {
+        self.monitor.observe(self.fleet).await;
+        let has_more_steps = self.steps.iter().any(|step| step.action != Action::Observe);
+        if has_more_steps || self.fleet.world.now() < self.observe_until {
+            self.schedule_step(OBSERVE_INTERVAL, Action::Observe);
+        }
+    }
+}
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Clients of the fleet, some of which misbehave.
+//! The client load of a run: requests of all routes, also from clients that disconnect early, send slowly or stop midway.
 
 use crate::configuration::HOST;
 use lugwharf_emulator::client::{AttemptEnd, Client, ClientRequest, Kind, Outcome};
@@ -11,36 +11,43 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Clients that send one request after the other.
+/// Clients that behave well and send one request after the other.
 const STEADY_CLIENTS: usize = 6;
-/// Their pause between two requests, in ms.
+/// The range of the pause between two requests of a client, in ms.
 const PAUSE_MS: std::ops::Range<u64> = 5..60;
 /// One generation in so many is long.
 const LONG_ONE_IN: u32 = 12;
-/// Tokens of a long one, each some 0.6 ms.
+/// The range of the output tokens of a long generation; each takes some 0.6 ms.
 const LONG_TOKENS: std::ops::Range<u64> = 1_500..5_000;
-/// Clients wait longer than any route allows.
+/// The client timeout, in ms: longer than any route allows.
 const DEADLINE_MS: u64 = 32_000;
-/// Requests on one connection at most.
+/// At most so many requests are sent on one connection.
 const MAX_REQUESTS_PER_CONNECTION: u32 = 20;
 
-/// How a client behaves.
+/// How a client behaves. The names of variants are fixed: findings and `ledger.txt` show them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It sends, and waits for the answer.
+    /// It sends a request and waits for the response.
     Steady,
-    /// It leaves before the answer.
+    /// It disconnects before the response.
     Leaving,
-    /// It sends the second half later.
+    /// It pauses in the middle of a request, and waits for the response.
     Slow,
-    /// It leaves in the middle of what it sends.
+    /// It disconnects in the middle of a request.
     Stopping,
 }
 
-/// One request of a client.
+impl Behaviour {
+    /// Whether the client waits for each response, so that it must get one.
+    pub fn awaits_response(self) -> bool {
+        matches!(self, Behaviour::Steady | Behaviour::Slow)
+    }
+}
+
+/// One request of a client. Times are since the start of the world.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The front that it was sent to.
+    /// The index of the front-end node that it was sent to.
     pub front: usize,
     /// How the client behaved.
     pub behaviour: Behaviour,
@@ -48,18 +55,20 @@
     pub is_connection_reused: bool,
     /// When it was sent.
     pub started_at: Duration,
-    /// When the client had its answer, or left.
+    /// When the client had the response, or disconnected.
     pub ended_at: Duration,
-    /// What the client got.
+    /// What the client received.
     pub outcome: Outcome,
 }
 
+/// What all clients share.
 #[derive(Clone)]
 struct ClientContext {
     world: World,
     fronts: Vec<SocketAddr>,
     attempts: Arc<Mutex<Vec<Attempt>>>,
-    ids: Arc<AtomicU64>,
+    /// Numbers the requests of all clients.
+    next_id: Arc<AtomicU64>,
     stop: watch::Receiver<bool>,
 }
 
@@ -71,14 +80,14 @@
 }
 
 impl Traffic {
-    /// Starts them.
+    /// Starts all clients. Each draws from an RNG of its own, so that one does not shift the draws of another.
     pub fn start(world: &World, fronts: Vec<SocketAddr>, seed: u64) -> Traffic {
         let stop = watch::Sender::new(false);
         let context = ClientContext {
             world: world.clone(),
             fronts,
             attempts: Arc::default(),
-            ids: Arc::new(AtomicU64::new(1)),
+            next_id: Arc::new(AtomicU64::new(1)),
             stop: stop.subscribe(),
         };
         let behaviours = std::iter::repeat_n(Behaviour::Steady, STEADY_CLIENTS).chain([
@@ -94,7 +103,7 @@
         Traffic { attempts: context.attempts, stop, tasks }
     }
 
-    /// Lets all clients finish, and returns what they got.
+    /// Waits until the requests in flight have ended, and returns all attempts.
     pub async fn finish(self) -> Vec<Attempt> {
         self.stop.send_replace(true);
         for task in self.tasks {
@@ -105,6 +114,7 @@
     }
 }
 
+/// Sends requests, each connection to a random front-end node, until the load stops.
 async fn run_client(context: ClientContext, behaviour: Behaviour, mut rng: fastrand::Rng) {
     while !*context.stop.borrow() {
         let front = rng.usize(..context.fronts.len());
@@ -125,7 +135,7 @@
     }
 }
 
-/// One request; whether the connection is open for another.
+/// Sends and records one request. Returns whether the connection is open for another.
 async fn send_one(
     context: &ClientContext, behaviour: Behaviour, front: usize, client: &mut Client, rng: &mut fastrand::Rng,
 ) -> bool {
@@ -136,7 +146,7 @@
         Behaviour::Leaving => {
             let stay = Duration::from_millis(rng.u64(1..60));
             let sent = timeout(stay, client.send(&request)).await.ok();
-            // Dropping the client is its leaving.
+            // Dropping the client closes its connection.
             let address = context.fronts[front];
             if sent.is_none() {
                 *client = Client::new(address);
@@ -157,7 +167,7 @@
     let Ok(mut connection) = Connection::open(front).await else { return outcome };
     outcome.ending = AttemptEnd::Truncated;
     let bytes = request.to_wire().encode();
-    // Without its last byte it is no request.
+    // Without its last byte it is no complete request.
     let length = rng.usize(1..bytes.len());
     if connection.write(&bytes[..length]).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(rng.u64(0..40))).await;
@@ -166,21 +176,22 @@
     outcome
 }
 
+/// Draws a request that suits the behaviour.
 fn draw_request(context: &ClientContext, behaviour: Behaviour, rng: &mut fastrand::Rng) -> ClientRequest {
-    let number = context.ids.fetch_add(1, Ordering::Relaxed);
+    let number = context.next_id.fetch_add(1, Ordering::Relaxed);
     let id = format!("{:016x}", 0x50a4_0000_0000_0000_u64 + number);
-    // What a client leaves behind should have gone on for seconds, and some streams outlive a trouble.
+    // A request that a client abandons should run on for seconds, and some streams should outlast a fault.
     let is_long = behaviour == Behaviour::Leaving || rng.u32(..LONG_ONE_IN) == 0;
     let out_tokens = if is_long { rng.u64(LONG_TOKENS) } else { rng.u64(1..80) };
-    // Few parts of prompts are shared, so that some are read already.
-    let parts = [(rng.u64(..20), 2_000), (0x1_0000 + number, 2_000)];
-    let draw_request = if behaviour == Behaviour::Leaving { rng.u32(3..10) } else { rng.u32(..8) };
-    let request = match draw_request {
+    // The first segment of a prompt is one of twenty, so that servers have some in their prefix cache.
+    let segments = [(rng.u64(..20), 2_000), (0x1_0000 + number, 2_000)];
+    let route = if behaviour == Behaviour::Leaving { rng.u32(3..10) } else { rng.u32(..8) };
+    let request = match route {
         0..=2 => ClientRequest::post(&id, HOST, "/work/1", Kind::Unsafe),
         3 => ClientRequest::post(&id, HOST, "/read/1", Kind::Safe),
-        4 | 5 => ClientRequest::generation(&id, HOST, "/gen/1", (5_000, out_tokens), &parts),
+        4 | 5 => ClientRequest::generation(&id, HOST, "/gen/1", (5_000, out_tokens), &segments),
         6 | 7 => {
-            let request = ClientRequest::generation(&id, HOST, "/resume/1", (5_000, out_tokens), &parts);
+            let request = ClientRequest::generation(&id, HOST, "/resume/1", (5_000, out_tokens), &segments);
             ClientRequest { kind: Kind::ResumableStream, ..request }
         }
         _ => ClientRequest::post(&id, HOST, "/slow/1", Kind::Safe),
