--- a/crates/chain/src/replica/tests/voting.rs
+++ b/crates/chain/src/replica/tests/voting.rs
@@ -84,7 +84,7 @@
     assert_eq!(accepted(&driver), 1);
     let synced = driver.synced.len();
     // Such a proposal is itself a violation of an invariant, which would stop the test.
-    let tolerance = lugwharf_invariants::tolerate();
+    let tolerance = lugwharf_invariants::suppress_panics();
     let violations = || lugwharf_invariants::count(lugwharf_invariants::Invariant::OneValuePerBallot);
     let before = violations();
     driver.receive(2, accept(View { chain: vec![member(1), member(2)], ..view(2, 3) }));
--- a/crates/chain/tests/simulation/harness/cluster.rs
+++ b/crates/chain/tests/simulation/harness/cluster.rs
@@ -68,7 +68,7 @@
     /// A cluster whose processes start within 300 ms.
     pub fn new(seed: u64, scenario: Scenario) -> Cluster {
         // A violated invariant of the replica stops the run in release builds too.
-        lugwharf_invariants::fail_at_once();
+        lugwharf_invariants::panic_on_violation();
         let mut rng = fastrand::Rng::with_seed(seed);
         let seeds: Vec<SocketAddr> = (0..scenario.node_count.min(SEED_ADDRESS_COUNT)).map(address).collect();
         let node = |index| Node::new(address(index), seeds.clone(), true, scenario.sync_time);
--- a/crates/chain/tests/simulation/harness/fault_injection.rs
+++ b/crates/chain/tests/simulation/harness/fault_injection.rs
@@ -44,7 +44,7 @@
             Fault::HealLinks => self.heal_links(&BTreeSet::new()),
             Fault::FillDisk { node, is_full } => {
                 self.nodes[node].is_disk_full = is_full;
-                self.nodes[node].disk.set_refuses(is_full);
+                self.nodes[node].disk.set_failing(is_full);
             }
             Fault::SlowDisk { node, factor } => self.nodes[node].disk_slowdown = factor,
             Fault::HangDisk { node, time } => self.nodes[node].disk_hangs_until = self.now + time,
@@ -108,7 +108,7 @@
         self.nodes[node].disk.lose_power(&mut rng);
         if wiped {
             self.nodes[node].disk.wipe();
-            self.nodes[node].disk.set_refuses(self.nodes[node].is_disk_full);
+            self.nodes[node].disk.set_failing(self.nodes[node].is_disk_full);
             self.nodes[node].may_bootstrap = false;
         }
         if self.rng.bool() {
--- a/crates/election/tests/elector/views.rs
+++ b/crates/election/tests/elector/views.rs
@@ -95,7 +95,7 @@
     assert!(matches!(answer.as_slice(), [Action::Persist { .. }]), "{answer:?}");
     harness.handle(late + 1, Event::Persisted { batch: BatchId(2) });
     // From then on the token is the third one's alone. Two that claim it violate an invariant in themselves.
-    let _tolerance = lugwharf_invariants::tolerate();
+    let _tolerance = lugwharf_invariants::suppress_panics();
     let first = sent_bodies(&harness.receive_in(late + 2, 1, 1, renew));
     assert!(matches!(first.as_slice(), [MessageBody::VoteDenied { .. }]), "{first:?}");
     assert!(!harness.persists_vote_for(late + 2, 1, 1, token(1, 5)));
--- a/crates/election/tests/elector/voting.rs
+++ b/crates/election/tests/elector/voting.rs
@@ -291,6 +291,6 @@
     let voted = harness.handle(2_102, Event::Persisted { batch: *batch });
     assert_eq!(sent_bodies(&voted), [MessageBody::VoteGranted { request_id: REQUEST_ID, token: FIRST }]);
     // Nor does the one that gave it up get it back, though two that claim one token are a violation in themselves.
-    let _tolerance = lugwharf_invariants::tolerate();
+    let _tolerance = lugwharf_invariants::suppress_panics();
     assert!(is_denied(&harness.receive(2_103, 1, renew)));
 }
--- a/crates/election/tests/simulation/world.rs
+++ b/crates/election/tests/simulation/world.rs
@@ -81,7 +81,7 @@
 impl World {
     pub fn new(seed: u64, members: usize, spares: usize) -> Self {
         // In release builds too.
-        lugwharf_invariants::fail_at_once();
+        lugwharf_invariants::panic_on_violation();
         let view = View { number: 1, members: (0..members).collect() };
         let mut random = Rng::with_seed(seed);
         let processes = (0..members + spares).map(|_| Process::new(&mut random)).collect();
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A violation is counted under the name of the invariant and reported with its facts; it never ends a process in service. In
 //! tests and simulations it panics instead, so that the run stops where it happened: this is the default in builds with debug
-//! assertions, and [`fail_at_once`] sets it. The programs call [`count_only`] when they start.
+//! assertions, and [`panic_on_violation`] sets it. The programs call [`count_violations_only`] when they start.
 //!
 //! ```
 //! use lugwharf_invariants::{Invariant, check};
@@ -15,5 +15,6 @@
 
 pub use invariant::Invariant;
 pub use registry::{
-    Tolerance, Violation, check, count, count_only, counts, fail_at_once, report_to, tolerate, total,
+    PanicSuppression, Violation, check, count, count_violations_only, counts, panic_on_violation,
+    set_reporter, suppress_panics, total,
 };
--- a/crates/invariants/src/registry.rs
+++ b/crates/invariants/src/registry.rs
@@ -10,12 +10,12 @@
 
 static COUNTS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
 /// Whether a violation panics.
-static FAILS_AT_ONCE: AtomicBool = AtomicBool::new(cfg!(debug_assertions));
+static PANICS_ON_VIOLATION: AtomicBool = AtomicBool::new(cfg!(debug_assertions));
 static REPORTER: OnceLock<fn(&Violation)> = OnceLock::new();
 
 thread_local! {
-    /// Live guards of [`tolerate`] on this thread.
-    static TOLERANCE_GUARDS: Cell<u32> = const { Cell::new(0) };
+    /// Live guards of [`suppress_panics`] on this thread.
+    static SUPPRESSION_GUARDS: Cell<u32> = const { Cell::new(0) };
 }
 
 /// A violation of an invariant: a check that failed.
@@ -40,8 +40,8 @@
 #[cold]
 fn record_violation(invariant: Invariant, facts: String) {
     let count = COUNTS[invariant as usize].fetch_add(1, Ordering::Relaxed) + 1;
-    let is_tolerated = TOLERANCE_GUARDS.with(|guards| guards.get() > 0);
-    if FAILS_AT_ONCE.load(Ordering::Relaxed) && !is_tolerated {
+    let is_tolerated = SUPPRESSION_GUARDS.with(|guards| guards.get() > 0);
+    if PANICS_ON_VIOLATION.load(Ordering::Relaxed) && !is_tolerated {
         panic!("invariant {} violated: {facts}", invariant.name());
     }
     if count <= MAX_REPORTED
@@ -52,36 +52,36 @@
 }
 
 /// Calls `reporter` with the first ten violations of each invariant. Only the first reporter of the process is used.
-pub fn report_to(reporter: fn(&Violation)) {
+pub fn set_reporter(reporter: fn(&Violation)) {
     // A second reporter would be a second log of the same process.
     let _ = REPORTER.set(reporter);
 }
 
 /// Makes every later violation panic: for tests and simulations.
-pub fn fail_at_once() {
-    FAILS_AT_ONCE.store(true, Ordering::Relaxed);
+pub fn panic_on_violation() {
+    PANICS_ON_VIOLATION.store(true, Ordering::Relaxed);
 }
 
 /// Makes every later violation be counted and reported only: for processes in service.
-pub fn count_only() {
-    FAILS_AT_ONCE.store(false, Ordering::Relaxed);
+pub fn count_violations_only() {
+    PANICS_ON_VIOLATION.store(false, Ordering::Relaxed);
 }
 
 /// A guard: while it exists, violations on its thread are counted but don't panic. For a test that causes one on purpose and
 /// checks what follows.
 #[derive(Debug)]
 #[must_use]
-pub struct Tolerance(());
+pub struct PanicSuppression(());
 
 /// Lets this thread survive violations while the returned guard exists.
-pub fn tolerate() -> Tolerance {
-    TOLERANCE_GUARDS.with(|guards| guards.set(guards.get() + 1));
-    Tolerance(())
+pub fn suppress_panics() -> PanicSuppression {
+    SUPPRESSION_GUARDS.with(|guards| guards.set(guards.get() + 1));
+    PanicSuppression(())
 }
 
-impl Drop for Tolerance {
+impl Drop for PanicSuppression {
     fn drop(&mut self) {
-        TOLERANCE_GUARDS.with(|guards| guards.set(guards.get().saturating_sub(1)));
+        SUPPRESSION_GUARDS.with(|guards| guards.set(guards.get().saturating_sub(1)));
     }
 }
 
--- a/crates/invariants/tests/counting.rs
+++ b/crates/invariants/tests/counting.rs
@@ -1,6 +1,6 @@
 //! Violations in a process in service: they are counted, the first ones are reported, and the process survives.
 
-use lugwharf_invariants::{Invariant, Violation, check, count, count_only, report_to, total};
+use lugwharf_invariants::{Invariant, Violation, check, count, count_violations_only, set_reporter, total};
 use std::sync::Mutex;
 
 static REPORTED: Mutex<Vec<Violation>> = Mutex::new(Vec::new());
@@ -11,8 +11,8 @@
 
 #[test]
 fn violations_are_counted_by_name_and_only_the_first_are_reported() {
-    count_only();
-    report_to(record);
+    count_violations_only();
+    set_reporter(record);
     check(Invariant::RetriesPaid, true, || unreachable!("facts are not asked where it holds"));
     assert_eq!((count(Invariant::RetriesPaid), total()), (0, 0));
     for turn in 1..=15 {
--- a/crates/invariants/tests/failing.rs
+++ b/crates/invariants/tests/failing.rs
@@ -1,12 +1,12 @@
 //! Violations in tests and simulations: they panic. Names fit metric labels.
 
-use lugwharf_invariants::{Invariant, check, fail_at_once};
+use lugwharf_invariants::{Invariant, check, panic_on_violation};
 use std::collections::BTreeSet;
 
 #[test]
 #[should_panic(expected = "invariant one_final_answer violated: two answers")]
 fn a_violation_panics_after_fail_at_once() {
-    fail_at_once();
+    panic_on_violation();
     check(Invariant::OneFinalAnswer, false, || "two answers".to_owned());
 }
 
--- a/crates/lugwharf/src/roles.rs
+++ b/crates/lugwharf/src/roles.rs
@@ -43,7 +43,7 @@
 /// Starts the log. From now on violated invariants are counted and logged, and end no process, in every build.
 pub fn prepare_process(level: Level) -> Result<()> {
     logging::start(level)?;
-    lugwharf_invariants::count_only();
+    lugwharf_invariants::count_violations_only();
     lugwharf_telemetry::log_violations();
     Ok(())
 }
--- a/crates/proxy/tests/kv_handles.rs
+++ b/crates/proxy/tests/kv_handles.rs
@@ -361,7 +361,7 @@
 #[tokio::test]
 async fn handle_of_a_resumed_stream_is_used_by_one_execution() {
     // A violated invariant would end the request's task and leave the test waiting.
-    let _tolerance = lugwharf_invariants::tolerate();
+    let _tolerance = lugwharf_invariants::suppress_panics();
     with_proxy(generation(&["p"], &["d", "e", "f", "g"]).resumable().max_attempts(6), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let _first_prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/simulated.rs
@@ -33,7 +33,7 @@
     durable_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
     /// Whether every operation that consumes a fault step fails (see [`State::consume_fault_step`]).
-    refuses: bool,
+    is_failing: bool,
     /// How many more of these operations succeed before one fails; `None` for all.
     fails_after: Option<usize>,
 }
@@ -76,12 +76,12 @@
     /// Sets whether every operation that changes or syncs the disk fails from now on, as on a full disk: creations, renames,
     /// removals, syncs of the directory, and of an open file writes, changes of length and syncs. The first half of a write
     /// that fails is written nevertheless. Reads and openings succeed.
-    pub fn set_refuses(&self, refuses: bool) {
-        lock(&self.state).refuses = refuses;
+    pub fn set_failing(&self, is_failing: bool) {
+        lock(&self.state).is_failing = is_failing;
     }
 
     /// Lets this many operations succeed, the next one fail and all later ones succeed. The operations that count are those
-    /// of [`SimulatedDisk::set_refuses`], which fails without counting. The first half of a failed write is written.
+    /// of [`SimulatedDisk::set_failing`], which fails without counting. The first half of a failed write is written.
     pub fn fail_after(&self, operations: usize) {
         lock(&self.state).fails_after = Some(operations);
     }
@@ -133,7 +133,7 @@
     /// Fails if the next operation is to fail, and counts that operation: call it once for each one. An operation that does
     /// not call it, as a read or an opening, never fails by an injected fault.
     fn consume_fault_step(&mut self) -> io::Result<()> {
-        if self.refuses {
+        if self.is_failing {
             return Err(refused());
         }
         match self.fails_after {
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -117,11 +117,11 @@
 fn a_full_disk_fails_appends_until_it_has_space() {
     let disk = written();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
-    disk.set_refuses(true);
+    disk.set_failing(true);
     assert!(log.append(&[vec![1; 100]]).is_err());
     assert!(log.append(&[vec![2; 100]]).is_err());
     assert!(log.rewrite(&[vec![3; 100]]).is_err());
-    disk.set_refuses(false);
+    disk.set_failing(false);
     log.append(&[b"small".to_vec()]).unwrap();
     let recovered = reopen(&disk);
     assert_eq!(recovered.records, [batches().concat(), vec![b"small".to_vec()]].concat());
@@ -218,7 +218,7 @@
 fn the_longest_frame_passes_the_length_check() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
-    disk.set_refuses(true);
+    disk.set_failing(true);
     let longest = (64 << 20) - LENGTH_BYTES;
     assert!(matches!(log.append(&[vec![0; longest]]), Err(StoreError::Io(_))));
     assert!(matches!(log.append(&[vec![0; longest + 1]]), Err(StoreError::TooLong { .. })));
--- a/crates/telemetry/src/violations.rs
+++ b/crates/telemetry/src/violations.rs
@@ -1,11 +1,11 @@
 //! Log lines for violated invariants.
 
-use lugwharf_invariants::{Violation, report_to};
+use lugwharf_invariants::{Violation, set_reporter};
 use spdlog::prelude::*;
 
 /// Writes the first violations of each invariant to the log of this process from now on.
 pub fn log_violations() {
-    report_to(log_violation);
+    set_reporter(log_violation);
 }
 
 fn log_violation(violation: &Violation) {
