--- a/crates/election/src/elector.rs
+++ b/crates/election/src/elector.rs
@@ -1,4 +1,4 @@
-//! The elector of one role at one process: its state, and what happens as time passes.
+//! The elector of one role in one process: its state and its time-driven transitions.
 
 mod campaigning;
 mod holding;
@@ -19,19 +19,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A campaign ends after a lease divided by this: several round trips and syncs, yet short against the lease.
+/// A campaign times out after the lease duration divided by this. The result leaves time for several round
+/// trips and syncs, yet is short compared to the lease.
 const CAMPAIGN_TIMEOUT_DIVISOR: u32 = 4;
-/// The longest backoff before a campaign is a lease divided by this. It is drawn at random, so that two processes seldom
-/// campaign at once (the randomised election timeout of Ongaro's thesis, section 3.4). The backoff after a campaign that
-/// failed is as long, and doubles with each one that took votes.
+/// The maximum backoff before a campaign is the lease duration divided by this. The backoff is randomised, so
+/// that two processes rarely campaign at the same time (randomised election timeout, Ongaro's thesis, section
+/// 3.4). The maximum backoff after a failed campaign starts at the same value, and doubles with each failed
+/// campaign that got past the pre-vote.
 const BACKOFF_DIVISOR: u32 = 16;
-/// A pre-vote that is open is sent again after a lease divided by this: half of the longest backoff, so that two attempts
-/// take no longer than the first one of another process.
+/// A pending pre-vote is resent after the lease duration divided by this. That is half of the maximum
+/// backoff, so that two attempts take no longer than the maximum backoff before another process's first
+/// attempt.
 const RESEND_DIVISOR: u32 = 32;
-/// The most doublings of the backoff between campaigns: it stays within half of a lease.
+/// The maximum number of doublings of the backoff between campaigns. It keeps the backoff within half of the
+/// lease duration.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// The membership view in which this process takes part.
+/// The membership view in which this process participates.
 #[derive(Clone, Debug)]
 struct View {
     number: u64,
@@ -39,41 +43,45 @@
     is_voter: bool,
 }
 
-/// What this process is in the election.
+/// The state of this process in the election.
 #[derive(Clone, Debug)]
 enum ElectorState {
-    /// Another process holds the role, or none does and this one waits until `campaign_at` to be a candidate.
+    /// Another process holds the role, or the role is vacant and this process waits until `campaign_at`
+    /// before it campaigns.
     Follower { campaign_at: Option<Duration> },
-    /// This process campaigns for the role.
+    /// This process is campaigning for the role.
     Candidate(Campaign),
     /// This process holds the role.
     Holder(HeldLease),
 }
 
-/// The elector of one role at one process: it votes, campaigns when the role is vacant, and renews the lease it holds.
+/// The elector of one role in one process. It votes, campaigns when the role is vacant, and renews the lease
+/// that it holds.
 ///
-/// The driver sends it every [`Event`] in the order in which things happened, carries out the [`Action`]s in their order,
-/// and reports the result of each write.
+/// The driver passes every [`Event`] to the elector in the order of occurrence, executes the [`Action`]s in
+/// order, and reports the result of each write.
 #[derive(Clone, Debug)]
 pub struct Elector {
     settings: ElectorSettings,
     random: Rng,
-    /// The number of the last request. The first one is drawn, so that answers to an earlier start seldom match.
+    /// The id of the last request. The initial value is random, so that responses to requests from before a
+    /// restart rarely match.
     last_request_id: u64,
     voter: Voter,
     view: Option<View>,
     state: ElectorState,
     known_holder: KnownHolder,
-    /// Campaigns that took votes and failed, since this process last won or voted for another one.
+    /// The number of failed campaigns that got past the pre-vote since this process last won an election or
+    /// voted for another process.
     failed_campaigns: u32,
-    /// No campaign starts before.
+    /// No campaign starts before this time.
     backoff_until: Duration,
     has_resigned: bool,
 }
 
 impl Elector {
-    /// An elector after a start, with all records of the log, those of others too. It does nothing before an
-    /// [`Event::ViewInstalled`].
+    /// Restores an elector after a process start from all records of the log, which may include records of
+    /// other components. The elector is inactive until the first [`Event::ViewInstalled`].
     pub fn recover(settings: ElectorSettings, records: &[Vec<u8>], now: Duration) -> Self {
         let mut random = Rng::with_seed(settings.seed);
         Self {
@@ -90,10 +98,11 @@
         }
     }
 
-    /// Handles an event and appends what is to be done to `actions`. `now` never goes back from call to call.
+    /// Handles an event and appends the resulting actions to `actions`. `now` must not decrease between
+    /// calls.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        // First what has expired, so that no message is counted for a lease or a campaign that is over; last what is due, so
-        // that it is decided on the state after the event.
+        // Expired leases and campaigns are ended first, so that no message counts towards one that is over.
+        // Due work is done last, based on the state after the event.
         self.expire(now, actions);
         match event {
             Event::Tick => {}
@@ -111,10 +120,10 @@
         self.advance(now, actions);
     }
 
-    /// The lease of the role, if this process holds it at `now`.
+    /// Returns the lease of the role if this process holds the role at `now`.
     ///
-    /// Ask right before each act in the role, with a time read at that moment: a process that was paused finds its lease
-    /// expired.
+    /// Callers must check this immediately before each action in the role, with the current time: a process
+    /// that was paused then finds that its lease has expired.
     pub fn held_lease(&self, now: Duration) -> Option<Lease> {
         match &self.state {
             ElectorState::Holder(held) if now < held.expires_at => {
@@ -124,23 +133,23 @@
         }
     }
 
-    /// The last process known to act as the holder; it may have lost the role since. A process that only requested votes,
-    /// or was granted them, is not a holder yet.
+    /// Returns the last process known to act as the holder, which may have lost the role since. A process
+    /// that has only requested or received votes does not count as a holder.
     pub fn known_holder(&self) -> Option<LeaseHolder> {
         self.known_holder.current()
     }
 
-    /// The process whose lease, granted by this voter, still runs at `now`.
+    /// Returns the process to which this voter has granted a lease that has not expired at `now`.
     pub fn granted_to(&self, now: Duration) -> Option<LeaseHolder> {
         self.voter.granted_to(now)
     }
 
-    /// The encoded records that a rewritten log must hold for this role.
+    /// Returns the encoded records that a rewritten log must contain for this role.
     pub fn snapshot_records(&self) -> Vec<Vec<u8>> {
         self.voter.last_record().iter().map(|record| record.encode()).collect()
     }
 
-    /// Ends what has expired by now, before anything else is decided.
+    /// Ends the lease or the campaign if it has expired, before any other decision is made.
     fn expire(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let timeout = self.settings.lease_duration / CAMPAIGN_TIMEOUT_DIVISOR;
         let response_timeout = self.settings.lease_duration / RESEND_DIVISOR;
@@ -153,12 +162,12 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Starts the renewal, campaign or resend that is due.
     fn advance(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let resend_interval = self.settings.lease_duration / RESEND_DIVISOR;
         match &self.state {
             ElectorState::Holder(held) if now >= held.next_renewal_at => self.renew_lease(now, actions),
-            ElectorState::Follower { campaign_at } => self.consider_campaign(now, *campaign_at, actions),
+            ElectorState::Follower { campaign_at } => self.maybe_start_campaign(now, *campaign_at, actions),
             ElectorState::Candidate(campaign) if campaign.is_resend_due(now, resend_interval) => {
                 self.resend_pre_vote(now, actions);
             }
@@ -185,30 +194,30 @@
         self.carry_lease_over(now, is_voter, actions);
     }
 
-    /// Records that a process acts as the holder of a token.
+    /// Records that a process acts as the holder under its token.
     fn record_holder(&mut self, holder: LeaseHolder) {
         self.voter.record_held(holder.token);
         let is_latest = self.voter.is_latest(holder);
         self.known_holder.record(holder, is_latest);
     }
 
-    /// This process and a token.
+    /// Returns this process as the holder of `token`.
     fn local_holder(&self, token: FencingToken) -> LeaseHolder {
         LeaseHolder { address: self.settings.local_address, token }
     }
 
-    /// A number that no earlier request of this process has had since its start.
+    /// Returns an id that no earlier request of this process has used since its start.
     fn next_request_id(&mut self) -> u64 {
         self.last_request_id = self.last_request_id.wrapping_add(1);
         self.last_request_id
     }
 
-    /// The longest backoff before a campaign, if none has failed.
+    /// Returns the maximum backoff before a campaign if no campaign has failed.
     fn max_backoff(&self) -> Duration {
         self.settings.lease_duration / BACKOFF_DIVISOR
     }
 
-    /// Draws a backoff; one draw from the generator.
+    /// Draws a random backoff of at most `max`. Consumes exactly one value of the generator.
     fn draw_backoff(&mut self, max: Duration) -> Duration {
         max.mul_f64(self.random.f64())
     }
@@ -217,7 +226,7 @@
         self.view.as_ref().map_or(0, |view| view.members.len())
     }
 
-    /// Sends a message to all other members of the view.
+    /// Sends a message to all other members of the current view.
     fn broadcast(&self, body: MessageBody, actions: &mut Vec<Action>) {
         let Some(view) = &self.view else { return };
         let others = view.members.iter().filter(|member| **member != self.settings.local_address);
--- a/crates/election/src/elector/campaigning.rs
+++ b/crates/election/src/elector/campaigning.rs
@@ -1,4 +1,5 @@
-//! How a process campaigns for a vacant role: pre-vote, its own vote, the votes of the others.
+//! The candidate's side of an elector: a campaign for a vacant role consists of the pre-vote, the candidate's
+//! own vote and the votes of the other members.
 
 use super::{Elector, ElectorState, MAX_BACKOFF_DOUBLINGS};
 use crate::action::Action;
@@ -11,8 +12,8 @@
 use std::time::Duration;
 
 impl Elector {
-    /// Starts a campaign if the role is vacant and the backoff is over.
-    pub(super) fn consider_campaign(
+    /// Schedules a campaign if the role is vacant, and starts it once its backoff is over.
+    pub(super) fn maybe_start_campaign(
         &mut self, now: Duration, campaign_at: Option<Duration>, actions: &mut Vec<Action>,
     ) {
         let candidate = self.settings.local_address;
@@ -40,10 +41,11 @@
         self.continue_campaign(now, actions);
     }
 
-    /// Sends the pre-vote again to those who have not granted it.
+    /// Resends the pre-vote to the members that have not granted it.
     ///
-    /// A voter whose lease to another process still runs denies it. Where another member is dead this leaves the pre-vote
-    /// open: without sending it again this process would wait for the dead one, and deny the voter's own pre-vote meanwhile.
+    /// A voter denies the pre-vote while a lease that it granted to another process still runs. If another
+    /// member is down, the pre-vote then stays undecided. Without a resend this process would wait for the
+    /// failed member, and would deny the voter's own pre-vote in the meantime.
     pub(super) fn resend_pre_vote(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let candidate = self.settings.local_address;
         let Some(view) = &self.view else { return };
@@ -60,7 +62,7 @@
         }
     }
 
-    /// Goes on with the campaign as its answers stand.
+    /// Advances the campaign according to the responses received so far.
     fn continue_campaign(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let member_count = self.member_count();
         let ElectorState::Candidate(campaign) = &self.state else { return };
@@ -87,7 +89,7 @@
         self.request_own_vote(now, RequestKind::Election, request_id, token, actions);
     }
 
-    /// Requests the vote of this process itself.
+    /// Requests this process's own vote.
     pub(super) fn request_own_vote(
         &mut self, now: Duration, kind: RequestKind, request_id: u64, token: FencingToken,
         actions: &mut Vec<Action>,
@@ -97,9 +99,9 @@
         self.decide_vote(now, VoteRequest { kind, requester, view, request_id, token }, actions);
     }
 
-    /// Requests the votes of the others, once the disk of this process holds the token. Whatever happens to the process,
-    /// it never campaigns under this token again, so that a late message about it is not taken for one about a later
-    /// campaign.
+    /// Requests the votes of the other members once the token is persisted at this process. The process
+    /// therefore never campaigns under this token again, even after a restart, so a delayed message about the
+    /// token cannot be mistaken for one about a later campaign.
     fn request_votes(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let ElectorState::Candidate(campaign) = &mut self.state else { return };
         let Phase::PersistingOwnVote(token) = campaign.phase else { return };
@@ -110,10 +112,10 @@
         self.continue_campaign(now, actions);
     }
 
-    /// Ends a campaign that failed and releases its votes.
+    /// Ends a failed campaign and releases its votes.
     ///
-    /// Only votes that were wasted make the next backoff longer: a pre-vote that comes before the last lease has ended is
-    /// soon worth another one.
+    /// Only a campaign that got past the pre-vote increases the backoff. A pre-vote sent just before the last
+    /// lease expired is worth retrying soon.
     pub(super) fn abandon_campaign(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let ElectorState::Candidate(Campaign { phase, .. }) = self.state else { return };
         if let Phase::PersistingOwnVote(token) | Phase::RequestingVotes(token) = phase {
@@ -127,7 +129,7 @@
         self.state = ElectorState::Follower { campaign_at: None };
     }
 
-    /// Starts to hold the role, on a lease that counts from before the votes were requested.
+    /// Takes the role. The lease starts at `requested_at`, before the votes were requested.
     fn acquire_lease(
         &mut self, now: Duration, token: FencingToken, requested_at: Duration, actions: &mut Vec<Action>,
     ) {
@@ -136,8 +138,8 @@
             self.abandon_campaign(now, actions);
             return;
         }
-        // The first renewal is sent at once: it informs the voters that did not vote, or voted for another candidate, of
-        // who has won.
+        // The first renewal is sent immediately, to inform voters that did not vote or voted for another
+        // candidate who has won.
         self.state = ElectorState::Holder(HeldLease::new(token, expires_at, now));
         self.failed_campaigns = 0;
         self.record_holder(self.local_holder(token));
@@ -191,7 +193,7 @@
             return;
         }
         if let Phase::PersistingOwnVote(_) = campaign.phase {
-            // Only this process was asked.
+            // Only this process was asked for its vote so far.
             self.abandon_campaign(now, actions);
             return;
         }
--- a/crates/election/src/elector/inbound.rs
+++ b/crates/election/src/elector/inbound.rs
@@ -1,4 +1,4 @@
-//! How an elector receives the messages of others.
+//! The handling of messages from other electors.
 
 use super::Elector;
 use crate::action::Action;
@@ -17,16 +17,19 @@
             return;
         }
         if message.view > view.number {
-            // The sender knows a later view, so this one is over.
-            // No underflow: the view is larger than another one.
+            // The sender knows a later view, so the current one has ended. No underflow: `message.view` is
+            // greater than another view number.
             self.voter.seal(message.view - 1);
             return;
         }
-        let is_of_view = message.view == view.number;
-        let is_from_current_member = is_of_view && view.members.contains(&from);
+        let is_in_current_view = message.view == view.number;
+        let is_from_current_member = is_in_current_view && view.members.contains(&from);
         match message.body {
-            // A holder that is no member of the new view releases its lease there too.
-            MessageBody::ReleaseLease { token, was_holder } if is_of_view && token.view() <= view.number => {
+            // A holder that is not a member of the new view also releases its lease there, so membership is
+            // not checked.
+            MessageBody::ReleaseLease { token, was_holder }
+                if is_in_current_view && token.view() <= view.number =>
+            {
                 self.on_release(now, LeaseHolder { address: from, token }, was_holder);
             }
             MessageBody::PreVoteGranted { .. }
@@ -47,7 +50,7 @@
         }
     }
 
-    /// Handles an answer of another member in the current view.
+    /// Handles a response from a member of the current view.
     fn on_response(&mut self, now: Duration, from: SocketAddr, body: MessageBody, actions: &mut Vec<Action>) {
         match body {
             MessageBody::PreVoteGranted { request_id, highest_token } => {
@@ -63,8 +66,8 @@
         }
     }
 
-    /// Handles a request as a voter. `is_from_current_member`: it was sent in the current view, by a member of that view.
-    /// Any other request is denied.
+    /// Handles a request as a voter. `is_from_current_member` states whether the request was sent in the
+    /// current view by a member of that view. Any other request is denied.
     fn on_request(
         &mut self, now: Duration, from: SocketAddr, body: MessageBody, is_from_current_member: bool,
         actions: &mut Vec<Action>,
@@ -81,7 +84,8 @@
         let Some(view) = self.view.as_ref().map(|view| view.number) else { return };
         let request = VoteRequest { kind, requester: from, view, request_id, token };
         if !is_from_current_member {
-            // The denial carries this view: a requester in an earlier one learns that its view is over.
+            // The denial carries the current view number, so a requester in an earlier view learns that its
+            // view has ended.
             self.deny_vote(now, request, actions);
             return;
         }
--- a/crates/election/src/elector/voting.rs
+++ b/crates/election/src/elector/voting.rs
@@ -1,7 +1,7 @@
-//! The voter's side of an elector: answers to pre-votes, and decisions on votes and renewals.
+//! The voter's side of an elector: responses to pre-votes, and decisions on votes and renewals.
 //!
-//! Requests of other processes are answered by a message. A request of this process for its own vote takes the same way
-//! through the voter, but its answer is handed to this process's candidate or holder by a direct call.
+//! Requests from other processes are answered with a message. A request of this process for its own vote
+//! passes through the same voter, but the result is passed to the local candidate or holder by a direct call.
 
 use super::{Elector, ElectorState};
 use crate::action::{Action, BatchId};
@@ -11,12 +11,13 @@
 use std::time::Duration;
 
 impl Elector {
-    /// Answers whether this process would vote for another one.
+    /// Answers whether this process would vote for `candidate`.
     ///
-    /// Neither answer binds the voter: no vote is recorded and no lease is granted. A grant does reschedule a campaign of
-    /// this process, and draws from the generator, so that the other one can finish its campaign undisturbed.
+    /// Neither response binds the voter: no vote is recorded and no lease is granted. A grant does reschedule
+    /// this process's own campaign, which draws from the generator, so that the candidate can finish its
+    /// campaign undisturbed.
     ///
-    /// `is_from_current_member` as in [`Elector::on_request`].
+    /// See [`Elector::on_request`] for `is_from_current_member`.
     pub(super) fn on_pre_vote(
         &mut self, now: Duration, candidate: SocketAddr, request_id: u64, is_from_current_member: bool,
         actions: &mut Vec<Action>,
@@ -37,12 +38,12 @@
         self.send(candidate, body, actions);
     }
 
-    /// Sets this process's next campaign to between one and two of the longest backoffs from now, so that another one,
-    /// whose pre-vote it grants, can finish its campaign first.
+    /// Reschedules this process's next campaign to between one and two times the maximum backoff from now, so
+    /// that a candidate whose pre-vote it grants can finish its campaign first.
     ///
-    /// This replaces whatever was scheduled: it sets a campaign if there was none, and brings one forward that a longer
-    /// backoff after failed campaigns had put off. There is one draw from the generator in every state, also where nothing
-    /// is scheduled.
+    /// This replaces any earlier schedule: it schedules a campaign if there was none, and may bring forward
+    /// one that a longer backoff after failed campaigns had delayed. Exactly one value is drawn from the
+    /// generator in every state, even if nothing is scheduled.
     fn reschedule_campaign(&mut self, now: Duration) {
         let max_backoff = self.max_backoff();
         let rescheduled_to = now + max_backoff + self.draw_backoff(max_backoff);
@@ -51,8 +52,9 @@
         }
     }
 
-    /// Whether another candidate goes first. Of two that campaign at once the one with the lower address does, so that
-    /// they do not split the votes. Neither ends its own campaign, as the other one may be unable to finish.
+    /// Returns whether `candidate` takes precedence over this process. Of two concurrent candidates the one
+    /// with the lower address does, so that they do not split the vote. Neither abandons its own campaign,
+    /// since the other one may be unable to finish.
     fn yields_to(&self, candidate: SocketAddr) -> bool {
         match self.state {
             ElectorState::Follower { .. } => true,
@@ -61,7 +63,7 @@
         }
     }
 
-    /// Has the voter decide on a request and carries its decision out.
+    /// Lets the voter decide on a request, and executes the decision.
     pub(super) fn decide_vote(&mut self, now: Duration, request: VoteRequest, actions: &mut Vec<Action>) {
         match self.voter.decide(now, request) {
             VoteDecision::Grant => self.grant_vote(now, request, actions),
@@ -75,19 +77,19 @@
 
     pub(super) fn on_persisted(&mut self, now: Duration, batch: BatchId, actions: &mut Vec<Action>) {
         let granted = self.voter.record_persisted(now, batch);
-        if let Some(request) = granted.filter(|request| self.is_of_current_view(request)) {
+        if let Some(request) = granted.filter(|request| self.is_in_current_view(request)) {
             self.grant_vote(now, request, actions);
         }
     }
 
     pub(super) fn on_persist_failed(&mut self, now: Duration, batch: BatchId, actions: &mut Vec<Action>) {
         let failed = self.voter.record_persist_failed(batch);
-        if let Some(request) = failed.filter(|request| self.is_of_current_view(request)) {
+        if let Some(request) = failed.filter(|request| self.is_in_current_view(request)) {
             self.deny_vote(now, request, actions);
         }
     }
 
-    fn is_of_current_view(&self, request: &VoteRequest) -> bool {
+    fn is_in_current_view(&self, request: &VoteRequest) -> bool {
         self.view.as_ref().is_some_and(|view| view.number == request.view)
     }
 
@@ -101,7 +103,7 @@
         self.send(requester, MessageBody::VoteGranted { request_id, token }, actions);
     }
 
-    /// Denies a request, whatever its kind.
+    /// Denies a request of any kind.
     pub(super) fn deny_vote(&mut self, now: Duration, request: VoteRequest, actions: &mut Vec<Action>) {
         let VoteRequest { requester, request_id, .. } = request;
         let highest_token = self.voter.highest_token();
--- a/crates/election/src/event.rs
+++ b/crates/election/src/event.rs
@@ -1,4 +1,4 @@
-//! What an elector is informed of.
+//! The input events of an elector.
 
 use crate::action::BatchId;
 use crate::message::Message;
@@ -6,61 +6,66 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What happens to an elector.
+/// An input event of an elector.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Time has passed. Send it every 20 to 50 ms.
+    /// Time has passed. The driver sends this event every 20 to 50 ms.
     Tick,
-    /// A membership view was agreed on. Send it also after a start, as soon as the view is known again.
+    /// A membership view was agreed on. The driver also sends this event after a process start, as soon as
+    /// the view is known again.
     ViewInstalled {
-        /// The number of the view; numbers only grow.
+        /// The number of the view. View numbers only increase.
         number: u64,
-        /// The members of the view, who vote.
+        /// The members of the view.
         members: Vec<SocketAddr>,
-        /// Whether this process is a member and its disk holds all that it has synced as one. A process whose disk was
-        /// lost is no voter until a later view admits it.
+        /// Whether this process votes in the view: it is a member, and its disk contains everything that it
+        /// has synced as a member. A process whose disk was lost is not a voter until a later view admits it
+        /// again.
         is_voter: bool,
     },
-    /// This process has accepted a proposal for the view after `number`: from now on it grants nothing in `number`.
+    /// This process has accepted a proposal for the view after `number`. From now on it grants nothing in
+    /// view `number`.
     ///
-    /// Send it once the acceptance is synced and before the proposer is answered, and again after a restart. Without
-    /// it a majority of a view that does not know yet that it was replaced could renew a holder beside the one that
-    /// the next view elects.
+    /// The driver sends this event after the acceptance is synced and before it answers the proposer, and
+    /// again after a restart. Otherwise a majority of a view that does not yet know about its successor could
+    /// renew a holder's lease while the next view elects another holder.
     ViewSealed {
-        /// The number of the view that ends.
+        /// The number of the sealed view.
         number: u64,
     },
     /// A message has arrived.
     Message {
-        /// The sender.
+        /// The sender of the message.
         from: SocketAddr,
         /// The message.
         message: Message,
     },
-    /// The write of an [`crate::Action::Persist`] is synced.
+    /// The write of a [`crate::Action::Persist`] is synced.
     Persisted {
-        /// The write.
+        /// The batch id of the write.
         batch: BatchId,
     },
-    /// The write of an [`crate::Action::Persist`] failed; its records may still be on the disk.
+    /// The write of a [`crate::Action::Persist`] failed. Its records may nevertheless be on the disk.
     PersistFailed {
-        /// The write.
+        /// The batch id of the write.
         batch: BatchId,
     },
-    /// This process can't do the work of the role now: it releases the role and is no candidate for a while, so that
-    /// another process gets it. It still votes. If no other process has taken the role by then, it is a candidate again.
+    /// This process cannot do the work of the role at present. It releases the role and does not campaign
+    /// during the backoff, so that another process can take over. It still votes. After the backoff it
+    /// campaigns again if the role is vacant.
     StepDown {
-        /// How long it is no candidate; several election rounds. The role stays vacant for so long if no other process
-        /// can be elected.
+        /// The time during which the process does not campaign; it should cover several election attempts. If
+        /// no other process can be elected, the role stays vacant for this time.
         backoff: Duration,
     },
-    /// An act under `token` was refused, since another one had been done under a higher token. The lease under that token
-    /// ends at once and is released; this process may be elected again, under a new token that a majority grants. Any other
-    /// token changes nothing: the refusal is late, or came twice.
+    /// An action under `token` was refused because a higher token had already been used. If this process
+    /// holds the lease under `token`, the lease ends immediately and is released. The process may be elected
+    /// again, under a new token granted by a majority. A refusal of any other token is a late or duplicate
+    /// one and has no effect.
     TokenRefused {
-        /// The token of the refused act.
+        /// The token of the refused action.
         token: FencingToken,
     },
-    /// This process is about to stop: it releases the role and is never a candidate again. It still votes.
+    /// This process is about to stop. It releases the role and never campaigns again, but still votes.
     Resign,
 }
--- a/crates/election/src/held_lease.rs
+++ b/crates/election/src/held_lease.rs
@@ -1,4 +1,4 @@
-//! The lease that this process holds, and its renewals in flight.
+//! The lease held by this process, and its renewals in flight.
 
 use crate::quorum::majority_of;
 use crate::token::FencingToken;
@@ -6,30 +6,31 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Renewals in flight that are remembered. An older one is of no more use than the newest that a majority answers.
+/// The maximum number of tracked renewals in flight. Older ones are dropped: a majority of responses to a
+/// later renewal extends the lease further.
 const MAX_RENEWALS_IN_FLIGHT: usize = 8;
 
-/// A renewal that no majority has answered yet.
+/// A renewal that has not been granted by a majority yet.
 #[derive(Clone, Debug)]
 struct Renewal {
     request_id: u64,
-    /// A time before the request was sent: the renewed lease counts from here.
+    /// A time at or before the sending of the request. The renewed lease starts here.
     sent_at: Duration,
     votes: BTreeSet<SocketAddr>,
 }
 
-/// The lease that this process holds.
+/// The lease held by this process.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldLease {
     pub(crate) token: FencingToken,
-    /// When the lease ends unless it is renewed.
+    /// The time at which the lease ends unless it is renewed.
     pub(crate) expires_at: Duration,
     pub(crate) next_renewal_at: Duration,
     renewals: VecDeque<Renewal>,
 }
 
 impl HeldLease {
-    /// A lease that was just acquired.
+    /// Creates a lease that was just acquired.
     pub(crate) fn new(token: FencingToken, expires_at: Duration, next_renewal_at: Duration) -> Self {
         Self { token, expires_at, next_renewal_at, renewals: VecDeque::new() }
     }
@@ -42,13 +43,14 @@
         self.renewals.push_back(Renewal { request_id, sent_at, votes: BTreeSet::new() });
     }
 
-    /// Cancels all renewals in flight: their votes are those of an earlier view.
+    /// Cancels all renewals in flight, since their votes belong to an earlier view.
     pub(crate) fn cancel_renewals(&mut self) {
         self.renewals.clear();
     }
 
-    /// Records a member's vote for a renewal. With the votes of a majority of the members the lease lasts
-    /// `lease_duration` from before that renewal was sent, so that it ends at the holder before it ends at the voters.
+    /// Records a member's vote for a renewal. With votes from a majority of the members, the lease is
+    /// extended to `lease_duration` after the renewal's `sent_at`, so that it ends at the holder before it
+    /// ends at the voters.
     pub(crate) fn record_vote(
         &mut self, voter: SocketAddr, request_id: u64, member_count: usize, lease_duration: Duration,
     ) {
--- a/crates/election/src/known_holder.rs
+++ b/crates/election/src/known_holder.rs
@@ -1,27 +1,28 @@
-//! The lease holder as far as this process knows it.
+//! The lease holder known to this process.
 
 use crate::lease::LeaseHolder;
 use lugwharf_invariants::{Invariant, check};
 use std::net::SocketAddr;
 
-/// The lease holder as far as this process knows it: a process that renewed a lease, or this process itself.
+/// The lease holder known to this process: a process that has renewed its lease, or this process itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct KnownHolder {
-    /// The last holder that has not released the role.
+    /// The last known holder, unless it has lost or released the role.
     current: Option<LeaseHolder>,
-    /// The process that acted under the highest token so far.
+    /// The holder with the highest token so far.
     highest: Option<LeaseHolder>,
 }
 
 impl KnownHolder {
-    /// Records that a process acts as the holder: it renews its lease, or has just acquired it. `is_latest` says that no
-    /// later token was held, and that the process has not released this one.
+    /// Records that a process acts as the holder, i.e. it renews its lease or has just acquired it.
+    /// `is_latest` states that no later token is known to have been held, and that the process has not
+    /// released this token.
     pub(crate) fn record(&mut self, holder: LeaseHolder, is_latest: bool) {
         let other =
             self.highest.filter(|known| known.token == holder.token && known.address != holder.address);
         check(Invariant::OneHolderPerToken, other.is_none(), || {
             let other = other.map(|other| (other.address, other.token));
-            format!("{} beside {other:?}", holder.address)
+            format!("token held by {} and also by {other:?}", holder.address)
         });
         if self.highest.is_none_or(|known| holder.token > known.token) {
             self.highest = Some(holder);
@@ -31,12 +32,12 @@
         }
     }
 
-    /// The last known holder.
+    /// Returns the last known holder.
     pub(crate) fn current(&self) -> Option<LeaseHolder> {
         self.current
     }
 
-    /// Records that a process holds the role no longer, under whatever token.
+    /// Records that a process no longer holds the role, under any token.
     pub(crate) fn record_loss(&mut self, address: SocketAddr) {
         self.current.take_if(|known| known.address == address);
     }
--- a/crates/election/src/lease.rs
+++ b/crates/election/src/lease.rs
@@ -1,4 +1,4 @@
-//! Leases as a caller sees them.
+//! The public types of leases.
 
 use crate::token::FencingToken;
 use std::net::SocketAddr;
@@ -7,17 +7,17 @@
 /// A lease that this process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Lease {
-    /// The fencing token of the lease. It stays the same through renewals.
+    /// The fencing token of the lease. Renewals do not change it.
     pub token: FencingToken,
-    /// When the lease ends unless it is renewed, on this process's steady clock.
+    /// The time at which the lease ends unless it is renewed, on this process's steady clock.
     pub expires_at: Duration,
 }
 
-/// A process and the token under which it holds the role, or was granted a lease of it.
+/// A process and the token under which it holds the role or was granted a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseHolder {
-    /// The address by which other control processes know the process.
+    /// The address by which the other control processes know the process.
     pub address: SocketAddr,
-    /// Its fencing token.
+    /// The fencing token of the process.
     pub token: FencingToken,
 }
--- a/crates/election/src/lib.rs
+++ b/crates/election/src/lib.rs
@@ -1,55 +1,59 @@
-//! Elects one holder of a singleton role among the control processes, by a majority, under a lease and a fencing token.
+//! Elects the holder of a singleton role among the control processes by majority vote, with a lease and a
+//! fencing token.
 //!
-//! Sans I/O: [`Elector::handle`] takes an [`Event`] and the time, and returns the [`Action`]s to carry out. Times are
-//! [`std::time::Duration`]s since any fixed point of the caller's steady clock; the time of day is never used. One elector
-//! serves one role; two roles of a process are two electors that may share a log and links.
+//! The crate performs no I/O: [`Elector::handle`] takes an [`Event`] and the current time, and returns the
+//! [`Action`]s to execute. Times are [`std::time::Duration`]s since an arbitrary fixed point of the caller's
+//! steady clock; wall-clock time is never used. Each elector serves one role. A process with two roles runs
+//! two electors, which may share a log and connections.
 //!
 //! # How a role is acquired
 //!
-//! The members of the current membership view vote; a majority of them elects the holder.
+//! The members of the current membership view vote, and a majority of them elects the holder.
 //!
-//! 1. Pre-vote (Ongaro's thesis, section 9.6): a member that has granted no running lease asks whether the others would
-//!    vote for it. The answer grants nothing, so that a process that merely can't hear the holder disturbs no one.
-//! 2. Election: if a majority would, the member is a candidate under a token above all that they know. It syncs its vote
-//!    for itself first, then requests the votes of the others. A voter syncs its vote before it sends it, and grants no
-//!    other process a lease until this one ends.
-//! 3. Renewal: the holder renews its lease under the same token. A candidate that fails releases its votes at once, and a
-//!    holder that steps down or resigns releases its lease.
+//! 1. Pre-vote (Ongaro's thesis, section 9.6): a member that has no unexpired granted lease asks whether the
+//!    others would vote for it. The responses grant nothing, so a process that merely receives nothing from
+//!    the holder causes no disruption.
+//! 2. Election: if a majority would vote for it, the member becomes a candidate under a token above all
+//!    tokens they know. It first syncs its vote for itself, then requests the votes of the others. A voter
+//!    syncs its vote before sending it, and grants no lease to another process until this lease ends.
+//! 3. Renewal: the holder renews its lease under the same token. A failed candidate releases its votes
+//!    immediately, and a holder that steps down or resigns releases its lease.
 //!
-//! The lease is that of Gray and Cheriton (Leases, SOSP 1989), granted by a majority of voters: like the leader leases of
-//! Ongaro's thesis, section 6.4.1, it lets the holder act without a round of messages as long as clocks drift within a
-//! bound. Unlike there, a voter counts the lease itself and no log orders the holders; what they do is ordered by the
-//! fencing token that goes with it.
+//! The lease follows Gray and Cheriton (Leases, SOSP 1989), but is granted by a majority of voters. Like the
+//! leader leases in Ongaro's thesis, section 6.4.1, it allows the holder to act without a round of messages
+//! as long as clock drift stays within a bound. In contrast to these, each voter tracks the lease itself, and
+//! there is no log that orders the holders. Their actions are ordered by the fencing token that accompanies
+//! each action.
+//! # Comparison with Raft
 //!
-//! # Terms of Raft
-//!
-//! | here | in Raft |
+//! | this crate | Raft |
 //! | --- | --- |
-//! | holder | leader, but of a role and without a log |
-//! | [`FencingToken`] | term: grows with each election, has one holder at most, and is persisted before a vote is sent |
-//! | view | configuration; its number stands in the upper bits of the token |
-//! | `request_id` | none: it pairs a response with its request, since messages are sent one way and may be late |
-//!
-//! A pre-vote carries no token, where Raft's carries the next term: the candidate chooses its token only after the pre-vote,
-//! above all that the responses report, so a voter's answer can't depend on it. A denied pre-vote and a denied vote are the
-//! same message ([`MessageBody::VoteDenied`]), since they say the same: the request and the highest token that the voter
-//! knows. The request id tells them apart, since each phase of a campaign has its own.
-//!
-//! # Why there is one holder at a time
+//! | holder | leader; here of a role, and without a log |
+//! | [`FencingToken`] | term: increases with each election, has at most one holder, and is persisted before a vote is sent |
+//! | view | configuration; the upper bits of the token contain the view number |
+//! | `request_id` | no equivalent: matches a response to its request, since messages are one-way and may be delayed |
 //!
-//! - Within a view: two majorities share a voter. The holder counts its lease from before it sent the request, the voter
-//!   from when it granted it, and both leave a margin for clocks that run at different rates.
-//! - After a restart: a voter starts the lease of its last synced record anew; one without a record grants nothing for one
-//!   lease.
-//! - Across views: whoever accepts a proposal for the next view stops granting in this one first ([`Event::ViewSealed`]). A
-//!   view is chosen by a majority of the view before it, so from then on nobody is elected or renewed in the old one; a
-//!   holder goes on for one lease at most. Voters of the new view elect nobody for one lease, but renew the holder, whose
-//!   request says that it held the role when the new view was already chosen.
+//! Unlike Raft's pre-vote, which carries the next term, a pre-vote carries no token: the candidate chooses
+//! its token only after the pre-vote, above all tokens reported in the responses, so a voter's response
+//! cannot depend on it. A denied pre-vote and a denied vote are the same message
+//! ([`MessageBody::VoteDenied`]), since both contain the request id and the highest token known to the voter.
+//! The request id distinguishes them, since each phase of a campaign has its own.
+//! # Why there is at most one holder at a time
 //!
-//! # Why a token has one holder and tokens grow
+//! - Within a view: any two majorities share a voter. At the holder the lease starts before it sends the
+//!   request, at the voter when it grants the lease, and both allow a margin for clock drift.
+//! - After a restart: a voter restarts the lease of its last synced record. A voter without a record grants
+//!   nothing for one lease duration.
+//! - Across views: a process that accepts a proposal for the next view first stops granting in the current
+//!   one ([`Event::ViewSealed`]). A view is chosen by a majority of the previous view, so from then on no
+//!   process is elected or renewed in the previous view, and its holder acts for at most one more lease
+//!   duration. Voters of the new view elect no process for one lease duration, but do renew the holder's
+//!   lease, since its request shows that it held the role after the new view was chosen.
+//! # Why a token has at most one holder and tokens increase
 //!
-//! Within a view a voter grants only tokens above the last one synced, and majorities share a voter. A process whose disk
-//! was lost is no voter until a later view admits it, and all tokens of a later view are larger.
+//! Within a view a voter elects only under tokens above the last synced one, and any two majorities share a
+//! voter. A process whose disk was lost is not a voter until a later view admits it, and all tokens of a
+//! later view are larger.
 #![forbid(unsafe_code)]
 
 mod action;
--- a/crates/election/src/message.rs
+++ b/crates/election/src/message.rs
@@ -1,13 +1,13 @@
-//! Messages between the electors of one role.
+//! Messages exchanged between the electors of one role.
 
 use crate::settings::Role;
 use crate::token::FencingToken;
 use serde::{Deserialize, Serialize};
 
-/// A message from one elector to another one of the same role.
+/// A message from one elector to another elector of the same role.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Message {
-    /// The role that is elected.
+    /// The role that the election is about.
     pub role: Role,
     /// The number of the sender's membership view.
     pub view: u64,
@@ -15,74 +15,76 @@
     pub body: MessageBody,
 }
 
-/// A request or a response. `request_id` is drawn by the requester and comes back in the response.
+/// A request or a response. The requester chooses `request_id`, and the response repeats it.
 ///
-/// Encoded names are fixed; see docs/GLOSSARY.md.
+/// The encoded names must not change; see docs/GLOSSARY.md.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub enum MessageBody {
-    /// Asks whether the receiver would vote for the sender; grants no lease. Pre-vote of Ongaro's thesis, section 9.6. It
-    /// carries no token, since the candidate chooses one only after the responses.
+    /// Asks whether the receiver would vote for the sender, without granting a lease (pre-vote, Ongaro's
+    /// thesis, section 9.6). The message carries no token, since the candidate chooses one only after the
+    /// responses.
     #[serde(rename = "Ask")]
     PreVote {
-        /// The requester's number.
+        /// The id of the request.
         #[serde(rename = "round")]
         request_id: u64,
     },
-    /// The receiver of a [`MessageBody::PreVote`] would vote for its sender.
+    /// The voter would vote for the sender of the [`MessageBody::PreVote`].
     #[serde(rename = "Willing")]
     PreVoteGranted {
-        /// The requester's number.
+        /// The id of the request.
         #[serde(rename = "round")]
         request_id: u64,
-        /// The highest token that the voter knows.
+        /// The highest token known to the voter.
         #[serde(rename = "highest")]
         highest_token: FencingToken,
     },
-    /// Asks for a vote, and with it for a lease, under a new token.
+    /// Requests a vote, and with it a lease, under a new token.
     #[serde(rename = "Elect")]
     RequestVote {
-        /// The requester's number.
+        /// The id of the request.
         #[serde(rename = "round")]
         request_id: u64,
         /// The new token.
         token: FencingToken,
     },
-    /// Asks the receiver to extend the lease that it granted to the sender.
+    /// Requests an extension of the lease that the receiver granted to the sender.
     #[serde(rename = "Renew")]
     RenewLease {
-        /// The requester's number.
+        /// The id of the request.
         #[serde(rename = "round")]
         request_id: u64,
         /// The holder's token.
         token: FencingToken,
     },
-    /// The voter grants what a [`MessageBody::RequestVote`] or [`MessageBody::RenewLease`] asked for: a lease that runs
-    /// from when the voter sent this.
+    /// The voter grants the lease requested by a [`MessageBody::RequestVote`] or [`MessageBody::RenewLease`].
+    /// At the voter, the lease starts when it sends this message.
     #[serde(rename = "Vote")]
     VoteGranted {
-        /// The requester's number.
+        /// The id of the request.
         #[serde(rename = "round")]
         request_id: u64,
-        /// The token granted.
+        /// The granted token.
         token: FencingToken,
     },
-    /// The voter denies a pre-vote, a vote or a renewal; `request_id` says which. All three need the same content: a
-    /// candidate chooses its token above the highest one, also from the denials of its pre-vote.
+    /// The voter denies a pre-vote, a vote or a renewal; `request_id` identifies the request. All three need
+    /// the same content, since a candidate chooses its token above the highest known token, including those
+    /// reported in denials of its pre-vote.
     #[serde(rename = "Refuse")]
     VoteDenied {
-        /// The requester's number.
+        /// The id of the request.
         #[serde(rename = "round")]
         request_id: u64,
-        /// The highest token that the voter knows.
+        /// The highest token known to the voter.
         #[serde(rename = "highest")]
         highest_token: FencingToken,
     },
-    /// The sender gives back the leases that were granted to it under this token.
+    /// The sender releases the leases that were granted to it under this token.
     #[serde(rename = "Release")]
     ReleaseLease {
-        /// The token.
+        /// The token of the released leases.
         token: FencingToken,
-        /// Whether the sender held the role until now; false for a candidate that did not win.
+        /// Whether the sender held the role until now; false for a candidate that was not elected.
         #[serde(rename = "held")]
         was_holder: bool,
     },
--- a/crates/election/src/quorum.rs
+++ b/crates/election/src/quorum.rs
@@ -1,6 +1,7 @@
-//! The size of a quorum.
+//! The quorum size.
 
-/// The fewest votes that make a majority of so many members. Two majorities of one view share a voter.
+/// Returns the minimum number of votes that form a majority of `member_count` members. Any two majorities of
+/// one view share at least one voter.
 pub(crate) fn majority_of(member_count: usize) -> usize {
     member_count / 2 + 1
 }
--- a/crates/election/src/voter.rs
+++ b/crates/election/src/voter.rs
@@ -1,4 +1,4 @@
-//! The voting side of an elector: to whom this process has granted a lease and until when.
+//! The voting state of an elector: the process to which it has granted a lease, and until when.
 
 use crate::action::BatchId;
 use crate::lease::LeaseHolder;
@@ -9,19 +9,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Processes whose released tokens are remembered; a view has fewer members.
+/// The maximum number of processes whose released tokens are tracked. A view has fewer members.
 const MAX_RELEASED_TOKENS: usize = 64;
 
-/// What a requester wants.
+/// The kind of a [`VoteRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestKind {
-    /// A lease under a new token.
+    /// Requests a lease under a new token.
     Election,
-    /// A longer lease under the token that the requester holds.
+    /// Requests an extension of the lease under the token that the requester holds.
     Renewal,
 }
 
-/// A request for a vote.
+/// A request for this process's vote.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VoteRequest {
     pub(crate) kind: RequestKind,
@@ -32,22 +32,22 @@
 }
 
 impl VoteRequest {
-    /// The requester, and the token under which it asks.
+    /// Returns the requester and its token as a lease holder.
     fn holder(&self) -> LeaseHolder {
         LeaseHolder { address: self.requester, token: self.token }
     }
 }
 
-/// What a voter does with a request.
+/// The decision of a voter on a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum VoteDecision {
-    /// It grants the request now.
+    /// The request is granted immediately.
     Grant,
-    /// It grants the request once the write is synced.
+    /// The request is granted once `record` is synced.
     GrantOncePersisted { batch: BatchId, record: GrantRecord },
-    /// The same request already waits for its write.
+    /// The same request is already waiting for its record to be synced.
     AlreadyPending,
-    /// It denies the request.
+    /// The request is denied.
     Deny,
 }
 
@@ -63,11 +63,11 @@
 struct PendingGrant {
     batch: BatchId,
     request: VoteRequest,
-    /// Whether the requester has released the lease meanwhile.
+    /// Whether the requester has released the lease in the meantime.
     is_released: bool,
 }
 
-/// The voting side of an elector.
+/// The voting state of an elector.
 #[derive(Clone, Debug)]
 pub(crate) struct Voter {
     role: Role,
@@ -79,22 +79,24 @@
     highest_token: FencingToken,
     granted: Option<GrantedLease>,
     pending: Option<PendingGrant>,
-    /// The highest token that each process has released. A renewal that was overtaken by the release does not bring
-    /// the lease back.
+    /// The highest token that each process has released. It prevents a renewal that was overtaken by the
+    /// release from reviving the lease.
     released_tokens: BTreeMap<SocketAddr, FencingToken>,
-    /// The highest token that is known to have been held, rather than only asked votes for.
+    /// The highest token known to have been held, as opposed to merely having been proposed by a candidate.
     highest_held_token: FencingToken,
-    /// Nothing is granted before: a lease that was granted without a record may be forgotten.
+    /// Nothing is granted before this time, since a lease granted without a record may have been lost in a
+    /// restart.
     no_grants_before: Duration,
-    /// Nobody is elected before: a holder of an earlier view may still act.
+    /// No process is elected before this time, since a holder of an earlier view may still act.
     no_elections_before: Duration,
-    /// Nothing is granted in this view and earlier ones.
+    /// Nothing is granted in this view or earlier ones.
     sealed_view: u64,
     next_batch: u64,
 }
 
 impl Voter {
-    /// A voter after a start, with the records of its log. The last lease that it granted starts anew.
+    /// Restores a voter after a process start from the records of its log. The last lease that it granted
+    /// restarts at `now`.
     pub(crate) fn recover(settings: &ElectorSettings, records: &[Vec<u8>], now: Duration) -> Self {
         let lease_duration = settings.voter_lease_duration();
         let record = last_grant(settings.role, records);
@@ -119,27 +121,28 @@
         }
     }
 
-    /// The highest token that this voter knows.
+    /// Returns the highest token known to this voter.
     pub(crate) fn highest_token(&self) -> FencingToken {
         self.highest_token
     }
 
-    /// The record that a rewritten log must hold.
+    /// Returns the record that a rewritten log must contain.
     pub(crate) fn last_record(&self) -> Option<GrantRecord> {
         self.last_record
     }
 
-    /// Starts to vote in a new view: nobody is elected for one lease, as the holder of the view before may still act.
+    /// Starts voting in a new view. No process is elected for one lease duration, since the holder of the
+    /// previous view may still act.
     pub(crate) fn enter_view(&mut self, now: Duration) {
         self.no_elections_before = self.no_elections_before.max(now + self.lease_duration);
     }
 
-    /// Stops granting in `view` and earlier ones.
+    /// Stops granting in `view` and in earlier views.
     pub(crate) fn seal(&mut self, view: u64) {
         self.sealed_view = self.sealed_view.max(view);
     }
 
-    /// Whether `candidate` would get a vote under a new token of `view`.
+    /// Returns whether this voter would vote for `candidate` under a new token of `view`.
     pub(crate) fn would_vote_for(&self, now: Duration, view: u64, candidate: SocketAddr) -> bool {
         view > self.sealed_view
             && now >= self.no_grants_before
@@ -148,7 +151,7 @@
             && self.is_free_for(now, candidate)
     }
 
-    /// Decides on a request made in the view of this process.
+    /// Decides on a request made in the current view.
     pub(crate) fn decide(&mut self, now: Duration, request: VoteRequest) -> VoteDecision {
         if request.view <= self.sealed_view || now < self.no_grants_before {
             return VoteDecision::Deny;
@@ -157,7 +160,7 @@
             if pending.request.holder() != request.holder() {
                 return VoteDecision::Deny;
             }
-            // The answer carries the id of the last of several equal requests.
+            // The response carries the id of the latest of several equal requests.
             pending.request = request;
             return VoteDecision::AlreadyPending;
         }
@@ -174,7 +177,8 @@
         self.grant(now, request)
     }
 
-    /// Records that a write is synced: the lease starts. Returns the request to answer, unless it was released.
+    /// Records that a write is synced, which starts the lease. Returns the request to grant; `None` if the
+    /// lease was released or the view was sealed in the meantime.
     pub(crate) fn record_persisted(&mut self, now: Duration, batch: BatchId) -> Option<VoteRequest> {
         let pending = self.pending.take_if(|pending| pending.batch == batch)?;
         self.synced_record = self.last_record;
@@ -186,29 +190,29 @@
         (request.view > self.sealed_view).then_some(request)
     }
 
-    /// Records that a write failed: the lease never starts. Returns the request to deny.
+    /// Records that a write failed, so that its lease never starts. Returns the request to deny.
     pub(crate) fn record_persist_failed(&mut self, batch: BatchId) -> Option<VoteRequest> {
         self.pending.take_if(|pending| pending.batch == batch).map(|pending| pending.request)
     }
 
-    /// Whether no later token is known to have been held, and the holder has not released its own.
+    /// Returns whether no later token is known to have been held and `holder` has not released its token.
     pub(crate) fn is_latest(&self, holder: LeaseHolder) -> bool {
         let released = self.released_tokens.get(&holder.address);
         let has_released = released.is_some_and(|released| *released >= holder.token);
         holder.token >= self.highest_held_token && !has_released
     }
 
-    /// The holder of the lease that this voter has granted, as long as it runs.
+    /// Returns the holder of the lease that this voter has granted, unless the lease has expired at `now`.
     pub(crate) fn granted_to(&self, now: Duration) -> Option<LeaseHolder> {
         self.granted.filter(|granted| granted.expires_at > now).map(|granted| granted.holder)
     }
 
-    /// Records that some process acts, or has acted, as the holder of `token`.
+    /// Records that some process acts or has acted as the holder under `token`.
     pub(crate) fn record_held(&mut self, token: FencingToken) {
         self.highest_held_token = self.highest_held_token.max(token);
     }
 
-    /// Ends the lease that was granted to this holder, also one that still waits for its write.
+    /// Ends the lease granted to `holder`, including one whose record is not synced yet.
     pub(crate) fn release(&mut self, holder: LeaseHolder) {
         self.highest_token = self.highest_token.max(holder.token);
         let known = self.released_tokens.contains_key(&holder.address);
@@ -222,12 +226,13 @@
         }
     }
 
-    /// Allows elections from now on: the last holder of an earlier view has released the role in this view.
+    /// Allows elections from `now` on, because the last holder of an earlier view has released the role in
+    /// this view.
     pub(crate) fn allow_elections(&mut self, now: Duration) {
         self.no_elections_before = self.no_elections_before.min(now);
     }
 
-    /// Extends the requester's running lease under the same token; returns whether there is one.
+    /// Extends the requester's unexpired lease under the same token. Returns whether there is such a lease.
     fn extend_granted(&mut self, now: Duration, request: VoteRequest) -> bool {
         let is_granted = self.granted_to(now) == Some(request.holder());
         if is_granted {
@@ -236,32 +241,34 @@
         is_granted
     }
 
-    /// Whether no other process has a running lease from this voter.
+    /// Returns whether no other process has an unexpired lease from this voter.
     fn is_free_for(&self, now: Duration, requester: SocketAddr) -> bool {
         self.granted_to(now).is_none_or(|holder| holder.address == requester)
     }
 
-    /// Whether the token is larger than all that this voter knows, and of the requester's view.
+    /// Returns whether the token is larger than all tokens known to this voter and belongs to the requester's
+    /// view.
     fn is_new_token(&self, request: VoteRequest) -> bool {
         request.token > self.highest_token && request.token.view() == request.view
     }
 
-    /// Whether a renewal is that of the holder, as far as this process knows: no later token is known to have been held,
-    /// and the requester has not released its own.
+    /// Returns whether, as far as this process knows, the renewal comes from the current holder: no later
+    /// token is known to have been held, and the requester has not released its token.
     ///
-    /// The highest token known here may be another one, or the record may name another process under the same token,
-    /// where several were candidates at the same time: who renews a token has won it with the votes of a majority. This
-    /// guards progress alone. A holder is succeeded only after an election, and [`Voter::is_free_for`] protects leases
-    /// that run.
+    /// After concurrent campaigns, the highest known token may be a different one, or the record may name
+    /// another process under the same token. The renewal is nevertheless valid, since a process that renews a
+    /// token has won it with the votes of a majority. This check only serves progress, not safety: a new
+    /// holder requires an election, and [`Voter::is_free_for`] protects unexpired leases.
     fn is_renewable(&self, request: VoteRequest) -> bool {
         self.is_latest(request.holder()) && request.token.view() <= request.view
     }
 
     /// Grants a request.
     ///
-    /// The record stays that of the highest token, so that this process is never a candidate for a token twice: a
-    /// renewal below the highest token is granted without a record. Should this process forget it in a restart, it elects
-    /// nobody for a lease, in which the one that it granted ends.
+    /// The persisted record is always that of the highest token, so that this process never campaigns under
+    /// the same token twice. A renewal below the highest token is therefore granted without a record. If that
+    /// grant is lost in a restart, this process elects no process for one lease duration, during which
+    /// the granted lease expires.
     fn grant(&mut self, now: Duration, request: VoteRequest) -> VoteDecision {
         let record = GrantRecord { role: self.role, token: request.token, holder: request.requester };
         if self.synced_record == Some(record) || request.token < self.highest_token {
--- a/crates/election/tests/elector/fencing_tokens.rs
+++ b/crates/election/tests/elector/fencing_tokens.rs
@@ -1,5 +1,5 @@
-//! A process campaigns under a fencing token once, whatever restarts, lost records and late messages do. Several
-//! electors, whose messages and writes the case lets through one by one.
+//! A process never campaigns twice under the same fencing token, despite restarts, lost records and delayed
+//! messages. Each test runs several electors and controls the delivery of every message and write.
 
 use crate::harness::{FIRST_ELECTION, VIEW, settings};
 use lugwharf_election::{Action, BatchId, Elector, Event, FencingToken, Message, MessageBody, Role};
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A campaign ends after a quarter of a lease.
+/// A campaign times out after a quarter of the lease duration, in ms.
 const CAMPAIGN_TIMEOUT: u64 = 250;
-/// The process that campaigns. It has the lowest address, so that other candidates yield to it.
+/// The campaigning process. It has the lowest address, so that other candidates yield to it.
 const CANDIDATE: usize = 0;
 
 struct InFlight {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Takes the messages of a kind from the links.
+    /// Removes and returns the messages in flight that match `is_wanted`.
     fn take(&mut self, is_wanted: impl Fn(&InFlight) -> bool) -> Vec<InFlight> {
         let (wanted, others) = std::mem::take(&mut self.in_flight).into_iter().partition(is_wanted);
         self.in_flight = others;
@@ -105,14 +105,15 @@
         }
     }
 
-    /// Ends a process and starts it again; what was not synced is lost.
+    /// Restarts a process. Unsynced writes are lost.
     fn restart(&mut self, process: usize, now: u64) {
         self.writes.retain(|write| write.process != process);
         self.electors[process] = recover(process, &self.logs[process], now);
         self.enter_view(process, now, VIEW);
     }
 
-    /// Lets a majority grant the candidate's pre-vote; returns when its vote for itself is on the way to its disk.
+    /// Lets a majority grant the candidate's pre-vote. Returns the time at which the candidate writes its
+    /// vote for itself.
     fn wait_for_own_vote(&mut self, from: u64) -> u64 {
         let is_pre_vote = |sent: &InFlight| {
             sent.from == CANDIDATE && matches!(sent.message.body, MessageBody::PreVote { .. })
@@ -121,7 +122,7 @@
         while !self.in_flight.iter().any(is_pre_vote) {
             self.handle(CANDIDATE, now, Event::Tick);
             now += 5;
-            assert!(now < from + 9_000, "no pre-vote is sent");
+            assert!(now < from + 9_000, "no pre-vote was sent");
         }
         let pre_votes = self.take(is_pre_vote);
         self.deliver(now, pre_votes);
@@ -129,12 +130,15 @@
             sent.to == CANDIDATE && matches!(sent.message.body, MessageBody::PreVoteGranted { .. })
         });
         self.deliver(now, grants);
-        assert!(self.writes.iter().any(|write| write.process == CANDIDATE), "no own vote is written");
+        assert!(
+            self.writes.iter().any(|write| write.process == CANDIDATE),
+            "the candidate did not write its own vote"
+        );
         now
     }
 
-    /// Takes what the candidate has sent about a token from the links.
-    fn take_sent_about_tokens(&mut self) -> Vec<InFlight> {
+    /// Removes and returns the candidate's messages in flight that carry a token.
+    fn take_candidate_token_messages(&mut self) -> Vec<InFlight> {
         self.take(|sent| sent.from == CANDIDATE && token_of(sent).is_some())
     }
 }
@@ -148,7 +152,7 @@
     }
 }
 
-/// How a campaign ends whose token is not on the disk of the candidate.
+/// The way in which a campaign ends whose token was not persisted by the candidate.
 #[derive(Clone, Copy)]
 enum CampaignEnd {
     Restart,
@@ -157,7 +161,7 @@
 }
 
 #[rstest]
-fn token_is_not_sent_before_the_own_disk_holds_it(
+fn token_is_not_sent_before_it_is_persisted(
     #[values(3, 5)] members: usize,
     #[values(CampaignEnd::Restart, CampaignEnd::TimeOut, CampaignEnd::WriteFails)] end: CampaignEnd,
 ) {
@@ -171,27 +175,31 @@
             cluster.handle(CANDIDATE, now, Event::PersistFailed { batch });
         }
     }
-    assert_eq!(cluster.take_sent_about_tokens().len(), 0);
+    assert_eq!(cluster.take_candidate_token_messages().len(), 0);
 }
 
-/// All messages about the candidate's first token arrive after it holds the role under the next one: were they one
-/// token, the late release would free its voters for another holder.
+/// All messages about the candidate's first token arrive after it holds the role under its second token. If
+/// both tokens were equal, the delayed release would allow its voters to elect another holder.
 #[rstest]
-fn late_release_of_an_earlier_incarnation_ends_no_lease(#[values(3, 5)] members: usize) {
+fn delayed_release_of_an_earlier_incarnation_ends_no_lease(#[values(3, 5)] members: usize) {
     let mut cluster = Cluster::new(members);
     let campaigned = cluster.wait_for_own_vote(FIRST_ELECTION);
     cluster.sync(CANDIDATE, campaigned);
     cluster.handle(CANDIDATE, campaigned + CAMPAIGN_TIMEOUT, Event::Tick);
-    let late = cluster.take_sent_about_tokens();
-    let first = late.iter().filter_map(token_of).max().expect("a first campaign");
-    assert_eq!(late.len(), 2 * (members - 1), "a request and a release for each of the others");
+    let delayed = cluster.take_candidate_token_messages();
+    let first = delayed.iter().filter_map(token_of).max().expect("a token of the first campaign");
+    assert_eq!(
+        delayed.len(),
+        2 * (members - 1),
+        "a vote request and a release for each of the other members"
+    );
 
     let restarted = campaigned + CAMPAIGN_TIMEOUT;
     cluster.restart(CANDIDATE, restarted);
     let now = cluster.wait_for_own_vote(restarted + FIRST_ELECTION);
     cluster.sync(CANDIDATE, now);
-    let requests = cluster.take_sent_about_tokens();
-    let second = requests.iter().filter_map(token_of).max().expect("a second campaign");
+    let requests = cluster.take_candidate_token_messages();
+    let second = requests.iter().filter_map(token_of).max().expect("a token of the second campaign");
     assert!(second > first, "{second:?} after {first:?}");
     cluster.deliver(now, requests);
     (1..members).for_each(|voter| cluster.sync(voter, now));
@@ -199,45 +207,45 @@
     let acquired = cluster.deliver(now, votes);
     assert!(acquired.contains(&Action::LeaseAcquired { token: second }), "{acquired:?}");
 
-    cluster.deliver(now, late);
+    cluster.deliver(now, delayed);
     for voter in 1..members {
         let other = address(voter % (members - 1) + 1);
         let body = MessageBody::RequestVote { request_id: 1, token: FencingToken(second.0 + 1) };
         let message = Message { role: Role::ListWatcher, view: VIEW, body };
-        let answer = cluster.handle(voter, now, Event::Message { from: other, message });
-        assert!(!answer.iter().any(|action| matches!(action, Action::Persist { .. })), "voter {voter}");
+        let response = cluster.handle(voter, now, Event::Message { from: other, message });
+        assert!(!response.iter().any(|action| matches!(action, Action::Persist { .. })), "voter {voter}");
     }
 }
 
-/// Nobody in the new view knows a token of the one before.
+/// No member of the new view knows a token of the previous view.
 #[rstest]
-fn later_view_has_higher_tokens_without_any_earlier_record(#[values(3, 5)] members: usize) {
+fn later_view_has_higher_tokens_without_earlier_records(#[values(3, 5)] members: usize) {
     let mut cluster = Cluster::new(members);
     let highest_before = FencingToken(((VIEW + 1) << 24) - 1);
     (0..members).for_each(|process| cluster.enter_view(process, FIRST_ELECTION, VIEW + 1));
     let now = cluster.wait_for_own_vote(2 * FIRST_ELECTION);
     cluster.sync(CANDIDATE, now);
-    let tokens: Vec<_> = cluster.take_sent_about_tokens().iter().filter_map(token_of).collect();
+    let tokens: Vec<_> = cluster.take_candidate_token_messages().iter().filter_map(token_of).collect();
     assert_eq!(tokens, vec![FencingToken(highest_before.0 + 2); members - 1]);
 }
 
-/// A response to an earlier request of the same process does not count for a later one.
+/// Otherwise a response to an earlier request of a process could count for a later one.
 #[rstest]
 fn no_two_requests_share_an_id(#[values(3, 5)] members: usize) {
     let mut cluster = Cluster::new(members);
     let now = cluster.wait_for_own_vote(FIRST_ELECTION);
     cluster.sync(CANDIDATE, now);
-    let first = cluster.take_sent_about_tokens();
+    let first = cluster.take_candidate_token_messages();
     let MessageBody::RequestVote { request_id: first, .. } = first[0].message.body else {
-        panic!("a campaign")
+        panic!("expected a vote request of the first campaign")
     };
     cluster.handle(CANDIDATE, now + CAMPAIGN_TIMEOUT, Event::Tick);
-    cluster.take_sent_about_tokens();
+    cluster.take_candidate_token_messages();
     let now = cluster.wait_for_own_vote(now + CAMPAIGN_TIMEOUT);
     cluster.sync(CANDIDATE, now);
-    let second = cluster.take_sent_about_tokens();
+    let second = cluster.take_candidate_token_messages();
     let MessageBody::RequestVote { request_id: second, .. } = second[0].message.body else {
-        panic!("a second campaign")
+        panic!("expected a vote request of the second campaign")
     };
     assert_ne!(first, second);
 }
--- a/crates/election/tests/elector/harness.rs
+++ b/crates/election/tests/elector/harness.rs
@@ -1,4 +1,5 @@
-//! One elector, the second of three members of view 1, and what the cases do to it. Times are ms since its start.
+//! A test harness for a single elector, the second of three members of view 1. Times are in ms since its
+//! start.
 
 use lugwharf_election::{
     Action, BatchId, Elector, ElectorSettings, Event, FencingToken, Message, MessageBody, Role,
@@ -8,14 +9,15 @@
 
 /// The view in which every harness starts.
 pub const VIEW: u64 = 1;
-/// The id of a request of a scripted peer.
+/// The request id used by scripted peers.
 pub const REQUEST_ID: u64 = 9;
-/// A start is followed by a lease of 1 s and the drift of 2 %, in which nobody is elected.
+/// The time of the earliest election: after a start no process is elected for the lease duration of 1 s plus
+/// 2 % clock drift.
 pub const FIRST_ELECTION: u64 = 1_020;
-/// The first write of an elector.
+/// The batch id of an elector's first write.
 pub const FIRST_BATCH: BatchId = BatchId(1);
 
-/// The seed of an elector where a case does not depend on its backoffs.
+/// The seed of electors in tests that do not depend on the backoffs.
 pub const SEED: u64 = 5;
 
 pub fn address(host: u8) -> SocketAddr {
@@ -39,7 +41,7 @@
 }
 
 impl Harness {
-    /// An elector that was started with these records and votes in view 1.
+    /// Starts an elector from `records` that is a voter in view 1.
     pub fn start(role: Role, seed: u64, records: &[Vec<u8>]) -> Self {
         let mut harness = Self::start_without_view(role, seed, records);
         harness.install_view(0, VIEW, true);
@@ -63,7 +65,7 @@
         self.handle(now, Event::ViewInstalled { number, members, is_voter })
     }
 
-    /// Receives a message that was sent in view 1.
+    /// Receives a message sent in view 1.
     pub fn receive(&mut self, now: u64, from: u8, body: MessageBody) -> Vec<Action> {
         self.receive_in(now, VIEW, from, body)
     }
@@ -73,7 +75,7 @@
         self.handle(now, Event::Message { from: address(from), message })
     }
 
-    /// Receives the answer of a member that knows no token.
+    /// Receives a denial from a member that knows no token.
     pub fn receive_denial(&mut self, now: u64, from: u8, request_id: u64) -> Vec<Action> {
         self.receive(
             now,
@@ -82,13 +84,13 @@
         )
     }
 
-    /// Receives the answer of a member that knows no token.
+    /// Receives a granted pre-vote from a member that knows no token.
     pub fn receive_pre_vote_grant(&mut self, now: u64, from: u8, request_id: u64) -> Vec<Action> {
         let highest_token = FencingToken::default();
         self.receive(now, from, MessageBody::PreVoteGranted { request_id, highest_token })
     }
 
-    /// Ticks until the elector sends a pre-vote; returns the time and the id of the request.
+    /// Ticks until the elector sends a pre-vote. Returns the time and the request id.
     pub fn wait_for_pre_vote(&mut self, from: u64) -> (u64, u64) {
         for now in (from..from + 9_000).step_by(5) {
             let actions = self.handle(now, Event::Tick);
@@ -96,10 +98,10 @@
                 return (now, *request_id);
             }
         }
-        panic!("no pre-vote is sent");
+        panic!("no pre-vote was sent");
     }
 
-    /// Has the elector request votes; returns the time, the id of the request and the token.
+    /// Lets the elector request votes. Returns the time, the request id and the token.
     pub fn wait_for_vote_request(&mut self) -> (u64, u64, FencingToken) {
         let (now, request_id) = self.wait_for_pre_vote(FIRST_ELECTION);
         let own_vote = self.receive_pre_vote_grant(now, 1, request_id);
@@ -111,7 +113,7 @@
         (now, request_id, token)
     }
 
-    /// Has the elector acquire a lease; returns the time and the token.
+    /// Lets the elector acquire a lease. Returns the time and the token.
     pub fn acquire_lease(&mut self) -> (u64, FencingToken) {
         let (now, request_id, token) = self.wait_for_vote_request();
         let acquired = self.receive(now, 1, MessageBody::VoteGranted { request_id, token });
@@ -124,14 +126,14 @@
         self.elector.held_lease(Duration::from_millis(now)).is_some()
     }
 
-    /// Whether the elector persists a vote for a process that requests one.
+    /// Returns whether the elector persists a vote when process `from` requests one.
     pub fn persists_vote_for(&mut self, now: u64, view: u64, from: u8, token: FencingToken) -> bool {
         let body = MessageBody::RequestVote { request_id: REQUEST_ID, token };
         persists(&self.receive_in(now, view, from, body))
     }
 }
 
-/// The bodies of the messages among some actions.
+/// Returns the bodies of all messages sent by `actions`.
 pub fn sent_bodies(actions: &[Action]) -> Vec<MessageBody> {
     let sent = actions.iter().filter_map(|action| match action {
         Action::Send { message, .. } => Some(message.body),
--- a/crates/election/tests/elector/main.rs
+++ b/crates/election/tests/elector/main.rs
@@ -1,4 +1,5 @@
-//! Electors against scripted peers: one elector alone, or several whose messages and writes the case lets through.
+//! Tests of electors with scripted peers: either a single elector, or several whose messages and writes the
+//! test delivers.
 
 mod campaigns;
 mod fencing_tokens;
--- a/crates/election/tests/elector/refused_tokens.rs
+++ b/crates/election/tests/elector/refused_tokens.rs
@@ -1,4 +1,4 @@
-//! A holder whose token was refused, since somebody had acted under a higher one.
+//! Tests of a holder whose token was refused because of a higher one.
 
 use crate::harness::{Harness, SEED, sent_bodies};
 use lugwharf_election::{Action, Event, FencingToken, MessageBody, Role};
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn refusal_of_another_token_changes_nothing() {
+fn refusal_of_another_token_has_no_effect() {
     let (mut harness, now, token) = holder();
     for other in [FencingToken(token.0 - 1), FencingToken(token.0 + 1)] {
         let actions = harness.handle(now, Event::TokenRefused { token: other });
@@ -29,12 +29,12 @@
 }
 
 #[test]
-fn refusal_that_comes_twice_does_not_disturb_the_next_campaign() {
+fn duplicate_refusal_does_not_affect_the_next_campaign() {
     let (mut harness, now, token) = holder();
     harness.handle(now, Event::TokenRefused { token });
     let (now, request_id) = harness.wait_for_pre_vote(now);
-    let repeated = harness.handle(now, Event::TokenRefused { token });
-    assert_eq!(repeated, []);
+    let duplicate = harness.handle(now, Event::TokenRefused { token });
+    assert_eq!(duplicate, []);
     let granted = harness.receive_pre_vote_grant(now, 1, request_id);
-    assert!(matches!(granted.as_slice(), [Action::Persist { .. }]), "it campaigns on: {granted:?}");
+    assert!(matches!(granted.as_slice(), [Action::Persist { .. }]), "the campaign continues: {granted:?}");
 }
--- a/crates/election/tests/elector/voting.rs
+++ b/crates/election/tests/elector/voting.rs
@@ -1,4 +1,5 @@
-//! Votes of one elector: what a granted lease promises, for how long, and when a vote leaves.
+//! Tests of one elector as a voter: the guarantees and duration of a granted lease, and the time at which a
+//! vote is sent.
 
 use crate::harness::{
     FIRST_BATCH, FIRST_ELECTION, Harness, REQUEST_ID, SEED, VIEW, address, is_denied, sent_bodies,
@@ -18,24 +19,24 @@
     Harness::start(Role::StagePlanner, SEED, records)
 }
 
-/// Grants the first process a lease under `FIRST`; returns the records that were persisted.
+/// Grants the first process a lease under `FIRST`. Returns the persisted records.
 fn grant_to_first(harness: &mut Harness, now: u64) -> Vec<Vec<u8>> {
-    let asked = harness.receive(now, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST });
-    let [Action::Persist { batch: FIRST_BATCH, records }] = asked.as_slice() else { panic!("{asked:?}") };
+    let actions = harness.receive(now, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST });
+    let [Action::Persist { batch: FIRST_BATCH, records }] = actions.as_slice() else { panic!("{actions:?}") };
     let records = records.clone();
     let voted = harness.handle(now, Event::Persisted { batch: FIRST_BATCH });
     assert_eq!(sent_bodies(&voted), [MessageBody::VoteGranted { request_id: REQUEST_ID, token: FIRST }]);
     records
 }
 
-/// Whether a vote for the third process under `SECOND` is persisted.
+/// Returns whether the elector persists a vote for the third process under `SECOND`.
 fn votes_for_third(harness: &mut Harness, now: u64) -> bool {
     harness.persists_vote_for(now, VIEW, 3, SECOND)
 }
 
 #[rstest]
-#[case::while_it_lasts(3_019, false)]
-#[case::when_it_is_over_on_every_clock(3_020, true)]
+#[case::before_expiry(3_019, false)]
+#[case::after_expiry_on_every_clock(3_020, true)]
 fn granted_lease_lasts_its_duration_and_the_drift(#[case] now: u64, #[case] granted: bool) {
     let mut harness = start(&[]);
     grant_to_first(&mut harness, 2_000);
@@ -45,8 +46,9 @@
 #[test]
 fn vote_is_sent_only_after_the_grant_is_synced() {
     let mut harness = start(&[]);
-    let asked = harness.receive(2_000, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST });
-    assert_eq!(sent_bodies(&asked), []);
+    let actions =
+        harness.receive(2_000, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST });
+    assert_eq!(sent_bodies(&actions), []);
     assert!(is_denied(&harness.receive(
         2_001,
         3,
@@ -70,7 +72,7 @@
 }
 
 #[test]
-fn last_granted_lease_starts_anew_after_a_restart() {
+fn last_granted_lease_restarts_after_a_restart_of_the_voter() {
     let records = grant_to_first(&mut start(&[]), 2_000);
     let mut harness = start(&records);
     assert_eq!(harness.elector.snapshot_records(), records);
@@ -88,8 +90,8 @@
         1,
         MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST }
     )));
-    let asked = harness.receive(1_020, 1, MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST });
-    assert!(matches!(asked.as_slice(), [Action::Persist { .. }]));
+    let actions = harness.receive(1_020, 1, MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST });
+    assert!(matches!(actions.as_slice(), [Action::Persist { .. }]));
 }
 
 #[rstest]
@@ -157,7 +159,7 @@
     assert!(votes_for_third(&mut harness, 2_102));
 }
 
-/// The lease counts from before the request was sent and ends earlier by the drift.
+/// The lease starts before the request is sent, and is shortened by the clock drift.
 #[test]
 fn lease_counts_from_before_the_votes_were_requested() {
     let mut harness = start(&[]);
@@ -177,7 +179,7 @@
     assert!(acquired.contains(&Action::LeaseAcquired { token }));
     let until = requested_at + 980;
     assert_eq!(harness.elector.held_lease(ms(until - 1)).map(|lease| lease.expires_at), Some(ms(until)));
-    // It was paused meanwhile: whatever it does next, it checks its clock first.
+    // The process was paused in the meantime. It checks its clock before any other action.
     assert_eq!(harness.elector.held_lease(ms(until)), None);
     assert!(
         harness
@@ -189,8 +191,8 @@
 #[rstest]
 #[case::short(&[1, 2, 3])]
 #[case::empty(&[])]
-#[case::another_kind(b"\x63abc")]
-fn records_of_others_are_skipped(#[case] record: &[u8]) {
+#[case::other_cbor_type(b"\x63abc")]
+fn records_of_other_components_are_skipped(#[case] record: &[u8]) {
     let mut records = grant_to_first(&mut start(&[]), 2_000);
     records.push(record.to_vec());
     let harness = start(&records);
@@ -213,12 +215,12 @@
     );
 }
 
-/// Whether the process sends a pre-vote at some time from `from` to before `to`.
+/// Returns whether the process sends a pre-vote at any time in `from..to`.
 fn campaigns_within(harness: &mut Harness, from: u64, to: u64) -> bool {
     let mut times = (from..to).step_by(5);
     times.any(|now| {
-        let asked = harness.handle(now, Event::Tick);
-        sent_bodies(&asked).iter().any(|body| matches!(body, MessageBody::PreVote { .. }))
+        let actions = harness.handle(now, Event::Tick);
+        sent_bodies(&actions).iter().any(|body| matches!(body, MessageBody::PreVote { .. }))
     })
 }
 
@@ -248,7 +250,7 @@
     assert!(!campaigns_within(&mut harness, 1_105, 3_020));
 }
 
-/// Two processes that campaign at once do so under the same token, as both know the same highest one.
+/// Two concurrent candidates use the same token, since both know the same highest token.
 #[test]
 fn losing_candidate_votes_for_the_winner_of_its_token() {
     let mut harness = start(&[]);
@@ -263,13 +265,13 @@
     else {
         panic!("{requested:?}")
     };
-    // The third process has won this token with the vote of the first.
+    // The third process has won the election under this token with the vote of the first process.
     for from in [1, 3] {
         harness.receive(now + 1, from, MessageBody::VoteDenied { request_id, highest_token: token });
     }
-    let asked = harness.receive(now + 250, 3, MessageBody::RenewLease { request_id: REQUEST_ID, token });
-    let [Action::Persist { batch, .. }] = asked.as_slice() else {
-        panic!("no vote for the holder: {asked:?}")
+    let actions = harness.receive(now + 250, 3, MessageBody::RenewLease { request_id: REQUEST_ID, token });
+    let [Action::Persist { batch, .. }] = actions.as_slice() else {
+        panic!("no vote for the holder: {actions:?}")
     };
     let voted = harness.handle(now + 251, Event::Persisted { batch: *batch });
     assert_eq!(sent_bodies(&voted), [MessageBody::VoteGranted { request_id: REQUEST_ID, token }]);
@@ -280,17 +282,18 @@
 fn voter_of_a_losing_candidate_votes_for_the_winner_of_the_same_token() {
     let mut harness = start(&[]);
     grant_to_first(&mut harness, 2_000);
-    // As long as its vote may count for the first process, it votes for nobody else.
+    // As long as its vote may still count for the first process, the voter votes for no other process.
     let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST };
     assert!(is_denied(&harness.receive(2_050, 3, renew)));
     harness.receive(2_100, 1, MessageBody::ReleaseLease { token: FIRST, was_holder: false });
-    let asked = harness.receive(2_101, 3, renew);
-    let [Action::Persist { batch, .. }] = asked.as_slice() else {
-        panic!("no vote for the holder: {asked:?}")
+    let actions = harness.receive(2_101, 3, renew);
+    let [Action::Persist { batch, .. }] = actions.as_slice() else {
+        panic!("no vote for the holder: {actions:?}")
     };
     let voted = harness.handle(2_102, Event::Persisted { batch: *batch });
     assert_eq!(sent_bodies(&voted), [MessageBody::VoteGranted { request_id: REQUEST_ID, token: FIRST }]);
-    // Nor does the one that gave it up get it back, though two that claim one token are a violation in themselves.
-    let _tolerance = lugwharf_invariants::suppress_panics();
+    // The process that released the token cannot reclaim it. Two processes claiming the same token violate an
+    // invariant, so panics are suppressed.
+    let _suppression = lugwharf_invariants::suppress_panics();
     assert!(is_denied(&harness.receive(2_103, 1, renew)));
 }
--- a/crates/election/tests/encoded_forms.rs
+++ b/crates/election/tests/encoded_forms.rs
@@ -1,5 +1,6 @@
-//! Messages and log records byte for byte as the release 1a8c4db encodes them. The hex is captured from its encoder and
-//! never changes: processes of different releases run side by side, and a new release reads an old log.
+//! Pins the encoding of messages and log records byte for byte to that of release 1a8c4db. The hex literals
+//! were captured from its encoder and must not change, since processes of different releases communicate with
+//! each other, and a new release reads the logs of an old one.
 
 use lugwharf_election::{
     Action, BatchId, Elector, ElectorSettings, Event, FencingToken, LeaseHolder, Message, MessageBody, Role,
@@ -17,13 +18,13 @@
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
-    (0..hex.len()).step_by(2).map(digits).collect()
+    let byte_at = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
+    (0..hex.len()).step_by(2).map(byte_at).collect()
 }
 
 fn encoded(message: &Message) -> String {
     let mut bytes = Vec::new();
-    ciborium::into_writer(message, &mut bytes).expect("encodable");
+    ciborium::into_writer(message, &mut bytes).expect("message is encodable");
     hex(&bytes)
 }
 
@@ -36,7 +37,7 @@
 #[case::vote_denied(Role::ListWatcher, MessageBody::VoteDenied { request_id: REQUEST_ID, highest_token: TOKEN }, "a364726f6c656a4c69737452656164657264766965770364626f6479a166526566757365a265726f756e640967686967686573741a03000001")]
 #[case::release_by_a_holder(Role::ListWatcher, MessageBody::ReleaseLease { token: TOKEN, was_holder: true }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f5")]
 #[case::release_by_a_candidate(Role::ListWatcher, MessageBody::ReleaseLease { token: TOKEN, was_holder: false }, "a364726f6c656a4c69737452656164657264766965770364626f6479a16752656c65617365a265746f6b656e1a030000016468656c64f4")]
-#[case::the_other_role(Role::StagePlanner, MessageBody::RenewLease { request_id: u64::MAX, token: TOKEN }, "a364726f6c656b53746167654f726465727364766965770364626f6479a16552656e6577a265726f756e641bffffffffffffffff65746f6b656e1a03000001")]
+#[case::stage_planner(Role::StagePlanner, MessageBody::RenewLease { request_id: u64::MAX, token: TOKEN }, "a364726f6c656b53746167654f726465727364766965770364626f6479a16552656e6577a265726f756e641bffffffffffffffff65746f6b656e1a03000001")]
 fn a_message_has_the_captured_bytes(#[case] role: Role, #[case] body: MessageBody, #[case] captured: &str) {
     let message = Message { role, view: VIEW, body };
     assert_eq!(encoded(&message), captured);
@@ -45,10 +46,10 @@
     assert_eq!(encoded(&decoded), captured);
 }
 
-/// A voter among three, with the records of its log.
-fn voter(role: Role, me: SocketAddr, members: Vec<SocketAddr>, records: &[Vec<u8>]) -> Elector {
+/// Returns an elector that votes in a view of `members`, restored from the records of its log.
+fn voter(role: Role, local_address: SocketAddr, members: Vec<SocketAddr>, records: &[Vec<u8>]) -> Elector {
     let settings = ElectorSettings {
-        local_address: me,
+        local_address,
         role,
         lease_duration: Duration::from_millis(1_000),
         renew_interval: Duration::from_millis(250),
@@ -61,9 +62,9 @@
     elector
 }
 
-/// The record that a voter stores before it votes for `candidate`.
-fn stored(role: Role, me: SocketAddr, candidate: SocketAddr) -> Vec<u8> {
-    let mut elector = voter(role, me, vec![me, candidate], &[]);
+/// Returns the record that a voter persists before it votes for `candidate`.
+fn grant_record(role: Role, local_address: SocketAddr, candidate: SocketAddr) -> Vec<u8> {
+    let mut elector = voter(role, local_address, vec![local_address, candidate], &[]);
     let body = MessageBody::RequestVote { request_id: REQUEST_ID, token: TOKEN };
     let message = Message { role, view: VIEW, body };
     let mut actions = Vec::new();
@@ -72,7 +73,7 @@
         Action::Persist { batch: BatchId(1), records } => Some(records.clone()),
         _ => None,
     });
-    let records = records.expect("a write");
+    let records = records.expect("a persist action");
     assert_eq!(records.len(), 1);
     records[0].clone()
 }
@@ -90,18 +91,18 @@
     "[2001:db8::7]:7700",
     "a364726f6c656a4c69737452656164657265746f6b656e1a0300000166686f6c646572a162563682901820010d18b8000000000000000000000007191e14"
 )]
-#[case::the_other_role(
+#[case::stage_planner(
     Role::StagePlanner,
     "10.0.0.1:7000",
     "10.0.0.2:65535",
     "a364726f6c656b53746167654f726465727365746f6b656e1a0300000166686f6c646572a162563482840a00000219ffff"
 )]
 fn a_grant_record_has_the_captured_bytes(
-    #[case] role: Role, #[case] me: SocketAddr, #[case] holder: SocketAddr, #[case] captured: &str,
+    #[case] role: Role, #[case] local_address: SocketAddr, #[case] holder: SocketAddr, #[case] captured: &str,
 ) {
-    assert_eq!(hex(&stored(role, me, holder)), captured);
-    let recovered = voter(role, me, vec![me, holder], &[bytes(captured)]);
+    assert_eq!(hex(&grant_record(role, local_address, holder)), captured);
+    let recovered = voter(role, local_address, vec![local_address, holder], &[bytes(captured)]);
     assert_eq!(recovered.granted_to(Duration::ZERO), Some(LeaseHolder { address: holder, token: TOKEN }));
-    let again: Vec<String> = recovered.snapshot_records().iter().map(|record| hex(record)).collect();
-    assert_eq!(again, [captured]);
+    let reencoded: Vec<String> = recovered.snapshot_records().iter().map(|record| hex(record)).collect();
+    assert_eq!(reencoded, [captured]);
 }
--- a/crates/election/tests/simulation/digests.rs
+++ b/crates/election/tests/simulation/digests.rs
@@ -1,31 +1,31 @@
-//! Digests of whole simulations, captured from the release 1a8c4db: what is sent and stored, when, and by whom. They
-//! are literal and never change with the source's names: a change of behaviour, of an encoded byte or of the number or
-//! order of draws from a generator changes them.
+//! Digests of entire simulations, captured from release 1a8c4db. They cover what is sent and stored, when,
+//! and by which process. Renaming identifiers in the source does not change them; a change in behaviour, in
+//! an encoded byte, or in the number or order of values drawn from a generator does.
 
 use crate::world::{LEASE, World};
 use crate::{FAULT_TIME, SETTLE_TIME, STABLE_TIME, faults, partitions};
 use rstest::rstest;
 use std::time::Duration;
 
-/// Seeds of each kind, from 0 on.
+/// The number of seeds per simulation, starting at 0.
 const SEEDS: u64 = 24;
 
-/// One digest over the digests of all seeds.
-fn digest(play: impl Fn(u64) -> World) -> u64 {
-    let mut all = crate::trace::Trace::new();
+/// Returns one digest over the digests of all seeds.
+fn digest(simulate: impl Fn(u64) -> World) -> u64 {
+    let mut combined = crate::trace::Trace::new();
     for seed in 0..SEEDS {
-        let digest = play(seed).digest();
+        let digest = simulate(seed).digest();
         println!("seed {seed}: {digest:#018x}");
-        all.fold_number(digest);
+        combined.fold_number(digest);
     }
-    all.digest()
+    combined.digest()
 }
 
-/// A world in which a process has won the role, and that process.
+/// Returns a world in which a process holds the role, and that process.
 fn world_with_holder(seed: u64, members: usize, spares: usize) -> (World, usize) {
     let mut world = World::new(seed, members, spares);
     world.run_for(SETTLE_TIME);
-    let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
+    let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
     (world, holder)
 }
 
@@ -33,26 +33,26 @@
 #[case::three(3, 1, 0x985c_26f8_971b_43cc)]
 #[case::five(5, 2, 0xd69b_f9a4_1c26_5ea3)]
 fn digest_of_faults_and_healing(#[case] members: usize, #[case] spares: usize, #[case] captured: u64) {
-    let play = |seed| {
+    let simulate = |seed| {
         let mut world = World::new(seed, members, spares);
         faults::inject_faults(&mut world, FAULT_TIME);
         faults::heal(&mut world);
         world.run_for(SETTLE_TIME + STABLE_TIME);
         world
     };
-    assert_eq!(digest(play), captured);
+    assert_eq!(digest(simulate), captured);
 }
 
 #[rstest]
 #[case::three(3, 0x0c12_7219_1bbf_a07f)]
 #[case::five(5, 0x449a_6b04_e7ff_4707)]
 fn digest_of_a_simultaneous_start(#[case] members: usize, #[case] captured: u64) {
-    let play = |seed| {
+    let simulate = |seed| {
         let mut world = World::new(seed, members, 0);
         world.run_for(SETTLE_TIME + STABLE_TIME);
         world
     };
-    assert_eq!(digest(play), captured);
+    assert_eq!(digest(simulate), captured);
 }
 
 #[rstest]
@@ -60,7 +60,7 @@
 #[case::with_a_view_after_300_ms(Some(300), 0xc3dd_c51a_87fc_23f4)]
 #[case::with_a_view_after_950_ms(Some(950), 0xae72_969a_e383_3dbf)]
 fn digest_of_a_killed_holder(#[case] view_after_ms: Option<u64>, #[case] captured: u64) {
-    let play = |seed| {
+    let simulate = |seed| {
         let (mut world, holder) = world_with_holder(seed, 3, 1);
         world.kill(holder);
         if let Some(after) = view_after_ms {
@@ -70,26 +70,26 @@
         world.run_for(LEASE * 3);
         world
     };
-    assert_eq!(digest(play), captured);
+    assert_eq!(digest(simulate), captured);
 }
 
 #[rstest]
 #[case(0x64b6_af0a_ac7f_f419)]
 fn digest_of_a_resigned_holder(#[case] captured: u64) {
-    let play = |seed| {
+    let simulate = |seed| {
         let (mut world, holder) = world_with_holder(seed, 3, 0);
         world.resign(holder);
         world.run_for(LEASE * 2);
         world
     };
-    assert_eq!(digest(play), captured);
+    assert_eq!(digest(simulate), captured);
 }
 
 #[rstest]
 #[case::of_the_holder(false, 0x0f25_6781_42af_bc2a)]
 #[case::of_all(true, 0xec61_f080_4f41_855b)]
 fn digest_of_stepping_down(#[case] all: bool, #[case] captured: u64) {
-    let play = |seed| {
+    let simulate = |seed| {
         let (mut world, holder) = world_with_holder(seed, 3, 0);
         for process in (0..world.len()).filter(|process| all || *process == holder) {
             world.step_down(process, LEASE);
@@ -97,21 +97,21 @@
         world.run_for(LEASE * 4);
         world
     };
-    assert_eq!(digest(play), captured);
+    assert_eq!(digest(simulate), captured);
 }
 
-/// A holder that is a member of the next view keeps the role.
+/// A holder that is also a member of the next view keeps the role.
 #[rstest]
 #[case(0xe066_dcad_d094_2a2a)]
 fn digest_of_a_view_change(#[case] captured: u64) {
-    let play = |seed| {
+    let simulate = |seed| {
         let (mut world, holder) = world_with_holder(seed, 3, 1);
         let leaving = world.members().into_iter().find(|member| *member != holder);
         world.replace_in_view(leaving.unwrap_or_default());
         world.run_for(LEASE * 4);
         world
     };
-    assert_eq!(digest(play), captured);
+    assert_eq!(digest(simulate), captured);
 }
 
 #[rstest]
@@ -124,7 +124,7 @@
 fn digest_of_a_partitioned_holder(
     #[case] kind: partitions::Partition, #[case] slow_ms: u64, #[case] captured: u64,
 ) {
-    let play = |seed| {
+    let simulate = |seed| {
         let (mut world, holder) = world_with_holder(seed, 5, 0);
         world.slow_down(holder, Duration::from_millis(slow_ms));
         world.run_for(LEASE);
@@ -135,5 +135,5 @@
         world.run_for(LEASE * 3);
         world
     };
-    assert_eq!(digest(play), captured);
+    assert_eq!(digest(simulate), captured);
 }
--- a/crates/election/tests/simulation/faults.rs
+++ b/crates/election/tests/simulation/faults.rs
@@ -1,9 +1,9 @@
-//! Faults that are drawn from the seed.
+//! Random fault injection, determined by the seed.
 
 use crate::world::World;
 use std::time::Duration;
 
-/// Injects random faults for so long.
+/// Injects random faults for `time`.
 pub fn inject_faults(world: &mut World, time: Duration) {
     world.slow_view_updates = true;
     let end = world.now() + time;
@@ -14,7 +14,7 @@
     }
 }
 
-/// Ends all faults; processes whose disk was lost are admitted by a new view.
+/// Ends all faults. A new view admits the processes whose disk was lost.
 pub fn heal(world: &mut World) {
     world.blocked_links.clear();
     world.slow_links = false;
@@ -58,7 +58,7 @@
     }
 }
 
-/// Disks are lost only as long as a majority of the members keep theirs.
+/// Loses the disk of a process, provided that a majority of the members still keep theirs.
 fn lose_disk(world: &mut World, process: usize) {
     let members = world.members();
     let lost = members.iter().filter(|member| world.has_lost_disk(**member)).count();
@@ -75,7 +75,7 @@
     }
 }
 
-/// Partitions the processes into two sides.
+/// Partitions the processes randomly into two sides.
 fn partition(world: &mut World) {
     let sides: Vec<bool> = (0..world.len()).map(|_| world.random.bool()).collect();
     for from in 0..sides.len() {
--- a/crates/election/tests/simulation/main.rs
+++ b/crates/election/tests/simulation/main.rs
@@ -1,5 +1,6 @@
-//! A whole control plane on virtual time from one seed. `ELECTION_SEED=17 cargo test -p lugwharf-election --test simulation`
-//! replays one seed; `ELECTION_SEEDS=100000` plays more of them than the fixed ones.
+//! Simulations of an entire control plane in virtual time, each determined by a seed. `ELECTION_SEED=17 cargo
+//! test -p lugwharf-election --test simulation` replays a single seed; `ELECTION_SEEDS=100000` sets the
+//! number of seeds to run.
 
 mod bounds;
 mod digests;
@@ -14,7 +15,7 @@
 use std::time::Duration;
 use world::{LEASE, POLL, World};
 
-/// Seeds played by default, from 0 on.
+/// The number of seeds run by default, starting at 0.
 const SEEDS: u64 = 300;
 const FAULT_TIME: Duration = Duration::from_secs(30);
 const SETTLE_TIME: Duration = Duration::from_secs(6);
@@ -28,7 +29,8 @@
     }
 }
 
-/// One holder at a time in true time, growing tokens, and a stable holder once all faults have ended.
+/// There is at most one holder at any time, tokens increase, and the holder is stable once all faults have
+/// ended.
 #[rstest]
 #[case::three(3, 1)]
 #[case::five(5, 2)]
@@ -38,11 +40,12 @@
         faults::inject_faults(&mut world, FAULT_TIME);
         faults::heal(&mut world);
         world.run_for(SETTLE_TIME);
-        let held =
-            world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role after the faults"));
+        let held = world
+            .holder()
+            .unwrap_or_else(|| panic!("seed {seed}: no process holds the role after the faults"));
         world.run_for(STABLE_TIME);
         assert_eq!(world.holder(), Some(held), "seed {seed}: the holder changed without a fault");
-        // Else the role rests on a bare majority.
+        // Otherwise the holder would depend on a bare majority.
         assert_eq!(
             world.voters_not_supporting(held),
             Vec::<usize>::new(),
@@ -51,7 +54,7 @@
     }
 }
 
-/// Processes that start together often campaign at once, under the same token.
+/// Processes that start simultaneously often campaign at the same time under the same token.
 #[rstest]
 #[case::three(3)]
 #[case::five(5)]
@@ -59,7 +62,7 @@
     for seed in seeds() {
         let mut world = World::new(seed, members, 0);
         world.run_for(SETTLE_TIME + STABLE_TIME);
-        let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
+        let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
         assert_eq!(
             world.voters_not_supporting(held),
             Vec::<usize>::new(),
@@ -68,7 +71,7 @@
     }
 }
 
-/// The constants bound the time from a kill to the next holder; see `bounds`.
+/// The time from the kill of the holder to the next holder is bounded by constants; see `bounds`.
 #[rstest]
 fn killed_holder_is_succeeded_within_the_bound(
     #[values(None, Some(300), Some(950))] view_after_ms: Option<u64>,
@@ -78,18 +81,19 @@
     println!("longest vacancy {longest:?} with a lease of {LEASE:?}, bound {bound:?}");
 }
 
-/// The leases that two voters granted the killed holder end some ms apart. The voter whose lease ends first sends a pre-vote
-/// in between and is denied by the other one, while the dead process does not answer.
+/// The leases that two voters granted to the killed holder expire a few ms apart. The voter whose lease
+/// expires first sends a pre-vote before the other lease expires and is denied by the other voter, while the
+/// killed process does not respond.
 #[test]
-fn pre_vote_is_resent_when_it_came_before_the_last_lease_ended() {
+fn pre_vote_sent_before_the_last_lease_expired_is_resent() {
     vacancy(4_780, None);
 }
 
-/// For how long the role is vacant after the holder is killed; panics if that is above the bound.
+/// Returns how long the role is vacant after the holder is killed. Panics if that exceeds the bound.
 fn vacancy(seed: u64, view_after: Option<Duration>) -> Duration {
     let mut world = World::new(seed, 3, 1);
     world.run_for(SETTLE_TIME);
-    let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
+    let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
     let killed = world.now();
     world.kill(holder);
     if let Some(after) = view_after {
@@ -105,13 +109,13 @@
     world.now() - killed
 }
 
-/// A holder that resigns is succeeded without waiting for its lease.
+/// A successor is elected after a resignation without waiting for the lease to expire.
 #[test]
-fn resigned_holder_is_succeeded_at_once() {
+fn resigned_holder_is_succeeded_immediately() {
     for seed in seeds() {
         let mut world = World::new(seed, 3, 0);
         world.run_for(SETTLE_TIME);
-        let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
+        let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
         world.resign(holder);
         world.run_for(LEASE / 2);
         let (next, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: no successor"));
@@ -119,29 +123,30 @@
     }
 }
 
-/// A holder that steps down is succeeded as fast, and does not return while its successor holds the role.
+/// A successor is elected as quickly after a step-down, and the previous holder does not return while the
+/// successor holds the role.
 #[test]
 fn holder_that_steps_down_is_succeeded_and_does_not_return() {
     for seed in seeds() {
         let mut world = World::new(seed, 3, 0);
         world.run_for(SETTLE_TIME);
-        let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
+        let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
         world.step_down(holder, LEASE);
         world.run_for(LEASE / 2);
         let next = world.holder().unwrap_or_else(|| panic!("seed {seed}: no successor"));
         assert_ne!(next.0, holder, "seed {seed}");
         world.run_for(STABLE_TIME);
-        assert_eq!(world.holder(), Some(next), "seed {seed}: it returned");
+        assert_eq!(world.holder(), Some(next), "seed {seed}: the previous holder returned");
     }
 }
 
-/// Where no other process can be elected, one that stepped down holds the role again soon.
+/// If no other process can be elected, a process that stepped down soon holds the role again.
 #[test]
-fn role_returns_when_every_process_stepped_down() {
+fn role_is_held_again_after_every_process_stepped_down() {
     for seed in seeds() {
         let mut world = World::new(seed, 3, 0);
         world.run_for(SETTLE_TIME);
-        let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
+        let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
         for process in 0..world.len() {
             world.step_down(process, LEASE);
         }
@@ -151,13 +156,13 @@
     }
 }
 
-/// A holder that is a member of the next view keeps the role and its token.
+/// A holder that is also a member of the next view keeps the role and its token.
 #[test]
 fn holder_keeps_its_lease_over_a_view_change() {
     for seed in seeds() {
         let mut world = World::new(seed, 3, 1);
         world.run_for(SETTLE_TIME);
-        let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
+        let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
         let leaving = world.members().into_iter().find(|member| *member != held.0);
         world.replace_in_view(leaving.unwrap_or_default());
         world.run_for(LEASE * 4);
@@ -165,7 +170,8 @@
     }
 }
 
-/// A quota of processor time: each process runs for 40 ms of each 100 ms, all of them out of step. The holder stays the holder.
+/// The holder keeps its lease under a CPU quota that lets each process run for 40 ms of every 100 ms, at
+/// different offsets.
 #[rstest]
 #[case::three(3)]
 #[case::five(5)]
@@ -176,7 +182,7 @@
     for seed in seeds().take(60) {
         let mut world = World::new(seed, members, 0);
         world.run_for(SETTLE_TIME);
-        let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
+        let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
         for step in 0..500 {
             for process in 0..members {
                 if (step + process) % STEPS_PER_PERIOD < RUNNING_STEPS {
--- a/crates/election/tests/simulation/partitions.rs
+++ b/crates/election/tests/simulation/partitions.rs
@@ -1,5 +1,5 @@
-//! A holder that is partitioned or paused for 20 s and longer, with a worker at each process that acts in the role
-//! whenever it may. Clocks drift within bounds; the processor of the holder may be slow.
+//! Tests of a holder that is partitioned or paused for 20 s. A worker at each process acts in the role
+//! whenever it is allowed to. Clocks drift within the bound, and the holder's processor may be slow.
 
 use crate::bounds;
 use crate::world::{LEASE, World};
@@ -11,33 +11,34 @@
 const SETTLE_TIME: Duration = Duration::from_secs(6);
 const PARTITION_TIME: Duration = Duration::from_secs(20);
 const HEALED_TIME: Duration = Duration::from_secs(5);
-/// Seeds per case; each is half a minute of virtual time in steps of 1 ms.
+/// The number of seeds per case. Each seed simulates half a minute of virtual time in steps of 1 ms.
 const SEEDS: u64 = 10;
 
-/// How the holder is partitioned from the other control processes. Its agents and the platform stay reachable, as the
-/// workers here act without links.
+/// The kind of partition between the holder and the other control processes. Its agents and the platform
+/// remain reachable: the simulated workers act without using links.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Partition {
-    /// No message passes.
+    /// No message passes in either direction.
     Isolated,
-    /// The holder receives no message; those that it sends arrive.
+    /// The holder receives no messages, but its own messages arrive.
     NoInbound,
-    /// No message of the holder arrives; it receives those of others.
+    /// No message from the holder arrives, but it receives the messages of others.
     NoOutbound,
-    /// The holder is connected to one other member of five, and so to no majority.
+    /// The holder is connected to only one of the other four members, and thus to no majority.
     OnePeerReachable,
     /// The process is paused.
     Paused,
 }
 
-/// Which process acted last, when and under which token.
+/// Records which process acted last, when, and under which token.
 struct ActLog {
     seed: u64,
     last: Option<(Duration, usize, FencingToken)>,
 }
 
 impl ActLog {
-    /// Records an act; panics if a token acts after a higher one, or two processes act under one.
+    /// Records an action. Panics if it uses a lower token than an earlier action, or if two processes act
+    /// under the same token.
     fn record(&mut self, at: Duration, process: usize, token: FencingToken) {
         if let Some((_, before, highest)) = self.last {
             let seed = self.seed;
@@ -45,12 +46,15 @@
                 token >= highest,
                 "seed {seed} at {at:?}: {process} acts under {token:?} after {highest:?}"
             );
-            assert!(token > highest || process == before, "seed {seed} at {at:?}: two act under {token:?}");
+            assert!(
+                token > highest || process == before,
+                "seed {seed} at {at:?}: two processes act under {token:?}"
+            );
         }
         self.last = Some((at, process, token));
     }
 
-    /// Lets time pass; returns when `watched` last acted under its token.
+    /// Runs the world for `time`. Returns the time at which `watched` last acted under its token.
     fn run(&mut self, world: &mut World, time: Duration, watched: (usize, FencingToken)) -> Option<Duration> {
         let end = world.now() + time;
         let mut last = None;
@@ -69,10 +73,10 @@
 }
 
 pub fn partition(world: &mut World, partition: Partition, holder: usize) {
-    let near = (0..world.len()).find(|process| *process != holder);
+    let reachable_peer = (0..world.len()).find(|process| *process != holder);
     for other in (0..world.len()).filter(|other| *other != holder) {
         match partition {
-            Partition::OnePeerReachable if Some(other) == near => {}
+            Partition::OnePeerReachable if Some(other) == reachable_peer => {}
             Partition::Isolated | Partition::OnePeerReachable => {
                 world.blocked_links.insert((holder, other));
                 world.blocked_links.insert((other, holder));
@@ -87,11 +91,11 @@
     }
 }
 
-/// A world whose holder has acted for a lease, and the holder.
+/// Returns a world whose holder has acted for one lease duration, and the holder.
 fn world_with_holder(seed: u64, members: usize, slow: Duration) -> (World, ActLog, (usize, FencingToken)) {
     let mut world = World::new(seed, members, 0);
     world.run_for(SETTLE_TIME);
-    let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: nobody holds the role"));
+    let held = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
     world.slow_down(held.0, slow);
     let mut log = ActLog { seed, last: None };
     let acted = log.run(&mut world, LEASE, held);
@@ -99,8 +103,9 @@
     (world, log, held)
 }
 
-/// The old holder stops acting a lease after the partition at the latest, before another one acts, and does not act again
-/// under its token when the partition heals. The others have a holder by then.
+/// The old holder stops acting within one lease duration after the start of the partition and before a
+/// successor acts, and does not act under its token again after the partition heals. By then the other
+/// processes have elected a successor.
 #[rstest]
 #[case::isolated_of_three(3, Partition::Isolated)]
 #[case::isolated_of_five(5, Partition::Isolated)]
@@ -120,7 +125,10 @@
         let started_at = world.now();
         partition(&mut world, kind, held.0);
         let last = log.run(&mut world, PARTITION_TIME, held).map(|last| last - started_at);
-        assert!(last.unwrap_or_default() <= LEASE, "seed {seed}: acts {last:?} after its partition");
+        assert!(
+            last.unwrap_or_default() <= LEASE,
+            "seed {seed}: acts {last:?} after the start of its partition"
+        );
         let successor = log.last.filter(|(at, process, _)| *process != held.0 && *at == world.now());
         assert!(successor.is_some(), "seed {seed}: no other holder acts after {PARTITION_TIME:?}");
 
@@ -128,12 +136,15 @@
         if let Some(token) = world.resume_workers_first(held.0) {
             log.record(world.now(), held.0, token);
         }
-        let after = log.run(&mut world, HEALED_TIME, held);
-        assert_eq!(after, None, "seed {seed}: acts under its old token after the partition");
+        let last_after_healing = log.run(&mut world, HEALED_TIME, held);
+        assert_eq!(
+            last_after_healing, None,
+            "seed {seed}: acts under its old token after the partition healed"
+        );
     }
 }
 
-/// All others are paused longer, so that there is no later token when the old holder resumes.
+/// All other processes are paused for longer, so that no later token exists when the old holder resumes.
 #[rstest]
 fn paused_holder_does_not_act_on_resume_before_a_successor(#[values(3, 5)] members: usize) {
     for seed in 0..SEEDS {
@@ -144,13 +155,17 @@
         assert_eq!(log.run(&mut world, HEALED_TIME, held), None, "seed {seed}");
         (0..members).for_each(|process| world.resume(process));
         assert_eq!(log.run(&mut world, HEALED_TIME, held), None, "seed {seed}");
-        assert!(log.last.is_some_and(|(_, _, token)| token > held.1), "seed {seed}: nobody acts");
+        assert!(
+            log.last.is_some_and(|(_, _, token)| token > held.1),
+            "seed {seed}: no process acts under a later token"
+        );
     }
 }
 
-/// Where its voters receive nothing from the holder, it is succeeded within the bound for a killed one.
+/// If its voters receive nothing from the holder, a successor is elected within the same bound as after a
+/// kill.
 #[rstest]
-fn partitioned_holder_is_succeeded_as_a_killed_one(
+fn partitioned_holder_is_succeeded_within_the_bound_for_a_killed_one(
     #[values(Partition::Isolated, Partition::NoOutbound, Partition::Paused)] kind: Partition,
 ) {
     let bound = bounds::max_vacancy(None);
--- a/crates/election/tests/simulation/process.rs
+++ b/crates/election/tests/simulation/process.rs
@@ -1,4 +1,4 @@
-//! One simulated process with its clock and its disk.
+//! A simulated process with its clock and disk.
 
 use crate::world::DRIFT_PERCENT;
 use fastrand::Rng;
@@ -25,23 +25,24 @@
     pub incarnation: u64,
     pub is_paused: bool,
     pub pending_events: Vec<Event>,
-    /// The steady clock: its rate against true time and its time at the start of the world.
+    /// The steady clock: its rate relative to true time, and its time at the start of the world.
     pub rate: f64,
     pub offset: Duration,
     pub log: Vec<Vec<u8>>,
-    /// Records whose writes are in flight.
+    /// The records whose writes are in flight.
     pub unsynced: Vec<Vec<u8>>,
-    /// The last view for whose successor it accepted a proposal, synced.
+    /// The last view for whose successor the process has accepted and synced a proposal.
     pub sealed: u64,
     pub known_view: Option<View>,
-    /// The view in which its disk was lost: it votes in later views only.
+    /// The view in which the disk was lost. The process votes only in later views.
     pub disk_lost_in: u64,
     pub disk_fails: bool,
     pub disk_stalls: bool,
-    /// How long an event waits for the processor at most, and until when the last one does.
+    /// The maximum time for which an event waits for the processor, and the time until which the last event
+    /// waits.
     pub max_event_delay: Duration,
     pub busy_until: Duration,
-    /// The lease as the elector's driver has reported it to its workers.
+    /// The lease last reported by the elector's driver to its workers.
     pub reported_lease: Option<Lease>,
 }
 
--- a/crates/election/tests/simulation/refusals.rs
+++ b/crates/election/tests/simulation/refusals.rs
@@ -1,7 +1,6 @@
-//! Holders that order servers, which remember the highest fencing token that they have seen and refuse lower ones.
-//!
-//! Refusals are lost, late and doubled; processes are paused, killed and partitioned; servers restart, which makes them forget
-//! their token, or remember a token that no holder ever had.
+//! Tests of holders that send orders to servers. A server stores the highest fencing token that it has seen
+//! and refuses orders with lower tokens. Refusals are lost, delayed and duplicated; processes are paused,
+//! killed and partitioned; servers restart, which resets their token or sets it to one that was never issued.
 
 use crate::faults;
 use crate::world::{POLL, World};
@@ -15,14 +14,16 @@
 const FAULT_TIME: Duration = Duration::from_secs(20);
 const HEALED_TIME: Duration = Duration::from_secs(40);
 const SETTLED_TIME: Duration = Duration::from_secs(3);
-/// Longer than a lease of the world, so that a refusal may come when the next one is held.
+/// Longer than a lease duration of the simulated world, so that a refusal may arrive when the next lease is
+/// already held.
 const MAX_REFUSAL_DELAY_MS: u64 = 2_500;
-/// As in `lugwharf-stages`: a server that refused so many tokens of a process gets no more orders from it.
+/// Same as in `lugwharf-stages`: a server that has refused this many tokens of a process receives no more
+/// orders from it.
 const MAX_REFUSED_TOKENS: usize = 2;
-/// How far the wrong memory of a server is above all tokens of a run.
-const WRONG_MEMORY: u64 = 1 << 40;
+/// A value that, shifted left by 20 bits, is a token far above all tokens of a run.
+const UNISSUED_TOKEN_BASE: u64 = 1 << 40;
 
-/// A refusal on its way to the process that sent the order.
+/// A refusal in flight to the process that sent the order.
 #[derive(Clone, Copy)]
 struct Refusal {
     due_at: Duration,
@@ -31,21 +32,21 @@
     token: FencingToken,
 }
 
-struct Scene {
+struct OrderSimulation {
     world: World,
-    /// The highest token that each server remembers.
+    /// The highest token stored by each server.
     seen_tokens: [FencingToken; SERVERS],
     refusals: Vec<Refusal>,
-    /// The processes that know that their token was refused.
+    /// The processes that have been informed of the refusal of their token, with the token.
     refused: BTreeSet<(usize, FencingToken)>,
-    /// By process and server: the tokens that were refused.
+    /// The refused tokens by process and server.
     refused_by: BTreeMap<(usize, usize), BTreeSet<FencingToken>>,
     orders: usize,
 }
 
-impl Scene {
-    fn new(seed: u64, members: usize) -> Scene {
-        Scene {
+impl OrderSimulation {
+    fn new(seed: u64, members: usize) -> OrderSimulation {
+        OrderSimulation {
             world: World::new(seed, members, 1),
             seen_tokens: Default::default(),
             refusals: Vec::new(),
@@ -79,7 +80,7 @@
         }
         assert!(
             !self.refused.contains(&(process, token)),
-            "seed {}: {process} acts under {token:?}, though it knows that this was refused",
+            "seed {}: {process} acts under {token:?}, although it knows that the token was refused",
             self.world.seed
         );
         self.orders += 1;
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Those that are due; a process that is down or paused gets none.
+    /// Delivers the refusals that are due. Refusals to a process that is down or paused are lost.
     fn deliver_refusals(&mut self) {
         let now = self.world.now();
         let (due, later) = self.refusals.iter().copied().partition(|refusal| refusal.due_at <= now);
@@ -110,18 +111,18 @@
         }
     }
 
-    /// A server restarts and forgets its token, or remembers one that nobody had.
-    fn disturb_server(&mut self) {
+    /// Restarts a random server, which resets its token or sets it to one that was never issued.
+    fn restart_random_server(&mut self) {
         let server = self.world.random.usize(..SERVERS);
         self.seen_tokens[server] = match self.world.random.u8(..6) {
-            0 => FencingToken(WRONG_MEMORY << 20),
+            0 => FencingToken(UNISSUED_TOKEN_BASE << 20),
             _ => FencingToken::default(),
         };
     }
 }
 
-/// Once a process knows that its token was refused, it acts under it no more; and a server with a wrong memory, which refuses
-/// all, does not keep the role from settling.
+/// A process that knows that its token was refused does not act under it again. A server that refuses all
+/// orders because of a token that was never issued does not prevent the role from becoming stable.
 #[rstest]
 #[case::three(3)]
 #[case::five(5)]
@@ -129,25 +130,28 @@
     let mut orders = 0;
     let mut refused = 0;
     for seed in 0..SEEDS {
-        let mut scene = Scene::new(seed, members);
-        let end = scene.world.now() + FAULT_TIME;
-        while scene.world.now() < end {
-            let pause = Duration::from_millis(scene.world.random.u64(5..900));
-            scene.run_for(pause, true);
-            faults::inject_fault(&mut scene.world);
-            scene.disturb_server();
+        let mut simulation = OrderSimulation::new(seed, members);
+        let end = simulation.world.now() + FAULT_TIME;
+        while simulation.world.now() < end {
+            let pause = Duration::from_millis(simulation.world.random.u64(5..900));
+            simulation.run_for(pause, true);
+            faults::inject_fault(&mut simulation.world);
+            simulation.restart_random_server();
         }
-        faults::heal(&mut scene.world);
-        // One server stays wrong for good.
-        scene.seen_tokens[0] = FencingToken(WRONG_MEMORY << 20);
-        scene.run_for(HEALED_TIME, false);
-        let held = scene.world.holder();
-        assert!(held.is_some(), "seed {seed}: nobody holds the role");
-        scene.run_for(SETTLED_TIME, false);
-        assert_eq!(scene.world.holder(), held, "seed {seed}: the role goes round");
-        orders += scene.orders;
-        refused += scene.refused.len();
+        faults::heal(&mut simulation.world);
+        // One server permanently keeps a token that was never issued.
+        simulation.seen_tokens[0] = FencingToken(UNISSUED_TOKEN_BASE << 20);
+        simulation.run_for(HEALED_TIME, false);
+        let held = simulation.world.holder();
+        assert!(held.is_some(), "seed {seed}: no process holds the role");
+        simulation.run_for(SETTLED_TIME, false);
+        assert_eq!(simulation.world.holder(), held, "seed {seed}: the holder changed without a fault");
+        orders += simulation.orders;
+        refused += simulation.refused.len();
     }
-    assert!(orders > 0 && refused > 0, "{orders} orders, {refused} tokens refused: nothing was tested");
+    assert!(
+        orders > 0 && refused > 0,
+        "{orders} orders, {refused} refused tokens: the test is not effective"
+    );
     println!("{orders} orders, {refused} tokens refused");
 }
--- a/crates/election/tests/simulation/world.rs
+++ b/crates/election/tests/simulation/world.rs
@@ -1,4 +1,4 @@
-//! The processes, links, disks and views of one simulated control plane.
+//! A simulated control plane: processes, links, disks and views.
 
 use crate::process::{Process, View, address, index};
 use crate::trace::Trace;
@@ -14,23 +14,23 @@
 const RENEW_INTERVAL: Duration = Duration::from_millis(250);
 pub const TICK: Duration = Duration::from_millis(25);
 pub const DRIFT_PERCENT: u32 = 2;
-/// The delay of a message, where links are not slow.
+/// The delay of a message if links are not slow.
 const MIN_DELAY: Duration = Duration::from_micros(500);
 pub const MAX_DELAY: Duration = Duration::from_micros(4_500);
 const SLOW_DELAY: Duration = Duration::from_micros(1_500_500);
-/// The time that a sync takes, where the disk does not stall.
+/// The duration of a sync if the disk does not stall.
 const MIN_SYNC: Duration = Duration::from_millis(1);
 pub const MAX_SYNC: Duration = Duration::from_millis(9);
 const STALLED_SYNC: Duration = Duration::from_millis(3_001);
-/// The longest delay of a view update, where updates are not slow.
+/// The maximum delay of a view update if updates are not slow.
 pub const MAX_VIEW_DELAY: Duration = Duration::from_millis(30);
 const MAX_SLOW_VIEW_DELAY: Duration = Duration::from_millis(3_000);
-/// How often a case checks who holds the role.
+/// The interval at which tests check who holds the role.
 pub const POLL: Duration = Duration::from_millis(5);
 
-/// What happens at a later time. What is meant for an earlier incarnation of a process is dropped.
+/// An event scheduled for a later time. Events for an earlier incarnation of a process are dropped.
 #[derive(Clone, Debug)]
-enum Scheduled {
+enum ScheduledEvent {
     Tick {
         process: usize,
         incarnation: u64,
@@ -51,7 +51,7 @@
         process: usize,
         view: View,
     },
-    /// A slow processor starts on an event.
+    /// A slow processor starts to handle an event.
     Handle {
         process: usize,
         incarnation: u64,
@@ -64,23 +64,23 @@
     pub random: Rng,
     now: Duration,
     queue: BinaryHeap<Reverse<(Duration, u64)>>,
-    scheduled: HashMap<u64, Scheduled>,
+    scheduled: HashMap<u64, ScheduledEvent>,
     next_key: u64,
     processes: Vec<Process>,
     pub blocked_links: BTreeSet<(usize, usize)>,
     pub slow_links: bool,
-    /// View updates may take seconds to some processes.
+    /// Whether view updates may take seconds to reach some processes.
     pub slow_view_updates: bool,
     view: View,
     highest_acquired: FencingToken,
-    /// The request id under which a process first campaigned for a token.
+    /// The request id with which each process first campaigned under each token.
     campaigns: HashMap<(usize, FencingToken), u64>,
     trace: Trace,
 }
 
 impl World {
     pub fn new(seed: u64, members: usize, spares: usize) -> Self {
-        // In release builds too.
+        // Violations must also panic in release builds.
         lugwharf_invariants::panic_on_violation();
         let view = View { number: 1, members: (0..members).collect() };
         let mut random = Rng::with_seed(seed);
@@ -110,7 +110,8 @@
         self.now
     }
 
-    /// The digest of what was delivered, stored, acquired and lost so far, with its times.
+    /// Returns the digest of all messages delivered, records stored and leases acquired and lost so far, with
+    /// their times.
     pub fn digest(&self) -> u64 {
         self.trace.digest()
     }
@@ -131,7 +132,8 @@
         self.processes[process].disk_lost_in >= self.view.number
     }
 
-    /// The holder by the clocks of all processes, paused ones included; panics if there are two.
+    /// Returns the holder according to the clocks of all processes, including paused ones. Panics if there
+    /// are two.
     pub fn holder(&self) -> Option<(usize, FencingToken)> {
         let mut holders = Vec::new();
         for (index, process) in self.processes.iter().enumerate() {
@@ -143,19 +145,18 @@
         holders.first().copied()
     }
 
-    /// Running voters that have granted the holder no lease, or do not know it as the holder.
+    /// Returns the running voters that have not granted the holder a lease, or do not know it as the holder.
     pub fn voters_not_supporting(&self, held: (usize, FencingToken)) -> Vec<usize> {
-        let named = Some(LeaseHolder { address: address(held.0), token: held.1 });
-        let helps = |process: &usize| {
+        let expected = Some(LeaseHolder { address: address(held.0), token: held.1 });
+        let supports = |process: &usize| {
             let process = &self.processes[*process];
             let now = process.clock(self.now);
-            process
-                .elector
-                .as_ref()
-                .is_none_or(|elector| elector.granted_to(now) == named && elector.known_holder() == named)
+            process.elector.as_ref().is_none_or(|elector| {
+                elector.granted_to(now) == expected && elector.known_holder() == expected
+            })
         };
         let voters = self.members().into_iter().filter(|process| !self.has_lost_disk(*process));
-        voters.filter(|process| !helps(process)).collect()
+        voters.filter(|process| !supports(process)).collect()
     }
 
     pub fn run_for(&mut self, time: Duration) {
@@ -195,14 +196,14 @@
             Some(Elector::recover(settings, &process_state.log, process_state.clock(now)));
         let (incarnation, sealed, view) =
             (process_state.incarnation, process_state.sealed, process_state.known_view.clone());
-        self.schedule(TICK, Scheduled::Tick { process, incarnation });
+        self.schedule(TICK, ScheduledEvent::Tick { process, incarnation });
         self.deliver(process, Event::ViewSealed { number: sealed });
         if let Some(view) = view {
             self.install_view(process, &view);
         }
     }
 
-    /// Ends a process; what was not synced is kept or lost, write by write.
+    /// Kills a process. Each unsynced write is either kept or lost.
     pub fn kill(&mut self, process: usize) {
         let unsynced = std::mem::take(&mut self.processes[process].unsynced);
         for record in unsynced {
@@ -217,7 +218,7 @@
         process_state.reported_lease = None;
     }
 
-    /// Ends a process whose disk is lost with it.
+    /// Kills a process and erases its disk.
     pub fn lose_disk(&mut self, process: usize) {
         self.kill(process);
         let process_state = &mut self.processes[process];
@@ -238,20 +239,21 @@
         }
     }
 
-    /// Each event of the process waits for its processor, up to `max_event_delay`.
+    /// Makes each event of the process wait up to `max_event_delay` for its processor.
     pub fn slow_down(&mut self, process: usize, max_event_delay: Duration) {
         self.processes[process].max_event_delay = max_event_delay;
     }
 
-    /// The token under which a worker of the process acts now: it knows the last lease that was reported to it, and checks
-    /// the clock.
+    /// Returns the token under which a worker of the process may act now. The worker uses the last lease
+    /// reported to it and checks the clock.
     pub fn acting_token(&self, process: usize) -> Option<FencingToken> {
         let worker = &self.processes[process];
         let reported_lease = worker.reported_lease.filter(|_| !worker.is_paused)?;
         (worker.clock(self.now) < reported_lease.expires_at).then_some(reported_lease.token)
     }
 
-    /// Resumes the workers of a paused process before its driver handles the pending events.
+    /// Resumes a paused process such that its workers run before its driver handles the pending events.
+    /// Returns the token under which the workers act.
     pub fn resume_workers_first(&mut self, process: usize) -> Option<FencingToken> {
         self.processes[process].is_paused = false;
         let acted = self.acting_token(process);
@@ -267,12 +269,12 @@
         self.deliver(process, Event::StepDown { backoff });
     }
 
-    /// A server refused an act of the process under this token.
+    /// Informs the process that a server refused its action under `token`.
     pub fn refuse_token(&mut self, process: usize, token: FencingToken) {
         self.deliver(process, Event::TokenRefused { token });
     }
 
-    /// Whether the process runs and handles what arrives now.
+    /// Returns whether the process is running and not paused.
     pub fn receives_events(&self, process: usize) -> bool {
         self.is_up(process) && !self.processes[process].is_paused
     }
@@ -282,14 +284,14 @@
         self.processes[process].disk_stalls = stalls;
     }
 
-    /// Rewrites the log as a driver does when it gets long.
+    /// Rewrites the log, as a driver does when the log becomes long.
     pub fn rewrite_log(&mut self, process: usize) {
         let process_state = &mut self.processes[process];
         let Some(elector) = &process_state.elector else { return };
         process_state.log = elector.snapshot_records();
     }
 
-    /// A view change that replaces `leaving` by a spare.
+    /// Changes the view by replacing the member `leaving` with a spare process.
     pub fn replace_in_view(&mut self, leaving: usize) {
         let spare = (0..self.len()).find(|process| !self.view.members.contains(process));
         let mut members = self.members();
@@ -298,20 +300,20 @@
         self.change_view(members);
     }
 
-    /// A view change, if a majority of the present view can accept it.
+    /// Changes the view if a majority of the current view can accept the change.
     pub fn change_view(&mut self, members: Vec<usize>) {
-        let present = self.members();
-        let proposer = present[self.random.usize(..present.len())];
+        let current_members = self.members();
+        let proposer = current_members[self.random.usize(..current_members.len())];
         let mut acceptors: Vec<usize> =
-            present.iter().copied().filter(|member| self.can_accept(proposer, *member)).collect();
+            current_members.iter().copied().filter(|member| self.can_accept(proposer, *member)).collect();
         self.random.shuffle(&mut acceptors);
-        let majority = present.len() / 2 + 1;
+        let majority = current_members.len() / 2 + 1;
         if acceptors.len() < majority {
             return;
         }
-        let accepting = majority + self.random.usize(..=acceptors.len() - majority);
+        let accepting_count = majority + self.random.usize(..=acceptors.len() - majority);
         let number = self.view.number;
-        for acceptor in acceptors.into_iter().take(accepting) {
+        for acceptor in acceptors.into_iter().take(accepting_count) {
             self.processes[acceptor].sealed = number;
             self.deliver(acceptor, Event::ViewSealed { number });
         }
@@ -319,19 +321,19 @@
         (0..self.len()).for_each(|process| self.schedule_view_update(process));
     }
 
-    /// Sends everyone the newest view, as when a process that missed it asks for it.
+    /// Sends the latest view to all processes, as if processes that missed it requested it.
     pub fn broadcast_view(&mut self) {
         (0..self.len()).for_each(|process| self.schedule_view_update(process));
     }
 
     fn can_accept(&self, proposer: usize, member: usize) -> bool {
         let process = &self.processes[member];
-        let linked = !self.blocked_links.contains(&(proposer, member))
+        let is_linked = !self.blocked_links.contains(&(proposer, member))
             && !self.blocked_links.contains(&(member, proposer));
         self.is_up(member)
             && !process.is_paused
             && !process.disk_fails
-            && linked
+            && is_linked
             && !self.has_lost_disk(member)
     }
 
@@ -343,7 +345,7 @@
         };
         let delay = max_delay.mul_f64(self.random.f64());
         let view = self.view.clone();
-        self.schedule(delay, Scheduled::UpdateView { process, view });
+        self.schedule(delay, ScheduledEvent::UpdateView { process, view });
     }
 
     fn update_view(&mut self, process: usize, view: View) {
@@ -360,40 +362,40 @@
     }
 
     fn install_view(&mut self, process: usize, view: &View) {
-        let voter = view.members.contains(&process) && view.number > self.processes[process].disk_lost_in;
+        let is_voter = view.members.contains(&process) && view.number > self.processes[process].disk_lost_in;
         let members = view.members.iter().map(|member| address(*member)).collect();
-        self.deliver(process, Event::ViewInstalled { number: view.number, members, is_voter: voter });
+        self.deliver(process, Event::ViewInstalled { number: view.number, members, is_voter });
     }
 
-    fn schedule(&mut self, delay: Duration, scheduled: Scheduled) {
+    fn schedule(&mut self, delay: Duration, scheduled: ScheduledEvent) {
         self.next_key += 1;
         self.scheduled.insert(self.next_key, scheduled);
         self.queue.push(Reverse((self.now + delay, self.next_key)));
     }
 
-    fn dispatch(&mut self, scheduled: Scheduled) {
+    fn dispatch(&mut self, scheduled: ScheduledEvent) {
         match scheduled {
-            Scheduled::Tick { process, incarnation }
+            ScheduledEvent::Tick { process, incarnation }
                 if self.processes[process].incarnation == incarnation =>
             {
-                self.schedule(TICK, Scheduled::Tick { process, incarnation });
+                self.schedule(TICK, ScheduledEvent::Tick { process, incarnation });
                 if !self.processes[process].is_paused {
                     self.deliver(process, Event::Tick);
                 }
             }
-            Scheduled::Deliver { to, from, message } if !self.blocked_links.contains(&(from, to)) => {
+            ScheduledEvent::Deliver { to, from, message } if !self.blocked_links.contains(&(from, to)) => {
                 self.trace.fold_event(b'm', self.now, to);
                 self.trace.fold_number(u64::from(address(from).port()));
                 self.trace.fold_sized(&encoded(&message));
                 self.deliver(to, Event::Message { from: address(from), message });
             }
-            Scheduled::Synced { process, incarnation, batch, records, fails }
+            ScheduledEvent::Synced { process, incarnation, batch, records, fails }
                 if self.processes[process].incarnation == incarnation =>
             {
                 self.sync(process, batch, records, fails);
             }
-            Scheduled::UpdateView { process, view } => self.update_view(process, view),
-            Scheduled::Handle { process, incarnation, event }
+            ScheduledEvent::UpdateView { process, view } => self.update_view(process, view),
+            ScheduledEvent::Handle { process, incarnation, event }
                 if self.processes[process].incarnation == incarnation =>
             {
                 self.handle(process, event);
@@ -410,7 +412,7 @@
         self.trace.fold_number(batch.0);
         records.iter().for_each(|record| self.trace.fold_sized(record));
         self.processes[process].unsynced.retain(|record| !records.contains(record));
-        // A write that is reported as failed may still be on the disk.
+        // A write reported as failed may still have reached the disk.
         if !fails || self.random.bool() {
             self.processes[process].log.extend(records);
         }
@@ -432,7 +434,7 @@
             let wait = process_state.max_event_delay.mul_f64(self.random.f64());
             process_state.busy_until = process_state.busy_until.max(now + wait);
             let delay = process_state.busy_until - now;
-            self.schedule(delay, Scheduled::Handle { process, incarnation, event });
+            self.schedule(delay, ScheduledEvent::Handle { process, incarnation, event });
             return;
         }
         self.handle(process, event);
@@ -451,11 +453,11 @@
         elector.handle(clock, event, &mut actions);
         process_state.reported_lease = elector.held_lease(clock);
         for action in actions {
-            self.carry_out(process, action);
+            self.execute(process, action);
         }
     }
 
-    fn carry_out(&mut self, process: usize, action: Action) {
+    fn execute(&mut self, process: usize, action: Action) {
         match action {
             Action::Send { to, message } => self.send(process, index(to), message),
             Action::Persist { batch, records } => self.persist(process, batch, records),
@@ -484,10 +486,10 @@
         }
         let max_delay = if self.slow_links && self.random.u8(..4) == 0 { SLOW_DELAY } else { MAX_DELAY };
         let delay = MIN_DELAY + (max_delay - MIN_DELAY).mul_f64(self.random.f64());
-        self.schedule(delay, Scheduled::Deliver { to, from, message });
+        self.schedule(delay, ScheduledEvent::Deliver { to, from, message });
     }
 
-    /// A process campaigns for a token once in its history, restarts and lost disks included.
+    /// Checks that a process campaigns under a token at most once, even across restarts and disk losses.
     fn check_token(&mut self, from: usize, body: &MessageBody) {
         let MessageBody::RequestVote { request_id, token } = *body else { return };
         let first = *self.campaigns.entry((from, token)).or_insert(request_id);
@@ -504,12 +506,12 @@
         let (incarnation, fails) = (process_state.incarnation, process_state.disk_fails);
         let max_delay = if process_state.disk_stalls { STALLED_SYNC } else { MAX_SYNC };
         let delay = MIN_SYNC + (max_delay - MIN_SYNC).mul_f64(self.random.f64());
-        self.schedule(delay, Scheduled::Synced { process, incarnation, batch, records, fails });
+        self.schedule(delay, ScheduledEvent::Synced { process, incarnation, batch, records, fails });
     }
 }
 
 fn encoded(message: &Message) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(message, &mut bytes).expect("encodable");
+    ciborium::into_writer(message, &mut bytes).expect("message is encodable");
     bytes
 }
--- a/crates/invariants/src/invariant.rs
+++ b/crates/invariants/src/invariant.rs
@@ -1,9 +1,9 @@
-//! The closed list of invariants. Each variant spells the name of its metric label, which alarms are written against, so the
-//! names stay as they are.
+//! The list of all invariants. Alerts match the metric labels, so the labels must not change. Each variant is
+//! named after its label.
 
 macro_rules! invariants {
     ($($(#[doc = $help:literal])+ $variant:ident => $name:literal,)+) => {
-        /// A condition that holds at every moment.
+        /// A condition that must hold at all times.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
         pub enum Invariant {
             $($(#[doc = $help])+ $variant,)+
@@ -13,7 +13,7 @@
             /// All invariants, in the order of their discriminants.
             pub const ALL: &'static [Invariant] = &[$(Invariant::$variant,)+];
 
-            /// The name in metrics (label `invariant`) and logs.
+            /// Returns the invariant's name in metrics (label `invariant`) and logs.
             pub fn name(self) -> &'static str {
                 match self {
                     $(Invariant::$variant => $name,)+
@@ -24,45 +24,49 @@
 }
 
 invariants! {
-    /// All views that a process learns under one view number are equal.
+    /// All membership views that a process learns with the same view number are equal.
     OneViewPerNumber => "one_view_per_number",
-    /// Under one proposal number (ballot) only one view is proposed.
+    /// At most one view is proposed under a proposal number (ballot).
     OneValuePerBallot => "one_value_per_ballot",
-    /// All committed configurations that a process learns under one version are equal.
+    /// All committed configurations that a process learns with the same version are equal.
     OneConfigurationPerVersion => "one_configuration_per_version",
-    /// A change commits only on a chain of at least f + 1 replicas, each of which has synced it to disk.
+    /// A change is committed only if it is synced to disk on every replica of a chain of at least f + 1
+    /// replicas.
     AcknowledgedOnEnoughDisks => "acknowledged_on_enough_disks",
-    /// The version of the newest committed configuration that a control process knows never decreases.
+    /// The version of the latest committed configuration known to a control process never decreases.
     CommittedVersionClimbs => "committed_version_climbs",
-    /// The version of the configuration of an agent never decreases.
+    /// The version of an agent's configuration never decreases.
     AgentVersionClimbs => "agent_version_climbs",
-    /// The version of the configuration in force at a proxy never decreases.
+    /// The version of a proxy's active configuration never decreases.
     ProxyVersionClimbs => "proxy_version_climbs",
-    /// A read by the operator is linearizable: it returns no older configuration than the newest one known to be committed when
-    /// the read began.
+    /// An operator's read is linearizable: it does not return a configuration older than the latest one known
+    /// to be committed when the read began.
     ReadIsNewest => "read_is_newest",
-    /// Each fencing token belongs to one lease holder.
+    /// Each fencing token belongs to at most one lease holder.
     OneHolderPerToken => "one_holder_per_token",
-    /// No order to a server is sent after the lease of its sender has expired.
+    /// No order is sent to a server after the sender's lease has expired.
     OrderUnderLease => "order_under_lease",
-    /// A response that is forwarded to a client carries the id of the request that it answers.
+    /// A response forwarded to a client carries the id of the request that it answers.
     AnswerOfItsRequest => "answer_of_its_request",
     /// A request gets exactly one final response.
     OneFinalAnswer => "one_final_answer",
-    /// A request that is not idempotent is sent to no further server once it may have been executed.
+    /// A non-idempotent request is not sent to another server once it may have been executed.
     UnrepeatableSentOnce => "unrepeatable_sent_once",
-    /// A request is attempted at no more servers than its route allows.
+    /// The number of servers that have executed a request, or may have, does not exceed the maximum that its
+    /// route allows.
     AttemptsBounded => "attempts_bounded",
-    /// Each attempt after the first was withdrawn from the retry budget.
+    /// Each attempt after the first one is charged to the retry budget.
     RetriesPaid => "retries_paid",
-    /// The handle of a prefilled KV cache is used by one decode attempt of its request, or freed.
+    /// The handle of a prefilled KV cache is either used by exactly one decode attempt of its request or
+    /// freed.
     HandleUsedOnce => "handle_used_once",
-    /// A proxy that has finished draining admits no request.
+    /// A proxy that has finished draining admits no new request.
     NothingNewAfterDrain => "nothing_new_after_drain",
-    /// The buffered bytes of request bodies stay within their limit, and all of them are released.
+    /// The number of buffered request body bytes stays within its limit, and all of them are released.
     BodyBytesBounded => "body_bytes_bounded",
-    /// The open client connections stay within their limit.
+    /// The number of open client connections stays within its limit.
     ClientConnectionsBounded => "client_connections_bounded",
-    /// The waiting feeds of an agent, and the pending requests of a control process, stay within their limits.
+    /// The number of waiting feeds of an agent and of pending requests at a control process stay within their
+    /// limits.
     WaitersBounded => "waiters_bounded",
 }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,8 +1,9 @@
 //! Named invariants that are checked at run time, in release builds too.
 //!
-//! A violation is counted under the name of the invariant and reported with its facts; it never ends a process in service. In
-//! tests and simulations it panics instead, so that the run stops where it happened: this is the default in builds with debug
-//! assertions, and [`panic_on_violation`] sets it. The programs call [`count_violations_only`] when they start.
+//! In production a violation does not stop the process: it is counted under the invariant's name and reported
+//! with the values that caused it. In tests and simulations it panics instead, so that the run stops where
+//! the violation occurred. Panicking is the default in builds with debug assertions; [`panic_on_violation`]
+//! enables it explicitly. The production binaries call [`count_violations_only`] on startup.
 //!
 //! ```
 //! use lugwharf_invariants::{Invariant, check};
--- a/crates/invariants/src/registry.rs
+++ b/crates/invariants/src/registry.rs
@@ -1,35 +1,35 @@
-//! The counts of violations, the reporter, and whether a violation panics. All of it is global to the process.
+//! The violation counters, the reporter and the panic setting. All of this state is global to the process.
 
 use crate::invariant::Invariant;
 use std::cell::Cell;
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
-/// Violations of one invariant that are reported; later ones are only counted.
+/// The maximum number of violations reported per invariant. Later violations are only counted.
 const MAX_REPORTED: u64 = 10;
 
 static COUNTS: [AtomicU64; Invariant::ALL.len()] = [const { AtomicU64::new(0) }; Invariant::ALL.len()];
-/// Whether a violation panics.
+/// Whether a violation panics. Defaults to true in builds with debug assertions.
 static PANICS_ON_VIOLATION: AtomicBool = AtomicBool::new(cfg!(debug_assertions));
 static REPORTER: OnceLock<fn(&Violation)> = OnceLock::new();
 
 thread_local! {
-    /// Live guards of [`suppress_panics`] on this thread.
+    /// The number of live [`PanicSuppression`] guards on this thread.
     static SUPPRESSION_GUARDS: Cell<u32> = const { Cell::new(0) };
 }
 
-/// A violation of an invariant: a check that failed.
+/// One violation of an invariant, i.e. one failed check.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
     /// The violated invariant.
     pub invariant: Invariant,
-    /// The number of its violations in this process, this one included.
+    /// The number of violations of this invariant in this process so far, including this one.
     pub count: u64,
-    /// The values that violate it, for the log.
+    /// The values that violate the invariant, for the log.
     pub facts: String,
 }
 
-/// Checks an invariant, which is violated unless `holds`. `facts` is called only for a violation.
+/// Checks an invariant and records a violation if `holds` is false. `facts` is evaluated only on a violation.
 #[inline]
 pub fn check(invariant: Invariant, holds: bool, facts: impl FnOnce() -> String) {
     if !holds {
@@ -40,8 +40,8 @@
 #[cold]
 fn record_violation(invariant: Invariant, facts: String) {
     let count = COUNTS[invariant as usize].fetch_add(1, Ordering::Relaxed) + 1;
-    let is_tolerated = SUPPRESSION_GUARDS.with(|guards| guards.get() > 0);
-    if PANICS_ON_VIOLATION.load(Ordering::Relaxed) && !is_tolerated {
+    let is_suppressed = SUPPRESSION_GUARDS.with(|guards| guards.get() > 0);
+    if PANICS_ON_VIOLATION.load(Ordering::Relaxed) && !is_suppressed {
         panic!("invariant {} violated: {facts}", invariant.name());
     }
     if count <= MAX_REPORTED
@@ -51,29 +51,31 @@
     }
 }
 
-/// Calls `reporter` with the first ten violations of each invariant. Only the first reporter of the process is used.
+/// Sets the function that receives the first ten violations of each invariant. Only the first call in a
+/// process takes effect.
 pub fn set_reporter(reporter: fn(&Violation)) {
-    // A second reporter would be a second log of the same process.
+    // A second reporter would log the same violations twice.
     let _ = REPORTER.set(reporter);
 }
 
-/// Makes every later violation panic: for tests and simulations.
+/// Makes every later violation panic. Intended for tests and simulations.
 pub fn panic_on_violation() {
     PANICS_ON_VIOLATION.store(true, Ordering::Relaxed);
 }
 
-/// Makes every later violation be counted and reported only: for processes in service.
+/// Makes later violations only be counted and reported, without a panic. Intended for processes in
+/// production.
 pub fn count_violations_only() {
     PANICS_ON_VIOLATION.store(false, Ordering::Relaxed);
 }
 
-/// A guard: while it exists, violations on its thread are counted but don't panic. For a test that causes one on purpose and
-/// checks what follows.
+/// A guard that suppresses panics: while it exists, violations on its thread are counted but do not panic.
+/// Intended for tests that cause a violation on purpose and check what follows.
 #[derive(Debug)]
 #[must_use]
 pub struct PanicSuppression(());
 
-/// Lets this thread survive violations while the returned guard exists.
+/// Suppresses panics on violations on the current thread until the returned guard is dropped.
 pub fn suppress_panics() -> PanicSuppression {
     SUPPRESSION_GUARDS.with(|guards| guards.set(guards.get() + 1));
     PanicSuppression(())
@@ -85,17 +87,17 @@
     }
 }
 
-/// The number of violations of one invariant since the start of the process.
+/// Returns the number of violations of one invariant since the process started.
 pub fn count(invariant: Invariant) -> u64 {
     COUNTS[invariant as usize].load(Ordering::Relaxed)
 }
 
-/// The number of violations of each invariant, in the order of [`Invariant::ALL`].
+/// Returns the number of violations of each invariant, in the order of [`Invariant::ALL`].
 pub fn counts() -> impl Iterator<Item = (Invariant, u64)> {
     Invariant::ALL.iter().map(|invariant| (*invariant, count(*invariant)))
 }
 
-/// The number of violations of all invariants together.
+/// Returns the total number of violations of all invariants.
 pub fn total() -> u64 {
     counts().map(|(_, count)| count).sum()
 }
--- a/crates/protocol/src/agent.rs
+++ b/crates/protocol/src/agent.rs
@@ -1,85 +1,89 @@
-//! The messages between an agent and a control process. The agent pulls what it lacks; each pull is its heartbeat as well.
+//! Messages between an agent and a control process. The agent pulls the updates that it does not have yet;
+//! each pull also serves as its heartbeat.
 
 use crate::table::{ConfigRecord, FleetSummary, ServerDelta, TablePosition};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The versions of the tables that a process has: one for each table, not one for each replica as in the version vectors of
-/// the literature. Vectors are compared component by component, and there is no order of whole vectors.
+/// The versions of the tables that a process has. Unlike the version vectors in the literature, it has one
+/// component per table, not one per replica. Vectors are compared component by component; there is no
+/// ordering of whole vectors.
 ///
-/// `config` and `servers` only grow, so the larger one is newer. `live_proxies` is no version but the value itself, which is
-/// only compared for equality.
+/// `config` and `servers` only increase, so a larger component is newer. `live_proxies` is not a version but
+/// the value itself, and is only compared for equality.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct VersionVector {
-    /// The version of the configuration; 0 for none.
+    /// The version of the configuration; 0 if there is none.
     pub config: u64,
     /// The position in the server table.
     pub servers: TablePosition,
-    /// The number of live proxies, as last reported; 0 while it is unknown. A value, not a version.
+    /// The last reported number of live proxies; 0 while it is unknown. This is a value, not a version.
     pub live_proxies: u32,
 }
 
-/// Requests in flight from the proxies of one or more front-end nodes to one service.
+/// The number of requests in flight from the proxies of one or more front-end nodes to one service.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ServiceLoad {
     /// The name of the service.
     pub service: String,
-    /// Requests in their prefill phase, queued ones included.
+    /// The number of requests in the prefill phase, including queued ones.
     pub prefill: u32,
-    /// Requests in their decode phase, queued ones included.
+    /// The number of requests in the decode phase, including queued ones.
     pub decode: u32,
 }
 
-/// A request to an agent port.
+/// A request to the agent port of a control process.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub enum AgentRequest {
-    /// Asks for everything newer than `have`; also the heartbeat of this front-end node.
+    /// Requests everything newer than `have`. It also serves as the heartbeat of the front-end node.
     Pull {
         /// The name of the front-end node.
         node: String,
-        /// Distinguishes the starts of the agent's process. It is only compared for equality, so any number that differs from
-        /// start to start will do.
+        /// Identifies this run of the agent process. It is only compared for equality, so any number that
+        /// changes with each start is suitable.
         incarnation: u64,
-        /// What the agent has.
+        /// The versions that the agent has.
         have: VersionVector,
-        /// How long the reply may be delayed while nothing is newer (a long poll), in ms.
+        /// The maximum time for which the reply may be delayed while there is nothing newer (long polling),
+        /// in ms.
         wait_ms: u32,
-        /// Requests in flight at the proxy of this node.
+        /// The requests in flight from the proxy of this node.
         loads: Vec<ServiceLoad>,
     },
-    /// A control process announces the control processes that it knows to a seed that may host no replica. Versions that
-    /// don't know this request close the connection.
+    /// Announces the control processes known to the sender, a control process, to a seed that may not host a
+    /// replica. Versions that do not support this request close the connection.
     Announce {
-        /// The agent addresses of these control processes.
+        /// The agent addresses of the known control processes.
         control: Vec<SocketAddr>,
     },
 }
 
-/// Everything that is newer than the version vector of the receiver. What is not newer is absent.
+/// Everything that is newer than the receiver's version vector. Tables that are not newer are `None`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq)]
 pub struct Update {
-    /// The version vector of the receiver once it has applied this update.
+    /// The receiver's version vector after applying this update.
     pub vector: VersionVector,
-    /// The newest committed configuration.
+    /// The latest committed configuration.
     pub config: Option<ConfigRecord>,
-    /// Changes of the server table.
+    /// The changes to the server table.
     pub servers: Option<ServerDelta>,
     /// The summary of the fleet.
     pub fleet: Option<FleetSummary>,
 }
 
-/// The reply of a control process, to either request. Encoded names are fixed; see docs/GLOSSARY.md.
+/// The reply of a control process to any [`AgentRequest`]. The encoded names must not change; see
+/// docs/GLOSSARY.md.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub enum ControlReply {
-    /// What is newer.
+    /// Everything newer than the version vector of the request.
     Update {
-        /// Whether this control process is in contact with a majority of its view. An agent leaves one that is not, since
-        /// what it sends may be out of date.
+        /// Whether this control process is in contact with a majority of its view. An agent disconnects from
+        /// a control process that is not, since its updates may be out of date.
         #[serde(rename = "in_touch")]
         has_quorum: bool,
         /// The agent addresses of all control processes of the view.
         control: Vec<SocketAddr>,
-        /// What is newer.
+        /// The tables that are newer.
         update: Update,
     },
 }
--- a/crates/protocol/src/byte_string.rs
+++ b/crates/protocol/src/byte_string.rs
@@ -1,8 +1,8 @@
 //! `#[serde(with = "byte_string")]`: encodes a byte vector as one CBOR byte string (major type 2).
 //!
-//! Without it serde writes a `Vec<u8>` as an array of numbers, which takes up to twice the bytes. Both forms are read.
-//! `chain` has a module of the same kind for its entries; neither crate depends on the other, and a third one for forty lines
-//! would cost more than it saves.
+//! By default serde encodes a `Vec<u8>` as an array of integers, which takes up to twice as many bytes.
+//! Decoding accepts both forms. The crate `chain` has its own copy of this module for its entries: neither
+//! crate depends on the other, and a shared crate for forty lines is not worthwhile.
 
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserializer, Serializer};
--- a/crates/protocol/src/feed.rs
+++ b/crates/protocol/src/feed.rs
@@ -1,22 +1,23 @@
-//! The messages between an agent and the proxy of the same machine, over loopback.
+//! Messages exchanged over loopback between an agent and the proxy on the same machine.
 
 use crate::agent::{ServiceLoad, Update, VersionVector};
 use serde::{Deserialize, Serialize};
 
-/// A message from the agent to its proxy. It is an enum of one variant so that the variant's name is encoded and others may
-/// be added.
+/// A message from the agent to its proxy. The enum has a single variant so that the variant's name is encoded
+/// and further variants can be added.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub enum FeedMessage {
-    /// What is newer than the proxy's version vector. The first one on a connection answers its [`ProxyReport`].
+    /// Everything newer than the proxy's version vector. The first update on a connection answers the proxy's
+    /// [`ProxyReport`].
     Update(Update),
 }
 
-/// A message from the proxy to its agent. It is sent on each new connection, after each update was applied, and once a
-/// second.
+/// A message from the proxy to its agent. The proxy sends one on each new connection, after applying each
+/// update, and once per second.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct ProxyReport {
-    /// What the proxy has applied.
+    /// The versions that the proxy has applied.
     pub have: VersionVector,
-    /// Its requests in flight at model services.
+    /// The proxy's requests in flight at each model service.
     pub loads: Vec<ServiceLoad>,
 }
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,36 +1,37 @@
-//! Framing: a length of four bytes, big-endian, then one CBOR value (RFC 8949) of that many bytes.
+//! Framing: a four-byte big-endian length, followed by one CBOR value (RFC 8949) of that many bytes.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The maximum length of the CBOR value in a frame, in bytes: twice the largest configuration that an operator may send. It
-/// keeps a garbled length from reserving memory without bound.
+/// The maximum length of the CBOR value in a frame, in bytes: twice the maximum size of a configuration
+/// submitted by an operator. The limit bounds the memory that a corrupted length can reserve.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
-/// The length of the prefix in front of the CBOR value.
+/// The size of the length prefix in bytes.
 const LENGTH_BYTES: usize = 4;
-/// The buffer of a frame grows by this many bytes as data comes in, so that a length alone reserves little memory.
+/// The read buffer of a frame grows in steps of this many bytes as data arrives, so that a length prefix
+/// without data reserves little memory.
 const BUFFER_STEP_BYTES: usize = 64 * 1024;
 
-/// Why a frame could not be read or written.
+/// The reason why a frame could not be read or written.
 #[derive(Debug, thiserror::Error)]
 pub enum FrameError {
-    /// The connection failed, or was closed inside a frame.
-    #[error("the connection failed: {0}")]
+    /// The connection failed, or was closed in the middle of a frame.
+    #[error("connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The value is longer than [`MAX_FRAME_BYTES`].
-    #[error("a frame of {0} bytes is too long")]
+    /// The CBOR value is longer than [`MAX_FRAME_BYTES`]; contains its length in bytes.
+    #[error("frame of {0} bytes exceeds the maximum of {MAX_FRAME_BYTES} bytes")]
     TooLong(usize),
-    /// The message can't be encoded.
-    #[error("a message that can't be encoded: {0}")]
+    /// The message cannot be encoded.
+    #[error("message cannot be encoded: {0}")]
     Encode(#[from] ciborium::ser::Error<io::Error>),
-    /// The bytes are no message of the expected type.
-    #[error("a malformed message: {0}")]
+    /// The bytes are not a message of the expected type.
+    #[error("malformed message: {0}")]
     Decode(#[from] ciborium::de::Error<io::Error>),
 }
 
-/// Encodes a message as a frame, its length included.
+/// Encodes a message as a frame, including the length prefix.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
     let mut frame = vec![0; LENGTH_BYTES];
     ciborium::into_writer(message, &mut frame)?;
@@ -42,14 +43,15 @@
     Ok(frame)
 }
 
-/// Decodes the CBOR value of a frame, without the length in front.
+/// Decodes the CBOR value of a frame, without the length prefix.
 pub fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T, FrameError> {
     Ok(ciborium::from_reader(body)?)
 }
 
-/// Reads one message; `None` if the connection was closed between two frames.
+/// Reads one message. Returns `None` if the connection was closed between two frames.
 ///
-/// Not cancel safe: a future that is dropped inside a frame leaves the reader in the middle of it.
+/// This function is not cancel safe: if the future is dropped while reading a frame, the reader is left in
+/// the middle of that frame.
 pub async fn read_frame<T: DeserializeOwned>(
     reader: &mut (impl AsyncRead + Unpin),
 ) -> Result<Option<T>, FrameError> {
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,15 +1,16 @@
-//! The messages between the processes of lugwharf, and their framing: one CBOR value a frame.
+//! The messages exchanged between lugwharf processes, and their framing: one CBOR value per frame.
 //!
-//! | link | from, to | messages |
+//! | connection | endpoints | messages |
 //! | --- | --- | --- |
-//! | agent | agent to control, over the agent port | [`AgentRequest`], answered by [`ControlReply`] |
-//! | feed | agent to proxy, over loopback | [`FeedMessage`], and [`ProxyReport`] the other way |
+//! | agent | agent to control process, over the agent port | [`AgentRequest`], answered by [`ControlReply`] |
+//! | feed | agent to proxy, over loopback | [`FeedMessage`]; [`ProxyReport`] in the opposite direction |
 //!
-//! Links between control processes carry the messages of the crates `chain`, `election` and `distribution` in the same
-//! frames.
+//! Connections between control processes use the same framing for the messages of the crates `chain`,
+//! `election` and `distribution`.
 //!
-//! Processes of two versions share a deployment during a rolling upgrade. The names of fields and variants are encoded, so a
-//! renamed one keeps its encoded name by `#[serde(rename)]`; unknown fields are ignored. `tests/encoded_forms.rs` fixes every
+//! During a rolling upgrade, processes of two versions communicate with each other. The names of fields and
+//! variants are part of the encoding, so a renamed field or variant must keep its encoded name through
+//! `#[serde(rename)]`. Unknown fields are ignored. `tests/encoded_forms.rs` pins the encoding of every
 //! message byte for byte.
 #![forbid(unsafe_code)]
 
--- a/crates/protocol/src/packed.rs
+++ b/crates/protocol/src/packed.rs
@@ -1,8 +1,9 @@
 //! The encoded form of a [`ServerDelta`].
 //!
-//! A snapshot goes to every front-end node at once after a restart of the whole system, so its size decides how soon a large
-//! fleet serves again. Entries are arrays instead of maps, and values that many entries share (services, zones, sets of
-//! models) are sent once and referred to by index: some 33 bytes an entry instead of 143.
+//! After a restart of the whole system a snapshot is sent to every front-end node at once, so its size
+//! determines how soon a large fleet serves requests again. Entries are encoded as arrays instead of maps,
+//! and values shared by many entries (services, zones, sets of models) are sent once and referred to by
+//! index. This takes about 33 bytes per entry instead of 143.
 
 use crate::table::{ModelEntry, ServerDelta, ServerEntry, ServerState, Stage, TablePosition};
 use serde::de::Error as _;
@@ -12,22 +13,23 @@
 use std::hash::Hash;
 use std::net::SocketAddr;
 
-/// A [`ServerDelta`] with shared values factored out. Encoded names are fixed; see docs/GLOSSARY.md.
+/// A [`ServerDelta`] with shared values factored out. The encoded names must not change; see
+/// docs/GLOSSARY.md.
 #[derive(Serialize, Deserialize)]
 struct PackedDelta<'a> {
     position: TablePosition,
     #[serde(rename = "whole")]
     is_full: bool,
-    /// Services and zones, each once.
+    /// The distinct names of services and zones.
     names: Vec<Cow<'a, str>>,
-    /// Sets of models, each once.
+    /// The distinct sets of models.
     #[serde(rename = "models")]
     model_sets: Vec<Cow<'a, [ModelEntry]>>,
     rows: Vec<PackedServer<'a>>,
     removed: Cow<'a, [String]>,
 }
 
-/// One server, encoded as an array of its fields in this order.
+/// One server, encoded as an array of its fields in the order below.
 struct PackedServer<'a> {
     id: Cow<'a, str>,
     /// An index into [`PackedDelta::names`].
@@ -38,7 +40,7 @@
     slots: u32,
     is_ready: bool,
     warmup_remaining_ms: u64,
-    /// Whether its stage is prefill; absent where it has no stage.
+    /// Whether the server's stage is prefill, as opposed to decode; `None` if the server has no stage.
     is_prefill: Option<bool>,
     /// An index into [`PackedDelta::model_sets`].
     model_set: usize,
@@ -82,7 +84,7 @@
     }
 }
 
-/// Distinct values, numbered in the order of their first use.
+/// A set of distinct values, each identified by an index in the order of first use.
 struct Interner<T> {
     values: Vec<T>,
     indices: HashMap<T, usize>,
@@ -93,7 +95,7 @@
         Interner { values: Vec::new(), indices: HashMap::new() }
     }
 
-    /// The index of `value`, which is added if it is new.
+    /// Returns the index of `value`, adding `value` if it is new.
     fn intern(&mut self, value: T) -> usize {
         *self.indices.entry(value).or_insert_with(|| {
             self.values.push(value);
@@ -129,7 +131,7 @@
     }
 }
 
-/// The delta; `None` if an index refers to no value.
+/// Returns the unpacked delta, or `None` if an index is out of range.
 fn unpack(packed: PackedDelta<'_>) -> Option<ServerDelta> {
     let PackedDelta { position, is_full, names, model_sets, rows, removed } = packed;
     let unpack_server = |server: PackedServer<'_>| {
@@ -158,6 +160,6 @@
 impl<'de> Deserialize<'de> for ServerDelta {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let packed = PackedDelta::deserialize(deserializer)?;
-        unpack(packed).ok_or_else(|| D::Error::custom("an index without a value"))
+        unpack(packed).ok_or_else(|| D::Error::custom("packed server delta contains an index out of range"))
     }
 }
--- a/crates/protocol/tests/encoded_forms.rs
+++ b/crates/protocol/tests/encoded_forms.rs
@@ -1,7 +1,7 @@
-//! The encoded form of every message, byte for byte: processes of two versions share a deployment during an upgrade.
+//! Pins the encoding of every message byte for byte, since processes of two versions communicate with each
+//! other during an upgrade.
 //!
-//! The bytes were captured from the encoder of commit 1a8c4db and never change; only the identifiers of this file follow the
-//! code.
+//! The bytes were captured from the encoder of commit 1a8c4db and must not change.
 
 use lugwharf_protocol::{
     AgentRequest, ConfigRecord, ControlReply, FeedMessage, FleetSummary, ModelEntry, ProxyReport,
@@ -14,23 +14,24 @@
 use std::fmt::{Debug, Write};
 use std::net::SocketAddr;
 
-/// Bytes of the length in front of a frame.
+/// The size of the length prefix of a frame in bytes.
 const LENGTH_BYTES: usize = 4;
 
 fn hex(bytes: &[u8]) -> String {
     let mut text = String::new();
     for byte in bytes {
-        write!(text, "{byte:02x}").expect("a string takes all");
+        write!(text, "{byte:02x}").expect("writing to a string succeeds");
     }
     text
 }
 
 fn unhex(text: &str) -> Vec<u8> {
-    let digit = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex");
-    (0..text.len()).step_by(2).map(digit).collect()
+    let byte_at = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hex");
+    (0..text.len()).step_by(2).map(byte_at).collect()
 }
 
-/// The value's frame is these bytes, and these bytes are read as the value and written again as they were.
+/// Asserts that `value` is encoded as `frame`, and that `frame` is decoded to `value` and re-encoded to the
+/// same bytes.
 fn assert_encoded<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: &T, frame: &str) {
     assert_eq!(hex(&encode(value).expect("encoded")), frame, "{value:?}");
     let bytes = unhex(frame);
@@ -80,7 +81,8 @@
     }
 }
 
-/// Every state with every stage, sets of models that are shared and not, two services, two zones, both kinds of address.
+/// Returns entries with every combination of state and stage, shared and distinct sets of models, two
+/// services, two zones, and IPv4 and IPv6 addresses.
 fn entries() -> Vec<ServerEntry> {
     let two = || vec![model("m", 4), model("n", 5)];
     let mut entries = vec![
@@ -184,7 +186,8 @@
     assert_encoded(&message, frame);
 }
 
-/// A server by itself is a map, as records of the distribution may hold it; on a link it is a row of a packed list.
+/// A single server entry is encoded as a map, as it may occur in records of the crate `distribution`. In a
+/// server delta it is encoded as a row of a packed list.
 #[rstest]
 #[case::ready(
     entry("i-1", ServerState::Ready, None, Vec::new()),
@@ -216,7 +219,8 @@
     assert_encoded(&ServerState::Draining, "0000000968447261696e696e67");
 }
 
-/// Two forms that no encoder of ours writes: bytes as an array of numbers, and a field of a later version.
+/// Two forms that the current encoder does not produce: bytes as an array of integers, and an unknown field
+/// of a later version.
 #[test]
 fn other_forms_of_a_configuration_are_read() {
     // {"version": 300, "bytes": [123, 0, 255, 125], "later": null}
@@ -224,8 +228,8 @@
     assert_eq!(decode::<ConfigRecord>(&body).expect("decoded"), config());
 }
 
-/// {"version": 300}
+/// The input is {"version": 300}.
 #[test]
-fn a_configuration_without_its_bytes_is_refused() {
+fn a_configuration_without_its_bytes_is_rejected() {
     assert!(decode::<ConfigRecord>(&unhex("a16776657273696f6e19012c")).is_err());
 }
--- a/crates/protocol/tests/frames.rs
+++ b/crates/protocol/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Framing: messages survive a round trip, and truncated, oversized and malformed frames are errors.
+//! Tests of framing: messages survive a round trip, and truncated, oversized and malformed frames are errors.
 
 use lugwharf_protocol::{
     AgentRequest, ConfigRecord, FeedMessage, FrameError, MAX_FRAME_BYTES, Update, VersionVector, decode,
@@ -22,17 +22,18 @@
     for _ in 0..2 {
         assert_eq!(read_frame::<Update>(&mut link).await.expect("read"), Some(update()));
     }
-    assert_eq!(read_frame::<Update>(&mut link).await.expect("an end"), None);
+    assert_eq!(read_frame::<Update>(&mut link).await.expect("end of stream"), None);
 }
 
-/// Processes of two versions share a machine during an upgrade: the name of the variant is encoded in front of an update.
+/// During an upgrade, processes of two versions run on the same machine, so an update is encoded under the
+/// name of its variant.
 #[test]
 fn a_feed_update_is_encoded_under_its_variant_name() {
     let frame = encode(&FeedMessage::Update(update())).expect("encoded");
-    // A map of one pair, then a text of six bytes.
-    const HEAD: &[u8] = b"\xa1\x66Update";
+    // A map with one entry whose key is a text string of six bytes.
+    const ENCODED_VARIANT: &[u8] = b"\xa1\x66Update";
     let body = &frame[size_of::<u32>()..];
-    assert!(body.starts_with(HEAD), "{body:x?}");
+    assert!(body.starts_with(ENCODED_VARIANT), "{body:x?}");
     assert_eq!(decode::<FeedMessage>(body).expect("decoded"), FeedMessage::Update(update()));
 }
 
--- a/crates/protocol/tests/packed.rs
+++ b/crates/protocol/tests/packed.rs
@@ -1,4 +1,5 @@
-//! Encoded server lists: they survive a round trip in few bytes, and malformed ones are rejected without a panic.
+//! Tests of packed server deltas: they survive a round trip, are compact, and malformed ones are rejected
+//! without a panic.
 
 use lugwharf_protocol::{
     ModelEntry, ServerDelta, ServerEntry, ServerState, Stage, TablePosition, decode, encode,
@@ -6,7 +7,7 @@
 use rstest::rstest;
 use std::net::SocketAddr;
 
-/// Bytes of the length in front of a frame.
+/// The size of the length prefix of a frame in bytes.
 const LENGTH_BYTES: usize = 4;
 
 fn entry(number: u16) -> ServerEntry {
@@ -42,13 +43,13 @@
     assert_eq!(decode::<ServerDelta>(&frame[LENGTH_BYTES..]).expect("decoded"), delta(servers));
 }
 
-/// Each front-end node pulls the full list after a restart of the whole system: at 3,000 servers and 300 nodes that has to fit
-/// into a second of the links of a small control plane.
+/// After a restart of the whole system each front-end node pulls the full list. With 3,000 servers and 300
+/// nodes, the network links of a small control plane must be able to transfer this within one second.
 #[test]
 fn an_entry_of_a_long_list_takes_at_most_50_bytes() {
     let servers = 3_000;
     let bytes = encode(&delta(servers)).expect("encoded").len();
-    assert!(bytes <= usize::from(servers) * 50, "{} bytes an entry", bytes / usize::from(servers));
+    assert!(bytes <= usize::from(servers) * 50, "{} bytes per entry", bytes / usize::from(servers));
 }
 
 #[test]
@@ -58,10 +59,10 @@
     for length in 0..body.len() {
         assert!(decode::<ServerDelta>(&body[..length]).is_err(), "{length}");
     }
-    for place in 0..body.len() {
-        for flip in [0x01, 0x17, 0x80, 0xff] {
+    for offset in 0..body.len() {
+        for mask in [0x01, 0x17, 0x80, 0xff] {
             let mut changed = body.to_vec();
-            changed[place] ^= flip;
+            changed[offset] ^= mask;
             drop(decode::<ServerDelta>(&changed));
         }
     }
--- a/crates/store/src/checksum.rs
+++ b/crates/store/src/checksum.rs
@@ -2,7 +2,7 @@
 
 /// The polynomial 0x1EDC6F41 with its bits reversed.
 const POLYNOMIAL: u32 = 0x82f6_3b78;
-/// The remainder of each byte, for one look-up a byte.
+/// The CRC remainder of each byte value, for table-driven computation one byte at a time.
 const TABLE: [u32; 256] = table();
 
 const fn table() -> [u32; 256] {
@@ -29,7 +29,7 @@
     value
 }
 
-/// The checksum of the concatenation of several slices.
+/// Returns the CRC-32C of the concatenation of `slices`.
 pub fn crc32c(slices: &[&[u8]]) -> u32 {
     let mut state = u32::MAX;
     for slice in slices {
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,31 +1,32 @@
-//! The operations on files that the log needs, and their implementation on the file system.
+//! The file operations that the log needs, and their implementation on the file system.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-/// The operations of one flat directory that the log needs: [`FileSystemDirectory`] in production, a simulated disk in
-/// tests. Names are those of files in that directory.
+/// The operations that the log needs on one flat directory. Production code uses [`FileSystemDirectory`],
+/// tests use a simulated disk. File names are relative to the directory.
 ///
-/// Renames and removals are durable only once the directory was synced.
+/// Renames and removals are durable only after the directory has been synced.
 pub trait Disk {
     /// An open file.
     type File: DiskFile;
 
-    /// The content of a file; `None` if it does not exist.
+    /// Returns the content of a file, or `None` if the file does not exist.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// Opens a file that exists.
+    /// Opens an existing file.
     fn open(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Creates a file, or truncates an existing one to nothing.
+    /// Creates a file, or truncates an existing one to zero length.
     ///
-    /// Nothing is durable before a sync. The name of a new file counts as durable once the file was synced, as in practice
-    /// on Linux file systems with a journal (ext4, XFS), but POSIX does not promise it. The log does not rely on this: it
-    /// renames a new file and syncs the directory before it appends to it.
+    /// Nothing is durable before a sync. The name of a new file is considered durable once the file has been
+    /// synced. This holds in practice on journaling Linux file systems (ext4, XFS), but POSIX does not
+    /// guarantee it. The log does not rely on it: it renames a new file and syncs the directory before it
+    /// appends to the file.
     fn create(&self, name: &str) -> io::Result<Self::File>;
 
-    /// Renames a file, and replaces the one that has the new name.
+    /// Renames a file, replacing any existing file with the new name.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
     /// Removes a file.
@@ -37,33 +38,36 @@
 
 /// An open file.
 pub trait DiskFile {
-    /// Writes all bytes at an offset. The file grows as needed; a gap between its end and the offset reads as zeros.
+    /// Writes all of `bytes` at `offset`. The file grows as needed; a gap between the end of the file and
+    /// `offset` reads as zeros.
     ///
-    /// After an error any part of the bytes may have been written, also none or all of them, and the file may have grown.
+    /// After an error, any part of `bytes` may have been written, including none or all of them, and the file
+    /// may have grown.
     fn write_all_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
 
     /// Truncates or extends the file to a length in bytes.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
 
-    /// Makes the content and the length durable (`fdatasync`). After an error it is unknown which part is durable, and a
-    /// later sync that succeeds does not prove that the writes before the error are: write them again.
+    /// Makes the content and the length durable (`fdatasync`). After an error it is unknown which part is
+    /// durable. A later successful sync does not imply that writes made before the error are durable, so the
+    /// caller must write them again.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// A directory of the file system; the [`Disk`] of production.
+/// A directory of the file system: the [`Disk`] implementation used in production.
 #[derive(Clone, Debug)]
 pub struct FileSystemDirectory {
     path: PathBuf,
 }
 
 impl FileSystemDirectory {
-    /// The directory at a path; it must exist before the first operation.
+    /// Returns the directory at `path`, which must exist before the first operation.
     pub fn new(path: &Path) -> FileSystemDirectory {
         FileSystemDirectory { path: path.to_owned() }
     }
 }
 
-/// A file of the file system.
+/// An open file of the file system.
 #[derive(Debug)]
 pub struct FileSystemFile {
     file: File,
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,29 +1,30 @@
-//! The errors of a log.
+//! Errors of the log.
 
 use std::io;
 
 /// Why the log could not be opened, appended to or rewritten.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// An operation of the file system failed.
-    #[error("the file system refused: {0}")]
+    /// A file system operation failed.
+    #[error("file system operation failed: {0}")]
     Io(#[from] io::Error),
-    /// Records that were synced can't be read any more: an invalid frame has valid ones after it.
-    #[error("the log is damaged at byte {offset}: sound records follow")]
+    /// Synced records can no longer be read: valid frames follow an invalid one.
+    #[error("log is corrupt: invalid frame at byte {offset} is followed by valid frames")]
     Corrupt {
         /// The offset of the invalid frame.
         offset: u64,
     },
-    /// The file has no valid header of a known version.
-    #[error("the file is no log of a known version")]
+    /// The file does not start with a valid header of a known format version.
+    #[error("log file has no valid header of a known format version")]
     UnknownFormat,
-    /// The rename of a rewrite failed, so the name may refer to either file. A rewrite or a new opening is needed.
-    #[error("the log must be rewritten or reopened first")]
+    /// The rename of a rewrite failed, so the file name may refer to either the old or the new file. The log
+    /// must be rewritten or reopened before the next append.
+    #[error("log must be rewritten or reopened after a failed rename")]
     Poisoned,
-    /// The records of one append are longer than a frame may be (64 MiB).
-    #[error("{bytes} bytes are too many for one append")]
+    /// The records of one append exceed the maximum frame length (64 MiB).
+    #[error("append of {bytes} bytes exceeds the maximum frame length of 64 MiB")]
     TooLong {
-        /// Their length together, as framed.
+        /// The total length of the records as framed, in bytes.
         bytes: usize,
     },
 }
--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -1,30 +1,32 @@
-//! The layout of the file: a header, then frames. All numbers are little-endian. `tests/file_format.rs` fixes it byte for byte.
+//! The file format: a header followed by frames. All integers are little-endian. `tests/file_format.rs` pins
+//! the format byte for byte.
 //!
 //! | header | bytes | | frame | bytes |
 //! | --- | --- | --- | --- | --- |
 //! | magic | 8 | | marker | 4 |
-//! | generation | 8 | | checksum of all that follows and the generation | 4 |
-//! | checksum of both | 4 | | sequence number | 8 |
-//! | | | | length of the records | 4 |
-//! | | | | count of the records | 4 |
-//! | | | | records: length (4) and bytes each | |
+//! | generation | 8 | | checksum of the generation and the rest of the frame | 4 |
+//! | checksum of magic and generation | 4 | | sequence number | 8 |
+//! | | | | length of the records in bytes | 4 |
+//! | | | | number of records | 4 |
+//! | | | | records, each with its length (4) and its bytes | |
 
 use crate::checksum::crc32c;
 
-/// Seven bytes that identify the file as a log, then the version of its format.
+/// Seven bytes that identify the file as a log, followed by the format version.
 const MAGIC: [u8; 8] = *b"LWHLOG\x00\x01";
-/// The first bytes of each frame, by which frames after an invalid one are found.
+/// The first bytes of each frame, used to find frames after an invalid one.
 const MARKER: [u8; 4] = *b"LwF1";
-/// The length of the file's header.
+/// The length of the file header in bytes.
 pub const HEADER_BYTES: usize = 20;
 const FRAME_HEADER_BYTES: usize = 24;
 const CHECKSUM_END: usize = 8;
 const LENGTH_BYTES: usize = 4;
-/// The maximum length of the records of a frame as framed: half of the smallest disk. A garbled length needs no check against
-/// it, since it leads beyond the end of the file or to a wrong checksum.
+/// The maximum length of a frame's records as framed, in bytes: half of the smallest supported disk. A
+/// corrupted length field need not be checked against this limit, since it points past the end of the file or
+/// results in a checksum mismatch.
 pub const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
 
-/// Encodes the header of a file of this generation.
+/// Encodes the file header for `generation`.
 pub fn encode_header(generation: u64) -> Vec<u8> {
     let mut header = MAGIC.to_vec();
     header.extend(generation.to_le_bytes());
@@ -33,14 +35,14 @@
     header
 }
 
-/// The generation of a file; `None` if its header is not valid.
+/// Returns the generation of a file, or `None` if the header is invalid.
 pub fn decode_header(file: &[u8]) -> Option<u64> {
     let generation = u64_at(file, MAGIC.len())?;
     let header = file.get(..HEADER_BYTES)?;
     (header == encode_header(generation)).then_some(generation)
 }
 
-/// Encodes one frame with these records.
+/// Encodes one frame that contains `records`.
 pub fn encode_frame(generation: u64, sequence: u64, records: &[Vec<u8>]) -> Vec<u8> {
     let length = framed_bytes(records);
     let mut frame = Vec::with_capacity(FRAME_HEADER_BYTES + length);
@@ -58,22 +60,22 @@
     frame
 }
 
-/// The length of the records in a frame, in bytes.
+/// Returns the length of `records` as framed, in bytes.
 pub fn framed_bytes(records: &[Vec<u8>]) -> usize {
     records.iter().map(|record| LENGTH_BYTES + record.len()).sum()
 }
 
-/// A valid frame.
+/// A valid decoded frame.
 pub struct Frame {
-    /// Its sequence number.
+    /// The sequence number of the frame.
     pub sequence: u64,
-    /// Its records.
+    /// The records of the frame.
     pub records: Vec<Vec<u8>>,
-    /// Its length in the file, in bytes.
+    /// The length of the frame in the file, in bytes.
     pub bytes: usize,
 }
 
-/// Decodes the frame at the beginning of these bytes; `None` if there is no valid one.
+/// Decodes the frame at the start of `bytes`. Returns `None` if there is no valid frame.
 pub fn decode_frame(generation: u64, bytes: &[u8]) -> Option<Frame> {
     if bytes.get(..MARKER.len())? != MARKER {
         return None;
@@ -102,19 +104,19 @@
     bytes.is_empty().then_some(records)
 }
 
-/// The content of a file after its header.
+/// The parsed content of a log file after the header.
 pub struct ParsedLog {
-    /// The records of all valid frames in sequence.
+    /// The records of all valid frames before the first invalid one, in order.
     pub records: Vec<Vec<u8>>,
-    /// The offset of the end of the last valid frame.
+    /// The offset of the end of the last of these frames.
     pub valid_bytes: usize,
     /// The sequence number of the next frame.
     pub next_sequence: u64,
-    /// Whether valid frames follow an invalid one.
+    /// Whether a valid frame with a higher sequence number follows the first invalid one.
     pub is_corrupt: bool,
 }
 
-/// Reads the frames of a file after its header, up to the first invalid one.
+/// Parses the frames of a file after the header, up to the first invalid one.
 pub fn parse(generation: u64, file: &[u8]) -> ParsedLog {
     let mut parsed =
         ParsedLog { records: Vec::new(), valid_bytes: HEADER_BYTES, next_sequence: 1, is_corrupt: false };
@@ -130,8 +132,9 @@
     parsed
 }
 
-/// Whether a valid frame with a higher sequence number than the expected one begins anywhere at or after `offset`. The expected
-/// number itself does not count: a torn frame may contain a record with the bytes of such a frame.
+/// Returns whether a valid frame with a sequence number above `expected` begins anywhere at or after
+/// `offset`. A frame with exactly the expected number is ignored, since a record inside a torn frame may
+/// happen to contain the bytes of such a frame.
 fn has_later_frame(generation: u64, file: &[u8], offset: usize, expected: u64) -> bool {
     let Some(rest) = file.get(offset..) else { return false };
     let starts = rest.windows(MARKER.len()).enumerate().filter(|(_, window)| **window == MARKER);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,20 +1,22 @@
 //! An append-only log of checksummed records in one directory: the write-ahead log of the control plane.
 //!
-//! The file begins with a header (magic, format version, generation), then frames follow. One [`Log::append`] writes one frame,
-//! and a frame is valid only if it is complete, so the records of one append survive together or not at all. Nothing is
-//! appended after a frame that was not synced, so at most the last frame can be unsynced. Therefore an invalid frame with
-//! valid ones after it is corruption, and an invalid frame at the end is the torn tail of a loss of power.
+//! The file consists of a header (magic, format version, generation) followed by frames. Each [`Log::append`]
+//! writes one frame, and a frame is valid only if it is complete, so an append is atomic: after a crash
+//! either all of its records are recovered or none. Nothing is appended after a frame that has not been
+//! synced, so at most the last frame can be unsynced. Therefore an invalid frame that is followed by valid
+//! frames indicates corruption, and an invalid frame at the end of the file is a torn write caused by a power
+//! loss.
 //!
-//! A rewrite creates a new file, syncs it, renames it over the old one and syncs the directory. Until the directory is synced
-//! nothing is appended, since the name may still refer to the old file after a loss of power.
+//! A rewrite creates a new file, syncs it, renames it over the old one and syncs the directory. Nothing is
+//! appended until the directory is synced, since after a power loss the name may still refer to the old file.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `log` | opening and recovery, appends, rewrites |
-//! | `frame` | the layout of the file |
+//! | `frame` | the file format |
 //! | `checksum` | CRC-32C |
-//! | `disk` | the operations on files that the log needs, and the file system |
-//! | `simulated` (with the feature of that name) | a disk in memory with faults, for tests |
+//! | `disk` | the file operations that the log needs, and their implementation on the file system |
+//! | `simulated` (with the `simulated` feature) | an in-memory disk with fault injection, for tests |
 #![forbid(unsafe_code)]
 
 mod checksum;
