--- a/crates/store/src/log.rs
+++ b/crates/store/src/log.rs
@@ -1,36 +1,37 @@
-//! The log: opening and recovery, appends, rewrites.
+//! The log: opening and recovery, appends and rewrites.
 
 use crate::disk::{Disk, DiskFile, FileSystemDirectory};
 use crate::error::StoreError;
 use crate::frame::{self, HEADER_BYTES, MAX_FRAME_BYTES};
 use std::path::Path;
 
-/// The name of the log's file.
+/// The name of the log file.
 const LOG: &str = "log";
-/// A new file that is to be renamed to [`LOG`] once it is complete and synced.
+/// The name of a new log file until it is complete and synced; it is then renamed to [`LOG`].
 const NEW_LOG: &str = "log.new";
-/// A corrupt log, kept for analysis.
+/// The name under which a corrupt log is kept for analysis.
 const QUARANTINED_LOG: &str = "log.damaged";
 
-/// The maximum length of a frame of a rewrite, unless it has one longer record: bounds the memory that a rewrite needs at
-/// once.
+/// The maximum length in bytes of the records in one frame of a rewrite, unless a single record is longer. It
+/// bounds the memory that a rewrite uses at a time.
 const MAX_REWRITE_FRAME_BYTES: usize = 1024 * 1024;
 
-/// The end of a file that was cut off at the opening: an append that was not synced completely before a loss of power.
+/// The end of a file that was truncated when the log was opened: an append that was not completely synced
+/// before a power loss.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TornTail {
-    /// The offset at which it began.
+    /// The offset at which the torn tail began.
     pub offset: u64,
-    /// Its length.
+    /// The length of the torn tail in bytes.
     pub bytes: u64,
 }
 
-/// The content of a log at its opening.
+/// The content of a log at the time it was opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovered {
     /// The records, oldest first.
     pub records: Vec<Vec<u8>>,
-    /// What was cut off, if anything.
+    /// The tail that was truncated, if any.
     pub torn_tail: Option<TornTail>,
 }
 
@@ -39,38 +40,39 @@
 pub struct Log<D: Disk = FileSystemDirectory> {
     disk: D,
     file: D::File,
-    /// Counts the rewrites, from 1; part of each frame's checksum.
+    /// Starts at 1 and is incremented by each rewrite. Each frame's checksum covers it.
     generation: u64,
     /// The sequence number of the next frame.
     next_sequence: u64,
-    /// The length of the file up to the last frame that was synced.
+    /// The length of the file up to the end of the last synced frame, in bytes.
     valid_bytes: u64,
-    /// Whether bytes of a failed append may follow the valid ones.
+    /// Whether bytes of a failed append may follow the valid frames.
     has_failed_append: bool,
-    /// Whether the name may still refer to the previous file after a loss of power, since the directory was not synced after
-    /// the last rewrite.
+    /// Whether the directory has not been synced since the last rewrite, so that after a power loss the file
+    /// name may still refer to the previous file.
     needs_directory_sync: bool,
-    /// Whether the name may refer to another file than the open one, since a rename failed.
+    /// Whether a rename has failed, so that the file name may refer to a file other than the open one.
     is_poisoned: bool,
 }
 
 impl Log<FileSystemDirectory> {
-    /// Opens the log in a directory of the file system, which must exist, or creates an empty one.
+    /// Opens the log in an existing directory of the file system, or creates an empty log there.
     pub fn open(directory: &Path) -> Result<(Log, Recovered), StoreError> {
         Log::open_on(FileSystemDirectory::new(directory))
     }
 
-    /// Renames a corrupt log, so that the next opening creates an empty one.
+    /// Moves a corrupt log aside by renaming it, so that the next open creates an empty one.
     pub fn quarantine(directory: &Path) -> Result<(), StoreError> {
         Log::quarantine_on(&FileSystemDirectory::new(directory))
     }
 }
 
 impl<D: Disk> Log<D> {
-    /// Opens the log on a disk, or creates an empty one.
+    /// Opens the log on `disk`, or creates an empty log there.
     pub fn open_on(disk: D) -> Result<(Log<D>, Recovered), StoreError> {
         if let Some(bytes) = disk.read(LOG)? {
-            // A rewrite that ended before its rename. It may stay if it can't be removed: the next rewrite truncates it.
+            // The file is left over from a rewrite that stopped before its rename. If it cannot be removed it
+            // does no harm: the next rewrite truncates it.
             let _ = disk.remove(NEW_LOG);
             return Log::open_existing(disk, &bytes);
         }
@@ -81,7 +83,7 @@
         Log::open_existing(disk, &bytes)
     }
 
-    /// Renames a corrupt log on a disk, so that the next opening creates an empty one.
+    /// Moves a corrupt log on `disk` aside by renaming it, so that the next open creates an empty one.
     pub fn quarantine_on(disk: &D) -> Result<(), StoreError> {
         if disk.read(NEW_LOG)?.is_some() {
             disk.remove(NEW_LOG)?;
@@ -106,7 +108,8 @@
         if torn_tail.is_some() {
             file.set_length(valid_bytes)?;
         }
-        // What was read may be in a cache only, if a process died before its sync; so it is synced before anyone relies on it.
+        // If the previous process died before its sync, the bytes read may exist only in the page cache. They
+        // are synced before anyone relies on them.
         file.sync()?;
         disk.sync_directory()?;
         let log = Log::new(disk, file, generation, parsed.next_sequence, valid_bytes);
@@ -124,7 +127,7 @@
         Ok((log, Recovered { records: Vec::new(), torn_tail: None }))
     }
 
-    /// A log whose file and name are synced.
+    /// Returns a log whose file and file name have been synced.
     fn new(disk: D, file: D::File, generation: u64, next_sequence: u64, valid_bytes: u64) -> Log<D> {
         Log {
             disk,
@@ -138,10 +141,10 @@
         }
     }
 
-    /// Appends records as one frame and syncs them: they survive together or not at all.
+    /// Atomically appends `records` as one frame and syncs it.
     ///
-    /// After an error it is unknown which bytes follow the earlier records on disk. The next append truncates them first, and
-    /// fails while it can't.
+    /// After an error it is unknown which bytes follow the earlier records on disk. The next append first
+    /// truncates them, and fails as long as that is not possible.
     pub fn append(&mut self, records: &[Vec<u8>]) -> Result<(), StoreError> {
         check_length(records)?;
         self.repair()?;
@@ -155,7 +158,7 @@
         Ok(())
     }
 
-    /// Replaces all records. After an error the log contains either the old records or the new ones.
+    /// Atomically replaces all records. After an error the log contains either the old or the new records.
     pub fn rewrite(&mut self, records: &[Vec<u8>]) -> Result<(), StoreError> {
         let batches = split_into_frames(records);
         for batch in &batches {
@@ -165,7 +168,7 @@
         let (file, valid_bytes) = match self.write_new_log(generation, &batches) {
             Ok(written) => written,
             Err(error) => {
-                // Only to free the space; the old log stays in use either way.
+                // The removal only frees space; the old log stays in use even if it fails.
                 let _ = self.disk.remove(NEW_LOG);
                 return Err(error);
             }
@@ -184,13 +187,13 @@
         Ok(())
     }
 
-    /// The length of the file in bytes, without those of a failed append.
+    /// Returns the length of the file in bytes, excluding the bytes of a failed append.
     pub fn len_bytes(&self) -> u64 {
         self.valid_bytes
     }
 
-    /// Writes and syncs a new file with one frame for each batch, one frame in memory at a time. Returns it with its length
-    /// in bytes.
+    /// Writes and syncs a new file with one frame per batch, encoding one frame at a time. Returns the file
+    /// and its length in bytes.
     fn write_new_log(&self, generation: u64, batches: &[&[Vec<u8>]]) -> Result<(D::File, u64), StoreError> {
         let mut file = self.disk.create(NEW_LOG)?;
         let mut offset = 0;
@@ -204,7 +207,7 @@
         Ok((file, offset))
     }
 
-    /// Makes the file safe to append to after an error.
+    /// Restores the file to a state that is safe to append to after an earlier error.
     fn repair(&mut self) -> Result<(), StoreError> {
         if self.is_poisoned {
             return Err(StoreError::Poisoned);
@@ -222,8 +225,8 @@
     }
 }
 
-/// Splits the records of a rewrite into the batches of its frames, at least one. They need not share a frame to survive
-/// together, since all of them become valid with the rename.
+/// Splits the records of a rewrite into batches, one per frame and at least one in total. The records need
+/// not share a frame for the rewrite to be atomic, since all frames become valid with the rename.
 fn split_into_frames(records: &[Vec<u8>]) -> Vec<&[Vec<u8>]> {
     let mut batches = Vec::new();
     let mut remaining = records;
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/simulated.rs
@@ -1,23 +1,24 @@
-//! A disk in memory that loses power, fills up and fails, for tests. Its faults are drawn from the caller's seeded generator.
+//! An in-memory disk for tests that simulates power loss, a full disk and failing operations. The effects of
+//! a power loss are drawn from the caller's seeded generator.
 //!
-//! | change | survives a loss of power |
+//! | change | survives a power loss |
 //! | --- | --- |
 //! | content covered by a sync of its file | always |
-//! | a later write or change of length | present, lost or torn, each by itself |
-//! | the name of a new file | once the file was synced |
-//! | a rename, a removal, the name of an unsynced file | each by itself; always once the directory was synced |
+//! | a later write or change of length | kept, lost or torn (writes only), each independently |
+//! | the name of a new file | always, once the file was synced |
+//! | a rename, a removal, the name of an unsynced file | kept or lost, each independently; always, once the directory was synced |
 
 use crate::disk::{Disk, DiskFile};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The granularity at which a write is torn.
+/// The granularity of torn writes, in bytes.
 const SECTOR_BYTES: usize = 64;
-/// One loss of power in this many loses all unsynced changes.
+/// One in this many power losses loses all unsynced changes.
 const TOTAL_LOSS_ONE_IN: u8 = 4;
 
-/// A handle to a simulated disk; clones refer to the same disk.
+/// A handle to a simulated disk. Clones refer to the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
     state: Arc<Mutex<State>>,
@@ -25,16 +26,16 @@
 
 #[derive(Debug, Default)]
 struct State {
-    /// All files ever created; indices are stable.
+    /// All files ever created. Indices are stable.
     inodes: Vec<Inode>,
-    /// The directory as processes see it: index of the inode by name.
+    /// The directory as processes see it: maps each file name to its index in `inodes`.
     names: BTreeMap<String, usize>,
-    /// The directory as it is after a loss of all unsynced changes.
+    /// The directory as it would be after the loss of all unsynced changes.
     durable_names: BTreeMap<String, usize>,
     unsynced_names: Vec<NameChange>,
-    /// Whether every operation that consumes a fault step fails (see [`State::consume_fault_step`]).
+    /// Whether every operation that calls [`State::consume_fault_step`] fails.
     is_failing: bool,
-    /// How many more of these operations succeed before one fails; `None` for all.
+    /// The number of these operations that succeed before one fails; `None` if none is to fail.
     fails_after: Option<usize>,
 }
 
@@ -68,37 +69,39 @@
 }
 
 impl SimulatedDisk {
-    /// An empty disk.
+    /// Returns an empty disk.
     pub fn new() -> SimulatedDisk {
         SimulatedDisk::default()
     }
 
-    /// Sets whether every operation that changes or syncs the disk fails from now on, as on a full disk: creations, renames,
-    /// removals, syncs of the directory, and of an open file writes, changes of length and syncs. The first half of a write
-    /// that fails is written nevertheless. Reads and openings succeed.
+    /// Sets whether, as on a full disk, every operation that changes or syncs the disk fails from now on:
+    /// creating, renaming and removing files, syncing the directory, and writing, resizing and syncing an
+    /// open file. A failed write still writes the first half of its bytes. Reading and opening files is not
+    /// affected.
     pub fn set_failing(&self, is_failing: bool) {
         lock(&self.state).is_failing = is_failing;
     }
 
-    /// Lets this many operations succeed, the next one fail and all later ones succeed. The operations that count are those
-    /// of [`SimulatedDisk::set_failing`], which fails without counting. The first half of a failed write is written.
+    /// Makes one operation fail after `operations` successful ones; all later operations succeed. The
+    /// affected operations are those listed at [`SimulatedDisk::set_failing`]; operations that fail because
+    /// of that setting are not counted. A failed write still writes the first half of its bytes.
     pub fn fail_after(&self, operations: usize) {
         lock(&self.state).fails_after = Some(operations);
     }
 
-    /// Loses power: each unsynced change is kept, lost or torn. Files that were open can still be used, and have the content
-    /// that is left, but their names may be gone.
+    /// Simulates a power loss: each unsynced change is kept, lost or torn. Open file handles remain usable
+    /// and refer to the remaining content, but the names of their files may be gone.
     pub fn lose_power(&self, rng: &mut fastrand::Rng) {
         lock(&self.state).lose_power(rng);
     }
 
-    /// Erases the disk, its faults too, as if another empty disk stood in its place. Files that were open refer to files
-    /// that are gone: using one panics, or reaches another file that was created since. Drop them before.
+    /// Replaces the disk by an empty one without faults. Drop all open files first: an open file then refers
+    /// to an inode that no longer exists, so using it panics or accesses a file created after the wipe.
     pub fn wipe(&self) {
         *lock(&self.state) = State::default();
     }
 
-    /// Changes one byte of a file, as a media error would.
+    /// Flips bits in one byte of a file, as a media error would.
     pub fn corrupt(&self, name: &str, offset: usize) {
         let mut state = lock(&self.state);
         let Some(inode) = state.names.get(name).copied() else { return };
@@ -107,7 +110,7 @@
         inode.durable_content = inode.content.clone();
     }
 
-    /// Truncates a file, as a torn write would.
+    /// Truncates a file to `length` bytes, as a torn write would.
     pub fn truncate(&self, name: &str, length: usize) {
         let mut state = lock(&self.state);
         let Some(inode) = state.names.get(name).copied() else { return };
@@ -121,25 +124,26 @@
     state.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn refused() -> io::Error {
-    io::Error::new(io::ErrorKind::StorageFull, "the simulated disk refuses")
+fn injected_fault() -> io::Error {
+    io::Error::new(io::ErrorKind::StorageFull, "fault injected by the simulated disk")
 }
 
-fn missing(name: &str) -> io::Error {
+fn not_found(name: &str) -> io::Error {
     io::Error::new(io::ErrorKind::NotFound, name.to_owned())
 }
 
 impl State {
-    /// Fails if the next operation is to fail, and counts that operation: call it once for each one. An operation that does
-    /// not call it, as a read or an opening, never fails by an injected fault.
+    /// Returns an error if the current operation is to fail, and counts the operation. Each operation that
+    /// may fail by fault injection calls this exactly once; reading and opening files do not call it and
+    /// therefore never fail this way.
     fn consume_fault_step(&mut self) -> io::Result<()> {
         if self.is_failing {
-            return Err(refused());
+            return Err(injected_fault());
         }
         match self.fails_after {
             Some(0) => {
                 self.fails_after = None;
-                Err(refused())
+                Err(injected_fault())
             }
             Some(remaining) => {
                 self.fails_after = Some(remaining - 1);
@@ -198,7 +202,8 @@
     }
 }
 
-/// Applies a part of a write: a prefix, or some of its sectors. A change of length is lost.
+/// Applies part of a write: either a prefix or a random subset of its sectors. A change of length is not
+/// applied.
 fn apply_torn(content: &mut Vec<u8>, change: &ContentChange, rng: &mut fastrand::Rng) {
     let ContentChange::Write { offset, bytes } = change else { return };
     if rng.bool() {
@@ -242,7 +247,7 @@
     }
 
     fn open(&self, name: &str) -> io::Result<SimulatedFile> {
-        let inode = lock(&self.state).names.get(name).copied().ok_or_else(|| missing(name))?;
+        let inode = lock(&self.state).names.get(name).copied().ok_or_else(|| not_found(name))?;
         Ok(SimulatedFile { state: self.state.clone(), inode })
     }
 
@@ -263,7 +268,7 @@
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         let mut state = lock(&self.state);
         state.consume_fault_step()?;
-        let inode = state.names.get(from).copied().ok_or_else(|| missing(from))?;
+        let inode = state.names.get(from).copied().ok_or_else(|| not_found(from))?;
         let change = NameChange::Renamed { from: from.to_owned(), to: to.to_owned(), inode };
         apply_name(&mut state.names, &change);
         state.unsynced_names.push(change);
@@ -274,7 +279,7 @@
         let mut state = lock(&self.state);
         state.consume_fault_step()?;
         if !state.names.contains_key(name) {
-            return Err(missing(name));
+            return Err(not_found(name));
         }
         let change = NameChange::Removed { name: name.to_owned() };
         apply_name(&mut state.names, &change);
--- a/crates/store/tests/log.rs
+++ b/crates/store/tests/log.rs
@@ -1,10 +1,12 @@
-//! The log on a healthy disk, truncated at every byte, corrupted at every byte, and on a disk that fails.
+//! Tests of the log on a healthy disk, truncated at every byte, corrupted at every byte, and on a failing
+//! disk.
 
 use lugwharf_store::simulated::SimulatedDisk;
 use lugwharf_store::{Disk, FileSystemDirectory, Log, Recovered, StoreError, crc32c};
 use rstest::rstest;
 
-/// The length of the header and of a frame around its records, as the layout in `frame.rs` says.
+/// The lengths of the file header, of a frame without its records, and of a record's length field; see
+/// `frame.rs`.
 const HEADER_BYTES: usize = 20;
 const FRAME_BYTES: usize = 24;
 const LENGTH_BYTES: usize = 4;
@@ -22,7 +24,7 @@
     FRAME_BYTES + batch.iter().map(|record| LENGTH_BYTES + record.len()).sum::<usize>()
 }
 
-fn written() -> SimulatedDisk {
+fn disk_with_batches() -> SimulatedDisk {
     let disk = SimulatedDisk::new();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     for batch in batches() {
@@ -35,7 +37,7 @@
     Log::open_on(disk.clone()).unwrap().1
 }
 
-/// The records of the batches whose frames are complete in a file of this length.
+/// Returns the records of all batches whose frames are complete in a file of `length` bytes.
 fn complete_batches(length: usize) -> Vec<Vec<u8>> {
     let mut end = HEADER_BYTES;
     let complete = batches().into_iter().take_while(|batch| {
@@ -59,7 +61,7 @@
 
 #[test]
 fn records_are_recovered_in_order() {
-    let recovered = reopen(&written());
+    let recovered = reopen(&disk_with_batches());
     assert_eq!(recovered.records, batches().concat());
     assert_eq!(recovered.torn_tail, None);
 }
@@ -68,17 +70,17 @@
 fn a_file_truncated_at_any_byte_loses_only_the_torn_frame() {
     let total = HEADER_BYTES + batches().iter().map(|batch| frame_bytes(batch)).sum::<usize>();
     for length in HEADER_BYTES..=total {
-        let disk = written();
+        let disk = disk_with_batches();
         disk.truncate("log", length);
         let (mut log, recovered) = Log::open_on(disk.clone()).unwrap();
         let intact = complete_batches(length);
-        assert_eq!(recovered.records, intact, "cut at {length}");
-        assert_eq!(recovered.torn_tail.is_some(), log.len_bytes() != length as u64, "cut at {length}");
+        assert_eq!(recovered.records, intact, "truncated at {length}");
+        assert_eq!(recovered.torn_tail.is_some(), log.len_bytes() != length as u64, "truncated at {length}");
 
         log.append(&[b"next".to_vec()]).unwrap();
         let recovered = reopen(&disk);
-        assert_eq!(recovered.records, [intact, vec![b"next".to_vec()]].concat(), "cut at {length}");
-        assert_eq!(recovered.torn_tail, None, "cut at {length}");
+        assert_eq!(recovered.records, [intact, vec![b"next".to_vec()]].concat(), "truncated at {length}");
+        assert_eq!(recovered.torn_tail, None, "truncated at {length}");
     }
 }
 
@@ -87,7 +89,7 @@
     let total = HEADER_BYTES + batches().iter().map(|batch| frame_bytes(batch)).sum::<usize>();
     let last = total - frame_bytes(&batches()[3]);
     for offset in 0..total {
-        let disk = written();
+        let disk = disk_with_batches();
         disk.corrupt("log", offset);
         match Log::open_on(disk) {
             Err(StoreError::UnknownFormat) => assert!(offset < HEADER_BYTES, "byte {offset}"),
@@ -106,7 +108,7 @@
 
 #[test]
 fn a_corrupt_log_can_be_quarantined() {
-    let disk = written();
+    let disk = disk_with_batches();
     disk.corrupt("log", HEADER_BYTES + 10);
     assert!(Log::open_on(disk.clone()).is_err());
     Log::quarantine_on(&disk).unwrap();
@@ -115,7 +117,7 @@
 
 #[test]
 fn a_full_disk_fails_appends_until_it_has_space() {
-    let disk = written();
+    let disk = disk_with_batches();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     disk.set_failing(true);
     assert!(log.append(&[vec![1; 100]]).is_err());
@@ -131,8 +133,8 @@
 #[rstest]
 #[case::write(0)]
 #[case::sync(1)]
-fn the_next_append_truncates_what_a_failed_one_left(#[case] operation: usize) {
-    let disk = written();
+fn the_next_append_truncates_the_bytes_of_a_failed_one(#[case] operation: usize) {
+    let disk = disk_with_batches();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     disk.fail_after(operation);
     assert!(log.append(&[vec![9; 500]]).is_err());
@@ -144,7 +146,7 @@
 
 #[test]
 fn a_rewrite_replaces_all_records() {
-    let disk = written();
+    let disk = disk_with_batches();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     log.rewrite(&[b"kept".to_vec()]).unwrap();
     log.append(&[b"added".to_vec()]).unwrap();
@@ -156,9 +158,9 @@
 
 #[test]
 fn a_failed_rewrite_keeps_the_old_log_in_use() {
-    // Creating, writing and syncing the new file.
+    // The failing operations: creating, writing and syncing the new file.
     for operation in 0..3 {
-        let disk = written();
+        let disk = disk_with_batches();
         let (mut log, _) = Log::open_on(disk.clone()).unwrap();
         disk.fail_after(operation);
         assert!(log.rewrite(&[b"kept".to_vec()]).is_err());
@@ -169,7 +171,7 @@
 
 #[test]
 fn a_failed_rename_poisons_the_log_until_a_rewrite() {
-    let disk = written();
+    let disk = disk_with_batches();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     disk.fail_after(3);
     assert!(log.rewrite(&[b"kept".to_vec()]).is_err());
@@ -203,7 +205,7 @@
     std::fs::remove_dir_all(&path).unwrap();
 }
 
-/// Far below the limit of a frame, and above what a wrong factor in it would allow.
+/// The record is far shorter than the frame limit, but longer than a limit with a wrong factor would allow.
 #[test]
 fn a_long_record_is_recovered() {
     let disk = SimulatedDisk::new();
@@ -213,7 +215,7 @@
     assert_eq!(reopen(&disk).records, vec![long]);
 }
 
-/// The longest frame, whose disk refuses it: the log itself has no objection.
+/// The disk fails, so an I/O error shows that the longest frame has passed the log's own length check.
 #[test]
 fn the_longest_frame_passes_the_length_check() {
     let disk = SimulatedDisk::new();
@@ -224,11 +226,12 @@
     assert!(matches!(log.append(&[vec![0; longest + 1]]), Err(StoreError::TooLong { .. })));
 }
 
-/// The checksums of frames cover the generation, so that no frame of an earlier file passes for one of this file.
+/// Frame checksums cover the generation, so that a frame of an earlier file is not accepted as a frame of the
+/// current file.
 #[test]
 fn each_rewrite_increments_the_generation() {
     const GENERATION: std::ops::Range<usize> = 8..16;
-    let disk = written();
+    let disk = disk_with_batches();
     let (mut log, _) = Log::open_on(disk.clone()).unwrap();
     let generation =
         || u64::from_le_bytes(disk.read("log").unwrap().unwrap()[GENERATION].try_into().unwrap());
@@ -239,7 +242,7 @@
     assert_eq!(generation(), 3);
 }
 
-/// The torn last frame holds a record that looks like the frame which was expected there.
+/// The torn last frame contains a record with the bytes of a valid frame with the expected sequence number.
 #[test]
 fn a_torn_tail_that_contains_the_expected_frame_is_not_corruption() {
     let source = SimulatedDisk::new();
--- a/crates/store/tests/power_loss.rs
+++ b/crates/store/tests/power_loss.rs
@@ -1,10 +1,11 @@
-//! Loss of power at every operation: synced records are durable, unsynced ones are recovered completely or not at all.
+//! Simulates a power loss at every disk operation: synced records are durable, unsynced appends are recovered
+//! completely or not at all.
 
 use lugwharf_store::Log;
 use lugwharf_store::simulated::SimulatedDisk;
 
 const SEEDS: u64 = 400;
-/// More operations than any step below takes.
+/// More disk operations than any step below performs.
 const MAX_OPERATIONS: usize = 8;
 
 fn record(rng: &mut fastrand::Rng) -> Vec<u8> {
@@ -17,8 +18,9 @@
     std::iter::repeat_with(|| record(rng)).take(count).collect()
 }
 
-/// Plays steps until one fails, loses power and compares. The step that failed may have been done or not.
-fn play(seed: u64, fails_after: usize) {
+/// Performs steps until one fails, simulates a power loss and checks the recovered records. The failed step
+/// may have taken effect or not.
+fn run_until_failure(seed: u64, fails_after: usize) {
     let mut rng = fastrand::Rng::with_seed(seed);
     let disk = SimulatedDisk::new();
     let mut expected: Vec<Vec<u8>> = Vec::new();
@@ -35,13 +37,13 @@
         }
         disk.lose_power(&mut rng);
         let (_, recovered) = Log::open_on(disk.clone()).unwrap();
-        let sound = recovered.records == expected || recovered.records == attempted;
-        assert!(sound, "seed {seed}, failure after {fails_after}");
+        let is_consistent = recovered.records == expected || recovered.records == attempted;
+        assert!(is_consistent, "seed {seed}, failure after {fails_after}");
         expected = recovered.records;
     }
 }
 
-/// Appends or rewrites. `expected` becomes what the log contains if the step succeeds.
+/// Appends to or rewrites the log. Sets `expected` to the content of the log if the step succeeds.
 fn step(
     log: &mut Log<SimulatedDisk>, expected: &mut Vec<Vec<u8>>, rng: &mut fastrand::Rng,
 ) -> Result<(), lugwharf_store::StoreError> {
@@ -58,7 +60,7 @@
 fn synced_records_survive_a_power_loss_at_every_operation() {
     for seed in 0..SEEDS {
         for fails_after in 0..MAX_OPERATIONS {
-            play(seed, fails_after);
+            run_until_failure(seed, fails_after);
         }
     }
 }
@@ -83,8 +85,8 @@
     }
 }
 
-/// A process that dies between the write and the sync leaves bytes that only a cache holds. Its successor reads them,
-/// so it must sync them before it relies on them.
+/// A process that dies between a write and the sync leaves bytes that exist only in the page cache. The next
+/// process reads them, so it must sync them before relying on them.
 #[test]
 fn recovered_records_are_synced_before_they_are_returned() {
     for seed in 0..SEEDS {
@@ -100,7 +102,7 @@
     }
 }
 
-/// After a rewrite whose directory was not synced, nothing is appended until it is.
+/// After a rewrite whose directory sync failed, nothing is appended until the directory is synced.
 #[test]
 fn an_append_after_an_unsynced_rename_is_durable() {
     for seed in 0..SEEDS {
@@ -116,13 +118,14 @@
     }
 }
 
-/// A rewrite of several frames takes effect completely or not at all.
+/// A rewrite with several frames takes effect completely or not at all.
 #[test]
 fn a_long_rewrite_is_atomic_at_every_operation_that_fails() {
     let long: Vec<Vec<u8>> = (1..=3).map(|number| vec![number; 700 << 10]).collect();
-    let (mut old, mut new) = (0, 0);
+    let (mut old_count, mut new_count) = (0, 0);
     for seed in 0..8 {
-        // Creating the file, three frames, its sync, the rename, the sync of the directory, none.
+        // The failing operation: creating the file, one of three frame writes, the sync, the rename, the
+        // directory sync, or none.
         for fails_after in 0..8 {
             let mut rng = fastrand::Rng::with_seed(seed);
             let disk = SimulatedDisk::new();
@@ -136,12 +139,12 @@
             let is_new = recovered.records == long;
             assert!(is_new || recovered.records == [b"old".to_vec()], "seed {seed}, after {fails_after}");
             assert!(is_new || written.is_err(), "seed {seed}, after {fails_after}");
-            old += usize::from(!is_new);
-            new += usize::from(is_new);
+            old_count += usize::from(!is_new);
+            new_count += usize::from(is_new);
             log.append(&[b"added".to_vec()]).unwrap();
             let (_, recovered) = Log::open_on(disk).unwrap();
             assert_eq!(recovered.records.last(), Some(&b"added".to_vec()));
         }
     }
-    assert!(old >= 40 && new >= 8, "{old} old, {new} new");
+    assert!(old_count >= 40 && new_count >= 8, "{old_count} old, {new_count} new");
 }
