--- a/crates/invariants/tests/counting.rs
+++ b/crates/invariants/tests/counting.rs
@@ -13,9 +13,7 @@
 fn violations_are_counted_by_name_and_only_the_first_are_reported() {
     count_violations_only();
     set_reporter(record);
-    check(Invariant::RetriesPaid, true, || {
-        unreachable!("facts must not be evaluated if the invariant holds")
-    });
+    check(Invariant::RetriesPaid, true, || unreachable!("facts evaluated without a violation"));
     assert_eq!((count(Invariant::RetriesPaid), total()), (0, 0));
     for attempt in 1..=15 {
         check(Invariant::RetriesPaid, false, || format!("attempt {attempt}"));
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::io;
 
-/// Why the log could not be opened, appended to or rewritten.
+/// The reason why the log could not be opened, appended to or rewritten.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// A file system operation failed.
