--- a/src/api/event.rs
+++ b/src/api/event.rs
@@ -58,7 +58,7 @@
 
 /// Whether a client still waits for a final answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Progress {
+pub enum RequestStatus {
     /// The client still waits.
     AwaitingAnswer,
     /// The client has its answer, or has left.
@@ -83,7 +83,7 @@
         /// The time since it was sent.
         elapsed: Duration,
         /// Whether the request is finished with it, or was before.
-        progress: Progress,
+        request_status: RequestStatus,
     },
     /// A probe ended.
     ProbeCompleted {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -10,9 +10,10 @@
 mod settings;
 
 pub use action::{Action, LogEvent};
-pub use event::{Arrival, Event, Origin, Outcome, Progress};
+pub use event::{Arrival, Event, Origin, Outcome, RequestStatus};
 pub use id::{RequestId, ServerId, TimerId};
 pub use server_list::{Availability, ServerEntry, ServerListEvent};
 pub use settings::{
-    Class, DedupScope, Discovery, Goal, Idempotency, Permission, Settings, SlowStart, ValueBasis,
+    DedupScope, Discovery, Idempotency, ObjectiveWeights, Permission, RequestClass, Settings, SlowStart,
+    ValueBasis,
 };
--- a/src/api/server_list.rs
+++ b/src/api/server_list.rs
@@ -26,11 +26,11 @@
     /// Its zone.
     pub zone: u16,
     /// Its kind of machine. Servers of one kind suit the classes alike.
-    pub kind: u8,
+    pub machine_type: u8,
     /// Its capacity relative to that of others. Values under 1, and NaN, count as 1.
     pub weight: f64,
     /// Clock reading of its last start; `None` if that is long ago.
-    pub started: Option<Duration>,
+    pub started_at: Option<Duration>,
 }
 
 /// An update of the server list, or of the subscription to it.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -47,7 +47,7 @@
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
+pub struct RequestClass {
     /// An answer within this time earns the full value.
     pub latency_target: Duration,
     /// How long a client waits in all, over its own retries; zero if unknown.
@@ -57,12 +57,12 @@
     /// The value of one request, or of one unit of its work; see [`ValueBasis`].
     pub value: f64,
     /// The share of the value that an answer after the latency target earns, from 0 to 1.
-    pub late_value: f64,
+    pub late_value_share: f64,
     /// Whether a request may run again.
     pub idempotency: Idempotency,
 }
 
-/// What [`Class::value`] is counted by.
+/// What [`RequestClass::value`] is counted by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueBasis {
     /// Each request has the value of its class.
@@ -96,7 +96,7 @@
 
 /// The weights of what good service consists of.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Goal {
+pub struct ObjectiveWeights {
     /// Weight of the served share of all value.
     pub total_value: f64,
     /// Weight of that share in the class that is served worst.
@@ -115,7 +115,7 @@
     /// An upstream connection that is idle for this long is closed.
     pub keep_alive: Duration,
     /// The classes, by index.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// What value is counted by.
     pub value_basis: ValueBasis,
     /// The price of an attempt that leaves the zone, in the value of an average request.
@@ -125,9 +125,9 @@
     /// The price of a new connection, in the value of an average request.
     pub handshake_price: f64,
     /// Whether load reports say how many requests a server has in flight.
-    pub load_reported: bool,
+    pub is_load_reported: bool,
     /// What good service consists of.
-    pub goal: Goal,
+    pub objective: ObjectiveWeights,
     /// Attempts that a request may have in all, the first included.
     pub max_attempts: usize,
     /// Whether an attempt may be cancelled.
@@ -157,8 +157,8 @@
             cross_zone_price: 0.0,
             probe_price: 0.0,
             handshake_price: 0.0,
-            load_reported: false,
-            goal: Goal { total_value: 1.0, worst_class: 0.0 },
+            is_load_reported: false,
+            objective: ObjectiveWeights { total_value: 1.0, worst_class: 0.0 },
             max_attempts: 2,
             cancel: Permission::Denied,
             probes: Permission::Denied,
--- a/src/bin/lugwharf-sidecar/config.rs
+++ b/src/bin/lugwharf-sidecar/config.rs
@@ -1,7 +1,7 @@
 //! The configuration of a sidecar: the environment and its JSON file.
 
-use lugwharf_sidecar::api::{Class, Settings};
-use lugwharf_sidecar::settings_text::{self, Deployment, SettingError};
+use lugwharf_sidecar::api::{RequestClass, Settings};
+use lugwharf_sidecar::settings_text::{self, NetworkSettings, SettingError};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -41,7 +41,7 @@
     /// The server list as this sidecar had it last, in discovery's form. It may be out of date, or missing.
     pub known: Value,
     pub settings: Settings,
-    pub deployment: Deployment,
+    pub deployment: NetworkSettings,
 }
 
 impl Config {
@@ -81,7 +81,7 @@
             max_descriptors: max_descriptors.map_or(DEFAULT_MAX_DESCRIPTORS, |n| n as usize),
             known: json["known"].clone(),
             settings: settings_text::parse(&settings)?,
-            deployment: settings_text::deployment(&settings)?,
+            deployment: settings_text::parse_network_settings(&settings)?,
         })
     }
 
@@ -97,7 +97,7 @@
 }
 
 /// How long a client of this class waits at most.
-pub fn client_timeout(class: &Class) -> Duration {
+pub fn client_timeout(class: &RequestClass) -> Duration {
     if class.deadline.is_zero() { DEFAULT_CLIENT_TIMEOUT } else { class.deadline }
 }
 
--- a/src/bin/lugwharf-sidecar/discovery/list.rs
+++ b/src/bin/lugwharf-sidecar/discovery/list.rs
@@ -4,7 +4,7 @@
 use crate::config::flat_name;
 use crate::events::{ListMember, ListUpdate};
 use lugwharf_sidecar::api::{Availability, ServerEntry, ServerId};
-use lugwharf_sidecar::settings_text::Deployment;
+use lugwharf_sidecar::settings_text::NetworkSettings;
 use serde_json::Value;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 /// Reads a list. An entry that cannot be read is left out and the rest counts; one log line stands for all of them, since a
 /// corrupt list must not fill the log.
-pub fn read(list: &Value, names: &Deployment) -> Result<ListUpdate, DiscoveryError> {
+pub fn read(list: &Value, names: &NetworkSettings) -> Result<ListUpdate, DiscoveryError> {
     let revision = list["revision"].as_u64().ok_or(DiscoveryError::Missing("revision"))?;
     let is_complete = list["complete"].as_bool().ok_or(DiscoveryError::Missing("complete"))?;
     let entries = list["members"].as_array().ok_or(DiscoveryError::Missing("members"))?;
@@ -25,7 +25,7 @@
     Ok(ListUpdate { revision, is_complete, members })
 }
 
-fn read_member(member: &Value, names: &Deployment) -> Option<ListMember> {
+fn read_member(member: &Value, names: &NetworkSettings) -> Option<ListMember> {
     let index_in = |names: &[String], key: &str| {
         let name = flat_name(member[key].as_str().unwrap_or_default());
         names.iter().position(|other| *other == name)
@@ -45,9 +45,9 @@
         cell: member["cell"].as_u64().and_then(|cell| u16::try_from(cell).ok())?,
         // A zone or kind that the settings don't name is nobody's.
         zone: index_in(&names.zones, "locality").map_or(u16::MAX, |index| index as u16),
-        kind: index_in(&names.kinds, "flavor").map_or(u8::MAX, |index| index as u8),
+        machine_type: index_in(&names.machine_types, "flavor").map_or(u8::MAX, |index| index as u8),
         weight: weight.unwrap_or(1.0),
-        started: started_ms.and_then(|ms| Duration::try_from_secs_f64(ms / 1e3).ok()),
+        started_at: started_ms.and_then(|ms| Duration::try_from_secs_f64(ms / 1e3).ok()),
     };
     Some(ListMember { entry, address: member["host_port"].as_str()?.parse().ok()? })
 }
--- a/src/bin/lugwharf-sidecar/driver/actions.rs
+++ b/src/bin/lugwharf-sidecar/driver/actions.rs
@@ -62,8 +62,8 @@
         let endpoint = self.endpoints.get(server).filter(|_| pending.is_awaiting_answer());
         let Some(endpoint) = endpoint else {
             pending.attempts.push(PendingAttempt { sent_at: now, task: None });
-            let (outcome, elapsed, progress) = (Outcome::NotSent, Duration::ZERO, pending.progress());
-            return Some(Event::Outcome { id, attempt, outcome, elapsed, progress });
+            let (outcome, elapsed, request_status) = (Outcome::NotSent, Duration::ZERO, pending.progress());
+            return Some(Event::Outcome { id, attempt, outcome, elapsed, request_status });
         };
         let handle = self.handle.clone();
         let on_end = move |outcome, served| {
@@ -84,9 +84,9 @@
         let cancelled = pending.attempts.get_mut(attempt)?;
         cancelled.task.take()?.task.abort();
         let elapsed = cancelled.sent_at.elapsed();
-        let progress = pending.progress();
+        let request_status = pending.progress();
         self.remove_if_finished(id);
-        Some(Event::Outcome { id, attempt, outcome: Outcome::Cancelled, elapsed, progress })
+        Some(Event::Outcome { id, attempt, outcome: Outcome::Cancelled, elapsed, request_status })
     }
 
     fn probe(&mut self, server: ServerId) -> Option<Event> {
--- a/src/bin/lugwharf-sidecar/driver/endpoint_table.rs
+++ b/src/bin/lugwharf-sidecar/driver/endpoint_table.rs
@@ -35,7 +35,7 @@
     pub(super) fn apply(&mut self, update: &ListUpdate) {
         let mut listed = HashSet::new();
         for member in &update.members {
-            let (server, started) = (member.entry.server, member.entry.started);
+            let (server, started) = (member.entry.server, member.entry.started_at);
             let is_ready = member.entry.availability == Availability::Ready;
             listed.insert(server);
             let is_same = self.servers.get(&server).is_some_and(|known| {
--- a/src/bin/lugwharf-sidecar/driver/event_loop.rs
+++ b/src/bin/lugwharf-sidecar/driver/event_loop.rs
@@ -202,8 +202,8 @@
         if outcome == Outcome::Ok {
             pending.send_answer(FinalAnswer::Served(served));
         }
-        let progress = pending.progress();
-        self.handle_event(Event::Outcome { id, attempt: number, outcome, elapsed, progress });
+        let request_status = pending.progress();
+        self.handle_event(Event::Outcome { id, attempt: number, outcome, elapsed, request_status });
         self.remove_if_finished(id);
     }
 
--- a/src/bin/lugwharf-sidecar/driver/pending_request.rs
+++ b/src/bin/lugwharf-sidecar/driver/pending_request.rs
@@ -2,7 +2,7 @@
 
 use crate::events::FinalAnswer;
 use crate::upstream::ForwardedRequest;
-use lugwharf_sidecar::api::Progress;
+use lugwharf_sidecar::api::RequestStatus;
 use std::sync::Arc;
 use tokio::sync::{Notify, oneshot};
 use tokio::task::AbortHandle;
@@ -34,8 +34,8 @@
         self.answer.is_some()
     }
 
-    pub(super) fn progress(&self) -> Progress {
-        if self.is_awaiting_answer() { Progress::AwaitingAnswer } else { Progress::Finished }
+    pub(super) fn progress(&self) -> RequestStatus {
+        if self.is_awaiting_answer() { RequestStatus::AwaitingAnswer } else { RequestStatus::Finished }
     }
 
     /// Returns whether it is answered and nothing is in flight for it.
--- a/src/bin/lugwharf-simulator/host.rs
+++ b/src/bin/lugwharf-simulator/host.rs
@@ -78,8 +78,10 @@
 
     fn start(&mut self, number: u32, seed: u64, text: &str) -> Result<(), HostError> {
         let settings = settings_text::parse(text).map_err(|error| HostError::Settings(number, error))?;
-        let instance =
-            Instance { balancer: Balancer::new(settings, seed), load_field: settings_text::load_field(text) };
+        let instance = Instance {
+            balancer: Balancer::new(settings, seed),
+            load_field: settings_text::load_field_index(text),
+        };
         self.instances.insert(number, instance);
         Ok(())
     }
--- a/src/bin/lugwharf-simulator/wire/record.rs
+++ b/src/bin/lugwharf-simulator/wire/record.rs
@@ -3,7 +3,7 @@
 use super::error::WireError;
 use super::fields::{Fields, Tail};
 use lugwharf_sidecar::api::{
-    Arrival, Availability, Event, Origin, Outcome, Progress, ServerEntry, ServerId, TimerId,
+    Arrival, Availability, Event, Origin, Outcome, RequestStatus, ServerEntry, ServerId, TimerId,
 };
 
 /// The size of a list's entry in the tail.
@@ -105,9 +105,9 @@
         availability,
         cell: fields.u16(7),
         zone: fields.u16(13),
-        kind: fields.u8(15),
+        machine_type: fields.u8(15),
         weight: fields.f32(9),
-        started: (!started.is_zero()).then_some(started),
+        started_at: (!started.is_zero()).then_some(started),
     })
 }
 
@@ -117,7 +117,11 @@
         attempt: usize::from(fields.u8(9)),
         outcome: outcome(fields.u16(16))?,
         elapsed: fields.time(18),
-        progress: if fields.u8(26) == 0 { Progress::AwaitingAnswer } else { Progress::Finished },
+        request_status: if fields.u8(26) == 0 {
+            RequestStatus::AwaitingAnswer
+        } else {
+            RequestStatus::Finished
+        },
     })
 }
 
--- a/src/bin/lugwharf-simulator/wire/record_tests.rs
+++ b/src/bin/lugwharf-simulator/wire/record_tests.rs
@@ -119,12 +119,12 @@
         Outcome::NotSent,
     ];
     for (code, outcome) in (1..).zip(all) {
-        for (ended, progress) in [(0, Progress::AwaitingAnswer), (1, Progress::Finished)] {
+        for (ended, request_status) in [(0, RequestStatus::AwaitingAnswer), (1, RequestStatus::Finished)] {
             let mut bytes = vec![4, 5, 0, 0, 0, 6, 7, 8, 9, 2, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, code, 0];
             bytes.extend(THIRTY);
             bytes.push(ended);
             let (id, elapsed) = (RequestId(0x0908_0706), Duration::from_millis(30));
-            let event = Event::Outcome { id, attempt: 2, outcome, elapsed, progress };
+            let event = Event::Outcome { id, attempt: 2, outcome, elapsed, request_status };
             assert_eq!(one(&batch(&bytes, &[])), Record::Event { instance: 5, event });
         }
     }
@@ -141,19 +141,19 @@
         entry
     };
     let list = batch(&[3, 15, 0, 0, 0, 2, 0, 0, 0, 3], &[b"--".to_vec(), line(0), line(1), line(2)].concat());
-    let listed = |availability, started| ServerEntry {
+    let listed = |availability, started_at| ServerEntry {
         server: ServerId(0x0605_0403_0201),
         availability,
         cell: 0x0807,
         zone: 0x0a09,
-        kind: 11,
+        machine_type: 11,
         weight: 2.5,
-        started,
+        started_at,
     };
-    let started = Some(Duration::from_millis(30));
+    let started_at = Some(Duration::from_millis(30));
     let entries = vec![
-        listed(Availability::Gone, started),
-        listed(Availability::Ready, started),
+        listed(Availability::Gone, started_at),
+        listed(Availability::Ready, started_at),
         listed(Availability::Draining, None),
     ];
     assert_eq!(one(&list), Record::DeclareList { number: 15, entries });
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -107,8 +107,8 @@
         match event {
             Event::Request(arrival) => self.on_arrival(arrival, out),
             Event::ClientDisconnected(id) => self.finish(id, out),
-            Event::Outcome { id, attempt, outcome, elapsed, progress } => {
-                self.on_outcome(id, attempt, outcome, to_ms(elapsed), progress, out);
+            Event::Outcome { id, attempt, outcome, elapsed, request_status } => {
+                self.on_outcome(id, attempt, outcome, to_ms(elapsed), request_status, out);
             }
             Event::ProbeCompleted { server, outcome, reported_load } => {
                 self.on_probe_completed(server, outcome, reported_load, out);
@@ -177,7 +177,7 @@
 
     /// The latency of a class at this server's kind of machine, relative to the class's mean.
     pub(crate) fn relative_latency(&self, server: &Server, class: usize) -> f64 {
-        self.relative_latency.get(&(server.entry.kind, class)).copied().unwrap_or(1.0)
+        self.relative_latency.get(&(server.entry.machine_type, class)).copied().unwrap_or(1.0)
     }
 
     /// The value of a request.
@@ -201,6 +201,6 @@
     /// The share of its value that a request earns if it is answered at this time.
     pub(crate) fn earned_share(&self, profile: &RequestProfile, answered_at_ms: f64) -> f64 {
         let is_in_time = answered_at_ms <= profile.target_at_ms;
-        if is_in_time { 1.0 } else { self.settings.classes[profile.class].late_value }
+        if is_in_time { 1.0 } else { self.settings.classes[profile.class].late_value_share }
     }
 }
--- a/src/decision/latency_tests.rs
+++ b/src/decision/latency_tests.rs
@@ -9,9 +9,16 @@
 const TAU: f64 = 1_000.0;
 
 fn server() -> Server {
-    let (availability, started) = (Availability::Ready, None);
-    let line =
-        ServerEntry { server: ServerId(1), availability, cell: 0, zone: 0, kind: 0, weight: 1.0, started };
+    let (availability, started_at) = (Availability::Ready, None);
+    let line = ServerEntry {
+        server: ServerId(1),
+        availability,
+        cell: 0,
+        zone: 0,
+        machine_type: 0,
+        weight: 1.0,
+        started_at,
+    };
     Server::new(line, 0.0)
 }
 
@@ -73,10 +80,16 @@
 fn the_time_constant_is_proportional_to_the_latency_target() {
     let tau = |latency_target: u64| {
         let (latency_target, deadline) = (Duration::from_millis(latency_target), Duration::ZERO);
-        let (value, late_value, latency_target_per_work, idempotency) =
+        let (value, late_value_share, latency_target_per_work, idempotency) =
             (1.0, 0.0, 0.0, Idempotency::Idempotent);
-        let class =
-            Class { latency_target, deadline, latency_target_per_work, value, late_value, idempotency };
+        let class = RequestClass {
+            latency_target,
+            deadline,
+            latency_target_per_work,
+            value,
+            late_value_share,
+            idempotency,
+        };
         Balancer::new(Settings { classes: vec![class], ..Settings::default() }, 1).time_constant_ms
     };
     near(tau(80) * 4.0, tau(320));
--- a/src/decision/memory_tests.rs
+++ b/src/decision/memory_tests.rs
@@ -8,12 +8,12 @@
 fn settings() -> Settings {
     let idempotency = Idempotency::Idempotent;
     let (latency_target, deadline) = (Duration::from_millis(400), Duration::from_millis(1_200));
-    let class = Class {
+    let class = RequestClass {
         latency_target,
         deadline,
         latency_target_per_work: 0.0,
         value: 1.0,
-        late_value: 0.3,
+        late_value_share: 0.3,
         idempotency,
     };
     let discovery = Discovery::OnRequest { max_poll_interval: Duration::from_secs(10) };
@@ -40,9 +40,9 @@
                     availability,
                     cell: 0,
                     zone: 0,
-                    kind: 0,
+                    machine_type: 0,
                     weight: 1.0,
-                    started: None,
+                    started_at: None,
                 };
                 Event::ServerList(ServerListEvent::Full(listed.iter().map(line).collect()))
             }
@@ -59,8 +59,9 @@
                 Some((id, attempt)) => {
                     let all = [Outcome::Ok, Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed];
                     let outcome = all[rng.usize(0..4)];
-                    let (elapsed, progress) = (Duration::from_millis(50), Progress::AwaitingAnswer);
-                    Event::Outcome { id, attempt, outcome, elapsed, progress }
+                    let (elapsed, request_status) =
+                        (Duration::from_millis(50), RequestStatus::AwaitingAnswer);
+                    Event::Outcome { id, attempt, outcome, elapsed, request_status }
                 }
                 None => continue,
             },
@@ -81,10 +82,10 @@
         balancer.handle(end, Event::Timer(TimerId(u64::from(id.0))), &mut out);
     }
     for (id, attempt) in flying {
-        let (elapsed, progress) = (Duration::from_millis(50), Progress::Finished);
+        let (elapsed, request_status) = (Duration::from_millis(50), RequestStatus::Finished);
         balancer.handle(
             end,
-            Event::Outcome { id, attempt, outcome: Outcome::Ok, elapsed, progress },
+            Event::Outcome { id, attempt, outcome: Outcome::Ok, elapsed, request_status },
             &mut out,
         );
     }
@@ -106,8 +107,9 @@
 #[test]
 fn an_attempt_cancelled_early_does_not_lower_the_latency() {
     let (mut balancer, mut out) = (Balancer::new(settings(), 1), Vec::new());
-    let (availability, started, server) = (Availability::Ready, None, ServerId(1));
-    let line = ServerEntry { server, availability, cell: 0, zone: 0, kind: 0, weight: 1.0, started };
+    let (availability, started_at, server) = (Availability::Ready, None, ServerId(1));
+    let line =
+        ServerEntry { server, availability, cell: 0, zone: 0, machine_type: 0, weight: 1.0, started_at };
     balancer.handle(Duration::ZERO, Event::ServerList(ServerListEvent::Full(vec![line])), &mut out);
     let (cost, origin) = (None, Origin::Fresh);
     let client_timeout = Duration::from_millis(1_200);
@@ -119,10 +121,10 @@
             Event::Request(Arrival { id, class: 0, cost, client_timeout, origin }),
             &mut out,
         );
-        let progress = Progress::Finished;
+        let request_status = RequestStatus::Finished;
         balancer.handle(
             start + elapsed,
-            Event::Outcome { id, attempt: 0, outcome, elapsed, progress },
+            Event::Outcome { id, attempt: 0, outcome, elapsed, request_status },
             &mut out,
         );
     }
--- a/src/decision/outcomes.rs
+++ b/src/decision/outcomes.rs
@@ -4,7 +4,7 @@
 use super::request::{Attempt, AttemptStatus, RequestPhase, RequestProfile};
 use super::server::{BASELINE_GAIN, Health, InFlightAttempt, RECENT_SENDS_MS};
 use super::statistics::update_ewma;
-use crate::api::{Action, LogEvent, Outcome, Progress, RequestId, ServerId};
+use crate::api::{Action, LogEvent, Outcome, RequestId, RequestStatus, ServerId};
 
 /// Weight of one answer in the running means of classes.
 pub(crate) const MEAN_GAIN: f64 = 1.0 / 32.0;
@@ -51,7 +51,7 @@
 
     pub(crate) fn on_outcome(
         &mut self, id: RequestId, attempt_number: usize, outcome: Outcome, elapsed_ms: f64,
-        progress: Progress, out: &mut Vec<Action>,
+        request_status: RequestStatus, out: &mut Vec<Action>,
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let attempt = request.attempts.get_mut(attempt_number);
@@ -70,7 +70,10 @@
             Outcome::Ok => self.record_answer(&attempt, &profile, elapsed_ms, out),
             _ => self.record_failure(&attempt, &profile, outcome, elapsed_ms, out),
         }
-        if progress == Progress::Finished || outcome == Outcome::Ok || phase == RequestPhase::Finished {
+        if request_status == RequestStatus::Finished
+            || outcome == Outcome::Ok
+            || phase == RequestPhase::Finished
+        {
             self.finish(id, out);
         } else {
             self.retry(id, &profile, outcome, out);
@@ -151,7 +154,8 @@
     fn record_relative_latency(&mut self, server: ServerId, profile: &RequestProfile, elapsed_ms: f64) {
         let expected_ms = self.expected_latency_ms(profile);
         if let Some(server) = self.servers.get(server).filter(|_| expected_ms > 0.0) {
-            let relative = self.relative_latency.entry((server.entry.kind, profile.class)).or_insert(1.0);
+            let relative =
+                self.relative_latency.entry((server.entry.machine_type, profile.class)).or_insert(1.0);
             update_ewma(relative, elapsed_ms / expected_ms, RELATIVE_LATENCY_GAIN);
         }
     }
--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -7,7 +7,7 @@
 use super::server::{LOCALITIES, Locality};
 use super::statistics::ClassService;
 use super::time::to_ms;
-use crate::api::{Action, Arrival, Class, Origin, RequestId};
+use crate::api::{Action, Arrival, Origin, RequestClass, RequestId};
 
 /// Weight of one fresh request in the demanded and served value of each class: a longer memory than that of the means.
 const DEMAND_GAIN: f64 = 1.0 / 256.0;
@@ -55,7 +55,7 @@
     /// few requests that take many times the usual would otherwise occupy every server. A client's retry whose target is
     /// over has as long as the target is.
     fn max_attempt_time_ms(&self, profile: &RequestProfile, timeout_ms: f64) -> f64 {
-        let is_late_worthless = self.settings.classes[profile.class].late_value <= 0.0;
+        let is_late_worthless = self.settings.classes[profile.class].late_value_share <= 0.0;
         if !is_late_worthless {
             return timeout_ms;
         }
@@ -83,13 +83,13 @@
 
     /// What serving a request adds to the goal per unit of its work. It is higher for the class that is served worst.
     fn priority(&self, profile: &RequestProfile) -> f64 {
-        let goal = &self.settings.goal;
+        let objective = &self.settings.objective;
         let worst_class =
-            goal.worst_class * ClassService::worst_class_gain(&self.class_service, profile.class);
+            objective.worst_class * ClassService::worst_class_gain(&self.class_service, profile.class);
         let answered_at_ms = self.now_ms + self.expected_latency_ms(profile);
         self.earned_share(profile, answered_at_ms)
             * self.value_per_work(profile)
-            * (goal.total_value + worst_class)
+            * (objective.total_value + worst_class)
     }
 
     /// A request's timer fell due: it may have waited long enough, or its attempt may be late.
@@ -167,7 +167,7 @@
 
 /// What an arrival asks for. The client of a retry counts from its own first attempt, and may have waited for all that its
 /// deadline leaves beside the rest of its time-out: otherwise retries whose time is over would be served before new demand.
-fn profile_of(arrival: &Arrival, class: &Class, now_ms: f64) -> RequestProfile {
+fn profile_of(arrival: &Arrival, class: &RequestClass, now_ms: f64) -> RequestProfile {
     let timeout_ms = to_ms(arrival.client_timeout);
     let cost_ms = arrival.cost.map(to_ms).filter(|&cost| cost > 0.0);
     let target_ms =
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -94,7 +94,7 @@
 pub(crate) struct Request {
     pub(crate) profile: RequestProfile,
     /// The instant at which every attempt of it times out: the client's time-out, or the latency target where a late answer
-    /// has no value. [`Class::deadline`](crate::api::Class::deadline) is something else: the duration that a client waits in
+    /// has no value. [`RequestClass::deadline`](crate::api::RequestClass::deadline) is something else: the duration that a client waits in
     /// all, over its own retries.
     pub(crate) deadline_at_ms: f64,
     /// Until when it stays queued, or waits for probes.
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -69,7 +69,7 @@
         let pays = miss_rate >= PROBES_PER_ROUND * self.settings.probe_price.max(0.0);
         self.settings.probes == Permission::Granted
             && pays
-            && self.settings.load_reported
+            && self.settings.is_load_reported
             && sends_until_stale < self.servers.ready().len() as f64
     }
 
--- a/src/decision/server_table.rs
+++ b/src/decision/server_table.rs
@@ -99,7 +99,7 @@
         }
         for entry in entries {
             match self.by_id.get_mut(&entry.server) {
-                Some(known) if known.entry.started == entry.started => known.entry = entry,
+                Some(known) if known.entry.started_at == entry.started_at => known.entry = entry,
                 Some(known) => known.restart(entry, now_ms),
                 None => {
                     self.by_id.insert(entry.server, Server::new(entry, now_ms));
@@ -114,12 +114,12 @@
         let is_ready = server.has_availability(Availability::Ready);
         let is_in_zone = server.entry.zone == self.zone;
         let is_healthy = server.health == Health::Healthy;
-        let started_at_ms = server.entry.started.map(to_ms).filter(|_| is_ready);
+        let started_at_ms = server.entry.started_at.map(to_ms).filter(|_| is_ready);
         set_membership(&mut self.ready, id, is_ready);
         set_membership(&mut self.ready_in_zone, id, is_ready && is_in_zone);
         let warm_since_ms = now_ms - self.ramp_time_ms;
         self.warming_up.retain(|other| other.id != id && other.started_at_ms > warm_since_ms);
-        let started_at_ms = started_at_ms.filter(|&started| started > warm_since_ms);
+        let started_at_ms = started_at_ms.filter(|&started_at| started_at > warm_since_ms);
         self.warming_up.extend(started_at_ms.map(|started_at_ms| WarmingUp { id, started_at_ms }));
         if !is_ready || is_healthy {
             self.ejected.remove(&id);
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -11,7 +11,7 @@
 impl Balancer {
     /// The share of its capacity that a server has now, at least.
     pub(crate) fn capacity_share(&self, server: &Server) -> f64 {
-        server.entry.started.map_or(1.0, |started| self.capacity_share_at(to_ms(started)))
+        server.entry.started_at.map_or(1.0, |started_at| self.capacity_share_at(to_ms(started_at)))
     }
 
     /// The share of its capacity that a server has now if it started then: it grows linearly over the ramp time.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,12 +18,12 @@
 //! use std::time::Duration;
 //!
 //! let ms = Duration::from_millis;
-//! let class = Class {
+//! let class = RequestClass {
 //!     latency_target: ms(200),
 //!     deadline: ms(1_000),
 //!     latency_target_per_work: 0.0,
 //!     value: 1.0,
-//!     late_value: 0.5,
+//!     late_value_share: 0.5,
 //!     idempotency: Idempotency::Idempotent,
 //! };
 //! let settings = Settings { classes: vec![class], cancel: Permission::Granted, ..Settings::default() };
@@ -36,9 +36,9 @@
 //!     availability: Availability::Ready,
 //!     cell: 0,
 //!     zone: 0,
-//!     kind: 0,
+//!     machine_type: 0,
 //!     weight: 1.0,
-//!     started: None,
+//!     started_at: None,
 //! };
 //! balancer.handle(ms(0), Event::ServerList(ServerListEvent::Full(vec![entry(1), entry(2)])), &mut actions);
 //! let arrival = Arrival {
@@ -58,7 +58,7 @@
 //!     attempt: 0,
 //!     outcome: Outcome::Ok,
 //!     elapsed: ms(30),
-//!     progress: Progress::Finished,
+//!     request_status: RequestStatus::Finished,
 //! };
 //! balancer.handle(ms(31), answer, &mut actions);
 //! assert!(actions.is_empty());
--- a/src/settings_text.rs
+++ b/src/settings_text.rs
@@ -1,15 +1,16 @@
-//! Reads the settings text into [`Settings`] and [`Deployment`].
+//! Reads the settings text into [`Settings`] and [`NetworkSettings`].
 //!
 //! The text has one `path=value` a line. Its keys and words are the operators' and fixed, also where the code has other
 //! names for them. Times are milliseconds. Unknown keys are ignored, and of a key that comes twice the last value counts
-//! (but see [`load_field`]). The simulator's adapter and the sidecar share this reader.
+//! (but see [`load_field_index`]). The simulator's adapter and the sidecar share this reader.
 //!
-//! A missing key has the default that [`parse`] or [`deployment`] states, unless it is required. These are the defaults of
-//! the text alone. Programs that build [`Settings`] themselves start from [`Settings::default`], which differs in two values:
-//! two attempts instead of one, and a tick of 1 ms instead of 5 ms.
+//! A missing key has the default that [`parse`] or [`parse_network_settings`] states, unless it is required. These
+//! defaults are those of the text alone. Programs that build [`Settings`] themselves start from [`Settings::default`],
+//! which differs in two values: two attempts instead of one, and a tick of 1 ms instead of 5 ms.
 
 use crate::api::{
-    Class, DedupScope, Discovery, Goal, Idempotency, Permission, Settings, SlowStart, ValueBasis,
+    DedupScope, Discovery, Idempotency, ObjectiveWeights, Permission, RequestClass, Settings, SlowStart,
+    ValueBasis,
 };
 use std::collections::HashMap;
 use std::time::Duration;
@@ -121,8 +122,8 @@
         cross_zone_price: values.number("prices.crossZone", 0.0)?,
         probe_price: values.number("prices.probe", 0.0)?,
         handshake_price: values.number("prices.handshake", 0.0)?,
-        load_reported: load_field(text).is_some(),
-        goal: goal(&values)?,
+        is_load_reported: load_field_index(text).is_some(),
+        objective: objective(&values)?,
         max_attempts: values.optional("policyLimits.mostTries", count)?.unwrap_or(1),
         cancel: values.permission("policyLimits.cancel")?,
         probes: values.permission("policyLimits.probes")?,
@@ -148,10 +149,10 @@
     }
 }
 
-fn goal(values: &KeyValues) -> Result<Goal, SettingError> {
+fn objective(values: &KeyValues) -> Result<ObjectiveWeights, SettingError> {
     // The worst stretch of time is unknown until it is over, so its weight goes to the total.
     let total_value = values.number("blend.whole", 1.0)? + values.number("blend.worstWindow", 0.0)?;
-    Ok(Goal { total_value, worst_class: values.number("blend.worstClass", 0.0)? })
+    Ok(ObjectiveWeights { total_value, worst_class: values.number("blend.worstClass", 0.0)? })
 }
 
 fn discovery(values: &KeyValues) -> Result<Discovery, SettingError> {
@@ -163,15 +164,15 @@
     })
 }
 
-fn class(values: &KeyValues, index: usize) -> Result<Class, SettingError> {
+fn class(values: &KeyValues, index: usize) -> Result<RequestClass, SettingError> {
     let key = |name: &str| format!("requestClasses.{index}.{name}");
     let idempotency = idempotency(values, &key)?;
-    Ok(Class {
+    Ok(RequestClass {
         latency_target: values.required(&key("aim"), time)?,
         deadline: values.time(&key("deadline"), Duration::ZERO)?,
         latency_target_per_work: values.number(&key("aimStretch"), 0.0)?,
         value: values.number(&key("points"), 1.0)?,
-        late_value: values.number(&key("lateWorth"), 0.0)?,
+        late_value_share: values.number(&key("lateWorth"), 0.0)?,
         idempotency,
     })
 }
@@ -201,9 +202,9 @@
 /// The index of the value of a load report that says how many requests a server has in flight: those that it handles and
 /// those that wait (`concurrent`), or else those that wait alone (`depth`). `None` if the text names neither.
 ///
-/// Where `report.fields` comes twice, the first line counts here, and the last one for the name that [`deployment`] finds by
-/// this index.
-pub fn load_field(text: &str) -> Option<usize> {
+/// Where `report.fields` comes twice, the first line counts here, and the last one for the name that
+/// [`parse_network_settings`] looks up by this index.
+pub fn load_field_index(text: &str) -> Option<usize> {
     let fields = text.lines().find_map(|line| line.trim_end().strip_prefix("report.fields="))?;
     let index_of = |name| fields.split(',').position(|field| field == name);
     index_of("concurrent").or_else(|| index_of("depth"))
@@ -211,11 +212,11 @@
 
 /// What the sidecar's network code needs of the settings besides what the decision module does.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Deployment {
+pub struct NetworkSettings {
     /// The names of the zones, by index.
     pub zones: Vec<String>,
     /// The names of the kinds of machine, by index.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// The names of the classes, by index.
     pub classes: Vec<String>,
     /// A connection that takes longer to come up has failed. 250 ms by default.
@@ -226,15 +227,16 @@
 
 /// Reads the part of the settings that the network code needs. Required are `requestClasses.count` and the `name` of each
 /// class. By default `areas`, `skus` and `report.fields` are empty, and `policyLimits.connectTimeout` is 250 ms.
-pub fn deployment(text: &str) -> Result<Deployment, SettingError> {
+pub fn parse_network_settings(text: &str) -> Result<NetworkSettings, SettingError> {
     let values = KeyValues::new(text);
     let class_count = values.required("requestClasses.count", count)?;
     let name = |index| values.required(&format!("requestClasses.{index}.name"), |text| Some(text.to_owned()));
-    Ok(Deployment {
+    Ok(NetworkSettings {
         zones: values.list("areas"),
-        kinds: values.list("skus"),
+        machine_types: values.list("skus"),
         classes: (0..class_count).map(name).collect::<Result<_, _>>()?,
         connect_timeout: values.time("policyLimits.connectTimeout", Duration::from_millis(250))?,
-        load_field_name: load_field(text).and_then(|index| values.list("report.fields").get(index).cloned()),
+        load_field_name: load_field_index(text)
+            .and_then(|index| values.list("report.fields").get(index).cloned()),
     })
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -8,18 +8,18 @@
     Duration::from_millis(ms)
 }
 
-pub fn class(idempotency: Idempotency) -> Class {
-    Class {
+pub fn class(idempotency: Idempotency) -> RequestClass {
+    RequestClass {
         latency_target: ms(400),
         deadline: ms(1_200),
         latency_target_per_work: 0.0,
         value: 1.0,
-        late_value: 0.3,
+        late_value_share: 0.3,
         idempotency,
     }
 }
 
-pub fn settings(classes: Vec<Class>) -> Settings {
+pub fn settings(classes: Vec<RequestClass>) -> Settings {
     Settings {
         zone: 0,
         sidecar_index: 0,
@@ -30,8 +30,8 @@
         cross_zone_price: 0.0,
         probe_price: 0.0,
         handshake_price: 0.0,
-        load_reported: true,
-        goal: Goal { total_value: 1.0, worst_class: 0.0 },
+        is_load_reported: true,
+        objective: ObjectiveWeights { total_value: 1.0, worst_class: 0.0 },
         max_attempts: 3,
         cancel: Permission::Granted,
         probes: Permission::Denied,
@@ -48,9 +48,9 @@
         availability: Availability::Ready,
         cell: 0,
         zone: 0,
-        kind: 0,
+        machine_type: 0,
         weight: 1.0,
-        started: None,
+        started_at: None,
     }
 }
 
@@ -129,8 +129,9 @@
     pub fn end_attempt(
         &mut self, id: RequestId, attempt: usize, outcome: Outcome, elapsed: u64,
     ) -> Vec<Action> {
-        let progress = if outcome == Outcome::Ok { Progress::Finished } else { Progress::AwaitingAnswer };
-        self.handle(Event::Outcome { id, attempt, outcome, elapsed: ms(elapsed), progress })
+        let request_status =
+            if outcome == Outcome::Ok { RequestStatus::Finished } else { RequestStatus::AwaitingAnswer };
+        self.handle(Event::Outcome { id, attempt, outcome, elapsed: ms(elapsed), request_status })
     }
 
     /// Serves some requests, one after the other.
--- a/tests/decision_digests.rs
+++ b/tests/decision_digests.rs
@@ -274,9 +274,9 @@
                 [usize::from(machine.availability)],
             cell: (machine.id / 7 % 4) as u16,
             zone: (machine.id / 7 % 3) as u16,
-            kind: (machine.id / 7 % 2) as u8,
+            machine_type: (machine.id / 7 % 2) as u8,
             weight: [1.0, 1.0, 2.0, 0.5, f64::NAN][(machine.id / 7 % 5) as usize],
-            started: (machine.started_ms > 0).then(|| Duration::from_millis(machine.started_ms)),
+            started_at: (machine.started_ms > 0).then(|| Duration::from_millis(machine.started_ms)),
         }
     }
 
@@ -377,9 +377,16 @@
         if code == 1 {
             self.over.insert(id);
         }
-        let progress = if self.over.contains(&id) { Progress::Finished } else { Progress::AwaitingAnswer };
+        let request_status =
+            if self.over.contains(&id) { RequestStatus::Finished } else { RequestStatus::AwaitingAnswer };
         let elapsed = Duration::from_nanos(self.now - sent);
-        self.tell(Event::Outcome { id: RequestId(id), attempt, outcome: outcome(code), elapsed, progress });
+        self.tell(Event::Outcome {
+            id: RequestId(id),
+            attempt,
+            outcome: outcome(code),
+            elapsed,
+            request_status,
+        });
     }
 
     /// How an attempt will end: by itself or by its time-out.
--- a/tests/module/admission.rs
+++ b/tests/module/admission.rs
@@ -64,7 +64,7 @@
 /// Which of two queued requests goes first after 200 of the first class were served, and as many of the second were not.
 fn first_after_neglect(worst_class: f64) -> (bool, bool) {
     let mut settings = settings(vec![class(SAFE); 2]);
-    settings.goal = Goal { total_value: 0.8, worst_class };
+    settings.objective = ObjectiveWeights { total_value: 0.8, worst_class };
     let mut harness = Harness::new(settings, entries(1));
     let second = 1;
     let mut next = 1_000;
--- a/tests/module/attempts.rs
+++ b/tests/module/attempts.rs
@@ -183,7 +183,7 @@
         attempt: 0,
         outcome: Outcome::Reset,
         elapsed: ms(90),
-        progress: Progress::Finished,
+        request_status: RequestStatus::Finished,
     };
     assert!(harness.handle(event).iter().all(|a| matches!(a, Action::Log(_))), "its break is the end");
     let (id, _) = harness.request();
@@ -251,8 +251,8 @@
 
 #[test]
 fn an_attempt_times_out_at_the_latency_target_where_late_answers_have_no_value() {
-    let timeout = |late_value: f64, client_timeout: u64, origin: Origin| {
-        let settings = settings(vec![Class { late_value, ..class(Idempotency::NonIdempotent) }]);
+    let timeout = |late_value_share: f64, client_timeout: u64, origin: Origin| {
+        let settings = settings(vec![RequestClass { late_value_share, ..class(Idempotency::NonIdempotent) }]);
         let mut harness = Harness::new(settings, entries(2));
         harness.arrive(7, 0, client_timeout, origin);
         let sent = |(_, action): &(u64, Action)| match action {
--- a/tests/module/probing.rs
+++ b/tests/module/probing.rs
@@ -56,8 +56,8 @@
 #[test]
 fn the_window_applies_where_probes_report_no_load() {
     // Hundreds of quiet sidecars that all miss in an overload must not go on sending after their probes.
-    let went_out = |load_reported: bool| {
-        let settings = Settings { load_reported, ..probing(100) };
+    let went_out = |is_load_reported: bool| {
+        let settings = Settings { is_load_reported, ..probing(100) };
         let mut harness = Harness::new(settings, entries(40));
         for _ in 0..100 {
             let (id, actions) = harness.request();
--- a/tests/module/selection.rs
+++ b/tests/module/selection.rs
@@ -186,7 +186,7 @@
 fn each_class_prefers_the_kind_of_machine_with_the_lower_relative_latency() {
     // A mean over classes is wrong where kinds of machine suit them differently.
     let mut lines = entries(20);
-    lines.iter_mut().for_each(|l| l.kind = (l.server.0 % 2) as u8);
+    lines.iter_mut().for_each(|l| l.machine_type = (l.server.0 % 2) as u8);
     let mut harness = Harness::new(settings(vec![class(SAFE), class(SAFE)]), lines);
     let mut suited = 0;
     for round in 0..400 {
--- a/tests/module/server_list.rs
+++ b/tests/module/server_list.rs
@@ -25,7 +25,7 @@
     let bad = harness.serve(|_| 340);
     harness.advance(100_000);
     let mut again = entry(bad.0);
-    again.started = Some(ms(60_000));
+    again.started_at = Some(ms(60_000));
     harness.handle(Event::ServerList(ServerListEvent::Delta(vec![again])));
     assert!((0..20).any(|_| harness.serve(|_| 50) == bad));
 }
@@ -85,7 +85,7 @@
     harness.serve_many(200, |_| 50);
     let mut warming = entry(9);
     // By its weight it wins every comparison: only the request's draw keeps requests away while it warms up.
-    (warming.started, warming.weight) = (Some(ms(harness.now)), 100.0);
+    (warming.started_at, warming.weight) = (Some(ms(harness.now)), 100.0);
     harness.handle(Event::ServerList(ServerListEvent::Delta(vec![warming])));
     let to_cold = (0..100).filter(|_| harness.serve(|_| 50) == ServerId(9)).count();
     assert!((3..=25).contains(&to_cold), "{to_cold} of 100, of which 40 drew it");
@@ -104,7 +104,7 @@
         lines.iter_mut().for_each(|l| l.zone = u16::from(l.server.0 != 1));
         let mut harness = Harness::seeded(settings, lines.clone(), number);
         harness.serve_many(100, |_| mean);
-        lines[0].started = Some(ms(harness.now));
+        lines[0].started_at = Some(ms(harness.now));
         harness.handle(Event::ServerList(ServerListEvent::Full(lines)));
         let end = harness.now + seconds * 1_000;
         while harness.now < end {
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -113,9 +113,10 @@
             request.attempts[no].2 = Some(outcome.never_ran());
             let first = outcome == Outcome::Ok && request.answers == 0;
             request.answers += usize::from(first);
-            let progress = if request.answers > 0 { Progress::Finished } else { Progress::AwaitingAnswer };
+            let request_status =
+                if request.answers > 0 { RequestStatus::Finished } else { RequestStatus::AwaitingAnswer };
             let elapsed = ms(now - request.attempts[no].1);
-            let event = Event::Outcome { id, attempt: no, outcome, elapsed, progress };
+            let event = Event::Outcome { id, attempt: no, outcome, elapsed, request_status };
             let actions = self.harness.handle(event);
             self.check(actions);
             if outcome != Outcome::Timeout {
@@ -154,10 +155,10 @@
                     _ => Availability::Ready,
                 };
                 self.states.insert(server, availability);
-                let started = (x % 5 == 0).then(|| ms(self.harness.now));
+                let started_at = (x % 5 == 0).then(|| ms(self.harness.now));
                 let base = entry(server);
                 let line =
-                    ServerEntry { availability, cell: cell(server), zone: cell(server), started, ..base };
+                    ServerEntry { availability, cell: cell(server), zone: cell(server), started_at, ..base };
                 let actions = self.harness.handle(Event::ServerList(ServerListEvent::Delta(vec![line])));
                 self.check(actions);
             }
--- a/tests/settings_keys.rs
+++ b/tests/settings_keys.rs
@@ -1,7 +1,7 @@
 //! Each key of the settings text, with its default and with a value of its own.
 
 use lugwharf_sidecar::api::*;
-use lugwharf_sidecar::settings_text::{self, Deployment};
+use lugwharf_sidecar::settings_text::{self, NetworkSettings};
 use std::time::Duration;
 
 fn ms(ms: u64) -> Duration {
@@ -30,12 +30,12 @@
 
 #[test]
 fn a_key_left_out_has_its_literal_default() {
-    let class = Class {
+    let class = RequestClass {
         latency_target: ms(290),
         deadline: ms(0),
         latency_target_per_work: 0.0,
         value: 1.0,
-        late_value: 0.0,
+        late_value_share: 0.0,
         idempotency: Idempotency::Idempotent,
     };
     let expected = Settings {
@@ -48,8 +48,8 @@
         cross_zone_price: 0.0,
         probe_price: 0.0,
         handshake_price: 0.0,
-        load_reported: false,
-        goal: Goal { total_value: 1.0, worst_class: 0.0 },
+        is_load_reported: false,
+        objective: ObjectiveWeights { total_value: 1.0, worst_class: 0.0 },
         max_attempts: 1,
         cancel: Permission::Denied,
         probes: Permission::Denied,
@@ -59,15 +59,15 @@
         tick: ms(5),
     };
     assert_eq!(settings_text::parse(FEWEST).expect("readable"), expected);
-    let expected = Deployment {
+    let expected = NetworkSettings {
         zones: vec![],
-        kinds: vec![],
+        machine_types: vec![],
         classes: vec!["pay".into()],
         connect_timeout: ms(250),
         load_field_name: None,
     };
-    assert_eq!(settings_text::deployment(FEWEST).expect("readable"), expected);
-    assert_eq!(settings_text::load_field(FEWEST), None);
+    assert_eq!(settings_text::parse_network_settings(FEWEST).expect("readable"), expected);
+    assert_eq!(settings_text::load_field_index(FEWEST), None);
     let asked = settings_text::parse(&FEWEST.replace("pushed", "on_request")).expect("readable");
     assert_eq!(asked.discovery, Discovery::OnRequest { max_poll_interval: ms(10_000) });
     let advised = settings_text::parse(&format!("{FEWEST}policyLimits.retryAfter=true\n")).expect("readable");
@@ -78,20 +78,20 @@
 
 #[test]
 fn each_key_sets_its_own_value() {
-    let class = |latency_target, idempotency| Class {
+    let class = |latency_target, idempotency| RequestClass {
         latency_target,
         deadline: ms(0),
         latency_target_per_work: 0.0,
         value: 1.0,
-        late_value: 0.0,
+        late_value_share: 0.0,
         idempotency,
     };
-    let first = Class {
+    let first = RequestClass {
         latency_target: ms(100),
         deadline: ms(300),
         latency_target_per_work: 1.5,
         value: 8.0,
-        late_value: 0.5,
+        late_value_share: 0.5,
         idempotency: Idempotency::Keyed { scope: DedupScope::Zone, window: ms(600) },
     };
     let expected = Settings {
@@ -108,8 +108,8 @@
         cross_zone_price: 0.25,
         probe_price: 0.125,
         handshake_price: 0.5,
-        load_reported: true,
-        goal: Goal { total_value: 0.75, worst_class: 0.125 },
+        is_load_reported: true,
+        objective: ObjectiveWeights { total_value: 0.75, worst_class: 0.125 },
         max_attempts: 5,
         cancel: Permission::Granted,
         probes: Permission::Granted,
@@ -119,16 +119,16 @@
         tick: Duration::from_micros(2_500),
     };
     assert_eq!(settings_text::parse(ALL).expect("readable"), expected);
-    let expected = Deployment {
+    let expected = NetworkSettings {
         zones: vec!["a".into(), "b_c".into()],
-        kinds: vec!["small".into(), "large".into()],
+        machine_types: vec!["small".into(), "large".into()],
         classes: vec!["pay".into(), "report".into(), "look".into()],
         connect_timeout: ms(70),
         load_field_name: Some("concurrent".into()),
     };
-    assert_eq!(settings_text::deployment(ALL).expect("readable"), expected);
-    assert_eq!(settings_text::load_field(ALL), Some(2));
-    assert_eq!(settings_text::load_field("report.fields=load_share,depth\n"), Some(1));
+    assert_eq!(settings_text::parse_network_settings(ALL).expect("readable"), expected);
+    assert_eq!(settings_text::load_field_index(ALL), Some(2));
+    assert_eq!(settings_text::load_field_index("report.fields=load_share,depth\n"), Some(1));
     let anywhere = ALL.replace("group=cell", "group=all");
     let anywhere = settings_text::parse(&anywhere).expect("readable").classes[1].idempotency;
     assert_eq!(anywhere, Idempotency::Keyed { scope: DedupScope::All, window: ms(700) });
@@ -169,6 +169,6 @@
         assert_eq!(error, format!("setting {key}: missing"));
     }
     let nameless = ALL.replace("requestClasses.1.name=report\n", "");
-    let error = settings_text::deployment(&nameless).expect_err("incomplete").to_string();
+    let error = settings_text::parse_network_settings(&nameless).expect_err("incomplete").to_string();
     assert_eq!(error, "setting requestClasses.1.name: missing");
 }
