--- a/crates/agent/src/table_owner.rs
+++ b/crates/agent/src/table_owner.rs
@@ -84,14 +84,15 @@
         match command {
             Command::Apply { update, reply } => {
                 self.apply(&update);
-                let _ = reply.send(self.tables.vector());
+                let _ = reply.send(self.tables.version_vector());
             }
             Command::Report { reply } => {
-                let _ = reply.send(PullReport { have: self.tables.vector(), loads: self.loads.clone() });
+                let _ =
+                    reply.send(PullReport { have: self.tables.version_vector(), loads: self.loads.clone() });
             }
             Command::Summarize { reply } => {
                 let _ = reply.send(TableSummary {
-                    vector: self.tables.vector(),
+                    vector: self.tables.version_vector(),
                     servers: self.tables.servers().len(),
                     waiting_feeds: self.waiting_feeds.len(),
                 });
@@ -108,9 +109,9 @@
     }
 
     fn apply(&mut self, update: &Update) {
-        let before = self.tables.vector().config;
+        let before = self.tables.version_vector().config;
         let result = self.tables.apply(update);
-        let after = self.tables.vector().config;
+        let after = self.tables.version_vector().config;
         check(Invariant::AgentVersionClimbs, after >= before, || format!("{after} after {before}"));
         log_new_config(before, &self.tables);
         if let Err(error) = result {
--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -32,7 +32,7 @@
 use lugwharf_chain::{self as chain, Replica};
 use lugwharf_distribution::Tables;
 use lugwharf_election::{self as election, Elector};
-use lugwharf_membership::Census;
+use lugwharf_membership::LiveNodeCounter;
 use lugwharf_settings::Settings;
 use spdlog::prelude::*;
 use std::net::SocketAddr;
@@ -124,7 +124,7 @@
     agent_registry: AgentRegistry,
     commit_history: CommitHistory,
     /// Counts the live front-end nodes.
-    census: Census,
+    live_nodes: LiveNodeCounter,
     fleet_load: FleetLoad,
     stage_planning: StagePlanning,
     peer_transport: PeerTransport,
--- a/crates/control/src/controller/agent_requests.rs
+++ b/crates/control/src/controller/agent_requests.rs
@@ -20,7 +20,7 @@
             }
             AgentRequest::Announce { control } => return self.receive_announcement(&control, reply),
         };
-        self.census.record_heartbeat(&node, incarnation, now);
+        self.live_nodes.record_heartbeat(&node, incarnation, now);
         self.agent_registry.record_pull(now, &node, have);
         self.fleet_load.record_agent(now, &node, loads);
         self.pending_pulls.add(now, node, have, wait_ms, reply);
--- a/crates/control/src/controller/peer_exchange.rs
+++ b/crates/control/src/controller/peer_exchange.rs
@@ -49,14 +49,14 @@
     pub(super) fn report_to_peers(&mut self, now: Duration) {
         self.report_schedule.record(now);
         self.update_live_proxies(now);
-        let front_count = self.census.live_count(now);
+        let front_count = self.live_nodes.live_count(now);
         let status = self.replica.status();
         let processes = match status.is_member {
             true => self.process_directory.all(now, self.local_address, &status.members),
             false => Vec::new(),
         };
         let report = TablesMessage::Report {
-            vector: self.tables.vector(),
+            vector: self.tables.version_vector(),
             front_count,
             loads: self.fleet_load.local_sum(now),
             is_platform_reachable: self.platform_reachability.may_be_reachable(now),
@@ -68,7 +68,7 @@
 
     /// Members count the fronts of all control processes. A learner knows only its own, so it uses a member's total.
     fn update_live_proxies(&mut self, now: Duration) {
-        let counted = self.census.total(now);
+        let counted = self.live_nodes.total(now);
         let status = self.replica.status();
         let total = match status.is_member {
             true => counted,
@@ -83,7 +83,7 @@
             TablesMessage::Report { vector, front_count, loads, is_platform_reachable, processes } => {
                 let now = self.now();
                 self.platform_reachability.record_peer_report(now, from, is_platform_reachable);
-                self.census.record_peer_count(from, front_count, now);
+                self.live_nodes.record_peer_count(from, front_count, now);
                 self.fleet_load.record_peer(now, from, loads);
                 self.learn_processes_of_member(now, from, &processes);
                 self.process_directory.record_live_proxies(now, from, vector.live_proxies);
--- a/crates/control/src/controller/replication.rs
+++ b/crates/control/src/controller/replication.rs
@@ -82,7 +82,7 @@
     /// The replica has learned of a committed configuration: brings it to the agents.
     fn config_committed(&mut self, config: &chain::CommittedConfig) {
         let record = ConfigRecord { version: config.version, bytes: config.bytes.to_vec() };
-        let before = self.tables.vector().config;
+        let before = self.tables.version_vector().config;
         check(Invariant::CommittedVersionClimbs, record.version > before, || {
             format!("version {} after {before}", record.version)
         });
--- a/crates/control/src/controller/server_list.rs
+++ b/crates/control/src/controller/server_list.rs
@@ -41,7 +41,7 @@
         let now = self.now();
         self.stage_planning.request_reports(now, &entries, token);
         self.stage_planning.plan(now, &mut entries, &self.fleet_load);
-        let before = self.tables.vector();
+        let before = self.tables.version_vector();
         match self.tables.servers_mut().replace(token.0, entries) {
             Ok(true) => {
                 self.serve_pulls();
--- a/crates/control/src/controller/stage_planning.rs
+++ b/crates/control/src/controller/stage_planning.rs
@@ -80,7 +80,7 @@
         if !self.tuning.orders {
             return;
         }
-        for entry in self.planner.servers_to_ask(now, entries) {
+        for entry in self.planner.servers_to_query(now, entries) {
             let request = ReportRequest { id: entry.id.clone(), address: entry.address, token };
             if let Err(error) = self.report_queue.try_send(request) {
                 warn!("report", kv: { outcome = "dropped", error: = error });
@@ -97,9 +97,9 @@
 
     /// Plans by a list that was just read, then marks the servers that are about to change their stage as draining in it.
     pub fn plan(&mut self, now: Duration, entries: &mut [ServerEntry], load: &FleetLoad) {
-        self.planner.observe(entries);
+        self.planner.confirm_changes(entries);
         self.plan_services(now, entries, load);
-        self.planner.overlay(entries);
+        self.planner.mark_changing_as_draining(entries);
     }
 
     fn plan_services(&mut self, now: Duration, entries: &[ServerEntry], load: &FleetLoad) {
@@ -125,7 +125,7 @@
 
     /// Queues the orders that are due, under the lease with this fencing token.
     pub fn send_due(&mut self, now: Duration, node: &str, token: FencingToken) {
-        for order in self.planner.due_orders(now) {
+        for order in self.planner.take_due_orders(now) {
             info!("order", kv: { outcome = "sent", id = order.id.as_str(), stage:? = order.stage, token = token.0 });
             self.enqueue(now, AuthorizedOrder { order, holder: node.to_owned(), token });
         }
@@ -161,7 +161,7 @@
     pub fn changing<'a>(&self, entries: impl Iterator<Item = &'a ServerEntry>) -> BTreeSet<String> {
         let as_ready = |entry: &ServerEntry| ServerEntry { state: ServerState::Ready, ..entry.clone() };
         let mut shown: Vec<ServerEntry> = entries.map(as_ready).collect();
-        self.planner.overlay(&mut shown);
+        self.planner.mark_changing_as_draining(&mut shown);
         let changing = shown.into_iter().filter(|entry| entry.state == ServerState::Draining);
         changing.map(|entry| entry.id).collect()
     }
@@ -195,7 +195,7 @@
         if !self.holds_lease(token) {
             return;
         }
-        debug!("report", kv: { outcome = "received", id, stage:? = report.stage, busy = report.is_busy, revision = report.revision });
+        debug!("report", kv: { outcome = "received", id, stage:? = report.stage, busy = report.is_changing_stage, revision = report.revision });
         if let Some(entry) = self.tables.servers().get(id) {
             self.stage_planning.record_report(now, entry, report);
         }
--- a/crates/control/src/controller/stage_planning_tests.rs
+++ b/crates/control/src/controller/stage_planning_tests.rs
@@ -115,7 +115,7 @@
     let asked: Vec<String> =
         std::iter::from_fn(|| reports.try_recv().ok()).map(|request| request.id).collect();
     assert_eq!(asked, ["a", "b", "c", "d"], "each is asked once");
-    let report = StageReport { stage: Stage::Prefill, is_busy: true, revision: 1 };
+    let report = StageReport { stage: Stage::Prefill, is_changing_stage: true, revision: 1 };
     planning.record_report(Duration::from_secs(2), &entries[1], report);
     planning.plan(PLANNED_AT, &mut entries, &FleetLoad::default());
     assert_eq!(draining(&entries), BTreeSet::from(["b".to_owned()]));
--- a/crates/control/src/controller/startup.rs
+++ b/crates/control/src/controller/startup.rs
@@ -28,7 +28,7 @@
 use lugwharf_chain::{self as chain, Replica};
 use lugwharf_distribution::Tables;
 use lugwharf_election::Elector;
-use lugwharf_membership::{Census, CensusSettings};
+use lugwharf_membership::{LiveNodeCounter, LiveNodeCounterSettings};
 use lugwharf_settings::Settings;
 use lugwharf_stages::StageTuning;
 use spdlog::prelude::*;
@@ -130,7 +130,7 @@
             pending_pulls: PendingPulls::with_config_interval(config_interval),
             agent_registry: AgentRegistry::default(),
             commit_history: CommitHistory::default(),
-            census: Census::new(CensusSettings::default(), Duration::ZERO),
+            live_nodes: LiveNodeCounter::new(LiveNodeCounterSettings::default(), Duration::ZERO),
             fleet_load: FleetLoad::default(),
             stage_planning,
             process_directory: ProcessDirectory::default(),
--- a/crates/control/src/pulls.rs
+++ b/crates/control/src/pulls.rs
@@ -166,10 +166,10 @@
     /// Replies to all pulls for which something is newer or whose time is over; to all of them without a quorum, so that the
     /// agents follow another process.
     pub fn serve(&mut self, now: Duration, tables: &Tables, context: &ReplyContext) -> PullsServed {
-        self.reply_cache.refresh(now, tables.vector(), context);
+        self.reply_cache.refresh(now, tables.version_vector(), context);
         self.waiting.retain(|pull| !pull.reply.is_closed());
         self.config_sent_at.retain(|_, sent_at| now.saturating_sub(*sent_at) < self.config_interval);
-        let newest = tables.vector().config;
+        let newest = tables.version_vector().config;
         let mut served = PullsServed::default();
         let mut index = 0;
         while index < self.waiting.len() {
--- a/crates/control/src/pulls_tests.rs
+++ b/crates/control/src/pulls_tests.rs
@@ -89,7 +89,7 @@
 fn up_to_date_agent_waits_its_time_and_gets_nothing_new() {
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
-    let have = tables.vector();
+    let have = tables.version_vector();
     let mut answer = pull(&mut pulls, Duration::ZERO, have);
     pulls.serve(Duration::ZERO, &tables, &context(true));
     assert!(answer.try_recv().is_err());
@@ -102,7 +102,7 @@
 fn up_to_date_agent_learns_at_once_that_the_quorum_is_lost() {
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
-    let mut answer = pull(&mut pulls, Duration::ZERO, tables.vector());
+    let mut answer = pull(&mut pulls, Duration::ZERO, tables.version_vector());
     pulls.serve(Duration::ZERO, &tables, &context(false));
     let frame = answer.try_recv().expect("an answer");
     let ControlReply::Update { has_quorum, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
@@ -139,7 +139,10 @@
         let mut answer = pull(&mut pulls, now, have);
         pulls.serve(now, &tables, &context(true));
         if let Ok(frame) = answer.try_recv() {
-            have = VersionVector { config: update(&frame).config.expect("newer").version, ..tables.vector() };
+            have = VersionVector {
+                config: update(&frame).config.expect("newer").version,
+                ..tables.version_vector()
+            };
             sent.push(have.config);
         }
     }
@@ -154,7 +157,7 @@
     let mut first = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     pulls.serve(Duration::ZERO, &tables, &context(true));
     assert_eq!(update(&first.try_recv().expect("an answer")).vector.config, 1);
-    let have = tables.vector();
+    let have = tables.version_vector();
     tables.advance_config(config(2));
     tables.servers_mut().replace(1, (0..3).map(server).collect()).expect("the same epoch");
     let now = Duration::from_millis(100);
@@ -217,7 +220,7 @@
     let mut tables = tables(2);
     let mut pulls = PendingPulls::with_config_interval(Duration::from_millis(500));
     tables.advance_config(config(1));
-    let have = tables.vector();
+    let have = tables.version_vector();
     drop(pull(&mut pulls, Duration::ZERO, have));
     tables.advance_config(config(2));
     assert_eq!(pulls.serve(Duration::ZERO, &tables, &context(true)), PullsServed::default());
@@ -232,7 +235,7 @@
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
     let (reply, mut answer) = oneshot::channel();
-    pulls.add(Duration::ZERO, "front-1".to_owned(), tables.vector(), u32::MAX, reply);
+    pulls.add(Duration::ZERO, "front-1".to_owned(), tables.version_vector(), u32::MAX, reply);
     pulls.serve(MAX_WAIT - Duration::from_millis(1), &tables, &context(true));
     assert!(answer.try_recv().is_err());
     let served = pulls.serve(MAX_WAIT, &tables, &context(true));
@@ -245,9 +248,9 @@
 fn serve_decides_each_pull_by_itself() {
     let mut tables = tables(2);
     let mut pulls = PendingPulls::default();
-    let old = tables.vector();
+    let old = tables.version_vector();
     tables.advance_config(config(1));
-    let new = tables.vector();
+    let new = tables.version_vector();
     let mut answers =
         [old, new, old, old, new, new].map(|have| (have, pull(&mut pulls, Duration::ZERO, have)));
     let served = pulls.serve(Duration::ZERO, &tables, &context(true));
@@ -272,7 +275,7 @@
     tables.advance_config(config(1));
     let nothing = VersionVector::default();
     assert_eq!(pull_config(&tables, "front-1", Duration::ZERO, nothing), Some(1));
-    let first = tables.vector();
+    let first = tables.version_vector();
     tables.advance_config(config(2));
     assert_eq!(pull_config(&tables, "front-1", config_interval - Duration::from_millis(1), first), None);
     assert_eq!(pull_config(&tables, "front-2", config_interval - Duration::from_millis(1), first), Some(2));
@@ -286,7 +289,7 @@
     tables.advance_config(config(100));
     let mut pulls = PendingPulls::default();
     let mut pull_config = |version: u64| {
-        let have = VersionVector { config: version, ..tables.vector() };
+        let have = VersionVector { config: version, ..tables.version_vector() };
         let mut answer = pull(&mut pulls, Duration::ZERO, have);
         pulls.serve(Duration::ZERO, &tables, &context(true));
         answer.try_recv().expect("an answer")
--- a/crates/control/src/server_reports.rs
+++ b/crates/control/src/server_reports.rs
@@ -103,5 +103,5 @@
         "decode" => Stage::Decode,
         _ => return Err(ReportError::UnknownStage(stage)),
     };
-    Ok(StageReport { stage, is_busy: busy, revision: seq })
+    Ok(StageReport { stage, is_changing_stage: busy, revision: seq })
 }
--- a/crates/control/src/server_reports_tests.rs
+++ b/crates/control/src/server_reports_tests.rs
@@ -54,11 +54,11 @@
 #[rstest]
 #[case::idle(
     r#"{"Stage":"decode","Models":[{"Name":"m"}],"Busy":false,"Seq":2,"Queued":1}"#,
-    StageReport { stage: Stage::Decode, is_busy: false, revision: 2 }
+    StageReport { stage: Stage::Decode, is_changing_stage: false, revision: 2 }
 )]
 #[case::changing(
     r#"{"Stage":"prefill","Busy":true,"Seq":3}"#,
-    StageReport { stage: Stage::Prefill, is_busy: true, revision: 3 }
+    StageReport { stage: Stage::Prefill, is_changing_stage: true, revision: 3 }
 )]
 #[tokio::test]
 async fn report_is_read(#[case] body: &str, #[case] expected: StageReport) {
--- a/crates/distribution/src/tables.rs
+++ b/crates/distribution/src/tables.rs
@@ -22,7 +22,7 @@
     }
 
     /// The versions that this process has.
-    pub fn vector(&self) -> VersionVector {
+    pub fn version_vector(&self) -> VersionVector {
         VersionVector {
             config: self.config.as_ref().map_or(0, |config| config.version),
             servers: self.servers.position(),
@@ -32,7 +32,7 @@
 
     /// Replaces the configuration by a committed one if that is newer; returns whether it was.
     pub fn advance_config(&mut self, config: Arc<ConfigRecord>) -> bool {
-        let is_newer = config.version > self.vector().config;
+        let is_newer = config.version > self.version_vector().config;
         if is_newer {
             self.config = Some(config);
         }
@@ -100,7 +100,7 @@
 
     /// Applies a configuration if it is newer; the check here spares a copy of one that is not.
     fn apply_config(&mut self, config: Option<&ConfigRecord>) -> bool {
-        let newer = config.filter(|config| config.version > self.vector().config);
+        let newer = config.filter(|config| config.version > self.version_vector().config);
         newer.is_some_and(|config| self.advance_config(Arc::new(config.clone())))
     }
 
--- a/crates/distribution/tests/tables.rs
+++ b/crates/distribution/tests/tables.rs
@@ -51,12 +51,12 @@
 fn applied_update_leads_to_its_vector() {
     let source = tables(7, 3, 5);
     let mut reader = tables(6, 2, 9);
-    let update = source.update_since(&reader.vector()).unwrap();
+    let update = source.update_since(&reader.version_vector()).unwrap();
     assert_eq!(reader.apply(&update), Ok(true));
-    assert_eq!(reader.vector(), update.vector);
-    assert_eq!(reader.vector(), source.vector());
+    assert_eq!(reader.version_vector(), update.vector);
+    assert_eq!(reader.version_vector(), source.version_vector());
     assert_eq!(reader.apply(&update), Ok(false));
-    assert_eq!(source.update_since(&reader.vector()), None);
+    assert_eq!(source.update_since(&reader.version_vector()), None);
 }
 
 #[test]
@@ -70,7 +70,10 @@
     };
     let mut tables = Tables::new();
     assert!(tables.apply(&update).is_err());
-    assert_eq!(tables.vector(), VersionVector { config: 3, live_proxies: 4, ..VersionVector::default() });
+    assert_eq!(
+        tables.version_vector(),
+        VersionVector { config: 3, live_proxies: 4, ..VersionVector::default() }
+    );
 }
 
 #[test]
@@ -88,7 +91,7 @@
 
 #[test]
 fn unknown_count_is_not_sent() {
-    let have = VersionVector { live_proxies: 5, ..tables(7, 3, 0).vector() };
+    let have = VersionVector { live_proxies: 5, ..tables(7, 3, 0).version_vector() };
     assert_eq!(tables(7, 3, 0).update_since(&have), None);
 }
 
@@ -99,6 +102,6 @@
 #[case::fleet(7, 3, 6)]
 fn apply_reports_a_change_of_each_table(#[case] version: u64, #[case] epoch: u64, #[case] live: u32) {
     let mut reader = tables(7, 3, 5);
-    let update = tables(version, epoch, live).update_since(&reader.vector()).unwrap();
+    let update = tables(version, epoch, live).update_since(&reader.version_vector()).unwrap();
     assert_eq!(reader.apply(&update), Ok(true));
 }
--- a/crates/membership/src/census.rs
+++ b/crates/membership/src/live_nodes.rs
@@ -9,18 +9,18 @@
 /// The most other monitors whose counts are stored.
 pub const MAX_PEERS: usize = 64;
 
-/// The times of a [`Census`].
+/// The times of a [`LiveNodeCounter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CensusSettings {
+pub struct LiveNodeCounterSettings {
     /// How long a heartbeat counts, and a peer's count; default 3 s. A node that moves from one monitor to another is
-    /// counted twice for so long at most, unless its old monitor calls [`Census::forget`].
+    /// counted twice for so long at most, unless its old monitor calls [`LiveNodeCounter::remove_node`].
     pub timeout: Duration,
     /// How long the total must have been lower before it decreases; default 10 s. A proxy's share of the fleet's retry
     /// budget is the budget divided by the total, so a total that is too high is safe and one that is too low is not.
     pub decrease_delay: Duration,
 }
 
-impl Default for CensusSettings {
+impl Default for LiveNodeCounterSettings {
     fn default() -> Self {
         Self { timeout: Duration::from_secs(3), decrease_delay: Duration::from_secs(10) }
     }
@@ -49,8 +49,8 @@
 
 /// The nodes that send heartbeats to one monitor, the counts of the other monitors, and the total of both.
 #[derive(Clone, Debug)]
-pub struct Census {
-    settings: CensusSettings,
+pub struct LiveNodeCounter {
+    settings: LiveNodeCounterSettings,
     /// No total is known before: not every node has had the time for a heartbeat.
     total_known_from: Duration,
     nodes: HashMap<String, Heartbeat>,
@@ -60,9 +60,9 @@
     window: VecDeque<Sample>,
 }
 
-impl Census {
-    /// A census that starts at `now`. Its total is 0, which means unknown, for one `timeout`.
-    pub fn new(settings: CensusSettings, now: Duration) -> Self {
+impl LiveNodeCounter {
+    /// A counter that starts at `now`. Its total is 0, which means unknown, for one `timeout`.
+    pub fn new(settings: LiveNodeCounterSettings, now: Duration) -> Self {
         Self {
             settings,
             total_known_from: now + settings.timeout,
@@ -91,7 +91,7 @@
     }
 
     /// Stops counting a node, as when its connection ended because it moved to another monitor.
-    pub fn forget(&mut self, node: &str) {
+    pub fn remove_node(&mut self, node: &str) {
         self.nodes.remove(node);
     }
 
--- a/crates/proxy/src/routes.rs
+++ b/crates/proxy/src/routes.rs
@@ -3,7 +3,7 @@
 use crate::http::RequestHead;
 use crate::inbound::error_response::RequestError;
 use lugwharf_config::{Configuration, Route, RouteTable, Service};
-use lugwharf_routing::{TrafficSplitter, by_weight};
+use lugwharf_routing::{TrafficSplitter, weighted_index};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
@@ -51,7 +51,7 @@
             return Some(service);
         }
         let sample = self.splitters.get(&route.name)?.borrow_mut().next_sample();
-        let index = by_weight(route.traffic_split.iter().map(|split| split.weight), sample)?;
+        let index = weighted_index(route.traffic_split.iter().map(|split| split.weight), sample)?;
         route.traffic_split.get(index).map(|split| split.service.as_str())
     }
 
--- a/crates/proxy/src/stack/execution.rs
+++ b/crates/proxy/src/stack/execution.rs
@@ -146,7 +146,7 @@
     /// Load shedding: rejects a request that no server has executed, if the selected server is busy by its own report and the
     /// estimate exceeds the time left. It would use up a slot for a response that comes too late.
     pub fn shed_if_hopeless(&self, selection: &Selection) -> Result<(), RequestError> {
-        let may_shed = self.state.balancer.borrow().tuning().sheds_hopeless_requests;
+        let may_shed = self.state.balancer.borrow().tuning().sheds_late_requests;
         let is_hopeless = may_shed && selection.is_busy && selection.estimate > self.terms.time_left();
         if is_hopeless && self.attempts.is_unexecuted() {
             self.trace.record_saturation(SaturationCause::Hopeless);
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -69,5 +69,5 @@
 pub use rendezvous::weight as rendezvous_weight;
 pub use retry_budget::{RetryBudget, RetryBudgetConfig};
 pub use server::ServerKey;
-pub use traffic_split::{TrafficSplitter, by_weight};
+pub use traffic_split::{TrafficSplitter, weighted_index};
 pub use tuning::{AffinityKey, Normalisation, Tuning};
--- a/crates/routing/src/phase.rs
+++ b/crates/routing/src/phase.rs
@@ -30,7 +30,7 @@
 
     /// Whether a server that is listed with `stage` serves this phase. A server without a stage serves all of them; a decode
     /// server can also run a full request.
-    pub fn fits(self, stage: Option<Stage>) -> bool {
+    pub fn is_served_by(self, stage: Option<Stage>) -> bool {
         match (self, stage) {
             (_, None) => true,
             (Phase::Prefill, Some(stage)) => stage == Stage::Prefill,
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -82,7 +82,7 @@
     pub fn accepts(&self, phase: Phase, model: Option<&str>, now: Duration) -> bool {
         self.entry.state == ServerState::Ready
             && now >= self.misdirected_until
-            && phase.fits(self.entry.stage)
+            && phase.is_served_by(self.entry.stage)
             && self.has_model(model)
     }
 
--- a/crates/routing/src/traffic_split.rs
+++ b/crates/routing/src/traffic_split.rs
@@ -29,7 +29,7 @@
 
 /// The index of the target that `sample`, in `0.0..1.0`, falls on, where each target takes a share of its weight over the sum.
 /// Weights that are not above 0 get nothing; `None` if no weight is above 0.
-pub fn by_weight(weights: impl Iterator<Item = f64> + Clone, sample: f64) -> Option<usize> {
+pub fn weighted_index(weights: impl Iterator<Item = f64> + Clone, sample: f64) -> Option<usize> {
     let sum: f64 = weights.clone().filter(|weight| *weight > 0.0).sum();
     let mut remaining = sample.clamp(0.0, 1.0) * sum;
     let mut last = None;
--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -66,7 +66,7 @@
     /// Whether a request is rejected before it is sent if the selected server is busy and the estimate exceeds the time left.
     /// Default: on.
     #[serde(rename = "refuses_early")]
-    pub sheds_hopeless_requests: bool,
+    pub sheds_late_requests: bool,
     /// Whether requests to model servers carry the priority of their route, and prefills one by their length. Default: on.
     #[serde(rename = "passes_priority")]
     pub forwards_priority: bool,
@@ -162,7 +162,7 @@
             uses_prefix_affinity: true,
             prefers_local_zone: true,
             ejects_outliers: true,
-            sheds_hopeless_requests: true,
+            sheds_late_requests: true,
             forwards_priority: true,
             resumes_streams: true,
             reuses_connections: true,
@@ -207,7 +207,7 @@
             .field("steers", &self.uses_prefix_affinity)
             .field("prefers_home", &self.prefers_local_zone)
             .field("ejects", &self.ejects_outliers)
-            .field("refuses_early", &self.sheds_hopeless_requests)
+            .field("refuses_early", &self.sheds_late_requests)
             .field("passes_priority", &self.forwards_priority)
             .field("resumes_streams", &self.resumes_streams)
             .field("keeps_connections", &self.reuses_connections)
--- a/crates/routing/tests/digest.rs
+++ b/crates/routing/tests/digest.rs
@@ -12,8 +12,8 @@
 use lugwharf_routing::{
     AffinityKey, Attempts, Balancer, FailureKind, KvTransferBreaker, LoadReport, Normalisation, Observation,
     OutlierEjection, PeakEwma, Phase, PrefixCacheTracker, Prompt, RetryBudget, RetryBudgetConfig, Selection,
-    SelectionError, SelectionQuery, ServerKey, TrafficSplitter, Tuning, WorkSize, by_weight,
-    rendezvous_weight,
+    SelectionError, SelectionQuery, ServerKey, TrafficSplitter, Tuning, WorkSize, rendezvous_weight,
+    weighted_index,
 };
 use std::time::Duration;
 
@@ -522,7 +522,7 @@
         let lot = splitter.next_sample();
         digest.float(lot);
         let weights: Vec<f64> = (0..rng.usize(..6)).map(|_| rng.f64() * 3.0 - 1.0).collect();
-        digest.number(by_weight(weights.into_iter(), lot).map_or(u64::MAX, |index| index as u64));
+        digest.number(weighted_index(weights.into_iter(), lot).map_or(u64::MAX, |index| index as u64));
         digest.number(rendezvous_weight(rng.u64(..), rng.u64(..)));
     }
 }
@@ -558,7 +558,7 @@
         for phase in PHASES {
             digest.float(WorkSize { tokens: rng.f64() * 9_000.0 }.units(phase, &tuning(seed)));
             for stage in [None, Some(Stage::Prefill), Some(Stage::Decode)] {
-                digest.bool(phase.fits(stage));
+                digest.bool(phase.is_served_by(stage));
             }
         }
     }
--- a/crates/routing/tests/traffic_split.rs
+++ b/crates/routing/tests/traffic_split.rs
@@ -1,6 +1,6 @@
 //! Weighted traffic splits.
 
-use lugwharf_routing::{TrafficSplitter, by_weight};
+use lugwharf_routing::{TrafficSplitter, weighted_index};
 use rstest::rstest;
 
 #[rstest]
@@ -13,7 +13,7 @@
 fn samples_map_to_targets_by_weight(
     #[case] weights: &[f64], #[case] sample: f64, #[case] expected: Option<usize>,
 ) {
-    assert_eq!(by_weight(weights.iter().copied(), sample), expected);
+    assert_eq!(weighted_index(weights.iter().copied(), sample), expected);
 }
 
 /// Many proxies with few requests each: each of them is within two requests of the weights, and all together within 2 in 100.
@@ -25,8 +25,9 @@
     let mut all = 0;
     for proxy in 0..proxies {
         let mut splitter = TrafficSplitter::new(f64::from(proxy) * 0.377);
-        let draws = (0..requests)
-            .filter(|_| by_weight([1.0 - weight, weight].into_iter(), splitter.next_sample()) == Some(1));
+        let draws = (0..requests).filter(|_| {
+            weighted_index([1.0 - weight, weight].into_iter(), splitter.next_sample()) == Some(1)
+        });
         let drawn = draws.count() as f64;
         assert!(
             (drawn - weight * f64::from(requests)).abs() <= 2.0,
--- a/crates/routing/tests/tuning_keys.rs
+++ b/crates/routing/tests/tuning_keys.rs
@@ -19,7 +19,7 @@
         uses_prefix_affinity: true,
         prefers_local_zone: true,
         ejects_outliers: true,
-        sheds_hopeless_requests: true,
+        sheds_late_requests: true,
         forwards_priority: true,
         resumes_streams: true,
         reuses_connections: true,
@@ -62,7 +62,7 @@
 #[case("steers", "true", "false", |t: &mut Tuning| t.uses_prefix_affinity = false)]
 #[case("prefers_home", "true", "false", |t: &mut Tuning| t.prefers_local_zone = false)]
 #[case("ejects", "true", "false", |t: &mut Tuning| t.ejects_outliers = false)]
-#[case("refuses_early", "true", "false", |t: &mut Tuning| t.sheds_hopeless_requests = false)]
+#[case("refuses_early", "true", "false", |t: &mut Tuning| t.sheds_late_requests = false)]
 #[case("passes_priority", "true", "false", |t: &mut Tuning| t.forwards_priority = false)]
 #[case("resumes_streams", "true", "false", |t: &mut Tuning| t.resumes_streams = false)]
 #[case("keeps_connections", "true", "false", |t: &mut Tuning| t.reuses_connections = false)]
--- a/crates/stages/src/planner.rs
+++ b/crates/stages/src/planner.rs
@@ -88,7 +88,7 @@
 
     /// The servers of a list that are to be asked for their reports now: all of them, once under each lease, and later those
     /// whose changes the list should show and does not.
-    pub fn servers_to_ask<'a>(&mut self, now: Duration, list: &'a [ServerEntry]) -> Vec<&'a ServerEntry> {
+    pub fn servers_to_query<'a>(&mut self, now: Duration, list: &'a [ServerEntry]) -> Vec<&'a ServerEntry> {
         let Some(acquired_at) = self.acquired_at else { return Vec::new() };
         let asks_all = !self.has_requested_reports && now >= acquired_at + self.settings.report_delay;
         self.has_requested_reports |= asks_all;
@@ -116,7 +116,7 @@
         if self.changes.remove(&entry.id).is_none() {
             self.revisions.insert(entry.id.clone(), report.revision);
         }
-        let going_on = if report.is_busy {
+        let going_on = if report.is_changing_stage {
             Some((opposite(report.stage), switch_time))
         } else {
             (entry.stage != Some(report.stage)).then_some((report.stage, Duration::ZERO))
@@ -152,7 +152,7 @@
     }
 
     /// The orders that are due by now; each is returned once.
-    pub fn due_orders(&mut self, now: Duration) -> Vec<Order> {
+    pub fn take_due_orders(&mut self, now: Duration) -> Vec<Order> {
         if !self.may_order(now) {
             return Vec::new();
         }
@@ -199,7 +199,7 @@
     }
 
     /// Shows the servers that change as draining in a list that is about to be published.
-    pub fn overlay(&self, list: &mut [ServerEntry]) {
+    pub fn mark_changing_as_draining(&self, list: &mut [ServerEntry]) {
         for entry in list {
             if self.changes.get(&entry.id).is_some_and(Change::is_in_progress) {
                 entry.state = ServerState::Draining;
@@ -208,7 +208,7 @@
     }
 
     /// Ends the changes that a fresh list shows as done: these servers need not stay out of service any longer.
-    pub fn observe(&mut self, list: &[ServerEntry]) {
+    pub fn confirm_changes(&mut self, list: &[ServerEntry]) {
         for entry in list {
             let is_settled = self.changes.get(&entry.id).is_some_and(|change| {
                 let is_settling =
--- a/crates/stages/src/report.rs
+++ b/crates/stages/src/report.rs
@@ -8,7 +8,7 @@
     /// The stage that the server has, until a change of it is done.
     pub stage: Stage,
     /// Whether it is carrying an order out (`Busy`).
-    pub is_busy: bool,
+    pub is_changing_stage: bool,
     /// How many orders it has accepted since its start (`Seq`).
     pub revision: u64,
 }
--- a/crates/stages/tests/planner.rs
+++ b/crates/stages/tests/planner.rs
@@ -50,7 +50,7 @@
 }
 
 fn ordered_stages(planner: &mut Planner, now: Duration) -> Vec<(String, Stage)> {
-    planner.due_orders(now).into_iter().map(|order| (order.id, order.stage)).collect()
+    planner.take_due_orders(now).into_iter().map(|order| (order.id, order.stage)).collect()
 }
 
 #[rstest]
@@ -94,11 +94,11 @@
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
     let draining = |planner: &Planner| {
         let mut shown = fleet(3);
-        planner.overlay(&mut shown);
+        planner.mark_changing_as_draining(&mut shown);
         shown.iter().filter(|server| server.state == ServerState::Draining).count()
     };
     assert_eq!(draining(&planner), 4);
-    let orders = planner.due_orders(seconds(5.0));
+    let orders = planner.take_due_orders(seconds(5.0));
     orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
@@ -109,7 +109,7 @@
             server.stage = Some(Stage::Prefill);
         }
     }
-    planner.observe(&changed);
+    planner.confirm_changes(&changed);
     assert_eq!(draining(&planner), 0);
 }
 
@@ -117,19 +117,19 @@
 fn order_of_unknown_outcome_keeps_its_server_draining_until_it_could_have_changed() {
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
-    let orders = planner.due_orders(seconds(5.0));
+    let orders = planner.take_due_orders(seconds(5.0));
     assert_eq!(orders.len(), 2);
     orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Unknown, SWITCH));
     let mut shown = fleet(2);
-    planner.overlay(&mut shown);
+    planner.mark_changing_as_draining(&mut shown);
     assert_eq!(shown.iter().filter(|server| server.state == ServerState::Draining).count(), 2);
     let servers = fleet(2);
     plan(&mut planner, seconds(9.1), &servers, &demand(0.0));
     assert_eq!(draining_count(&planner, &servers), 2, "only a report can tell");
     let ordered = |server: &&ServerEntry| orders.iter().any(|order| order.id == server.id);
-    let unchanged = StageReport { stage: Stage::Decode, is_busy: false, revision: 0 };
+    let unchanged = StageReport { stage: Stage::Decode, is_changing_stage: false, revision: 0 };
     for server in servers.iter().filter(ordered) {
         planner.record_report(seconds(9.2), server, unchanged, SWITCH);
     }
@@ -141,17 +141,17 @@
     let mut planner = planner_with_lease();
     let servers = fleet(3);
     plan(&mut planner, seconds(4.0), &servers, &demand(10.0));
-    let orders = planner.due_orders(seconds(5.0));
+    let orders = planner.take_due_orders(seconds(5.0));
     assert_eq!(orders.len(), 2);
     plan(&mut planner, seconds(5.1), &servers, &demand(10.0));
-    assert!(planner.due_orders(seconds(6.0)).is_empty(), "two are in progress");
+    assert!(planner.take_due_orders(seconds(6.0)).is_empty(), "two are in progress");
     orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(6.0), &order.id, OrderOutcome::Rejected, SWITCH));
     plan(&mut planner, seconds(7.0), &servers, &demand(10.0));
-    assert!(planner.due_orders(seconds(8.0)).is_empty(), "a cooldown");
+    assert!(planner.take_due_orders(seconds(8.0)).is_empty(), "a cooldown");
     plan(&mut planner, seconds(17.0), &servers, &demand(10.0));
-    assert_eq!(planner.due_orders(seconds(18.0)).len(), 2);
+    assert_eq!(planner.take_due_orders(seconds(18.0)).len(), 2);
 }
 
 #[test]
@@ -168,12 +168,12 @@
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(3), &demand(0.0));
     planner.lease_lost();
-    assert!(planner.due_orders(seconds(9.0)).is_empty());
+    assert!(planner.take_due_orders(seconds(9.0)).is_empty());
     plan(&mut planner, seconds(9.0), &fleet(3), &demand(0.0));
-    assert!(planner.due_orders(seconds(10.0)).is_empty());
+    assert!(planner.take_due_orders(seconds(10.0)).is_empty());
     planner.lease_acquired(seconds(11.0));
     plan(&mut planner, seconds(12.0), &fleet(3), &demand(0.0));
-    assert!(planner.due_orders(seconds(13.0)).is_empty());
+    assert!(planner.take_due_orders(seconds(13.0)).is_empty());
 }
 
 #[test]
@@ -181,9 +181,9 @@
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(150.0));
     plan(&mut planner, seconds(8.0), &fleet(2), &demand(1.0));
-    assert!(planner.due_orders(seconds(9.0)).is_empty(), "the next burst may come");
+    assert!(planner.take_due_orders(seconds(9.0)).is_empty(), "the next burst may come");
     plan(&mut planner, seconds(90.0), &fleet(2), &demand(1.0));
-    assert_eq!(planner.due_orders(seconds(91.0)).len(), 2);
+    assert_eq!(planner.take_due_orders(seconds(91.0)).len(), 2);
 }
 
 #[rstest]
@@ -201,7 +201,7 @@
         .collect();
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &servers, &demand(in_flight));
-    assert_eq!(planner.due_orders(seconds(5.0)).len(), orders);
+    assert_eq!(planner.take_due_orders(seconds(5.0)).len(), orders);
 }
 
 /// The lease is lost with an order outstanding, and acquired again: the outcome comes when the next change is only
@@ -213,13 +213,13 @@
 fn outcome_of_an_order_under_an_earlier_lease_is_ignored(#[case] late: OrderOutcome) {
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
-    let orders = planner.due_orders(seconds(5.0));
+    let orders = planner.take_due_orders(seconds(5.0));
     assert_eq!(orders.len(), 2);
     planner.lease_lost();
     planner.lease_acquired(seconds(6.0));
     plan(&mut planner, seconds(10.0), &fleet(2), &demand(0.0));
     orders.iter().for_each(|order| planner.record_outcome(seconds(10.1), &order.id, late, SWITCH));
-    assert_eq!(planner.due_orders(seconds(11.0)), orders, "each is returned under this lease too");
+    assert_eq!(planner.take_due_orders(seconds(11.0)), orders, "each is returned under this lease too");
 }
 
 /// A second outcome would have the server stay out of service for longer, or return too soon.
@@ -227,7 +227,7 @@
 fn only_the_first_outcome_of_an_order_counts() {
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
-    let orders = planner.due_orders(seconds(5.0));
+    let orders = planner.take_due_orders(seconds(5.0));
     orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
@@ -235,14 +235,14 @@
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.1), &order.id, OrderOutcome::Rejected, SWITCH));
     let mut shown = fleet(2);
-    planner.overlay(&mut shown);
+    planner.mark_changing_as_draining(&mut shown);
     assert_eq!(shown.iter().filter(|server| server.state == ServerState::Draining).count(), 2);
 }
 
 /// How many of the servers are shown as draining.
 fn draining_count(planner: &Planner, servers: &[ServerEntry]) -> usize {
     let mut shown = servers.to_vec();
-    planner.overlay(&mut shown);
+    planner.mark_changing_as_draining(&mut shown);
     shown.iter().filter(|server| server.state == ServerState::Draining).count()
 }
 
@@ -251,17 +251,21 @@
     let mut planner = planner_with_lease();
     let servers = fleet(3);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let orders = planner.due_orders(seconds(5.0));
+    let orders = planner.take_due_orders(seconds(5.0));
     orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Rejected, SWITCH));
     assert_eq!(draining_count(&planner, &servers), 0);
     // A list that shows the wanted stage, read before the rejection, ends no cooldown.
-    planner.observe(&fleet(1));
+    planner.confirm_changes(&fleet(1));
     let settings = PlannerSettings::default();
     let cooldown = SWITCH + settings.list_lag + settings.change_cooldown;
     plan(&mut planner, seconds(5.0) + cooldown, &servers, &demand(0.0));
-    assert_eq!(planner.due_orders(seconds(20.0)).len(), 4, "the cooldown of the servers is over as well");
+    assert_eq!(
+        planner.take_due_orders(seconds(20.0)).len(),
+        4,
+        "the cooldown of the servers is over as well"
+    );
 }
 
 /// Until just before the cooldown after a change ends, nothing is planned.
@@ -274,17 +278,17 @@
     let mut planner = planner_with_lease();
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let given = planner.due_orders(seconds(5.0));
+    let given = planner.take_due_orders(seconds(5.0));
     given
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
-    planner.observe(&fleet(1));
+    planner.confirm_changes(&fleet(1));
     let settings = PlannerSettings::default();
     let settled_at = seconds(5.0) + SWITCH + settings.list_lag;
     plan(&mut planner, settled_at, &servers, &demand(0.0));
     let end = settled_at + settings.change_cooldown;
     plan(&mut planner, end - before, &servers, &demand(0.0));
-    assert_eq!(planner.due_orders(end + seconds(1.0)).len(), orders);
+    assert_eq!(planner.take_due_orders(end + seconds(1.0)).len(), orders);
 }
 
 /// Its order may have been accepted: once the list could show it and does not, the server is asked, and returns to service only
@@ -300,21 +304,25 @@
     let mut planner = planner_with_lease();
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let given = planner.due_orders(seconds(5.0));
+    let given = planner.take_due_orders(seconds(5.0));
     given
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
     // The list still shows the old stage.
-    planner.observe(&servers);
+    planner.confirm_changes(&servers);
     let end = seconds(5.0) + SWITCH + PlannerSettings::default().list_lag;
-    assert_eq!(planner.servers_to_ask(seconds(5.0), &servers).len(), servers.len(), "once under this lease");
+    assert_eq!(
+        planner.servers_to_query(seconds(5.0), &servers).len(),
+        servers.len(),
+        "once under this lease"
+    );
     // Planning for another service changes nothing but the time.
     if !after.is_zero() {
         planner.plan(end, "other", &[], &demand(0.0));
     }
     planner.plan(end + after - before, "other", &[], &demand(0.0));
     assert_eq!(draining_count(&planner, &servers), out);
-    assert_eq!(planner.servers_to_ask(end + after, &servers).len(), asked);
+    assert_eq!(planner.servers_to_query(end + after, &servers).len(), asked);
 }
 
 #[test]
@@ -326,7 +334,7 @@
         .map(|server| ServerEntry { service: "other".to_owned(), ..server })
         .collect();
     planner.plan(seconds(4.0), "other", &others.iter().collect::<Vec<_>>(), &demand(0.0));
-    assert_eq!(planner.due_orders(seconds(5.0)).len(), 4);
+    assert_eq!(planner.take_due_orders(seconds(5.0)).len(), 4);
 }
 
 /// With one request or more in flight, servers change one by one and a single surplus one stays.
@@ -336,7 +344,7 @@
 fn one_request_in_flight_is_load(#[case] in_flight: f64, #[case] orders: usize) {
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(3), &demand(in_flight));
-    assert_eq!(planner.due_orders(seconds(5.0)).len(), orders);
+    assert_eq!(planner.take_due_orders(seconds(5.0)).len(), orders);
 }
 
 /// 100 requests want 3 of 12 servers to decode: 5 are two surplus, 4 are one.
@@ -348,7 +356,7 @@
     let servers: Vec<ServerEntry> = (0..12).map(|n| server(n, "a", stage(n))).collect();
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &servers, &demand(100.0));
-    assert_eq!(planner.due_orders(seconds(5.0)).len(), orders);
+    assert_eq!(planner.take_due_orders(seconds(5.0)).len(), orders);
 }
 
 /// 150 requests want 4 of 8 servers; a time constant later a third of the decrease is still counted, which wants 2.
@@ -359,7 +367,7 @@
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(150.0));
     plan(&mut planner, later, &fleet(2), &demand(20.0));
-    assert_eq!(planner.due_orders(later + seconds(1.0)).len(), orders);
+    assert_eq!(planner.take_due_orders(later + seconds(1.0)).len(), orders);
 }
 
 /// Without load as many change as are missing, and no more.
@@ -368,7 +376,7 @@
     let mut planner = planner_with_lease();
     let demand = Demand { min_decode_share: 0.75, ..demand(0.0) };
     plan(&mut planner, seconds(4.0), &fleet(1), &demand);
-    assert_eq!(planner.due_orders(seconds(5.0)).len(), 4);
+    assert_eq!(planner.take_due_orders(seconds(5.0)).len(), 4);
 }
 
 /// A list that already shows the new stage does not end an order without an outcome.
@@ -376,8 +384,8 @@
 fn server_is_draining_until_its_order_has_an_outcome() {
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(2), &demand(0.0));
-    assert_eq!(planner.due_orders(seconds(5.0)).len(), 2);
-    planner.observe(&fleet(1));
+    assert_eq!(planner.take_due_orders(seconds(5.0)).len(), 2);
+    planner.confirm_changes(&fleet(1));
     assert_eq!(draining_count(&planner, &fleet(1)), 2);
 }
 
@@ -392,7 +400,7 @@
     planner.lease_acquired(Duration::ZERO);
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let given = planner.due_orders(seconds(5.0));
+    let given = planner.take_due_orders(seconds(5.0));
     let rejected: Vec<ServerEntry> =
         servers.iter().filter(|server| given.iter().any(|order| order.id == server.id)).cloned().collect();
     given
@@ -409,7 +417,7 @@
     let all = [rest_of_fleet, vec![server(5, "a", Stage::Decode), server(15, "b", Stage::Decode)]].concat();
     let end = seconds(5.0) + cooldown;
     plan(&mut planner, end - before, &all, &lone);
-    let again = planner.due_orders(end + seconds(1.0));
+    let again = planner.take_due_orders(end + seconds(1.0));
     let again = again.iter().filter(|order| rejected.iter().any(|server| server.id == order.id));
     assert_eq!(again.count(), orders);
 }
@@ -432,9 +440,9 @@
             server.map(|server| server.stage = Some(*to)).is_none()
         });
         let in_flight = if random.below(8) == 0 { random.below(700) as f64 } else { 0.0 };
-        planner.observe(&servers);
+        planner.confirm_changes(&servers);
         plan(&mut planner, now, &servers, &demand(in_flight));
-        for order in planner.due_orders(now) {
+        for order in planner.take_due_orders(now) {
             let answer = match random.below(4) {
                 0 => OrderOutcome::Rejected,
                 1 => OrderOutcome::Unknown,
--- a/crates/stages/tests/stale_tokens.rs
+++ b/crates/stages/tests/stale_tokens.rs
@@ -35,7 +35,7 @@
     planner.lease_acquired(at);
     let planned_at = at + seconds(5);
     planner.plan(planned_at, "model", &servers.iter().collect::<Vec<_>>(), &demand);
-    planner.due_orders(planned_at + seconds(5)).into_iter().map(|order| order.id).collect()
+    planner.take_due_orders(planned_at + seconds(5)).into_iter().map(|order| order.id).collect()
 }
 
 /// The first server rejects each order under a later token, as its memory is wrong.
@@ -89,6 +89,6 @@
         planner.record_outcome(seconds(10), id, OrderOutcome::StaleToken, SWITCH);
     }
     let mut shown = servers();
-    planner.overlay(&mut shown);
+    planner.mark_changing_as_draining(&mut shown);
     assert!(shown.iter().all(|entry| entry.state == ServerState::Ready), "{shown:?}");
 }
--- a/crates/stages/tests/succession.rs
+++ b/crates/stages/tests/succession.rs
@@ -40,7 +40,11 @@
 
 impl Server {
     fn report(&self) -> StageReport {
-        StageReport { stage: self.stage, is_busy: self.changing_until.is_some(), revision: self.revision }
+        StageReport {
+            stage: self.stage,
+            is_changing_stage: self.changing_until.is_some(),
+            revision: self.revision,
+        }
     }
 }
 
@@ -114,20 +118,20 @@
         self.list = self.entries();
         let now = self.now;
         let list = self.list.clone();
-        for entry in self.planner.servers_to_ask(now, &list) {
+        for entry in self.planner.servers_to_query(now, &list) {
             let server = self.past(REPORT_LAG_TICKS)[number_of(&entry.id)];
             if asks {
                 self.planner.record_report(now, entry, server.report(), SWITCH);
             }
         }
-        self.planner.observe(&self.list);
+        self.planner.confirm_changes(&self.list);
         let demand = Demand { decode_in_flight: 0.0, slots: 16, min_decode_share: 0.5, max_utilization: 0.6 };
         self.planner.plan(now, "s", &self.list.iter().collect::<Vec<_>>(), &demand);
     }
 
     /// Sends the orders that are due; the holder may end before it learns how one ended.
     fn send_orders(&mut self) {
-        for order in self.planner.due_orders(self.now) {
+        for order in self.planner.take_due_orders(self.now) {
             let server = &mut self.servers[number_of(&order.id)];
             let is_current = order.if_revision.is_none_or(|revision| revision == server.revision);
             let outcome = if server.changing_until.is_some() || !is_current {
@@ -214,9 +218,9 @@
 
 /// A server that the list shows in its old stage: what it reports decides.
 #[rstest]
-#[case::changing(StageReport { stage: Stage::Prefill, is_busy: true, revision: 1 }, true)]
-#[case::changed(StageReport { stage: Stage::Decode, is_busy: false, revision: 1 }, true)]
-#[case::untouched(StageReport { stage: Stage::Prefill, is_busy: false, revision: 0 }, false)]
+#[case::changing(StageReport { stage: Stage::Prefill, is_changing_stage: true, revision: 1 }, true)]
+#[case::changed(StageReport { stage: Stage::Decode, is_changing_stage: false, revision: 1 }, true)]
+#[case::untouched(StageReport { stage: Stage::Prefill, is_changing_stage: false, revision: 0 }, false)]
 fn server_under_an_order_of_an_earlier_lease_is_draining(
     #[case] report: StageReport, #[case] is_draining: bool,
 ) {
@@ -224,13 +228,13 @@
     scene.advance();
     let mut entries = scene.entries();
     scene.planner.record_report(seconds(1), &entries[0], report, SWITCH);
-    scene.planner.overlay(&mut entries);
+    scene.planner.mark_changing_as_draining(&mut entries);
     assert_eq!(entries[0].state == ServerState::Draining, is_draining);
     // The list catches up.
     entries[0].stage = Some(Stage::Decode);
-    scene.planner.observe(&entries);
+    scene.planner.confirm_changes(&entries);
     entries[0].state = ServerState::Ready;
-    scene.planner.overlay(&mut entries);
+    scene.planner.mark_changing_as_draining(&mut entries);
     assert_eq!(entries[0].state, ServerState::Ready);
 }
 
@@ -240,18 +244,18 @@
     let mut scene = Scene::new(0);
     scene.advance();
     let entries = scene.entries();
-    let report = StageReport { stage: Stage::Prefill, is_busy: false, revision: 4 };
+    let report = StageReport { stage: Stage::Prefill, is_changing_stage: false, revision: 4 };
     entries.iter().for_each(|entry| scene.planner.record_report(seconds(1), entry, report, SWITCH));
     let demand = Demand { decode_in_flight: 0.0, slots: 16, min_decode_share: 0.5, max_utilization: 0.6 };
     scene.planner.plan(seconds(4), "s", &entries.iter().collect::<Vec<_>>(), &demand);
-    let orders = scene.planner.due_orders(seconds(5));
+    let orders = scene.planner.take_due_orders(seconds(5));
     assert_eq!(orders.len(), 3);
     assert!(orders.iter().all(|order| order.if_revision == Some(4)), "{orders:?}");
     for order in &orders {
         scene.planner.record_outcome(seconds(5), &order.id, OrderOutcome::Rejected, SWITCH);
     }
     scene.planner.plan(seconds(30), "s", &entries.iter().collect::<Vec<_>>(), &demand);
-    let repeated = scene.planner.due_orders(seconds(31));
+    let repeated = scene.planner.take_due_orders(seconds(31));
     assert!(repeated.len() == 3 && repeated.iter().all(|order| order.if_revision.is_none()), "{repeated:?}");
 }
 
