--- a/crates/distribution/src/error.rs
+++ b/crates/distribution/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a table rejects what it is given.
+//! Errors of table updates.
 
 use lugwharf_protocol::TablePosition;
 
-/// A list was read under a fencing token that is no longer the newest.
+/// The list was read under a fencing token that is no longer the newest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a listing of epoch {listing} after one of epoch {table}")]
+#[error("server list of epoch {listing} is older than the server table, which has epoch {table}")]
 pub struct StaleEpoch {
     /// The epoch of the list.
     pub listing: u64,
@@ -12,11 +12,12 @@
     pub table: u64,
 }
 
-/// Why a delta was not applied.
+/// The reason why a delta was not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// An incremental delta for a table that holds nothing. Pull again with the default position, for a full one.
-    #[error("differences up to {to:?} do not follow {have:?}")]
+    /// The delta is incremental, but the table is empty. Pull again from the default position to get a full
+    /// delta.
+    #[error("incremental delta to position {to:?} does not apply to an empty table at position {have:?}")]
     Gap {
         /// The position of the table.
         have: TablePosition,
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -1,48 +1,51 @@
-//! What a table remembers of its past: removed servers, and where earlier epochs ended.
+//! Change history of a table: removed servers, and the ends of earlier epochs.
 
 use lugwharf_protocol::TablePosition;
 use std::collections::VecDeque;
 
-/// The most removed servers that are remembered. A release of the largest services removes some thousand servers. A reader
-/// that is further behind gets a snapshot, which is then hardly longer than a delta.
+/// The maximum number of removed servers that are recorded. A release of the largest services removes
+/// thousands of servers. A reader that is further behind gets a full delta, which is then hardly larger than
+/// an incremental one.
 pub const MAX_TOMBSTONES: usize = 4_096;
-/// The most earlier epochs whose ends are remembered. A reader that has missed so many changes of the writer gets a
-/// snapshot.
+/// The maximum number of earlier epochs whose ends are recorded. A reader that has missed more changes of the
+/// writer gets a full delta.
 pub const MAX_EPOCH_CHANGES: usize = 32;
 
-/// The epoch of a list that a process read for itself, before it knew any holder of the list watcher's role.
+/// The epoch of a list that a process read itself before it knew any holder of the list watcher's role.
 ///
-/// Two processes may have different lists at one position of this epoch, so that no delta starts there. Every fencing token
-/// is larger.
+/// Two processes may have different lists at one position of this epoch, so no incremental delta starts
+/// there. Every fencing token is larger.
 pub const PROVISIONAL_EPOCH: u64 = 0;
 
-/// The past of one table; its size is bounded.
+/// The change history of one table; its size is bounded.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct History {
-    /// Deltas start at this position or a later one.
+    /// The first position at which an incremental delta may start.
     floor: TablePosition,
-    /// The last position of each earlier epoch, as the writer of the next one saw it; ascending.
+    /// The last position of each earlier epoch, as seen by the writer of the next one; ascending.
     epoch_ends: VecDeque<TablePosition>,
-    /// Removed ids and the positions of their removals; ascending.
+    /// The positions of removals and the removed ids; ascending.
     tombstones: VecDeque<(TablePosition, String)>,
 }
 
 impl History {
-    /// A history that starts at `floor`, as after a snapshot was applied.
+    /// Creates a history that starts at `floor`, for example after a full delta was applied.
     pub(crate) fn starting_at(floor: TablePosition) -> Self {
         Self { floor, ..Self::default() }
     }
 
-    /// Records that the epoch of `last` ended there and another one follows.
+    /// Records that the epoch of `last` ended at that position and another epoch follows.
     pub(crate) fn record_epoch_end(&mut self, last: TablePosition) {
-        // The floor stays where it is when an end is forgotten: `covers` refuses an earlier epoch whose end is not known.
+        // The floor does not rise when an end is dropped: `covers` rejects an earlier epoch whose end is
+        // unknown.
         self.epoch_ends.push_back(last);
         if self.epoch_ends.len() > MAX_EPOCH_CHANGES {
             self.epoch_ends.pop_front();
         }
     }
 
-    /// Records that the change to `position` removed `id`. The floor rises over a tombstone that is forgotten.
+    /// Records that the change to `position` removed `id`. When the oldest tombstone is dropped, the floor
+    /// rises to its position.
     pub(crate) fn record_removal(&mut self, position: TablePosition, id: String) {
         self.tombstones.push_back((position, id));
         if self.tombstones.len() <= MAX_TOMBSTONES {
@@ -53,14 +56,17 @@
         }
     }
 
-    /// The ids that were removed after `have`. An id may occur several times, and may have been added again.
+    /// Returns the ids that were removed after `have`. An id may occur several times, and may have been added
+    /// again.
     pub(crate) fn removed_after(&self, have: TablePosition) -> impl Iterator<Item = &String> {
         self.tombstones.iter().filter(move |(position, _)| *position > have).map(|(_, id)| id)
     }
 
-    /// Whether this table's content went through `have` and a delta can start there.
+    /// Returns whether this table's content passed through `have`, so that an incremental delta can start
+    /// there.
     ///
-    /// A position of an earlier epoch beyond the end of that epoch belongs to a change that the next writer never saw.
+    /// A position of an earlier epoch beyond the recorded end of that epoch belongs to a change that the next
+    /// writer never saw.
     pub(crate) fn covers(&self, have: TablePosition, current: TablePosition) -> bool {
         if have.epoch == PROVISIONAL_EPOCH || have < self.floor {
             return false;
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,9 +1,10 @@
-//! The tables that are distributed to the data plane, and the updates that bring another process up to date.
+//! Tables distributed to the data plane, and the updates that bring other processes up to date.
 //!
-//! Sans I/O: a table is written from lists or updates, and answers a position with a delta. One process, the holder of the
-//! list watcher's role, writes the server table. Every other process pulls it from a peer that is ahead and serves it in
-//! turn: control process to control process, control process to agent, agent to proxy. A process pulls from one peer at a
-//! time and applies the response before it pulls again; a delta is only sound under that order.
+//! This crate does no I/O: a table is written from lists or updates, and returns a delta for a given
+//! position. One process, the holder of the list watcher's role, writes the server table. Every other process
+//! pulls the table from a peer that is ahead and serves it in turn: control process to control process,
+//! control process to agent, agent to proxy. A process pulls from one peer at a time and applies the response
+//! before it pulls again; a delta is valid only in that order.
 #![forbid(unsafe_code)]
 
 mod error;
--- a/crates/distribution/src/server_table.rs
+++ b/crates/distribution/src/server_table.rs
@@ -1,22 +1,24 @@
-//! The server table, with enough history to make deltas.
+//! Server table, with the history needed to compute deltas.
 
 use crate::error::{ApplyError, StaleEpoch};
 use crate::history::History;
 use lugwharf_protocol::{ServerDelta, ServerEntry, ServerState, TablePosition};
 use std::collections::BTreeMap;
 
-/// An entry and when it last changed.
+/// An entry and the position of its last change.
 #[derive(Clone, Debug)]
 struct VersionedEntry {
     entry: ServerEntry,
-    /// The position at which the entry took its present form; in a table that applies deltas, the position after the delta.
+    /// The position at which the entry got its current content. In a table that applies deltas, this is the
+    /// position after the delta.
     changed_at: TablePosition,
 }
 
-/// The server table: the servers of the platform's list, with enough history to make deltas.
+/// The server table: the servers listed by the platform, with the history needed to compute deltas.
 ///
-/// Positions are ordered by epoch, then sequence. A new epoch continues with the content that its writer held, so that a
-/// reader at a position of an earlier epoch still gets a delta if the content went through that position.
+/// Positions are ordered by epoch, then by sequence. A new epoch continues with the content of its writer, so
+/// a reader at a position of an earlier epoch still gets an incremental delta if that content passed through
+/// the position.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     position: TablePosition,
@@ -26,52 +28,52 @@
 }
 
 impl ServerTable {
-    /// An empty table at the default position.
+    /// Creates an empty table at the default position.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The position of the last change.
+    /// Returns the position of the last change.
     pub fn position(&self) -> TablePosition {
         self.position
     }
 
-    /// The number of servers in the table.
+    /// Returns the number of servers in the table.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// Whether the table has no server.
+    /// Returns whether the table has no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// All servers, in the order of their ids.
+    /// Returns all servers, ordered by id.
     pub fn entries(&self) -> impl Iterator<Item = &ServerEntry> {
         self.servers.values().map(|versioned| &versioned.entry)
     }
 
-    /// The server with this id.
+    /// Returns the server with this id.
     pub fn get(&self, id: &str) -> Option<&ServerEntry> {
         self.servers.get(id).map(|versioned| &versioned.entry)
     }
 
-    /// Replaces the content by a complete list that the holder of the list watcher's role has read under the fencing token
-    /// `epoch`; returns whether the position advanced.
+    /// Replaces the content by a complete list that the holder of the list watcher's role read under the
+    /// fencing token `epoch`; returns whether the position advanced.
     ///
-    /// The position advances at any difference, and at the first list of an epoch also without one, so that every reader
-    /// rejects what an earlier writer may still send. One table writes under one epoch: a process that has restarted needs a
-    /// new token.
+    /// The position advances on any difference, and on the first list of an epoch even without one, so that
+    /// every reader rejects late updates from an earlier writer. Only one table may write under an epoch: a
+    /// process that has restarted needs a new token.
     ///
-    /// A different `warmup_remaining_ms` alone is no change: it counts down from read to read, so that each read would change every
-    /// young server. The latest value is stored for those who pull later.
+    /// A different `warmup_remaining_ms` alone is not a change: the value decreases from read to read, so
+    /// each read would change every server that is warming up. The latest value is stored for later pulls.
     ///
-    /// An id that is listed twice, as when the list shifts between two pages, is draining if either line says so; else the
-    /// later line stands.
+    /// An id that is listed twice, for example because the list shifted between two pages, is draining if
+    /// either entry is; otherwise the later entry is used.
     ///
     /// # Errors
     ///
-    /// [`StaleEpoch`] if the table has content of a later epoch; nothing is changed then.
+    /// [`StaleEpoch`] if the table has content of a later epoch; the table is then unchanged.
     pub fn replace(&mut self, epoch: u64, listing: Vec<ServerEntry>) -> Result<bool, StaleEpoch> {
         if epoch < self.position.epoch {
             return Err(StaleEpoch { listing: epoch, table: self.position.epoch });
@@ -91,12 +93,13 @@
         Ok(has_changed)
     }
 
-    /// Applies a delta that another process made by [`ServerTable::delta_since`] for a position that this table had reached;
-    /// returns whether the position advanced. A delta to the table's own position or an earlier one has no effect.
+    /// Applies a delta that another process computed with [`ServerTable::delta_since`] for a position that
+    /// this table had reached; returns whether the position advanced. A delta to the table's own position or
+    /// an earlier one has no effect.
     ///
     /// # Errors
     ///
-    /// [`ApplyError::Gap`] if the delta is incremental and the table holds nothing; nothing is changed then.
+    /// [`ApplyError::Gap`] if the delta is incremental and the table is empty; the table is then unchanged.
     pub fn apply(&mut self, delta: &ServerDelta) -> Result<bool, ApplyError> {
         if delta.position <= self.position {
             return Ok(false);
@@ -108,8 +111,8 @@
         if self.position == TablePosition::default() {
             return Err(ApplyError::Gap { have: self.position, to: delta.position });
         }
-        // Removals and entries are recorded also if they make no difference here: a server that was removed and added again
-        // since this table's position may be missing at a process that pulls from this one.
+        // Removals and entries are recorded even if they change nothing here: a server that was removed and
+        // added again since this table's position may be missing in a process that pulls from this one.
         self.remove(delta.removed.clone(), delta.position);
         for entry in &delta.entries {
             self.insert(entry.id.clone(), entry.clone(), delta.position);
@@ -118,8 +121,8 @@
         Ok(true)
     }
 
-    /// What a reader at position `have` is missing: `None` if it is not behind this table, an incremental delta if the
-    /// history covers `have`, else a full one.
+    /// Returns the changes that a reader at position `have` is missing: `None` if the reader is not behind
+    /// this table, an incremental delta if the history covers `have`, else a full delta.
     pub fn delta_since(&self, have: TablePosition) -> Option<ServerDelta> {
         if have >= self.position {
             return None;
@@ -136,7 +139,7 @@
         Some(ServerDelta { position: self.position, is_full: false, entries, removed })
     }
 
-    /// A snapshot in the form of a delta: it replaces whatever the reader has.
+    /// Returns a full delta, which replaces the complete content of the reader.
     fn full_delta(&self) -> ServerDelta {
         let entries = self.entries().cloned().collect();
         ServerDelta { position: self.position, is_full: true, entries, removed: Vec::new() }
@@ -148,7 +151,8 @@
         TablePosition { epoch, sequence }
     }
 
-    /// Replaces the content by a snapshot. Nothing is known of the time before, so the history starts at its position.
+    /// Replaces the content by a full delta. Earlier changes are not known, so the history starts at the
+    /// position of the delta.
     fn apply_full(&mut self, delta: &ServerDelta) {
         self.servers.clear();
         for entry in &delta.entries {
@@ -162,7 +166,7 @@
         self.servers.insert(id, VersionedEntry { entry, changed_at });
     }
 
-    /// Inserts or updates a listed entry; returns whether it differs from the one before.
+    /// Inserts or updates a listed entry; returns whether the entry changed.
     fn upsert(&mut self, id: String, entry: ServerEntry, changed_at: TablePosition) -> bool {
         match self.servers.get_mut(&id) {
             Some(versioned) if is_equal_except_warmup(&versioned.entry, &entry) => {
@@ -191,7 +195,7 @@
     }
 }
 
-/// Whether two entries are equal apart from the remaining warm-up time.
+/// Returns whether two entries are equal apart from the remaining warm-up time.
 fn is_equal_except_warmup(current: &ServerEntry, listed: &ServerEntry) -> bool {
     current.id == listed.id
         && current.service == listed.service
@@ -203,7 +207,8 @@
         && current.models == listed.models
 }
 
-/// The entries by id; of an id that is listed twice, draining wins, else the later entry.
+/// Returns the entries by id. Of an id that is listed twice, the later entry is used, but is draining if
+/// either entry is.
 fn merge_by_id(listing: Vec<ServerEntry>) -> BTreeMap<String, ServerEntry> {
     let mut entries: BTreeMap<String, ServerEntry> = BTreeMap::new();
     for mut entry in listing {
--- a/crates/distribution/src/tables.rs
+++ b/crates/distribution/src/tables.rs
@@ -1,27 +1,27 @@
-//! All tables of one process, and the version vector over them.
+//! Tables of one process, and the version vector over them.
 
 use crate::error::ApplyError;
 use crate::server_table::ServerTable;
 use lugwharf_protocol::{ConfigRecord, FleetSummary, ServerDelta, Update, VersionVector};
 use std::sync::Arc;
 
-/// All tables of one process: the configuration, the server table and the number of live proxies. The first two only
-/// advance.
+/// All tables of one process: the configuration, the server table and the number of live proxies. The
+/// versions of the first two never decrease.
 #[derive(Clone, Debug, Default)]
 pub struct Tables {
     config: Option<Arc<ConfigRecord>>,
     servers: ServerTable,
-    /// 0 while it is unknown.
+    /// The number of live proxies; 0 while unknown.
     live_proxies: u32,
 }
 
 impl Tables {
-    /// Tables that hold nothing.
+    /// Creates empty tables.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The versions that this process has.
+    /// Returns the versions of this process's tables.
     pub fn version_vector(&self) -> VersionVector {
         VersionVector {
             config: self.config.as_ref().map_or(0, |config| config.version),
@@ -39,39 +39,40 @@
         is_newer
     }
 
-    /// The newest configuration.
+    /// Returns the newest configuration.
     pub fn config(&self) -> Option<&Arc<ConfigRecord>> {
         self.config.as_ref()
     }
 
-    /// The server table.
+    /// Returns the server table.
     pub fn servers(&self) -> &ServerTable {
         &self.servers
     }
 
-    /// The server table, for its writer.
+    /// Returns the server table for its writer.
     pub fn servers_mut(&mut self) -> &mut ServerTable {
         &mut self.servers
     }
 
-    /// The number of live proxies as last reported; 0 while it is unknown.
+    /// Returns the number of live proxies as last reported; 0 while unknown.
     pub fn live_proxies(&self) -> u32 {
         self.live_proxies
     }
 
-    /// Sets the number of live proxies; 0, which means unknown, leaves the last number in place.
+    /// Sets the number of live proxies. 0 means unknown and leaves the last number in place.
     pub fn set_live_proxies(&mut self, live_proxies: u32) {
         if live_proxies > 0 {
             self.live_proxies = live_proxies;
         }
     }
 
-    /// What a reader with the versions `have` is missing; `None` if nothing. The vector in the update is what the reader has
-    /// after it has applied the update.
+    /// Returns the tables that a reader with the versions `have` is missing; `None` if there are none. The
+    /// vector in the update holds the versions of the reader after it has applied the update.
     pub fn update_since(&self, have: &VersionVector) -> Option<Update> {
         let config = self.config.as_ref().filter(|config| config.version > have.config);
         let servers = self.servers.delta_since(have.servers);
-        // The count has no version: it may go down as well as up, and a reader with any other one gets it.
+        // The count has no version, since it may decrease as well as increase: a reader with any other count
+        // gets this one.
         let has_different_count = self.live_proxies > 0 && self.live_proxies != have.live_proxies;
         if config.is_none() && servers.is_none() && !has_different_count {
             return None;
@@ -85,12 +86,12 @@
         Some(Update { vector, config: config.map(|config| ConfigRecord::clone(config)), servers, fleet })
     }
 
-    /// Applies the newer tables of an update; returns whether there was any.
+    /// Applies the tables of an update that are newer; returns whether any table changed.
     ///
     /// # Errors
     ///
-    /// [`ApplyError::Gap`] if the delta of the servers does not follow. The other tables are applied nevertheless; pull again
-    /// with the vector as it then is.
+    /// [`ApplyError::Gap`] if the server delta can't be applied. The other tables are still applied; pull
+    /// again with the resulting version vector.
     pub fn apply(&mut self, update: &Update) -> Result<bool, ApplyError> {
         let mut has_changed = self.apply_config(update.config.as_ref());
         has_changed |= self.apply_fleet(update.fleet);
@@ -98,7 +99,7 @@
         Ok(has_changed)
     }
 
-    /// Applies a configuration if it is newer; the check here spares a copy of one that is not.
+    /// Applies a configuration if it is newer. The check here avoids copying one that is not.
     fn apply_config(&mut self, config: Option<&ConfigRecord>) -> bool {
         let newer = config.filter(|config| config.version > self.version_vector().config);
         newer.is_some_and(|config| self.advance_config(Arc::new(config.clone())))
--- a/crates/distribution/tests/server_table.rs
+++ b/crates/distribution/tests/server_table.rs
@@ -1,4 +1,4 @@
-//! What a reader at an older position is sent.
+//! Deltas for readers at older positions.
 
 use fastrand::Rng;
 use lugwharf_distribution::{
@@ -111,13 +111,13 @@
     writer.replace(1, entries(&["a", "b", "c", "d"])).unwrap();
     successor.apply(&writer.delta_since(successor.position()).unwrap()).unwrap();
     let behind = at(1, 2);
-    let level = successor.position();
+    let current = successor.position();
     successor.replace(7, entries(&["a", "b", "c", "d"])).unwrap();
-    let delta = successor.delta_since(level).unwrap();
+    let delta = successor.delta_since(current).unwrap();
     assert_eq!(delta, ServerDelta { position: at(7, 1), ..ServerDelta::default() });
     assert_eq!(ids(&successor.delta_since(behind).unwrap().entries), ["d"]);
     successor.replace(9, entries(&["a", "b", "d"])).unwrap();
-    let delta = successor.delta_since(level).unwrap();
+    let delta = successor.delta_since(current).unwrap();
     assert!(!delta.is_full);
     assert_eq!((delta.entries.len(), delta.removed), (0, vec!["c".to_owned()]));
 }
@@ -175,8 +175,8 @@
     assert!(table.delta_since(at(1, 1)).unwrap().is_full);
 }
 
-/// Several processes pull from each other in any order while the writer changes: a process that reaches the position of
-/// the writer has its content.
+/// Several processes pull from each other in any order while the writer changes: each process that reaches
+/// the writer's position has the writer's content.
 #[test]
 fn tables_at_the_same_position_have_the_same_content() {
     for seed in 0..400 {
@@ -204,7 +204,7 @@
             4 if random.u8(..8) == 0 => {
                 let restarted = random.usize(..PROCESSES);
                 tables[restarted] = ServerTable::new();
-                // A writer that has restarted has to be elected again.
+                // A writer that has restarted must be elected again.
                 epoch += u64::from(restarted == writer);
             }
             _ => {
@@ -221,7 +221,8 @@
     }
 }
 
-/// Two processes that have just started read the list for themselves, a moment apart: their lists differ at one position.
+/// Two processes that have just started read the list themselves at different times, so their lists differ at
+/// the same position.
 #[test]
 fn reader_of_a_provisional_list_gets_the_first_full_list_of_an_epoch() {
     let one = table_of(&[(PROVISIONAL_EPOCH, &["a", "gone"])]);
@@ -251,7 +252,7 @@
     assert!(table.is_empty());
 }
 
-/// A field that is not compared would keep its old value at every reader.
+/// A changed field that was not compared would keep its old value at every reader.
 #[rstest]
 #[case::service(ServerEntry { service: "other".to_owned(), ..entry("a") })]
 #[case::address(ServerEntry { address: SocketAddr::from(([127, 0, 0, 2], 80)), ..entry("a") })]
@@ -266,7 +267,7 @@
     assert_eq!(table.delta_since(at(1, 1)).map(|delta| delta.entries), Some(vec![listed]));
 }
 
-/// Only ends of epochs count against the bound, not each change within one.
+/// Only the ends of epochs count towards the bound, not the changes within an epoch.
 #[test]
 fn changes_within_an_epoch_do_not_forget_earlier_epochs() {
     let mut table = table_of(&[(1, &["a"]), (2, &["a"])]);
--- a/crates/distribution/tests/tables.rs
+++ b/crates/distribution/tests/tables.rs
@@ -1,4 +1,4 @@
-//! The version vector over all tables, and the updates that are made for it.
+//! The version vector over all tables, and the updates computed from it.
 
 use lugwharf_distribution::Tables;
 use lugwharf_protocol::{ConfigRecord, FleetSummary, ServerDelta, TablePosition, Update, VersionVector};
@@ -95,7 +95,7 @@
     assert_eq!(tables(7, 3, 0).update_since(&have), None);
 }
 
-/// A process that waits for a change has to be woken by each of them.
+/// A process that waits for a change must be notified of each of them.
 #[rstest]
 #[case::config(8, 3, 5)]
 #[case::servers(7, 4, 5)]
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -1,31 +1,31 @@
-//! A failure detector whose timeout adapts to how regularly each peer sends heartbeats.
+//! Failure detector whose timeout adapts to the regularity of each peer's heartbeats.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The intervals between heartbeats that are remembered of each peer.
+/// The maximum number of heartbeat intervals stored per peer.
 const MAX_INTERVALS: usize = 16;
-/// Fewer intervals tell nothing; the timeout is then the longest one.
+/// The minimum number of intervals needed to estimate a timeout; with fewer, the maximum timeout applies.
 const MIN_INTERVALS: usize = MAX_INTERVALS / 4;
-/// The standard deviations above the mean interval after which a peer is suspected.
+/// The number of standard deviations above the mean interval after which a peer is suspected.
 const TIMEOUT_DEVIATIONS: f64 = 4.0;
-/// The mean intervals after which a peer is suspected at the earliest, whatever the deviation: one lost heartbeat is no
-/// failure.
+/// The minimum timeout as a multiple of the mean interval, whatever the deviation: one lost heartbeat is not
+/// a failure.
 const MIN_TIMEOUT_INTERVALS: f64 = 2.5;
-/// The most peers that are watched; further ones are ignored.
+/// The maximum number of watched peers; further ones are ignored.
 const MAX_PEERS: usize = 64;
 
-/// The bounds of a [`FailureDetector`]; none has a default.
+/// The limits of a [`FailureDetector`]; none has a default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailureDetectorSettings {
-    /// No peer is suspected earlier after its last heartbeat.
+    /// The minimum time after its last heartbeat before a peer is suspected.
     pub min_timeout: Duration,
-    /// Every peer is suspected this long after its last heartbeat; also the timeout of a peer that has sent too few
-    /// heartbeats to compute one.
+    /// The maximum time after its last heartbeat before a peer is suspected; also the timeout of a peer that
+    /// has sent too few heartbeats to estimate one.
     pub max_timeout: Duration,
-    /// A longer time between two calls of [`FailureDetector::tick`] means that this process was paused: heartbeats may be
-    /// waiting unread, so the pause is not held against any peer.
+    /// A longer time between two calls of [`FailureDetector::tick`] means that this process was paused.
+    /// Heartbeats may then be waiting unread, so the pause does not count against any peer.
     pub local_pause_threshold: Duration,
 }
 
@@ -36,10 +36,10 @@
     intervals: VecDeque<f64>,
 }
 
-/// Suspects peers whose next heartbeat is later than their earlier ones let expect.
+/// Suspects peers whose next heartbeat is later than their earlier intervals predict.
 ///
-/// The timeout of a peer is computed from the mean and the standard deviation of its last intervals, as in Hayashibara
-/// et al., The φ Accrual Failure Detector, SRDS 2004, but with one fixed threshold.
+/// The timeout of a peer is computed from the mean and the standard deviation of its last intervals, as in
+/// Hayashibara et al., The φ Accrual Failure Detector, SRDS 2004, but with one fixed threshold.
 #[derive(Clone, Debug)]
 pub struct FailureDetector {
     settings: FailureDetectorSettings,
@@ -48,12 +48,13 @@
 }
 
 impl FailureDetector {
-    /// A detector that watches no peer.
+    /// Creates a detector that watches no peer.
     pub fn new(settings: FailureDetectorSettings) -> Self {
         Self { settings, peers: HashMap::new(), last_tick_at: None }
     }
 
-    /// Starts to watch a peer that may never send a heartbeat; no effect on one that is watched already.
+    /// Starts to watch a peer, even if it has never sent a heartbeat; has no effect on a peer that is already
+    /// watched.
     pub fn watch(&mut self, peer: SocketAddr, now: Duration) {
         if self.peers.len() < MAX_PEERS {
             let watched = || WatchedPeer { last_heartbeat_at: now, intervals: VecDeque::new() };
@@ -75,12 +76,13 @@
         }
     }
 
-    /// Stops watching all peers but these.
+    /// Stops watching all peers except `peers`.
     pub fn retain(&mut self, peers: &[SocketAddr]) {
         self.peers.retain(|peer, _| peers.contains(peer));
     }
 
-    /// Records that this process runs. Call it regularly, before the heartbeats that have arrived are read.
+    /// Records that this process is running. Must be called regularly, before the heartbeats that have
+    /// arrived are read.
     pub fn tick(&mut self, now: Duration) {
         let pause = self.last_tick_at.map_or(Duration::ZERO, |last| now.saturating_sub(last));
         self.last_tick_at = Some(now);
@@ -92,7 +94,8 @@
         }
     }
 
-    /// Whether the timeout of the peer has passed since its last heartbeat. A peer that is not watched is not suspected.
+    /// Returns whether the timeout of the peer has passed since its last heartbeat. A peer that is not
+    /// watched is not suspected.
     pub fn is_suspected(&self, peer: SocketAddr, now: Duration) -> bool {
         let watched = self.peers.get(&peer);
         watched.is_some_and(|watched| {
--- a/crates/membership/src/hash_ring.rs
+++ b/crates/membership/src/hash_ring.rs
@@ -1,27 +1,28 @@
-//! The consistent-hash ring of monitors.
+//! Consistent-hash ring of monitors.
 
 use std::net::SocketAddr;
 
-/// The points of one monitor on the ring. With 9 monitors the largest share is then some 1.3 times the mean.
+/// The number of points (virtual nodes) of each monitor on the ring. With 9 monitors the largest share is
+/// about 1.3 times the mean.
 pub const POINTS_PER_MONITOR: u32 = 64;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// A consistent-hash ring of monitors, each at several points (Karger et al., Consistent Hashing and Random Trees,
-/// STOC 1997).
+/// A consistent-hash ring of monitors, each at several points (Karger et al., Consistent Hashing and Random
+/// Trees, STOC 1997).
 ///
-/// A monitor that joins or leaves moves only the nodes whose next point was or becomes its own. Every process that knows
-/// the same monitors computes the same ring.
+/// When a monitor joins or leaves, only the nodes whose next point was or becomes its own are moved. Every
+/// process that knows the same monitors computes the same ring.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HashRing {
-    /// The points in the order of their hashes.
+    /// The points, sorted by hash.
     points: Vec<(u64, SocketAddr)>,
     monitor_count: usize,
 }
 
 impl HashRing {
-    /// The ring of these monitors; their order and repeats do not matter.
+    /// Creates the ring of `monitors`; their order and duplicates do not matter.
     pub fn new(monitors: &[SocketAddr]) -> Self {
         let mut monitors = monitors.to_vec();
         monitors.sort_unstable();
@@ -31,8 +32,8 @@
         Self { points, monitor_count: monitors.len() }
     }
 
-    /// The first `max_count` distinct monitors from the node's hash on; fewer if there are fewer. The first is the node's
-    /// home, the others take over in this order.
+    /// Returns the first `max_count` distinct monitors from the node's hash onwards; fewer if the ring has
+    /// fewer. The first is the node's home monitor; the others take over in this order.
     pub fn monitors_of(&self, node: &str, max_count: usize) -> Vec<SocketAddr> {
         let count = max_count.min(self.monitor_count);
         let node_hash = hash(node.as_bytes());
@@ -50,12 +51,12 @@
         monitors
     }
 
-    /// The number of monitors on the ring.
+    /// Returns the number of monitors on the ring.
     pub fn len(&self) -> usize {
         self.monitor_count
     }
 
-    /// Whether the ring has no monitor.
+    /// Returns whether the ring has no monitors.
     pub fn is_empty(&self) -> bool {
         self.monitor_count == 0
     }
@@ -65,9 +66,11 @@
     (0..POINTS_PER_MONITOR).map(move |point| (hash(format!("{monitor}#{point}").as_bytes()), monitor))
 }
 
-/// FNV-1a, then the finaliser of SplitMix64, as FNV alone spreads short, similar names badly.
+/// Hashes with FNV-1a followed by the finaliser of SplitMix64, since FNV-1a alone spreads short, similar
+/// names badly.
 ///
-/// It is fixed here, because every process must compute the same value, also across releases of the standard library.
+/// The function is defined here because every process must compute the same value, also across releases of
+/// the standard library.
 fn hash(bytes: &[u8]) -> u64 {
     let folded =
         bytes.iter().fold(FNV_OFFSET, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME));
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,12 @@
-//! Counts the live front-end nodes, and finds the monitors that a node reports to and the peers to suspect.
+//! Counts the live front-end nodes, assigns each node to monitors, and detects failed peers.
 //!
-//! Sans I/O: times are [`std::time::Duration`]s since any fixed point of the caller's steady clock.
+//! This crate does no I/O: times are [`std::time::Duration`]s since an arbitrary fixed point of the caller's
+//! monotonic clock.
 //!
-//! The control processes are the monitors. A node finds its monitors by its place on a [`HashRing`] and sends them
-//! heartbeats. Each monitor counts the nodes that send it heartbeats in a [`LiveNodeCounter`] and reports nothing but that count to
-//! the other monitors, so that the traffic between monitors does not grow with the number of nodes.
+//! The control processes are the monitors. A node finds its monitors by its position on a [`HashRing`] and
+//! sends them heartbeats. Each monitor counts the nodes that send it heartbeats with a [`LiveNodeCounter`],
+//! and reports only that count to the other monitors, so that the traffic between monitors does not grow with
+//! the number of nodes.
 #![forbid(unsafe_code)]
 
 mod failure_detector;
--- a/crates/membership/src/live_nodes.rs
+++ b/crates/membership/src/live_nodes.rs
@@ -1,22 +1,25 @@
-//! The count of live nodes.
+//! Count of live nodes.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The most nodes that one monitor counts. It bounds the memory that made-up names can take; further names are ignored.
+/// The maximum number of nodes that one monitor counts; further nodes are ignored. This bounds the memory
+/// that fabricated node names can take.
 pub const MAX_NODES: usize = 16_384;
-/// The most other monitors whose counts are stored.
+/// The maximum number of other monitors whose counts are stored.
 pub const MAX_PEERS: usize = 64;
 
-/// The times of a [`LiveNodeCounter`].
+/// The time-outs of a [`LiveNodeCounter`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LiveNodeCounterSettings {
-    /// How long a heartbeat counts, and a peer's count; default 3 s. A node that moves from one monitor to another is
-    /// counted twice for so long at most, unless its old monitor calls [`LiveNodeCounter::remove_node`].
+    /// How long a heartbeat or a peer's count is valid; default 3 s. A node that moves from one monitor to
+    /// another is counted twice for at most this long, unless its old monitor calls
+    /// [`LiveNodeCounter::remove_node`].
     pub timeout: Duration,
-    /// How long the total must have been lower before it decreases; default 10 s. A proxy's share of the fleet's retry
-    /// budget is the budget divided by the total, so a total that is too high is safe and one that is too low is not.
+    /// How long the total must have been lower before it decreases; default 10 s. A proxy's share of the
+    /// fleet's retry budget is the budget divided by the total, so a total that is too high is safe and one
+    /// that is too low is not.
     pub decrease_delay: Duration,
 }
 
@@ -47,21 +50,21 @@
     total: u32,
 }
 
-/// The nodes that send heartbeats to one monitor, the counts of the other monitors, and the total of both.
+/// Counts the nodes that send heartbeats to one monitor, and adds the counts of the other monitors.
 #[derive(Clone, Debug)]
 pub struct LiveNodeCounter {
     settings: LiveNodeCounterSettings,
-    /// No total is known before: not every node has had the time for a heartbeat.
+    /// The total is unknown before this time, since not every node has had time to send a heartbeat.
     total_known_from: Duration,
     nodes: HashMap<String, Heartbeat>,
     peers: HashMap<SocketAddr, PeerCount>,
-    /// The sliding-window maximum of the totals within `decrease_delay`, as a deque: the totals strictly decrease from
-    /// front to back, and each is the largest since the one before it.
+    /// The sliding-window maximum of the totals within `decrease_delay`, as a deque: the totals strictly
+    /// decrease from front to back, and each is the largest since the one before it.
     window: VecDeque<Sample>,
 }
 
 impl LiveNodeCounter {
-    /// A counter that starts at `now`. Its total is 0, which means unknown, for one `timeout`.
+    /// Creates a counter that starts at `now`. Its total is 0, which means unknown, for one `timeout`.
     pub fn new(settings: LiveNodeCounterSettings, now: Duration) -> Self {
         Self {
             settings,
@@ -90,13 +93,13 @@
         true
     }
 
-    /// Stops counting a node, as when its connection ended because it moved to another monitor.
+    /// Stops counting a node, for example when its connection ended because it moved to another monitor.
     pub fn remove_node(&mut self, node: &str) {
         self.nodes.remove(node);
     }
 
-    /// The number of nodes that sent this monitor a heartbeat within the timeout; it is what the monitor reports to its
-    /// peers.
+    /// Returns the number of nodes that sent this monitor a heartbeat within the timeout. The monitor reports
+    /// this number to its peers.
     pub fn live_count(&self, now: Duration) -> u32 {
         let timeout = self.settings.timeout;
         let live = self.nodes.values().filter(|last| now.saturating_sub(last.received_at) <= timeout);
@@ -110,10 +113,10 @@
         }
     }
 
-    /// The number of live nodes of the fleet; 0 while it is unknown. Call it at least every second.
+    /// Returns the number of live nodes of the fleet; 0 while unknown. Must be called at least every second.
     ///
-    /// It is the largest sum of all fresh counts within the last `decrease_delay`, so that it increases at once and
-    /// decreases late.
+    /// The result is the largest sum of all valid counts within the last `decrease_delay`, so it increases
+    /// immediately and decreases with a delay.
     pub fn total(&mut self, now: Duration) -> u32 {
         self.remove_expired(now);
         if now < self.total_known_from {
@@ -131,8 +134,8 @@
         self.peers.retain(|_, peer| now.saturating_sub(peer.received_at) <= timeout);
     }
 
-    /// Adds a total to the window. The window keeps no sample that a later one is as large as, so that its length is
-    /// bounded by the number of different totals in it.
+    /// Adds a total to the window. A sample that a later one equals or exceeds is dropped, so the length of
+    /// the window is bounded by the number of different totals in it.
     fn record_total(&mut self, total: u32, now: Duration) {
         while self.window.back().is_some_and(|last| last.total <= total) {
             self.window.pop_back();
--- a/crates/membership/tests/failure_detector.rs
+++ b/crates/membership/tests/failure_detector.rs
@@ -19,7 +19,8 @@
     SocketAddr::from(([10, 0, 0, 1], 7_700))
 }
 
-/// A detector of a peer that has sent heartbeats at these intervals in turn, and the time of the last one.
+/// Returns a detector of a peer that has sent heartbeats at these intervals in turn, and the time of the last
+/// heartbeat.
 fn detector_after(intervals: &[u64]) -> (FailureDetector, Duration) {
     let mut detector = FailureDetector::new(SETTINGS);
     let mut now = ms(1_000);
@@ -57,7 +58,7 @@
 }
 
 #[test]
-fn local_pause_is_not_held_against_peers() {
+fn local_pause_does_not_count_against_peers() {
     let (mut detector, last) = detector_after(&[100]);
     detector.tick(last);
     let resumed = last + ms(4_000);
@@ -76,8 +77,8 @@
 }
 
 #[rstest]
-#[case::too_few_to_tell(3, false)]
-#[case::enough(4, true)]
+#[case::too_few_intervals(3, false)]
+#[case::enough_intervals(4, true)]
 fn timeout_adapts_once_there_are_enough_heartbeats(#[case] intervals: u64, #[case] suspected: bool) {
     let mut detector = FailureDetector::new(SETTINGS);
     (0..=intervals).for_each(|heartbeat| detector.record_heartbeat(peer(), ms(100 * heartbeat)));
--- a/crates/membership/tests/hash_ring.rs
+++ b/crates/membership/tests/hash_ring.rs
@@ -70,7 +70,7 @@
     assert!(HashRing::new(&[]).is_empty());
 }
 
-/// Processes of different releases share a ring: the placement of nodes is part of the protocol.
+/// Processes of different releases share a ring, so the placement of nodes is part of the protocol.
 #[test]
 fn placement_is_the_same_in_every_release() {
     let ring = HashRing::new(&monitors(9));
--- a/crates/membership/tests/live_nodes.rs
+++ b/crates/membership/tests/live_nodes.rs
@@ -1,4 +1,4 @@
-//! The count of live nodes.
+//! Count of live nodes.
 
 use lugwharf_membership::{LiveNodeCounter, LiveNodeCounterSettings, MAX_NODES, MAX_PEERS};
 use std::net::SocketAddr;
--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The state of all servers, and the budgets of their services.
+//! State of all servers, and the retry budgets of their services.
 
 use crate::phase::Phase;
 use crate::retry_budget::RetryBudgetConfig;
@@ -10,11 +10,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The load balancer of one proxy: all listed servers, what was measured about them, and the retry budgets of their services.
+/// The load balancer of one proxy: all listed servers, their measurements, and the retry budgets of their
+/// services.
 ///
-/// The caller applies list updates ([`Balancer::apply`]), selects a server ([`Balancer::select`]), and reports what became of
-/// the attempt: [`Balancer::record_start`], [`Balancer::record_observation`] and [`Balancer::record_end`], in this order.
-/// `now` is the time since any fixed point, and must not go back.
+/// The caller applies list updates ([`Balancer::apply`]), selects a server ([`Balancer::select`]), and
+/// reports each attempt with [`Balancer::record_start`], [`Balancer::record_observation`] and
+/// [`Balancer::record_end`], in this order. `now` is the time since an arbitrary fixed point and must not
+/// decrease.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) tuning: Tuning,
@@ -25,15 +27,16 @@
     pub(crate) zones: HashSet<Rc<str>>,
     pub(crate) position: TablePosition,
     pub(crate) next_key: u32,
-    /// The eligible servers of a selection; retained only for its allocation.
+    /// Buffer for the eligible servers of a selection; kept between calls to reuse its allocation.
     pub(crate) eligible: Vec<ServerKey>,
-    /// 0 while unknown.
+    /// The reported number of live proxies; 0 while unknown.
     live_proxies: u32,
     retry_budget: RetryBudgetConfig,
 }
 
 impl Balancer {
-    /// A balancer without servers. `retry_budget.local_share` is replaced by [`Tuning::retry_budget_share`].
+    /// Creates a balancer without servers. `retry_budget.local_share` is overridden by
+    /// [`Tuning::retry_budget_share`].
     pub fn new(tuning: Tuning, retry_budget: RetryBudgetConfig, seed: u64) -> Balancer {
         let retry_budget = RetryBudgetConfig { local_share: tuning.retry_budget_share, ..retry_budget };
         Balancer {
@@ -51,51 +54,53 @@
         }
     }
 
-    /// The constants in use.
+    /// Returns the tuning in use.
     pub fn tuning(&self) -> &Tuning {
         &self.tuning
     }
 
-    /// Sets the number of live proxies of the fleet; 0 if it is not known.
+    /// Sets the number of live proxies in the fleet; 0 means unknown.
     pub fn set_live_proxies(&mut self, live: u32) {
         self.live_proxies = live;
     }
 
-    /// The number of live proxies: as reported, or else [`Tuning::assumed_proxies`].
+    /// Returns the reported number of live proxies, or [`Tuning::assumed_proxies`] while it is unknown.
     pub fn proxy_count(&self) -> u32 {
         if self.live_proxies == 0 { self.tuning.assumed_proxies } else { self.live_proxies }
     }
 
-    /// The number of live proxies as it was reported last; 0 if it was not.
+    /// Returns the number of live proxies as last reported; 0 while unknown.
     pub fn reported_proxy_count(&self) -> u32 {
         self.live_proxies
     }
 
-    /// Replaces the rule of the retry budgets; what was counted so far stays. As in [`Balancer::new`], `local_share` comes from
-    /// the tuning.
+    /// Replaces the configuration of the retry budgets and keeps their counts. As in [`Balancer::new`],
+    /// `local_share` is overridden by the tuning.
     pub fn set_retry_budget(&mut self, retry_budget: RetryBudgetConfig) {
         self.retry_budget = RetryBudgetConfig { local_share: self.tuning.retry_budget_share, ..retry_budget };
     }
 
-    /// A client has sent a request for the service: deposits into its retry budget.
+    /// Records a client request for the service, which deposits into the service's retry budget.
     pub fn record_request(&mut self, now: Duration, service: &str) {
         let config = self.retry_budget;
         self.pool_mut(service).retry_budget.deposit(now, &config);
     }
 
-    /// Withdraws one delivery beyond a request's first from the service's retry budget. Returns whether there was one left.
+    /// Withdraws one retry, a delivery of a request after its first, from the service's retry budget. Returns
+    /// whether the budget allowed it.
     pub fn try_withdraw_retry(&mut self, now: Duration, service: &str) -> bool {
         let (config, proxies) = (self.retry_budget, self.retry_budget_proxies());
         self.pool_mut(service).retry_budget.try_withdraw(now, &config, proxies)
     }
 
-    /// The proxies that share a retry budget. A fleet that seems small may have grown since the last report, so that half of
-    /// [`Tuning::assumed_proxies`] is assumed at least.
+    /// Returns the number of proxies assumed to share a retry budget: at least half of
+    /// [`Tuning::assumed_proxies`], since a fleet that was reported as small may have grown since the last
+    /// report.
     fn retry_budget_proxies(&self) -> u32 {
         self.proxy_count().max(self.tuning.assumed_proxies / 2)
     }
 
-    /// Whether a KV cache transfer between servers of the service may be attempted now; see
+    /// Returns whether a KV cache transfer between servers of the service may be attempted now; see
     /// [`KvTransferBreaker::try_acquire`](crate::KvTransferBreaker::try_acquire).
     pub fn try_kv_transfer(&mut self, now: Duration, service: &str) -> bool {
         self.pool_mut(service).kv_transfers.try_acquire(now)
@@ -106,44 +111,44 @@
         self.pool_mut(service).kv_transfers.record(now, succeeded);
     }
 
-    /// Whether an attempt of `phase` may still be sent to the server. The list may change while a connection is established, so
-    /// that this is to be asked right before each attempt is written.
+    /// Returns whether an attempt of `phase` may still be sent to the server. The endpoint list may change
+    /// while a connection is being established, so this must be checked right before each attempt is written.
     pub fn is_eligible(&self, now: Duration, key: ServerKey, phase: Phase) -> bool {
         self.servers.get(&key).is_some_and(|server| server.accepts(phase, None, now))
     }
 
-    /// Whether the service is disaggregated: it has servers with a stage, prefill or decode.
+    /// Returns whether the service is disaggregated, that is, has servers with a prefill or decode stage.
     pub fn is_disaggregated(&self, service: &str) -> bool {
         let keys = self.service_servers(service);
         keys.iter().any(|key| self.servers.get(key).is_some_and(|server| server.entry.stage.is_some()))
     }
 
-    /// Whether the server is listed, eligible or not.
+    /// Returns whether the server is listed, even if it is not eligible.
     pub fn is_listed(&self, key: ServerKey) -> bool {
         self.servers.contains_key(&key)
     }
 
-    /// The id, which names the incarnation, of a listed server.
+    /// Returns the id of a listed server. The id identifies the incarnation.
     pub fn server_id(&self, key: ServerKey) -> Option<&str> {
         self.servers.get(&key).map(|server| &*server.id)
     }
 
-    /// The requests of this proxy in flight at the server in one phase.
+    /// Returns the number of requests that this proxy has in flight at the server in one phase.
     pub fn in_flight(&self, key: ServerKey, phase: Phase) -> u32 {
         self.servers.get(&key).map_or(0, |server| server.phases[phase.index()].in_flight)
     }
 
-    /// Drops the budgets of services that neither `is_known` nor have servers.
+    /// Removes the state of services that have no servers and for which `is_known` returns false.
     pub fn retain_services(&mut self, is_known: impl Fn(&str) -> bool) {
         self.services.retain(|name, pool| !pool.servers.is_empty() || is_known(name));
     }
 
-    /// The servers of a service in the order in which they were listed.
+    /// Returns the servers of a service in listing order.
     pub(crate) fn service_servers(&self, service: &str) -> &[ServerKey] {
         self.services.get(service).map_or(&[], |pool| &pool.servers)
     }
 
-    /// The pool of a service; an empty one is created if there is none.
+    /// Returns the pool of a service; creates an empty one if there is none.
     pub(crate) fn pool_mut(&mut self, service: &str) -> &mut ServicePool {
         self.services.entry(service.to_owned()).or_default()
     }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 impl Balancer {
-    /// Applies an update of the endpoint list, unless it is older than the list in use. Returns whether it was applied. What is
-    /// known about servers that stay is retained.
+    /// Applies an update of the endpoint list unless it is older than the list in use; returns whether it was
+    /// applied. Servers that stay in the list keep their measurements.
     pub fn apply(&mut self, now: Duration, delta: &ServerDelta) -> bool {
         if delta.position < self.position {
             return false;
@@ -27,17 +27,17 @@
         true
     }
 
-    /// The position of the list in its history; it never decreases.
+    /// Returns the position of the list in its history; it never decreases.
     pub fn position(&self) -> TablePosition {
         self.position
     }
 
-    /// Whether any server is listed.
+    /// Returns whether any server is listed.
     pub fn has_servers(&self) -> bool {
         !self.servers.is_empty()
     }
 
-    /// The keys of all listed servers, in no order.
+    /// Returns the keys of all listed servers, in no particular order.
     pub fn server_keys(&self) -> impl Iterator<Item = ServerKey> + '_ {
         self.servers.keys().copied()
     }
@@ -69,7 +69,8 @@
             if let Some(server) = server.filter(is_same_endpoint) {
                 return server.update(entry.clone(), zone);
             }
-            // Latency, load and connections belong to an address: the same id at another one starts anew.
+            // Latency, load and connections belong to an address, so an id at another address starts without
+            // state.
             self.remove(&entry.id);
         }
         self.insert(now, entry, zone);
@@ -84,7 +85,7 @@
         self.pool_mut(&entry.service).servers.push(key);
     }
 
-    /// Zones are few and repeat, so that each name is stored once.
+    /// Returns the shared string for a zone name. Zones are few and repeat, so each name is stored once.
     fn intern_zone(&mut self, name: &str) -> Rc<str> {
         if let Some(zone) = self.zones.get(name) {
             return zone.clone();
--- a/crates/routing/src/feedback.rs
+++ b/crates/routing/src/feedback.rs
@@ -1,4 +1,4 @@
-//! What callers report about attempts: their start, their end and what they showed.
+//! Records the start, result and end of attempts, as reported by callers.
 
 use crate::balancer::Balancer;
 use crate::load_report::LoadReport;
@@ -8,12 +8,14 @@
 use crate::server::ServerKey;
 use std::time::Duration;
 
-/// The largest share of a pool that may be ejected: if most servers look faulty, the fault is probably elsewhere. The pool
-/// of a server are the listed servers of the same service and stage, itself included.
+/// The maximum share of a pool that may be ejected: if most servers look faulty, the fault is probably
+/// elsewhere. The pool of a server consists of the listed servers of the same service and stage, including
+/// itself.
 const MAX_EJECTED_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// An attempt of `phase` at the server starts, and is in flight until [`Balancer::record_end`].
+    /// Records the start of an attempt of `phase` at the server. The attempt is in flight until
+    /// [`Balancer::record_end`].
     pub fn record_start(&mut self, key: ServerKey, phase: Phase) {
         if let Some(server) = self.servers.get_mut(&key) {
             let state = &mut server.phases[phase.index()];
@@ -22,7 +24,7 @@
         }
     }
 
-    /// An attempt that was started has ended, in whatever way.
+    /// Records the end of a started attempt, whatever its result.
     pub fn record_end(&mut self, key: ServerKey, phase: Phase) {
         if let Some(server) = self.servers.get_mut(&key) {
             let state = &mut server.phases[phase.index()];
@@ -31,15 +33,19 @@
         }
     }
 
-    /// Records what an attempt showed: in the latency of the phase, the ejection and the load of the server.
+    /// Records the result of an attempt in the server's latency for the phase, its ejection state and its
+    /// load.
     ///
-    /// A server whose ejection time is over gets one trial at a time, as in the half-open state of a circuit breaker:
+    /// After its ejection time, a server gets one trial at a time, as in the half-open state of a circuit
+    /// breaker:
     /// - a success ends the ejection and clears the failures;
-    /// - a rejected or inconclusive attempt only releases the trial slot, so that another trial may start; a rejection also
-    ///   marks the server as overloaded;
-    /// - a failure releases the slot and counts. After enough failures in a row the server is ejected, again and for longer
-    ///   if this was a trial, where [`Tuning::ejects_outliers`](crate::Tuning::ejects_outliers) is set and at most half of
-    ///   its pool is ejected then.
+    /// - a rejected or inconclusive attempt only releases the trial slot, so that another trial may start; a
+    ///   rejection also marks the server as overloaded;
+    /// - a failure releases the slot and is counted. After
+    ///   [`Tuning::ejection_threshold`](crate::Tuning::ejection_threshold) consecutive failures the server is
+    ///   ejected, for longer if this was a trial, provided that
+    ///   [`Tuning::ejects_outliers`](crate::Tuning::ejects_outliers) is set and at most half of its pool is
+    ///   then ejected.
     pub fn record_observation(
         &mut self, now: Duration, key: ServerKey, phase: Phase, observation: Observation,
     ) {
@@ -64,8 +70,8 @@
         }
     }
 
-    /// Ejects the server, unless more than [`MAX_EJECTED_SHARE`] of the listed servers of its service and stage would be
-    /// ejected then.
+    /// Ejects the server, unless more than [`MAX_EJECTED_SHARE`] of the listed servers of its service and
+    /// stage would then be ejected.
     fn eject(&mut self, now: Duration, key: ServerKey) {
         let Some(server) = self.servers.get(&key) else { return };
         let stage = server.entry.stage;
@@ -84,22 +90,23 @@
         }
     }
 
-    /// A server answered 421: it is another incarnation, or does not serve the stage or model. It is not selected until the
-    /// list changes its entry, or for [`Tuning::misdirected_backoff`](crate::Tuning::misdirected_backoff).
+    /// Records that a server answered 421: it is another incarnation, or does not serve the stage or model.
+    /// The server is not selected until its list entry changes, or for
+    /// [`Tuning::misdirected_backoff`](crate::Tuning::misdirected_backoff).
     pub fn record_misdirected(&mut self, now: Duration, key: ServerKey) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.mark_misdirected(now, &self.tuning);
         }
     }
 
-    /// A server reported its load.
+    /// Records the load that a server reported.
     pub fn record_load_report(&mut self, key: ServerKey, report: LoadReport) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.load_report = Some(report);
         }
     }
 
-    /// A server has prefilled a prompt, and probably has it in its prefix cache.
+    /// Records that a server has prefilled a prompt and therefore probably has it in its prefix cache.
     pub fn record_prefill(&mut self, now: Duration, key: ServerKey, prompt: &Prompt) {
         if let Some(server) = self.servers.get_mut(&key) {
             server.prefix_cache.record_prefill(now, prompt, self.tuning.prefix_cache_capacity);
--- a/crates/routing/src/in_flight_loads.rs
+++ b/crates/routing/src/in_flight_loads.rs
@@ -1,4 +1,4 @@
-//! The load of this proxy by service, which the planner of stages sums over the fleet.
+//! Load of this proxy by service, which the stage planner sums over the fleet.
 
 use crate::balancer::Balancer;
 use crate::phase::Phase;
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 
 impl Balancer {
-    /// The requests in flight at each service that has prefill and decode servers, sorted by name. Full requests count as
-    /// decode.
+    /// Returns the number of requests in flight at each service that has prefill and decode servers, sorted
+    /// by service name. Full requests count as decode.
     pub fn in_flight_loads(&self) -> Vec<ServiceLoad> {
         let mut loads: BTreeMap<&str, ServiceLoad> = BTreeMap::new();
         for server in self.servers.values().filter(|server| server.entry.stage.is_some()) {
--- a/crates/routing/src/kv_transfer.rs
+++ b/crates/routing/src/kv_transfer.rs
@@ -1,14 +1,15 @@
-//! A circuit breaker for KV cache transfers between the prefill and decode servers of a service.
+//! Circuit breaker for KV cache transfers between the prefill and decode servers of a service.
 //!
-//! Where KV handles expire or the links between servers are down, each attempt at a transfer costs one more delivery. Once most
-//! transfers fail, requests go to decode servers alone, but for one trial every 500 ms (the half-open state of a circuit
-//! breaker).
+//! When KV handles expire or the links between servers are down, each attempted transfer costs one more
+//! delivery. Once most transfers fail, requests are sent to decode servers alone, except for one trial every
+//! 500 ms (the half-open state of a circuit breaker).
 
 use std::time::Duration;
 
-/// The weight of one transfer in the average of failures.
+/// The weight of one transfer in the average share of failures.
 const EWMA_GAIN: f64 = 0.25;
-/// Above this share of failures the breaker opens. With the gain above, three failures in a row are enough.
+/// The breaker opens above this share of failures. With the gain above, three consecutive failures are
+/// enough.
 const MAX_FAILED_SHARE: f64 = 0.5;
 /// The time between trials while the breaker is open.
 const TRIAL_INTERVAL: Duration = Duration::from_millis(500);
@@ -30,7 +31,8 @@
         }
     }
 
-    /// Whether a transfer may be attempted now. While the breaker is open a `true` uses up the trial that is due.
+    /// Returns whether a transfer may be attempted now. While the breaker is open, `true` uses up the trial
+    /// that is due.
     pub fn try_acquire(&mut self, now: Duration) -> bool {
         if self.failed_share <= MAX_FAILED_SHARE {
             return true;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,31 +1,33 @@
-//! The routing decisions of the data plane, without I/O: which server takes a request, what may be retried, what is rejected.
+//! Routing decisions of the data plane, without I/O: server selection, retry limits and load shedding.
 //!
-//! [`Balancer`] owns the endpoint list and everything measured about its servers. The caller passes the time into each call;
-//! the crate holds no socket, clock or thread, and all randomness comes from one seeded generator.
+//! [`Balancer`] owns the endpoint list and all measurements of its servers. The caller passes the current
+//! time into each call. The crate has no sockets, clocks or threads, and draws all randomness from one seeded
+//! generator.
 //!
-//! A server is selected by power of two choices (Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 2001):
-//! two distinct candidates are drawn, and the lower `latency x (in_flight + 1)` wins, where latency is a
-//! [peak-sensitive EWMA](PeakEwma) as in Finagle and linkerd2-proxy. All constants that may be tuned are in [`Tuning`].
+//! A server is selected by power of two choices (Mitzenmacher, The Power of Two Choices in Randomized Load
+//! Balancing, 2001): two distinct candidates are drawn at random, and the one with the lower
+//! `latency x (in_flight + 1)` wins. The latency is a [peak-sensitive EWMA](PeakEwma) as in Finagle and
+//! linkerd2-proxy. All tunable constants are in [`Tuning`].
 //!
-//! The workspace has a second, older load balancer: the root package `lugwharf-sidecar`, which runs beside each calling
-//! process. The two share no code and no settings. They share the design: power of two choices over peak-EWMA latency, outlier
-//! ejection, a retry budget, and callers that pass in events and time. This crate adds what the serving of language models
-//! needs: phases, KV caches and affinity of prompts.
+//! The workspace contains a second, older load balancer: the root package `lugwharf-sidecar`, which runs next
+//! to each calling process. The two share no code and no settings, but the same design: power of two choices
+//! over peak-EWMA latency, outlier ejection, a retry budget, and callers that pass in events and time. This
+//! crate adds what the serving of language models needs: phases, KV caches and prompt prefix affinity.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `balancer`, `feedback` | the state of all servers; what callers report about attempts |
-//! | `endpoints`, `server` | the endpoint list; the state of one server |
-//! | `selection`, `query` | eligibility, and the order of the steps below; its query and result |
+//! | `balancer`, `feedback` | state of all servers; results of attempts, as reported by callers |
+//! | `endpoints`, `server` | updates of the endpoint list; state of one server |
+//! | `selection`, `query` | eligibility and the sequence of selection steps; input and result of a selection |
 //! | `p2c`, `scoring` | power of two choices; latency and score of a candidate |
-//! | `locality` | the local zone first |
-//! | `prefix_affinity`, `rendezvous` | requests that share a prompt prefix go to the same servers |
-//! | `prefix_cache`, `prompt` | what a server probably has in its KV cache; the segments of a prompt |
-//! | `peak_ewma`, `observation`, `phase` | latency averages and what enters them |
-//! | `load_report`, `in_flight_loads` | load reported by servers; load of this proxy, for the planner of stages |
-//! | `outlier_ejection` | servers that fail in a row are ejected for a while |
-//! | `retry_budget`, `attempts` | how many retries a service gets; what one request may still be sent |
-//! | `kv_transfer` | circuit breaker of KV cache transfers |
+//! | `locality` | preference for the local zone |
+//! | `prefix_affinity`, `rendezvous` | routing of requests with the same prompt prefix to the same servers |
+//! | `prefix_cache`, `prompt` | estimated content of a server's KV cache; segments of a prompt |
+//! | `peak_ewma`, `observation`, `phase` | latency averages, their samples, and the phases they are kept for |
+//! | `load_report`, `in_flight_loads` | load reported by servers; load of this proxy, for stage planning |
+//! | `outlier_ejection` | temporary ejection of servers after consecutive failures |
+//! | `retry_budget`, `attempts` | retries allowed per service; attempts allowed per request |
+//! | `kv_transfer` | circuit breaker for KV cache transfers |
 //! | `traffic_split` | weighted targets of a route |
 #![forbid(unsafe_code)]
 
--- a/crates/routing/src/locality.rs
+++ b/crates/routing/src/locality.rs
@@ -1,12 +1,13 @@
-//! Locality-aware selection: servers of the proxy's own zone first, as long as they are fast enough.
+//! Locality-aware selection: servers in the proxy's own zone are preferred as long as they are fast enough.
 
 use crate::p2c;
 use crate::scoring::{Candidate, Scorer};
 use crate::server::ServerKey;
 
-/// The winner of power of two choices in the preferred zone. Where its estimate exceeds a share of the latency objective
-/// ([`Tuning::local_zone_objective_share`](crate::Tuning::local_zone_objective_share)), a second draw is made over all zones,
-/// and wins if its score is lower by [`Tuning::cross_zone_factor`](crate::Tuning::cross_zone_factor).
+/// Returns the winner of power of two choices in the preferred zone. If its estimate exceeds a share of the
+/// latency objective ([`Tuning::local_zone_objective_share`](crate::Tuning::local_zone_objective_share)), a
+/// second draw is made over all zones, whose winner is returned if its score is lower by
+/// [`Tuning::cross_zone_factor`](crate::Tuning::cross_zone_factor).
 ///
 /// `eligible` is reordered: the servers of the preferred zone move to the front.
 pub(crate) fn draw_local_first(
@@ -26,7 +27,7 @@
     Some(if leaves_zone { global_winner } else { local_winner })
 }
 
-/// Moves the servers of the preferred zone to the front; returns how many there are.
+/// Moves the servers of the preferred zone to the front; returns their number.
 fn partition_by_zone(scorer: &Scorer<'_>, eligible: &mut [ServerKey]) -> usize {
     let zone = scorer.query.preferred_zone;
     let mut local = 0;
--- a/crates/routing/src/observation.rs
+++ b/crates/routing/src/observation.rs
@@ -1,4 +1,4 @@
-//! What one attempt showed about its server. This is the one place where durations become latency samples.
+//! Results of attempts. This module alone converts durations to latency samples.
 //!
 //! | phase | time from sending the request to | unit of the sample |
 //! | --- | --- | --- |
@@ -13,12 +13,13 @@
 /// The amount of work of one attempt.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct WorkSize {
-    /// Prompt tokens that have to be prefilled.
+    /// The number of prompt tokens that have to be prefilled.
     pub tokens: f64,
 }
 
 impl WorkSize {
-    /// Units of work: 1 for the fixed cost of an attempt, and 1 more for each [`Tuning::prefill_base_tokens`] of a prefill.
+    /// Returns the units of work: 1 for the fixed cost of an attempt, and 1 more for each
+    /// [`Tuning::prefill_base_tokens`] of a prefill that is normalised by tokens.
     pub fn units(self, phase: Phase, tuning: &Tuning) -> f64 {
         match (phase, tuning.normalisation) {
             (Phase::Prefill, Normalisation::ByTokens) => {
@@ -34,31 +35,32 @@
 pub enum FailureKind {
     /// No connection could be established.
     Connect,
-    /// The connection broke, or the bytes received are no response to the request.
+    /// The connection broke, or the received bytes are not a response to the request.
     ConnectionBroken,
     /// The attempt's deadline passed.
     Timeout,
-    /// The server answered with a failure of its own.
+    /// The server answered with an error of its own.
     ServerError,
 }
 
-/// What one attempt showed about its server.
+/// What the result of one attempt shows about its server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Observation {
-    /// The server did its work.
+    /// The server completed its work.
     Success {
-        /// The time that counts for the phase; see the table of the module.
+        /// The time that counts for the phase; see the table in the module documentation.
         elapsed: Duration,
         /// The amount of work.
         work: WorkSize,
     },
     /// The server failed.
     Failure {
-        /// Why.
+        /// The kind of failure.
         kind: FailureKind,
         /// The time until the failure.
         elapsed: Duration,
-        /// The time that the attempt had. A failure costs at least this much, so that failing fast doesn't look fast.
+        /// The timeout of the attempt. A failure counts as at least this long, so that a server that fails
+        /// fast does not look fast.
         timeout: Duration,
         /// The amount of work.
         work: WorkSize,
@@ -70,7 +72,7 @@
 }
 
 impl Observation {
-    /// The latency sample in ms per unit of work; `None` if the observation carries no latency.
+    /// Returns the latency sample in ms per unit of work; `None` if the observation carries no latency.
     ///
     /// A failure counts as `max(elapsed, timeout)`, or not at all if [`Tuning::samples_failures`] is off.
     pub(crate) fn latency_sample(self, phase: Phase, tuning: &Tuning) -> Option<f64> {
--- a/crates/routing/src/outlier_ejection.rs
+++ b/crates/routing/src/outlier_ejection.rs
@@ -1,7 +1,9 @@
-//! Outlier ejection: servers that fail in a row are left out of the selection for a while, and come back by single trials.
+//! Outlier ejection: servers with consecutive failures are excluded from selection for a while, and are
+//! readmitted by single trial requests.
 //!
-//! As in Envoy's outlier detection there is a base and a maximum ejection time and a bound on the ejected share of the servers of one service and stage (see
-//! [`Balancer`](crate::Balancer)). Unlike there, the ejection time doubles with each failed trial.
+//! As in Envoy's outlier detection, there are a base and a maximum ejection time, and a bound on the ejected
+//! share of the servers of one service and stage (see [`Balancer`](crate::Balancer)). Unlike in Envoy, the
+//! ejection time doubles with each failed trial.
 
 use crate::observation::FailureKind;
 use crate::tuning::Tuning;
@@ -13,16 +15,17 @@
     consecutive_failures: u8,
     /// The end of the current ejection; only meaningful if `ejection_time` is not zero.
     ejected_until: Duration,
-    /// The length of the last ejection; zero if there was none since the last success.
+    /// The duration of the last ejection; zero if there was none since the last success.
     ejection_time: Duration,
     has_trial_in_flight: bool,
 }
 
 impl OutlierEjection {
-    /// Counts a failure. Returns whether the server should be ejected; the caller decides and calls
+    /// Counts a failure; returns whether the server should be ejected. The caller decides and calls
     /// [`OutlierEjection::eject`].
     ///
-    /// A refused connection counts as [`Tuning::ejection_threshold`] failures: nobody is listening.
+    /// A refused connection counts as [`Tuning::ejection_threshold`] failures, since nothing listens at the
+    /// address.
     pub fn record_failure(&mut self, kind: FailureKind, tuning: &Tuning) -> bool {
         self.has_trial_in_flight = false;
         let failures = match kind {
@@ -33,11 +36,11 @@
         self.consecutive_failures >= tuning.ejection_threshold
     }
 
-    /// Ejects the server from `now` on: for [`Tuning::base_ejection_time`] first, then for twice as long each time, up to
-    /// [`Tuning::max_ejection_time`].
+    /// Ejects the server from `now` on: first for [`Tuning::base_ejection_time`], then for twice as long each
+    /// time, up to [`Tuning::max_ejection_time`].
     ///
-    /// A server that is ejected stays so until the time that was set: what fails meanwhile was in flight together with what led
-    /// to the ejection, and shows nothing new.
+    /// An ongoing ejection is not extended: attempts that fail during it were in flight together with those
+    /// that caused it and give no new information.
     pub fn eject(&mut self, now: Duration, tuning: &Tuning) {
         if now < self.ejected_until {
             return;
@@ -47,22 +50,23 @@
         self.ejected_until = now + self.ejection_time;
     }
 
-    /// A success clears all failures and the ejection.
+    /// Records a success, which clears all failures and the ejection.
     pub fn record_success(&mut self) {
         *self = OutlierEjection::default();
     }
 
-    /// An attempt has ended without showing whether the server works: another trial may start.
+    /// Records that an attempt ended without showing whether the server works: another trial may start.
     pub fn record_inconclusive(&mut self) {
         self.has_trial_in_flight = false;
     }
 
-    /// Whether the server is ejected at `now`, or has its one trial in flight.
+    /// Returns whether the server is ejected at `now`, or has its one trial in flight.
     pub fn is_ejected(&self, now: Duration) -> bool {
         !self.ejection_time.is_zero() && (now < self.ejected_until || self.has_trial_in_flight)
     }
 
-    /// An attempt starts. After an ejection it is a trial, and the only one until it ends.
+    /// Records the start of an attempt. After an ejection it is a trial, and no other one starts until it
+    /// ends.
     pub fn record_start(&mut self) {
         self.has_trial_in_flight = !self.ejection_time.is_zero();
     }
--- a/crates/routing/src/p2c.rs
+++ b/crates/routing/src/p2c.rs
@@ -1,13 +1,14 @@
 //! Power of two choices (Mitzenmacher, The Power of Two Choices in Randomized Load Balancing, 2001).
 //!
-//! Two random candidates are compared instead of all: nearly as good as the best one, and proxies that know the same latencies
-//! don't all rush to the same server.
+//! Comparing two random candidates is nearly as good as comparing all of them, and prevents proxies that know
+//! the same latencies from sending all requests to the same server.
 
 use crate::scoring::{Candidate, Scorer};
 use crate::server::ServerKey;
 
-/// The better of two distinct servers drawn at random; `None` if there are no servers. One server is drawn if there is only one,
-/// or if [`Tuning::uses_two_choices`](crate::Tuning::uses_two_choices) is off.
+/// Returns the better of two distinct servers drawn at random; `None` if there are no servers. Only one
+/// server is drawn if there is only one, or if [`Tuning::uses_two_choices`](crate::Tuning::uses_two_choices)
+/// is off.
 pub(crate) fn draw(scorer: &Scorer<'_>, rng: &mut fastrand::Rng, servers: &[ServerKey]) -> Option<Candidate> {
     let count = servers.len();
     if count == 0 {
@@ -18,9 +19,9 @@
     if count == 1 || !scorer.tuning.uses_two_choices {
         return Some(first_candidate);
     }
-    // Drawn from all but the first: what would be the first or behind it moves up by one.
+    // Drawn from all servers but the first: indices from the first one on move up by one.
     let second = rng.usize(..count - 1);
     let second = if second >= first { second + 1 } else { second };
     let second_candidate = scorer.candidate(servers[second])?;
-    Some(first_candidate.or_lower(second_candidate))
+    Some(first_candidate.min_by_score(second_candidate))
 }
--- a/crates/routing/src/phase.rs
+++ b/crates/routing/src/phase.rs
@@ -2,7 +2,7 @@
 
 use lugwharf_protocol::Stage;
 
-/// What a server does for one attempt of a request.
+/// The part of a request that a server performs in one attempt.
 ///
 /// Prefill and decode have different costs, so latency averages and in-flight counts are kept for each phase.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -11,7 +11,7 @@
     Prefill,
     /// Fetches the KV cache from a prefill server and generates the tokens.
     Decode,
-    /// All of the request at one server. Requests that are no generations have only this phase.
+    /// The complete request at one server. Requests that are not generations have only this phase.
     Full,
 }
 
@@ -19,7 +19,7 @@
     /// The number of phases.
     pub const COUNT: usize = 3;
 
-    /// The place of the phase in arrays with one element for each phase.
+    /// Returns the index of the phase in arrays with one element per phase.
     pub(crate) fn index(self) -> usize {
         match self {
             Phase::Prefill => 0,
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Whether a server that is listed with `stage` serves this phase. A server without a stage serves all of them; a decode
-    /// server can also run a full request.
+    /// Returns whether a server that is listed with `stage` serves this phase. A server without a stage
+    /// serves all phases; a decode server can also serve full requests.
     pub fn is_served_by(self, stage: Option<Stage>) -> bool {
         match (self, stage) {
             (_, None) => true,
--- a/crates/routing/src/prefix_affinity.rs
+++ b/crates/routing/src/prefix_affinity.rs
@@ -1,7 +1,8 @@
-//! Prefix affinity: prompts that share a prefix go to the same two prefill servers, which have it in their KV caches.
+//! Prefix affinity: prompts that share a prefix are sent to the same two prefill servers, which have the
+//! prefix in their KV caches.
 //!
-//! The two servers are the highest by [rendezvous hashing](crate::rendezvous) of the prefix, over all zones: a prefix that is
-//! computed in each zone is computed many times, which costs more than the way to another zone.
+//! The two servers are those ranked highest by [rendezvous hashing](crate::rendezvous) of the prefix, over
+//! all zones: computing a prefix once per zone costs more than sending the request to another zone.
 
 use crate::phase::Phase;
 use crate::prompt::Prompt;
@@ -10,8 +11,8 @@
 use crate::server::ServerKey;
 use crate::tuning::AffinityKey;
 
-/// The better of the two servers of the prompt's prefix; `None` where affinity does not apply: for other phases than prefill,
-/// for requests without prompt segments, or if it is switched off.
+/// Returns the better of the two servers for the prompt's prefix; `None` if affinity does not apply: in
+/// phases other than prefill, for requests without prompt segments, or if it is switched off.
 pub(crate) fn pick(scorer: &Scorer<'_>, eligible: &[ServerKey]) -> Option<Candidate> {
     if scorer.query.phase != Phase::Prefill || !scorer.tuning.uses_prefix_affinity {
         return None;
@@ -23,15 +24,16 @@
     };
     let first = eligible.iter().copied().max_by_key(weight)?;
     let second = eligible.iter().copied().filter(|server| *server != first).max_by_key(weight);
-    // All proxies send this prefix to the first server, so that it probably has it even if this proxy never sent it.
+    // All proxies send this prefix to the first server, so it probably has the prefix even if this proxy
+    // never sent it there.
     let first_candidate = scorer.candidate_with_cached(first, prompt.shared_prefix_tokens())?;
     match second {
-        Some(second) => Some(first_candidate.or_lower(scorer.candidate(second)?)),
+        Some(second) => Some(first_candidate.min_by_score(scorer.candidate(second)?)),
         None => Some(first_candidate),
     }
 }
 
-/// The id of the segment that stands for the prefix; the last segment if none is shared.
+/// Returns the id of the segment that identifies the prefix; the last segment if none is shared.
 fn affinity_key(prompt: &Prompt, key: AffinityKey) -> Option<u64> {
     let shared = prompt.shared_prefix();
     let segment = match key {
--- a/crates/routing/src/prefix_cache.rs
+++ b/crates/routing/src/prefix_cache.rs
@@ -1,21 +1,23 @@
-//! An estimate of what a server has in its KV cache.
+//! Estimate of the content of a server's KV cache.
 
 use crate::prompt::{Prompt, PromptSegment};
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Tracks which prompt segments one server probably has in its prefix cache: those that this proxy sent there recently.
+/// Tracks the prompt segments that one server probably has in its prefix cache: those that this proxy sent to
+/// it recently.
 ///
-/// Only an estimate: servers don't report what they evict, and other proxies fill the same caches. Its size is bounded; on
-/// overflow the older half is dropped.
+/// This is only an estimate: servers don't report evictions, and other proxies fill the same caches. The
+/// number of tracked segments is bounded; on overflow the older half is dropped.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCacheTracker {
-    /// The last use of each segment, by its id.
+    /// The time of the last use of each segment, by segment id.
     last_used: HashMap<u64, Duration>,
 }
 
 impl PrefixCacheTracker {
-    /// The server has prefilled all segments of `prompt`. At most `capacity` segments are tracked.
+    /// Records that the server has prefilled all segments of `prompt`. At most `capacity` segments are
+    /// tracked.
     pub fn record_prefill(&mut self, now: Duration, prompt: &Prompt, capacity: usize) {
         for segment in &prompt.segments {
             self.last_used.insert(segment.id, now);
@@ -25,8 +27,9 @@
         }
     }
 
-    /// Tokens of `prompt` that need no prefill: those of its leading segments, as long as each was used within `ttl`. A KV
-    /// cache is only valid behind the same prefix, so that the first miss ends the run.
+    /// Returns the number of tokens of `prompt` that need no prefill: those of its leading segments that were
+    /// each used within `ttl`. A KV cache is only valid behind the same prefix, so counting stops at the
+    /// first miss.
     pub fn cached_tokens(&self, now: Duration, prompt: &Prompt, ttl: Duration) -> u32 {
         let is_cached = |segment: &&PromptSegment| {
             self.last_used.get(&segment.id).is_some_and(|used_at| now.saturating_sub(*used_at) <= ttl)
@@ -35,12 +38,12 @@
         cached.fold(0, |sum, segment| sum.saturating_add(segment.tokens))
     }
 
-    /// The number of tracked segments.
+    /// Returns the number of tracked segments.
     pub fn len(&self) -> usize {
         self.last_used.len()
     }
 
-    /// Whether no segment is tracked.
+    /// Returns whether no segment is tracked.
     pub fn is_empty(&self) -> bool {
         self.last_used.is_empty()
     }
--- a/crates/routing/src/query.rs
+++ b/crates/routing/src/query.rs
@@ -1,4 +1,4 @@
-//! The query and the result of a selection.
+//! Input and result of a selection.
 
 use crate::phase::Phase;
 use crate::prompt::Prompt;
@@ -8,14 +8,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What a server is selected for.
+/// The attempt for which a server is selected.
 #[derive(Clone, Copy, Debug)]
 pub struct SelectionQuery<'a> {
     /// The service.
     pub service: &'a str,
-    /// What the server is to do.
+    /// The phase of the attempt.
     pub phase: Phase,
-    /// The model that the server must have loaded; any server if absent.
+    /// The model that the server must have loaded; `None` allows any server.
     pub model: Option<&'a str>,
     /// The prompt; empty if the request has none.
     pub prompt: &'a Prompt,
@@ -23,7 +23,8 @@
     pub preferred_zone: &'a str,
     /// Servers that must not be selected, such as those of earlier attempts.
     pub excluded: &'a [ServerKey],
-    /// The latency objective of the request. Other zones are considered if the local one would use up a share of it.
+    /// The latency objective of the request. Other zones are considered if the estimate in the local zone
+    /// exceeds a share of it.
     pub objective: Duration,
 }
 
@@ -32,7 +33,7 @@
 pub struct Selection {
     /// The server.
     pub key: ServerKey,
-    /// Its id, which names the incarnation.
+    /// Its id, which identifies the incarnation.
     pub id: Rc<str>,
     /// Its address.
     pub address: SocketAddr,
@@ -40,18 +41,18 @@
     pub zone: Rc<str>,
     /// The expected latency of the attempt.
     pub estimate: Duration,
-    /// Whether the server has recently reported queued requests, or at least half of its slots taken.
+    /// Whether the server has recently reported queued requests, or at least half of its slots in use.
     pub is_busy: bool,
-    /// Tokens of the prompt that the server probably has to prefill.
+    /// The number of prompt tokens that the server probably has to prefill.
     pub prefill_tokens: u32,
 }
 
 /// Why no server was selected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SelectionError {
-    /// No server that may be selected serves the phase and model.
+    /// No eligible server serves the phase and model.
     NoServer,
-    /// All servers that could be selected are at their in-flight limit.
+    /// All servers that are otherwise eligible are at their in-flight limit.
     Saturated,
 }
 
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -1,18 +1,21 @@
-//! Rendezvous hashing, or highest random weight (Thaler and Ravishankar, Using Name-Based Mappings to Increase Hit Rates, 1998).
+//! Rendezvous hashing, or highest random weight (Thaler and Ravishankar, Using Name-Based Mappings to
+//! Increase Hit Rates, 1998).
 //!
-//! Each key ranks all servers by itself, so that proxies agree on a key's server without talking to each other, and a server
-//! that leaves moves only its own keys.
+//! Each key ranks all servers independently of other keys, so proxies agree on a key's server without
+//! communication, and removing a server moves only the keys of that server.
 
 /// Parameters of 64-bit FNV-1a.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x0100_0000_01b3;
 
-/// The 64-bit FNV-1a hash. It is the same on all machines and in all versions, which proxies rely on to agree.
+/// Returns the 64-bit FNV-1a hash. The hash is the same on all machines and in all versions, which proxies
+/// rely on to agree.
 pub(crate) fn hash(bytes: &[u8]) -> u64 {
     bytes.iter().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME))
 }
 
-/// The weight of a server for a key; the server with the highest weight owns the key. `server` is a hash of the server's id.
+/// Returns the weight of a server for a key; the server with the highest weight owns the key. `server` is a
+/// hash of the server's id.
 pub fn weight(key: u64, server: u64) -> u64 {
     mix(key ^ mix(server))
 }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,21 +1,24 @@
 //! A proxy's share of the fleet's retry budget for one service.
 //!
-//! A budget ties retries to requests, so that retries can't multiply the load of a service that already fails: each request
-//! deposits, each retry withdraws (Finagle's `RetryBudget`, `tower::retry::budget`; gRPC's retry throttling has the same aim).
+//! The budget allows retries in proportion to requests, so that retries can't multiply the load of a service
+//! that already fails: each request deposits, each retry withdraws (as in Finagle's `RetryBudget` and
+//! `tower::retry::budget`; gRPC's retry throttling has the same aim).
 //!
-//! The fleet's rule: in any window a service gets at most `ratio x requests + reserve` deliveries beyond the first one of each
-//! request. A proxy withdraws at most `local_share x (ratio x own requests in the window + reserve / proxies)`. This obeys the
-//! rule as long as `local_share x proxies alive <= proxies assumed`: the number of proxies may be stale by a factor of
+//! The limit of the fleet: in any window, a service gets at most `ratio x requests + reserve` deliveries in
+//! addition to the first one of each request. Each proxy withdraws at most
+//! `local_share x (ratio x own requests in the window + reserve / proxies)`. The limit holds as long as
+//! `local_share x live proxies <= assumed proxies`, so the proxy count may be stale by a factor of
 //! `1 / local_share`.
 
 use std::time::Duration;
 
-/// Buckets of one window.
+/// The number of buckets per window.
 const BUCKETS: usize = 20;
-/// One bucket more than a window has, so that the retained buckets cover a complete window wherever it starts.
+/// One bucket more than the window has, so that the retained buckets cover a complete window wherever it
+/// starts.
 const RETAINED_BUCKETS: usize = BUCKETS + 1;
 
-/// The counts of a twentieth of the window.
+/// The counts of one bucket, a twentieth of the window.
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     number: u64,
@@ -23,16 +26,17 @@
     retries: u32,
 }
 
-/// The fleet's rule and the share of this proxy.
+/// The configuration of a retry budget: the limit of the fleet and the share of one proxy.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
     /// Retries allowed per request.
     pub ratio: f64,
-    /// Retries allowed in each window beside those, for the complete fleet: a service with few requests may retry too.
+    /// Retries allowed in each window in addition to those, for the whole fleet, so that services with few
+    /// requests may retry too.
     pub reserve: f64,
     /// The length of the sliding window.
     pub window: Duration,
-    /// The share of the rule that proxies use, from 0 to 1. Below 1 it absorbs a stale number of proxies.
+    /// The share of the limit that proxies use, from 0 to 1. A value below 1 tolerates a stale proxy count.
     pub local_share: f64,
 }
 
@@ -49,13 +53,14 @@
 }
 
 impl RetryBudget {
-    /// Deposits for one request of a client.
+    /// Deposits for one client request.
     pub fn deposit(&mut self, now: Duration, config: &RetryBudgetConfig) {
         let bucket = self.bucket(now, config);
         bucket.requests = bucket.requests.saturating_add(1);
     }
 
-    /// Withdraws one retry and returns whether there was one left. `proxies` is the number of proxies that share the reserve.
+    /// Withdraws one retry if the budget allows it; returns whether it did. `proxies` is the number of
+    /// proxies that share the reserve.
     pub fn try_withdraw(&mut self, now: Duration, config: &RetryBudgetConfig, proxies: u32) -> bool {
         let (requests, retries) = self.window_counts(now, config);
         let reserve = config.reserve / f64::from(proxies.max(1));
@@ -68,8 +73,8 @@
         true
     }
 
-    /// Requests and retries in the window. Requests are short by up to one bucket and retries over by up to one: both err on
-    /// the safe side.
+    /// Returns the requests and retries in the window. Requests may be undercounted, and retries overcounted,
+    /// by up to one bucket; both errors only reduce the number of retries.
     fn window_counts(&self, now: Duration, config: &RetryBudgetConfig) -> (u32, u32) {
         let current = bucket_number(now, config);
         let oldest = current.saturating_sub(BUCKETS as u64);
@@ -81,7 +86,7 @@
         })
     }
 
-    /// The bucket of `now`, cleared if it held an older one.
+    /// Returns the bucket of `now`, cleared if it held the counts of an older one.
     fn bucket(&mut self, now: Duration, config: &RetryBudgetConfig) -> &mut Bucket {
         let number = bucket_number(now, config);
         let bucket = &mut self.buckets[(number % RETAINED_BUCKETS as u64) as usize];
--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -1,8 +1,8 @@
-//! The selection of a server for one attempt.
+//! Selection of a server for one attempt.
 //!
-//! The steps, in this order: which servers are eligible; a winner by [power of two choices](crate::p2c), in the
-//! [local zone first](crate::locality); and for prefills a winner by [prefix affinity](crate::prefix_affinity), which is taken
-//! unless the other one is clearly better.
+//! The steps are: collect the eligible servers; draw a winner by [power of two choices](crate::p2c),
+//! [preferring the local zone](crate::locality); for prefills, pick a server by
+//! [prefix affinity](crate::prefix_affinity), which is selected unless the drawn one is clearly better.
 
 use crate::balancer::Balancer;
 use crate::query::{Selection, SelectionError, SelectionQuery};
@@ -12,11 +12,13 @@
 use crate::{locality, prefix_affinity};
 use std::time::Duration;
 
-/// The largest estimate, in ms: some 11 days, far beyond any deadline and within the range of [`Duration`].
+/// The upper bound of estimates, in ms: about 11 days, far beyond any deadline and within the range of
+/// [`Duration`].
 const MAX_ESTIMATE_MS: f64 = 1e9;
 
 impl Balancer {
-    /// Selects a server for one attempt. The caller reports its start by [`Balancer::record_start`].
+    /// Selects a server for one attempt. The caller reports the start of the attempt with
+    /// [`Balancer::record_start`].
     pub fn select(&mut self, now: Duration, query: &SelectionQuery<'_>) -> Result<Selection, SelectionError> {
         let mut eligible = std::mem::take(&mut self.eligible);
         let selected = self.select_among(now, query, &mut eligible);
@@ -33,14 +35,16 @@
         let scorer = Scorer { servers: &self.servers, tuning: &self.tuning, query, now, median_latency };
         let drawn = locality::draw_local_first(&scorer, &mut self.rng, eligible);
         let drawn = drawn.ok_or(SelectionError::NoServer)?;
-        let affine = prefix_affinity::pick(&scorer, eligible);
-        let is_good = |affine: &Candidate| affine.score <= drawn.score * self.tuning.affinity_tolerance;
-        let selected = affine.filter(is_good).unwrap_or(drawn);
-        scorer.describe(selected).ok_or(SelectionError::NoServer)
+        let affinity_winner = prefix_affinity::pick(&scorer, eligible);
+        let is_within_tolerance = |affinity_winner: &Candidate| {
+            affinity_winner.score <= drawn.score * self.tuning.affinity_tolerance
+        };
+        let selected = affinity_winner.filter(is_within_tolerance).unwrap_or(drawn);
+        scorer.selection(selected).ok_or(SelectionError::NoServer)
     }
 
-    /// Collects the servers that may be selected. Ejected ones stand in if there is no other: a server that may work is better
-    /// than none.
+    /// Collects the eligible servers. Ejected servers are used if no other one is eligible, since a
+    /// server that may work is better than none.
     fn collect_eligible(
         &self, now: Duration, query: &SelectionQuery<'_>, eligible: &mut Vec<ServerKey>,
     ) -> Result<(), SelectionError> {
@@ -71,8 +75,8 @@
         }
     }
 
-    /// What a server without samples is assumed to take, in ms per unit of work: the median of the service, lest a new server
-    /// gets all requests at once.
+    /// Returns the latency assumed for a server without samples, in ms per unit of work. It is the median of
+    /// the service, so that a new server does not receive all requests at once.
     fn median_latency(&mut self, now: Duration, query: &SelectionQuery<'_>) -> f64 {
         if !self.tuning.starts_at_median {
             return OPTIMISTIC_LATENCY_MS;
@@ -85,7 +89,7 @@
 }
 
 impl Scorer<'_> {
-    fn describe(&self, selected: Candidate) -> Option<Selection> {
+    fn selection(&self, selected: Candidate) -> Option<Selection> {
         let server = self.servers.get(&selected.key)?;
         let estimate_ms = selected.estimate_ms;
         let estimate_ms =
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -1,4 +1,5 @@
-//! The state of one server: its entry in the endpoint list and, for each phase, latency and requests in flight.
+//! State of one server: its entry in the endpoint list and, for each phase, its latency and requests in
+//! flight.
 
 use crate::load_report::LoadReport;
 use crate::outlier_ejection::OutlierEjection;
@@ -10,18 +11,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The least latency, in ms. A latency of zero would make a score of zero, which no number of requests in flight would raise.
+/// The minimum latency, in ms. A latency of zero would make the score zero for any number of requests in
+/// flight.
 const MIN_LATENCY_MS: f64 = 0.1;
 
 /// Identifies one listed incarnation of a server. Keys are never reused for another incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerKey(pub(crate) u32);
 
-/// A server's state in one phase.
+/// The state of a server in one phase.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct PhaseState {
     pub latency: PeakEwma,
-    /// Requests of this proxy.
+    /// The number of this proxy's requests in flight.
     pub in_flight: u32,
 }
 
@@ -29,7 +31,7 @@
 #[derive(Debug)]
 pub(crate) struct Server {
     pub entry: ServerEntry,
-    /// The incarnation, as in the entry.
+    /// The id of the entry, which identifies the incarnation.
     pub id: Rc<str>,
     pub zone: Rc<str>,
     pub id_hash: u64,
@@ -58,7 +60,8 @@
         }
     }
 
-    /// Replaces the entry by a newer one of the same incarnation. A new stage clears the latencies, which it changes.
+    /// Replaces the entry by a newer one of the same incarnation. A change of stage clears the latencies,
+    /// which no longer apply.
     pub fn update(&mut self, entry: ServerEntry, zone: Rc<str>) {
         if self.entry == entry {
             return;
@@ -72,13 +75,14 @@
         self.entry = entry;
     }
 
-    /// The server answered 421: it is not the incarnation of the entry, or does not serve its stage or model.
+    /// Records that the server answered 421: it is not the listed incarnation, or does not serve the stage or
+    /// model.
     pub fn mark_misdirected(&mut self, now: Duration, tuning: &Tuning) {
         self.misdirected_until = now + tuning.misdirected_backoff;
     }
 
-    /// Whether an attempt may be sent there, by the endpoint list and by what the server itself has answered. Ejection and the
-    /// in-flight limit are not considered.
+    /// Returns whether an attempt may be sent to the server according to the endpoint list and the server's
+    /// own answers. Ejection and the in-flight limit are not considered.
     pub fn accepts(&self, phase: Phase, model: Option<&str>, now: Duration) -> bool {
         self.entry.state == ServerState::Ready
             && now >= self.misdirected_until
@@ -86,13 +90,14 @@
             && self.has_model(model)
     }
 
-    /// Whether the server has the model loaded. A server that lists no models serves all.
+    /// Returns whether the server has the model loaded. A server that lists no models serves all of them.
     fn has_model(&self, model: Option<&str>) -> bool {
         let Some(model) = model else { return true };
         self.entry.models.is_empty() || self.entry.models.iter().any(|entry| entry.name == model)
     }
 
-    /// The server rejected a request: it counts as saturated, also where its own report does not say so.
+    /// Records that the server rejected a request: it counts as saturated even if its own load report does
+    /// not say so.
     pub fn mark_overloaded(&mut self, now: Duration, tuning: &Tuning) {
         if self.fresh_load_report(now, tuning).is_some_and(|report| report.is_saturated()) {
             return;
@@ -102,15 +107,16 @@
             Some(LoadReport { running, waiting: 1, slots: self.entry.slots, received_at: now });
     }
 
-    /// The last load report, if it is not older than [`Tuning::load_report_ttl`].
+    /// Returns the last load report unless it is older than [`Tuning::load_report_ttl`].
     pub fn fresh_load_report(&self, now: Duration, tuning: &Tuning) -> Option<LoadReport> {
         self.load_report.filter(|report| now.saturating_sub(report.received_at) <= tuning.load_report_ttl)
     }
 
-    /// The score in ms per unit of work, the lower the better: `latency x (own + others + 1) x penalties`.
+    /// Returns the score in ms per unit of work; lower is better: `latency x (own + others + 1) x penalties`.
     ///
-    /// `own` are the requests of this proxy in flight in the phase; `others` is a share of the load that the server has reported
-    /// beyond those. The endpoint list has no weights.
+    /// `own` is the number of this proxy's requests in flight in the phase. `others` is a share
+    /// ([`Tuning::load_report_weight`]) of the load that the server has reported beyond `own`. The endpoint
+    /// list has no server weights.
     pub fn score(&self, phase: Phase, median_latency: f64, now: Duration, tuning: &Tuning) -> f64 {
         let state = &self.phases[phase.index()];
         let latency = self.latency(phase, median_latency, now, tuning);
@@ -126,12 +132,12 @@
         latency * (own + others + 1.0) * saturation * warmup
     }
 
-    /// The latency of the phase at `now`, in ms per unit of work.
+    /// Returns the latency of the phase at `now`, in ms per unit of work.
     pub fn latency(&self, phase: Phase, median_latency: f64, now: Duration, tuning: &Tuning) -> f64 {
         self.phases[phase.index()].latency.decayed(now, tuning.ewma_decay, median_latency).max(MIN_LATENCY_MS)
     }
 
-    /// The most requests that this proxy may have in flight there in one phase.
+    /// Returns the maximum number of requests that this proxy may have in flight at the server in one phase.
     pub fn in_flight_limit(&self, proxies: u32, tuning: &Tuning) -> u32 {
         let share = f64::from(self.entry.slots) * tuning.in_flight_limit_factor / f64::from(proxies.max(1));
         (share.ceil() as u32).max(tuning.min_in_flight_limit)
--- a/crates/routing/src/tuning.rs
+++ b/crates/routing/src/tuning.rs
@@ -1,13 +1,14 @@
-//! The constants of the routing decisions, and a switch for each mechanism, in one place.
+//! Tunable constants of the routing decisions, and a switch for each mechanism.
 //!
-//! A tuning file sets them by their encoded names (durations in ms, as `tau_ms`); an unknown name is an error. A switch that is
-//! off removes its mechanism and leaves the rest as it is, so that a run without it shows the mechanism's value.
+//! A tuning file sets them by their serialized names, durations in ms (such as `tau_ms`); an unknown name is
+//! an error. Turning a switch off disables its mechanism and nothing else, so the benefit of a mechanism can
+//! be measured by a run without it.
 
 use serde::Deserialize;
 use std::fmt;
 use std::time::Duration;
 
-/// Durations encoded as numbers of ms.
+/// Deserializes durations from integers in ms.
 mod millis {
     use serde::{Deserialize, Deserializer};
     use std::time::Duration;
@@ -17,17 +18,18 @@
     }
 }
 
-/// How the latency of a prefill is normalised before it enters the average of its server.
+/// How the latency of a prefill is normalised before it is added to the average of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Normalisation {
-    /// Not at all: long and short prompts count alike.
+    /// No normalisation: long and short prompts count alike.
     Plain,
-    /// Divided by the [units of work](crate::WorkSize::units), which grow with the tokens to prefill.
+    /// Divides by the [units of work](crate::WorkSize::units), which grow with the number of tokens to
+    /// prefill.
     ByTokens,
 }
 
-/// Which segment stands for the prefix of a prompt in prefix affinity.
+/// The segment that identifies the prefix of a prompt for prefix affinity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AffinityKey {
@@ -37,20 +39,22 @@
     MostTokens,
 }
 
-/// The constants of the routing decisions. Defaults are given at each.
-// Encoded names are fixed; see docs/GLOSSARY.md.
+/// The tunable constants of the routing decisions. Each field states its default.
+// Serialized names are part of the configuration format; see docs/GLOSSARY.md.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-    /// Whether two candidates are drawn and compared; else one server is drawn at random. Default: on.
+    /// Whether two candidates are drawn and compared. If off, one server is drawn at random. Default: on.
     #[serde(rename = "draws_two")]
     pub uses_two_choices: bool,
-    /// Whether requests of this proxy in flight enter the score. Default: on.
+    /// Whether this proxy's requests in flight count towards the score. Default: on.
     pub counts_in_flight: bool,
-    /// Whether a sample above the average replaces it; else it is averaged in as any other. Default: on.
+    /// Whether a sample above the average replaces the average. If off, it is averaged in like any other
+    /// sample. Default: on.
     #[serde(rename = "rises_at_once")]
     pub is_peak_sensitive: bool,
-    /// Whether a server without samples is assumed to have the median latency of its service; else 1 ms. Default: on.
+    /// Whether a server without samples is assumed to have the median latency of its service. If off, 1 ms is
+    /// assumed. Default: on.
     pub starts_at_median: bool,
     /// Whether a failure counts as a latency sample of at least the attempt's timeout. Default: on.
     pub samples_failures: bool,
@@ -60,26 +64,29 @@
     /// Whether servers of the local zone are preferred. Default: on.
     #[serde(rename = "prefers_home")]
     pub prefers_local_zone: bool,
-    /// Whether servers that fail in a row are ejected. Default: on.
+    /// Whether servers are ejected after consecutive failures. Default: on.
     #[serde(rename = "ejects")]
     pub ejects_outliers: bool,
-    /// Whether a request is rejected before it is sent if the selected server is busy and the estimate exceeds the time left.
-    /// Default: on.
+    /// Whether a request is rejected without being sent if the selected server is busy and the latency
+    /// estimate exceeds the time left until the request's deadline. Default: on.
     #[serde(rename = "refuses_early")]
     pub sheds_late_requests: bool,
-    /// Whether requests to model servers carry the priority of their route, and prefills one by their length. Default: on.
+    /// Whether requests to model servers carry a priority: for prefills one derived from the prompt's length,
+    /// otherwise that of the route. Default: on.
     #[serde(rename = "passes_priority")]
     pub forwards_priority: bool,
-    /// Whether streams that broke off are resumed at another server. Default: on.
+    /// Whether interrupted streams are resumed at another server. Default: on.
     pub resumes_streams: bool,
     /// Whether connections to servers are reused. Default: on.
     #[serde(rename = "keeps_connections")]
     pub reuses_connections: bool,
-    /// The longest prompt that a decode server prefills itself while there are prefill servers, in tokens. A prefill there runs
-    /// between the decode steps of other requests, whose streams pause meanwhile. Default: 2048.
+    /// The longest prompt, in tokens, that a decode server prefills itself while there are prefill servers.
+    /// Such a prefill runs between the decode steps of other requests and pauses their streams. Default:
+    /// 2048.
     #[serde(rename = "decode_reads_at_most")]
     pub max_decode_prefill_tokens: u32,
-    /// Whether a decode server prefills longer prompts too where KV cache transfers fail. Default: off.
+    /// Whether a decode server also prefills longer prompts after KV cache transfers have failed. Default:
+    /// off.
     #[serde(rename = "decode_reads_after_failures")]
     pub decode_prefills_after_failures: bool,
     /// The time constant of the latency average's exponential decay. Default: 2500 ms.
@@ -87,66 +94,72 @@
     pub ewma_decay: Duration,
     /// How the latency of prefills is normalised. Default: by tokens.
     pub normalisation: Normalisation,
-    /// Tokens whose prefill costs as much as the fixed cost of an attempt. Default: 512.
+    /// The number of tokens whose prefill costs as much as the fixed cost of an attempt. Default: 512.
     #[serde(rename = "base_tokens")]
     pub prefill_base_tokens: f64,
-    /// Which segment stands for the prefix of a prompt. Default: the last shared one.
+    /// The segment that identifies the prefix of a prompt. Default: the last shared one.
     #[serde(rename = "sticky_key")]
     pub affinity_key: AffinityKey,
-    /// The server picked by prefix affinity is taken while its score is at most this multiple of that of the drawn one.
-    /// Default: 1.5.
+    /// The server picked by prefix affinity is selected if its score is at most this multiple of the score of
+    /// the server drawn by power of two choices. Default: 1.5.
     #[serde(rename = "sticky_tolerance")]
     pub affinity_tolerance: f64,
     /// How long a segment is assumed to stay in a server's prefix cache after its last use. Default: 8000 ms.
     #[serde(rename = "cache_age_ms", with = "millis")]
     pub prefix_cache_ttl: Duration,
-    /// The prompt segments tracked for each server. Default: 512.
+    /// The maximum number of prompt segments tracked per server. Default: 512.
     #[serde(rename = "cache_parts")]
     pub prefix_cache_capacity: usize,
-    /// A server of another zone is taken only if its score is lower by this factor. Default: 1.25.
+    /// A server in another zone is selected only if its score times this factor is lower than the score of
+    /// the local one. Default: 1.25.
     pub cross_zone_factor: f64,
-    /// The share of the latency objective that the estimate in the local zone may use up before other zones are considered.
-    /// Default: 0.5.
+    /// The share of the latency objective above which the estimate in the local zone makes other zones
+    /// eligible. Default: 0.5.
     #[serde(rename = "home_share")]
     pub local_zone_objective_share: f64,
-    /// How long a server's load report is used. Default: 1500 ms.
+    /// How long a server's load report is used after it was received. Default: 1500 ms.
     #[serde(rename = "report_age_ms", with = "millis")]
     pub load_report_ttl: Duration,
-    /// The weight of reported requests of other proxies in the score, from 0 (ignored) to 1 (as own ones). Default: 0.25.
+    /// The weight of other proxies' requests, as reported by the server, in the score: 0 ignores them, 1
+    /// counts them like this proxy's own. Default: 0.25.
     #[serde(rename = "report_weight")]
     pub load_report_weight: f64,
-    /// The factor on the score of a server whose load report says that it is saturated. Default: 3.
+    /// The score multiplier of a server that reported itself as saturated. Default: 3.
     #[serde(rename = "full_factor")]
     pub saturation_penalty: f64,
-    /// The factor on the score of a server that is warming up (slow start). Default: 1.5.
+    /// The score multiplier of a server that is warming up (slow start). Default: 1.5.
     #[serde(rename = "cold_factor")]
     pub warmup_penalty: f64,
-    /// The limit on requests of this proxy in flight at a server, as a multiple of the server's slots over the live proxies.
-    /// Generous, since servers reject what they can't take; it bounds what an unresponsive server collects. Default: 8.
+    /// The limit on this proxy's requests in flight at a server, as a multiple of the server's slots divided
+    /// by the number of live proxies. The limit is generous because servers reject requests beyond their
+    /// capacity; it bounds the requests that accumulate at an unresponsive server. Default: 8.
     #[serde(rename = "in_flight_factor")]
     pub in_flight_limit_factor: f64,
-    /// The least limit on requests of this proxy in flight at a server. Default: 16.
+    /// The lower bound of the limit on this proxy's requests in flight at a server. Default: 16.
     #[serde(rename = "in_flight_floor")]
     pub min_in_flight_limit: u32,
-    /// The length of a server's first ejection; it doubles with each failed trial. Default: 500 ms.
+    /// The duration of a server's first ejection; it doubles with each failed trial. Default: 500 ms.
     #[serde(rename = "eject_first_ms", with = "millis")]
     pub base_ejection_time: Duration,
-    /// The longest ejection. Default: 8000 ms.
+    /// The maximum duration of an ejection. Default: 8000 ms.
     #[serde(rename = "eject_most_ms", with = "millis")]
     pub max_ejection_time: Duration,
-    /// Consecutive failures by which a server is ejected; a refused connection counts as all of them. Default: 2.
+    /// The number of consecutive failures after which a server is ejected. A refused connection counts as
+    /// that many failures. Default: 2.
     #[serde(rename = "eject_strikes")]
     pub ejection_threshold: u8,
-    /// How long a server that answered 421 is not selected, unless its entry changes. Default: 4000 ms.
+    /// How long a server that answered 421 is not selected, unless its list entry changes. Default: 4000 ms.
     #[serde(rename = "misdirected_ms", with = "millis")]
     pub misdirected_backoff: Duration,
-    /// The share of the fleet's retry budget that proxies use; below 1 to absorb a stale number of proxies. Default: 0.5.
+    /// The share of the fleet's retry budget that proxies use; a value below 1 tolerates a stale proxy count.
+    /// Default: 0.5.
     #[serde(rename = "budget_share")]
     pub retry_budget_share: f64,
-    /// The number of proxies that is assumed while the fleet's size is not known. Default: 16.
+    /// The number of proxies assumed while the size of the fleet is unknown. Default: 16.
     #[serde(rename = "proxies_guess")]
     pub assumed_proxies: u32,
-    /// How often one request may be retried after a rejection, which proves that it was not executed. Default: 3.
+    /// How often one request may be retried after a rejection. A rejection proves that the server did not
+    /// execute the request. Default: 3.
     #[serde(rename = "rejections")]
     pub max_rejections: u32,
 }
@@ -194,8 +207,8 @@
     }
 }
 
-/// The constants in force, under the names that operators write, as `lugwharf check-tuning` prints them. Durations are printed
-/// with their unit, so their names have no suffix.
+/// Prints the constants under their serialized names, for `lugwharf check-tuning`. Durations are printed with
+/// their unit, so their names have no unit suffix.
 impl fmt::Display for Tuning {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("Tuning")
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A balancer over servers that a test describes.
+//! A balancer with a given list of servers, and helpers to query it.
 #![allow(dead_code)]
 
 use lugwharf_protocol::{ModelEntry, ServerDelta, ServerEntry, ServerState, Stage, TablePosition};
@@ -10,7 +10,7 @@
 pub const SERVICE: &str = "service";
 pub const SEED: u64 = 42;
 
-pub fn terms() -> RetryBudgetConfig {
+pub fn retry_budget_config() -> RetryBudgetConfig {
     RetryBudgetConfig { ratio: 0.2, reserve: 32.0, window: Duration::from_secs(10), local_share: 1.0 }
 }
 
@@ -38,18 +38,18 @@
     TablePosition { epoch, sequence }
 }
 
-pub fn full_list(position: TablePosition, entries: Vec<ServerEntry>) -> ServerDelta {
+pub fn full_delta(position: TablePosition, entries: Vec<ServerEntry>) -> ServerDelta {
     ServerDelta { position, is_full: true, entries, removed: Vec::new() }
 }
 
 pub fn balancer(tuning: Tuning, entries: Vec<ServerEntry>) -> Balancer {
-    let mut balancer = Balancer::new(tuning, terms(), SEED);
-    assert!(balancer.apply(Duration::ZERO, &full_list(position(1, 1), entries)));
+    let mut balancer = Balancer::new(tuning, retry_budget_config(), SEED);
+    assert!(balancer.apply(Duration::ZERO, &full_delta(position(1, 1), entries)));
     balancer
 }
 
-/// Servers a, b, c … in zone "home".
-pub fn plain(count: u8) -> Vec<ServerEntry> {
+/// The servers "a", "b", "c" … without a stage, in the zone "home".
+pub fn unstaged_servers(count: u8) -> Vec<ServerEntry> {
     (0..count).map(|number| entry(&char::from(b'a' + number).to_string(), "home", None)).collect()
 }
 
@@ -84,7 +84,7 @@
     )
 }
 
-/// The key of a listed server.
+/// Returns the key of a listed server.
 pub fn key_of(balancer: &mut Balancer, id: &str) -> ServerKey {
     let keys: Vec<ServerKey> = balancer.server_keys().collect();
     keys.into_iter().find(|key| balancer.server_id(*key) == Some(id)).expect("listed")
--- a/crates/routing/tests/digest.rs
+++ b/crates/routing/tests/digest.rs
@@ -1,8 +1,9 @@
-//! Digests of decisions: seeded balancers under seeded sequences of events, compared with values taken before the refactoring.
+//! Digests of routing decisions: seeded balancers under seeded sequences of events, compared with values
+//! recorded before a refactoring.
 //!
-//! Every decision goes into an FNV-1a digest by explicit numbers, floating point figures by their bits. A digest that
-//! changes means that a decision, a draw or the order of evaluation has changed. The values were taken on x86-64 Linux with
-//! glibc, whose `exp` they depend on.
+//! Every decision is added to an FNV-1a digest as explicit numbers, floating-point values by their bits. A
+//! changed digest means that a decision, a random draw or the order of evaluation has changed. The values
+//! were recorded on x86-64 Linux with glibc, whose `exp` they depend on.
 
 mod common;
 
@@ -23,7 +24,7 @@
 const PHASES: [Phase; 3] = [Phase::Prefill, Phase::Decode, Phase::Full];
 const FAILURES: [FailureKind; 4] =
     [FailureKind::Connect, FailureKind::ConnectionBroken, FailureKind::Timeout, FailureKind::ServerError];
-const STEPS: usize = 1_500;
+const STEP_COUNT: usize = 1_500;
 
 /// FNV-1a over 64-bit numbers.
 struct Digest(u64);
@@ -57,14 +58,14 @@
     }
 }
 
-fn refusal_number(refusal: SelectionError) -> u64 {
-    match refusal {
+fn error_number(error: SelectionError) -> u64 {
+    match error {
         SelectionError::NoServer => 1,
         SelectionError::Saturated => 2,
     }
 }
 
-/// Each bit of the seed takes one mechanism out or sets a figure.
+/// Returns a tuning in which the seed switches mechanisms off and sets constants.
 fn tuning(seed: u64) -> Tuning {
     let is_set = |bit: u32| seed >> bit & 1 == 1;
     Tuning {
@@ -85,7 +86,7 @@
     }
 }
 
-struct World {
+struct Simulation {
     balancer: Balancer,
     rng: Rng,
     digest: Digest,
@@ -95,10 +96,10 @@
     started: Vec<(ServerKey, Phase)>,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        World {
-            balancer: Balancer::new(tuning(seed), terms(), seed),
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        Simulation {
+            balancer: Balancer::new(tuning(seed), retry_budget_config(), seed),
             rng: Rng::with_seed(seed ^ 0x5eed),
             digest: Digest::new(),
             now: ms(0),
@@ -109,28 +110,28 @@
     }
 
     fn run(seed: u64) -> u64 {
-        let mut world = World::new(seed);
-        world.replace_list();
-        for _ in 0..STEPS {
-            world.now += Duration::from_micros(world.rng.u64(..60_000));
-            world.step();
+        let mut simulation = Simulation::new(seed);
+        simulation.replace_list();
+        for _ in 0..STEP_COUNT {
+            simulation.now += Duration::from_micros(simulation.rng.u64(..60_000));
+            simulation.step();
         }
-        world.digest.0
+        simulation.digest.0
     }
 
     fn step(&mut self) {
         match self.rng.u32(..100) {
-            0..40 => self.choose(),
-            40..55 => self.end(),
-            55..72 => self.observe(),
-            72..78 => self.report(),
-            78..82 => self.read_prompt(),
-            82..90 => self.spend(),
-            90..93 => self.hand_over(),
-            93..97 => self.change_list(),
+            0..40 => self.select(),
+            40..55 => self.end_attempt(),
+            55..72 => self.record_observation(),
+            72..78 => self.record_load_report(),
+            78..82 => self.record_prefill(),
+            82..90 => self.use_retry_budget(),
+            90..93 => self.use_kv_transfer(),
+            93..97 => self.update_list(),
             97 => self.replace_list(),
-            98 => self.set_terms(),
-            _ => self.inspect(),
+            98 => self.change_settings(),
+            _ => self.digest_state(),
         }
     }
 
@@ -142,7 +143,7 @@
         PHASES[self.rng.usize(..3)]
     }
 
-    /// The keys of the listed servers, in the order of their ids.
+    /// Returns the keys of the listed servers in ascending order.
     fn keys(&self) -> Vec<ServerKey> {
         let mut keys: Vec<ServerKey> = self.balancer.server_keys().collect();
         keys.sort_unstable();
@@ -185,8 +186,8 @@
     }
 
     fn apply(&mut self, delta: &ServerDelta) {
-        let is_taken = self.balancer.apply(self.now, delta);
-        self.digest.bool(is_taken);
+        let is_applied = self.balancer.apply(self.now, delta);
+        self.digest.bool(is_applied);
         let TablePosition { epoch, sequence } = self.balancer.position();
         self.digest.number(epoch);
         self.digest.number(sequence);
@@ -196,10 +197,10 @@
         self.sequence += 1;
         let count = self.rng.u8(6..16);
         self.listed = (0..count).map(|number| self.entry(number)).collect();
-        self.apply(&full_list(position(1, self.sequence), self.listed.clone()));
+        self.apply(&full_delta(position(1, self.sequence), self.listed.clone()));
     }
 
-    fn change_list(&mut self) {
+    fn update_list(&mut self) {
         let number = self.rng.u8(..20);
         let id = format!("i-{number}");
         let old = self.listed.iter().position(|entry| entry.id == id);
@@ -223,8 +224,8 @@
                 entries.push(self.listed[at].clone());
             }
             (None, 0) => {
-                let stale = full_list(position(0, 99), Vec::new());
-                return self.apply(&stale);
+                let outdated = full_delta(position(0, 99), Vec::new());
+                return self.apply(&outdated);
             }
             (None, _) => {
                 let entry = self.entry(number);
@@ -237,7 +238,7 @@
         self.apply(&ServerDelta { position, is_full: false, entries, removed });
     }
 
-    fn choose(&mut self) {
+    fn select(&mut self) {
         let (service, phase, prompt) = (self.service(), self.phase(), self.prompt());
         let keys = self.keys();
         let excluded: Vec<ServerKey> = keys.into_iter().filter(|_| self.rng.u8(..12) == 0).collect();
@@ -251,28 +252,28 @@
             objective: ms(50 + self.rng.u64(..400)),
         };
         match self.balancer.select(self.now, &query) {
-            Ok(choice) => {
-                self.chosen(&choice);
+            Ok(selection) => {
+                self.digest_selection(&selection);
                 if self.rng.u8(..4) != 0 {
-                    self.balancer.record_start(choice.key, phase);
-                    self.started.push((choice.key, phase));
-                    self.digest.number(self.balancer.in_flight(choice.key, phase).into());
+                    self.balancer.record_start(selection.key, phase);
+                    self.started.push((selection.key, phase));
+                    self.digest.number(self.balancer.in_flight(selection.key, phase).into());
                 }
             }
-            Err(refusal) => self.digest.number(refusal_number(refusal)),
+            Err(error) => self.digest.number(error_number(error)),
         }
     }
 
-    fn chosen(&mut self, choice: &Selection) {
-        self.digest.text(&choice.id);
-        self.digest.text(&choice.zone);
-        self.digest.number(choice.address.port().into());
-        self.digest.time(choice.estimate);
-        self.digest.bool(choice.is_busy);
-        self.digest.number(choice.prefill_tokens.into());
+    fn digest_selection(&mut self, selection: &Selection) {
+        self.digest.text(&selection.id);
+        self.digest.text(&selection.zone);
+        self.digest.number(selection.address.port().into());
+        self.digest.time(selection.estimate);
+        self.digest.bool(selection.is_busy);
+        self.digest.number(selection.prefill_tokens.into());
     }
 
-    fn end(&mut self) {
+    fn end_attempt(&mut self) {
         if self.started.is_empty() {
             return;
         }
@@ -281,23 +282,23 @@
         self.digest.number(self.balancer.in_flight(key, phase).into());
     }
 
-    fn observe(&mut self) {
+    fn record_observation(&mut self) {
         let (Some(key), phase) = (self.key(), self.phase()) else { return };
-        let took = Duration::from_micros(self.rng.u64(500..400_000));
+        let elapsed = Duration::from_micros(self.rng.u64(500..400_000));
         let work = WorkSize { tokens: f64::from(self.rng.u32(..4_000)) };
         let sample = match self.rng.u8(..10) {
             0 => Observation::Inconclusive,
             1 => Observation::Rejected,
             2 | 3 => {
                 let kind = FAILURES[self.rng.usize(..4)];
-                Observation::Failure { kind, elapsed: took, timeout: ms(self.rng.u64(..900)), work }
+                Observation::Failure { kind, elapsed, timeout: ms(self.rng.u64(..900)), work }
             }
-            _ => Observation::Success { elapsed: took, work },
+            _ => Observation::Success { elapsed, work },
         };
         self.balancer.record_observation(self.now, key, phase, sample);
     }
 
-    fn report(&mut self) {
+    fn record_load_report(&mut self) {
         let Some(key) = self.key() else { return };
         if self.rng.u8(..12) == 0 {
             return self.balancer.record_misdirected(self.now, key);
@@ -311,39 +312,39 @@
         }
     }
 
-    fn read_prompt(&mut self) {
+    fn record_prefill(&mut self) {
         let prompt = self.prompt();
         if let Some(key) = self.key() {
             self.balancer.record_prefill(self.now, key, &prompt);
         }
     }
 
-    fn spend(&mut self) {
+    fn use_retry_budget(&mut self) {
         let service = self.service();
         if self.rng.bool() {
             return self.balancer.record_request(self.now, service);
         }
-        let is_spent = self.balancer.try_withdraw_retry(self.now, service);
-        self.digest.bool(is_spent);
+        let is_withdrawn = self.balancer.try_withdraw_retry(self.now, service);
+        self.digest.bool(is_withdrawn);
     }
 
-    fn hand_over(&mut self) {
+    fn use_kv_transfer(&mut self) {
         let service = self.service();
         if self.rng.bool() {
             let succeeded = self.rng.u8(..3) == 0;
             return self.balancer.record_kv_transfer(self.now, service, succeeded);
         }
-        let may_pair = self.balancer.try_kv_transfer(self.now, service);
-        self.digest.bool(may_pair);
+        let may_transfer = self.balancer.try_kv_transfer(self.now, service);
+        self.digest.bool(may_transfer);
     }
 
-    fn set_terms(&mut self) {
+    fn change_settings(&mut self) {
         match self.rng.u8(..3) {
             0 => self.balancer.set_live_proxies(self.rng.u32(..24)),
             1 => {
                 let ratio = f64::from(self.rng.u32(..40)) / 100.0;
-                let terms = RetryBudgetConfig { ratio, reserve: 24.0, window: ms(4_000), local_share: 0.9 };
-                self.balancer.set_retry_budget(terms);
+                let config = RetryBudgetConfig { ratio, reserve: 24.0, window: ms(4_000), local_share: 0.9 };
+                self.balancer.set_retry_budget(config);
             }
             _ => self.balancer.retain_services(|service| service == "service"),
         }
@@ -351,7 +352,7 @@
         self.digest.number(self.balancer.reported_proxy_count().into());
     }
 
-    fn inspect(&mut self) {
+    fn digest_state(&mut self) {
         for load in self.balancer.in_flight_loads() {
             self.digest.text(&load.service);
             self.digest.number(load.prefill.into());
@@ -372,7 +373,7 @@
     }
 }
 
-const BALANCERS: [u64; 64] = [
+const BALANCER_DIGESTS: [u64; 64] = [
     0xc96e_6aca_111a_98c4,
     0x759a_60a8_c071_165f,
     0x3be6_1b9a_6d1d_8d4e,
@@ -440,19 +441,19 @@
 ];
 
 #[test]
-fn seeded_balancers_decide_as_before() {
-    let digests: Vec<u64> = (0..BALANCERS.len() as u64).map(World::run).collect();
-    assert!(digests == BALANCERS, "{digests:#018x?}");
+fn decisions_of_seeded_balancers_are_unchanged() {
+    let digests: Vec<u64> = (0..BALANCER_DIGESTS.len() as u64).map(Simulation::run).collect();
+    assert!(digests == BALANCER_DIGESTS, "{digests:#018x?}");
 }
 
 fn averages(rng: &mut Rng, digest: &mut Digest) {
     let (mut average, mut now) = (PeakEwma::default(), ms(0));
     for _ in 0..400 {
         now += Duration::from_micros(rng.u64(..900_000));
-        let tau = ms(rng.u64(..8_000));
-        average.observe(now, tau, rng.f64() * 500.0 - 1.0, rng.bool());
+        let decay = ms(rng.u64(..8_000));
+        average.observe(now, decay, rng.f64() * 500.0 - 1.0, rng.bool());
         digest.float(average.value().unwrap_or(-1.0));
-        digest.float(average.decayed(now + ms(rng.u64(..5_000)), tau, rng.f64() * 100.0));
+        digest.float(average.decayed(now + ms(rng.u64(..5_000)), decay, rng.f64() * 100.0));
     }
 }
 
@@ -461,9 +462,9 @@
     for _ in 0..600 {
         now += ms(rng.u64(..120));
         if rng.u8(..3) > 0 {
-            budget.deposit(now, &terms());
+            budget.deposit(now, &retry_budget_config());
         } else {
-            digest.bool(budget.try_withdraw(now, &terms(), rng.u32(..40)));
+            digest.bool(budget.try_withdraw(now, &retry_budget_config(), rng.u32(..40)));
         }
     }
 }
@@ -489,7 +490,7 @@
     }
 }
 
-fn hand_overs(rng: &mut Rng, digest: &mut Digest) {
+fn kv_transfers(rng: &mut Rng, digest: &mut Digest) {
     let (mut breaker, mut now) = (KvTransferBreaker::default(), ms(0));
     for _ in 0..400 {
         now += ms(rng.u64(..200));
@@ -519,10 +520,10 @@
 fn splits(rng: &mut Rng, digest: &mut Digest) {
     let mut splitter = TrafficSplitter::new(rng.f64() * 9.0 - 4.0);
     for _ in 0..400 {
-        let lot = splitter.next_sample();
-        digest.float(lot);
+        let sample = splitter.next_sample();
+        digest.float(sample);
         let weights: Vec<f64> = (0..rng.usize(..6)).map(|_| rng.f64() * 3.0 - 1.0).collect();
-        digest.number(weighted_index(weights.into_iter(), lot).map_or(u64::MAX, |index| index as u64));
+        digest.number(weighted_index(weights.into_iter(), sample).map_or(u64::MAX, |index| index as u64));
         digest.number(rendezvous_weight(rng.u64(..), rng.u64(..)));
     }
 }
@@ -531,7 +532,7 @@
     for _ in 0..100 {
         let mut attempts = Attempts::new(rng.bool(), rng.u32(..5), rng.u32(..4));
         for _ in 0..8 {
-            // Only what the proxy does: a run follows a permission to run.
+            // As in the proxy, an attempt is made only if it is allowed.
             if rng.bool() && attempts.may_execute() {
                 attempts.record_delivery();
                 if rng.bool() { attempts.record_execution() } else { attempts.record_rejection() }
@@ -570,12 +571,12 @@
 #[case::averages(averages, 0x62b1_b2a6_5d8e_c50f)]
 #[case::budgets(budgets, 0x2f55_efc2_2891_3dc5)]
 #[case::ejections(ejections, 0x16b0_d348_b8c2_0644)]
-#[case::hand_overs(hand_overs, 0xa522_ebf4_e4b8_10a4)]
+#[case::kv_transfers(kv_transfers, 0xa522_ebf4_e4b8_10a4)]
 #[case::caches(caches, 0x2002_16ed_eed4_5707)]
 #[case::splits(splits, 0xef9e_e508_0bad_7469)]
 #[case::attempts(attempts, 0x63ba_b58a_1024_1b46)]
 #[case::units(units, 0x4477_6bd5_a44e_e802)]
-fn seeded_mechanisms_answer_as_before(#[case] mechanism: Mechanism, #[case] expected: u64) {
+fn results_of_seeded_mechanisms_are_unchanged(#[case] mechanism: Mechanism, #[case] expected: u64) {
     let mut digest = Digest::new();
     for seed in 0..32 {
         mechanism(&mut Rng::with_seed(seed), &mut digest);
--- a/crates/routing/tests/endpoints.rs
+++ b/crates/routing/tests/endpoints.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{balancer, full_list, key_of, ms, plain, position};
+use common::{balancer, full_delta, key_of, ms, position, unstaged_servers};
 use lugwharf_protocol::{ServerDelta, TablePosition};
 use lugwharf_routing::{LoadReport, Phase, Tuning};
 use rstest::rstest;
@@ -13,27 +13,28 @@
 #[case::older_epoch(position(0, 9), false)]
 #[case::older_sequence(position(1, 0), false)]
 fn older_endpoint_lists_are_ignored(#[case] at: TablePosition, #[case] is_applied: bool) {
-    let mut balancer = balancer(Tuning::default(), plain(1));
-    assert_eq!(balancer.apply(ms(0), &full_list(at, Vec::new())), is_applied);
+    let mut balancer = balancer(Tuning::default(), unstaged_servers(1));
+    assert_eq!(balancer.apply(ms(0), &full_delta(at, Vec::new())), is_applied);
     assert_eq!(balancer.has_servers(), !is_applied);
 }
 
 #[test]
 fn updates_retain_the_state_of_servers_that_stay() {
-    let mut balancer = balancer(Tuning::default(), plain(2));
+    let mut balancer = balancer(Tuning::default(), unstaged_servers(2));
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
     balancer.record_start(a, Phase::Full);
     let removed = vec!["b".to_owned()];
-    let delta = ServerDelta { position: position(1, 2), is_full: false, entries: plain(1), removed };
+    let delta =
+        ServerDelta { position: position(1, 2), is_full: false, entries: unstaged_servers(1), removed };
     assert!(balancer.apply(ms(0), &delta));
     assert_eq!(balancer.in_flight(a, Phase::Full), 1);
     assert!(!balancer.is_listed(b));
-    assert!(balancer.apply(ms(0), &full_list(position(1, 3), plain(2))));
+    assert!(balancer.apply(ms(0), &full_delta(position(1, 3), unstaged_servers(2))));
     assert_ne!(key_of(&mut balancer, "b"), b, "a server that is listed again gets a new key");
     balancer.record_end(b, Phase::Full);
-    let mut moved = plain(2);
+    let mut moved = unstaged_servers(2);
     moved[0].address.set_port(9);
-    assert!(balancer.apply(ms(0), &full_list(position(1, 4), moved)));
+    assert!(balancer.apply(ms(0), &full_delta(position(1, 4), moved)));
     assert!(!balancer.is_listed(a), "the same id at another address gets a new key");
 }
 
--- a/crates/routing/tests/outlier_ejection.rs
+++ b/crates/routing/tests/outlier_ejection.rs
@@ -1,8 +1,8 @@
-//! Outlier ejection: its times, its trials, and its bound on a pool.
+//! Outlier ejection: ejection times, trials, and the bound on the ejected share of a pool.
 
 mod common;
 
-use common::{TestQuery, balancer, key_of, ms, plain, select, select_with};
+use common::{TestQuery, balancer, key_of, ms, select, select_with, unstaged_servers};
 use lugwharf_routing::{FailureKind, Observation, OutlierEjection, Phase, Tuning, WorkSize};
 
 #[test]
@@ -25,10 +25,11 @@
     assert_eq!(ejection, OutlierEjection::default());
 }
 
-/// Attempts that were in flight together fail one after the other, as when a server crashes under load.
+/// Attempts that were in flight together fail one after the other, for example when a server crashes under
+/// load.
 #[test]
 fn failures_that_were_in_flight_together_eject_for_the_base_time() {
-    let mut balancer = balancer(Tuning::default(), plain(2));
+    let mut balancer = balancer(Tuning::default(), unstaged_servers(2));
     let key = key_of(&mut balancer, "a");
     (0..8).for_each(|_| balancer.record_start(key, Phase::Full));
     for at in 0..8 {
@@ -39,14 +40,14 @@
         balancer.record_end(key, Phase::Full);
     }
     let mut is_selected = |at| (0..100).any(|_| select(&mut balancer, at).expect("a selection").key == key);
-    // The second failure ejects it, for 500 ms.
+    // The second failure ejects the server for 500 ms.
     assert!(!is_selected(ms(500)));
     assert!(is_selected(ms(501)));
 }
 
 #[test]
 fn at_most_half_of_a_pool_is_ejected() {
-    let mut balancer = balancer(Tuning::default(), plain(4));
+    let mut balancer = balancer(Tuning::default(), unstaged_servers(4));
     let keys = ["a", "b", "c", "d"].map(|id| key_of(&mut balancer, id));
     for key in keys {
         let (elapsed, timeout, work) = (ms(1), ms(1), WorkSize::default());
@@ -62,7 +63,7 @@
 
 #[test]
 fn ejected_servers_are_selected_if_no_other_is_eligible() {
-    let mut balancer = balancer(Tuning::default(), plain(2));
+    let mut balancer = balancer(Tuning::default(), unstaged_servers(2));
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
     let (elapsed, timeout, work) = (ms(1), ms(1), WorkSize::default());
     balancer.record_observation(
--- a/crates/routing/tests/prefix_affinity.rs
+++ b/crates/routing/tests/prefix_affinity.rs
@@ -1,4 +1,4 @@
-//! Prompts, the tracking of prefix caches, rendezvous hashing and prefix affinity.
+//! Parsing of prompts, prefix cache tracking, rendezvous hashing and prefix affinity.
 
 mod common;
 
@@ -109,30 +109,31 @@
 #[test]
 fn loaded_affinity_server_loses_to_the_drawn_one() {
     let mut balancer = balancer(Tuning::default(), servers(9));
-    let affine: HashSet<_> =
+    let affinity_servers: HashSet<_> =
         (0..20).map(|own| select_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key).collect();
     let keys: Vec<_> = balancer.server_keys().collect();
     for key in keys {
         let sample = Observation::Success { elapsed: ms(50), work: WorkSize { tokens: 1_400.0 } };
         balancer.record_observation(ms(0), key, Phase::Prefill, sample);
     }
-    // Both servers of the prefix are loaded, whichever the second is.
-    for key in &affine {
+    // Loads both servers of the prefix, whichever is the second.
+    for key in &affinity_servers {
         (0..7).for_each(|_| balancer.record_start(*key, Phase::Prefill));
     }
     let other = (0..50).filter(|own| {
         let key = select_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key;
-        !affine.contains(&key)
+        !affinity_servers.contains(&key)
     });
     assert!(other.count() >= 40, "seed {SEED}");
 }
 
-/// Other proxies send the same prefix to the first server of its pair, which this proxy can't observe.
+/// The first server of a prefix's pair is assumed to have the prefix in its cache, because other proxies send
+/// it there too, which this proxy can't observe.
 #[test]
 fn unknown_prefix_goes_to_its_first_server_in_any_zone() {
-    let zoned = |number: u8| if number < 3 { "home" } else { "away" };
+    let zone_of = |number: u8| if number < 3 { "home" } else { "away" };
     let name = |number| format!("s{number}");
-    let servers = (0..9).map(|number| entry(&name(number), zoned(number), Some(Stage::Prefill)));
+    let servers = (0..9).map(|number| entry(&name(number), zone_of(number), Some(Stage::Prefill)));
     let mut balancer = balancer(Tuning::default(), servers.collect());
     let keys: Vec<_> = balancer.server_keys().collect();
     for key in keys {
--- a/crates/routing/tests/retries.rs
+++ b/crates/routing/tests/retries.rs
@@ -1,38 +1,41 @@
-//! Retry budget, bounds on the attempts of one request, and the circuit breaker of KV cache transfers.
+//! Retry budget, bounds on the attempts of one request, and circuit breaker for KV cache transfers.
 
 mod common;
 
-use common::{SERVICE, balancer, ms, plain, terms};
+use common::{SERVICE, balancer, ms, retry_budget_config, unstaged_servers};
 use lugwharf_routing::{Attempts, Balancer, KvTransferBreaker, RetryBudget, Tuning};
 use rstest::rstest;
 use std::time::Duration;
 
 #[test]
 fn withdrawals_of_any_window_are_bounded_by_its_deposits_and_the_reserve() {
-    // 10 requests a second and three attempted withdrawals each, over a minute; every sliding window is checked.
-    let (mut budget, terms) = (RetryBudget::default(), terms());
+    // 10 requests per second with three attempted withdrawals each, over one minute; every sliding window is
+    // checked.
+    let (mut budget, config) = (RetryBudget::default(), retry_budget_config());
     let (mut requests, mut retries) = (Vec::new(), Vec::new());
     for step in 0..600u64 {
         let now = ms(step * 100);
-        // A pause in the middle: deposits before it must expire.
+        // A pause of the requests: earlier deposits must expire.
         if !(200..400).contains(&step) {
-            budget.deposit(now, &terms);
+            budget.deposit(now, &config);
             requests.push(now);
         }
         for _ in 0..3 {
-            if budget.try_withdraw(now, &terms, 16) {
+            if budget.try_withdraw(now, &config, 16) {
                 retries.push(now);
             }
         }
     }
     let within = |times: &[Duration], from: Duration| {
-        times.iter().filter(|at| **at >= from && **at < from + terms.window).count() as f64
+        times.iter().filter(|at| **at >= from && **at < from + config.window).count() as f64
     };
     for from in (0..500).map(|step| ms(step * 100)) {
-        // The rule counts requests of this window, the one before and the one half a window before, whichever has most.
-        let before = [Duration::ZERO, terms.window / 2, terms.window].map(|shift| from.saturating_sub(shift));
+        // The limit applies to the requests of this window, of the one before, or of the one half a window
+        // before, whichever has most.
+        let before =
+            [Duration::ZERO, config.window / 2, config.window].map(|shift| from.saturating_sub(shift));
         let counted = before.iter().map(|from| within(&requests, *from)).fold(0.0, f64::max);
-        let allowed = terms.ratio * counted + terms.reserve / 16.0;
+        let allowed = config.ratio * counted + config.reserve / 16.0;
         assert!(within(&retries, from) <= allowed, "from {from:?}: {} > {allowed}", within(&retries, from));
     }
     assert!(retries.len() > 50, "{} retries: the budget is used", retries.len());
@@ -40,7 +43,8 @@
 
 #[test]
 fn fleet_stays_within_its_budget_when_the_proxy_count_is_stale_by_half() {
-    let mut proxies: Vec<Balancer> = (0..12).map(|_| balancer(Tuning::default(), plain(1))).collect();
+    let mut proxies: Vec<Balancer> =
+        (0..12).map(|_| balancer(Tuning::default(), unstaged_servers(1))).collect();
     let mut spent = 0;
     for proxy in &mut proxies {
         proxy.set_live_proxies(6);
@@ -50,7 +54,7 @@
     assert!(spent as f64 <= 0.2 * 12.0 + 32.0, "{spent} retries");
 }
 
-/// What happens to a request, step by step, and whether it may be executed or prefilled after that.
+/// Whether a request may be executed or prefilled after a sequence of outcomes.
 #[rstest]
 #[case::fresh(false, 1, &[], true, true)]
 #[case::not_idempotent_and_possibly_executed(false, 3, &["executed"], false, false)]
@@ -61,7 +65,7 @@
 #[case::first_prefill_is_free(false, 1, &["prefilled"], true, false)]
 #[case::second_prefill_counts_as_an_execution(false, 2, &["prefilled"], true, true)]
 #[case::prefills_leave_room_for_the_execution(false, 2, &["prefilled", "prefilled"], true, false)]
-#[case::failed_prefill_may_have_been_executed(false, 1, &["record_prefill_failure"], true, false)]
+#[case::failed_prefill_may_have_been_executed(false, 1, &["prefill_failed"], true, false)]
 fn attempts_still_allowed_after_each_outcome(
     #[case] is_idempotent: bool, #[case] max_executions: u32, #[case] steps: &[&str],
     #[case] may_execute: bool, #[case] may_prefill: bool,
@@ -73,7 +77,7 @@
             "executed" => attempts.record_execution(),
             "rejected" => attempts.record_rejection(),
             "prefilled" => attempts.record_prefill(),
-            "record_prefill_failure" => attempts.record_prefill_failure(),
+            "prefill_failed" => attempts.record_prefill_failure(),
             other => panic!("no such step: {other}"),
         }
     }
--- a/crates/routing/tests/traffic_split.rs
+++ b/crates/routing/tests/traffic_split.rs
@@ -16,7 +16,8 @@
     assert_eq!(weighted_index(weights.iter().copied(), sample), expected);
 }
 
-/// Many proxies with few requests each: each of them is within two requests of the weights, and all together within 2 in 100.
+/// With few requests per proxy, each proxy is within two requests of the weights, and all proxies together
+/// are within 2 in 100.
 #[rstest]
 fn shares_of_few_requests_are_near_the_weights(
     #[values(0.5, 0.2, 0.1, 0.05)] weight: f64, #[values(5, 15, 40)] requests: u32,
--- a/crates/routing/tests/tuning_keys.rs
+++ b/crates/routing/tests/tuning_keys.rs
@@ -1,4 +1,5 @@
-//! The keys of the tuning file's `[routing]` table and the defaults, as literals: files of operators name them.
+//! Keys and defaults of the tuning file's `[routing]` table, as literals because operators' files contain
+//! them.
 
 use lugwharf_routing::{AffinityKey, Normalisation, Tuning};
 use rstest::rstest;
@@ -9,7 +10,7 @@
 }
 
 #[test]
-fn defaults_are_the_documented_figures() {
+fn defaults_match_the_documented_values() {
     let expected = Tuning {
         uses_two_choices: true,
         counts_in_flight: true,
@@ -52,7 +53,7 @@
     assert_eq!(toml::from_str::<Tuning>("").expect("an empty file"), expected);
 }
 
-/// Each key is accepted with its default, which changes nothing, and with another value, which changes its field alone.
+/// Setting a key to its default changes nothing; setting it to another value changes its field alone.
 #[rstest]
 #[case("draws_two", "true", "false", |t: &mut Tuning| t.uses_two_choices = false)]
 #[case("counts_in_flight", "true", "false", |t: &mut Tuning| t.counts_in_flight = false)]
@@ -106,6 +107,6 @@
 #[case::unknown("tau_milliseconds = 2500")]
 #[case::unknown_variant("normalisation = 'ByTokens'")]
 #[case::text_for_a_number("tau_ms = '2500'")]
-fn other_keys_and_values_are_refused(#[case] text: &str) {
+fn unknown_keys_and_invalid_values_are_rejected(#[case] text: &str) {
     assert!(toml::from_str::<Tuning>(text).is_err());
 }
--- a/crates/stages/src/load.rs
+++ b/crates/stages/src/load.rs
@@ -1,12 +1,12 @@
-//! The load that is planned for.
+//! Load that stages are planned for.
 
 use std::time::Duration;
 
-/// The shortest time constant in seconds; it avoids a division by zero.
+/// The minimum time constant, in seconds; prevents a division by zero.
 const MIN_TIME_CONSTANT_SECONDS: f64 = 1e-3;
 
-/// A load that rises at once and falls by exponential decay: servers that a burst needed are not reassigned right after it,
-/// since the next burst would find them changing back.
+/// A load that rises immediately and falls by exponential decay: servers needed for a burst are not
+/// reassigned right after it, since the next burst would arrive while they change back.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct DecayingPeak {
     value: f64,
@@ -14,7 +14,7 @@
 }
 
 impl DecayingPeak {
-    /// Adds a sample and returns the load: the sample, or the decayed earlier load if that is larger.
+    /// Adds a sample; returns the load, which is the sample or, if larger, the decayed earlier load.
     pub(crate) fn observe(&mut self, now: Duration, sample: f64, time_constant: Duration) -> f64 {
         let age = now.saturating_sub(self.updated_at).as_secs_f64();
         let retained = (-age / time_constant.as_secs_f64().max(MIN_TIME_CONSTANT_SECONDS)).exp();
--- a/crates/stages/src/order.rs
+++ b/crates/stages/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to model servers.
+//! Orders to model servers, and their outcomes.
 
 use lugwharf_protocol::Stage;
 use std::net::SocketAddr;
@@ -6,14 +6,14 @@
 /// An order to a server to change its stage.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order {
-    /// The server's id, which names its incarnation.
+    /// The server's id, which identifies its incarnation.
     pub id: String,
     /// The server's address.
     pub address: SocketAddr,
-    /// The stage that the server is to have.
+    /// The stage to which the server changes.
     pub stage: Stage,
-    /// The orders that the server has accepted so far, if it has reported them under this lease; it rejects the order if there
-    /// were others since (`IfRevision`).
+    /// The number of orders that the server has accepted, as last reported under this lease; `None` if it has
+    /// reported none. Sent as `IfRevision`: the server rejects the order if it has accepted others since.
     pub if_revision: Option<u64>,
 }
 
@@ -22,10 +22,10 @@
 pub enum OrderOutcome {
     /// The server accepted the order (202), or has the stage already (200).
     Accepted,
-    /// No response, or one that says neither: the server may have accepted the order.
+    /// No response, or an inconclusive one: the server may have accepted the order.
     Unknown,
-    /// The server rejected the order (4xx but 412), or it was never sent.
+    /// The server rejected the order (4xx except 412), or the order was never sent.
     Rejected,
-    /// The server rejected the order (412) since it has seen a higher fencing token.
+    /// The server rejected the order (412) because it has seen a higher fencing token.
     StaleToken,
 }
--- a/crates/stages/src/report.rs
+++ b/crates/stages/src/report.rs
@@ -1,19 +1,20 @@
-//! What a server says of its own stage.
+//! Stage report of a server.
 
 use lugwharf_protocol::Stage;
 
-/// The part of a server's load report (`GET /report`) that stage planning needs. It is some hundred milliseconds old.
+/// The part of a server's load report (`GET /report`) that stage planning needs. The report is a few hundred
+/// milliseconds old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StageReport {
-    /// The stage that the server has, until a change of it is done.
+    /// The stage of the server; the old one until a change is done.
     pub stage: Stage,
-    /// Whether it is carrying an order out (`Busy`).
+    /// Whether the server is carrying out an order (`Busy`).
     pub is_changing_stage: bool,
-    /// How many orders it has accepted since its start (`Seq`).
+    /// The number of orders that the server has accepted since its start (`Seq`).
     pub revision: u64,
 }
 
-/// The stage to which a server with this one changes.
+/// Returns the other stage, to which a server of this stage changes.
 pub(crate) fn opposite(stage: Stage) -> Stage {
     match stage {
         Stage::Prefill => Stage::Decode,
--- a/crates/stages/src/settings.rs
+++ b/crates/stages/src/settings.rs
@@ -2,29 +2,31 @@
 
 use std::time::Duration;
 
-/// The times of a planner.
+/// The delays and time-outs of a planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlannerSettings {
-    /// No order is sent for so long after the lease was acquired; default 3.2 s. Two holders must not give orders in turn
-    /// within the lease that the deployment states.
+    /// The time after the acquisition of the lease before the first order; default 3.2 s. Two holders must
+    /// not give orders alternately within the lease duration that the deployment states.
     pub acquisition_delay: Duration,
-    /// The time from the acquisition of the lease to the request of the servers' reports; default 1 s. It covers the age of a
-    /// report, so that it shows all that the last holder ordered, and leaves time for the answers before the first order.
+    /// The time from the acquisition of the lease to the request for the servers' reports; default 1 s. It
+    /// covers the age of a report, so that the reports show all that the previous holder ordered, and leaves
+    /// time for the answers before the first order.
     pub report_delay: Duration,
-    /// How long the report of a server is awaited whose change the list should show and does not; default 3 s, two reads of
-    /// the list and the answer. After that the change is taken for lost.
+    /// How long to wait for the report of a server whose change the list should show but does not; default 3
+    /// s, which covers two reads of the list and the answer. After that the change is assumed to be lost.
     pub confirmation_timeout: Duration,
     /// The time from the announcement to the order; default 300 ms.
     pub announcement_delay: Duration,
-    /// How old the list of servers may be, with the time between two reads; default 2 s.
+    /// The maximum age of the server list, including the time between two reads; default 2 s.
     pub list_lag: Duration,
-    /// The time after servers of a service have changed their stage, before the next change; default 3 s.
+    /// The time after a change of stages in a service before its next change; default 3 s.
     pub change_cooldown: Duration,
     /// How long a server that rejected an order gets no other one; default 5 s.
     pub failure_cooldown: Duration,
-    /// How long a server gets no orders that rejected the tokens of two leases of this process; default 10 minutes.
+    /// How long a server that rejected the tokens of two leases of this process gets no orders; default 10
+    /// minutes.
     pub stale_token_suspension: Duration,
-    /// The time constant of the exponential decay of the load that is planned for; default 20 s.
+    /// The time constant of the exponential decay of the load that stages are planned for; default 20 s.
     pub load_decay_time: Duration,
 }
 
--- a/crates/stages/src/stale_tokens.rs
+++ b/crates/stages/src/stale_tokens.rs
@@ -1,43 +1,45 @@
-//! The servers that rejected fencing tokens of this process (412), which tells a holder that is outdated from a server whose
-//! memory alone is wrong.
+//! Servers that rejected fencing tokens of this process (412). Tracking them distinguishes an outdated lease
+//! holder from a server that alone remembers a wrong token.
 //!
-//! A rejection ends the lease: another process may hold a higher token. The next token is granted by a majority, above all
-//! tokens that the majority knows. A server that rejects that one as well remembers a token which no holder had.
+//! A rejection ends the lease, since another process may hold a higher token. The next token is granted by a
+//! majority, above all tokens that the majority knows. A server that rejects that token as well remembers a
+//! token that no holder had.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Rejections under different tokens, after which the server gets no more orders.
+/// The number of different rejected tokens after which a server gets no more orders.
 const MAX_REJECTED_TOKENS: u32 = 2;
-/// Servers that are remembered; beyond them the one that rejected longest ago is forgotten.
+/// The maximum number of tracked servers. Beyond it, the server whose last rejection is oldest is dropped.
 const MAX_SERVERS: usize = 4_096;
 
-/// What is remembered of one server.
+/// The rejections by one server.
 #[derive(Clone, Copy, Debug)]
 struct Rejections {
-    /// The last token that was rejected.
+    /// The highest token that was rejected.
     token: u64,
-    /// How many different tokens were.
+    /// The number of different tokens that were rejected.
     count: u32,
-    /// When this is forgotten.
+    /// When these rejections expire.
     expires_at: Duration,
 }
 
-/// The servers that rejected tokens, by id. An id names one incarnation, and a restart of a server forgets its tokens.
+/// The servers that rejected tokens, by server id. An id identifies one incarnation, and a restarted server
+/// has forgotten the tokens that it had seen.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct StaleTokens {
     by_server: BTreeMap<String, Rejections>,
 }
 
 impl StaleTokens {
-    /// Records a rejection, to be remembered for `memory`; returns whether it suspends the server. An answer that comes twice
-    /// counts once, and so do all orders under one token.
-    pub(crate) fn record(&mut self, now: Duration, id: &str, token: u64, memory: Duration) -> bool {
+    /// Records a rejection, which expires after `retention`; returns whether it suspends the server.
+    /// Duplicate answers and all orders under one token count once.
+    pub(crate) fn record(&mut self, now: Duration, id: &str, token: u64, retention: Duration) -> bool {
         self.by_server.retain(|_, rejections| now < rejections.expires_at);
         if !self.by_server.contains_key(id) {
             self.make_room();
         }
-        let expires_at = now + memory;
+        let expires_at = now + retention;
         let rejections =
             self.by_server.entry(id.to_owned()).or_insert(Rejections { token, count: 1, expires_at });
         let was_suspended = rejections.is_suspended();
@@ -47,7 +49,7 @@
         rejections.is_suspended() && !was_suspended
     }
 
-    /// Whether a server gets no orders at `now`.
+    /// Returns whether a server gets no orders at `now`.
     pub(crate) fn is_suspended(&self, now: Duration, id: &str) -> bool {
         self.by_server
             .get(id)
--- a/crates/stages/tests/succession.rs
+++ b/crates/stages/tests/lease_takeover.rs
@@ -1,5 +1,5 @@
-//! A holder that ends between an order and the end of the change that it ordered, and a successor that knows nothing but the
-//! list, which lags, and the servers' reports.
+//! Lease takeover: a holder stops between an order and the end of the ordered change, and its successor knows
+//! only the list, which lags, and the servers' reports.
 
 use fastrand::Rng;
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
@@ -12,25 +12,25 @@
 const SEEDS: u64 = 400;
 const SERVERS: u8 = 6;
 const SWITCH: Duration = Duration::from_secs(2);
-/// Requests that run keep a server from changing for up to so long.
+/// Running requests delay a server's change for up to this time.
 const MAX_DRAIN_MS: u64 = 9_000;
 const TICK: Duration = Duration::from_millis(50);
 const LIST_INTERVAL_TICKS: u32 = 20;
-/// How old the platform's list is.
+/// The age of the platform's list.
 const LIST_LAG_TICKS: usize = 14;
-/// How old a report is.
+/// The age of a report.
 const REPORT_LAG_TICKS: usize = 6;
-/// From the end of a holder to the start of its successor: a lease and an election.
-const VACANCY: Duration = Duration::from_millis(1_400);
+/// The time from the stop of a holder to the start of its successor: a lease and an election.
+const TAKEOVER_TIME: Duration = Duration::from_millis(1_400);
 const RUN_TIME: Duration = Duration::from_secs(90);
-/// Holders end at random before this, so that the last one has time to settle.
-const LAST_END: Duration = Duration::from_secs(30);
+/// Holders stop at random times before this, so that the changes of the last one have time to settle.
+const LAST_STOP: Duration = Duration::from_secs(30);
 
 const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// A server as it is.
+/// The actual state of a server.
 #[derive(Clone, Copy)]
 struct Server {
     stage: Stage,
@@ -48,26 +48,26 @@
     }
 }
 
-struct Scene {
+struct Simulation {
     random: Rng,
     now: Duration,
     servers: Vec<Server>,
-    /// The states of the last ticks, oldest first.
+    /// The states of the servers in the last ticks, oldest first.
     past: VecDeque<Vec<Server>>,
     planner: Planner,
-    /// The list that the holder read last.
+    /// The list that the holder has read last.
     list: Vec<ServerEntry>,
     accepted: usize,
-    /// Orders to a server that was carrying one out, or had carried one out that the holder did not know of.
+    /// Orders to a server that was carrying out another one, or had carried out one unknown to the holder.
     conflicts: usize,
 }
 
-impl Scene {
-    fn new(seed: u64) -> Scene {
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
         let server = Server { stage: Stage::Prefill, revision: 0, changing_until: None };
         let mut planner = Planner::new(PlannerSettings::default());
         planner.lease_acquired(Duration::ZERO);
-        Scene {
+        Simulation {
             random: Rng::with_seed(seed),
             now: Duration::ZERO,
             servers: vec![server; usize::from(SERVERS)],
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The servers as they were some ticks ago.
+    /// Returns the states of the servers some ticks ago.
     fn past(&self, ticks: usize) -> &[Server] {
         let position = self.past.len().saturating_sub(1 + ticks);
         &self.past[position]
@@ -114,13 +114,13 @@
         self.past(LIST_LAG_TICKS).iter().enumerate().map(entry).collect()
     }
 
-    fn read_list(&mut self, asks: bool) {
+    fn read_list(&mut self, uses_reports: bool) {
         self.list = self.entries();
         let now = self.now;
         let list = self.list.clone();
         for entry in self.planner.servers_to_query(now, &list) {
             let server = self.past(REPORT_LAG_TICKS)[number_of(&entry.id)];
-            if asks {
+            if uses_reports {
                 self.planner.record_report(now, entry, server.report(), SWITCH);
             }
         }
@@ -129,7 +129,7 @@
         self.planner.plan(now, "s", &self.list.iter().collect::<Vec<_>>(), &demand);
     }
 
-    /// Sends the orders that are due; the holder may end before it learns how one ended.
+    /// Sends the orders that are due and records their outcomes.
     fn send_orders(&mut self) {
         for order in self.planner.take_due_orders(self.now) {
             let server = &mut self.servers[number_of(&order.id)];
@@ -150,9 +150,9 @@
         }
     }
 
-    /// Another process holds the lease: it has a planner of its own.
-    fn succeed(&mut self) {
-        let until = self.now + VACANCY;
+    /// Another process acquires the lease, with a new planner.
+    fn take_over(&mut self) {
+        let until = self.now + TAKEOVER_TIME;
         while self.now < until {
             self.advance();
         }
@@ -160,25 +160,27 @@
         self.planner.lease_acquired(self.now);
     }
 
-    /// Holders end at random; `asks` says whether successors ask the servers for their reports.
-    fn run(seed: u64, asks: bool) -> Scene {
-        let mut scene = Scene::new(seed);
-        // Between the first order, at 4.3 s, and the end of its change, and later.
-        let mut end_at = ms(scene.random.u64(4_000..9_000));
+    /// Runs a simulation in which holders stop at random times; `uses_reports` says whether successors use
+    /// the servers' reports.
+    fn run(seed: u64, uses_reports: bool) -> Simulation {
+        let mut simulation = Simulation::new(seed);
+        // The first holder stops at a random time around its first order, at 4.3 s, or during or after the
+        // ordered change.
+        let mut stop_at = ms(simulation.random.u64(4_000..9_000));
         let mut ticks = 0;
-        while scene.now < RUN_TIME {
-            scene.advance();
+        while simulation.now < RUN_TIME {
+            simulation.advance();
             ticks += 1;
             if ticks % LIST_INTERVAL_TICKS == 0 {
-                scene.read_list(asks);
+                simulation.read_list(uses_reports);
             }
-            scene.send_orders();
-            if scene.now >= end_at && scene.now < LAST_END {
-                scene.succeed();
-                end_at = scene.now + ms(scene.random.u64(1_000..9_000));
+            simulation.send_orders();
+            if simulation.now >= stop_at && simulation.now < LAST_STOP {
+                simulation.take_over();
+                stop_at = simulation.now + ms(simulation.random.u64(1_000..9_000));
             }
         }
-        scene
+        simulation
     }
 
     fn decode_count(&self) -> usize {
@@ -197,26 +199,30 @@
     }
 }
 
-/// Three of six servers are to decode: three orders, whoever gives them.
+/// Three of six servers should decode: three orders suffice, whichever holders give them.
 #[test]
-fn changes_under_way_are_neither_ordered_twice_nor_forgotten() {
+fn changes_in_progress_are_neither_ordered_twice_nor_forgotten() {
     for seed in 0..SEEDS {
-        let scene = Scene::run(seed, true);
-        assert_eq!(scene.decode_count(), 3, "seed {seed}");
-        assert_eq!((scene.accepted, scene.conflicts), (3, 0), "seed {seed}: orders that were too many");
+        let simulation = Simulation::run(seed, true);
+        assert_eq!(simulation.decode_count(), 3, "seed {seed}");
+        assert_eq!(
+            (simulation.accepted, simulation.conflicts),
+            (3, 0),
+            "seed {seed}: more orders than needed"
+        );
     }
 }
 
-/// What the reports are for: without them a successor orders servers that are changing.
+/// Without reports, successors order servers that are changing; the fault that the reports prevent.
 #[test]
-fn successors_that_do_not_ask_order_servers_that_are_changing() {
-    let is_harmed = |scene: &Scene| scene.accepted > 3 || scene.conflicts > 0;
-    let harmed = (0..SEEDS).filter(|seed| is_harmed(&Scene::run(*seed, false))).count();
-    assert!(harmed > 0, "the scene shows nothing");
-    println!("{harmed} of {SEEDS} seeds with orders to servers that were changing");
+fn successors_without_reports_order_servers_that_are_changing() {
+    let has_excess_orders = |simulation: &Simulation| simulation.accepted > 3 || simulation.conflicts > 0;
+    let affected = (0..SEEDS).filter(|seed| has_excess_orders(&Simulation::run(*seed, false))).count();
+    assert!(affected > 0, "no seed shows the fault that the reports prevent");
+    println!("{affected} of {SEEDS} seeds with orders to servers that were changing");
 }
 
-/// A server that the list shows in its old stage: what it reports decides.
+/// The list shows the server in its old stage; the server's report decides.
 #[rstest]
 #[case::changing(StageReport { stage: Stage::Prefill, is_changing_stage: true, revision: 1 }, true)]
 #[case::changed(StageReport { stage: Stage::Decode, is_changing_stage: false, revision: 1 }, true)]
@@ -224,38 +230,39 @@
 fn server_under_an_order_of_an_earlier_lease_is_draining(
     #[case] report: StageReport, #[case] is_draining: bool,
 ) {
-    let mut scene = Scene::new(0);
-    scene.advance();
-    let mut entries = scene.entries();
-    scene.planner.record_report(seconds(1), &entries[0], report, SWITCH);
-    scene.planner.mark_changing_as_draining(&mut entries);
+    let mut simulation = Simulation::new(0);
+    simulation.advance();
+    let mut entries = simulation.entries();
+    simulation.planner.record_report(seconds(1), &entries[0], report, SWITCH);
+    simulation.planner.mark_changing_as_draining(&mut entries);
     assert_eq!(entries[0].state == ServerState::Draining, is_draining);
-    // The list catches up.
+    // The list now shows the new stage.
     entries[0].stage = Some(Stage::Decode);
-    scene.planner.confirm_changes(&entries);
+    simulation.planner.confirm_changes(&entries);
     entries[0].state = ServerState::Ready;
-    scene.planner.mark_changing_as_draining(&mut entries);
+    simulation.planner.mark_changing_as_draining(&mut entries);
     assert_eq!(entries[0].state, ServerState::Ready);
 }
 
-/// The revision goes with the first order under a lease; later ones follow orders of the same holder.
+/// Only the first order to a server under a lease carries its revision; later orders follow orders of the
+/// same holder.
 #[test]
 fn order_names_the_revision_that_was_reported_under_this_lease() {
-    let mut scene = Scene::new(0);
-    scene.advance();
-    let entries = scene.entries();
+    let mut simulation = Simulation::new(0);
+    simulation.advance();
+    let entries = simulation.entries();
     let report = StageReport { stage: Stage::Prefill, is_changing_stage: false, revision: 4 };
-    entries.iter().for_each(|entry| scene.planner.record_report(seconds(1), entry, report, SWITCH));
+    entries.iter().for_each(|entry| simulation.planner.record_report(seconds(1), entry, report, SWITCH));
     let demand = Demand { decode_in_flight: 0.0, slots: 16, min_decode_share: 0.5, max_utilization: 0.6 };
-    scene.planner.plan(seconds(4), "s", &entries.iter().collect::<Vec<_>>(), &demand);
-    let orders = scene.planner.take_due_orders(seconds(5));
+    simulation.planner.plan(seconds(4), "s", &entries.iter().collect::<Vec<_>>(), &demand);
+    let orders = simulation.planner.take_due_orders(seconds(5));
     assert_eq!(orders.len(), 3);
     assert!(orders.iter().all(|order| order.if_revision == Some(4)), "{orders:?}");
     for order in &orders {
-        scene.planner.record_outcome(seconds(5), &order.id, OrderOutcome::Rejected, SWITCH);
+        simulation.planner.record_outcome(seconds(5), &order.id, OrderOutcome::Rejected, SWITCH);
     }
-    scene.planner.plan(seconds(30), "s", &entries.iter().collect::<Vec<_>>(), &demand);
-    let repeated = scene.planner.take_due_orders(seconds(31));
+    simulation.planner.plan(seconds(30), "s", &entries.iter().collect::<Vec<_>>(), &demand);
+    let repeated = simulation.planner.take_due_orders(seconds(31));
     assert!(repeated.len() == 3 && repeated.iter().all(|order| order.if_revision.is_none()), "{repeated:?}");
 }
 
--- a/crates/stages/tests/planner.rs
+++ b/crates/stages/tests/planner.rs
@@ -1,4 +1,4 @@
-//! When servers change their stage.
+//! Decisions of the planner: which servers change their stage, and when.
 
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
 use lugwharf_stages::target::{Demand, decode_targets};
@@ -31,7 +31,7 @@
     }
 }
 
-/// Two zones of four servers; in each, `decode` of them decode.
+/// Two zones of four servers each; in each zone, the first `decode` servers decode.
 fn fleet(decode: u16) -> Vec<ServerEntry> {
     let stage = |number| if number < decode { Stage::Decode } else { Stage::Prefill };
     let zone = |zone: &'static str, first: u16| (0..4).map(move |n| server(first + n, zone, stage(n)));
@@ -49,7 +49,7 @@
     planner
 }
 
-fn ordered_stages(planner: &mut Planner, now: Duration) -> Vec<(String, Stage)> {
+fn take_ordered_stages(planner: &mut Planner, now: Duration) -> Vec<(String, Stage)> {
     planner.take_due_orders(now).into_iter().map(|order| (order.id, order.stage)).collect()
 }
 
@@ -62,8 +62,8 @@
 #[case(&[3, 3], 1e9, &[2, 2])]
 #[case(&[1], 0.0, &[1])]
 #[case::empty_zone(&[0, 4], 0.0, &[0, 1])]
-#[case::the_smaller_zone_is_further_below_its_share(&[11, 7], 0.0, &[3, 2])]
-#[case::the_larger_zone_is_further_below_its_share(&[13, 5], 0.0, &[4, 1])]
+#[case::smaller_zone_is_further_below_its_share(&[11, 7], 0.0, &[3, 2])]
+#[case::larger_zone_is_further_below_its_share(&[13, 5], 0.0, &[4, 1])]
 fn decode_targets_meet_the_demand_and_leave_both_stages_in_each_zone(
     #[case] servers: &[usize], #[case] in_flight: f64, #[case] expected: &[usize],
 ) {
@@ -78,13 +78,13 @@
     let mut planner = planner_with_lease();
     let servers = fleet(3);
     plan(&mut planner, seconds(3.0), &servers, &demand(0.0));
-    assert!(ordered_stages(&mut planner, seconds(3.1)).is_empty());
+    assert!(take_ordered_stages(&mut planner, seconds(3.1)).is_empty());
     plan(&mut planner, seconds(3.3), &servers, &demand(0.0));
-    assert!(ordered_stages(&mut planner, seconds(3.5)).is_empty(), "announced, not ordered yet");
-    let orders = ordered_stages(&mut planner, seconds(3.7));
+    assert!(take_ordered_stages(&mut planner, seconds(3.5)).is_empty(), "announced, not ordered yet");
+    let orders = take_ordered_stages(&mut planner, seconds(3.7));
     assert_eq!(orders.len(), 4);
     assert!(orders.iter().all(|(_, stage)| *stage == Stage::Prefill));
-    assert!(ordered_stages(&mut planner, seconds(3.8)).is_empty(), "each is returned once");
+    assert!(take_ordered_stages(&mut planner, seconds(3.8)).is_empty(), "each is returned once");
 }
 
 #[test]
@@ -158,7 +158,7 @@
 fn more_requests_in_flight_reassign_servers_to_decode() {
     let mut planner = planner_with_lease();
     plan(&mut planner, seconds(4.0), &fleet(1), &demand(150.0));
-    let orders = ordered_stages(&mut planner, seconds(5.0));
+    let orders = take_ordered_stages(&mut planner, seconds(5.0));
     assert_eq!(orders.len(), 2);
     assert!(orders.iter().all(|(_, stage)| *stage == Stage::Decode));
 }
@@ -204,8 +204,8 @@
     assert_eq!(planner.take_due_orders(seconds(5.0)).len(), orders);
 }
 
-/// The lease is lost with an order outstanding, and acquired again: the outcome comes when the next change is only
-/// announced.
+/// The lease is lost while an order is outstanding, and acquired again; the outcome arrives while the next
+/// change is only announced.
 #[rstest]
 #[case(OrderOutcome::Accepted)]
 #[case(OrderOutcome::Unknown)]
@@ -222,7 +222,7 @@
     assert_eq!(planner.take_due_orders(seconds(11.0)), orders, "each is returned under this lease too");
 }
 
-/// A second outcome would have the server stay out of service for longer, or return too soon.
+/// A second outcome would keep the server out of service for longer, or return it too soon.
 #[test]
 fn only_the_first_outcome_of_an_order_counts() {
     let mut planner = planner_with_lease();
@@ -239,7 +239,7 @@
     assert_eq!(shown.iter().filter(|server| server.state == ServerState::Draining).count(), 2);
 }
 
-/// How many of the servers are shown as draining.
+/// Returns how many of the servers are shown as draining.
 fn draining_count(planner: &Planner, servers: &[ServerEntry]) -> usize {
     let mut shown = servers.to_vec();
     planner.mark_changing_as_draining(&mut shown);
@@ -256,7 +256,7 @@
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Rejected, SWITCH));
     assert_eq!(draining_count(&planner, &servers), 0);
-    // A list that shows the wanted stage, read before the rejection, ends no cooldown.
+    // A list that shows the new stage, read before the rejection, does not end a cooldown.
     planner.confirm_changes(&fleet(1));
     let settings = PlannerSettings::default();
     let cooldown = SWITCH + settings.list_lag + settings.change_cooldown;
@@ -268,7 +268,7 @@
     );
 }
 
-/// Until just before the cooldown after a change ends, nothing is planned.
+/// Nothing is planned until the cooldown after a change has ended.
 #[rstest]
 #[case::within(Duration::from_millis(1), 0)]
 #[case::at_its_end(Duration::ZERO, 2)]
@@ -278,8 +278,8 @@
     let mut planner = planner_with_lease();
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let given = planner.take_due_orders(seconds(5.0));
-    given
+    let first_orders = planner.take_due_orders(seconds(5.0));
+    first_orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
     planner.confirm_changes(&fleet(1));
@@ -291,8 +291,8 @@
     assert_eq!(planner.take_due_orders(end + seconds(1.0)).len(), orders);
 }
 
-/// Its order may have been accepted: once the list could show it and does not, the server is asked, and returns to service only
-/// with its report, or when none has come in time.
+/// The order may have been accepted. Once the list should show the change but does not, the server is asked
+/// for its report; it returns to service only with its report, or if none arrives in time.
 #[rstest]
 #[case::within_the_switch_and_the_lag(Duration::ZERO, Duration::from_millis(1), 2, 0)]
 #[case::at_their_end(Duration::ZERO, Duration::ZERO, 2, 2)]
@@ -304,8 +304,8 @@
     let mut planner = planner_with_lease();
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let given = planner.take_due_orders(seconds(5.0));
-    given
+    let first_orders = planner.take_due_orders(seconds(5.0));
+    first_orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Accepted, SWITCH));
     // The list still shows the old stage.
@@ -316,7 +316,7 @@
         servers.len(),
         "once under this lease"
     );
-    // Planning for another service changes nothing but the time.
+    // Planning another service only advances the time.
     if !after.is_zero() {
         planner.plan(end, "other", &[], &demand(0.0));
     }
@@ -337,7 +337,7 @@
     assert_eq!(planner.take_due_orders(seconds(5.0)).len(), 4);
 }
 
-/// With one request or more in flight, servers change one by one and a single surplus one stays.
+/// With at least one request in flight, one server changes at a time and a single surplus server stays.
 #[rstest]
 #[case::none(0.99, 4)]
 #[case::one(1.0, 2)]
@@ -347,11 +347,11 @@
     assert_eq!(planner.take_due_orders(seconds(5.0)).len(), orders);
 }
 
-/// 100 requests want 3 of 12 servers to decode: 5 are two surplus, 4 are one.
+/// 100 requests need 3 of 12 servers to decode: with 5 there are two surplus servers, with 4 there is one.
 #[rstest]
 #[case(4, 0)]
 #[case(5, 1)]
-fn surplus_is_counted_over_the_wanted_decode_servers(#[case] decode: u16, #[case] orders: usize) {
+fn surplus_is_relative_to_the_decode_servers_needed(#[case] decode: u16, #[case] orders: usize) {
     let stage = |number| if number < decode { Stage::Decode } else { Stage::Prefill };
     let servers: Vec<ServerEntry> = (0..12).map(|n| server(n, "a", stage(n))).collect();
     let mut planner = planner_with_lease();
@@ -359,7 +359,8 @@
     assert_eq!(planner.take_due_orders(seconds(5.0)).len(), orders);
 }
 
-/// 150 requests want 4 of 8 servers; a time constant later a third of the decrease is still counted, which wants 2.
+/// 150 requests need 4 of 8 servers. One time constant later a third of the decrease still counts, so that 2
+/// servers are needed.
 #[rstest]
 #[case::soon(seconds(8.0), 0)]
 #[case::after_the_time_constant(seconds(24.0), 2)]
@@ -370,7 +371,7 @@
     assert_eq!(planner.take_due_orders(later + seconds(1.0)).len(), orders);
 }
 
-/// Without load as many change as are missing, and no more.
+/// Without load, exactly the missing number of servers changes.
 #[test]
 fn without_load_all_missing_decode_servers_change_at_once() {
     let mut planner = planner_with_lease();
@@ -379,7 +380,7 @@
     assert_eq!(planner.take_due_orders(seconds(5.0)).len(), 4);
 }
 
-/// A list that already shows the new stage does not end an order without an outcome.
+/// A list that already shows the new stage does not end a change whose order has no outcome.
 #[test]
 fn server_is_draining_until_its_order_has_an_outcome() {
     let mut planner = planner_with_lease();
@@ -389,7 +390,7 @@
     assert_eq!(draining_count(&planner, &fleet(1)), 2);
 }
 
-/// Also longer than the cooldown of its service.
+/// The cooldown of the server also applies after that of its service has ended.
 #[rstest]
 #[case::within(Duration::from_millis(1), 0)]
 #[case::at_its_end(Duration::ZERO, 2)]
@@ -400,31 +401,34 @@
     planner.lease_acquired(Duration::ZERO);
     let servers = fleet(2);
     plan(&mut planner, seconds(4.0), &servers, &demand(0.0));
-    let given = planner.take_due_orders(seconds(5.0));
-    let rejected: Vec<ServerEntry> =
-        servers.iter().filter(|server| given.iter().any(|order| order.id == server.id)).cloned().collect();
-    given
+    let first_orders = planner.take_due_orders(seconds(5.0));
+    let rejected: Vec<ServerEntry> = servers
+        .iter()
+        .filter(|server| first_orders.iter().any(|order| order.id == server.id))
+        .cloned()
+        .collect();
+    first_orders
         .iter()
         .for_each(|order| planner.record_outcome(seconds(5.0), &order.id, OrderOutcome::Rejected, SWITCH));
-    // Those that rejected are the only ones with the surplus stage.
+    // The servers that rejected are the only ones with the surplus stage.
     let mut rest_of_fleet = servers;
     for server in &mut rest_of_fleet {
         if !rejected.iter().any(|rejected| rejected.id == server.id) {
             server.stage = Some(Stage::Prefill);
         }
     }
-    let lone = Demand { min_decode_share: 0.0, ..demand(0.0) };
+    let no_demand = Demand { min_decode_share: 0.0, ..demand(0.0) };
     let all = [rest_of_fleet, vec![server(5, "a", Stage::Decode), server(15, "b", Stage::Decode)]].concat();
     let end = seconds(5.0) + cooldown;
-    plan(&mut planner, end - before, &all, &lone);
+    plan(&mut planner, end - before, &all, &no_demand);
     let again = planner.take_due_orders(end + seconds(1.0));
     let again = again.iter().filter(|order| rejected.iter().any(|server| server.id == order.id));
     assert_eq!(again.count(), orders);
 }
 
-/// Simulates a fleet of three zones whose load, outcomes and lists are drawn from the seed; returns every order in its
-/// turn, with its time in ms.
-fn orders_of(seed: u64) -> Vec<(u64, String, Stage)> {
+/// Simulates a fleet of three zones whose load, outcomes and lists are drawn from the seed; returns all
+/// orders in sequence, each with its time in ms.
+fn simulate_orders(seed: u64) -> Vec<(u64, String, Stage)> {
     let mut random = SplitMix64(seed);
     let stage = |draw: u64| if draw == 0 { Stage::Decode } else { Stage::Prefill };
     let zones = ["a", "b", "c"];
@@ -458,7 +462,7 @@
     all
 }
 
-/// A generator whose sequence never changes.
+/// A random number generator whose sequence never changes.
 struct SplitMix64(u64);
 
 impl SplitMix64 {
@@ -470,7 +474,8 @@
     }
 }
 
-/// All orders of some seeds as the release 1a8c4db gives them: `+` makes a server decode, `-` prefill.
+/// All orders for some seeds, as recorded with release 1a8c4db: `+` orders a server to decode, `-` to
+/// prefill.
 #[rstest]
 #[case(
     1,
@@ -488,10 +493,10 @@
     4,
     "3600+2 3600+4 11000+11 11000+5 18400+11 18400+7 25800+10 25800+12 33200-0 33200-1 40600+0 40600+14 48000+0 48000+14 55400-0 55400-4"
 )]
-fn orders_match_the_captured_ones(#[case] seed: u64, #[case] captured: &str) {
-    let orders = orders_of(seed).into_iter().map(|(at, id, stage)| {
+fn orders_match_the_recorded_ones(#[case] seed: u64, #[case] recorded: &str) {
+    let orders = simulate_orders(seed).into_iter().map(|(at, id, stage)| {
         let sign = if stage == Stage::Decode { '+' } else { '-' };
         format!("{at}{sign}{}", id.trim_start_matches("i-"))
     });
-    assert_eq!(orders.collect::<Vec<_>>().join(" "), captured);
+    assert_eq!(orders.collect::<Vec<_>>().join(" "), recorded);
 }
--- a/crates/stages/tests/stale_tokens.rs
+++ b/crates/stages/tests/stale_tokens.rs
@@ -12,7 +12,7 @@
     Duration::from_secs(seconds)
 }
 
-/// Four servers that prefill; an idle service wants at least one that decodes.
+/// Four prefill servers; an idle service needs at least one decode server.
 fn servers() -> Vec<ServerEntry> {
     let server = |number: u8| ServerEntry {
         id: format!("i-{number}"),
@@ -38,7 +38,7 @@
     planner.take_due_orders(planned_at + seconds(5)).into_iter().map(|order| order.id).collect()
 }
 
-/// The first server rejects each order under a later token, as its memory is wrong.
+/// The first server remembers a wrong token and rejects the orders of each lease.
 #[test]
 fn server_that_rejects_the_tokens_of_two_leases_gets_no_more_orders_for_a_while() {
     let mut planner = Planner::new(PlannerSettings::default());
