--- a/crates/chain/src/log_event.rs
+++ b/crates/chain/src/log_event.rs
@@ -55,36 +55,36 @@
         /// Whether it may take part in bootstrapping the first view.
         may_bootstrap: bool,
         /// The number of the newest view on its disk.
-        view: u64,
+        view_number: u64,
     },
     /// A proposal for the next view begins.
     Proposing {
         /// The number of the view.
-        number: u64,
+        view_number: u64,
         /// The reason for which the current view has to be replaced.
         reason: ViewChangeReason,
         /// The first replica of the current chain, or member, with which something is wrong.
-        faulty: Option<FaultyReplica>,
+        faulty_replica: Option<FaultyReplica>,
     },
     /// All replicas of a view's chain hold the history.
     Serving {
         /// The number of the view.
-        number: u64,
+        view_number: u64,
         /// The length of its chain.
-        replicas: usize,
+        chain_length: usize,
     },
     /// An entry was committed.
-    Committed(EntryHeader),
+    EntryCommitted(EntryHeader),
     /// A proposer used one proposal number for two views. The second was not accepted; the proposer's disk lost a synced
     /// promise or was copied.
     ProposalNumberReused {
         /// The number of the view.
-        number: u64,
+        view_number: u64,
     },
     /// The disk refused a batch, or a batch takes too long.
     DiskFault,
     /// The disk accepts batches again.
     DiskHealthy,
     /// An entry that was never committed was replaced by the history of a newer view.
-    Superseded(EntryHeader),
+    EntrySuperseded(EntryHeader),
 }
--- a/crates/chain/src/replica/acceptor.rs
+++ b/crates/chain/src/replica/acceptor.rs
@@ -66,7 +66,7 @@
             AcceptedComparison::OtherView => {
                 let details = || format!("view {instance}, proposal {proposal:?}");
                 check(Invariant::OneValuePerBallot, false, details);
-                return self.outbox.log(LogEvent::ProposalNumberReused { number: instance });
+                return self.outbox.log(LogEvent::ProposalNumberReused { view_number: instance });
             }
         }
         self.send_after_sync(from, Message::Accepted { instance, proposal });
--- a/crates/chain/src/replica/commit.rs
+++ b/crates/chain/src/replica/commit.rs
@@ -64,7 +64,7 @@
             return;
         }
         self.commit_index = header.index;
-        self.outbox.log(LogEvent::Committed(header));
+        self.outbox.log(LogEvent::EntryCommitted(header));
         self.publish(header.index);
         self.accept_pending_submits(header);
         self.decide_changes();
--- a/crates/chain/src/replica/leave.rs
+++ b/crates/chain/src/replica/leave.rs
@@ -18,7 +18,7 @@
 
     pub(super) fn leave_state(&self) -> LeaveState {
         if !self.is_leaving {
-            return LeaveState::Staying;
+            return LeaveState::NotLeaving;
         }
         if self.view.number == 0 {
             return LeaveState::Left;
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -166,10 +166,10 @@
         let addresses = |members: &[MemberId]| members.iter().map(|member| member.address).collect();
         ReplicaStatus {
             identity: self.identity,
-            view: self.view.number,
+            view_number: self.view.number,
             members: addresses(&self.view.members),
             chain: addresses(&self.view.chain),
-            position: self.view.position(self.identity),
+            chain_position: self.view.position(self.identity),
             is_member: self.is_member(),
             committed_version: self.newest_committed.config.as_ref().map(|config| config.version),
             is_serving: self.state_transfer.is_serving,
@@ -179,7 +179,7 @@
             disk_healthy: self.disk_healthy(),
             learners: self.learner_addresses(),
             durable_commit_index: self.durable_commit_index(),
-            leave: self.leave_state(),
+            leave_state: self.leave_state(),
             uptime: self.now.saturating_sub(self.started_at),
         }
     }
--- a/crates/chain/src/replica/proposer.rs
+++ b/crates/chain/src/replica/proposer.rs
@@ -107,8 +107,8 @@
         let phase = Phase::Preparing { promises: BTreeMap::new(), majority_since: None };
         self.proposer.attempt = Some(Attempt { proposal, deadline, phase });
         let instance = self.view.number + 1;
-        let faulty = self.planner().faulty_replica();
-        self.outbox.log(LogEvent::Proposing { number: instance, reason, faulty });
+        let faulty_replica = self.planner().faulty_replica();
+        self.outbox.log(LogEvent::Proposing { view_number: instance, reason, faulty_replica });
         self.promise(instance, proposal);
         // The number is sent once this process's own promise is on disk. After a restart it continues above that promise, so no
         // number is ever used twice.
--- a/crates/chain/src/replica/recovery.rs
+++ b/crates/chain/src/replica/recovery.rs
@@ -178,8 +178,8 @@
         }
         self.journal.after_sync(Effect::BecomeReady);
         let may_bootstrap = self.bootstrap_seeds.is_some();
-        let (identity, view) = (self.identity, self.view.number);
-        self.outbox.log(LogEvent::Started { identity, may_bootstrap, view });
+        let (identity, view_number) = (self.identity, self.view.number);
+        self.outbox.log(LogEvent::Started { identity, may_bootstrap, view_number });
         self.publish(self.commit_index);
         let seeds = self.settings.seeds.clone().into_iter();
         let members = self.view.members.clone().into_iter().map(|member| member.address);
--- a/crates/chain/src/replica/state_transfer.rs
+++ b/crates/chain/src/replica/state_transfer.rs
@@ -142,7 +142,7 @@
         }
         self.journal.after_sync(Effect::StateInstalled { view, last_index: self.history.last_index() });
         if let Some(superseded) = last_before.filter(|header| !self.history.contains(header)) {
-            self.outbox.log(LogEvent::Superseded(superseded));
+            self.outbox.log(LogEvent::EntrySuperseded(superseded));
         }
         self.commit_newest_if_held();
     }
@@ -181,7 +181,7 @@
         };
         if self.view.chain.iter().all(has_state) {
             self.state_transfer.is_serving = true;
-            self.outbox.log(LogEvent::Serving { number, replicas: self.view.chain.len() });
+            self.outbox.log(LogEvent::Serving { view_number: number, chain_length: self.view.chain.len() });
             self.commit_if_tail();
             self.decide_changes();
             self.answer_reads();
--- a/crates/chain/src/replica/tests/voting.rs
+++ b/crates/chain/src/replica/tests/voting.rs
@@ -201,7 +201,7 @@
     driver.run(10, &[2]);
     driver.sync();
     driver.receive(from, Message::Accepted { instance: 2, proposal });
-    assert_eq!(driver.replica.status().view == 2, agreed);
+    assert_eq!(driver.replica.status().view_number == 2, agreed);
 }
 
 /// An instance other than the next one is neither promised nor accepted.
--- a/crates/chain/src/status.rs
+++ b/crates/chain/src/status.rs
@@ -10,13 +10,13 @@
     /// The identity of this replica.
     pub identity: MemberId,
     /// The number of the newest view known here, 0 for none.
-    pub view: u64,
+    pub view_number: u64,
     /// The peer addresses of its members.
     pub members: Vec<SocketAddr>,
     /// The peer addresses of its chain, head first.
     pub chain: Vec<SocketAddr>,
     /// The position of this replica in the chain, 0 for the head.
-    pub position: Option<usize>,
+    pub chain_position: Option<usize>,
     /// Whether this replica is a member of the view.
     pub is_member: bool,
     /// The version of the newest committed configuration known here.
@@ -38,7 +38,7 @@
     /// The committed history is on disk up to this index.
     pub durable_commit_index: u64,
     /// The progress of leaving.
-    pub leave: LeaveState,
+    pub leave_state: LeaveState,
     /// The time since the start of the replica.
     pub uptime: Duration,
 }
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeaveState {
     /// It has not asked.
-    Staying,
+    NotLeaving,
     /// It is in the chain, or a learner is ready to replace it as a member.
     Leaving,
     /// A view serves whose chain is without it. It is still a member, since no learner is ready to replace it.
--- a/crates/chain/tests/simulation/cases/fault_cases.rs
+++ b/crates/chain/tests/simulation/cases/fault_cases.rs
@@ -175,7 +175,7 @@
     assert_eq!(cluster.newest_view, 3);
     commit_change(&mut cluster);
     let status = cluster.status(node);
-    assert!(status.is_serving && status.position.is_some() && status.disk_healthy, "{status:?}");
+    assert!(status.is_serving && status.chain_position.is_some() && status.disk_healthy, "{status:?}");
 }
 
 #[rstest]
--- a/crates/chain/tests/simulation/cases/membership_cases.rs
+++ b/crates/chain/tests/simulation/cases/membership_cases.rs
@@ -181,7 +181,7 @@
         let incarnation = cluster.nodes[leaving].incarnation;
         cluster.handle_replica_event(leaving, incarnation, lugwharf_chain::Event::Leave);
         let started_at = cluster.now;
-        while cluster.status(leaving).leave != state {
+        while cluster.status(leaving).leave_state != state {
             cluster.run_for(Duration::from_millis(5)).unwrap();
             assert!(
                 cluster.now < started_at + Duration::from_millis(800),
--- a/crates/chain/tests/simulation/cases/state_transfer_cases.rs
+++ b/crates/chain/tests/simulation/cases/state_transfer_cases.rs
@@ -53,7 +53,7 @@
             committed_index(cluster)
         );
         let status = cluster.status(node);
-        assert!(status.position.is_none() || !status.is_serving, "serves too early: {status:?}");
+        assert!(status.chain_position.is_none() || !status.is_serving, "serves too early: {status:?}");
         cluster.run_for(STEP).unwrap();
     }
     cluster.now - started_at
@@ -83,7 +83,7 @@
     for node in 0..5 {
         assert!(has_caught_up(&cluster, node), "{node}: {:?}", cluster.status(node));
     }
-    assert!(cluster.status(4).position.is_none() && committed_index(&cluster) > 200);
+    assert!(cluster.status(4).chain_position.is_none() && committed_index(&cluster) > 200);
     assert_eq!(cluster.chunks_sent, before, "chunks were requested without a fault");
 }
 
--- a/crates/chain/tests/simulation/harness/fault_injection.rs
+++ b/crates/chain/tests/simulation/harness/fault_injection.rs
@@ -89,7 +89,7 @@
         if self.nodes[node].incarnation != incarnation || !self.nodes[node].is_up() {
             return;
         }
-        let is_left_out = matches!(self.status(node).leave, LeaveState::Left | LeaveState::OutOfChain);
+        let is_left_out = matches!(self.status(node).leave_state, LeaveState::Left | LeaveState::OutOfChain);
         if !is_left_out && self.now < deadline {
             let event = SimulationEvent::CheckDeparture { node, incarnation, deadline, restart_after };
             return self.schedule(DEPARTURE_CHECK_EVERY, event);
--- a/crates/chain/tests/simulation/harness/transcript.rs
+++ b/crates/chain/tests/simulation/harness/transcript.rs
@@ -137,10 +137,10 @@
         LogEvent::Started { .. } => 1,
         LogEvent::Proposing { .. } => 2,
         LogEvent::Serving { .. } => 3,
-        LogEvent::Committed(_) => 4,
+        LogEvent::EntryCommitted(_) => 4,
         LogEvent::ProposalNumberReused { .. } => 5,
         LogEvent::DiskFault => 6,
         LogEvent::DiskHealthy => 7,
-        LogEvent::Superseded(_) => 8,
+        LogEvent::EntrySuperseded(_) => 8,
     }
 }
--- a/crates/control/src/controller/bootstrap_notice.rs
+++ b/crates/control/src/controller/bootstrap_notice.rs
@@ -41,7 +41,8 @@
     /// Logs once what the first start waits for, if no view was agreed for [`NOTICE_AFTER`].
     pub(super) fn notice_delayed_bootstrap(&mut self) {
         let now = self.now();
-        let is_delayed = self.settings.bootstrap && self.replica.status().view == 0 && now >= NOTICE_AFTER;
+        let is_delayed =
+            self.settings.bootstrap && self.replica.status().view_number == 0 && now >= NOTICE_AFTER;
         if !is_delayed || self.bootstrap_notice.was_given {
             return;
         }
--- a/crates/control/src/controller/graceful_shutdown.rs
+++ b/crates/control/src/controller/graceful_shutdown.rs
@@ -51,11 +51,11 @@
 
     fn observe_shutdown(&self, held_lease: bool) -> Observation {
         let status = self.replica.status();
-        let membership = match status.leave {
+        let membership = match status.leave_state {
             _ if !status.is_member => Membership::Left,
             chain::LeaveState::Left => Membership::Left,
             chain::LeaveState::Leaving => Membership::Leaving,
-            chain::LeaveState::Staying | chain::LeaveState::OutOfChain => Membership::Staying,
+            chain::LeaveState::NotLeaving | chain::LeaveState::OutOfChain => Membership::Staying,
         };
         let is_lease_transferred = !held_lease || self.elector.known_holder().is_some();
         Observation { membership, has_replacement: !status.learners.is_empty(), is_lease_transferred }
--- a/crates/control/src/controller/view_changes.rs
+++ b/crates/control/src/controller/view_changes.rs
@@ -10,28 +10,29 @@
     /// Reports the replica's view to the elector if it is new: one that was agreed, or the one found on disk.
     pub(super) fn follow_view(&mut self) {
         let status = self.replica.status();
-        if self.views.enter(status.view) {
+        if self.views.enter(status.view_number) {
             self.enter_view(&status);
         }
         // Before anybody hears of the acceptance, which waits for the disk: from then on this process votes for no holder in
         // this view, since the next view may elect another one.
-        if status.has_accepted_next_view && self.views.seal(status.view) {
-            self.handle_elector_event(election::Event::ViewSealed { number: status.view });
+        if status.has_accepted_next_view && self.views.seal(status.view_number) {
+            self.handle_elector_event(election::Event::ViewSealed { number: status.view_number });
         }
     }
 
     fn enter_view(&mut self, status: &chain::ReplicaStatus) {
         self.metrics.view_changes.inc();
-        let position = status.position.map_or_else(|| "none".to_owned(), |position| position.to_string());
+        let position =
+            status.chain_position.map_or_else(|| "none".to_owned(), |position| position.to_string());
         let chain: Vec<String> = status.chain.iter().map(SocketAddr::to_string).collect();
         info!("view", kv: {
-            outcome = "installed", view = status.view, members = status.members.len(),
+            outcome = "installed", view = status.view_number, members = status.members.len(),
             replicas = status.chain.len(), position = position.as_str(), chain = chain.join(",").as_str()
         });
         // Connections to others are opened again with the next message.
         let all = self.process_directory.all(self.now(), self.local_address, &status.members);
         self.peer_transport.retain(|address| all.contains(address));
-        let (number, members, is_voter) = (status.view, status.members.clone(), status.is_member);
+        let (number, members, is_voter) = (status.view_number, status.members.clone(), status.is_member);
         self.handle_elector_event(election::Event::ViewInstalled { number, members, is_voter });
     }
 }
--- a/crates/control/src/logs.rs
+++ b/crates/control/src/logs.rs
@@ -38,36 +38,36 @@
 /// Logs an event of the replica.
 pub fn chain_event(logger: &Logger, line: &LogEvent) {
     match line {
-        LogEvent::Started { identity, may_bootstrap, view } => {
+        LogEvent::Started { identity, may_bootstrap, view_number } => {
             let disk = format!("{:016x}", identity.disk);
             info!(logger: logger, "replica", kv: {
-                outcome = "started", address: = identity.address, disk = disk.as_str(), may_bootstrap = *may_bootstrap, view = *view
+                outcome = "started", address: = identity.address, disk = disk.as_str(), may_bootstrap = *may_bootstrap, view = *view_number
             });
         }
-        LogEvent::Proposing { number, reason, faulty } => {
+        LogEvent::Proposing { view_number, reason, faulty_replica } => {
             let reason = reason_name(*reason);
-            let replica = faulty.map_or_else(|| "-".to_owned(), |faulty| faulty.address.to_string());
-            let fault = faulty.map_or("-", |faulty| fault_name(faulty.fault));
+            let replica = faulty_replica.map_or_else(|| "-".to_owned(), |faulty| faulty.address.to_string());
+            let fault = faulty_replica.map_or("-", |faulty| fault_name(faulty.fault));
             info!(logger: logger, "view", kv: {
-                outcome = "proposed", view = *number, reason, replica = replica.as_str(), fault
+                outcome = "proposed", view = *view_number, reason, replica = replica.as_str(), fault
             });
         }
-        LogEvent::Serving { number, replicas } => {
-            info!(logger: logger, "view", kv: { outcome = "serving", view = *number, replicas = *replicas });
+        LogEvent::Serving { view_number, chain_length } => {
+            info!(logger: logger, "view", kv: { outcome = "serving", view = *view_number, replicas = *chain_length });
         }
-        LogEvent::Committed(header) => {
+        LogEvent::EntryCommitted(header) => {
             debug!(logger: logger, "entry", kv: {
                 outcome = "committed", index = header.index, version = header.version, base = header.base,
                 hash: = header.digest
             });
         }
-        LogEvent::ProposalNumberReused { number } => {
-            error!(logger: logger, "view", kv: { outcome = "proposal_number_reused", view = *number });
+        LogEvent::ProposalNumberReused { view_number } => {
+            error!(logger: logger, "view", kv: { outcome = "proposal_number_reused", view = *view_number });
         }
         LogEvent::DiskFault => warn!(logger: logger, "disk", kv: { outcome = "fault" }),
         // At the level of the fault that it ends, so that whoever sees one sees the other.
         LogEvent::DiskHealthy => warn!(logger: logger, "disk", kv: { outcome = "healthy" }),
-        LogEvent::Superseded(header) => {
+        LogEvent::EntrySuperseded(header) => {
             warn!(logger: logger, "entry", kv: {
                 outcome = "superseded", index = header.index, version = header.version, base = header.base,
                 hash: = header.digest
--- a/crates/control/src/logs_tests.rs
+++ b/crates/control/src/logs_tests.rs
@@ -38,15 +38,15 @@
     LogEvent::Started {
         identity: MemberId { address: SocketAddr::from(([10, 0, 0, 1], 7_700)), disk: 0x5a },
         may_bootstrap: true,
-        view: 4,
+        view_number: 4,
     },
     "info replica outcome=started address=10.0.0.1:7700 disk=000000000000005a may_bootstrap=true view=4".to_owned()
 )]
 #[case::proposing(
     LogEvent::Proposing {
-        number: 5,
+        view_number: 5,
         reason: ViewChangeReason::ChainBroken,
-        faulty: Some(FaultyReplica {
+        faulty_replica: Some(FaultyReplica {
             address: SocketAddr::from(([10, 0, 0, 3], 7_700)),
             fault: ReplicaFault::Unreachable,
         }),
@@ -54,21 +54,21 @@
     "info view outcome=proposed view=5 reason=chain_broken replica=10.0.0.3:7700 fault=unreachable".to_owned()
 )]
 #[case::bootstrapping(
-    LogEvent::Proposing { number: 1, reason: ViewChangeReason::Bootstrap, faulty: None },
+    LogEvent::Proposing { view_number: 1, reason: ViewChangeReason::Bootstrap, faulty_replica: None },
     "info view outcome=proposed view=1 reason=bootstrap replica=- fault=-".to_owned()
 )]
 #[case::serving(
-    LogEvent::Serving { number: 5, replicas: 2 },
+    LogEvent::Serving { view_number: 5, chain_length: 2 },
     "info view outcome=serving view=5 replicas=2".to_owned()
 )]
 #[case::committed(
-    LogEvent::Committed(header()),
+    LogEvent::EntryCommitted(header()),
     format!("debug entry outcome=committed index=3 version=12 base=9 hash={HASH}")
 )]
 #[case::disk_fault(LogEvent::DiskFault, "warn disk outcome=fault".to_owned())]
 #[case::disk_healthy(LogEvent::DiskHealthy, "warn disk outcome=healthy".to_owned())]
 #[case::superseded(
-    LogEvent::Superseded(header()),
+    LogEvent::EntrySuperseded(header()),
     format!("warn entry outcome=superseded index=3 version=12 base=9 hash={HASH}")
 )]
 fn event_is_logged_as_one_line_with_fields(#[case] line: LogEvent, #[case] wanted: String) {
@@ -77,7 +77,7 @@
 
 #[test]
 fn serving_is_not_logged_at_warn() {
-    assert_eq!(written(&LogEvent::Serving { number: 5, replicas: 2 }, Level::Warn), "");
+    assert_eq!(written(&LogEvent::Serving { view_number: 5, chain_length: 2 }, Level::Warn), "");
 }
 
 #[test]
