--- a/crates/agent/src/backoff_tests.rs
+++ b/crates/agent/src/backoff_tests.rs
@@ -1,4 +1,4 @@
-//! The delays of the backoff.
+//! Tests of the delays of the backoff.
 
 use crate::backoff::Backoff;
 use std::time::Duration;
--- a/crates/agent/src/control_connection.rs
+++ b/crates/agent/src/control_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to the agent port of one control process, with a time limit on each step.
+//! A connection to the agent port of one control process, with a timeout on each step.
 
 use crate::stall_timeout::StallTimeoutReader;
 use lugwharf_protocol::{AgentRequest, ControlReply, FrameError, connect_from, read_frame, write_frame};
@@ -10,22 +10,23 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// On a healthy network connecting takes a few ms. A lost SYN is repeated after 1 s, and another control process is tried
-/// sooner than that.
+/// The timeout for connecting, which takes a few ms on a healthy network. The kernel retransmits a lost SYN
+/// only after 1 s; trying another control process is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// `TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged before the kernel closes the connection, so that a silent
-/// peer does not keep its buffers for minutes.
+/// `TCP_USER_TIMEOUT`: how long sent bytes may stay unacknowledged before the kernel closes the connection.
+/// Without it, the send buffers for an unresponsive peer would stay allocated for minutes.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The longest pause inside a reply: as long as a busy control process may take for the next bytes.
+/// The longest pause between two reads of the same reply, which covers a busy control process.
 const STALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// What a complete reply may take beyond its `write_and_first_byte_timeout`. A list of thousands of servers takes far less
-/// over a narrow link; what takes longer comes from a faulty process that sends its reply byte by byte.
+/// The time that a complete reply may take in addition to `write_and_first_byte_timeout`. A list of thousands
+/// of servers takes far less even over a slow link; only a faulty process that sends its reply byte by byte
+/// takes longer.
 const COMPLETE_REPLY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// An open connection. A call that fails or is cancelled closes it, since its reply may still come and would be taken for the
-/// reply to the next call.
+/// An open connection. A call that fails or is cancelled closes the connection, because its reply may still
+/// arrive and would be mistaken for the reply to the next call.
 pub struct ControlConnection {
-    /// Absent after a call that failed or was cancelled.
+    /// `None` after a call that failed or was cancelled.
     stream: Option<TcpStream>,
 }
 
@@ -39,19 +40,20 @@
         Ok(ControlConnection { stream: Some(stream) })
     }
 
-    /// Sends a request and reads the reply. There are two kinds of limit:
+    /// Sends a request and reads the reply. Two kinds of timeout apply:
     ///
-    /// - On each step: the request must be written within `write_and_first_byte_timeout`, the first byte of the reply must
-    ///   come within the same time after that, and each pause inside the reply is at most 400 ms (`STALL_TIMEOUT`). So a
-    ///   long list gets through a narrow link as long as bytes keep coming.
-    /// - On the complete reply, as a backstop against a peer that sends byte by byte: `write_and_first_byte_timeout` plus 3 s
-    ///   (`COMPLETE_REPLY_TIMEOUT`), from the end of the write.
+    /// - For each step: the request must be written within `write_and_first_byte_timeout`, the first byte of
+    ///   the reply must arrive within the same time after that, and each later pause may last at most 400 ms
+    ///   (`STALL_TIMEOUT`). A long list can therefore be read over a slow link as long as bytes keep
+    ///   arriving.
+    /// - For the complete reply: `write_and_first_byte_timeout` plus 3 s (`COMPLETE_REPLY_TIMEOUT`), counted
+    ///   from the end of the write. This protects against a peer that sends its reply byte by byte.
     ///
     /// # Errors
     ///
-    /// [`FrameError::Io`] of the kind `TimedOut` after either limit, `UnexpectedEof` if the peer closed the connection
-    /// before the reply, `NotConnected` after a call that failed or was cancelled; other kinds as the socket or the frame
-    /// fails.
+    /// [`FrameError::Io`] of the kind `TimedOut` after either timeout, `UnexpectedEof` if the peer closed the
+    /// connection before the reply, or `NotConnected` if an earlier call failed or was cancelled. Other
+    /// errors of the socket and of frame decoding are passed on.
     pub async fn call(
         &mut self, request: &AgentRequest, write_and_first_byte_timeout: Duration,
     ) -> Result<ControlReply, FrameError> {
@@ -63,8 +65,9 @@
     }
 }
 
-/// Writes the request and reads the reply, with all limits of [`ControlConnection::call`]. `write_and_first_byte_timeout` is used
-/// anew for the write, until the first byte of the reply, and within the limit on the complete reply.
+/// Writes the request and reads the reply, with all timeouts of [`ControlConnection::call`].
+/// `write_and_first_byte_timeout` applies separately to the write, to the first byte of the reply, and as a
+/// part of the timeout for the complete reply.
 pub(crate) async fn send_and_receive(
     stream: &mut (impl AsyncRead + AsyncWrite + Unpin), request: &AgentRequest,
     write_and_first_byte_timeout: Duration,
--- a/crates/agent/src/control_connection_tests.rs
+++ b/crates/agent/src/control_connection_tests.rs
@@ -1,4 +1,5 @@
-//! The time limits of a call. The clock is paused, so that a limit passes as soon as nothing else can happen.
+//! Tests of the timeouts of a call. The clock is paused, so a timeout expires as soon as no other task can
+//! make progress.
 
 use crate::control_connection::{ControlConnection, send_and_receive};
 use lugwharf_protocol::{AgentRequest, ControlReply, FrameError, Update, VersionVector, encode, read_frame};
@@ -25,19 +26,19 @@
     ControlReply::Update { has_quorum: true, control: Vec::new(), update: Update::default() }
 }
 
-/// How much of a reply the peer sends before it goes silent.
+/// How much of a reply the peer sends before it stops.
 #[derive(Clone, Copy, Debug)]
 enum PeerSends {
     AllButOneByte,
     Nothing,
-    /// It closes the connection instead.
+    /// The peer closes the connection instead.
     Close,
 }
 
 async fn call(sends: PeerSends) -> (Result<ControlReply, FrameError>, Duration) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
-    let (keep, kept) = oneshot::channel::<()>();
+    let (keep_open, closed) = oneshot::channel::<()>();
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         read_frame::<AgentRequest>(&mut stream).await.expect("a request");
@@ -49,14 +50,14 @@
         };
         stream.write_all(&bytes[..end]).await.expect("a write");
         // Keeps the connection open until the test ends.
-        drop(kept.await);
+        drop(closed.await);
     });
     let mut connection = ControlConnection::open(address, None).await.expect("a connection");
     tokio::time::pause();
-    let begun = tokio::time::Instant::now();
+    let started_at = tokio::time::Instant::now();
     let result = connection.call(&request(), FIRST_BYTE_TIMEOUT).await;
-    drop(keep);
-    (result, begun.elapsed())
+    drop(keep_open);
+    (result, started_at.elapsed())
 }
 
 #[tokio::test]
@@ -91,7 +92,8 @@
     assert!(matches!(result, Err(FrameError::Io(_))), "{result:?}");
 }
 
-/// The first call times out or is cancelled. Its reply comes then, where the reply to the next call is due.
+/// Guards against a late reply being taken for the reply to the next call: the first call times out or is
+/// cancelled, and its reply arrives when the second call is made.
 #[rstest]
 #[case::timed_out(true)]
 #[case::cancelled(false)]
@@ -107,24 +109,24 @@
         assert!(connection.call(&request(), FIRST_BYTE_TIMEOUT).await.is_err());
         tokio::time::resume();
     } else {
-        let asked = async { read_frame::<AgentRequest>(&mut peer).await };
+        let received = async { read_frame::<AgentRequest>(&mut peer).await };
         let first = request();
         tokio::select! {
             reply = connection.call(&first, Duration::from_secs(60)) => panic!("{reply:?}"),
-            request = asked => assert!(request.expect("a request").is_some()),
+            request = received => assert!(request.expect("a request").is_some()),
         }
     }
-    // The peer may find the connection closed already.
+    // The write fails if the connection is already closed.
     drop(peer.write_all(&encode(&reply()).expect("a frame")).await);
     let second = connection.call(&request(), FIRST_BYTE_TIMEOUT).await;
     assert!(matches!(second, Err(FrameError::Io(_))), "{second:?}");
 }
 
-/// Just under the timeout of the write.
+/// Just below the timeout of the write.
 const SLOW_WRITE: Duration = Duration::from_millis(850);
 
-/// The peer takes the request slowly, then sends a reply for 3.7 s. The limit on the reply is 3.9 s and counts from the end of the
-/// write: nothing of it is used up by then.
+/// The timeout of the complete reply is 3.9 s and counts from the end of the write, so a slow write must not
+/// shorten it. The peer reads the request slowly, then takes 3.7 s or 4.1 s to send the reply.
 #[rstest]
 #[case::within_the_limit(Duration::from_millis(3_700), true)]
 #[case::beyond_the_limit(Duration::from_millis(4_100), false)]
@@ -133,16 +135,16 @@
     #[case] reply_time: Duration, #[case] is_in_time: bool,
 ) {
     const PIECES: usize = 11;
-    let (mut near, mut far) = tokio::io::duplex(8);
+    let (mut stream, mut peer) = tokio::io::duplex(8);
     tokio::spawn(async move {
         sleep(SLOW_WRITE).await;
-        read_frame::<AgentRequest>(&mut far).await.expect("a request");
+        read_frame::<AgentRequest>(&mut peer).await.expect("a request");
         let bytes = encode(&reply()).expect("a frame");
         for piece in bytes.chunks(bytes.len().div_ceil(PIECES)) {
             sleep(reply_time / PIECES as u32).await;
-            far.write_all(piece).await.expect("a write");
+            peer.write_all(piece).await.expect("a write");
         }
     });
-    let result = send_and_receive(&mut near, &request(), FIRST_BYTE_TIMEOUT).await;
+    let result = send_and_receive(&mut stream, &request(), FIRST_BYTE_TIMEOUT).await;
     assert_eq!(result.is_ok(), is_in_time, "{result:?}");
 }
--- a/crates/agent/src/control_link.rs
+++ b/crates/agent/src/control_link.rs
@@ -1,11 +1,12 @@
-//! Pulls what is missing from one control process at a time.
+//! Pulls updates from one control process at a time.
 //!
-//! The control processes are ordered by a ring, so that the agents of a fleet spread over them. The agent follows the first
-//! one that replies and has a quorum. Each pull is the heartbeat of this front-end node as well.
+//! Each agent orders the control processes by a hash ring, so that the agents of a fleet spread over them. It
+//! follows the first process that replies and has a quorum. Each pull also serves as the heartbeat of this
+//! front-end node.
 //!
-//! An update from a process without a quorum may be long out of date. It is retained as a fallback, and applied only once all
-//! others have been asked and none has a quorum: an old configuration serves better than none, but an agent that starts must
-//! not prefer an old one to the newest.
+//! An update from a process without a quorum may be arbitrarily old. It is retained as a fallback, and
+//! applied only after all other processes have been tried and none has a quorum: an old configuration is
+//! better than none, but an agent that starts must not prefer an old configuration to the newest one.
 
 use crate::ControlPlaneStatus;
 use crate::backoff::Backoff;
@@ -27,31 +28,31 @@
 #[path = "control_link_tests.rs"]
 mod control_link_tests;
 
-/// How long a control process may delay the reply to a pull while nothing is newer. This bounds for how long a silent control
-/// process goes unnoticed; each pull costs a wake-up on both sides.
-const LONG_POLL: Duration = Duration::from_millis(500);
-/// The time beyond that for the round trip and for a busy control process.
-const REPLY_GRACE: Duration = Duration::from_millis(400);
-/// How long a control process that is not the preferred one is followed before the preferred one is tried again.
-const RETURN_AFTER: Duration = Duration::from_secs(10);
-/// The maximum number of addresses accepted from a control process.
-const MAX_ADDRESSES: usize = 64;
+/// How long a control process may hold a pull while it has nothing newer. A longer wait would delay the
+/// detection of an unresponsive control process; a shorter one would cost more wake-ups on both sides.
+const LONG_POLL_WAIT: Duration = Duration::from_millis(500);
+/// Added to the wait of a pull to get its timeout: time for the round trip and for a busy control process.
+const REPLY_MARGIN: Duration = Duration::from_millis(400);
+/// How long the agent follows a process other than its preferred one before it tries the preferred one again.
+const PREFERRED_RETRY_DELAY: Duration = Duration::from_secs(10);
+/// The maximum number of addresses accepted from a control process. A longer list is ignored.
+const MAX_CONTROL_ADDRESSES: usize = 64;
 
 struct ControlLink {
     node: String,
     incarnation: u64,
-    /// Agent addresses by the settings; tried when all others fail.
+    /// Agent addresses of the seeds in the settings. They are tried after all others.
     seeds: Vec<SocketAddr>,
-    /// Agent addresses of the view, as control processes report them.
+    /// Agent addresses of the control processes, as last reported by one of them.
     control: Vec<SocketAddr>,
-    /// The local address of connections, if the settings name one.
+    /// The local address to connect from, if the settings specify one.
     source: Option<IpAddr>,
     metrics: Arc<AgentMetrics>,
     commands: mpsc::Sender<Command>,
     control_plane: ControlPlaneStatus,
 }
 
-/// Runs until the owner of the tables ends. Each pass begins with the newest settings.
+/// Pulls from the control processes until the table owner ends. Each pass starts with the newest settings.
 pub async fn run(
     mut settings: watch::Receiver<Settings>, metrics: Arc<AgentMetrics>, commands: mpsc::Sender<Command>,
     control_plane: ControlPlaneStatus,
@@ -73,26 +74,26 @@
     let mut backoff = Backoff::new(link.incarnation);
     while !link.commands.is_closed() {
         link.seeds = seed_addresses(&settings.borrow_and_update());
-        if link.try_all().await {
+        if link.try_candidates().await {
             backoff.reset();
         }
         sleep(backoff.next()).await;
     }
 }
 
-/// Why the agent stopped following a control process that did not fail.
+/// Why the agent stopped following a control process, other than by an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum StopReason {
-    /// The owner of the tables has ended.
+    /// The table owner has ended.
     ShuttingDown,
     /// The control process has no quorum.
     NoQuorum,
-    /// The preferred control process is to be tried again.
+    /// It is time to try the preferred control process again.
     ReturnToPreferred,
 }
 
 impl StopReason {
-    /// The name in logs.
+    /// Returns the `reason` in log lines.
     fn name(self) -> &'static str {
         match self {
             StopReason::ShuttingDown => "shutting_down",
@@ -102,27 +103,29 @@
     }
 }
 
-/// Whether others on this machine should no longer be referred to a control process that was followed until now. One that was
-/// left for the preferred one serves them until that one does.
-fn is_unfit(stopped: &Result<StopReason, FrameError>) -> bool {
+/// Whether requests to this machine should no longer be redirected to the control process that was followed
+/// until now. A process that was left only to try the preferred one stays the target until the preferred one
+/// serves.
+fn must_stop_redirects(stopped: &Result<StopReason, FrameError>) -> bool {
     !matches!(stopped, Ok(StopReason::ReturnToPreferred))
 }
 
-/// A number that differs from start to start of this process. It is the time of day in µs; nothing depends on its growing.
+/// Returns a number that differs between the starts of this process: the wall-clock time in µs. Nothing
+/// depends on it increasing.
 fn new_incarnation() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// The agent addresses of the seeds. Ports are alike on all machines.
+/// Returns the agent addresses of the seeds. All machines use the same ports.
 fn seed_addresses(settings: &Settings) -> Vec<SocketAddr> {
     let port = settings.internal_ports().agent;
     settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), port)).collect()
 }
 
 impl ControlLink {
-    /// All known control processes in the order in which they are tried: those of the view by preference, then the announced
-    /// ones, then the seeds.
+    /// Returns all known control processes in the order in which they are tried: the reported ones by
+    /// preference (the seeds, if none were reported), then the announced ones, then the remaining seeds.
     fn candidates(&self) -> Vec<SocketAddr> {
         let known = if self.control.is_empty() { &self.seeds } else { &self.control };
         let mut candidates = HashRing::new(known).monitors_of(&self.node, known.len());
@@ -135,18 +138,18 @@
         candidates
     }
 
-    /// Tries each control process in turn and follows those that serve. Returns whether one of them did, and ends early if the
-    /// preferred one is to be tried again.
-    async fn try_all(&mut self) -> bool {
-        let mut was_served = false;
+    /// Tries each control process in turn and follows those that serve. Returns whether any of them did. The
+    /// pass ends early when it is time to try the preferred process again.
+    async fn try_candidates(&mut self) -> bool {
+        let mut any_served = false;
         let mut fallback = FallbackUpdate::default();
         for address in self.candidates() {
             let mut has_served = false;
             let stopped = self.follow(address, &mut has_served, &mut fallback).await;
-            if is_unfit(&stopped) {
+            if must_stop_redirects(&stopped) {
                 self.control_plane.followed.send_replace(None);
             }
-            was_served |= has_served;
+            any_served |= has_served;
             match stopped {
                 Ok(reason) => {
                     debug!("control", kv: { outcome = "stopped_following", reason = reason.name(), control: = address });
@@ -160,16 +163,17 @@
                 }
             }
         }
-        if let Some(update) = fallback.into_newest().filter(|_| !was_served) {
+        if let Some(update) = fallback.into_newest().filter(|_| !any_served) {
             self.metrics.record_pull(PullOutcome::Fallback);
             info!("control", kv: { outcome = "fallback", config_version = update.vector.config });
             self.apply(update).await;
         }
-        was_served
+        any_served
     }
 
-    /// Pulls from one control process until it fails, has no quorum, or the preferred one should be tried again. Sets
-    /// `has_served` once it has replied with a quorum; its update without one goes to `fallback`.
+    /// Pulls from one control process until it fails, has no quorum, or it is time to try the preferred
+    /// process again. Sets `has_served` once the process has replied with a quorum. An update without a
+    /// quorum is offered to `fallback`.
     async fn follow(
         &mut self, address: SocketAddr, has_served: &mut bool, fallback: &mut FallbackUpdate,
     ) -> Result<StopReason, FrameError> {
@@ -178,7 +182,7 @@
         let mut wait = Duration::ZERO;
         loop {
             let Some(request) = self.pull_request(wait).await else { return Ok(StopReason::ShuttingDown) };
-            let reply = connection.call(&request, wait + REPLY_GRACE).await?;
+            let reply = connection.call(&request, wait + REPLY_MARGIN).await?;
             let ControlReply::Update { has_quorum, control, update } = reply;
             self.record_addresses(control);
             if !has_quorum {
@@ -194,17 +198,17 @@
                 self.control_plane.followed.send_replace(Some(address));
                 info!("control", kv: { outcome = "following", control: = address });
             }
-            if !is_preferred && connected_at.elapsed() >= RETURN_AFTER {
+            if !is_preferred && connected_at.elapsed() >= PREFERRED_RETRY_DELAY {
                 return Ok(StopReason::ReturnToPreferred);
             }
-            wait = LONG_POLL;
+            wait = LONG_POLL_WAIT;
         }
     }
 
-    /// The next pull; `None` if the owner of the tables has ended.
+    /// Builds the next pull request. Returns `None` if the table owner has ended.
     async fn pull_request(&self, wait: Duration) -> Option<AgentRequest> {
         let (reply, report) = oneshot::channel();
-        self.commands.send(Command::Report { reply }).await.ok()?;
+        self.commands.send(Command::GetPullReport { reply }).await.ok()?;
         let PullReport { have, loads } = report.await.ok()?;
         Some(AgentRequest::Pull {
             node: self.node.clone(),
@@ -215,9 +219,10 @@
         })
     }
 
-    /// Takes over the addresses that a control process reported, unless there are none or too many.
+    /// Replaces the known control processes by those that a control process reported, unless it reported none
+    /// or too many.
     fn record_addresses(&mut self, control: Vec<SocketAddr>) {
-        if !control.is_empty() && control.len() <= MAX_ADDRESSES {
+        if !control.is_empty() && control.len() <= MAX_CONTROL_ADDRESSES {
             if self.control != control {
                 self.control_plane.known.send_replace(control.clone());
             }
@@ -225,11 +230,11 @@
         }
     }
 
-    /// Has the owner of the tables apply an update, and waits until it has.
+    /// Sends an update to the table owner and waits until it is applied.
     async fn apply(&self, update: Update) {
         let (reply, applied) = oneshot::channel();
         if self.commands.send(Command::Apply { update, reply }).await.is_ok() {
-            // If the owner ends instead, the next pull finds out.
+            // If the owner has ended, the next pull detects that.
             let _ = applied.await;
         }
     }
--- a/crates/agent/src/control_link_tests.rs
+++ b/crates/agent/src/control_link_tests.rs
@@ -1,6 +1,6 @@
-//! Whose updates an agent applies. Scripted control processes reply on loopback, one pass at a time.
+//! Tests of which updates an agent applies. Control processes on loopback reply as scripted.
 
-use super::{ControlLink, StopReason, is_unfit, run};
+use super::{ControlLink, StopReason, must_stop_redirects, run};
 use crate::ControlPlaneStatus;
 use crate::table_owner::{Command, PullReport};
 use lugwharf_protocol::{
@@ -18,11 +18,11 @@
 /// How a control process replies to one pull.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
-    /// It has a quorum and a configuration of this version.
+    /// It reports a quorum and sends a configuration of this version.
     Quorum(u64),
-    /// It has no quorum and a configuration of this version.
+    /// It reports no quorum and sends a configuration of this version.
     NoQuorum(u64),
-    /// It does not; the connection stays open.
+    /// It sends no reply and keeps the connection open.
     None,
 }
 
@@ -40,7 +40,8 @@
     }
 }
 
-/// Replies to the pulls of one connection after the other as scripted, then closes each connection at once.
+/// Replies to pulls as scripted, one connection after the other. After the end of the script, each connection
+/// is closed without a reply.
 async fn serve(listener: TcpListener, replies: Vec<Reply>) {
     let mut replies = replies.into_iter();
     let mut silent = Vec::new();
@@ -56,20 +57,20 @@
     }
 }
 
-/// A control link, the versions that it applies, and the control processes that it knows.
+/// A control link, the versions that it has applied, and the tasks that it communicates with.
 struct Harness {
     link: ControlLink,
     applied: Arc<Mutex<Vec<u64>>>,
-    processes: Vec<JoinHandle<()>>,
+    tasks: Vec<JoinHandle<()>>,
 }
 
 impl Drop for Harness {
     fn drop(&mut self) {
-        self.processes.iter().for_each(JoinHandle::abort);
+        self.tasks.iter().for_each(JoinHandle::abort);
     }
 }
 
-/// Control processes with these scripts, in the order in which the link tries them.
+/// Starts control processes with these scripts. The link tries them in the order of the scripts.
 async fn harness(scripts: Vec<Vec<Reply>>) -> Harness {
     let mut listeners = Vec::new();
     for _ in &scripts {
@@ -87,24 +88,23 @@
     let candidates = link.candidates();
     listeners.sort_by_key(|listener| candidates.iter().position(|known| *known == address(listener)));
     let servers = listeners.into_iter().zip(scripts);
-    let mut processes: Vec<_> =
-        servers.map(|(listener, script)| tokio::spawn(serve(listener, script))).collect();
-    processes.push(tokio::spawn(own_tables(queue, applied.clone())));
-    Harness { link, applied, processes }
+    let mut tasks: Vec<_> = servers.map(|(listener, script)| tokio::spawn(serve(listener, script))).collect();
+    tasks.push(tokio::spawn(own_tables(queue, applied.clone())));
+    Harness { link, applied, tasks }
 }
 
-/// Records which versions are applied, and always reports empty tables.
+/// Acts as the table owner: records which versions are applied, and always reports empty tables.
 async fn own_tables(mut queue: mpsc::Receiver<Command>, applied: Arc<Mutex<Vec<u64>>>) {
     while let Some(command) = queue.recv().await {
         match command {
-            Command::Report { reply } => {
+            Command::GetPullReport { reply } => {
                 let _ = reply.send(PullReport { have: VersionVector::default(), loads: Vec::new() });
             }
             Command::Apply { update, reply } => {
                 applied.lock().expect("a list").push(update.vector.config);
                 let _ = reply.send(update.vector);
             }
-            Command::RecordLoads(_) | Command::AwaitUpdate { .. } | Command::Summarize { .. } => {}
+            Command::RecordLoads(_) | Command::AwaitUpdate { .. } | Command::GetSummary { .. } => {}
         }
     }
 }
@@ -125,7 +125,7 @@
 #[tokio::test]
 async fn a_pass_applies(#[case] scripts: Vec<Vec<Reply>>, #[case] served: bool, #[case] versions: &[u64]) {
     let mut harness = harness(scripts).await;
-    assert_eq!(harness.link.try_all().await, served);
+    assert_eq!(harness.link.try_candidates().await, served);
     assert_eq!(*harness.applied.lock().expect("a list"), versions);
 }
 
@@ -133,12 +133,13 @@
 async fn the_next_pass_falls_back_to_a_process_that_lost_its_quorum() {
     let lost = Reply::NoQuorum(6);
     let mut harness = harness(vec![vec![FRESH, lost, lost], vec![]]).await;
-    assert!(harness.link.try_all().await);
-    assert!(!harness.link.try_all().await);
+    assert!(harness.link.try_candidates().await);
+    assert!(!harness.link.try_candidates().await);
     assert_eq!(*harness.applied.lock().expect("a list"), [5, 6]);
 }
 
-/// Redirects lead to the followed process, and nowhere once it is no longer followed.
+/// Requests are redirected to the followed process, and no longer redirected after the agent has stopped
+/// following it.
 #[tokio::test]
 async fn publishes_the_followed_process_until_it_stops_following() {
     let mut harness = harness(vec![vec![FRESH, STALE], vec![]]).await;
@@ -151,26 +152,28 @@
         }
         seen
     });
-    assert!(harness.link.try_all().await);
+    assert!(harness.link.try_candidates().await);
     drop(harness);
     let seen = watching.await.expect("what was published");
     assert_eq!(seen.last(), Some(&None));
     assert!(seen.contains(&Some(process)), "{seen:?}");
 }
 
-/// While the agent moves on to its preferred process, the earlier one stays published.
+/// While the agent switches to its preferred process, the earlier one stays published as the target of
+/// redirects.
 #[rstest]
 #[case::return_to_preferred(Ok(StopReason::ReturnToPreferred), false)]
 #[case::no_quorum(Ok(StopReason::NoQuorum), true)]
 #[case::shutting_down(Ok(StopReason::ShuttingDown), true)]
 #[case::failed(Err(FrameError::Io(std::io::ErrorKind::TimedOut.into())), true)]
-fn only_a_process_left_for_the_preferred_one_stays_fit(
-    #[case] stopped: Result<StopReason, FrameError>, #[case] unfit: bool,
+fn only_a_return_to_the_preferred_process_keeps_redirects(
+    #[case] stopped: Result<StopReason, FrameError>, #[case] expected: bool,
 ) {
-    assert_eq!(is_unfit(&stopped), unfit);
+    assert_eq!(must_stop_redirects(&stopped), expected);
 }
 
-/// After a start only the seeds are known, and they may host no replica.
+/// After a start only the seeds are known, and these may host no replica, so announced processes are tried
+/// first.
 #[tokio::test]
 async fn tries_announced_processes_before_the_seeds() {
     let mut harness = harness(vec![vec![], vec![]]).await;
@@ -182,7 +185,8 @@
     assert_eq!((candidates[0], candidates[1], candidates.len()), (known, announced, 4));
 }
 
-/// A pass lasts for as long as a control process serves. Of several SIGHUPs in it the last one counts.
+/// A pass lasts as long as a control process serves. If SIGHUP arrives several times in one pass, the next
+/// pass must use the last settings.
 #[tokio::test]
 async fn pass_begins_with_the_newest_settings() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
--- a/crates/agent/src/discovery.rs
+++ b/crates/agent/src/discovery.rs
@@ -1,8 +1,10 @@
-//! The agent port of a machine without a replica: tells where the control processes are.
+//! Serves the agent port on a machine without a replica: replies with the addresses of the known control
+//! processes.
 //!
-//! The seeds in the settings of a process may be machines that host no replica, since operators list every machine that serves
-//! control. Control processes announce themselves to such a machine, and an agent that pulls from it learns the ones that it
-//! knows. It sends no tables, and always reports that it has no quorum, so that nobody takes anything out of date from it.
+//! Operators list every machine that serves control requests as a seed, so some seeds host no replica.
+//! Control processes announce themselves to such a machine, and agents that pull from it receive the
+//! addresses that it knows. It sends no tables and always reports that it has no quorum, so that no agent
+//! applies outdated tables from it.
 
 use crate::ControlPlaneStatus;
 use lugwharf_protocol::{
@@ -17,14 +19,15 @@
 use tokio::sync::Semaphore;
 use tokio::time::{sleep, timeout};
 
-/// Connections that may be open at once; peers disconnect once they have their reply. Further ones are closed at once.
+/// The maximum number of open connections. Peers disconnect after they have received their reply; connections
+/// beyond the limit are closed immediately.
 const MAX_CONNECTIONS: usize = 64;
-/// A connection without a request for this long is closed; also the limit on writing a reply.
+/// A connection without a request for this long is closed. Writing a reply has the same timeout.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The delay after a failed accept, as when no descriptors are left.
+/// The delay before the next attempt after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Announced addresses that are retained.
-const MAX_ANNOUNCED: usize = 64;
+/// The maximum number of announced addresses that are retained, and of addresses in a reply.
+const MAX_ANNOUNCED_ADDRESSES: usize = 64;
 
 /// Serves requests for as long as the process runs.
 pub async fn serve(listener: TcpListener, control_plane: ControlPlaneStatus) {
@@ -66,7 +69,7 @@
     }
 }
 
-/// The control processes that the agent of this machine knows, then the announced ones.
+/// Returns the control processes that the agent of this machine knows, followed by the announced ones.
 fn known_and_announced(control_plane: &ControlPlaneStatus) -> Vec<SocketAddr> {
     let mut addresses = control_plane.known.borrow().clone();
     for address in control_plane.announced.borrow().iter() {
@@ -74,19 +77,20 @@
             addresses.push(*address);
         }
     }
-    addresses.truncate(MAX_ANNOUNCED);
+    addresses.truncate(MAX_ANNOUNCED_ADDRESSES);
     addresses
 }
 
-/// Puts the newest announcement first; earlier ones stay as far as there is room.
+/// Stores the addresses of an announcement ahead of the earlier ones, which are dropped beyond the limit.
 ///
-/// Of two announcements at once, on two connections, one may be lost. It comes again: replicas announce every 500 ms.
+/// If two connections announce at the same time, one announcement may be lost. That is acceptable because
+/// control processes announce every 500 ms.
 fn record_announcement(control_plane: &ControlPlaneStatus, control: Vec<SocketAddr>) {
     let earlier = control_plane.announced.borrow().clone();
     let mut announced = control;
-    announced.truncate(MAX_ANNOUNCED);
+    announced.truncate(MAX_ANNOUNCED_ADDRESSES);
     for address in earlier {
-        if announced.len() < MAX_ANNOUNCED && !announced.contains(&address) {
+        if announced.len() < MAX_ANNOUNCED_ADDRESSES && !announced.contains(&address) {
             announced.push(address);
         }
     }
--- a/crates/agent/src/discovery_tests.rs
+++ b/crates/agent/src/discovery_tests.rs
@@ -1,4 +1,4 @@
-//! The replies of a machine without a replica.
+//! Tests of the replies of a machine without a replica.
 
 use crate::control_connection::ControlConnection;
 use crate::{ControlPlaneStatus, discovery};
--- a/crates/agent/src/feed.rs
+++ b/crates/agent/src/feed.rs
@@ -1,4 +1,4 @@
-//! Serves the proxy of this machine: the proxy reports what it has applied and is sent what is newer.
+//! Feeds the proxy of this machine: the proxy reports which versions it has applied and is sent newer ones.
 
 use crate::table_owner::Command;
 use lugwharf_protocol::{FeedMessage, FrameError, ProxyReport, VersionVector, read_frame, write_frame};
@@ -10,11 +10,11 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::sleep;
 
-/// The delay after a failed accept, as when no descriptors are left.
+/// The delay before the next attempt after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Accepts the connections of proxies for as long as the process runs. There is one proxy; a second connection is that of its
-/// successor.
+/// Accepts connections from proxies until the process ends. A machine runs one proxy; a second connection
+/// comes from its replacement during a restart.
 pub async fn serve(listener: TcpListener, commands: mpsc::Sender<Command>) {
     loop {
         match listener.accept().await {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Feeds one proxy until its connection ends.
+/// Exchanges reports and updates with one proxy until its connection ends.
 async fn feed_proxy(stream: TcpStream, commands: mpsc::Sender<Command>) -> Result<(), FrameError> {
     stream.set_nodelay(true)?;
     let (reader, writer) = stream.into_split();
@@ -45,46 +45,47 @@
     }
 }
 
-/// Reads the proxy's reports until it disconnects.
+/// Reads the reports of the proxy until it disconnects.
 async fn read_reports(
     mut reader: OwnedReadHalf, applied: watch::Sender<Option<VersionVector>>,
     commands: &mpsc::Sender<Command>,
 ) -> Result<(), FrameError> {
     while let Some(report) = read_frame::<ProxyReport>(&mut reader).await? {
-        commands.send(Command::RecordLoads(report.loads)).await.map_err(|_| owner_ended())?;
-        // Notify the writer even if the vector is unchanged: an update that the proxy could not apply is then made anew.
+        commands.send(Command::RecordLoads(report.loads)).await.map_err(|_| table_owner_ended())?;
+        // Notify the writer even if the vector is unchanged: the proxy may have failed to apply the last
+        // update, which is then computed again.
         applied.send_replace(Some(report.have));
     }
     Ok(())
 }
 
-/// Sends whatever is newer than the version vector that the proxy reported last.
+/// Sends everything that is newer than the version vector last reported by the proxy.
 async fn write_updates(
     mut writer: OwnedWriteHalf, mut reports: watch::Receiver<Option<VersionVector>>,
     commands: &mpsc::Sender<Command>,
 ) -> Result<(), FrameError> {
     loop {
         let Some(have) = *reports.borrow_and_update() else {
-            reports.changed().await.map_err(|_| owner_ended())?;
+            reports.changed().await.map_err(|_| table_owner_ended())?;
             continue;
         };
         let (reply, newer) = oneshot::channel();
-        commands.send(Command::AwaitUpdate { have, reply }).await.map_err(|_| owner_ended())?;
+        commands.send(Command::AwaitUpdate { have, reply }).await.map_err(|_| table_owner_ended())?;
         tokio::select! {
             update = newer => {
-                let update = update.map_err(|_| owner_ended())?;
+                let update = update.map_err(|_| table_owner_ended())?;
                 write_frame(&mut writer, &FeedMessage::Update(update)).await?;
             }
             changed = reports.changed() => {
-                changed.map_err(|_| owner_ended())?;
+                changed.map_err(|_| table_owner_ended())?;
                 continue;
             }
         }
-        // The proxy reports what it has applied now.
-        reports.changed().await.map_err(|_| owner_ended())?;
+        // Wait until the proxy reports the result of this update.
+        reports.changed().await.map_err(|_| table_owner_ended())?;
     }
 }
 
-fn owner_ended() -> FrameError {
-    FrameError::Io(io::Error::other("the owner of the tables has ended"))
+fn table_owner_ended() -> FrameError {
+    FrameError::Io(io::Error::other("the task that owns the tables has ended"))
 }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,16 +1,17 @@
-//! The agent: connects a front-end node to the control plane and feeds the proxy of the same machine over loopback.
+//! The agent: connects a front-end node to the control plane and feeds the proxy on the same machine over
+//! loopback.
 //!
-//! The tasks share nothing but queues and the published [`ControlPlaneStatus`].
+//! Its tasks share only message queues, the metrics, and the published [`ControlPlaneStatus`].
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `table_owner` | the task that owns the tables; executes the commands of the others |
-//! | `control_link` | the task that pulls from one control process at a time, and moves on when it fails or has no quorum |
-//! | `control_connection`, `stall_timeout` | one connection to a control process and its time limits |
+//! | `table_owner` | the task that owns the tables and executes the commands of the other tasks |
+//! | `control_link` | the task that pulls from one control process and switches to others |
+//! | `control_connection`, `stall_timeout` | a connection to a control process and its timeouts |
 //! | `backoff`, `fallback` | the delay between passes; the newest update without a quorum |
 //! | `feed` | the task that sends updates to the proxy and receives its reports |
 //! | [`discovery`] | the agent port of a machine without a replica |
-//! | `metrics` | counts and their text |
+//! | `metrics` | counters and their text format |
 #![forbid(unsafe_code)]
 
 mod backoff;
@@ -40,37 +41,39 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-/// Commands that may be queued for the owner of the tables. There is one feed and one control link, so few are ever queued.
-const COMMAND_QUEUE: usize = 64;
+/// The capacity of the command queue of the table owner. One feed and one control link send commands, so the
+/// queue is rarely used beyond a few entries.
+const COMMAND_QUEUE_CAPACITY: usize = 64;
 
-/// What the caller of [`run`] may choose.
+/// Options of [`run`].
 #[derive(Clone, Debug, Default)]
 pub struct AgentOptions {
-    /// The port of `GET /metrics`; not served if absent.
+    /// The port of `GET /metrics`. If absent, the metrics are not served.
     pub metrics_port: Option<u16>,
-    /// Where the agent publishes what it knows of the control plane.
+    /// The channels on which the agent publishes its knowledge of the control plane.
     pub control_plane: ControlPlaneStatus,
 }
 
-/// What the agent knows of the control plane, published for others in this process. Clones share the same channels.
+/// The agent's knowledge of the control plane, published to other tasks of this process. Clones share the
+/// same channels.
 #[derive(Clone, Debug, Default)]
 pub struct ControlPlaneStatus {
-    /// The agent address of the control process that the agent follows, if any.
+    /// The agent address of the control process that this agent follows, if any.
     pub followed: watch::Sender<Option<SocketAddr>>,
-    /// The agent addresses of the control processes of the view.
+    /// The agent addresses of the control processes, as last reported by one of them.
     pub known: watch::Sender<Vec<SocketAddr>>,
     /// The agent addresses that control processes have announced to this machine, newest first.
     pub announced: watch::Sender<Vec<SocketAddr>>,
 }
 
-/// Runs the agent until SIGTERM. SIGHUP reads the settings file again and takes over its seeds.
+/// Runs the agent until SIGTERM. On SIGHUP it reads the settings file again and uses the new seeds.
 pub async fn run(settings: Settings, options: AgentOptions) -> Result<()> {
     let mut hangup = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
     let mut terminate = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
     let feed_address = settings.feed_address();
     let listener =
         TcpListener::bind(feed_address).await.wrap_err_with(|| format!("listening on {feed_address}"))?;
-    let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE);
+    let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     tokio::spawn(table_owner::run(command_queue));
     tokio::spawn(feed::serve(listener, commands.clone()));
     let (reload, reloads) = watch::channel(settings.clone());
@@ -84,7 +87,7 @@
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
             _ = hangup.recv() => match settings.reread() {
-                // The control link takes the newest ones between two passes.
+                // The control link reads the newest settings between two passes.
                 Ok(settings) => drop(reload.send_replace(settings)),
                 Err(error) => warn!("settings", kv: { outcome = "not_reloaded", error: = error }),
             },
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of the agent and their text. `docs/OPERATING.md` lists the names.
+//! The metrics of the agent in the OpenMetrics text format. `docs/OPERATING.md` lists the names.
 
 use crate::table_owner::{Command, TableSummary};
 use lugwharf_telemetry::{Exposition, MetricsEndpoint};
@@ -7,29 +7,32 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// The beginning of all names.
+/// The prefix of all metric names.
 const PREFIX: &str = "lugwharf_agent";
 
-/// How a pull from a control process ended, or the attempt to connect to it, or a round of pulls from all of them.
+/// The outcome of a pull from a control process, of an attempt to connect to it, or of a pass over all of
+/// them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PullOutcome {
-    /// It replied and has a quorum.
+    /// The control process replied and has a quorum.
     Served,
-    /// It replied that it has no quorum.
+    /// The control process replied that it has no quorum.
     NoQuorum,
-    /// There was no reply, or a malformed one.
+    /// Connecting failed, there was no reply, or the reply was malformed.
     Failed,
-    /// No control process has a quorum: the newest update of one without was applied. Counted in addition to the outcomes
-    /// of the pulls of that round, so the sum over all outcomes is more than the number of pulls.
+    /// No control process has a quorum, so the newest update without a quorum was applied. This is counted in
+    /// addition to the outcomes of the pulls in that pass, so the sum over all outcomes exceeds the number of
+    /// pulls.
     Fallback,
 }
 
 impl PullOutcome {
-    /// In the order of declaration: [`AgentMetrics`] finds the count of an outcome by its discriminant.
+    /// All outcomes in the order of declaration, because [`AgentMetrics`] indexes its counters by the
+    /// discriminant.
     const ALL: [PullOutcome; 4] =
         [PullOutcome::Served, PullOutcome::NoQuorum, PullOutcome::Failed, PullOutcome::Fallback];
 
-    /// The value of the label `outcome`. Alarms are written against these names, so they stay as they are.
+    /// Returns the value of the label `outcome`. These names must not change because alerts refer to them.
     fn label(self) -> &'static str {
         match self {
             PullOutcome::Served => "served",
@@ -40,27 +43,27 @@
     }
 }
 
-/// Counts since the start of the process, shared by its tasks.
+/// Counters since the start of the process, shared by its tasks.
 #[derive(Debug, Default)]
 pub struct AgentMetrics {
-    /// The counts in the order of [`PullOutcome::ALL`].
+    /// The number of pulls by outcome, in the order of [`PullOutcome::ALL`].
     pulls: [AtomicU64; PullOutcome::ALL.len()],
-    /// How often the agent began to follow a control process.
+    /// How often the agent started to follow a control process.
     followed: AtomicU64,
 }
 
 impl AgentMetrics {
-    /// Counts a pull that has ended, or a round of pulls ([`PullOutcome::Fallback`]).
+    /// Counts a completed pull, or a pass that applied a fallback ([`PullOutcome::Fallback`]).
     pub fn record_pull(&self, outcome: PullOutcome) {
         self.pulls[outcome as usize].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Counts that the agent began to follow a control process.
+    /// Counts that the agent started to follow a control process.
     pub fn record_followed(&self) {
         self.followed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The text in the OpenMetrics format. `started_at` is the time from which `uptime_seconds` counts.
+    /// Returns all metrics in the OpenMetrics text format. `uptime_seconds` counts from `started_at`.
     fn render(&self, started_at: Instant, tables: &TableSummary) -> String {
         let mut text = Exposition::new(PREFIX);
         let pulls = PullOutcome::ALL.into_iter().zip(&self.pulls);
@@ -88,20 +91,20 @@
     }
 }
 
-/// Answers requests for the metrics, one at a time. Ends when the endpoint is gone, or the table owner, without which there
-/// is no summary of the tables.
+/// Responds to requests for the metrics, one at a time. Ends when the endpoint is closed, or when the table
+/// owner has ended and can no longer summarize the tables.
 ///
-/// The uptime counts from the start of this task, which the agent starts together with its other ones.
+/// The uptime counts from the start of this task, which the agent starts together with its other tasks.
 pub async fn serve(endpoint: MetricsEndpoint, metrics: Arc<AgentMetrics>, commands: mpsc::Sender<Command>) {
     let started_at = Instant::now();
     let MetricsEndpoint { mut requests } = endpoint;
     while let Some(reply) = requests.recv().await {
         let (summary_reply, summary) = oneshot::channel();
-        if commands.send(Command::Summarize { reply: summary_reply }).await.is_err() {
+        if commands.send(Command::GetSummary { reply: summary_reply }).await.is_err() {
             return;
         }
         let Ok(summary) = summary.await else { return };
-        // The collector may have disconnected.
+        // The send fails if the collector has disconnected.
         let _ = reply.send(metrics.render(started_at, &summary));
     }
 }
--- a/crates/agent/src/metrics_tests.rs
+++ b/crates/agent/src/metrics_tests.rs
@@ -1,4 +1,4 @@
-//! The literal text of the metrics: alarms and dashboards are written against these names.
+//! Tests the exact text of the metrics, because alerts and dashboards refer to these names.
 
 use super::{AgentMetrics, PullOutcome};
 use crate::table_owner::TableSummary;
@@ -16,7 +16,7 @@
     let servers = TablePosition { epoch: 5, sequence: 6 };
     let vector = VersionVector { config: 7, servers, live_proxies: 8 };
     let text = metrics.render(Instant::now(), &TableSummary { vector, servers: 9, waiting_feeds: 10 });
-    // Counts of one label come in no order, and the help texts are for people.
+    // The values of one label have no defined order, and the help texts may change.
     let mut lines: Vec<&str> = text.lines().filter(|line| !line.starts_with("# HELP")).collect();
     lines.sort_unstable();
     assert_eq!(
--- a/crates/agent/src/stall_timeout.rs
+++ b/crates/agent/src/stall_timeout.rs
@@ -1,4 +1,4 @@
-//! A time limit on each pause of a reader, instead of on the complete read.
+//! A timeout on each pause of a reader, instead of on the complete read.
 
 use std::future::Future;
 use std::io;
@@ -12,20 +12,20 @@
 #[path = "stall_timeout_tests.rs"]
 mod stall_timeout_tests;
 
-/// A reader that fails with `TimedOut` once no bytes have come for too long. The text of the error says whether it was the
-/// first byte or a later one.
+/// A reader that fails with `TimedOut` if no bytes arrive for too long. The text of the error says whether
+/// the first byte or a later one was missing.
 pub struct StallTimeoutReader<'a, R> {
     reader: &'a mut R,
     /// The longest time between two reads that return bytes.
     stall_timeout: Duration,
-    /// Whether any byte has come.
+    /// Whether any byte has arrived.
     has_first_byte: bool,
     deadline: Pin<Box<Sleep>>,
 }
 
 impl<'a, R> StallTimeoutReader<'a, R> {
-    /// Wraps `reader`: the first bytes must come within `first_byte_timeout`, and each further ones within `stall_timeout`
-    /// after the ones before.
+    /// Wraps `reader`. The first bytes must arrive within `first_byte_timeout`, and all later ones within
+    /// `stall_timeout` of the previous ones.
     pub fn new(reader: &'a mut R, first_byte_timeout: Duration, stall_timeout: Duration) -> Self {
         let deadline = Box::pin(sleep(first_byte_timeout));
         StallTimeoutReader { reader, stall_timeout, has_first_byte: false, deadline }
@@ -38,8 +38,8 @@
     ) -> Poll<io::Result<()>> {
         let this = self.get_mut();
         let filled_before = buffer.filled().len();
-        // The reader goes first: bytes that have come are returned also if the deadline has passed meanwhile, as after a
-        // pause of the process.
+        // Poll the reader before the deadline: bytes that have arrived are returned even if the deadline has
+        // passed, for example after a pause of the process.
         let read = Pin::new(&mut *this.reader).poll_read(context, buffer);
         if read.is_ready() {
             if buffer.filled().len() > filled_before {
--- a/crates/agent/src/stall_timeout_tests.rs
+++ b/crates/agent/src/stall_timeout_tests.rs
@@ -1,4 +1,4 @@
-//! Which pauses time out.
+//! Tests of which pauses time out.
 
 use super::StallTimeoutReader;
 use rstest::rstest;
@@ -10,22 +10,23 @@
 const FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(900);
 const STALL_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Reads 30 bytes of which the first ten come after `before`, and each further ten after `between`; how it ended, and when.
+/// Reads 30 bytes: the first ten arrive after `before` ms, and each further ten after `between` ms. Returns
+/// the result and the time that it took.
 async fn read(before: u64, between: u64) -> (io::Result<usize>, Duration) {
-    let (mut near, mut far) = duplex(64);
+    let (mut stream, mut peer) = duplex(64);
     tokio::spawn(async move {
         for pause in [before, between, between] {
             sleep(Duration::from_millis(pause)).await;
-            drop(far.write_all(&[7; 10]).await);
+            drop(peer.write_all(&[7; 10]).await);
         }
         // The connection stays open.
         sleep(Duration::from_secs(60)).await;
     });
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let mut bytes = [0; 30];
     let read =
-        StallTimeoutReader::new(&mut near, FIRST_BYTE_TIMEOUT, STALL_TIMEOUT).read_exact(&mut bytes).await;
-    (read, begun.elapsed())
+        StallTimeoutReader::new(&mut stream, FIRST_BYTE_TIMEOUT, STALL_TIMEOUT).read_exact(&mut bytes).await;
+    (read, started_at.elapsed())
 }
 
 #[rstest]
--- a/crates/agent/src/table_owner.rs
+++ b/crates/agent/src/table_owner.rs
@@ -1,4 +1,4 @@
-//! The owner of the agent's tables. The other tasks send it commands through a queue.
+//! The task that owns the agent's tables. The other tasks send it commands through a queue.
 
 use lugwharf_distribution::Tables;
 use lugwharf_invariants::{Invariant, check};
@@ -6,54 +6,55 @@
 use spdlog::prelude::*;
 use tokio::sync::{mpsc, oneshot};
 
-/// Feeds that may wait for an update: one proxy, its successors, and those whose end has not been noticed yet.
+/// The maximum number of feeds that wait for an update: the proxy, its replacements during restarts, and
+/// disconnected feeds that have not been removed yet.
 const MAX_WAITING_FEEDS: usize = 64;
 
-/// A command to the owner of the tables.
+/// A command to the table owner.
 pub enum Command {
-    /// Applies an update from a control process. The reply is the version vector after it.
+    /// Applies an update from a control process.
     Apply {
         /// The update.
         update: Update,
-        /// Where the vector goes.
+        /// Receives the version vector after the update.
         reply: oneshot::Sender<VersionVector>,
     },
-    /// Requests the content of the next pull.
-    Report {
-        /// Where it goes.
+    /// Requests the state to report in the next pull.
+    GetPullReport {
+        /// Receives the state.
         reply: oneshot::Sender<PullReport>,
     },
-    /// Requests what the metrics say of the tables.
-    Summarize {
-        /// Where it goes.
+    /// Requests the state of the tables for the metrics.
+    GetSummary {
+        /// Receives the summary.
         reply: oneshot::Sender<TableSummary>,
     },
     /// Records the proxy's requests in flight.
     RecordLoads(Vec<ServiceLoad>),
-    /// Requests everything newer than `have`. The reply comes once something is newer.
+    /// Requests everything newer than `have`, and waits until there is something newer.
     AwaitUpdate {
-        /// What the feed's proxy has applied.
+        /// The versions that the feed's proxy has applied.
         have: VersionVector,
-        /// Where the update goes.
+        /// Receives the update.
         reply: oneshot::Sender<Update>,
     },
 }
 
-/// What the metrics say of the tables.
+/// The state of the tables for the metrics.
 pub struct TableSummary {
     /// The versions of the tables of this process.
     pub vector: VersionVector,
     /// The number of servers in the server table.
     pub servers: usize,
-    /// The number of feeds that wait for an update.
+    /// The number of feeds waiting for an update.
     pub waiting_feeds: usize,
 }
 
-/// What a pull reports.
+/// The state that a pull reports.
 pub struct PullReport {
     /// The versions of the tables of this process.
     pub have: VersionVector,
-    /// The proxy's requests in flight, as reported last.
+    /// The proxy's requests in flight, as last reported.
     pub loads: Vec<ServiceLoad>,
 }
 
@@ -69,7 +70,7 @@
     waiting_feeds: Vec<WaitingFeed>,
 }
 
-/// Executes commands until all senders are gone.
+/// Executes commands until all senders are dropped.
 pub async fn run(mut commands: mpsc::Receiver<Command>) {
     let mut owner = TableOwner::default();
     while let Some(command) = commands.recv().await {
@@ -80,17 +81,17 @@
 
 impl TableOwner {
     fn execute(&mut self, command: Command) {
-        // A reply to a task that has ended meanwhile is dropped.
+        // A reply to a task that has ended in the meantime is dropped.
         match command {
             Command::Apply { update, reply } => {
                 self.apply(&update);
                 let _ = reply.send(self.tables.version_vector());
             }
-            Command::Report { reply } => {
+            Command::GetPullReport { reply } => {
                 let _ =
                     reply.send(PullReport { have: self.tables.version_vector(), loads: self.loads.clone() });
             }
-            Command::Summarize { reply } => {
+            Command::GetSummary { reply } => {
                 let _ = reply.send(TableSummary {
                     vector: self.tables.version_vector(),
                     servers: self.tables.servers().len(),
@@ -102,7 +103,7 @@
                 self.waiting_feeds.push(WaitingFeed { have, reply });
                 let waiting = self.waiting_feeds.len();
                 check(Invariant::WaitersBounded, waiting <= MAX_WAITING_FEEDS, || {
-                    format!("{waiting} feeds wait")
+                    format!("{waiting} feeds wait for an update; the limit is {MAX_WAITING_FEEDS}")
                 });
             }
         }
@@ -112,14 +113,15 @@
         let before = self.tables.version_vector().config;
         let result = self.tables.apply(update);
         let after = self.tables.version_vector().config;
-        check(Invariant::AgentVersionClimbs, after >= before, || format!("{after} after {before}"));
+        check(Invariant::AgentVersionClimbs, after >= before, || format!("version {after} after {before}"));
         log_new_config(before, &self.tables);
         if let Err(error) = result {
             warn!("servers", kv: { outcome = "refused", error: = error });
         }
     }
 
-    /// Replies to the feeds for which something is newer, and forgets those that have ended.
+    /// Sends an update to each feed for which there is something newer, and removes the feeds that have
+    /// ended.
     fn send_updates(&mut self) {
         let mut index = 0;
         while index < self.waiting_feeds.len() {
@@ -127,7 +129,7 @@
             if feed.reply.is_closed() {
                 self.waiting_feeds.swap_remove(index);
             } else if let Some(update) = self.tables.update_since(&feed.have) {
-                // A feed that ends just now needs no update.
+                // The send fails if the feed has just ended.
                 let _ = self.waiting_feeds.swap_remove(index).reply.send(update);
             } else {
                 index += 1;
@@ -136,7 +138,7 @@
     }
 }
 
-/// Logs the configuration if its version differs from `before`: it is on its way to the proxy now.
+/// Logs the configuration if its version differs from `before`. It is about to be sent to the proxy.
 fn log_new_config(before: u64, tables: &Tables) {
     if let Some(config) = tables.config().filter(|config| config.version != before) {
         info!("config", kv: {
--- a/crates/control/src/agent_server.rs
+++ b/crates/control/src/agent_server.rs
@@ -1,10 +1,11 @@
-//! Serves the connections of agents. Each connection carries one request at a time.
+//! Serves connections from agents. Each connection carries one request at a time.
 //!
-//! Owns nothing but the connection: each request becomes a [`Command::Pull`], and the encoded reply of the controller is
-//! written back. An agent that is silent or does not read is disconnected; it connects again to this process or another one.
+//! A task owns nothing but its connection: it passes each request to the controller as [`Command::Pull`] and
+//! writes the encoded reply back. An agent that sends no requests or does not read is disconnected; it then
+//! reconnects to this process or to another one.
 
-use crate::acceptor::{self, AcceptLimits};
 use crate::command::Command;
+use crate::connection_listener::{self, AcceptLimits};
 use lugwharf_protocol::{AgentRequest, FrameError, read_frame};
 use std::io;
 use std::time::Duration;
@@ -13,18 +14,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-/// Agents that may be connected to this process: several times the fronts of the largest deployment over its control
-/// processes, under the 4,096 descriptors of a small machine.
+/// The maximum number of connected agents: several times the share of one control process in the largest
+/// deployment, and below the limit of 4,096 file descriptors on a small machine.
 const MAX_CONNECTIONS: usize = 2_000;
-/// A connection without a request for so long was abandoned by its agent, which asks twice a second.
+/// A connection without a request for this long is closed. Agents pull twice a second, so it was abandoned.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// An agent that reads nothing of its reply for so long is gone. A long list on a narrow link takes its time.
+/// An agent that reads no byte of its reply for this long is disconnected. The timeout applies to each write
+/// and not to the complete reply, because a long list takes longer over a slow link.
 const WRITE_STALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Accepts agents for as long as the process runs.
+/// Accepts connections from agents until the process ends.
 pub async fn accept(listener: TcpListener, commands: mpsc::Sender<Command>) {
     let limits = AcceptLimits { kind: "agent", max_connections: MAX_CONNECTIONS };
-    acceptor::accept(listener, limits, commands, serve).await;
+    connection_listener::accept(listener, limits, commands, serve).await;
 }
 
 async fn serve(mut stream: TcpStream, commands: mpsc::Sender<Command>) -> Result<(), FrameError> {
@@ -41,7 +43,8 @@
     }
 }
 
-/// Writes a reply, however long it takes, as long as the agent reads some of it within each [`WRITE_STALL_TIMEOUT`].
+/// Writes a complete reply. Fails if the agent reads nothing for [`WRITE_STALL_TIMEOUT`]; the total time is
+/// not limited.
 async fn write(stream: &mut TcpStream, mut bytes: &[u8]) -> io::Result<()> {
     while !bytes.is_empty() {
         let written = timeout(WRITE_STALL_TIMEOUT, stream.write(bytes)).await??;
--- a/crates/control/src/announcement.rs
+++ b/crates/control/src/announcement.rs
@@ -1,9 +1,10 @@
-//! Announces the control processes to the seeds that run none.
+//! Announces the known control processes to the seeds that run none.
 //!
-//! Seeds are machines that serve control, also those without a replica. After the loss of all machines such a seed knows no
-//! control process, and agents know only the seeds. So each replica announces the control processes that it knows, to those
-//! seeds, every 500 ms. The reply names the processes that the seed knows: for a replica that hears nobody, as one on a new
-//! disk. A seed that does not reply in time is skipped until the next round.
+//! Seeds are machines that serve control requests, including machines without a replica. After the loss of
+//! all machines, such a seed knows no control process, while agents know only the seeds. Each replica
+//! therefore announces the control processes that it knows to those seeds every 500 ms. The reply contains
+//! the processes that the seed knows, which helps a replica that receives no messages from others, for
+//! example one with a new disk. A seed that does not reply in time is skipped until the next round.
 
 use crate::command::Command;
 use crate::message::Announcement;
@@ -13,14 +14,16 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Between two rounds. A front that starts waits for at most one; running replicas hear each other well within it.
+/// The time between two rounds. A front-end node that starts waits for at most one round. Running replicas
+/// exchange messages more often than that.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long one seed may take.
+/// The timeout for the complete exchange with one seed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(300);
-/// Addresses that are used of one reply.
+/// The maximum number of addresses that are used from one reply.
 const MAX_ADDRESSES: usize = 64;
 
-/// Announces until the controller ends. `source` is the address that connections come from, where the settings name one.
+/// Announces until the controller ends. `source` is the local address to connect from, if the settings
+/// specify one.
 pub async fn run(source: Option<IpAddr>, commands: mpsc::Sender<Command>) {
     loop {
         sleep(ANNOUNCE_INTERVAL).await;
@@ -39,7 +42,7 @@
     }
 }
 
-/// Announces to one seed; returns the agent addresses of the control processes that it knows.
+/// Announces to one seed and returns the agent addresses of the control processes that the seed knows.
 async fn announce(
     source: Option<IpAddr>, seed: SocketAddr, control: &[SocketAddr],
 ) -> Result<Vec<SocketAddr>, FrameError> {
--- a/crates/control/src/announcement_tests.rs
+++ b/crates/control/src/announcement_tests.rs
@@ -1,4 +1,5 @@
-//! A replica announces the control processes to seeds that run none, and learns whom they know.
+//! Tests that a replica announces control processes to seeds that run none, and uses the processes in their
+//! replies.
 
 use crate::announcement;
 use crate::command::Command;
@@ -10,15 +11,15 @@
 
 #[tokio::test]
 async fn processes_named_by_a_seed_reach_the_controller_and_a_dead_seed_is_skipped() {
-    let gone = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let gone_address = gone.local_addr().expect("an address");
-    drop(gone);
+    let closed = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
+    let closed_address = closed.local_addr().expect("an address");
+    drop(closed);
     let seed = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let seed_address = seed.local_addr().expect("an address");
     let announced: Vec<SocketAddr> = vec!["10.0.0.1:7721".parse().expect("an address")];
     let control = announced.clone();
     tokio::spawn(async move {
-        let (mut stream, _) = seed.accept().await.expect("a link");
+        let (mut stream, _) = seed.accept().await.expect("a connection");
         let request = read_frame::<AgentRequest>(&mut stream).await.expect("a frame");
         let own = "10.0.0.2:7721".parse().expect("an address");
         assert_eq!(request, Some(AgentRequest::Announce { control: vec![own] }));
@@ -27,10 +28,10 @@
     });
     let (commands, mut queue) = mpsc::channel(4);
     tokio::spawn(announcement::run(None, commands));
-    let Some(Command::GetAnnouncement { reply }) = queue.recv().await else { panic!("no question") };
+    let Some(Command::GetAnnouncement { reply }) = queue.recv().await else { panic!("no request") };
     let control = vec!["10.0.0.2:7721".parse().expect("an address")];
-    let sent = reply.send(Announcement { seeds: vec![gone_address, seed_address], control });
-    assert!(sent.is_ok(), "somebody asks");
-    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else { panic!("nobody announced") };
+    let sent = reply.send(Announcement { seeds: vec![closed_address, seed_address], control });
+    assert!(sent.is_ok(), "the requester waits for the reply");
+    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else { panic!("no addresses") };
     assert_eq!(addresses, announced);
 }
--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,10 +1,10 @@
-//! The commands that the tasks around the controller send it. The controller handles them one at a time.
+//! The commands that other tasks send to the controller, which handles them one at a time.
 //!
-//! A command that asks for something carries a `reply` channel. Its requester may be gone before the reply: see
-//! [`crate::reply::send_reply`].
+//! A command that requests something carries a `reply` channel. The requester may be gone before the reply is
+//! sent: see [`crate::reply::send_reply`].
 
 use crate::message::{Announcement, PeerMessage, PersistOutcome};
-use crate::pulls::Frame;
+use crate::pulls::ReplyFrame;
 use crate::shutdown::ShutdownOutcome;
 use crate::status::Status;
 use lugwharf_chain::Blake3;
@@ -18,107 +18,108 @@
 
 /// A command to the controller.
 pub enum Command {
-    /// Time has passed.
+    /// The period of the timer has passed.
     Tick,
-    /// A message of another control process has arrived.
-    Peer {
+    /// A message from another control process has arrived.
+    PeerMessageReceived {
         /// The peer address of the sender.
         from: SocketAddr,
         /// The message.
         body: PeerMessage,
     },
-    /// A connection on which messages of a control process arrived has ended.
+    /// A connection on which messages from another control process arrived has ended.
     PeerDisconnected {
         /// The peer address of that process.
         peer: SocketAddr,
     },
-    /// The storage thread has finished a batch.
+    /// The storage thread has finished a batch, successfully or not.
     Persisted(PersistOutcome),
-    /// An agent pulls what it lacks, or a process announces control processes.
+    /// An agent pulls updates, or another process announces control processes.
     Pull {
         /// The request.
         request: AgentRequest,
-        /// Takes the encoded reply. Dropped without one, the connection is closed.
-        reply: oneshot::Sender<Frame>,
+        /// Receives the encoded reply. If it is dropped without a reply, the connection is closed.
+        reply: oneshot::Sender<ReplyFrame>,
     },
-    /// The operator submits a configuration that is valid by itself.
-    Submit {
-        /// The version it is based on.
+    /// The operator submits a configuration. It has passed validation.
+    SubmitConfig {
+        /// The version that the configuration is based on.
         base: u64,
-        /// Its version.
+        /// The version of the configuration.
         version: u64,
-        /// The hash of the operator's request, where the configuration was computed from a patch.
+        /// The hash of the operator's request, if the configuration was computed from a patch.
         request: Option<Blake3>,
-        /// Its JSON; empty as in [`lugwharf_chain::Event::Submit`].
+        /// The JSON text of the configuration. It may be empty as described at
+        /// [`lugwharf_chain::Event::Submit`].
         bytes: Arc<[u8]>,
-        /// Takes the decision.
+        /// Receives the decision.
         reply: oneshot::Sender<lugwharf_chain::OperatorResponse>,
     },
     /// The operator reads the newest committed configuration.
-    Read {
-        /// Takes the configuration.
+    ReadConfig {
+        /// Receives the configuration.
         reply: oneshot::Sender<lugwharf_chain::OperatorResponse>,
     },
     /// The operator reads the status of this process.
-    Status {
-        /// Takes the status.
+    GetStatus {
+        /// Receives the status.
         reply: oneshot::Sender<Status>,
     },
-    /// A collector reads the metrics.
-    Metrics {
-        /// Takes the text.
+    /// A metrics collector reads the metrics.
+    GetMetrics {
+        /// Receives the metrics in the OpenMetrics text format.
         reply: oneshot::Sender<String>,
     },
-    /// The list watcher has read the platform's list.
+    /// The list watcher has read the platform's server list.
     ListRead {
-        /// The fencing token under which it was read; the epoch of the server list.
+        /// The fencing token under which the list was read. It becomes the epoch of the server list.
         token: FencingToken,
         /// The complete list.
         entries: Vec<ServerEntry>,
     },
     /// Asks whether this process still has no server list at all.
     NeedsInitialList {
-        /// Takes the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<bool>,
     },
-    /// The platform's list was read once after the start, without a lease.
+    /// The platform's server list was read once after the start, without a lease.
     InitialListRead {
         /// The complete list.
         entries: Vec<ServerEntry>,
     },
-    /// The list watcher could not read the platform's list.
+    /// The list watcher could not read the platform's server list.
     ListReadFailed {
-        /// The fencing token under which it tried.
+        /// The fencing token of the failed attempt.
         token: FencingToken,
         /// Whether the platform has been unreachable for so long that another process should try.
         should_step_down: bool,
     },
-    /// An order to a model server has ended.
+    /// An order to a model server has completed or failed.
     OrderCompleted {
-        /// The server's id, which is new with each incarnation.
+        /// The id of the server. Each incarnation of a server has a new id.
         id: String,
-        /// The fencing token under which it was sent.
+        /// The fencing token of the order.
         token: FencingToken,
-        /// How it ended.
+        /// The outcome of the order.
         outcome: OrderOutcome,
     },
     /// A model server has reported its stage.
     ServerReported {
-        /// The server's id.
+        /// The id of the server.
         id: String,
-        /// The fencing token under which it was asked.
+        /// The fencing token of the request for the report.
         token: FencingToken,
         /// The report.
         report: StageReport,
     },
-    /// Asks what to announce to seeds.
+    /// Requests what to announce to seeds.
     GetAnnouncement {
-        /// Takes the announcement.
+        /// Receives the announcement.
         reply: oneshot::Sender<Announcement>,
     },
-    /// A seed has named control processes by their agent addresses.
+    /// A seed has replied with the control processes that it knows.
     PeersAnnounced {
-        /// The addresses.
+        /// The agent addresses of the control processes.
         addresses: Vec<SocketAddr>,
     },
     /// The settings file was read again.
@@ -126,14 +127,15 @@
         /// The new settings.
         settings: Box<Settings>,
     },
-    /// The process got SIGTERM.
+    /// The process received SIGTERM.
     Shutdown {
-        /// Takes the outcome once the process may end.
+        /// Receives the outcome once the process may end.
         done: oneshot::Sender<ShutdownOutcome>,
     },
 }
 
-/// Hands a command to the controller. Its queue is closed only while the process ends, and then the command is moot.
-pub async fn notify(commands: &mpsc::Sender<Command>, command: Command) {
+/// Sends a command to the controller. The command is discarded if the queue is closed, which happens only
+/// while the process ends.
+pub async fn send_command(commands: &mpsc::Sender<Command>, command: Command) {
     let _ = commands.send(command).await;
 }
--- a/crates/control/src/acceptor.rs
+++ b/crates/control/src/connection_listener.rs
@@ -1,6 +1,6 @@
-//! Accepts connections of the internal protocol: a bounded number, each served by a task of its own.
+//! Accepts a bounded number of connections of the internal protocol and serves each in its own task.
 //!
-//! A connection that fails is closed and logged (`link outcome=closed`); nothing else changes.
+//! A connection that fails is closed and logged (`link outcome=closed`). The failure has no other effect.
 
 use crate::command::Command;
 use lugwharf_protocol::FrameError;
@@ -12,19 +12,19 @@
 use tokio::sync::{Semaphore, mpsc};
 use tokio::time::sleep;
 
-/// The pause after an accept that failed, as when there are no descriptors left.
+/// The delay before the next attempt after a failed accept, for example when no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What a listener accepts.
+/// The limits and the log name of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptLimits {
-    /// The `kind` of these connections in the log.
+    /// The `kind` of these connections in log lines.
     pub kind: &'static str,
-    /// Connections that may be open at once; those beyond are closed at once.
+    /// The maximum number of open connections. Connections beyond it are closed immediately.
     pub max_connections: usize,
 }
 
-/// Accepts connections for as long as the process runs, and hands each to `serve`.
+/// Accepts connections until the process ends, and passes each to `serve`.
 pub async fn accept<S, F>(
     listener: TcpListener, limits: AcceptLimits, commands: mpsc::Sender<Command>, serve: S,
 ) where
--- a/crates/control/src/controller.rs
+++ b/crates/control/src/controller.rs
@@ -1,26 +1,26 @@
-//! The controller: the one task that owns all state of a control process.
+//! The controller: the single task that owns all state of a control process.
 //!
-//! It handles one [`Command`] at a time: it turns it into an event of a state machine (replica, elector, tables, planner),
-//! and carries out the actions that the state machine returns. Nothing else changes the state, so there are no locks. Its
-//! files each extend [`Controller`] by one concern:
+//! The controller handles one [`Command`] at a time. It translates the command to an event of a state machine
+//! (replica, elector, tables, planner) and executes the actions that the state machine returns. Nothing else
+//! changes the state, so no locks are needed. Each of these files extends [`Controller`] by one concern:
 //!
 //! | file | concern |
 //! | --- | --- |
 //! | `startup` | recovery from the log |
 //! | `replication` | the replica of the configuration, and the log |
-//! | `agent_requests` | pulls of agents, and who may rely on this process |
+//! | `agent_requests` | pulls from agents, and whether agents may rely on this process |
 //! | `peer_exchange` | reports to and from the other control processes |
-//! | `server_list` | the platform's list, from the list watcher to agents and peers |
+//! | `server_list` | the platform's server list, from the list watcher to agents and peers |
 //! | `list_watcher_role` | the elector and the lease |
 //! | `stage_planning` | orders to model servers |
-//! | `view_changes` | views of the replica, for the elector |
+//! | `view_changes` | reports views of the replica to the elector |
 //! | `seed_discovery` | finds control processes through seeds that run none |
-//! | `bootstrap_notice` | what a first start waits for |
+//! | `bootstrap_warning` | a warning if the first start waits too long for its seeds |
 //! | `graceful_shutdown` | the steps after SIGTERM |
 //! | `status_report` | `GET /status`, `GET /metrics` |
 //!
-//! Errors: only [`Controller::start`] returns them. Later a failed write is an event of its state machine, and everything
-//! else that fails is logged and retried.
+//! Only [`Controller::start`] returns errors. After that, a failed write is an event of its state machine,
+//! and all other failures are logged and retried.
 
 use crate::command::Command;
 use crate::message::PeerMessage;
@@ -49,9 +49,9 @@
 #[cfg(test)]
 mod agent_registry_tests;
 mod agent_requests;
-mod bootstrap_notice;
+mod bootstrap_warning;
 #[cfg(test)]
-mod bootstrap_notice_tests;
+mod bootstrap_warning_tests;
 mod commit_history;
 mod fleet_load;
 mod graceful_shutdown;
@@ -88,7 +88,7 @@
 mod view_tracker_tests;
 
 use agent_registry::AgentRegistry;
-use bootstrap_notice::BootstrapNotice;
+use bootstrap_warning::BootstrapWarning;
 use commit_history::CommitHistory;
 use fleet_load::FleetLoad;
 use graceful_shutdown::GracefulShutdown;
@@ -105,20 +105,20 @@
 /// All state of a control process.
 pub struct Controller {
     settings: Settings,
-    /// The state machines count time from here.
+    /// The time origin of the state machines.
     started_at: Instant,
     /// The peer address of this process.
     local_address: SocketAddr,
-    /// The replica of the configuration, and its views.
+    /// The replica of the configuration and its views.
     replica: Replica,
-    /// The election of the list watcher.
+    /// The elector of the list watcher.
     elector: Elector,
-    /// Which view the elector knows of.
+    /// Tracks which view was last reported to the elector.
     views: ViewTracker,
     list_watcher_role: ListWatcherRole,
-    /// Requests of the operator that wait for the replica.
+    /// Operator requests that wait for the replica.
     pending_requests: PendingRequests,
-    /// What agents pull: the configuration, the server list, the live proxies.
+    /// The tables that agents pull: the configuration, the server list, the number of live proxies.
     tables: Tables,
     pending_pulls: PendingPulls,
     agent_registry: AgentRegistry,
@@ -132,22 +132,22 @@
     report_schedule: ReportSchedule,
     platform_reachability: PlatformReachability,
     pause_detector: PauseDetector,
-    bootstrap_notice: BootstrapNotice,
+    bootstrap_warning: BootstrapWarning,
     log_writer: Sender<LogBatch>,
     metrics: Metrics,
-    /// In progress since SIGTERM.
+    /// The shutdown in progress, if SIGTERM was received.
     shutdown: Option<GracefulShutdown>,
 }
 
 impl Controller {
-    /// Handles commands until all senders are gone.
+    /// Handles commands until all senders are dropped.
     pub async fn run(mut self, mut queue: mpsc::Receiver<Command>) {
         while let Some(command) = queue.recv().await {
             self.handle(command);
         }
     }
 
-    /// The time since the start, which is the clock of all state machines.
+    /// Returns the time since the start, which is the clock of all state machines.
     fn now(&self) -> Duration {
         self.started_at.elapsed()
     }
@@ -156,11 +156,11 @@
         self.pause_detector.observe(self.now());
         match command {
             Command::Tick => self.tick(),
-            Command::Peer { from, body } => self.peer_message(from, body),
+            Command::PeerMessageReceived { from, body } => self.handle_peer_message(from, body),
             Command::PeerDisconnected { peer } => self.handle_replica_event(chain::Event::LinkDown { peer }),
-            Command::Persisted(outcome) => self.batch_persisted(outcome),
-            Command::Pull { request, reply } => self.agent_request(request, reply),
-            Command::Submit { base, version, request, bytes, reply } => {
+            Command::Persisted(outcome) => self.handle_persist_outcome(outcome),
+            Command::Pull { request, reply } => self.handle_agent_request(request, reply),
+            Command::SubmitConfig { base, version, request, bytes, reply } => {
                 let id = self.pending_requests.register(reply);
                 self.handle_replica_event(chain::Event::Submit {
                     id,
@@ -170,29 +170,30 @@
                     bytes,
                 });
             }
-            Command::Read { reply } => {
+            Command::ReadConfig { reply } => {
                 let id = self.pending_requests.register(reply);
                 self.handle_replica_event(chain::Event::Read { id });
             }
-            Command::Status { reply } => send_reply(reply, self.status()),
-            Command::Metrics { reply } => send_reply(reply, self.metrics_text()),
-            Command::ListRead { token, entries } => self.list_read(token, entries),
+            Command::GetStatus { reply } => send_reply(reply, self.status()),
+            Command::GetMetrics { reply } => send_reply(reply, self.metrics_text()),
+            Command::ListRead { token, entries } => self.handle_list_read(token, entries),
             Command::NeedsInitialList { reply } => send_reply(reply, self.needs_initial_list()),
-            Command::InitialListRead { entries } => self.initial_list_read(entries),
+            Command::InitialListRead { entries } => self.handle_initial_list_read(entries),
             Command::ListReadFailed { token, should_step_down } => {
-                self.list_read_failed(token, should_step_down);
+                self.handle_list_read_failure(token, should_step_down);
             }
-            Command::OrderCompleted { id, token, outcome } => self.order_completed(&id, token, outcome),
-            Command::ServerReported { id, token, report } => self.server_reported(&id, token, report),
+            Command::OrderCompleted { id, token, outcome } => self.handle_order_outcome(&id, token, outcome),
+            Command::ServerReported { id, token, report } => self.handle_server_report(&id, token, report),
             Command::GetAnnouncement { reply } => send_reply(reply, self.announcement()),
-            Command::PeersAnnounced { addresses } => self.learn_announced_processes(&addresses),
+            Command::PeersAnnounced { addresses } => self.contact_announced_processes(&addresses),
             Command::Reload { settings } => self.reload(*settings),
             Command::Shutdown { done } => self.begin_shutdown(done),
         }
     }
 
-    /// Applies what may change while the process runs: the seeds, which also discards those that were learned from
-    /// announcements. Listening addresses and the data directory stay.
+    /// Applies the settings that may change while the process runs, which are the seeds. This also discards
+    /// the seeds that were learned from announcements. The listening addresses and the data directory do not
+    /// change.
     fn reload(&mut self, settings: Settings) {
         info!("settings", kv: { outcome = "reloaded", seeds = settings.seeds.len() });
         self.replica.set_seeds(replica_seeds(&settings));
@@ -208,23 +209,23 @@
         self.report_if_due();
         self.send_due_orders();
         self.serve_pulls();
-        self.notice_delayed_bootstrap();
+        self.warn_of_delayed_bootstrap();
         self.continue_shutdown();
     }
 
-    fn peer_message(&mut self, from: SocketAddr, body: PeerMessage) {
+    fn handle_peer_message(&mut self, from: SocketAddr, body: PeerMessage) {
         self.process_directory.record_message(self.now(), from);
         match body {
             PeerMessage::Chain(message) => self.handle_replica_event(chain::Event::Message { from, message }),
             PeerMessage::Election(message) => {
                 self.handle_elector_event(election::Event::Message { from, message })
             }
-            PeerMessage::Tables(message) => self.tables_message(from, message),
+            PeerMessage::Tables(message) => self.handle_tables_message(from, message),
         }
     }
 }
 
-/// A duration in whole milliseconds.
+/// Converts a duration to whole milliseconds.
 fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/control/src/controller/agent_registry.rs
+++ b/crates/control/src/controller/agent_registry.rs
@@ -1,4 +1,4 @@
-//! The agents that pull from this process and how far behind each one is, for `GET /status`.
+//! The agents that pull from this process, and how far behind each of them is, for `GET /status`.
 
 use super::commit_history::CommitHistory;
 use crate::status::AgentStatus;
@@ -6,10 +6,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Agents that are remembered at most.
+/// The maximum number of agents that are recorded.
 const MAX_ENTRIES: usize = 4_096;
-/// An agent without a pull for so long follows another process, or is gone.
-const FORGET_AFTER: Duration = Duration::from_secs(30);
+/// An agent that has not pulled for this long is no longer reported: it follows another process or has
+/// stopped.
+const AGENT_TTL: Duration = Duration::from_secs(30);
 
 struct LastPull {
     have: VersionVector,
@@ -22,17 +23,17 @@
     }
 }
 
-/// What each agent had at its last pull. All times count from the start of the process.
+/// The versions that each agent reported in its last pull. All times count from the start of the process.
 #[derive(Default)]
 pub struct AgentRegistry {
     by_node: BTreeMap<String, LastPull>,
 }
 
 impl AgentRegistry {
-    /// Records a pull of an agent that has the tables up to `have`.
+    /// Records a pull from an agent that has the versions `have`.
     pub fn record_pull(&mut self, now: Duration, node: &str, have: VersionVector) {
         if self.by_node.len() >= MAX_ENTRIES {
-            self.by_node.retain(|_, pull| pull.age(now) < FORGET_AFTER);
+            self.by_node.retain(|_, pull| pull.age(now) < AGENT_TTL);
         }
         let pull = LastPull { have, received_at: now };
         let has_capacity = self.by_node.len() < MAX_ENTRIES;
@@ -43,9 +44,10 @@
         }
     }
 
-    /// The agents with a pull within [`FORGET_AFTER`], against the position of the server list and the commits known here.
+    /// Returns the agents with a pull within [`AGENT_TTL`], compared with the position of the server list and
+    /// with the commits known to this process.
     pub fn report(&self, now: Duration, servers: TablePosition, commits: &CommitHistory) -> Vec<AgentStatus> {
-        let recent = self.by_node.iter().filter(|(_, pull)| pull.age(now) < FORGET_AFTER);
+        let recent = self.by_node.iter().filter(|(_, pull)| pull.age(now) < AGENT_TTL);
         let status = recent.map(|(node, pull)| {
             let lag = commits.lag(now, pull.have.config);
             AgentStatus {
--- a/crates/control/src/controller/agent_registry_tests.rs
+++ b/crates/control/src/controller/agent_registry_tests.rs
@@ -1,4 +1,4 @@
-//! How far behind agents are, and which of them are reported.
+//! Tests of how far behind agents are reported to be, and of which agents are reported.
 
 use super::agent_registry::AgentRegistry;
 use super::commit_history::{CommitHistory, Lag};
@@ -16,7 +16,7 @@
     VersionVector { config, servers, live_proxies: 1 }
 }
 
-/// Versions 4, 9 and 12 are known since 10, 20 and 30 s.
+/// Versions 4, 9 and 12 have been known since 10, 20 and 30 s.
 fn commits() -> CommitHistory {
     let mut commits = CommitHistory::default();
     [(4, 10), (9, 20), (12, 30)].into_iter().for_each(|(version, at)| commits.record(s(at), version));
--- a/crates/control/src/controller/agent_requests.rs
+++ b/crates/control/src/controller/agent_requests.rs
@@ -1,7 +1,7 @@
-//! Requests on the agent port: pulls of agents, and announcements of other control processes.
+//! Requests on the agent port: pulls from agents, and announcements from other control processes.
 
 use super::Controller;
-use crate::pulls::{Frame, ReplyContext, SentConfig};
+use crate::pulls::{ReplyContext, ReplyFrame, SentConfig};
 use crate::reply::send_reply;
 use lugwharf_chain as chain;
 use lugwharf_protocol::{AgentRequest, Update};
@@ -11,8 +11,8 @@
 use tokio::sync::oneshot;
 
 impl Controller {
-    /// Handles a request of an agent.
-    pub(super) fn agent_request(&mut self, request: AgentRequest, reply: oneshot::Sender<Frame>) {
+    /// Handles a request on the agent port.
+    pub(super) fn handle_agent_request(&mut self, request: AgentRequest, reply: oneshot::Sender<ReplyFrame>) {
         let now = self.now();
         let (node, incarnation, have, wait_ms, loads) = match request {
             AgentRequest::Pull { node, incarnation, have, wait_ms, loads } => {
@@ -27,20 +27,20 @@
         self.serve_pulls();
     }
 
-    /// A process that takes this one for a seed without a replica announces control processes. The reply has no quorum, so
-    /// that nobody relies on its tables.
-    fn receive_announcement(&mut self, control: &[SocketAddr], reply: oneshot::Sender<Frame>) {
-        self.learn_announced_processes(control);
+    /// Handles an announcement from a control process that takes this process for a seed without a replica.
+    /// The reply reports no quorum, so that nobody relies on its tables.
+    fn receive_announcement(&mut self, control: &[SocketAddr], reply: oneshot::Sender<ReplyFrame>) {
+        self.contact_announced_processes(control);
         let members = self.replica.status().members;
         let processes = self.process_directory.all(self.now(), self.local_address, &members);
         let context = ReplyContext { has_quorum: false, control: self.control_agent_addresses(&processes) };
-        // Without a reply the connection is closed.
+        // If the reply can't be encoded, the connection is closed.
         if let Some(frame) = context.encode(Update::default()) {
             send_reply(reply, frame);
         }
     }
 
-    /// Replies to the pulls that have waited long enough, or for which there is something new.
+    /// Replies to the pulls whose deadline has passed or for which there is something newer.
     pub(super) fn serve_pulls(&mut self) {
         let replica = self.replica.status();
         let now = self.now();
@@ -54,12 +54,13 @@
         }
     }
 
-    /// Whether agents may rely on this process; otherwise they are told to follow another one.
+    /// Whether agents may rely on this process. If not, its replies make them follow another process.
     fn may_serve_agents(&self, now: Duration, replica: &chain::ReplicaStatus) -> bool {
-        replica.has_quorum && !self.pause_detector.is_contact_in_doubt(now) && self.shutdown.is_none()
+        replica.has_quorum && !self.pause_detector.is_contact_uncertain(now) && self.shutdown.is_none()
     }
 
-    /// The addresses of the agent ports of control processes, from their peer addresses: the ports are the same on all hosts.
+    /// Converts the peer addresses of control processes to their agent addresses. All hosts use the same
+    /// ports.
     pub(super) fn control_agent_addresses(&self, processes: &[SocketAddr]) -> Vec<SocketAddr> {
         let port = self.settings.internal_ports().agent;
         processes.iter().map(|process| SocketAddr::new(process.ip(), port)).collect()
--- a/crates/control/src/controller/bootstrap_notice_tests.rs
+++ b/crates/control/src/controller/bootstrap_warning_tests.rs
@@ -1,6 +1,6 @@
-//! When a first start can't be completed, and which seeds it lacks.
+//! Tests of when a first start can't complete, and of which seeds are reported as missing.
 
-use super::bootstrap_notice::{MissingSeeds, missing_seeds};
+use super::bootstrap_warning::{MissingSeeds, missing_seeds};
 use rstest::rstest;
 use std::net::SocketAddr;
 
--- a/crates/control/src/controller/commit_history.rs
+++ b/crates/control/src/controller/commit_history.rs
@@ -1,9 +1,10 @@
-//! When this process learned of each committed configuration, to tell how far behind an agent is.
+//! The times at which this process learned of committed configurations, to determine how far behind an agent
+//! is.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Commits that are remembered: more than an agent can miss while it is still shown.
+/// The maximum number of recorded commits: more than an agent can miss while it is still reported.
 const MAX_ENTRIES: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
@@ -12,12 +13,12 @@
     learned_at: Duration,
 }
 
-/// How far a version is behind the newest commit.
+/// The lag of a version behind the newest commit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Lag {
-    /// Commits above the version that are known here.
+    /// The number of commits above the version that this process knows.
     pub versions: usize,
-    /// How long the first of them has been known here.
+    /// How long this process has known the first of these commits.
     pub time: Duration,
 }
 
@@ -28,7 +29,7 @@
 }
 
 impl CommitHistory {
-    /// Records a commit. Versions rise.
+    /// Records a commit. Its version must be higher than those of all recorded commits.
     pub fn record(&mut self, now: Duration, version: u64) {
         if self.known.len() >= MAX_ENTRIES {
             self.known.pop_front();
@@ -36,7 +37,7 @@
         self.known.push_back(KnownCommit { version, learned_at: now });
     }
 
-    /// How far `version` is behind.
+    /// Returns the lag of `version` at `now`.
     pub fn lag(&self, now: Duration, version: u64) -> Lag {
         let mut missing = self.known.iter().filter(|commit| commit.version > version);
         let Some(first) = missing.next() else { return Lag::default() };
--- a/crates/control/src/controller/fleet_load.rs
+++ b/crates/control/src/controller/fleet_load.rs
@@ -1,16 +1,16 @@
-//! Requests in flight over the whole fleet. Each control process sums up the agents that pull from it and reports the sum to
-//! the others.
+//! The number of requests in flight in the whole fleet. Each control process sums the loads of the agents
+//! that pull from it, and reports the sum to the other control processes.
 
 use lugwharf_protocol::ServiceLoad;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A report older than this no longer counts.
+/// Reports older than this are ignored.
 const REPORT_TTL: Duration = Duration::from_secs(3);
-/// Agents that are remembered at most.
+/// The maximum number of agents that are recorded.
 const MAX_AGENTS: usize = 4_096;
-/// Services in one report at most.
+/// The maximum number of services in one report.
 const MAX_SERVICES: usize = 256;
 
 struct LoadReport {
@@ -24,8 +24,8 @@
     }
 }
 
-/// The loads of the agents that pull from this process, and the sums of its peers. All times count from the start of the
-/// process.
+/// The loads of the agents that pull from this process, and the sums that its peers reported. All times count
+/// from the start of the process.
 #[derive(Default)]
 pub struct FleetLoad {
     agents: BTreeMap<String, LoadReport>,
@@ -33,7 +33,7 @@
 }
 
 impl FleetLoad {
-    /// Replaces what is known of one agent.
+    /// Replaces the loads of one agent.
     pub fn record_agent(&mut self, now: Duration, node: &str, mut loads: Vec<ServiceLoad>) {
         loads.truncate(MAX_SERVICES);
         if self.agents.len() >= MAX_AGENTS {
@@ -48,19 +48,19 @@
         }
     }
 
-    /// Replaces the sum of another control process.
+    /// Replaces the sum that another control process reported.
     pub fn record_peer(&mut self, now: Duration, peer: SocketAddr, mut loads: Vec<ServiceLoad>) {
         loads.truncate(MAX_SERVICES);
         self.peers.retain(|_, report| report.is_fresh(now));
         self.peers.insert(peer, LoadReport { loads, received_at: now });
     }
 
-    /// The sum over the agents that pull from this process, by service.
+    /// Returns the sum over the agents that pull from this process, by service.
     pub fn local_sum(&self, now: Duration) -> Vec<ServiceLoad> {
         sum(self.agents.values().filter(|report| report.is_fresh(now)))
     }
 
-    /// Requests in their decode phase at one service, over the whole fleet.
+    /// Returns the number of requests to one service that are in the decode phase, over the whole fleet.
     pub fn decode_in_flight(&self, now: Duration, service: &str) -> u32 {
         let reports = self.agents.values().chain(self.peers.values());
         let fresh = reports.filter(|report| report.is_fresh(now));
--- a/crates/control/src/controller/graceful_shutdown.rs
+++ b/crates/control/src/controller/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Carries out the steps of [`ShutdownSequence`] after SIGTERM.
+//! Executes the steps of [`ShutdownSequence`] after SIGTERM.
 
 use super::Controller;
 use crate::reply::send_reply;
@@ -14,12 +14,12 @@
     sequence: ShutdownSequence,
     /// Whether this process held the lease at SIGTERM.
     held_lease: bool,
-    /// Takes the outcome, once.
+    /// Receives the outcome. `None` after it has been sent.
     done: Option<oneshot::Sender<ShutdownOutcome>>,
 }
 
 impl Controller {
-    /// SIGTERM has arrived: resigns the lease and sends agents to other processes.
+    /// Starts the shutdown after SIGTERM: resigns the lease, and makes agents follow other processes.
     pub(super) fn begin_shutdown(&mut self, done: oneshot::Sender<ShutdownOutcome>) {
         let now = self.now();
         let held_lease = self.elector.held_lease(now).is_some();
@@ -32,7 +32,7 @@
         self.continue_shutdown();
     }
 
-    /// Takes the next step of a shutdown, if one is in progress.
+    /// Executes the next step of the shutdown, if one is in progress.
     pub(super) fn continue_shutdown(&mut self) {
         let now = self.now();
         let Some(held_lease) = self.shutdown.as_ref().map(|shutdown| shutdown.held_lease) else { return };
--- a/crates/control/src/controller/list_watcher_role.rs
+++ b/crates/control/src/controller/list_watcher_role.rs
@@ -1,7 +1,8 @@
-//! The lease of the list watcher: the singleton role whose holder reads the platform's list and sends orders to servers.
+//! The lease of the list watcher: the singleton role whose holder reads the platform's server list and sends
+//! orders to servers.
 //!
-//! The elector decides who holds the lease. [`ListWatcherRole`] publishes it to the tasks that act under it, and remembers
-//! which holder is known, for `GET /status`.
+//! The elector decides which process holds the lease. [`ListWatcherRole`] publishes the lease to the tasks
+//! that act under it, and records the known holder for `GET /status`.
 
 use super::Controller;
 use crate::lease::{HeldLease, ROLE_NAME};
@@ -13,7 +14,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// What tasks and operators learn of the lease.
+/// The state of the lease as published to tasks and operators.
 pub struct ListWatcherRole {
     lease: watch::Sender<Option<HeldLease>>,
     known_holder: Option<LeaseHolder>,
@@ -21,14 +22,14 @@
 }
 
 impl ListWatcherRole {
-    /// A role without a known holder. The receiver follows the lease while this process holds it.
+    /// Creates a role without a known holder, and a receiver on which the lease of this process is published.
     pub fn new() -> (ListWatcherRole, watch::Receiver<Option<HeldLease>>) {
         let (lease, receiver) = watch::channel(None);
         (ListWatcherRole { lease, known_holder: None, known_holder_since: Duration::ZERO }, receiver)
     }
 
-    /// Publishes the lease, if this process holds it. Receivers are woken when it is acquired or lost; a renewal only moves the
-    /// end that they check, and interrupts nobody.
+    /// Publishes the lease, or `None` if this process does not hold it. Receivers are woken when the lease is
+    /// acquired or lost. A renewal only changes the expiry that they check, and wakes no receiver.
     pub fn publish(&self, lease: Option<HeldLease>) {
         self.lease.send_if_modified(|current| {
             let before = std::mem::replace(current, lease);
@@ -36,13 +37,14 @@
         });
     }
 
-    /// The lease as tasks see it.
+    /// Returns the published lease.
     #[cfg(test)]
     pub fn published(&self) -> Option<HeldLease> {
         *self.lease.borrow()
     }
 
-    /// Records the holder that the elector knows at `now`, and logs a new one (`lease outcome=held`).
+    /// Records the holder that the elector knows at `now`, and logs a change of the holder
+    /// (`lease outcome=held`).
     pub fn record_holder(&mut self, now: Duration, known_holder: Option<LeaseHolder>) {
         if self.known_holder != known_holder {
             if let Some(LeaseHolder { address, token }) = known_holder {
@@ -53,7 +55,7 @@
         }
     }
 
-    /// The status at `now`, with the holder that the elector knows.
+    /// Returns the status of the role at `now`, with the holder that the elector knows.
     pub fn status(&self, now: Duration, known_holder: Option<LeaseHolder>, is_held_here: bool) -> RoleStatus {
         let held_for = now.saturating_sub(self.known_holder_since);
         RoleStatus {
@@ -67,11 +69,12 @@
 }
 
 impl Controller {
-    /// Hands an event to the elector and carries out its actions.
+    /// Passes an event to the elector and executes its actions.
     pub(super) fn handle_elector_event(&mut self, event: election::Event) {
         let mut actions = Vec::new();
         self.elector.handle(self.now(), event, &mut actions);
-        // First of all, so that nothing more is done under a lease whose release is about to be sent.
+        // Publish the lease before sending any message, so that no task acts under a lease whose release is
+        // about to be sent.
         self.list_watcher_role.publish(self.held_lease());
         for action in actions {
             match action {
@@ -95,13 +98,13 @@
         self.list_watcher_role.record_holder(self.now(), known_holder);
     }
 
-    /// The lease, if this process holds it now.
+    /// Returns the lease if this process currently holds it.
     pub(super) fn held_lease(&self) -> Option<HeldLease> {
         let lease = self.elector.held_lease(self.now())?;
         Some(HeldLease { token: lease.token, expires_at: self.started_at + lease.expires_at })
     }
 
-    /// Whether this process holds the lease now, under this token.
+    /// Whether this process currently holds the lease with this token.
     pub(super) fn holds_lease(&self, token: FencingToken) -> bool {
         self.elector.held_lease(self.now()).is_some_and(|lease| lease.token == token)
     }
--- a/crates/control/src/controller/list_watcher_role_tests.rs
+++ b/crates/control/src/controller/list_watcher_role_tests.rs
@@ -1,4 +1,4 @@
-//! When workers are woken, and what the status says of the holder.
+//! Tests of when tasks that act under the lease are woken, and of the holder in the status.
 
 use super::list_watcher_role::ListWatcherRole;
 use crate::lease::HeldLease;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn workers_are_woken_by_a_new_lease_and_its_loss_but_not_by_a_renewal() {
+fn tasks_are_woken_by_a_new_lease_and_its_loss_but_not_by_a_renewal() {
     let (role, mut lease) = ListWatcherRole::new();
     let now = Instant::now();
     let first = HeldLease { token: FencingToken(7), expires_at: now };
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn status_tells_for_how_long_a_holder_is_known_under_its_token() {
+fn status_reports_how_long_a_holder_has_been_known_with_its_token() {
     let (mut role, _lease) = ListWatcherRole::new();
     let ms = Duration::from_millis;
     role.record_holder(ms(100), holder(1, 7));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn status_without_a_known_holder_names_the_role_alone() {
+fn status_without_a_known_holder_contains_only_the_role() {
     let (role, _lease) = ListWatcherRole::new();
     let status = role.status(Duration::from_secs(9), None, false);
     assert_eq!((status.role, status.holder), ("list_reader", None));
--- a/crates/control/src/controller/peer_exchange.rs
+++ b/crates/control/src/controller/peer_exchange.rs
@@ -1,6 +1,8 @@
-//! The exchange with the other control processes: each one reports every 500 ms what it has, and gets what it lacks.
+//! The exchange with the other control processes: each process reports every 500 ms which versions it has,
+//! and is sent the changes that it lacks.
 //!
-//! Changes of the server list are sent at once ([`Controller::list_read`]); the exchange repairs what was lost on the way.
+//! Changes of the server list are sent immediately ([`Controller::handle_list_read`]). The exchange sends
+//! them again if they were lost.
 
 use super::Controller;
 use crate::message::{PeerMessage, TablesMessage};
@@ -9,35 +11,35 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often each control process reports to the others.
+/// The interval between two reports to the other control processes.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// When this process last reported to the others. All times count from the start of the process.
+/// The time of the last report to the other control processes. All times count from the start of the process.
 #[derive(Debug, Default)]
 pub struct ReportSchedule {
     last_report_at: Option<Duration>,
 }
 
 impl ReportSchedule {
-    /// Whether [`EXCHANGE_INTERVAL`] has passed since the last report, or there was none.
+    /// Whether [`EXCHANGE_INTERVAL`] has passed since the last report, or there was no report yet.
     pub fn is_due(&self, now: Duration) -> bool {
         self.last_report_at.is_none_or(|last| now.saturating_sub(last) >= EXCHANGE_INTERVAL)
     }
 
-    /// Records a report.
+    /// Records that a report is sent at `now`.
     pub fn record(&mut self, now: Duration) {
         self.last_report_at = Some(now);
     }
 }
 
 impl Controller {
-    /// The control processes that this one reports to.
-    pub(super) fn audience(&self, now: Duration) -> Vec<SocketAddr> {
+    /// Returns the control processes that this process reports to.
+    pub(super) fn report_recipients(&self, now: Duration) -> Vec<SocketAddr> {
         let members = self.replica.status().members;
-        self.process_directory.audience(now, self.local_address, &members)
+        self.process_directory.report_recipients(now, self.local_address, &members)
     }
 
-    /// Reports to the others if that is due. Without a view nobody is known.
+    /// Reports to the other control processes if a report is due. Without a view no other process is known.
     pub(super) fn report_if_due(&mut self) {
         let now = self.now();
         if self.report_schedule.is_due(now) && self.views.current() > 0 {
@@ -45,7 +47,7 @@
         }
     }
 
-    /// Reports to the others what this process has.
+    /// Reports the state of this process to the other control processes.
     pub(super) fn report_to_peers(&mut self, now: Duration) {
         self.report_schedule.record(now);
         self.update_live_proxies(now);
@@ -62,11 +64,12 @@
             is_platform_reachable: self.platform_reachability.may_be_reachable(now),
             processes,
         };
-        let audience = self.audience(now);
-        self.peer_transport.send_all(&audience, PeerMessage::Tables(report));
+        let recipients = self.report_recipients(now);
+        self.peer_transport.send_all(&recipients, PeerMessage::Tables(report));
     }
 
-    /// Members count the fronts of all control processes. A learner knows only its own, so it uses a member's total.
+    /// Updates the number of live proxies. Members count the front-end nodes of all control processes. A
+    /// learner knows only its own, so it uses the total that a member reported.
     fn update_live_proxies(&mut self, now: Duration) {
         let counted = self.live_nodes.total(now);
         let status = self.replica.status();
@@ -77,15 +80,15 @@
         self.tables.set_live_proxies(total);
     }
 
-    /// Handles a message of another control process about the tables.
-    pub(super) fn tables_message(&mut self, from: SocketAddr, message: TablesMessage) {
+    /// Handles a message from another control process about the tables.
+    pub(super) fn handle_tables_message(&mut self, from: SocketAddr, message: TablesMessage) {
         match message {
             TablesMessage::Report { vector, front_count, loads, is_platform_reachable, processes } => {
                 let now = self.now();
                 self.platform_reachability.record_peer_report(now, from, is_platform_reachable);
                 self.live_nodes.record_peer_count(from, front_count, now);
                 self.fleet_load.record_peer(now, from, loads);
-                self.learn_processes_of_member(now, from, &processes);
+                self.record_processes_from_member(now, from, &processes);
                 self.process_directory.record_live_proxies(now, from, vector.live_proxies);
                 self.send_missing_servers(from, vector);
             }
@@ -110,12 +113,14 @@
         }
     }
 
-    /// A learner hears only members; they name the others to it. Members rely on the messages that they get themselves, so
-    /// that no process stays listed by reports that go round in circles.
-    fn learn_processes_of_member(&mut self, now: Duration, from: SocketAddr, processes: &[SocketAddr]) {
+    /// Records the processes that a member reported, if this process is a learner. A learner receives
+    /// messages only from members, so it learns of other processes from them. Members use only the messages
+    /// that they receive themselves; otherwise processes could keep a stopped process listed by reporting it
+    /// to each other.
+    fn record_processes_from_member(&mut self, now: Duration, from: SocketAddr, processes: &[SocketAddr]) {
         let status = self.replica.status();
         if !status.is_member && status.members.contains(&from) {
-            self.process_directory.record_named(now, processes);
+            self.process_directory.record_reported_processes(now, processes);
         }
     }
 }
--- a/crates/control/src/controller/peer_exchange_tests.rs
+++ b/crates/control/src/controller/peer_exchange_tests.rs
@@ -1,4 +1,4 @@
-//! When a report is due.
+//! Tests of when a report is due.
 
 use super::peer_exchange::ReportSchedule;
 use std::time::Duration;
--- a/crates/control/src/controller/pending_requests.rs
+++ b/crates/control/src/controller/pending_requests.rs
@@ -1,11 +1,11 @@
-//! Requests of the operator that wait for the decision of the replica.
+//! Operator requests that wait for a decision of the replica.
 
 use crate::reply::send_reply;
 use lugwharf_chain::{OperatorRequestId, OperatorResponse};
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// The requests in flight, by the id under which the replica knows them. Ids start at 1 and are not used again.
+/// The requests in flight, by the id that the replica uses for them. Ids start at 1 and are not reused.
 pub struct PendingRequests {
     next_id: u64,
     by_id: BTreeMap<u64, oneshot::Sender<OperatorResponse>>,
@@ -18,7 +18,7 @@
 }
 
 impl PendingRequests {
-    /// Registers a request; the response to the returned id goes to `reply`.
+    /// Registers a request and returns its id. The response to that id is sent to `reply`.
     pub fn register(&mut self, reply: oneshot::Sender<OperatorResponse>) -> OperatorRequestId {
         let id = self.next_id;
         self.next_id += 1;
@@ -26,14 +26,14 @@
         OperatorRequestId(id)
     }
 
-    /// Responds to a request, unless it was abandoned.
+    /// Responds to a request, unless it has been abandoned.
     pub fn respond(&mut self, id: OperatorRequestId, response: OperatorResponse) {
         if let Some(reply) = self.by_id.remove(&id.0) {
             send_reply(reply, response);
         }
     }
 
-    /// Removes the requests whose requester has gone, and returns their ids in ascending order.
+    /// Removes the requests whose requester no longer waits, and returns their ids in ascending order.
     pub fn remove_abandoned(&mut self) -> Vec<OperatorRequestId> {
         let abandoned = self.by_id.iter().filter(|(_, reply)| reply.is_closed());
         let abandoned: Vec<u64> = abandoned.map(|(id, _)| *id).collect();
--- a/crates/control/src/controller/pending_requests_tests.rs
+++ b/crates/control/src/controller/pending_requests_tests.rs
@@ -1,4 +1,4 @@
-//! Which requester gets which response, and which requests count as abandoned.
+//! Tests of which requester receives which response, and of which requests count as abandoned.
 
 use super::pending_requests::PendingRequests;
 use lugwharf_chain::{OperatorRequestId, OperatorResponse};
--- a/crates/control/src/controller/platform_reachability_tests.rs
+++ b/crates/control/src/controller/platform_reachability_tests.rs
@@ -1,4 +1,4 @@
-//! Which processes may reach the platform, and where the lease goes.
+//! Tests of which processes may be able to reach the platform, and of how the lease moves.
 
 use super::platform_reachability::PlatformReachability;
 use rstest::rstest;
@@ -45,7 +45,8 @@
     assert!(reach.may_be_reachable(ms(1_001)));
 }
 
-/// A process that a list reached through a peer is expected to reach the platform as soon as after its first failure.
+/// After a peer has read the list, the retry time of a process that failed repeatedly is as short as after a
+/// first failure.
 #[test]
 fn failures_add_up_until_somebody_reads_the_list() {
     let mut reach = PlatformReachability::default();
@@ -58,26 +59,30 @@
     }
     reach.record_failure(ms(now));
     reach.record_peer_success();
-    assert!(!reach.may_be_reachable(ms(now + 29_999)), "this process may still be cut off");
+    assert!(
+        !reach.may_be_reachable(ms(now + 29_999)),
+        "this process may still be unable to reach the platform"
+    );
     assert!(reach.may_be_reachable(ms(now + 30_000)));
     reach.record_success();
     reach.record_failure(ms(now));
-    assert!(reach.may_be_reachable(ms(now + 30_000)), "the first failure since");
+    assert!(reach.may_be_reachable(ms(now + 30_000)), "it counts as the first failure after a success");
 }
 
-/// Three processes, none of which reaches the platform: each holder fails 1.4 s after it acquired the lease, reports that, and
-/// steps down if a peer may reach the platform.
+/// None of three processes reaches the platform. Each lease holder fails 1.4 s after it acquired the lease,
+/// reports the failure, and steps down if a peer may be able to reach the platform. The lease must not keep
+/// moving between them.
 #[test]
 fn lease_makes_few_rounds_while_nobody_reaches_the_platform() {
     let mut reaches: Vec<PlatformReachability> = (0..3).map(|_| PlatformReachability::default()).collect();
     let all: Vec<SocketAddr> = (1..=3).map(address).collect();
-    let (mut holder, mut gained, mut moves) = (0, 0, Vec::new());
+    let (mut holder, mut acquired_at, mut moves) = (0, 0, Vec::new());
     for now in (0..900_000).step_by(100) {
         for from in 0..3 {
             let expected = reaches[from].may_be_reachable(ms(now));
             reaches.iter_mut().for_each(|reach| reach.record_peer_report(ms(now), all[from], expected));
         }
-        if now < gained + 1_400 {
+        if now < acquired_at + 1_400 {
             continue;
         }
         let others: Vec<SocketAddr> = all.iter().copied().filter(|other| *other != all[holder]).collect();
@@ -87,13 +92,13 @@
             holder = (0..3)
                 .find(|next| *next != holder && reaches[*next].may_be_reachable(ms(now)))
                 .expect("a process");
-            gained = now;
+            acquired_at = now;
         }
     }
     let first_round = moves.iter().filter(|at| **at < 30_000).count();
     assert_eq!(first_round, 2, "{moves:?}");
     let first_minute = moves.iter().filter(|at| **at < 60_000).count();
     assert!(first_minute <= 5, "{moves:?}");
-    // Every 30 s there would be 60 in a quarter of an hour.
+    // Without longer retry times there would be two moves every 30 s: 60 in 15 minutes.
     assert!(moves.len() <= 16, "{moves:?}");
 }
--- a/crates/control/src/controller/seed_discovery.rs
+++ b/crates/control/src/controller/seed_discovery.rs
@@ -1,15 +1,18 @@
-//! Finds the other control processes through seeds that run none: what is announced to them, and what is learned.
+//! Finds other control processes through seeds that run none: determines what to announce to these seeds, and
+//! uses what they reply.
 //!
-//! A seed is a machine that the settings list (`Settings::seeds`; only the IP address is used here). It need not host a
-//! replica. On one that does not, the agent port is served by the agent (`agent/src/discovery.rs`), which stores what is announced to it and
-//! replies with the control processes that it knows. (`gateway.rs` serves only the operator's API there.) The announcements
-//! are sent by `announcement.rs`; a control process that is taken for such a seed answers in `agent_requests.rs`.
+//! A seed is a machine listed in the settings (`Settings::seeds`; only the IP address is used here). It does
+//! not have to host a replica. On a machine without one, the agent serves the agent port
+//! (`agent/src/discovery.rs`), stores the announcements, and replies with the control processes that it
+//! knows. (`gateway.rs` serves only the operator API there.) Announcements are sent by `announcement.rs`. A
+//! control process that is taken for such a seed replies in `agent_requests.rs`.
 //!
-//! Two other things are called seeds. The seeds of the replica are the peer addresses that it contacts: those of the
-//! settings, and for a time the learned ones. The seed of a random generator (`rng_seed`) has nothing to do with either.
+//! The term "seed" has two other uses. The seeds of the replica are the peer addresses that it contacts:
+//! those from the settings and, temporarily, those learned from announcements. The seed of a random number
+//! generator (`rng_seed`) is unrelated.
 //!
-//! Addresses are converted between the agent port and the peer port of a machine by the ports of this process's own settings,
-//! since the port layout is the same on all hosts of a fleet.
+//! Addresses are converted between the agent port and the peer port of a machine with the ports from the
+//! settings of this process, because all hosts of a fleet use the same ports.
 
 use super::Controller;
 use super::state_machine_settings::replica_seeds;
@@ -18,8 +21,9 @@
 use std::net::SocketAddr;
 
 impl Controller {
-    /// What to announce: the control processes that this one knows, and the seeds to send it to, which are those of the
-    /// settings that are not among them. There are none while all seeds run control processes that send messages.
+    /// Returns what to announce: the control processes that this process knows, and the seeds to announce
+    /// them to. These are the seeds from the settings that are not among the known processes. There are none
+    /// while all seeds run control processes that send messages.
     pub(super) fn announcement(&self) -> Announcement {
         let members = self.replica.status().members;
         let processes = self.process_directory.all(self.now(), self.local_address, &members);
@@ -32,12 +36,14 @@
         }
     }
 
-    /// Has the replica contact control processes that a seed or another process has announced, while this process gets no
-    /// messages from any. `control_agent_addresses` are the addresses of their agent ports.
+    /// Makes the replica contact control processes that a seed or another process has announced, but only
+    /// while this process receives no messages from any other. `control_agent_addresses` are the addresses of
+    /// their agent ports.
     ///
-    /// The seeds of the replica are built anew from those of the settings and the announced ones. So these replace the ones
-    /// learned before, and a reload of the settings discards them (`Controller::reload`).
-    pub(super) fn learn_announced_processes(&mut self, control_agent_addresses: &[SocketAddr]) {
+    /// The seeds of the replica are set to those from the settings and the announced ones. The announced ones
+    /// thus replace those of earlier announcements, and a reload of the settings discards them
+    /// (`Controller::reload`).
+    pub(super) fn contact_announced_processes(&mut self, control_agent_addresses: &[SocketAddr]) {
         if self.process_directory.has_recent_peer(self.now()) {
             return;
         }
--- a/crates/control/src/controller/server_list.rs
+++ b/crates/control/src/controller/server_list.rs
@@ -1,7 +1,8 @@
-//! The server list: what the list watcher has read, on its way to agents and peers.
+//! Distributes the server list that the list watcher has read to agents and peers.
 //!
-//! The epoch of a list is the fencing token of the lease under which it was read, so a list of an older lease never replaces
-//! one of a newer lease. The list of the initial read has [`PROVISIONAL_EPOCH`] and gives way to any other.
+//! The epoch of a list is the fencing token of the lease under which it was read, so a list from an older
+//! lease never replaces one from a newer lease. The list of the initial read has [`PROVISIONAL_EPOCH`] and is
+//! replaced by any other.
 
 use super::Controller;
 use crate::lease::ROLE_NAME;
@@ -12,27 +13,29 @@
 use spdlog::prelude::*;
 use std::time::Duration;
 
-/// How long this process does not stand for election after it stepped down: several election rounds. If nobody acquires the
-/// lease meanwhile, nobody else can.
+/// How long this process does not stand for election after it has stepped down. The time covers several
+/// election rounds: if no other process acquires the lease in it, no other process can.
 const STEP_DOWN_BACKOFF: Duration = Duration::from_millis(1_500);
 
 impl Controller {
-    /// Whether there is no server list at all.
+    /// Whether this process has no server list at all.
     pub(super) fn needs_initial_list(&self) -> bool {
         self.tables.servers().position() == TablePosition::default()
     }
 
-    /// Applies a list that was read without a lease: for the agents that pull from here, until the lease holder's list comes.
-    /// After a start of the whole core that is a second sooner than an election allows.
-    pub(super) fn initial_list_read(&mut self, entries: Vec<ServerEntry>) {
+    /// Applies a list that was read without a lease, if there is none yet. It serves the agents that pull
+    /// from this process until the list of the lease holder arrives. After a start of the whole control
+    /// plane, this is about one second earlier than an election would allow.
+    pub(super) fn handle_initial_list_read(&mut self, entries: Vec<ServerEntry>) {
         if self.needs_initial_list() && self.tables.servers_mut().replace(PROVISIONAL_EPOCH, entries).is_ok()
         {
             self.serve_pulls();
         }
     }
 
-    /// Applies a list that was read under the lease with the token `epoch`, and sends it to agents and peers.
-    pub(super) fn list_read(&mut self, token: FencingToken, mut entries: Vec<ServerEntry>) {
+    /// Applies a list that was read under the lease with this token, and sends it to agents and peers. The
+    /// list is discarded if this process no longer holds that lease.
+    pub(super) fn handle_list_read(&mut self, token: FencingToken, mut entries: Vec<ServerEntry>) {
         if !self.holds_lease(token) {
             return;
         }
@@ -45,10 +48,10 @@
         match self.tables.servers_mut().replace(token.0, entries) {
             Ok(true) => {
                 self.serve_pulls();
-                let audience = self.audience(now);
+                let recipients = self.report_recipients(now);
                 if let Some(update) = self.server_update_for(before) {
                     let message = PeerMessage::Tables(TablesMessage::Update(update));
-                    self.peer_transport.send_all(&audience, message);
+                    self.peer_transport.send_all(&recipients, message);
                 }
             }
             Ok(false) => {}
@@ -56,8 +59,9 @@
         }
     }
 
-    /// The list could not be read. If that lasts, this process steps down, provided that a peer may reach the platform.
-    pub(super) fn list_read_failed(&mut self, token: FencingToken, should_step_down: bool) {
+    /// Handles a failed read of the list. After a longer outage this process steps down, provided that a peer
+    /// may be able to reach the platform.
+    pub(super) fn handle_list_read_failure(&mut self, token: FencingToken, should_step_down: bool) {
         self.metrics.list_failures.inc();
         let now = self.now();
         if !should_step_down || !self.holds_lease(token) {
@@ -72,13 +76,14 @@
         warn!("lease", kv: { role = ROLE_NAME, outcome = "stepped_down", reason = "platform", token = token.0 });
         self.metrics.stand_downs.inc();
         self.platform_reachability.record_failure(now);
-        // Before the lease is vacant, so that it does not come back here before all others have tried.
+        // Report the failure before the lease becomes vacant, so that this process does not acquire the lease
+        // again before all others have tried.
         self.report_to_peers(now);
         self.handle_elector_event(election::Event::StepDown { backoff: STEP_DOWN_BACKOFF });
     }
 
-    /// What a peer with these versions lacks of the server list. Configurations reach it through the replica, and the live
-    /// proxies it counts itself.
+    /// Returns the part of the server list that a peer with these versions lacks, if any. Peers receive
+    /// configurations through the replica, and determine the number of live proxies themselves.
     pub(super) fn server_update_for(&self, have: VersionVector) -> Option<Update> {
         if self.tables.servers().position().epoch == PROVISIONAL_EPOCH {
             return None;
--- a/crates/control/src/controller/stage_planning.rs
+++ b/crates/control/src/controller/stage_planning.rs
@@ -1,4 +1,5 @@
-//! Plans which model servers are in the prefill and the decode stage. Only the lease holder plans and sends orders.
+//! Plans which model servers are in the prefill stage and which in the decode stage. Only the lease holder
+//! plans and sends orders.
 
 use super::Controller;
 use super::fleet_load::FleetLoad;
@@ -17,29 +18,29 @@
 use tokio::sync::mpsc;
 use tokio::sync::mpsc::error::TrySendError;
 
-/// How long a server takes to change its stage, where the configuration does not say so.
-const DEFAULT_SWITCH: Duration = Duration::from_secs(3);
+/// The time that a server takes to change its stage, if the configuration does not specify it.
+const DEFAULT_SWITCH_TIME: Duration = Duration::from_secs(3);
 
-/// What the configuration says of a service's engine, as far as planning needs it.
+/// The properties of a service's engine that planning needs, from the configuration.
 #[derive(Clone, Copy)]
 pub struct EngineProfile {
     slots: u32,
-    switch: Duration,
+    switch_time: Duration,
 }
 
-/// The engines of a configuration, by service.
+/// Returns the engines of a configuration by service. Empty if the configuration can't be parsed.
 pub fn engine_profiles(bytes: &[u8]) -> BTreeMap<String, EngineProfile> {
     let Ok(configuration) = Configuration::parse_unchecked(bytes) else { return BTreeMap::new() };
     let services = configuration.services.into_iter();
     let engines = services.filter_map(|service| Some((service.name, service.engine?)));
     let profiles = engines.map(|(name, engine)| {
-        let switch = Duration::try_from_secs_f64(engine.switch_s).unwrap_or(DEFAULT_SWITCH);
-        (name, EngineProfile { slots: engine.slots, switch })
+        let switch_time = Duration::try_from_secs_f64(engine.switch_s).unwrap_or(DEFAULT_SWITCH_TIME);
+        (name, EngineProfile { slots: engine.slots, switch_time })
     });
     profiles.collect()
 }
 
-/// The planner with what it plans by, and the queue of orders to be sent.
+/// The planner with its inputs, and the queues of orders and report requests to send.
 pub struct StagePlanning {
     planner: Planner,
     tuning: StageTuning,
@@ -50,8 +51,8 @@
 }
 
 impl StagePlanning {
-    /// Planning without a configuration; orders go to `order_queue`, and servers that are to be asked for their reports to
-    /// `report_queue`.
+    /// Creates a planner without a configuration. Orders are sent to `order_queue`, and requests for server
+    /// reports to `report_queue`.
     pub fn new(
         tuning: StageTuning, order_queue: mpsc::Sender<AuthorizedOrder>,
         report_queue: mpsc::Sender<ReportRequest>,
@@ -60,22 +61,22 @@
         StagePlanning { planner, tuning, engines: BTreeMap::new(), order_queue, report_queue }
     }
 
-    /// Takes the engines from a committed configuration.
+    /// Reads the engines from a committed configuration.
     pub fn set_configuration(&mut self, bytes: &[u8]) {
         self.engines = engine_profiles(bytes);
     }
 
-    /// This process has acquired the lease.
+    /// Starts planning after this process has acquired the lease.
     pub fn lease_acquired(&mut self, now: Duration) {
         self.planner.lease_acquired(now);
     }
 
-    /// This process has lost the lease.
+    /// Stops planning after this process has lost the lease.
     pub fn lease_lost(&mut self) {
         self.planner.lease_lost();
     }
 
-    /// Has servers of a list asked for their reports, under the lease with this fencing token.
+    /// Queues requests for the reports of servers in the list, under the lease with this fencing token.
     pub fn request_reports(&mut self, now: Duration, entries: &[ServerEntry], token: FencingToken) {
         if !self.tuning.orders {
             return;
@@ -91,11 +92,12 @@
 
     /// Records the report of a server that is listed as `entry`.
     pub fn record_report(&mut self, now: Duration, entry: &ServerEntry, report: StageReport) {
-        let switch = self.switch_time(Some(&entry.service));
-        self.planner.record_report(now, entry, report, switch);
+        let switch_time = self.switch_time(Some(&entry.service));
+        self.planner.record_report(now, entry, report, switch_time);
     }
 
-    /// Plans by a list that was just read, then marks the servers that are about to change their stage as draining in it.
+    /// Plans for a list that was just read, then marks the servers that are about to change their stage as
+    /// draining in the list.
     pub fn plan(&mut self, now: Duration, entries: &mut [ServerEntry], load: &FleetLoad) {
         self.planner.confirm_changes(entries);
         self.plan_services(now, entries, load);
@@ -123,7 +125,8 @@
         }
     }
 
-    /// Queues the orders that are due, under the lease with this fencing token.
+    /// Queues the orders that are due, under the lease with this fencing token. `node` is the name of this
+    /// node.
     pub fn send_due(&mut self, now: Duration, node: &str, token: FencingToken) {
         for order in self.planner.take_due_orders(now) {
             info!("order", kv: { outcome = "sent", id = order.id.as_str(), stage:? = order.stage, token = token.0 });
@@ -136,29 +139,36 @@
         warn!("order", kv: { outcome = "dropped", error: = error });
         let (TrySendError::Full(dropped) | TrySendError::Closed(dropped)) = error;
         let Order { id, .. } = dropped.order;
-        // The order was never sent, so the server may be used again at once.
+        // The order was never sent, so the server may be used again immediately.
         self.planner.record_outcome(now, &id, OrderOutcome::Rejected, Duration::ZERO);
     }
 
-    /// Records how the order to a server of this service ended. An unknown server has [`DEFAULT_SWITCH`].
-    pub fn complete(&mut self, now: Duration, id: &str, service: Option<&str>, outcome: OrderOutcome) {
-        let switch = self.switch_time(service);
-        self.planner.record_outcome(now, id, outcome, switch);
+    /// Records the outcome of the order to a server of this service. If the service is unknown, the change of
+    /// stage is assumed to take [`DEFAULT_SWITCH_TIME`].
+    pub fn record_order_outcome(
+        &mut self, now: Duration, id: &str, service: Option<&str>, outcome: OrderOutcome,
+    ) {
+        let switch_time = self.switch_time(service);
+        self.planner.record_outcome(now, id, outcome, switch_time);
     }
 
-    /// How long the servers of a service take to change their stage.
+    /// Returns the time that the servers of a service take to change their stage.
     fn switch_time(&self, service: Option<&str>) -> Duration {
         let engine = service.and_then(|service| self.engines.get(service));
-        engine.map_or(DEFAULT_SWITCH, |engine| engine.switch)
+        engine.map_or(DEFAULT_SWITCH_TIME, |engine| engine.switch_time)
     }
 
-    /// Records that a server rejected a fencing token of this process; returns whether it gets no more orders for a while.
+    /// Records that a server rejected a fencing token of this process. Returns whether orders to this server
+    /// are now suspended.
     pub fn record_stale_token(&mut self, now: Duration, id: &str, token: FencingToken) -> bool {
         self.planner.record_stale_token(now, id, token.0)
     }
 
-    /// Ids of these servers that have been ordered to change their stage, or are about to be.
-    pub fn changing<'a>(&self, entries: impl Iterator<Item = &'a ServerEntry>) -> BTreeSet<String> {
+    /// Returns the ids of those servers in `entries` that have been ordered to change their stage, or are
+    /// about to be.
+    pub fn changing_server_ids<'a>(
+        &self, entries: impl Iterator<Item = &'a ServerEntry>,
+    ) -> BTreeSet<String> {
         let as_ready = |entry: &ServerEntry| ServerEntry { state: ServerState::Ready, ..entry.clone() };
         let mut shown: Vec<ServerEntry> = entries.map(as_ready).collect();
         self.planner.mark_changing_as_draining(&mut shown);
@@ -168,29 +178,30 @@
 }
 
 impl Controller {
-    /// Sends the orders that are due, while this process holds the lease.
+    /// Sends the orders that are due, if this process holds the lease.
     pub(super) fn send_due_orders(&mut self) {
         let now = self.now();
         let Some(lease) = self.held_lease() else { return };
         self.stage_planning.send_due(now, &self.settings.node, lease.token);
     }
 
-    /// An order under the lease with this fencing token has ended. What an earlier lease began changes nothing in this one.
-    pub(super) fn order_completed(&mut self, id: &str, token: FencingToken, outcome: OrderOutcome) {
+    /// Handles the outcome of an order that was sent under the lease with this fencing token. Orders of an
+    /// earlier lease do not affect the planning under the present one.
+    pub(super) fn handle_order_outcome(&mut self, id: &str, token: FencingToken, outcome: OrderOutcome) {
         let now = self.now();
         info!("order", kv: { outcome = order_outcome_name(outcome), id, token = token.0 });
         self.metrics.record_order(outcome);
         if self.holds_lease(token) {
             let service = self.tables.servers().get(id).map(|entry| entry.service.as_str());
-            self.stage_planning.complete(now, id, service, outcome);
+            self.stage_planning.record_order_outcome(now, id, service, outcome);
         }
         if outcome == OrderOutcome::StaleToken {
-            self.token_refused(now, id, token);
+            self.handle_refused_token(now, id, token);
         }
     }
 
-    /// A server has reported its stage, to the holder of the lease with this fencing token.
-    pub(super) fn server_reported(&mut self, id: &str, token: FencingToken, report: StageReport) {
+    /// Handles the report of a server that was requested under the lease with this fencing token.
+    pub(super) fn handle_server_report(&mut self, id: &str, token: FencingToken, report: StageReport) {
         let now = self.now();
         if !self.holds_lease(token) {
             return;
@@ -201,8 +212,9 @@
         }
     }
 
-    /// A server has seen a higher fencing token than this one: nothing more is done under it, also no read of the list.
-    fn token_refused(&mut self, now: Duration, id: &str, token: FencingToken) {
+    /// Handles that a server has seen a higher fencing token than this one: this process performs no further
+    /// action under this token, including reads of the list.
+    fn handle_refused_token(&mut self, now: Duration, id: &str, token: FencingToken) {
         if self.stage_planning.record_stale_token(now, id, token) {
             warn!("order", kv: { outcome = "suspended", id, token = token.0 });
             self.metrics.suspensions.inc();
--- a/crates/control/src/controller/startup.rs
+++ b/crates/control/src/controller/startup.rs
@@ -1,8 +1,9 @@
-//! The start of a controller: recovery of the state machines from the log, and the tasks that act under the lease.
+//! Starts a controller: recovers the state machines from the log, and starts the tasks that act under the
+//! lease.
 
 use super::Controller;
 use super::agent_registry::AgentRegistry;
-use super::bootstrap_notice::BootstrapNotice;
+use super::bootstrap_warning::BootstrapWarning;
 use super::commit_history::CommitHistory;
 use super::fleet_load::FleetLoad;
 use super::list_watcher_role::ListWatcherRole;
@@ -37,28 +38,29 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Configurations that a front may be sent within `ConfigMs`, in which each one has to be in force: waiting for the next one
-/// leaves three quarters of that time for the way.
+/// The maximum number of configurations that a front-end node is sent within `ConfigMs`, the time in which a
+/// configuration has to be in effect. Waiting for the next interval then takes at most a quarter of that
+/// time, and three quarters remain for the distribution.
 const CONFIGS_PER_BOUND: u64 = 4;
-/// Orders that may wait to be sent.
-const ORDER_QUEUE_LENGTH: usize = 256;
+/// The capacity of the queue of orders to send.
+const ORDER_QUEUE_CAPACITY: usize = 256;
 
-/// Servers that may wait to be asked for their reports; those beyond are planned as they are listed.
-const REPORT_QUEUE_LENGTH: usize = 4_096;
+/// The capacity of the queue of report requests. For servers beyond it, planning uses the stage in the list.
+const REPORT_QUEUE_CAPACITY: usize = 4_096;
 
-/// Replica and elector as recovered from the log, with the first actions of the replica.
+/// The replica and the elector as recovered from the log, with the first actions of the replica.
 struct Recovered {
     replica: Replica,
     elector: Elector,
     actions: Vec<chain::Action>,
 }
 
-/// The peer address of this process.
+/// Returns the peer address of this process.
 fn local_address(settings: &Settings) -> SocketAddr {
     SocketAddr::new(settings.ip, settings.internal_ports().peer)
 }
 
-/// Whether a replica can be recovered from these tagged records. The reason why not is logged.
+/// Whether a replica can be recovered from these tagged records. If not, the reason is logged.
 fn is_recoverable(settings: &Settings, records: &[Vec<u8>]) -> bool {
     let replica_settings = replica_settings(settings, local_address(settings), 0, false);
     let records = RecordOwner::Chain.untagged_records(records);
@@ -68,7 +70,8 @@
         .is_ok()
 }
 
-/// Recovers both state machines from the records of the log, with one seed for their random delays.
+/// Recovers the replica and the elector from the records of the log. Both use the same seed for their random
+/// delays.
 fn recover(settings: &Settings, log: &OpenedLog) -> Result<Recovered, chain::RecoverError> {
     let local_address = local_address(settings);
     let rng_seed = fastrand::u64(..);
@@ -81,14 +84,15 @@
     Ok(Recovered { replica, elector, actions })
 }
 
-/// Starts the list watcher and the sender of orders, which act under the lease; returns what they are controlled by.
+/// Starts the tasks that act under the lease: the list watcher, the sender of orders and the reader of server
+/// reports. Returns the objects that control them.
 fn start_lease_tasks(
     settings: &Settings, stage_tuning: StageTuning, commands: &mpsc::Sender<Command>,
 ) -> (ListWatcherRole, StagePlanning) {
     let (list_watcher_role, lease) = ListWatcherRole::new();
-    let (order_queue, orders) = mpsc::channel(ORDER_QUEUE_LENGTH);
+    let (order_queue, orders) = mpsc::channel(ORDER_QUEUE_CAPACITY);
     let lease = LeaseWatch::new(lease);
-    let (report_queue, report_requests) = mpsc::channel(REPORT_QUEUE_LENGTH);
+    let (report_queue, report_requests) = mpsc::channel(REPORT_QUEUE_CAPACITY);
     tokio::spawn(orders::run(orders, lease.clone(), commands.clone()));
     tokio::spawn(server_reports::run(report_requests, lease.clone(), commands.clone()));
     if let Some(cloud) = settings.cloud.clone() {
@@ -99,20 +103,22 @@
 }
 
 impl Controller {
-    /// Recovers the state from the log and starts the threads and tasks that the controller hands work to.
+    /// Recovers the state from the log, and starts the threads and tasks that perform the I/O for the
+    /// controller.
     ///
     /// # Errors
-    /// `DataDir` is missing, the log can't be opened, or its records can't be read.
+    /// `DataDir` is missing from the settings, the log can't be opened, or the replica can't be recovered
+    /// from its records.
     pub fn start(
         settings: Settings, stage_tuning: StageTuning, commands: mpsc::Sender<Command>,
         rejections: &RejectionCounters,
     ) -> Result<Controller> {
         let directory = settings.data_dir.clone().ok_or_else(|| eyre!("settings: DataDir is missing"))?;
         let log = storage::open(&directory, commands.clone(), |records| is_recoverable(&settings, records))
-            .wrap_err_with(|| format!("the log in {}", directory.display()))?;
+            .wrap_err_with(|| format!("opening the log in {}", directory.display()))?;
         let started_at = Instant::now();
-        let Recovered { replica, elector, actions } =
-            recover(&settings, &log).map_err(|error| eyre!("the log in {}: {error}", directory.display()))?;
+        let Recovered { replica, elector, actions } = recover(&settings, &log)
+            .map_err(|error| eyre!("recovering from the log in {}: {error}", directory.display()))?;
         let (list_watcher_role, stage_planning) = start_lease_tasks(&settings, stage_tuning, &commands);
         let config_interval = Duration::from_millis(settings.bounds.config_ms / CONFIGS_PER_BOUND);
         let local_address = local_address(&settings);
@@ -137,13 +143,13 @@
             report_schedule: ReportSchedule::default(),
             platform_reachability: PlatformReachability::default(),
             pause_detector: PauseDetector::default(),
-            bootstrap_notice: BootstrapNotice::default(),
+            bootstrap_warning: BootstrapWarning::default(),
             log_writer: log.writer,
             metrics: Metrics::new(rejections),
             shutdown: None,
         };
         controller.apply_replica_actions(actions);
-        controller.follow_view();
+        controller.report_view_to_elector();
         Ok(controller)
     }
 }
--- a/crates/control/src/controller/state_machine_settings.rs
+++ b/crates/control/src/controller/state_machine_settings.rs
@@ -1,4 +1,4 @@
-//! The settings of the replica and the elector, from the settings of the process.
+//! Derives the settings of the replica and the elector from the settings of the process.
 
 use lugwharf_chain::ReplicaSettings;
 use lugwharf_election::{ElectorSettings, Role};
@@ -6,15 +6,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The lease of the list watcher. With an election round, one read and the way to the fronts it has to fit twice into
-/// `DrainMs` (3 s), and a holder must survive a pause of some hundred ms.
+/// The duration of the list watcher's lease. Together with an election round, one read and the distribution
+/// to the front-end nodes, it has to fit twice into `DrainMs` (3 s). It must be long enough that a holder
+/// survives a pause of a few hundred ms.
 const LEASE_DURATION: Duration = Duration::from_millis(1_200);
-/// How often the lease is renewed.
+/// The interval at which the lease is renewed.
 const LEASE_RENEW_INTERVAL: Duration = Duration::from_millis(350);
-/// How much faster one monotonic clock may run than another; real ones differ by far less.
+/// The maximum rate difference of two monotonic clocks, in percent. Real clocks differ by far less.
 const CLOCK_DRIFT_PERCENT: u32 = 2;
 
-/// The replica's settings. A process whose log was quarantined may not found a control plane: it does not start for the first time.
+/// Returns the settings of the replica. A process whose log was quarantined must not bootstrap a new control
+/// plane, because this is not its first start.
 pub fn replica_settings(
     settings: &Settings, local_address: SocketAddr, rng_seed: u64, was_log_quarantined: bool,
 ) -> ReplicaSettings {
@@ -30,13 +32,13 @@
     ReplicaSettings { counts_for_quorum, ..replica }
 }
 
-/// The seeds of the replica as the settings have them: the peer addresses of the seeds' machines.
+/// Returns the seeds of the replica: the peer addresses of the seed machines in the settings.
 pub fn replica_seeds(settings: &Settings) -> Vec<SocketAddr> {
     let peer = settings.internal_ports().peer;
     settings.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), peer)).collect()
 }
 
-/// The settings of the elector of the list watcher.
+/// Returns the settings of the elector of the list watcher.
 pub fn elector_settings(local_address: SocketAddr, rng_seed: u64) -> ElectorSettings {
     ElectorSettings {
         local_address,
--- a/crates/control/src/controller/status_report.rs
+++ b/crates/control/src/controller/status_report.rs
@@ -1,11 +1,11 @@
-//! The status and the metrics of this process, as operators read them.
+//! Collects the status and the metrics of this process for operators.
 
 use super::Controller;
 use super::millis;
 use crate::status::{Status, by_service};
 
 impl Controller {
-    /// The answer to `GET /status`.
+    /// Returns the response to `GET /status`.
     pub(super) fn status(&self) -> Status {
         let now = self.now();
         let replica = self.replica.status();
@@ -24,18 +24,21 @@
             position: replica.chain_position,
             member: replica.is_member,
             serving: replica.is_serving,
-            has_quorum: replica.has_quorum && !self.pause_detector.is_contact_in_doubt(now),
+            has_quorum: replica.has_quorum && !self.pause_detector.is_contact_uncertain(now),
             disk_healthy: replica.disk_healthy,
             config_version: replica.committed_version.unwrap_or(0),
             roles: vec![self.list_watcher_role.status(now, known_holder, is_held_here)],
             servers: servers.len(),
-            services: by_service(servers.entries(), &self.stage_planning.changing(servers.entries())),
+            services: by_service(
+                servers.entries(),
+                &self.stage_planning.changing_server_ids(servers.entries()),
+            ),
             live_proxies: self.tables.live_proxies(),
             agents: self.agent_registry.report(now, servers.position(), &self.commit_history),
         }
     }
 
-    /// The answer to `GET /metrics`.
+    /// Returns the response to `GET /metrics`.
     pub(super) fn metrics_text(&self) -> String {
         self.metrics.update_and_encode(&self.status(), self.tables.servers().entries())
     }
--- a/crates/control/src/controller/view_changes.rs
+++ b/crates/control/src/controller/view_changes.rs
@@ -1,4 +1,5 @@
-//! Carries view changes of the replica to the elector, the peer connections, the metrics and the log.
+//! Propagates view changes of the replica to the elector, the peer connections, the metrics and the process
+//! log.
 
 use super::Controller;
 use lugwharf_chain as chain;
@@ -7,14 +8,16 @@
 use std::net::SocketAddr;
 
 impl Controller {
-    /// Reports the replica's view to the elector if it is new: one that was agreed, or the one found on disk.
-    pub(super) fn follow_view(&mut self) {
+    /// Reports the view of the replica to the elector if it is new. It was either agreed or recovered from
+    /// disk.
+    pub(super) fn report_view_to_elector(&mut self) {
         let status = self.replica.status();
         if self.views.enter(status.view_number) {
             self.enter_view(&status);
         }
-        // Before anybody hears of the acceptance, which waits for the disk: from then on this process votes for no holder in
-        // this view, since the next view may elect another one.
+        // The elector learns of the seal before the acceptance is sent, which waits for the disk. From then
+        // on this process votes for no lease holder in this view, because the next view may elect another
+        // one.
         if status.has_accepted_next_view && self.views.seal(status.view_number) {
             self.handle_elector_event(election::Event::ViewSealed { number: status.view_number });
         }
@@ -29,7 +32,7 @@
             outcome = "installed", view = status.view_number, members = status.members.len(),
             replicas = status.chain.len(), position = position.as_str(), chain = chain.join(",").as_str()
         });
-        // Connections to others are opened again with the next message.
+        // Closes connections to processes that are not listed. They are opened again for the next message.
         let all = self.process_directory.all(self.now(), self.local_address, &status.members);
         self.peer_transport.retain(|address| all.contains(address));
         let (number, members, is_voter) = (status.view_number, status.members.clone(), status.is_member);
--- a/crates/control/src/controller/view_tracker_tests.rs
+++ b/crates/control/src/controller/view_tracker_tests.rs
@@ -1,4 +1,4 @@
-//! Each view and each seal counts once.
+//! Tests that each view and each seal is reported once.
 
 use super::view_tracker::ViewTracker;
 
--- a/crates/control/src/controller_tests.rs
+++ b/crates/control/src/controller_tests.rs
@@ -1,4 +1,5 @@
-//! A controller with a control plane of one: shutdown, and a restart in the view on its disk.
+//! Tests of a controller that is the only process of its control plane: bootstrap, lease, server list,
+//! shutdown, and a restart in the view recovered from disk.
 
 use super::Controller;
 use crate::command::Command;
@@ -19,8 +20,9 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Steps until a control plane of one has founded itself; each ends with the next command or after this time.
+/// The maximum number of steps in which a control plane of one process must bootstrap.
 const MAX_STEPS: usize = 1_000;
+/// A step ends with the next command, or after this time.
 const STEP_TIMEOUT: Duration = Duration::from_millis(20);
 
 fn settings(directory: &Path) -> Settings {
@@ -59,15 +61,15 @@
     }
 }
 
-/// An empty folder of its own.
-fn folder(name: &str) -> PathBuf {
+/// Creates an empty directory for one test.
+fn empty_directory(name: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("lugwharf-controller-{name}-{}", std::process::id()));
     drop(std::fs::remove_dir_all(&directory));
-    std::fs::create_dir_all(&directory).expect("a folder");
+    std::fs::create_dir_all(&directory).expect("a directory");
     directory
 }
 
-/// Steps until a control plane of one has founded itself.
+/// Steps until a control plane of one process has bootstrapped.
 async fn bootstrap(controller: &mut Controller, queue: &mut Receiver<Command>) {
     let mut steps = 0;
     while !controller.replica.status().is_serving && steps < MAX_STEPS {
@@ -76,7 +78,7 @@
     }
 }
 
-/// Whether an agent that has nothing is told that this process has a quorum.
+/// Whether the reply to an agent without any tables reports a quorum.
 fn has_quorum_for_agents(controller: &mut Controller) -> bool {
     let (reply, mut answer) = oneshot::channel();
     let (node, incarnation, loads) = ("front-1".to_owned(), 1, Vec::new());
@@ -89,7 +91,7 @@
 
 #[tokio::test]
 async fn shutdown_sends_agents_to_other_processes_until_the_end() {
-    let directory = folder("end");
+    let directory = empty_directory("end");
     let (mut controller, _commands, mut queue) = start(&directory);
     bootstrap(&mut controller, &mut queue).await;
     assert!(has_quorum_for_agents(&mut controller));
@@ -108,20 +110,20 @@
 
 #[tokio::test]
 async fn view_found_on_disk_is_reported_to_the_elector() {
-    let directory = folder("view");
+    let directory = empty_directory("view");
     let (mut controller, commands, mut queue) = start(&directory);
     bootstrap(&mut controller, &mut queue).await;
     let view = controller.views.current();
     assert!(controller.replica.status().is_serving && view > 0, "{:?}", controller.replica.status());
     drop((controller, commands, queue));
 
-    // Nothing new is agreed: the control plane goes on in that view.
+    // No new view is agreed: the control plane continues in the recovered view.
     let (controller, _commands, _queue) = start(&directory);
     assert_eq!(controller.views.current(), view);
     drop(std::fs::remove_dir_all(directory));
 }
 
-/// Steps until this process, alone in its core, holds the lease; returns its fencing token.
+/// Steps until this process, the only one of its control plane, holds the lease. Returns the fencing token.
 async fn acquire_lease(controller: &mut Controller, queue: &mut Receiver<Command>) -> FencingToken {
     for _ in 0..MAX_STEPS {
         if let Some(lease) = controller.held_lease() {
@@ -142,7 +144,7 @@
 
 #[tokio::test]
 async fn list_is_applied_only_under_the_token_of_the_held_lease() {
-    let directory = folder("list");
+    let directory = empty_directory("list");
     let (mut controller, _commands, mut queue) = start(&directory);
     controller.handle(Command::ListRead { token: FencingToken(1), entries: list("without-lease") });
     assert!(server_ids(&controller).is_empty());
@@ -158,7 +160,7 @@
 
 #[tokio::test]
 async fn initial_list_is_applied_once_and_replaced_by_the_list_of_the_lease_holder() {
-    let directory = folder("initial-list");
+    let directory = empty_directory("initial-list");
     let (mut controller, _commands, mut queue) = start(&directory);
     assert!(controller.needs_initial_list());
     controller.handle(Command::InitialListRead { entries: list("first") });
@@ -174,7 +176,7 @@
 
 #[tokio::test]
 async fn lease_is_retained_while_no_peer_may_reach_the_platform() {
-    let directory = folder("retained");
+    let directory = empty_directory("retained");
     let (mut controller, _commands, mut queue) = start(&directory);
     bootstrap(&mut controller, &mut queue).await;
     let token = acquire_lease(&mut controller, &mut queue).await;
@@ -184,11 +186,11 @@
     drop(std::fs::remove_dir_all(directory));
 }
 
-/// A server has seen a higher token: nothing is done under this one any more, and the next lease has a higher token that a
-/// majority has granted.
+/// After a server has seen a higher token, no further action may be performed under the present one, and the
+/// next lease must have a higher token. A refusal of an earlier token must not affect a later lease.
 #[tokio::test]
 async fn refused_token_ends_its_lease_at_once_and_no_later_one() {
-    let directory = folder("refused-token");
+    let directory = empty_directory("refused-token");
     let (mut controller, _commands, mut queue) = start(&directory);
     bootstrap(&mut controller, &mut queue).await;
     let token = acquire_lease(&mut controller, &mut queue).await;
@@ -199,16 +201,24 @@
     };
     let refused = |token| refused_by("i-1", token);
     controller.handle(refused_by("i-0", FencingToken(token.0 - 1)));
-    assert_eq!(controller.held_lease().map(|lease| lease.token), Some(token), "that was an earlier lease");
+    assert_eq!(
+        controller.held_lease().map(|lease| lease.token),
+        Some(token),
+        "the refused token is of an earlier lease"
+    );
     controller.handle(refused(token));
     assert_eq!(controller.held_lease(), None);
-    assert_eq!(controller.list_watcher_role.published(), None, "tasks may act under it no more");
+    assert_eq!(controller.list_watcher_role.published(), None, "tasks must not act under the lost lease");
     controller.handle(Command::ListRead { token, entries: list("late") });
     assert!(server_ids(&controller).is_empty());
     let next = acquire_lease(&mut controller, &mut queue).await;
     assert!(next > token);
     controller.handle(refused(token));
-    assert_eq!(controller.held_lease().map(|lease| lease.token), Some(next), "the refusal came twice");
+    assert_eq!(
+        controller.held_lease().map(|lease| lease.token),
+        Some(next),
+        "a repeated refusal of the earlier token has no effect"
+    );
     assert_eq!((controller.metrics.stand_downs.get(), controller.metrics.suspensions.get()), (1, 0));
     controller.handle(refused(next));
     assert_eq!((controller.metrics.stand_downs.get(), controller.metrics.suspensions.get()), (2, 1));
@@ -217,7 +227,7 @@
 
 #[tokio::test]
 async fn reply_to_an_announcement_names_this_process_and_never_has_a_quorum() {
-    let directory = folder("announcement");
+    let directory = empty_directory("announcement");
     let (mut controller, _commands, mut queue) = start(&directory);
     bootstrap(&mut controller, &mut queue).await;
     assert!(has_quorum_for_agents(&mut controller));
@@ -226,18 +236,18 @@
     controller.handle(Command::Pull { request, reply });
     let frame = response.try_recv().expect("a reply");
     let agent_port = controller.settings.internal_ports().agent;
-    let wanted = ControlReply::Update {
+    let expected = ControlReply::Update {
         has_quorum: false,
         control: vec![SocketAddr::new(controller.local_address.ip(), agent_port)],
         update: Update::default(),
     };
-    assert_eq!(decode::<ControlReply>(&frame[size_of::<u32>()..]).expect("a reply"), wanted);
+    assert_eq!(decode::<ControlReply>(&frame[size_of::<u32>()..]).expect("a reply"), expected);
     drop(std::fs::remove_dir_all(directory));
 }
 
 #[tokio::test]
 async fn member_lists_only_processes_that_send_messages_themselves() {
-    let directory = folder("named");
+    let directory = empty_directory("named");
     let (mut controller, _commands, mut queue) = start(&directory);
     bootstrap(&mut controller, &mut queue).await;
     let [from, named] = [1, 2].map(|host| SocketAddr::from(([10, 0, 0, host], 7_700)));
@@ -248,7 +258,7 @@
         is_platform_reachable: true,
         processes: vec![named],
     };
-    controller.handle(Command::Peer { from, body: PeerMessage::Tables(report) });
+    controller.handle(Command::PeerMessageReceived { from, body: PeerMessage::Tables(report) });
     let listed = controller.process_directory.all(controller.now(), controller.local_address, &[]);
     assert!(listed.contains(&from) && !listed.contains(&named), "{listed:?}");
     drop(std::fs::remove_dir_all(directory));
--- a/crates/control/src/encoded_bytes_tests.rs
+++ b/crates/control/src/encoded_bytes_tests.rs
@@ -1,5 +1,6 @@
-//! What control processes send each other, and the first byte of the log's records, byte for byte as the version of the
-//! capture encoded them. ProcessDirectory of several versions run side by side during an upgrade, so the bytes never change.
+//! Tests that messages between control processes, and the owner tag of log records, are encoded to the same
+//! bytes as in the version from which the literals were captured. Processes of several versions run side by
+//! side during an upgrade, so the bytes must not change.
 
 use crate::message::{PeerMessage, TablesMessage};
 use crate::record_owner::RecordOwner;
@@ -14,7 +15,7 @@
 use serde::de::DeserializeOwned;
 use std::net::SocketAddr;
 
-/// Bytes of the length in front of a frame.
+/// The size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 
 pub fn to_hex(bytes: &[u8]) -> String {
@@ -26,7 +27,8 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// The value encodes to these bytes; what is decoded from them encodes to them again.
+/// Asserts that the value encodes to these bytes, and that the value decoded from them encodes to the same
+/// bytes again.
 pub fn assert_bytes<T: Serialize + DeserializeOwned>(value: &T, hex: &str) {
     assert_eq!(to_hex(&encode(value).expect("encodable")[LENGTH_BYTES..]), hex);
     let decoded: T = decode(&from_hex(hex)).expect("decodable");
@@ -85,7 +87,7 @@
 #[rstest]
 #[case::have(have(false, vec![address(1), address(2)]), "a16448617665a566766563746f72a366636f6e66696719012c6773657276657273a26565706f6368076873657175656e63651a000111706c6c6976655f70726f786965730c6666726f6e747304656c6f61647381a36773657276696365656d6f64656c6770726566696c6c02666465636f64651901f46772656163686573f46970726f63657373657382a162563482840a000001191e14a162563482840a000002191e14")]
 #[case::have_with_the_platform_reachable(have(true, vec![address(1)]), "a16448617665a566766563746f72a366636f6e66696719012c6773657276657273a26565706f6368076873657175656e63651a000111706c6c6976655f70726f786965730c6666726f6e747304656c6f61647381a36773657276696365656d6f64656c6770726566696c6c02666465636f64651901f46772656163686573f56970726f63657373657381a162563482840a000001191e14")]
-#[case::have_of_a_follower(
+#[case::have_of_a_learner(
     have(true, Vec::new()),
     "a16448617665a566766563746f72a366636f6e66696719012c6773657276657273a26565706f6368076873657175656e63651a000111706c6c6976655f70726f786965730c6666726f6e747304656c6f61647381a36773657276696365656d6f64656c6770726566696c6c02666465636f64651901f46772656163686573f56970726f63657373657380"
 )]
@@ -113,8 +115,8 @@
     assert_bytes(&message, hex);
 }
 
-/// Earlier versions send neither `reaches` nor `processes`: the platform counts as reachable, and nobody is named. What is
-/// encoded from it is the form of today.
+/// Earlier versions send neither `reaches` nor `processes`: the platform then counts as reachable, and the
+/// list of processes is empty. The decoded message is encoded in the present form.
 #[rstest]
 #[case::neither(
     "a16448617665a366766563746f72a366636f6e66696719012c6773657276657273a26565706f6368076873657175656e63651a000111706c6c6976655f70726f786965730c6666726f6e747304656c6f61647381a36773657276696365656d6f64656c6770726566696c6c02666465636f64651901f4",
@@ -136,8 +138,8 @@
 ) {
     let decoded: TablesMessage = decode(&from_hex(hex)).expect("decodable");
     let processes = [address(1)].into_iter().take(process_count).collect();
-    let today = have(is_reachable, processes);
-    assert_eq!(to_hex(&encode(&decoded).expect("encodable")), to_hex(&encode(&today).expect("encodable")));
+    let current = have(is_reachable, processes);
+    assert_eq!(to_hex(&encode(&decoded).expect("encodable")), to_hex(&encode(&current).expect("encodable")));
 }
 
 fn chain_message() -> PeerMessage {
@@ -167,7 +169,7 @@
 #[rstest]
 #[case::chain(RecordOwner::Chain, "01aabb")]
 #[case::election(RecordOwner::Election, "02aabb")]
-fn first_byte_of_a_record_names_its_owner(#[case] owner: RecordOwner, #[case] hex: &str) {
+fn first_byte_of_a_record_identifies_its_owner(#[case] owner: RecordOwner, #[case] hex: &str) {
     let record = owner.tag_record(vec![0xaa, 0xbb]);
     assert_eq!(to_hex(&record), hex);
     let other = match owner {
--- a/crates/control/src/gateway.rs
+++ b/crates/control/src/gateway.rs
@@ -1,8 +1,8 @@
-//! The operator's API on a machine without a replica: each request is redirected to a control process.
+//! The operator API on a machine without a replica: redirects each request to a control process.
 //!
-//! Nothing is decided or cached here, so a response can't be out of date. The redirect leads to the control process that the
-//! agent of this machine follows, which has responded within the last second and has a quorum. Without one the operator gets
-//! 503 and retries.
+//! Nothing is decided or cached here, so no response can be out of date. Requests are redirected to the
+//! control process that the agent of this machine follows, which has replied within the last second and has a
+//! quorum. If the agent follows none, the operator receives 503 and retries.
 
 use crate::operator::{self, MAX_CONFIG_BYTES};
 use crate::operator_error::{ErrorKind, OperatorError};
@@ -13,13 +13,14 @@
 use tokio::time::timeout;
 use trillium::{Conn, KnownHeaderName};
 
-/// The status of a redirect that keeps the method and the body.
+/// The HTTP status of a redirect that preserves the method and the body.
 const TEMPORARY_REDIRECT: u16 = 307;
-/// How long a body is read, since a client that still writes may miss the response. The link of the machine may be too narrow
-/// for a long body.
+/// How long the request body is read and discarded. A client that is still writing may miss the response, but
+/// a long body may take too long over a slow link.
 const BODY_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Serves redirects until the process ends. `target` is the operator API of the control process that is followed, if any.
+/// Serves redirects until the process ends. `target` is the operator API of the followed control process, if
+/// any.
 pub fn serve(listener: TcpListener, target: watch::Receiver<Option<SocketAddr>>) {
     let config = operator::http_server_config(listener, MAX_CONFIG_BYTES);
     let handler = move |conn: Conn| {
@@ -30,7 +31,7 @@
 }
 
 async fn redirect(mut conn: Conn, target: Option<SocketAddr>) -> Conn {
-    // The body is discarded: the client sends it again to the control process.
+    // The body is discarded because the client sends it again to the control process.
     let _ = timeout(BODY_TIMEOUT, conn.request_body().read_bytes()).await;
     let Some(target) = target else {
         let error = OperatorError::new(ErrorKind::Unavailable, "no control process is followed here");
--- a/crates/control/src/gateway_tests.rs
+++ b/crates/control/src/gateway_tests.rs
@@ -1,4 +1,4 @@
-//! Redirects of a machine without a replica.
+//! Tests of the redirects on a machine without a replica.
 
 use crate::gateway;
 use rstest::rstest;
@@ -13,15 +13,15 @@
     let target: Option<SocketAddr> = target.map(|target| target.parse().expect("an address"));
     let (_sender, targets) = watch::channel(target);
     gateway::serve(listener, targets);
-    let mut link = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("a connection");
     let head = format!(
         "{head} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
-    link.write_all(head.as_bytes()).await.expect("a write");
-    link.write_all(body).await.expect("a write");
+    stream.write_all(head.as_bytes()).await.expect("a write");
+    stream.write_all(body).await.expect("a write");
     let mut answer = Vec::new();
-    link.read_to_end(&mut answer).await.expect("an answer");
+    stream.read_to_end(&mut answer).await.expect("an answer");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
--- a/crates/control/src/http_bytes_tests.rs
+++ b/crates/control/src/http_bytes_tests.rs
@@ -1,5 +1,6 @@
-//! The bytes of HTTP that others rely on: the answers of the operator's API, orders to servers, the call for a page of the
-//! platform's list, and announcements to seeds. All of them as captured, but for the time of day and port numbers.
+//! Tests of the exact bytes that other programs rely on: responses of the operator API, orders to servers,
+//! requests for pages of the platform's server list, and announcements to seeds. They must equal the captured
+//! bytes, except for the date and port numbers.
 
 use crate::announcement;
 use crate::command::Command;
@@ -32,36 +33,36 @@
     (listener, address)
 }
 
-/// Answers as an owner does whose current version is 7; the base of a change names the answer that it gets.
+/// Answers commands like a controller whose current version is 7. The base of a change selects its answer.
 async fn answer_commands(mut queue: mpsc::Receiver<Command>, config: Option<&'static [u8]>) {
     let config = config.map(|bytes| Arc::new(CommittedConfig { version: 7, base: 6, bytes: bytes.into() }));
     while let Some(command) = queue.recv().await {
         match command {
-            Command::Submit { base: 1, reply, .. } => drop(reply.send(OperatorResponse::Unavailable)),
-            Command::Submit { base: 6, reply, .. } => {
+            Command::SubmitConfig { base: 1, reply, .. } => drop(reply.send(OperatorResponse::Unavailable)),
+            Command::SubmitConfig { base: 6, reply, .. } => {
                 drop(reply.send(OperatorResponse::Conflict { current: 7 }))
             }
-            Command::Submit { version, reply, .. } if version <= 7 => {
+            Command::SubmitConfig { version, reply, .. } if version <= 7 => {
                 drop(reply.send(OperatorResponse::StaleVersion { current: 7 }));
             }
-            Command::Submit { version, reply, .. } => {
+            Command::SubmitConfig { version, reply, .. } => {
                 drop(reply.send(OperatorResponse::Accepted { version }))
             }
-            Command::Read { reply } => drop(reply.send(OperatorResponse::Config(config.clone()))),
-            Command::Status { reply } => drop(reply.send(example())),
-            Command::Metrics { reply } => drop(reply.send("# EOF\n".to_owned())),
+            Command::ReadConfig { reply } => drop(reply.send(OperatorResponse::Config(config.clone()))),
+            Command::GetStatus { reply } => drop(reply.send(example())),
+            Command::GetMetrics { reply } => drop(reply.send("# EOF\n".to_owned())),
             _ => {}
         }
     }
 }
 
-/// Sends these bytes and ends the writing side; returns the answer without its `Date`.
+/// Sends these bytes and shuts down the writing side. Returns the response without its `Date` header.
 async fn exchange(address: SocketAddr, request: &[u8]) -> String {
-    let mut link = TcpStream::connect(address).await.expect("a connection");
-    link.write_all(request).await.expect("a write");
-    link.shutdown().await.expect("an end");
+    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    stream.write_all(request).await.expect("a write");
+    stream.shutdown().await.expect("an end");
     let mut answer = Vec::new();
-    let _ = link.read_to_end(&mut answer).await;
+    let _ = stream.read_to_end(&mut answer).await;
     without_date(&String::from_utf8(answer).expect("text"))
 }
 
@@ -157,8 +158,8 @@
     "HTTP/1.1 405 Method Not Allowed\r\nContent-Length: 77\r\nContent-Type: application/json\r\nServer: trillium/1.0.0 trillium-http/1.0.1\r\n\r\n{\"Error\":\"method_not_allowed\",\"Reason\":\"this path does not take this method\"}"
 )]
 #[tokio::test]
-async fn operator_api_answers_with_the_captured_bytes(#[case] request: String, #[case] wanted: &str) {
-    assert_eq!(call_operator(request.as_bytes(), Some(VERSION_7)).await, wanted);
+async fn operator_api_answers_with_the_captured_bytes(#[case] request: String, #[case] expected: &str) {
+    assert_eq!(call_operator(request.as_bytes(), Some(VERSION_7)).await, expected);
 }
 
 #[rstest]
@@ -172,9 +173,9 @@
 )]
 #[tokio::test]
 async fn operator_api_without_a_configuration_answers_with_the_captured_bytes(
-    #[case] request: String, #[case] wanted: &str,
+    #[case] request: String, #[case] expected: &str,
 ) {
-    assert_eq!(call_operator(request.as_bytes(), None).await, wanted);
+    assert_eq!(call_operator(request.as_bytes(), None).await, expected);
 }
 
 #[rstest]
@@ -187,13 +188,13 @@
     "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 70\r\nContent-Type: application/json\r\nRetry-After: 0.2\r\nServer: trillium/1.0.0 trillium-http/1.0.1\r\n\r\n{\"Error\":\"unavailable\",\"Reason\":\"no control process is followed here\"}"
 )]
 #[tokio::test]
-async fn gateway_answers_with_the_captured_bytes(#[case] target: Option<&str>, #[case] wanted: &str) {
+async fn gateway_answers_with_the_captured_bytes(#[case] target: Option<&str>, #[case] expected: &str) {
     let (listener, address) = listener().await;
     let target: Option<SocketAddr> = target.map(|target| target.parse().expect("an address"));
     let (_sender, targets) = watch::channel(target);
     gateway::serve(listener, targets);
     let request = change("PUT /config?wait=1 HTTP/1.1", "{}");
-    assert_eq!(exchange(address, request.as_bytes()).await, wanted);
+    assert_eq!(exchange(address, request.as_bytes()).await, expected);
 }
 
 /// A status with every list filled and every optional field present.
@@ -233,7 +234,7 @@
     }
 }
 
-/// The same with every list empty and every optional field absent.
+/// A status with every list empty and every optional field absent.
 fn bare_status() -> Status {
     let role = RoleStatus { role: "list_reader", holder: None, token: None, held_ms: None, held_here: false };
     Status {
@@ -255,17 +256,18 @@
     bare_status(),
     "{\"Node\":\"core-1\",\"Address\":\"10.0.0.1:7700\",\"UptimeMs\":1,\"View\":2,\"Members\":[],\"Chain\":[],\"Learners\":[],\"Standby\":false,\"Position\":null,\"Member\":true,\"Serving\":true,\"InTouch\":true,\"DiskWell\":false,\"ConfigVersion\":5,\"Roles\":[{\"Role\":\"list_reader\",\"Holder\":null,\"Token\":null,\"HeldMs\":null,\"HeldHere\":false}],\"Servers\":0,\"Services\":[],\"LiveProxies\":9,\"Agents\":[]}"
 )]
-fn status_is_written_as_captured(#[case] status: Status, #[case] wanted: &str) {
-    assert_eq!(serde_json::to_string(&status).expect("JSON"), wanted);
+fn status_is_written_as_captured(#[case] status: Status, #[case] expected: &str) {
+    assert_eq!(serde_json::to_string(&status).expect("JSON"), expected);
 }
 
-/// Takes one connection, reads up to `end`, answers and returns what was read, with its own address blanked.
+/// Accepts one connection, reads up to `end` and answers. Returns the received text, in which the address of
+/// the listener is replaced by `ADDRESS`.
 async fn receive(listener: TcpListener, end: &[u8], answer: &[u8]) -> String {
     let address = listener.local_addr().expect("an address");
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut received = Vec::new();
     while !received.ends_with(end) {
-        assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "it ends early");
+        assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
     }
     stream.write_all(answer).await.expect("an answer");
     String::from_utf8(received).expect("text").replace(&address.to_string(), "ADDRESS")
@@ -289,7 +291,7 @@
 )]
 #[tokio::test]
 async fn order_is_sent_as_captured(
-    #[case] stage: Stage, #[case] if_revision: Option<u64>, #[case] wanted: &str,
+    #[case] stage: Stage, #[case] if_revision: Option<u64>, #[case] expected: &str,
 ) {
     let (listener, address) = listener().await;
     let answer = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
@@ -304,13 +306,13 @@
         .send(AuthorizedOrder { order, holder: "core-1".to_owned(), token: FencingToken(7) })
         .await
         .expect("a queue");
-    assert_eq!(server.await.expect("a request"), wanted);
+    assert_eq!(server.await.expect("a request"), expected);
     let ended = done.recv().await;
     assert!(matches!(ended, Some(Command::OrderCompleted { outcome: OrderOutcome::Accepted, .. })));
 }
 
 #[tokio::test]
-async fn pages_of_the_list_are_asked_for_as_captured() {
+async fn pages_of_the_list_are_requested_as_captured() {
     let (listener, address) = listener().await;
     let page = |body: &str| {
         let length = body.len();
@@ -320,9 +322,9 @@
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut received = Vec::new();
         for body in ["{\"Instances\":[],\"NextToken\":\"a b/é\"}", "{\"Instances\":[]}"] {
-            let begun = received.len();
-            while !received[begun..].ends_with(b"\r\n\r\n") {
-                assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "it ends early");
+            let start = received.len();
+            while !received[start..].ends_with(b"\r\n\r\n") {
+                assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
             }
             stream.write_all(page(body).as_bytes()).await.expect("an answer");
         }
@@ -337,15 +339,15 @@
 }
 
 #[rstest]
-#[case::silent(PlatformError::Timeout, "no answer in time")]
-#[case::refused(
+#[case::timeout(PlatformError::Timeout, "timed out waiting for a page of the server list")]
+#[case::error_status(
     PlatformError::Status(hyper::StatusCode::TOO_MANY_REQUESTS),
-    "it answered 429 Too Many Requests"
+    "the platform responded with status 429 Too Many Requests"
 )]
-#[case::unreadable(PlatformError::InvalidBody("x".to_owned()), "unreadable: x")]
-#[case::lease_over(PlatformError::LeaseExpired, "the lease is over")]
-fn errors_of_the_list_read_as_captured(#[case] error: PlatformError, #[case] wanted: &str) {
-    assert_eq!(error.to_string(), wanted);
+#[case::invalid_body(PlatformError::InvalidBody("x".to_owned()), "invalid page of the server list: x")]
+#[case::lease_expired(PlatformError::LeaseExpired, "the lease ended before the page was requested")]
+fn error_texts_of_the_list_are_fixed(#[case] error: PlatformError, #[case] expected: &str) {
+    assert_eq!(error.to_string(), expected);
 }
 
 #[tokio::test]
@@ -354,7 +356,7 @@
     const REPLY: &str = "00000081a166557064617465a368696e5f746f756368f467636f6e74726f6c81a162563482840a000001191e2966757064617465a466766563746f72a366636f6e666967006773657276657273a26565706f6368006873657175656e6365006c6c6976655f70726f786965730066636f6e666967f66773657276657273f665666c656574f6";
     let (listener, seed) = listener().await;
     let server = tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a link");
+        let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut received = vec![0; REQUEST.len() / 2];
         stream.read_exact(&mut received).await.expect("a frame");
         stream.write_all(&from_hex(REPLY)).await.expect("a write");
@@ -362,10 +364,10 @@
     });
     let (commands, mut queue) = mpsc::channel(4);
     tokio::spawn(announcement::run(None, commands));
-    let Some(Command::GetAnnouncement { reply }) = queue.recv().await else { panic!("no question") };
+    let Some(Command::GetAnnouncement { reply }) = queue.recv().await else { panic!("no request") };
     let control = vec![SocketAddr::from(([10, 0, 0, 2], 7_721))];
-    assert!(reply.send(Announcement { seeds: vec![seed], control }).is_ok(), "somebody asks");
-    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else { panic!("nobody named") };
+    assert!(reply.send(Announcement { seeds: vec![seed], control }).is_ok(), "the requester waits");
+    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else { panic!("no addresses") };
     assert_eq!(addresses, [SocketAddr::from(([10, 0, 0, 1], 7_721))]);
     assert_eq!(to_hex(&server.await.expect("a request")), REQUEST);
 }
--- a/crates/control/src/leased_call.rs
+++ b/crates/control/src/leased_call.rs
@@ -1,7 +1,7 @@
-//! One HTTP call to a model server under the lease of the list watcher, on a connection of its own.
+//! One HTTP call to a model server under the lease of the list watcher, on a separate connection.
 //!
-//! Nothing is sent once the lease has ended or was given up; a call in flight is aborted then, and its connection reset, so that
-//! it can't arrive after another process acquired the lease.
+//! Nothing is sent after the lease has expired or was resigned. A call in flight is then aborted and its
+//! connection reset, so that the call can't arrive after another process has acquired the lease.
 
 use crate::lease::LeaseWatch;
 use bytes::Bytes;
@@ -18,26 +18,27 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-/// The largest body that is read.
+/// The maximum size of a response body.
 const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// Why a call has no response. The text is logged as `error`.
+/// The reason why a call has no response. The text is logged as `error`.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The lease ended before the call was sent, as after a pause of this process or a rejection of its token.
-    #[error("the lease has ended")]
+    /// The lease ended before the call was sent, for example after a pause of this process or a rejection of
+    /// its token.
+    #[error("the lease ended before the call was sent")]
     LeaseEnded,
     /// The lease ended while the call was in flight.
-    #[error("the lease has ended meanwhile")]
+    #[error("the lease ended while the call was in flight")]
     LeaseEndedInFlight,
-    /// The request could not be built, as for an id that is no header value.
+    /// The request could not be built, for example because the server id is not a valid header value.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// A body could not be encoded or decoded.
+    /// A request body could not be encoded or a response body could not be decoded.
     #[error(transparent)]
     Body(#[from] serde_json::Error),
-    /// The body of the response was incomplete or too long.
-    #[error("the body can't be read: {0}")]
+    /// The response body was incomplete or too long.
+    #[error("reading the response body failed: {0}")]
     IncompleteBody(String),
     /// The connection failed.
     #[error(transparent)]
@@ -47,19 +48,19 @@
     Http(#[from] hyper::Error),
 }
 
-/// A response whose head has arrived. Dropping it resets the connection.
+/// A response whose headers have arrived. Dropping it resets the connection.
 pub struct CallResponse {
     response: Response<Incoming>,
     _connection: ConnectionTask,
 }
 
 impl CallResponse {
-    /// The status.
+    /// Returns the status code of the response.
     pub fn status(&self) -> StatusCode {
         self.response.status()
     }
 
-    /// Reads the body.
+    /// Reads the complete body.
     ///
     /// # Errors
     /// [`CallError::IncompleteBody`].
@@ -69,7 +70,7 @@
     }
 }
 
-/// Drives a connection until it is dropped.
+/// The task that drives a connection. Dropping this aborts the task.
 struct ConnectionTask(JoinHandle<()>);
 
 impl Drop for ConnectionTask {
@@ -78,10 +79,10 @@
     }
 }
 
-/// Sends a request to `address` under the lease with this token, and waits for the head of the response.
+/// Sends a request to `address` under the lease with this token, and waits for the headers of the response.
 ///
 /// # Errors
-/// The lease is over, or the call failed.
+/// The lease has ended, or the call failed.
 pub async fn call(
     address: SocketAddr, request: Request<Full<Bytes>>, lease: &LeaseWatch, token: FencingToken,
 ) -> Result<CallResponse, CallError> {
@@ -92,13 +93,13 @@
     if !lease.holds(token) {
         return Err(CallError::LeaseEnded);
     }
-    check(Invariant::OrderUnderLease, lease.holds(token), || format!("token {}", token.0));
+    check(Invariant::OrderUnderLease, lease.holds(token), || format!("lease not held, token {}", token.0));
     let exchange = sender.send_request(request);
-    // An error of the connection ends the exchange with it.
+    // An error of the connection also fails the exchange, so it is not handled here.
     let connection = ConnectionTask(tokio::spawn(async move { drop(connection.await) }));
     tokio::select! {
         biased;
         response = exchange => Ok(CallResponse { response: response?, _connection: connection }),
-        () = lease.clone().lost(token) => Err(CallError::LeaseEndedInFlight),
+        () = lease.clone().wait_until_lost(token) => Err(CallError::LeaseEndedInFlight),
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,26 +1,28 @@
-//! The control process: the operator's API, a replica of the configuration, the server list, the count of fronts.
+//! The control process: the operator API, a replica of the configuration, the server list, the count of
+//! front-end nodes.
 //!
-//! `controller` owns all state and handles a queue of commands; the state machines inside it come from the crates
-//! `chain`, `election`, `distribution`, `membership` and `stages`. The tasks around it do the I/O and own no state that
-//! outlives a connection:
+//! `controller` owns all state and handles a queue of commands. The state machines inside it come from the
+//! crates `chain`, `election`, `distribution`, `membership` and `stages`. The tasks around it perform the I/O
+//! and own no state that outlives a connection:
 //!
-//! | module | task |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `storage` | the thread that writes the log |
 //! | `peer_transport` | connections between control processes |
-//! | `agent_server` | connections of agents |
-//! | `operator` | the operator's API over HTTP; `gateway` serves it on machines without a replica |
-//! | `list_watcher` | reads the platform's list through `platform_client`, under the lease |
+//! | `agent_server` | connections from agents |
+//! | `operator` | the operator API over HTTP; `gateway` redirects it on machines without a replica |
+//! | `list_watcher` | reads the platform's server list through `platform_client`, under the lease |
 //! | `orders` | sends orders to model servers, under the lease |
+//! | `server_reports` | requests stage reports from model servers, under the lease |
 //! | `announcement` | announces the control processes to seeds that run none |
 #![forbid(unsafe_code)]
 
-mod acceptor;
 mod agent_server;
 mod announcement;
 #[cfg(test)]
 mod announcement_tests;
 mod command;
+mod connection_listener;
 mod controller;
 #[cfg(test)]
 mod encoded_bytes_tests;
@@ -60,7 +62,7 @@
 mod status_tests;
 mod storage;
 
-use command::{Command, notify};
+use command::{Command, send_command};
 use controller::Controller;
 use eyre::{Result, WrapErr, eyre};
 use lugwharf_settings::Settings;
@@ -76,29 +78,31 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, MissedTickBehavior, interval, timeout};
 
-/// Commands that may wait for the controller. When the queue is full, connections and HTTP requests wait.
-const QUEUE_LENGTH: usize = 1024;
-/// The period of [`Command::Tick`]: well under the shortest timer of the state machines (heartbeats of 150 ms), and each
-/// tick costs a wake-up.
-const TICK: Duration = Duration::from_millis(20);
-/// `GraceS` where the value in the settings is no duration.
+/// The capacity of the controller's command queue. When it is full, connections and HTTP requests wait.
+const COMMAND_QUEUE_CAPACITY: usize = 1024;
+/// The period of [`Command::Tick`]: well below the shortest timer of the state machines (heartbeats every 150
+/// ms), but not shorter than needed because each tick costs a wake-up.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Used if `GraceS` in the settings is not a valid duration.
 const DEFAULT_GRACE: Duration = Duration::from_secs(8);
-/// Added to the longest shutdown, for a controller that is busy.
+/// Added to the maximum duration of a shutdown, to allow for a busy controller.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(500);
 
-/// Options of the command line.
+/// Command-line options of the control process.
 #[derive(Clone, Debug, Default)]
 pub struct ControlOptions {
-    /// A port for `GET /metrics` beside the one of the operator's API; not served there if absent.
+    /// An additional port for `GET /metrics`, which the operator API serves as well. `None` opens no
+    /// additional port.
     pub metrics_port: Option<u16>,
-    /// The tuning of stage planning.
+    /// The tuning of the stage planning.
     pub stages: StageTuning,
 }
 
-/// Runs a control process until SIGTERM. SIGHUP reads the settings file again.
+/// Runs a control process until SIGTERM. On SIGHUP it reads the settings file again.
 ///
 /// # Errors
-/// A signal handler or a listener that can't be installed, a log that can't be opened, or an unexpected end of the controller.
+/// A required setting is missing, a signal handler or a listener can't be installed, the log can't be opened,
+/// or the controller ends unexpectedly.
 pub async fn run(settings: Settings, options: ControlOptions) -> Result<()> {
     let mut hangup = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
     let mut terminate = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
@@ -108,7 +112,7 @@
     let peer_listener = listen(SocketAddr::new(settings.listen_ip(), ports.peer)).await?;
     let agent_listener = listen(SocketAddr::new(settings.listen_ip(), ports.agent)).await?;
     let operator_listener = listen(control).await?;
-    let (commands, queue) = mpsc::channel(QUEUE_LENGTH);
+    let (commands, queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
     let rejections = RejectionCounters::default();
     let controller = Controller::start(settings.clone(), options.stages, commands.clone(), &rejections)?;
     let mut controller = tokio::spawn(controller.run(queue));
@@ -125,22 +129,22 @@
         tokio::select! {
             _ = terminate.recv() => break,
             _ = hangup.recv() => reload_settings(&settings, &commands).await,
-            ended = &mut controller => return Err(eyre!("the owner of the state ended: {ended:?}")),
+            ended = &mut controller => return Err(eyre!("the controller task ended unexpectedly: {ended:?}")),
         }
     }
     shut_down(&commands, grace).await;
     Ok(())
 }
 
-/// Reads the settings file again; one that can't be read changes nothing.
+/// Reads the settings file again. If that fails, the present settings stay in effect.
 async fn reload_settings(settings: &Settings, commands: &mpsc::Sender<Command>) {
     match settings.reread() {
-        Ok(settings) => notify(commands, Command::Reload { settings: Box::new(settings) }).await,
+        Ok(settings) => send_command(commands, Command::Reload { settings: Box::new(settings) }).await,
         Err(error) => warn!("settings", kv: { outcome = "not_reloaded", error: = error }),
     }
 }
 
-/// Leaves the other control processes, in a bounded time: at most `grace`.
+/// Runs the shutdown sequence of the controller for at most `grace`.
 async fn shut_down(commands: &mpsc::Sender<Command>, grace: Duration) {
     let started_at = Instant::now();
     let limit = (shutdown::max_duration(grace) + SHUTDOWN_MARGIN).min(grace);
@@ -164,7 +168,7 @@
 }
 
 async fn tick(commands: mpsc::Sender<Command>) {
-    let mut interval = interval(TICK);
+    let mut interval = interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
