--- a/crates/control/src/list_watcher.rs
+++ b/crates/control/src/list_watcher.rs
@@ -1,10 +1,12 @@
-//! The list watcher: the task that reads the platform's server list once a second while this process holds the lease.
+//! The list watcher: the task that reads the platform's server list once a second while this process holds
+//! the lease.
 //!
-//! It owns the connection to the platform and the count of failures in a row, and sends [`Command::ListRead`] or
-//! [`Command::ListReadFailed`] after each read. A failure is logged (`list outcome=failed`: `warn` for the first in a row,
-//! `debug` for the next ones) and retried after 250 ms; after 1.2 s without a response the controller is told to step down.
+//! It owns the connection to the platform and the count of consecutive failures, and sends
+//! [`Command::ListRead`] or [`Command::ListReadFailed`] after each read. A failure is logged
+//! (`list outcome=failed`, at `warn` for the first consecutive failure and at `debug` for later ones) and
+//! retried after 250 ms. After 1.2 s without a response, the command asks the controller to step down.
 
-use crate::command::{Command, notify};
+use crate::command::{Command, send_command};
 use crate::lease::LeaseWatch;
 use crate::platform_client::{PlatformClient, PlatformError};
 use lugwharf_election::FencingToken;
@@ -14,21 +16,23 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// How often the list is read. A server that leaves has to be known at every front within `DrainMs` (3 s) of the list
-/// showing it, also when the lease changes hands meanwhile; each request has a price.
+/// The interval between two reads. Every front-end node must learn that a server is leaving within `DrainMs`
+/// (3 s) of the change in the list, even if the lease moves to another process in that time. More frequent
+/// reads would cost more requests.
 const READ_INTERVAL: Duration = Duration::from_millis(1_000);
-/// The pause after a failed read.
+/// The interval between a failed read and the next one.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// After so long without a response another process should try: it may reach the platform where this one can't. That is two
-/// pages that time out; with the election and the first read of the next holder it stays within some 2 s.
+/// After this long without a response, another process should try, because it may be able to reach the
+/// platform. The time covers two page timeouts; together with the election and the first read of the next
+/// lease holder it is about 2 s.
 const OUTAGE_BEFORE_STEP_DOWN: Duration = Duration::from_millis(1_200);
 
-/// Between two attempts of the initial read: the time for peers to send the list that they have.
+/// The delay before each attempt of the initial read, in which peers can send the list that they have.
 const INITIAL_READ_DELAY: Duration = Duration::from_millis(120);
-/// Attempts of the initial read. An election has ended by then.
+/// The maximum number of attempts of the initial read. An election has completed by then.
 const MAX_INITIAL_READS: u32 = 6;
 
-/// Reads the list once after a start, without a lease, unless a peer has sent it meanwhile.
+/// Reads the list once after a start, without a lease, unless a peer has already sent it.
 pub async fn initial_read(cloud: Cloud, commands: mpsc::Sender<Command>) {
     let mut client = PlatformClient::new(cloud.address);
     for _ in 0..MAX_INITIAL_READS {
@@ -39,14 +43,15 @@
             return;
         }
         if let Ok(entries) = client.list_servers(|| true).await {
-            notify(&commands, Command::InitialListRead { entries }).await;
+            send_command(&commands, Command::InitialListRead { entries }).await;
             return;
         }
     }
 }
 
-/// Reads the list while `lease` has one, and each page only while that lease is valid by the clock: after a pause of the
-/// process this task may run before the controller.
+/// Reads the list while this process holds the lease. Each page is requested only if the lease has not
+/// expired by the clock, because after a pause of the process this task may run before the controller notices
+/// the expiry.
 pub async fn run(cloud: Cloud, mut lease: LeaseWatch, commands: mpsc::Sender<Command>) {
     let mut client = PlatformClient::new(cloud.address);
     loop {
@@ -62,7 +67,7 @@
     }
 }
 
-/// Reads under one token until it is lost. `None` if the process is ending.
+/// Reads the list until the lease with this token is lost. Returns `None` if the process is ending.
 async fn watch_under_lease(
     client: &mut PlatformClient, token: FencingToken, lease: &mut LeaseWatch,
     commands: &mpsc::Sender<Command>,
@@ -83,7 +88,7 @@
                 commands.send(Command::ListRead { token, entries }).await.ok()?;
                 READ_INTERVAL
             }
-            // The controller finds this too, at its next event.
+            // The controller detects the expiry at its next event and publishes it.
             Err(PlatformError::LeaseExpired) => return lease.changed().await,
             Err(error) => {
                 failures += 1;
@@ -100,20 +105,21 @@
     }
 }
 
-/// How long the platform has not responded to this process.
+/// The time since which the platform has not responded to this process.
 #[derive(Debug, Default)]
 pub struct PlatformOutage {
     since: Option<Instant>,
 }
 
 impl PlatformOutage {
-    /// The platform responded.
+    /// Records that the platform responded, which ends an outage.
     pub fn record_response(&mut self) {
         self.since = None;
     }
 
-    /// A read that began at `started_at` has failed; returns whether another process should try. An error status is a
-    /// response: the platform would send it to others as well.
+    /// Records that a read that began at `started_at` has failed, and returns whether another process should
+    /// try. An error status counts as a response, because the platform would send it to other processes as
+    /// well.
     pub fn record_failure(&mut self, started_at: Instant, now: Instant, error: &PlatformError) -> bool {
         if matches!(error, PlatformError::Status(_)) {
             self.record_response();
--- a/crates/control/src/list_watcher_tests.rs
+++ b/crates/control/src/list_watcher_tests.rs
@@ -1,4 +1,4 @@
-//! When the list watcher may send a request, and when an outage makes it step down.
+//! Tests of when the list watcher may send a request, and of when an outage makes it step down.
 
 use crate::lease::{HeldLease, LeaseWatch};
 use crate::list_watcher::{PlatformOutage, run};
@@ -13,8 +13,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, timeout};
 
-/// Failed reads one after the other, each by its start and end in ms and its status; returns whether the last one says to
-/// step down.
+/// Records consecutive failed reads, each given by its start and end in ms and its status. Returns whether
+/// the last one asks to step down.
 fn steps_down(reads: &[(u64, u64, Option<u16>)]) -> bool {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
@@ -29,14 +29,14 @@
 }
 
 #[rstest]
-#[case::one_page_that_does_not_come(&[(0, 700, None)], false)]
-#[case::two_of_them(&[(0, 700, None), (700, 1_400, None)], true)]
+#[case::one_page_that_times_out(&[(0, 700, None)], false)]
+#[case::two_pages_that_time_out(&[(0, 700, None), (700, 1_400, None)], true)]
 #[case::refused_connections(&[(0, 1, None), (250, 251, None), (500, 501, None), (1_000, 1_001, None)], false)]
-#[case::refused_connections_for_long(&[(0, 1, None), (250, 251, None), (1_250, 1_251, None)], true)]
-#[case::over_the_rate(&[(0, 1, Some(429)), (1_000, 1_001, Some(429)), (2_000, 2_001, Some(429))], false)]
+#[case::refused_connections_for_longer(&[(0, 1, None), (250, 251, None), (1_250, 1_251, None)], true)]
+#[case::over_the_rate_limit(&[(0, 1, Some(429)), (1_000, 1_001, Some(429)), (2_000, 2_001, Some(429))], false)]
 #[case::an_answer_between(&[(0, 700, None), (700, 701, Some(503)), (950, 1_650, None)], false)]
-fn steps_down_after_an_outage(#[case] reads: &[(u64, u64, Option<u16>)], #[case] wanted: bool) {
-    assert_eq!(steps_down(reads), wanted);
+fn steps_down_after_an_outage(#[case] reads: &[(u64, u64, Option<u16>)], #[case] expected: bool) {
+    assert_eq!(steps_down(reads), expected);
 }
 
 #[test]
@@ -49,20 +49,21 @@
     assert!(!outage.record_failure(at(1_000), at(1_700), &PlatformError::Timeout));
 }
 
-/// After a pause of the process this task may run before the controller has noticed the end of the lease.
+/// After a pause of the process, the list watcher may run before the controller has noticed that the lease
+/// has expired.
 #[rstest]
 #[case::over(Duration::ZERO, false)]
 #[case::running(Duration::from_secs(60), true)]
 #[tokio::test(start_paused = true)]
-async fn page_is_requested_only_under_a_valid_lease(#[case] left: Duration, #[case] asks: bool) {
+async fn page_is_requested_only_under_a_valid_lease(#[case] remaining: Duration, #[case] is_requested: bool) {
     let platform = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = platform.local_addr().expect("bound");
-    let (_role, holding) =
-        watch::channel(Some(HeldLease { token: FencingToken(7), expires_at: Instant::now() + left }));
+    let (_role, lease) =
+        watch::channel(Some(HeldLease { token: FencingToken(7), expires_at: Instant::now() + remaining }));
     let (commands, _queue) = mpsc::channel(1);
-    tokio::spawn(run(Cloud { address, rate_per_s: 1.0, lag_ms: 0 }, LeaseWatch::new(holding), commands));
+    tokio::spawn(run(Cloud { address, rate_per_s: 1.0, lag_ms: 0 }, LeaseWatch::new(lease), commands));
     let (mut stream, _) = platform.accept().await.expect("a connection");
     let mut bytes = [0; 64];
-    let asked = timeout(Duration::from_millis(500), stream.read(&mut bytes)).await;
-    assert_eq!(asked.is_ok_and(|read| read.is_ok_and(|bytes| bytes > 0)), asks);
+    let received = timeout(Duration::from_millis(500), stream.read(&mut bytes)).await;
+    assert_eq!(received.is_ok_and(|read| read.is_ok_and(|bytes| bytes > 0)), is_requested);
 }
--- a/crates/control/src/logs.rs
+++ b/crates/control/src/logs.rs
@@ -1,28 +1,29 @@
-//! The lines of the log about the replica and about a configuration on its way through the chain.
+//! Log lines about the replica and about configurations as they pass through the chain.
 //!
-//! Each line is an event with fields; `outcome` says what became of its subject. Events, outcomes and fields are what operators
-//! search for: `docs/OPERATING.md`, "Reading the logs", lists them all. The lease is logged by `list_watcher_role`, a change
-//! of the operator by `operator::config_change`.
+//! Each line consists of an event name and fields; the field `outcome` says what happened. Operators search
+//! for event names, outcomes and fields: `docs/OPERATING.md`, "Reading the logs", lists them all. The lease
+//! is logged by `list_watcher_role`, changes by the operator are logged by `operator::config_change`.
 
 use lugwharf_chain::{Blake3, LogEvent, Message, ReplicaFault, ViewChangeReason};
 use spdlog::prelude::*;
 use std::fmt::{self, Write};
 use std::net::SocketAddr;
 
-/// The hash of a configuration's bytes in hex, computed only if the line is written.
-pub struct Hash<'a>(pub &'a [u8]);
+/// Displays the hash of a configuration's bytes in hex. The hash is computed only if the line is written.
+pub struct ConfigHash<'a>(pub &'a [u8]);
 
-impl fmt::Display for Hash<'_> {
+impl fmt::Display for ConfigHash<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         Blake3::of(self.0).fmt(f)
     }
 }
 
-/// Characters of a text from a request that one line shows. Errors of the schema quote the value at fault, which may be as
-/// long as the configuration.
+/// The maximum number of characters of a text from a request in one line. Schema errors quote the invalid
+/// value, which may be as long as the configuration.
 const MAX_EXCERPT_CHARS: usize = 200;
 
-/// The beginning of a text that may come from a request, on one line: control characters become spaces. `-` for an empty one.
+/// Displays the beginning of a text that may come from a request on one line: control characters are replaced
+/// by spaces. An empty text is displayed as `-`.
 pub struct Excerpt<'a>(pub &'a str);
 
 impl fmt::Display for Excerpt<'_> {
@@ -36,7 +37,7 @@
 }
 
 /// Logs an event of the replica.
-pub fn chain_event(logger: &Logger, line: &LogEvent) {
+pub fn log_chain_event(logger: &Logger, line: &LogEvent) {
     match line {
         LogEvent::Started { identity, may_bootstrap, view_number } => {
             let disk = format!("{:016x}", identity.disk);
@@ -65,7 +66,7 @@
             error!(logger: logger, "view", kv: { outcome = "proposal_number_reused", view = *view_number });
         }
         LogEvent::DiskFault => warn!(logger: logger, "disk", kv: { outcome = "fault" }),
-        // At the level of the fault that it ends, so that whoever sees one sees the other.
+        // Logged at the level of the fault that it ends, so that no level filter shows only one of the two.
         LogEvent::DiskHealthy => warn!(logger: logger, "disk", kv: { outcome = "healthy" }),
         LogEvent::EntrySuperseded(header) => {
             warn!(logger: logger, "entry", kv: {
@@ -97,15 +98,15 @@
     }
 }
 
-/// Logs a message that carries a change: forwarded to the head, or replicated down the chain.
-pub fn forwarded_change(to: SocketAddr, message: &Message) {
+/// Logs a message that carries a configuration, either forwarded to the head or replicated down the chain.
+pub fn log_forwarded_change(to: SocketAddr, message: &Message) {
     match message {
         Message::Submit { version, base, bytes, .. } => {
-            debug!("config", kv: { outcome = "forwarded", version = *version, base = *base, hash: = Hash(bytes), to: = to });
+            debug!("config", kv: { outcome = "forwarded", version = *version, base = *base, hash: = ConfigHash(bytes), to: = to });
         }
         Message::Replicate { entry, .. } => {
             let (version, base) = (entry.header.version, entry.header.base);
-            debug!("config", kv: { outcome = "replicated", version, base, hash: = Hash(&entry.bytes), to: = to });
+            debug!("config", kv: { outcome = "replicated", version, base, hash: = ConfigHash(&entry.bytes), to: = to });
         }
         _ => {}
     }
--- a/crates/control/src/logs_tests.rs
+++ b/crates/control/src/logs_tests.rs
@@ -1,6 +1,6 @@
-//! The lines of the log, as they are written.
+//! Tests of the text of log lines.
 
-use crate::logs::{self, Excerpt, Hash};
+use crate::logs::{self, ConfigHash, Excerpt};
 use lugwharf_chain::{
     Blake3, Digest, EntryHeader, FaultyReplica, Fnv, LogEvent, MemberId, ReplicaFault, ViewChangeReason,
 };
@@ -11,14 +11,14 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// What is written of `line` where lines from `level` on are.
+/// Returns the text that is written for `line` by a logger with this level filter.
 fn written(line: &LogEvent, level: Level) -> String {
     let sink = WriteSink::builder().target(Vec::new());
     let sink = sink.formatter(PatternFormatter::new(pattern!("{level} {payload} {kv}")));
     let sink = Arc::new(sink.build().expect("a sink"));
     let mut builder = Logger::builder();
     builder.sink(sink.clone()).level_filter(LevelFilter::MoreSevereEqual(level));
-    logs::chain_event(&builder.build().expect("a logger"), line);
+    logs::log_chain_event(&builder.build().expect("a logger"), line);
     String::from_utf8(sink.clone_target()).expect("text")
 }
 
@@ -71,8 +71,8 @@
     LogEvent::EntrySuperseded(header()),
     format!("warn entry outcome=superseded index=3 version=12 base=9 hash={HASH}")
 )]
-fn event_is_logged_as_one_line_with_fields(#[case] line: LogEvent, #[case] wanted: String) {
-    assert_eq!(written(&line, Level::Debug).trim_end(), wanted);
+fn event_is_logged_as_one_line_with_fields(#[case] line: LogEvent, #[case] expected: String) {
+    assert_eq!(written(&line, Level::Debug).trim_end(), expected);
 }
 
 #[test]
@@ -81,16 +81,16 @@
 }
 
 #[test]
-fn hash_is_the_one_that_replicas_compare() {
-    assert_eq!(Hash(b"{}").to_string(), Digest::of(b"{}").to_string());
+fn hash_equals_the_digest_that_replicas_compare() {
+    assert_eq!(ConfigHash(b"{}").to_string(), Digest::of(b"{}").to_string());
 }
 
 #[rstest]
 #[case::short("another version is current", "another version is current")]
 #[case::empty("", "-")]
 #[case::lines("\"a\nb\r\u{1b}[0m\" is too long", "\"a b  [0m\" is too long")]
-fn excerpt_is_one_line(#[case] text: &str, #[case] wanted: &str) {
-    assert_eq!(Excerpt(text).to_string(), wanted);
+fn excerpt_is_one_line(#[case] text: &str, #[case] expected: &str) {
+    assert_eq!(Excerpt(text).to_string(), expected);
 }
 
 #[test]
@@ -98,11 +98,12 @@
     assert_eq!(Excerpt(&"ü".repeat(3_000_000)).to_string(), "ü".repeat(200));
 }
 
-/// A configuration is followed from the operator to the proxies by the hash in the lines of all processes.
+/// The hash in log lines identifies a configuration from the operator to the proxies, so all processes must
+/// log the same one.
 #[test]
 fn agents_and_proxies_show_the_hash_that_control_processes_show() {
     let bytes = br#"{"Version":7}"#;
     let record = lugwharf_protocol::ConfigRecord { version: 7, bytes: bytes.to_vec() };
-    assert_eq!(record.hash().to_string(), Hash(bytes).to_string());
+    assert_eq!(record.hash().to_string(), ConfigHash(bytes).to_string());
     assert_eq!(record.hash().to_string().len(), 32);
 }
--- a/crates/control/src/message.rs
+++ b/crates/control/src/message.rs
@@ -1,35 +1,38 @@
-//! Messages shared by the controller and the tasks around it: what control processes send each other, how a write to the log
-//! ended, and what is announced to seeds.
+//! Messages shared by the controller and the tasks around it: messages between control processes, the outcome
+//! of log writes, and announcements to seeds.
 //!
-//! This module depends on `record_owner` alone, so that the commands and the tasks that send them can both use it.
+//! This module depends only on `record_owner`, so that both the commands and the tasks that send them can use
+//! it.
 
 use crate::record_owner::RecordOwner;
 use lugwharf_protocol::{ServiceLoad, Update, VersionVector};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What control processes send each other about the tables that agents pull. Sent every 500 ms and after each change of the
-/// server list. Encoded names are fixed; see docs/GLOSSARY.md.
+/// Messages between control processes about the tables that agents pull. They are sent every 500 ms and after
+/// each change of the server list. The encoded names must not change; see `docs/GLOSSARY.md`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum TablesMessage {
-    /// What the sender has and observes.
+    /// The versions that the sender has, and its observations.
     #[serde(rename = "Have")]
     Report {
-        /// The versions of its tables.
+        /// The versions of the sender's tables.
         vector: VersionVector,
-        /// Live front-end nodes among the agents that pull from it.
+        /// The number of live front-end nodes whose agents pull from the sender.
         #[serde(rename = "fronts")]
         front_count: u32,
         /// Requests in flight at those front-end nodes, summed by service.
         loads: Vec<ServiceLoad>,
-        /// Whether the sender may reach the platform; true where it has not tried, and for earlier versions, which do not say.
+        /// Whether the sender may be able to reach the platform. True if the sender has not tried, and if the
+        /// field is missing, because earlier versions do not send it.
         #[serde(rename = "reaches", default = "reachable_by_default")]
         is_platform_reachable: bool,
-        /// Peer addresses of all control processes that a member gets messages from. Learners and earlier versions name none.
+        /// The peer addresses of all control processes that a member receives messages from. Empty if the
+        /// sender is a learner or an earlier version.
         #[serde(default)]
         processes: Vec<SocketAddr>,
     },
-    /// What the receiver lacks.
+    /// The changes that the receiver does not have yet.
     Update(Update),
 }
 
@@ -37,8 +40,8 @@
     true
 }
 
-/// A message between control processes, by the state machine that handles it. Encoded names are fixed; see
-/// docs/GLOSSARY.md.
+/// A message between control processes, by the state machine that handles it. The encoded names must not
+/// change; see `docs/GLOSSARY.md`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// For the replica of the configuration.
@@ -49,22 +52,22 @@
     Tables(TablesMessage),
 }
 
-/// The control processes as announced to seeds that run none.
+/// An announcement of control processes to the seeds that run none.
 #[derive(Clone, Debug, Default)]
 pub struct Announcement {
-    /// The agent addresses of the seeds that run no control process, as far as is known.
+    /// The agent addresses of the seeds that are not known to run a control process.
     pub seeds: Vec<SocketAddr>,
     /// The agent addresses of the control processes.
     pub control: Vec<SocketAddr>,
 }
 
-/// How a batch of records ended.
+/// The outcome of writing a batch of records to the log.
 #[derive(Clone, Copy, Debug)]
 pub struct PersistOutcome {
-    /// Whose batch it is.
+    /// The state machine that the batch belongs to.
     pub owner: RecordOwner,
-    /// Its number, as its owner counts.
+    /// The number of the batch, assigned by its owner.
     pub batch: u64,
-    /// Whether it is on disk; otherwise the write or the sync failed.
+    /// Whether the batch is synced to disk; otherwise the write or the sync failed.
     pub is_synced: bool,
 }
--- a/crates/control/src/metrics.rs
+++ b/crates/control/src/metrics.rs
@@ -1,9 +1,9 @@
 //! The metrics of a control process, in the OpenMetrics text format.
 //!
-//! The controller counts events; only rejected requests are counted where they are answered. Gauges are set from the status at
-//! each scrape, so that they cost nothing in between. `docs/OPERATING.md` lists the names, which never change; a field here has
-//! the name of its metric where that is not misleading. The list reader of these names is the list watcher, an older word for
-//! the same role.
+//! The controller counts events, except rejected requests, which are counted where they are answered. Gauges
+//! are set from the status at each scrape, so that they cost nothing in between. `docs/OPERATING.md` lists
+//! the names, which must not change. A field here has the name of its metric unless that would be misleading.
+//! "List reader" in metric names is an older name of the list watcher.
 
 use crate::command::Command;
 use crate::lease::ROLE_NAME;
@@ -21,7 +21,7 @@
 use prometheus_client::registry::Registry;
 use tokio::sync::mpsc;
 
-/// The prefix of all names.
+/// The prefix of all metric names.
 const PREFIX: &str = "lugwharf_control";
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
@@ -41,7 +41,7 @@
     state: &'static str,
 }
 
-/// Counts rejected requests of the operator by kind of error (`refusals_total`). Counting takes no lock.
+/// Counters of rejected operator requests by kind of error (`refusals_total`). Counting takes no lock.
 #[derive(Clone)]
 pub struct RejectionCounters {
     family: Family<KindLabel, Counter>,
@@ -76,14 +76,16 @@
     pub view_changes: Counter,
     /// Committed configurations that this process has learned of.
     pub commits: Counter,
-    /// Complete reads of the platform's list.
+    /// Complete reads of the platform's server list.
     pub list_reads: Counter,
-    /// Failed reads of the platform's list.
+    /// Failed reads of the platform's server list.
     pub list_failures: Counter,
-    /// Times that this process stepped down as list watcher: its reads of the platform's list kept failing, and a peer might
-    /// reach the platform; or a server had seen a higher fencing token. A resignation at shutdown is not counted, though the help text would allow it.
+    /// Times that this process stepped down as list watcher, either because its reads of the platform's
+    /// server list kept failing while a peer might reach the platform, or because a server had seen a higher
+    /// fencing token. A resignation at shutdown is not counted, although the help text could be read that
+    /// way.
     pub stand_downs: Counter,
-    /// Servers that get no more orders for a while, as they rejected fencing tokens of two leases.
+    /// Times that orders to a server were suspended because it had rejected the fencing tokens of two leases.
     pub suspensions: Counter,
     orders: Family<AnswerLabel, Counter>,
     pulls: Family<AnswerLabel, Counter>,
@@ -148,7 +150,8 @@
 }
 
 impl Metrics {
-    /// Metrics at 0, with the counters of rejected requests, which their callers share.
+    /// Creates all metrics with the value 0. The counters of rejected requests are shared with the operator
+    /// API.
     pub fn new(rejections: &RejectionCounters) -> Metrics {
         let mut registry = Registry::with_prefix(PREFIX);
         let metrics = Metrics {
@@ -189,12 +192,12 @@
         Metrics { registry, ..metrics }
     }
 
-    /// Counts an order that has ended.
+    /// Counts a completed order.
     pub fn record_order(&self, outcome: OrderOutcome) {
         self.orders.get_or_create(&AnswerLabel { answer: order_outcome_name(outcome) }).inc();
     }
 
-    /// Counts pulls that got something newer, and those that got nothing newer.
+    /// Counts pulls whose reply contained an update, and pulls whose reply contained none.
     pub fn record_pulls(&self, updated: u64, unchanged: u64) {
         for (answer, count) in [("update", updated), ("unchanged", unchanged)] {
             if count > 0 {
@@ -203,28 +206,28 @@
         }
     }
 
-    /// Sets the gauges to this status and these servers, then encodes all metrics.
+    /// Sets the gauges from this status and these servers, then encodes all metrics.
     ///
-    /// For one caller at a time, which is the controller: the gauges of servers are cleared and counted anew, and a second
-    /// caller would see or clear them half way.
+    /// Only the controller calls this. Concurrent calls are not supported: the gauges of servers are cleared
+    /// and counted again, so a second caller could read or clear partial counts.
     pub fn update_and_encode<'a>(
         &self, status: &Status, servers: impl Iterator<Item = &'a ServerEntry>,
     ) -> String {
         self.gauges.set(status);
         self.invariants.refresh();
-        // Services and stages come and go, and a gauge of one that has gone would stay.
+        // Services and stages may disappear, and their gauges would otherwise remain.
         self.servers.clear();
         for entry in servers {
             self.servers.get_or_create(&ServerLabels::of(entry)).inc();
         }
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string can't fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
 }
 
-/// The name of an order's end, in metrics and logs.
+/// Returns the name of an order's outcome in metrics and log lines.
 pub fn order_outcome_name(outcome: OrderOutcome) -> &'static str {
     match outcome {
         OrderOutcome::Accepted => "taken",
@@ -249,16 +252,16 @@
     }
 }
 
-/// Gauges are signed; a value that does not fit saturates.
+/// Converts a value for a gauge, which is signed. A value that is too large saturates.
 fn as_gauge(value: impl TryInto<i64>) -> i64 {
     value.try_into().unwrap_or(i64::MAX)
 }
 
-/// Forwards scrapes of the endpoint to the controller, for as long as the process runs.
+/// Forwards scrapes of the endpoint to the controller until the process ends.
 pub async fn serve(endpoint: MetricsEndpoint, commands: mpsc::Sender<Command>) {
     let MetricsEndpoint { mut requests } = endpoint;
     while let Some(reply) = requests.recv().await {
-        if commands.send(Command::Metrics { reply }).await.is_err() {
+        if commands.send(Command::GetMetrics { reply }).await.is_err() {
             return;
         }
     }
--- a/crates/control/src/metrics_tests.rs
+++ b/crates/control/src/metrics_tests.rs
@@ -1,4 +1,4 @@
-//! The names and the text of the metrics.
+//! Tests of the names and the text of the metrics.
 
 use crate::metrics::{Metrics, RejectionCounters};
 use crate::operator_error::ErrorKind;
@@ -73,11 +73,11 @@
 #[case("lugwharf_control_agents_behind 1")]
 fn metric_is_rendered(#[case] line: &str) {
     let text = text();
-    assert!(text.lines().any(|told| told == line), "{text}");
+    assert!(text.lines().any(|rendered| rendered == line), "{text}");
 }
 
 #[test]
-fn text_is_complete_and_drops_services_that_have_gone() {
+fn text_is_complete_and_omits_removed_services() {
     let text = text();
     assert!(text.ends_with("# EOF\n"), "{text}");
     assert!(!text.contains("gone"), "{text}");
@@ -92,7 +92,7 @@
     }
 }
 
-/// The page that operators read names every metric.
+/// The operators' documentation lists every metric.
 #[test]
 fn every_metric_is_documented_for_operators() {
     const OPERATING: &str = include_str!("../../../docs/OPERATING.md");
--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -1,7 +1,7 @@
-//! The operator's API over HTTP: `PUT /config`, `PATCH /config`, `GET /config`, `GET /status`, `GET /metrics`.
+//! The operator API over HTTP: `PUT /config`, `PATCH /config`, `GET /config`, `GET /status`, `GET /metrics`.
 //!
-//! It owns the HTTP server and holds no state: each request becomes commands to the controller. All errors are in the closed
-//! list of [`ErrorKind`] and are counted by kind in `refusals_total`.
+//! This module owns the HTTP server and has no state of its own: each request is translated to commands to
+//! the controller. Every error is one of [`ErrorKind`] and is counted by kind in `refusals_total`.
 
 mod config_change;
 mod controller_client;
@@ -24,10 +24,11 @@
 pub use config_change::MAX_CONFIG_BYTES;
 pub use response::send_error;
 
-/// Connections at once. The operator has up to eight requests in flight, and readiness checks may come as well.
+/// The maximum number of open connections. The operator has up to eight requests in flight; readiness checks
+/// use connections as well.
 const MAX_CONNECTIONS: usize = 256;
 
-/// What each request needs.
+/// The shared state of all request handlers.
 #[derive(Clone)]
 struct Api {
     controller: ControllerClient,
@@ -48,7 +49,7 @@
     tokio::spawn(config.run_async(handler));
 }
 
-/// An HTTP server on this listener that reads bodies of at most `max_body_bytes`.
+/// Configures an HTTP server on this listener that accepts bodies of at most `max_body_bytes`.
 pub fn http_server_config(
     listener: TcpListener, max_body_bytes: u64,
 ) -> trillium_server_common::Config<impl trillium_server_common::Server, ()> {
--- a/crates/control/src/operator/config_change.rs
+++ b/crates/control/src/operator/config_change.rs
@@ -1,10 +1,11 @@
-//! `PUT /config` and `PATCH /config`: checks a change of the operator and submits it to the chain.
+//! `PUT /config` and `PATCH /config`: validates a change by the operator and submits it to the chain.
 //!
-//! Each request is logged once, at `info`: `config outcome=accepted`, or the name of its error with `reason` and `field`.
+//! Each request is logged once at `info`, with `config outcome=accepted` or with the name of its error,
+//! `reason` and `field`.
 
 use super::controller_client::{ControllerClient, RESPONSE_TIMEOUT, Submission};
 use super::response::Response;
-use crate::logs::{Excerpt, Hash};
+use crate::logs::{ConfigHash, Excerpt};
 use crate::operator_error::{ErrorKind, OperatorError};
 use lugwharf_chain::Blake3;
 use lugwharf_config::{ConfigError, Configuration, ConfigurationPatch};
@@ -17,15 +18,17 @@
 use tokio::time::{Instant, timeout};
 use trillium::{Conn, KnownHeaderName};
 
-/// The largest configuration, in bytes. A history that is transferred to a replica has two of them in one frame, beside the
-/// headers of the entries before (10,000 of some 80 bytes): three eighths of the largest frame leave room for those.
+/// The maximum size of a configuration in bytes. The transfer of a history to a replica puts two
+/// configurations into one frame, together with the headers of earlier entries (10,000 headers of about 80
+/// bytes). Three eighths of the maximum frame size leave room for these headers.
 pub const MAX_CONFIG_BYTES: u64 = MAX_FRAME_BYTES as u64 / 8 * 3;
-/// Changes whose bodies are read or decided at once, which bounds their memory. The operator has up to eight in flight.
+/// The maximum number of changes that are read or decided concurrently, which bounds the memory for their
+/// bodies. The operator has up to eight in flight.
 pub const MAX_CONCURRENT_BODIES: usize = 16;
-/// How long a body may take to arrive, while it occupies one of [`MAX_CONCURRENT_BODIES`].
+/// The timeout for receiving a body, which occupies one of [`MAX_CONCURRENT_BODIES`] in the meantime.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Handles changes of the operator.
+/// Handles changes by the operator.
 #[derive(Clone)]
 pub struct ConfigChanges {
     controller: ControllerClient,
@@ -33,12 +36,12 @@
 }
 
 impl ConfigChanges {
-    /// Submits changes through this client.
+    /// Creates a handler that submits changes through this client.
     pub fn new(controller: ControllerClient) -> ConfigChanges {
         ConfigChanges { controller, body_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_BODIES)) }
     }
 
-    /// `PUT /config`: a complete configuration.
+    /// Handles `PUT /config`, whose body is a complete configuration.
     pub async fn put(&self, conn: &mut Conn) -> Result<Response, OperatorError> {
         let ChangeRequest { base, body, _permit } = self.receive(conn).await?;
         let version = Configuration::parse(&body).map(|checked| checked.version);
@@ -49,7 +52,8 @@
         result
     }
 
-    /// `PATCH /config`: a change of named items. The complete configuration is computed here from the newest one.
+    /// Handles `PATCH /config`, whose body changes named items. The complete configuration is computed here
+    /// from the newest one.
     pub async fn patch(&self, conn: &mut Conn) -> Result<Response, OperatorError> {
         let ChangeRequest { base, body, _permit } = self.receive(conn).await?;
         let started_at = Instant::now();
@@ -68,13 +72,14 @@
         result
     }
 
-    /// Waits for the body of a change, unless too many are in progress. What can't be received is logged.
+    /// Receives the body of a change, unless too many changes are in progress. A failure is logged.
     async fn receive(&self, conn: &mut Conn) -> Result<ChangeRequest<'_>, OperatorError> {
         let received = self.try_receive(conn).await;
         received.inspect_err(|error| log_rejection(conn, error))
     }
 
-    /// The body is read before the header is checked: a client that still writes would miss the response.
+    /// Receives the body of a change. The body is read before the header is checked, because a client that is
+    /// still writing would miss the response.
     async fn try_receive(&self, conn: &mut Conn) -> Result<ChangeRequest<'_>, OperatorError> {
         let permit = self.body_permits.try_acquire().map_err(|_| OperatorError::unavailable())?;
         let base = conn.request_headers().get_str(KnownHeaderName::IfMatch).map(str::to_owned);
@@ -82,13 +87,14 @@
         let base = base.as_deref().map(|base| base.trim().trim_matches('"'));
         let base = base.and_then(|base| base.parse::<u64>().ok());
         let base = base.ok_or_else(|| {
-            OperatorError::new(ErrorKind::BadBase, "names no version to build on").at("If-Match")
+            OperatorError::new(ErrorKind::BadBase, "names no version to build on").with_field("If-Match")
         })?;
         Ok(ChangeRequest { base, body, _permit: permit })
     }
 
-    /// What a patch makes of its base. Empty where another version is current: the patch may have been accepted before, which
-    /// only the history of the replica tells.
+    /// Applies a patch to its base and returns the resulting configuration. The result is empty if another
+    /// version is current: the patch may have been accepted earlier, which only the history of the replica
+    /// can tell.
     async fn apply_patch(
         &self, patch: &ConfigurationPatch, base: u64, deadline: Instant,
     ) -> Result<Vec<u8>, OperatorError> {
@@ -117,19 +123,19 @@
     }
 }
 
-/// The body of an acknowledgement. Encoded names are fixed.
+/// The response body of an accepted change. The encoded names must not change.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 struct Accepted {
     version: u64,
 }
 
-/// A change as it was received.
+/// A change as received.
 struct ChangeRequest<'a> {
     /// The version in `If-Match`.
     base: u64,
     body: Vec<u8>,
-    /// One of [`MAX_CONCURRENT_BODIES`], until the request has its response.
+    /// One of [`MAX_CONCURRENT_BODIES`] permits, held until the request has its response.
     _permit: SemaphorePermit<'a>,
 }
 
@@ -143,12 +149,12 @@
     })
 }
 
-/// A change that was read completely.
+/// A completely received change.
 struct Change {
     base: u64,
-    /// Its version, or why the configuration is invalid.
+    /// The version of the configuration, or the reason why it is invalid.
     version: Result<u64, ConfigError>,
-    /// The hash of the request, where the configuration was computed from a patch.
+    /// The hash of the request, if the configuration was computed from a patch.
     request: Option<Blake3>,
     bytes: Arc<[u8]>,
 }
@@ -161,13 +167,13 @@
         let from = peer(conn);
         let Rejection { reason, field, current } = Rejection::of(result.as_ref().err());
         info!("config", kv: {
-            outcome, version, base = self.base, hash: = Hash(&self.bytes), bytes = self.bytes.len(),
+            outcome, version, base = self.base, hash: = ConfigHash(&self.bytes), bytes = self.bytes.len(),
             took_ms, from = from.as_str(), reason: = reason, field: = field, current = current.as_str()
         });
     }
 }
 
-/// The version that a configuration claims to have, though it is invalid; 0 if it can't be read.
+/// Returns the version stated in an invalid configuration, or 0 if it can't be read.
 fn claimed_version(bytes: &[u8]) -> u64 {
     #[derive(Deserialize)]
     struct Claim {
@@ -177,7 +183,7 @@
     serde_json::from_slice::<Claim>(bytes).map_or(0, |claim| claim.version)
 }
 
-/// Logs a change that was rejected before it was known completely.
+/// Logs a change that was rejected before it was completely received or parsed.
 fn log_rejection(conn: &Conn, error: &OperatorError) {
     let from = peer(conn);
     let Rejection { reason, field, .. } = Rejection::of(Some(error));
@@ -186,7 +192,7 @@
     });
 }
 
-/// Why a change was rejected, as the log shows it; `-` for whatever does not apply.
+/// The fields of a log line that say why a change was rejected. A field that does not apply is `-`.
 struct Rejection<'a> {
     reason: Excerpt<'a>,
     field: Excerpt<'a>,
--- a/crates/control/src/operator/controller_client.rs
+++ b/crates/control/src/operator/controller_client.rs
@@ -1,7 +1,7 @@
-//! Requests to the controller on behalf of the operator.
+//! Sends requests to the controller on behalf of the operator.
 //!
-//! Each request has a deadline. Whatever is not decided by then, or has a response of the wrong kind, is
-//! [`ErrorKind::Unavailable`]: nothing is promised, and the change may have been accepted or not.
+//! Each request has a deadline. A request that is not decided by then, or has a response of the wrong kind,
+//! fails with [`ErrorKind::Unavailable`]: a change may or may not have been accepted.
 
 use crate::command::Command;
 use crate::operator_error::{ErrorKind, OperatorError};
@@ -12,18 +12,19 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout_at};
 
-/// How long a request may take. The operator moves on after 1 s without a response, so it has one before.
+/// The timeout of a request. The operator gives up after 1 s without a response, so the timeout is shorter
+/// than that.
 pub const RESPONSE_TIMEOUT: Duration = Duration::from_millis(930);
 
-/// A configuration to be submitted.
+/// A configuration to submit.
 pub struct Submission {
-    /// The version it is based on.
+    /// The version that the configuration is based on.
     pub base: u64,
-    /// Its version.
+    /// The version of the configuration.
     pub version: u64,
-    /// The hash of the operator's request, where the configuration was computed from a patch.
+    /// The hash of the operator's request, if the configuration was computed from a patch.
     pub request: Option<Blake3>,
-    /// Its JSON; empty as in [`lugwharf_chain::Event::Submit`].
+    /// The JSON text of the configuration. It may be empty as described at [`lugwharf_chain::Event::Submit`].
     pub bytes: Arc<[u8]>,
 }
 
@@ -34,49 +35,49 @@
 }
 
 impl ControllerClient {
-    /// A client of the controller behind this queue.
+    /// Creates a client that sends its commands to this queue.
     pub fn new(commands: mpsc::Sender<Command>) -> ControllerClient {
         ControllerClient { commands }
     }
 
-    /// Submits a configuration; returns its version once it is committed.
+    /// Submits a configuration, and returns its version once it is committed.
     pub async fn submit(&self, submission: Submission, deadline: Instant) -> Result<u64, OperatorError> {
         let Submission { base, version, request, bytes } = submission;
-        let command = |reply| Command::Submit { base, version, request, bytes, reply };
+        let command = |reply| Command::SubmitConfig { base, version, request, bytes, reply };
         match self.send(command, deadline).await? {
             OperatorResponse::Accepted { version } => Ok(version),
             OperatorResponse::Conflict { current } => {
                 Err(OperatorError::new(ErrorKind::Conflict, "another version is current")
-                    .at("If-Match")
+                    .with_field("If-Match")
                     .with_current(current))
             }
             OperatorResponse::StaleVersion { current } => {
                 Err(OperatorError::new(ErrorKind::Outdated, "must be above the current version")
-                    .at("/Version")
+                    .with_field("/Version")
                     .with_current(current))
             }
             _ => Err(OperatorError::unavailable()),
         }
     }
 
-    /// The newest committed configuration, if there is one.
+    /// Returns the newest committed configuration, if there is one.
     pub async fn read_config(
         &self, deadline: Instant,
     ) -> Result<Option<Arc<CommittedConfig>>, OperatorError> {
-        match self.send(|reply| Command::Read { reply }, deadline).await? {
+        match self.send(|reply| Command::ReadConfig { reply }, deadline).await? {
             OperatorResponse::Config(newest) => Ok(newest),
             _ => Err(OperatorError::unavailable()),
         }
     }
 
-    /// The status of this process.
+    /// Returns the status of this process.
     pub async fn status(&self, deadline: Instant) -> Result<Status, OperatorError> {
-        self.send(|reply| Command::Status { reply }, deadline).await
+        self.send(|reply| Command::GetStatus { reply }, deadline).await
     }
 
-    /// The metrics of this process.
+    /// Returns the metrics of this process in the OpenMetrics text format.
     pub async fn metrics(&self, deadline: Instant) -> Result<String, OperatorError> {
-        self.send(|reply| Command::Metrics { reply }, deadline).await
+        self.send(|reply| Command::GetMetrics { reply }, deadline).await
     }
 
     async fn send<T>(
--- a/crates/control/src/operator/response.rs
+++ b/crates/control/src/operator/response.rs
@@ -1,42 +1,42 @@
-//! Responses of the operator's API. All but the metrics are JSON.
+//! Responses of the operator API. All of them are JSON, except for the metrics.
 
 use crate::operator_error::{ErrorKind, OperatorError};
 use serde::Serialize;
 use trillium::{Conn, KnownHeaderName};
 
-/// `Retry-After`, in seconds, of a 503: nothing is promised, and the operator may send the same request again.
+/// The `Retry-After` header of a 503 response, in seconds. The operator may then send the same request again.
 const RETRY_AFTER_S: &str = "0.2";
 const JSON: &str = "application/json";
 
-/// A successful response, with status 200.
+/// A successful response with status 200.
 pub struct Response {
     content_type: &'static str,
     body: Vec<u8>,
 }
 
 impl Response {
-    /// A body that is JSON already.
+    /// Creates a response from a body that is already JSON.
     pub fn from_json_bytes(body: Vec<u8>) -> Response {
         Response { content_type: JSON, body }
     }
 
-    /// A value as JSON.
+    /// Creates a response with a value encoded as JSON.
     pub fn json(value: &impl Serialize) -> Response {
         Response::from_json_bytes(to_json(value))
     }
 
-    /// A text of the given type.
+    /// Creates a response with a text of the given content type.
     pub fn text(content_type: &'static str, text: String) -> Response {
         Response { content_type, body: text.into_bytes() }
     }
 
-    /// Sends it.
+    /// Sends this response on `conn`.
     pub fn send(self, conn: Conn) -> Conn {
         send(conn, 200, self)
     }
 }
 
-/// Responds with an error; a 503 says when to retry.
+/// Responds with an error. A 503 response includes `Retry-After`.
 pub fn send_error(conn: Conn, error: &OperatorError) -> Conn {
     let (status, _) = error.kind.status_and_name();
     let conn = match error.kind {
@@ -53,7 +53,8 @@
         .halt()
 }
 
-/// The types of this crate's responses all serialise: they have string keys and finite numbers.
+/// Encodes a value as JSON. This can't fail for the response types of this crate, which have only string keys
+/// and finite numbers.
 fn to_json(value: &impl Serialize) -> Vec<u8> {
     serde_json::to_vec(value).unwrap_or_default()
 }
--- a/crates/control/src/operator_error.rs
+++ b/crates/control/src/operator_error.rs
@@ -1,34 +1,36 @@
-//! The closed list of errors of the operator's API, with the status and the name of each kind.
+//! All errors of the operator API, with the HTTP status and the name of each kind.
 //!
-//! `docs/DESIGN.md` shows the same table; a test compares the two. The name is also the `outcome` of the rejected change in the
-//! log (`config`), and the `kind` in `refusals_total`. Statuses 400, 409, 412, 413 and 422 end a request for good, so a change
-//! that may have been accepted must not get one.
+//! `docs/DESIGN.md` contains the same table; a test compares the two. The name is also the `outcome` of a
+//! rejected change in log lines (`config`), and the `kind` in `refusals_total`. The operator does not retry
+//! after the statuses 400, 409, 412, 413 and 422, so a change that may have been accepted must not be
+//! answered with one of them.
 
 use lugwharf_config::ConfigError;
 use serde::Serialize;
 
-/// Why a request of the operator was rejected.
+/// The reason why a request of the operator was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ErrorKind {
-    /// The configuration is invalid by itself.
+    /// The configuration is invalid, independent of the current one.
     InvalidConfiguration,
-    /// `If-Match` is missing or no number.
+    /// `If-Match` is missing or not a number.
     BadBase,
     /// Another version is current.
     Conflict,
-    /// The version's number is not above the current one.
+    /// The version of the change is not higher than the current one.
     Outdated,
-    /// The body is longer than any configuration may be.
+    /// The body or the resulting configuration exceeds the maximum size of a configuration.
     TooLarge,
     /// The body could not be read completely.
     Unreadable,
     /// There is no configuration yet.
     NoConfiguration,
-    /// The control plane can't decide now; nothing is promised. The operator may send the same request again.
+    /// The control plane can't decide now; a change may or may not have been accepted. The operator may send
+    /// the same request again.
     Unavailable,
     /// There is nothing at this path.
     NotFound,
-    /// The path does not take this method.
+    /// The path does not support this method.
     MethodNotAllowed,
 }
 
@@ -47,7 +49,7 @@
         ErrorKind::MethodNotAllowed,
     ];
 
-    /// The HTTP status and the name of this kind.
+    /// Returns the HTTP status and the name of this kind.
     pub fn status_and_name(self) -> (u16, &'static str) {
         match self {
             ErrorKind::InvalidConfiguration => (400, "invalid_configuration"),
@@ -64,55 +66,55 @@
     }
 }
 
-/// The JSON body of an error. Encoded names are fixed.
+/// The JSON body of an error response. The encoded names must not change.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ErrorBody {
-    /// The name of the kind.
+    /// The name of the error kind.
     pub error: &'static str,
-    /// What is at fault, as a JSON pointer or the name of a header.
+    /// The location of the error, as a JSON pointer or the name of a header.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// What is wrong.
+    /// A description of the error.
     pub reason: String,
-    /// The current version, where it matters.
+    /// The current version, if the error depends on it.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub current: Option<u64>,
 }
 
-/// An error with the body of its response.
+/// An error of the operator API with its response body.
 #[derive(Debug)]
 pub struct OperatorError {
-    /// Its kind.
+    /// The kind of the error.
     pub kind: ErrorKind,
     /// The body of the response.
     pub body: ErrorBody,
 }
 
 impl OperatorError {
-    /// An error without a field.
+    /// Creates an error without a field.
     pub fn new(kind: ErrorKind, reason: impl Into<String>) -> OperatorError {
         let error = kind.status_and_name().1;
         OperatorError { kind, body: ErrorBody { error, field: None, reason: reason.into(), current: None } }
     }
 
-    /// The control plane can't decide now.
+    /// Creates the error for a control plane that can't decide now.
     pub fn unavailable() -> OperatorError {
         OperatorError::new(ErrorKind::Unavailable, "the core can't decide now")
     }
 
-    /// There is no configuration yet.
+    /// Creates the error for a request that needs a configuration while there is none.
     pub fn no_configuration() -> OperatorError {
         OperatorError::new(ErrorKind::NoConfiguration, "there is none yet")
     }
 
-    /// Names the field at fault.
-    pub fn at(mut self, field: impl Into<String>) -> OperatorError {
+    /// Sets the location of the error: a JSON pointer or the name of a header.
+    pub fn with_field(mut self, field: impl Into<String>) -> OperatorError {
         self.body.field = Some(field.into());
         self
     }
 
-    /// Names the current version.
+    /// Sets the current version.
     pub fn with_current(mut self, current: u64) -> OperatorError {
         self.body.current = Some(current);
         self
@@ -121,6 +123,6 @@
 
 impl From<ConfigError> for OperatorError {
     fn from(error: ConfigError) -> OperatorError {
-        OperatorError::new(ErrorKind::InvalidConfiguration, error.reason).at(error.field)
+        OperatorError::new(ErrorKind::InvalidConfiguration, error.reason).with_field(error.field)
     }
 }
--- a/crates/control/src/operator_error_tests.rs
+++ b/crates/control/src/operator_error_tests.rs
@@ -1,11 +1,11 @@
-//! The table from kind to answer against the one in the design page.
+//! Compares the status and name of each error kind with the table in the design document.
 
 use crate::operator_error::ErrorKind;
 
 const DESIGN: &str = include_str!("../../../docs/DESIGN.md");
 const HEADING: &str = "## Errors of the operator's API";
 
-/// Kind, status and name of each line of the table.
+/// Returns the kind, the status and the name in each row of the table.
 fn table() -> Vec<(String, u16, String)> {
     let (_, section) = DESIGN.split_once(HEADING).expect("the section");
     let section = section.split("\n## ").next().unwrap_or_default();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn every_kind_has_the_status_and_name_of_the_design_page() {
+fn every_kind_has_the_documented_status_and_name() {
     let actual = ErrorKind::ALL.map(|kind| {
         let (status, name) = kind.status_and_name();
         (format!("{kind:?}"), status, name.to_owned())
@@ -31,7 +31,8 @@
     assert_eq!(actual, documented);
 }
 
-/// These statuses end a request for good; a change that may have been accepted must not get one.
+/// The operator does not retry after these statuses, so a change that may have been accepted must not be
+/// answered with one.
 #[test]
 fn unavailable_has_a_status_that_lets_the_operator_retry() {
     let (status, _) = ErrorKind::Unavailable.status_and_name();
--- a/crates/control/src/operator_tests.rs
+++ b/crates/control/src/operator_tests.rs
@@ -1,4 +1,4 @@
-//! The bounds of the operator's API, and its responses over HTTP with a controller of a few lines.
+//! Tests of the limits of the operator API, and of its responses over HTTP with a simulated controller.
 
 use crate::command::Command;
 use crate::message::PeerMessage;
@@ -19,11 +19,13 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Entries whose headers a replica retains, and how many of them with their bytes.
+/// The number of entries whose headers a replica retains.
 const HEADERS: u64 = 10_000;
+/// The number of entries whose bodies a replica retains.
 const BODIES: u64 = 2;
 
-/// A configuration that is accepted must also fit through the control plane, or the chain could never grow again.
+/// Guards against accepting a configuration that can't be transferred between replicas: the chain could never
+/// be extended again.
 #[test]
 fn history_with_the_largest_configurations_fits_into_a_frame() {
     let first = u64::MAX / 2;
@@ -38,39 +40,41 @@
     let bodies = (0..BODIES).map(|index| EntryBody { index: first + index, bytes: bytes.clone() });
     let transfer = HistorySuffix { after: first, headers: headers.collect(), bodies: bodies.collect() };
     let body = PeerMessage::Chain(Message::State { view: first, suffix: transfer });
-    // The sender's address stands in the frame as well.
+    // The frame also contains the address of the sender.
     const ENVELOPE: usize = 256;
     let frame = encode(&body).expect("a frame");
     assert!(frame.len() + ENVELOPE <= MAX_FRAME_BYTES, "{} bytes", frame.len());
 }
 
-/// Two of them leave a quarter of a frame for the rest.
+/// Two configurations then leave a quarter of a frame for the headers.
 #[test]
 fn largest_configuration_is_three_eighths_of_a_frame() {
     assert_eq!(MAX_CONFIG_BYTES * 8, MAX_FRAME_BYTES as u64 * 3);
 }
 
-/// Answers commands as a controller whose current version is 7.
+/// Answers commands like a controller whose current version is 7.
 async fn answer_commands(mut queue: mpsc::Receiver<Command>) {
     while let Some(command) = queue.recv().await {
         match command {
-            Command::Submit { base: 7, version, reply, .. } if version > 7 => {
+            Command::SubmitConfig { base: 7, version, reply, .. } if version > 7 => {
                 drop(reply.send(OperatorResponse::Accepted { version }));
             }
-            Command::Submit { base: 7, reply, .. } => {
+            Command::SubmitConfig { base: 7, reply, .. } => {
                 drop(reply.send(OperatorResponse::StaleVersion { current: 7 }))
             }
-            Command::Submit { base: 1, reply, .. } => drop(reply.send(OperatorResponse::Unavailable)),
-            Command::Submit { reply, .. } => drop(reply.send(OperatorResponse::Conflict { current: 7 })),
-            Command::Read { reply } => drop(reply.send(OperatorResponse::Config(None))),
-            Command::Status { reply } => drop(reply.send(example())),
-            Command::Metrics { reply } => drop(reply.send("# EOF\n".to_owned())),
+            Command::SubmitConfig { base: 1, reply, .. } => drop(reply.send(OperatorResponse::Unavailable)),
+            Command::SubmitConfig { reply, .. } => {
+                drop(reply.send(OperatorResponse::Conflict { current: 7 }))
+            }
+            Command::ReadConfig { reply } => drop(reply.send(OperatorResponse::Config(None))),
+            Command::GetStatus { reply } => drop(reply.send(example())),
+            Command::GetMetrics { reply } => drop(reply.send("# EOF\n".to_owned())),
             _ => {}
         }
     }
 }
 
-/// Serves the API with this controller.
+/// Serves the API with this simulated controller.
 async fn serve<F>(answer_commands: impl FnOnce(mpsc::Receiver<Command>) -> F) -> SocketAddr
 where
     F: Future<Output = ()> + Send + 'static,
@@ -83,19 +87,19 @@
     address
 }
 
-/// Sends a head with this content length, and as much of the body as is given.
+/// Sends request headers with this content length, followed by `body`, which may be shorter.
 async fn send(address: SocketAddr, head: &str, length: usize, body: &[u8]) -> TcpStream {
-    let mut link = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("a connection");
     let head = format!("{head}\r\nHost: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
-    link.write_all(head.as_bytes()).await.expect("a write");
-    // The server may answer and close before it has read all.
-    let _ = link.write_all(body).await;
-    link
+    stream.write_all(head.as_bytes()).await.expect("a write");
+    // The server may respond and close the connection before it has read the complete body.
+    let _ = stream.write_all(body).await;
+    stream
 }
 
-async fn read_response(mut link: TcpStream) -> String {
+async fn read_response(mut stream: TcpStream) -> String {
     let mut answer = Vec::new();
-    let _ = link.read_to_end(&mut answer).await;
+    let _ = stream.read_to_end(&mut answer).await;
     String::from_utf8_lossy(&answer).into_owned()
 }
 
@@ -126,25 +130,28 @@
 #[case::path("GET /elsewhere HTTP/1.1", Vec::new(), 404, "not_found")]
 #[tokio::test]
 async fn request_gets_its_status_and_body(
-    #[case] head: &str, #[case] body: Vec<u8>, #[case] status: u16, #[case] wanted: &str,
+    #[case] head: &str, #[case] body: Vec<u8>, #[case] status: u16, #[case] expected: &str,
 ) {
     let answer = call(head, &body).await;
     assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
-    assert!(answer.contains(wanted), "{answer}");
+    assert!(answer.contains(expected), "{answer}");
     let retry = answer.to_ascii_lowercase().contains("retry-after:");
     assert_eq!(retry, status == 503, "{answer}");
 }
 
-/// Answers as a controller whose current version is 7 with one service, and which accepted version 6 from that very patch before.
+/// Answers commands like a controller whose current version is 7 with one service, and which accepted
+/// `patch_to(6)` before.
 async fn answer_with_a_base(mut queue: mpsc::Receiver<Command>) {
     let current = CommittedConfig { version: 7, base: 6, bytes: base_of_patches().into() };
     let accepted_before = Blake3::of(&patch_to(6));
     while let Some(command) = queue.recv().await {
         match command {
-            Command::Read { reply } => {
+            Command::ReadConfig { reply } => {
                 drop(reply.send(OperatorResponse::Config(Some(Arc::new(current.clone())))))
             }
-            Command::Submit { base: 7, version, request: Some(_), bytes, reply } if !bytes.is_empty() => {
+            Command::SubmitConfig { base: 7, version, request: Some(_), bytes, reply }
+                if !bytes.is_empty() =>
+            {
                 let patched: serde_json::Value = serde_json::from_slice(&bytes).expect("JSON");
                 assert_eq!(
                     (&patched["Version"], &patched["Services"][0]["Name"]),
@@ -152,13 +159,13 @@
                 );
                 drop(reply.send(OperatorResponse::Accepted { version }));
             }
-            Command::Submit { base: 7, .. } => {
-                panic!("a complete configuration without the hash of its request")
+            Command::SubmitConfig { base: 7, .. } => {
+                panic!("a patched configuration without the hash of its request")
             }
-            Command::Submit { request, version, bytes, reply, .. } => {
-                assert!(bytes.is_empty(), "nothing was computed from another base");
-                let is_taken = request == Some(accepted_before);
-                let answer = if is_taken {
+            Command::SubmitConfig { request, version, bytes, reply, .. } => {
+                assert!(bytes.is_empty(), "a configuration was computed from a base that is not current");
+                let is_accepted = request == Some(accepted_before);
+                let answer = if is_accepted {
                     OperatorResponse::Accepted { version }
                 } else {
                     OperatorResponse::Conflict { current: 7 }
@@ -189,13 +196,13 @@
 #[case::no_base("X: 1", patch_to(9), 400, "bad_base")]
 #[tokio::test]
 async fn patch_gets_its_status_and_body(
-    #[case] header: &str, #[case] body: Vec<u8>, #[case] status: u16, #[case] wanted: &str,
+    #[case] header: &str, #[case] body: Vec<u8>, #[case] status: u16, #[case] expected: &str,
 ) {
     let address = serve(answer_with_a_base).await;
     let head = format!("PATCH /config HTTP/1.1\r\n{header}");
     let answer = read_response(send(address, &head, body.len(), &body).await).await;
     assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
-    assert!(answer.contains(wanted), "{answer}");
+    assert!(answer.contains(expected), "{answer}");
 }
 
 #[tokio::test]
@@ -207,8 +214,10 @@
         let current = Arc::new(CommittedConfig { version: 7, base: 6, bytes: text.into_bytes().into() });
         while let Some(command) = queue.recv().await {
             match command {
-                Command::Read { reply } => drop(reply.send(OperatorResponse::Config(Some(current.clone())))),
-                Command::Submit { .. } => panic!("a configuration over the limit"),
+                Command::ReadConfig { reply } => {
+                    drop(reply.send(OperatorResponse::Config(Some(current.clone()))))
+                }
+                Command::SubmitConfig { .. } => panic!("a configuration over the limit"),
                 _ => {}
             }
         }
@@ -243,7 +252,8 @@
     }
 }
 
-/// The operator moves on after 1 s without a response.
+/// The operator gives up after 1 s without a response, so a request that is not decided must be answered
+/// before.
 #[rstest]
 #[case::change("PUT /config HTTP/1.1\r\nIf-Match: 7", configuration(9))]
 #[case::patch("PATCH /config HTTP/1.1\r\nIf-Match: 7", b"{\"Version\":9}".to_vec())]
@@ -255,19 +265,19 @@
     #[case] head: &str, #[case] body: Vec<u8>,
 ) {
     let address = serve(never_answer).await;
-    let link = send(address, head, body.len(), &body).await;
+    let stream = send(address, head, body.len(), &body).await;
     let sent = Instant::now();
-    let answer = read_response(link).await;
+    let answer = read_response(stream).await;
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
     let took = sent.elapsed();
     assert!(took > Duration::from_millis(800) && took < Duration::from_secs(1), "{took:?}");
 }
 
-/// Answers reads with a configuration, byte for byte.
+/// Answers reads with a configuration whose JSON has unusual spacing.
 async fn answer_with_a_configuration(mut queue: mpsc::Receiver<Command>) {
     let config = CommittedConfig { version: 9, base: 7, bytes: b"{ \"Version\" : 9 }".as_slice().into() };
     while let Some(command) = queue.recv().await {
-        if let Command::Read { reply } = command {
+        if let Command::ReadConfig { reply } = command {
             drop(reply.send(OperatorResponse::Config(Some(Arc::new(config.clone())))));
         }
     }
@@ -284,7 +294,7 @@
     assert!(answer.to_ascii_lowercase().contains("content-type: application/json\r\n"), "{answer}");
 }
 
-/// A response that does not belong to the request decides nothing.
+/// A response of the wrong kind does not decide a request.
 #[rstest]
 #[case::change("PUT /config HTTP/1.1\r\nIf-Match: 7", configuration(9))]
 #[case::read("GET /config HTTP/1.1", Vec::new())]
@@ -293,8 +303,8 @@
     let address = serve(|mut queue| async move {
         while let Some(command) = queue.recv().await {
             match command {
-                Command::Submit { reply, .. } => drop(reply.send(OperatorResponse::Config(None))),
-                Command::Read { reply } => drop(reply.send(OperatorResponse::Accepted { version: 9 })),
+                Command::SubmitConfig { reply, .. } => drop(reply.send(OperatorResponse::Config(None))),
+                Command::ReadConfig { reply } => drop(reply.send(OperatorResponse::Accepted { version: 9 })),
                 _ => {}
             }
         }
@@ -308,21 +318,21 @@
 async fn body_that_does_not_arrive_times_out() {
     let address = serve(answer_commands).await;
     let sent = Instant::now();
-    let link = send(address, "PUT /config HTTP/1.1\r\nIf-Match: 7", 100, b"{\"Vers").await;
-    let answer = read_response(link).await;
+    let stream = send(address, "PUT /config HTTP/1.1\r\nIf-Match: 7", 100, b"{\"Vers").await;
+    let answer = read_response(stream).await;
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
     assert!(sent.elapsed() < Duration::from_secs(6), "{:?}", sent.elapsed());
 }
 
-/// Begins a change and waits until its body is requested, which is after it got a permit.
+/// Starts a change and waits until the server requests its body, which it does after acquiring a permit.
 async fn occupy_a_body_permit(address: SocketAddr) -> TcpStream {
-    const GO_ON: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+    const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
     let head = "PUT /config HTTP/1.1\r\nIf-Match: 7\r\nExpect: 100-continue";
-    let mut link = send(address, head, 100, b"").await;
-    let mut begun = vec![0; GO_ON.len()];
-    link.read_exact(&mut begun).await.expect("an interim response");
-    assert_eq!(begun, GO_ON);
-    link
+    let mut stream = send(address, head, 100, b"").await;
+    let mut interim = vec![0; CONTINUE.len()];
+    stream.read_exact(&mut interim).await.expect("an interim response");
+    assert_eq!(interim, CONTINUE);
+    stream
 }
 
 #[tokio::test]
@@ -336,7 +346,7 @@
     let change = || send(address, "PUT /config HTTP/1.1\r\nIf-Match: 7", body.len(), &body);
     let answer = read_response(change().await).await;
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
-    // One whose body ends releases its permit.
+    // A change whose body is complete releases its permit.
     let mut first = occupied.remove(0);
     first.write_all(&[b' '; 100]).await.expect("a write");
     let answer = read_response(first).await;
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,10 +1,12 @@
-//! Sends orders to model servers: `POST /order`, each under the lease and fencing token of the list watcher.
+//! Sends orders to model servers (`POST /order`) under the lease and with the fencing token of the list
+//! watcher.
 //!
-//! Orders run concurrently, each on a connection of its own. Nothing is sent once the lease has ended or was given up, and an
-//! order without a response by then is aborted by a reset, so that it can't arrive after another process acquired the lease.
-//! Each order ends with one [`Command::OrderCompleted`]; errors are logged (`order outcome=withheld` or `failed`).
+//! Orders run concurrently, each on a separate connection. Nothing is sent after the lease has expired or was
+//! resigned. An order that has no response by then is aborted by resetting its connection, so that it can't
+//! arrive after another process has acquired the lease. Each order ends with one [`Command::OrderCompleted`].
+//! Errors are logged (`order outcome=withheld` or `order outcome=failed`).
 
-use crate::command::{Command, notify};
+use crate::command::{Command, send_command};
 use crate::lease::LeaseWatch;
 use crate::leased_call::{self, CallError};
 use bytes::Bytes;
@@ -24,22 +26,22 @@
 #[path = "orders_tests.rs"]
 mod orders_tests;
 
-/// Servers respond at once. An order without a response by then is aborted and its connection reset, so that it does not
-/// arrive after this process lost the lease.
+/// The timeout of an order. Servers respond immediately. An order without a response within this time is
+/// aborted and its connection reset, so that it does not arrive after this process has lost the lease.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// An order with the lease that authorises it.
+/// An order with the lease that authorizes it.
 #[derive(Debug)]
 pub struct AuthorizedOrder {
     /// The order.
     pub order: Order,
     /// The node name of the lease holder.
     pub holder: String,
-    /// The fencing token of the lease; nothing is sent once that lease is over.
+    /// The fencing token of the lease. Nothing is sent after that lease has ended.
     pub token: FencingToken,
 }
 
-/// The body of `POST /order`. Encoded names are fixed; see docs/GLOSSARY.md.
+/// The body of `POST /order`. The encoded names must not change; see `docs/GLOSSARY.md`.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 struct StageOrder<'a> {
@@ -60,12 +62,12 @@
         tokio::spawn(async move {
             let outcome = execute(&authorized, &lease).await;
             let AuthorizedOrder { order, token, .. } = authorized;
-            notify(&commands, Command::OrderCompleted { id: order.id, token, outcome }).await;
+            send_command(&commands, Command::OrderCompleted { id: order.id, token, outcome }).await;
         });
     }
 }
 
-/// Sends one order and classifies how it ended.
+/// Sends one order and returns its outcome.
 async fn execute(authorized: &AuthorizedOrder, lease: &LeaseWatch) -> OrderOutcome {
     let id = authorized.order.id.as_str();
     match timeout(RESPONSE_TIMEOUT, send(authorized, lease)).await {
--- a/crates/control/src/orders_tests.rs
+++ b/crates/control/src/orders_tests.rs
@@ -1,4 +1,4 @@
-//! Orders are sent under a lease that is held, and not under one that has ended or was given up.
+//! Tests that orders are sent only under a held lease, and not under one that has expired or was resigned.
 
 use super::{AuthorizedOrder, run};
 use crate::command::Command;
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Longer than any test.
+/// Longer than any test runs.
 const LONG: Duration = Duration::from_secs(600);
 
 /// The fencing token of the orders.
@@ -24,13 +24,13 @@
     Some(HeldLease { token: TOKEN, expires_at })
 }
 
-/// Sends one order under a lease that ends at `until`; returns how it ended.
-async fn send_order(address: SocketAddr, until: Instant) -> OrderOutcome {
-    let (_role, lease) = watch::channel(lease_until(until));
+/// Sends one order under a lease that expires at `expires_at`, and returns its outcome.
+async fn send_order(address: SocketAddr, expires_at: Instant) -> OrderOutcome {
+    let (_role, lease) = watch::channel(lease_until(expires_at));
     send_order_under(address, lease).await
 }
 
-/// Sends one order under a lease; returns how it ended.
+/// Sends one order under a lease, and returns its outcome.
 async fn send_order_under(address: SocketAddr, lease: watch::Receiver<Option<HeldLease>>) -> OrderOutcome {
     let (orders, queue) = mpsc::channel(1);
     let (commands, mut done) = mpsc::channel(1);
@@ -40,11 +40,11 @@
     orders.send(authorized).await.expect("a queue");
     match done.recv().await {
         Some(Command::OrderCompleted { id, token: TOKEN, outcome }) if id == "i-1" => outcome,
-        _ => panic!("no end of the order"),
+        _ => panic!("no outcome of the order"),
     }
 }
 
-/// Accepts a connection and returns what arrives on it until its end.
+/// Accepts a connection and returns the bytes that arrive on it until its end.
 async fn receive_until_end(listener: TcpListener) -> Vec<u8> {
     let (mut stream, _) = listener.accept().await.expect("a connection");
     let mut received = Vec::new();
@@ -53,14 +53,14 @@
 }
 
 #[tokio::test]
-async fn order_names_its_server_its_holder_and_its_token() {
+async fn order_contains_its_server_its_holder_and_its_token() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let server = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"}") {
-            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "it ends early");
+            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
         }
         stream.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").await.expect("an answer");
         String::from_utf8(received).expect("text")
@@ -82,18 +82,20 @@
     assert_eq!(server.await.expect("a connection"), b"");
 }
 
-/// The server accepts the connection and does not respond. The next holder may act as soon as the lease is over.
+/// The server accepts the connection and does not respond. The order must be aborted when the lease expires,
+/// because the next holder may act from then on.
 #[tokio::test(start_paused = true)]
 async fn order_in_flight_is_aborted_at_the_end_of_the_lease() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let started_at = Instant::now();
-    let left = Duration::from_millis(100);
-    assert_eq!(send_order(address, started_at + left).await, OrderOutcome::Unknown);
-    assert!(started_at.elapsed() <= left + Duration::from_millis(1), "{:?}", started_at.elapsed());
+    let remaining = Duration::from_millis(100);
+    assert_eq!(send_order(address, started_at + remaining).await, OrderOutcome::Unknown);
+    assert!(started_at.elapsed() <= remaining + Duration::from_millis(1), "{:?}", started_at.elapsed());
 }
 
-/// A server that has seen a higher token refuses all that its sender does, not just this order.
+/// A server that has seen a higher token (412) rejects all orders of the sender, so that status has an
+/// outcome of its own.
 #[rstest]
 #[case::accepted(202, OrderOutcome::Accepted)]
 #[case::has_the_stage(200, OrderOutcome::Accepted)]
@@ -103,28 +105,29 @@
 #[case::another_incarnation(421, OrderOutcome::Rejected)]
 #[case::failed(500, OrderOutcome::Unknown)]
 #[tokio::test]
-async fn outcome_follows_from_the_status(#[case] status: u16, #[case] wanted: OrderOutcome) {
+async fn outcome_follows_from_the_status(#[case] status: u16, #[case] expected: OrderOutcome) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"}") {
-            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "it ends early");
+            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
         }
         let response = format!("HTTP/1.1 {status} x\r\nContent-Length: 0\r\n\r\n");
         stream.write_all(response.as_bytes()).await.expect("an answer");
         stream.read_to_end(&mut received).await
     });
-    assert_eq!(send_order(address, Instant::now() + LONG).await, wanted);
+    assert_eq!(send_order(address, Instant::now() + LONG).await, expected);
 }
 
-/// The order was queued under a lease that would run for long, and was given up before its turn.
+/// An order must not be sent if its lease was resigned while the order was queued, although the lease would
+/// not have expired yet.
 #[rstest]
-#[case::nobody(None)]
+#[case::no_lease(None)]
 #[case::a_later_token(Some(HeldLease { token: FencingToken(TOKEN.0 + 1), expires_at: Instant::now() + LONG }))]
 #[tokio::test]
-async fn queued_order_is_withheld_once_the_lease_was_given_up(#[case] lease: Option<HeldLease>) {
+async fn queued_order_is_withheld_after_the_lease_was_resigned(#[case] lease: Option<HeldLease>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let server = tokio::spawn(receive_until_end(listener));
@@ -133,9 +136,10 @@
     assert_eq!(server.await.expect("a connection"), b"");
 }
 
-/// The server has read the order and does not respond when the lease is given up: the connection is reset at once.
+/// The server has read the order and has not responded when the lease is resigned: the connection must be
+/// reset immediately.
 #[tokio::test]
-async fn order_in_flight_is_aborted_when_the_lease_is_given_up() {
+async fn order_in_flight_is_aborted_when_the_lease_is_resigned() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let (role, lease) = watch::channel(lease_until(Instant::now() + LONG));
@@ -143,7 +147,7 @@
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"}") {
-            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "it ends early");
+            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
         }
         role.send_replace(None);
         stream.read_buf(&mut received).await.map_err(|error| error.kind())
@@ -152,9 +156,10 @@
     assert_eq!(server.await.expect("a connection"), Err(std::io::ErrorKind::ConnectionReset));
 }
 
-/// A renewal moves the end of the lease and wakes nobody: the order goes on behind the end that it began with.
+/// A renewal changes the expiry of the lease without waking a task. An order in flight must not be aborted at
+/// the earlier expiry.
 #[tokio::test(start_paused = true)]
-async fn order_in_flight_outlasts_the_first_end_of_a_lease_that_is_renewed() {
+async fn order_in_flight_continues_past_the_first_expiry_of_a_renewed_lease() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let started_at = Instant::now();
--- a/crates/control/src/peer_transport.rs
+++ b/crates/control/src/peer_transport.rs
@@ -1,11 +1,12 @@
 //! Connections between control processes.
 //!
-//! Each process opens one connection to each other process for what it sends; a connection that another process opened is only
-//! read. Delivery is best effort: a message that can't be sent soon is dropped, since the state machines retransmit what
-//! matters. Nothing here fails a caller; a connection that fails is opened again with the next message.
+//! Each process opens one connection to each other process for sending, and only reads from connections that
+//! other processes opened. Delivery is best effort: a message that can't be sent soon is dropped, because the
+//! state machines retransmit what matters. No function here returns an error to its caller; a failed
+//! connection is opened again for the next message.
 
-use crate::acceptor::{self, AcceptLimits};
-use crate::command::{Command, notify};
+use crate::command::{Command, send_command};
+use crate::connection_listener::{self, AcceptLimits};
 use crate::message::PeerMessage;
 use lugwharf_protocol::{FrameError, connect_from, encode, read_frame};
 use serde::{Deserialize, Serialize};
@@ -24,24 +25,25 @@
 #[path = "peer_transport_tests.rs"]
 mod peer_transport_tests;
 
-/// Connecting takes a few ms on an idle network. A lost SYN is retransmitted only after a second, so a new attempt is faster.
+/// The timeout for connecting, which takes a few ms on an idle network. The kernel retransmits a lost SYN
+/// only after 1 s, so a new attempt is faster.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A write that takes longer means that the peer does not read or can't be reached.
+/// The timeout of a write. A longer write means that the peer does not read or is unreachable.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
 /// How long sent bytes may stay unacknowledged (`TCP_USER_TIMEOUT`).
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The pause before connecting again to a peer that could not be reached.
+/// The delay before the next attempt to connect to an unreachable peer.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// Messages queued for one peer; when it is full the newest is dropped.
-const QUEUE_LENGTH: usize = 64;
-/// Peers with a queue at most: machines of the control plane, and those that replaced them.
+/// The capacity of the message queue of one peer. When it is full, new messages are dropped.
+const QUEUE_CAPACITY: usize = 64;
+/// The maximum number of peers with a queue: the machines of the control plane and their replacements.
 const MAX_PEERS: usize = 128;
-/// Connections that peers may have open to this process.
+/// The maximum number of connections that peers may have open to this process.
 const MAX_CONNECTIONS: usize = 128;
-/// A connection without a message for so long was abandoned by its peer.
+/// A connection without a message for this long is closed, because its peer has abandoned it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// One frame of a connection. Encoded names are fixed; see docs/GLOSSARY.md.
+/// One frame of a connection. The encoded names must not change; see `docs/GLOSSARY.md`.
 #[derive(Debug, Serialize, Deserialize)]
 struct PeerFrame {
     /// The peer address of the sender.
@@ -52,18 +54,18 @@
 /// The connections that this process opens, with a queue for each peer.
 pub struct PeerTransport {
     local_address: SocketAddr,
-    /// The address that connections come from, where the settings name one.
+    /// The local address to connect from, if the settings specify one.
     source: Option<IpAddr>,
     queues: HashMap<SocketAddr, mpsc::Sender<Arc<[u8]>>>,
 }
 
 impl PeerTransport {
-    /// Sends in the name of the process at `local_address`.
+    /// Creates a transport that names `local_address` as the sender of its messages.
     pub fn new(local_address: SocketAddr, source: Option<IpAddr>) -> PeerTransport {
         PeerTransport { local_address, source, queues: HashMap::new() }
     }
 
-    /// Queues a message, or drops it if the queue of this peer is full.
+    /// Queues a message for a peer, or drops it if the queue of this peer is full.
     pub fn send(&mut self, to: SocketAddr, body: PeerMessage) {
         match encode(&PeerFrame { from: self.local_address, body }) {
             Ok(frame) => self.send_frame(to, frame.into()),
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Queues one message for several peers. It is encoded once.
+    /// Queues one message for several peers. The message is encoded only once.
     pub fn send_all(&mut self, to: &[SocketAddr], body: PeerMessage) {
         match encode(&PeerFrame { from: self.local_address, body }) {
             Ok(frame) => {
@@ -90,17 +92,17 @@
             if self.queues.len() >= MAX_PEERS {
                 return;
             }
-            let (queue, frames) = mpsc::channel(QUEUE_LENGTH);
+            let (queue, frames) = mpsc::channel(QUEUE_CAPACITY);
             tokio::spawn(write_frames(to, self.source, frames));
             self.queues.insert(to, queue);
         }
         if let Some(queue) = self.queues.get(&to) {
-            // A full queue drops the message: the state machines retransmit what matters.
+            // If the queue is full, the message is dropped: the state machines retransmit what matters.
             let _ = queue.try_send(frame);
         }
     }
 
-    /// Closes the connections to all peers but these.
+    /// Closes the connections to all peers for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&SocketAddr) -> bool) {
         self.queues.retain(|address, _| keep(address));
     }
@@ -121,13 +123,13 @@
             Some(stream) => write_frame(stream, &frame).await,
             None => WriteResult::Closed,
         };
-        // The peer restarted, or a reset came between two frames. The frame has not arrived, and the peer may take this one's
-        // absence for a failure of this process.
+        // The peer restarted, or the connection was reset between two frames. The frame has not arrived, so
+        // it is sent again on a new connection: without it, the peer may consider this process failed.
         if written == WriteResult::Closed {
             connection = connect(to, source).await.ok();
             let Some(stream) = &mut connection else {
                 sleep(RECONNECT_DELAY).await;
-                // Whatever was queued meanwhile is out of date.
+                // Messages that were queued in the meantime are out of date.
                 while frames.try_recv().is_ok() {}
                 continue;
             };
@@ -141,14 +143,14 @@
     }
 }
 
-/// What became of a frame.
+/// The result of writing a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WriteResult {
-    /// It was handed to the system.
+    /// The complete frame was passed to the kernel.
     Written,
     /// The connection is closed, and the peer has not received the complete frame.
     Closed,
-    /// The peer does not read, or can't be reached.
+    /// The peer does not read or is unreachable.
     TimedOut,
 }
 
@@ -160,24 +162,24 @@
     }
 }
 
-/// Accepts other control processes for as long as the process runs.
+/// Accepts connections from other control processes until the process ends.
 pub async fn accept(listener: TcpListener, commands: mpsc::Sender<Command>) {
     let limits = AcceptLimits { kind: "peer", max_connections: MAX_CONNECTIONS };
-    acceptor::accept(listener, limits, commands, read_frames).await;
+    connection_listener::accept(listener, limits, commands, read_frames).await;
 }
 
-/// Reads the frames of one connection until it ends, and reports the end, which tells of a process that was killed before its
-/// heartbeats are missed.
+/// Reads the frames of one connection until it ends, then reports the disconnection. This detects a killed
+/// process before its heartbeats are missed.
 async fn read_frames(mut stream: TcpStream, commands: mpsc::Sender<Command>) -> Result<(), FrameError> {
     let mut peer = None;
     let ended = read_frames_of(&mut stream, &commands, &mut peer).await;
     if let Some(peer) = peer {
-        notify(&commands, Command::PeerDisconnected { peer }).await;
+        send_command(&commands, Command::PeerDisconnected { peer }).await;
     }
     ended
 }
 
-/// Reads the frames of one connection; `peer` becomes the sender that the last one names.
+/// Reads the frames of one connection until it ends. `peer` is set to the sender stated in the last frame.
 async fn read_frames_of(
     stream: &mut TcpStream, commands: &mpsc::Sender<Command>, peer: &mut Option<SocketAddr>,
 ) -> Result<(), FrameError> {
@@ -185,7 +187,7 @@
         let frame = timeout(IDLE_TIMEOUT, read_frame::<PeerFrame>(stream)).await;
         let Some(PeerFrame { from, body }) = frame.map_err(std::io::Error::from)?? else { return Ok(()) };
         *peer = Some(from);
-        if commands.send(Command::Peer { from, body }).await.is_err() {
+        if commands.send(Command::PeerMessageReceived { from, body }).await.is_err() {
             return Ok(());
         }
     }
--- a/crates/control/src/peer_transport_tests.rs
+++ b/crates/control/src/peer_transport_tests.rs
@@ -1,5 +1,5 @@
-//! Frames of the links between control processes, byte for byte. There is no handshake: the first frame carries the first
-//! message, and each frame names its sender.
+//! Tests of the exact bytes on connections between control processes. There is no handshake: the first frame
+//! contains the first message, and each frame contains the address of its sender.
 
 use super::{PeerFrame, PeerTransport, read_frames};
 use crate::command::Command;
@@ -13,8 +13,9 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// The length in front, then the frame.
+/// The length prefix of the frame.
 const LENGTH: &str = "00000034";
+/// The encoded frame.
 const FRAME: &str = "a26466726f6da162563482840a000001191e1464626f6479a165436861696ea16b5669657752657175657374a16561626f766504";
 
 fn sender() -> SocketAddr {
@@ -31,75 +32,78 @@
 }
 
 #[tokio::test]
-async fn link_carries_the_captured_bytes_from_its_first_byte_on() {
+async fn connection_carries_the_captured_bytes_from_its_first_byte_on() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let mut peers = PeerTransport::new(sender(), None);
     peers.send(address, body());
-    let (mut stream, _) = listener.accept().await.expect("a link");
-    let wanted = from_hex(&format!("{LENGTH}{FRAME}"));
-    let mut received = vec![0; wanted.len()];
+    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let expected = from_hex(&format!("{LENGTH}{FRAME}"));
+    let mut received = vec![0; expected.len()];
     stream.read_exact(&mut received).await.expect("a frame");
-    assert_eq!(to_hex(&received), to_hex(&wanted));
+    assert_eq!(to_hex(&received), to_hex(&expected));
 }
 
 #[tokio::test]
 async fn captured_bytes_arrive_as_a_message_of_their_sender() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
-    let mut link = TcpStream::connect(address).await.expect("a connection");
-    link.write_all(&from_hex(&format!("{LENGTH}{FRAME}"))).await.expect("a write");
-    let (stream, _) = listener.accept().await.expect("a link");
+    let mut client = TcpStream::connect(address).await.expect("a connection");
+    client.write_all(&from_hex(&format!("{LENGTH}{FRAME}"))).await.expect("a write");
+    let (stream, _) = listener.accept().await.expect("a connection");
     let (commands, mut queue) = mpsc::channel(1);
     tokio::spawn(read_frames(stream, commands));
-    let Some(Command::Peer { from, body: received }) = queue.recv().await else { panic!("no message") };
+    let Some(Command::PeerMessageReceived { from, body: received }) = queue.recv().await else {
+        panic!("no message")
+    };
     assert_eq!(from, sender());
     assert_bytes(&PeerFrame { from, body: received }, FRAME);
 }
 
-/// A process that is killed closes its connections at once; its heartbeats are missed only after 700 ms.
+/// The connections of a killed process are closed immediately, while its missing heartbeats are noticed only
+/// after 700 ms.
 #[tokio::test]
-async fn end_of_a_link_names_the_process_whose_messages_it_carried() {
+async fn end_of_a_connection_reports_the_process_that_sent_its_messages() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
-    let mut link = TcpStream::connect(address).await.expect("a connection");
-    link.write_all(&from_hex(&format!("{LENGTH}{FRAME}"))).await.expect("a write");
-    drop(link);
-    let (stream, _) = listener.accept().await.expect("a link");
+    let mut client = TcpStream::connect(address).await.expect("a connection");
+    client.write_all(&from_hex(&format!("{LENGTH}{FRAME}"))).await.expect("a write");
+    drop(client);
+    let (stream, _) = listener.accept().await.expect("a connection");
     let (commands, mut queue) = mpsc::channel(2);
-    read_frames(stream, commands).await.expect("a link that ends between two frames");
-    assert!(matches!(queue.recv().await, Some(Command::Peer { .. })));
-    let Some(Command::PeerDisconnected { peer }) = queue.recv().await else { panic!("the end is not told") };
+    read_frames(stream, commands).await.expect("a connection that ends between two frames");
+    assert!(matches!(queue.recv().await, Some(Command::PeerMessageReceived { .. })));
+    let Some(Command::PeerDisconnected { peer }) = queue.recv().await else { panic!("no disconnection") };
     assert_eq!(peer, sender());
     assert!(queue.recv().await.is_none());
 }
 
 #[tokio::test]
-async fn end_of_a_link_without_a_message_names_nobody() {
+async fn end_of_a_connection_without_a_message_is_not_reported() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     drop(TcpStream::connect(address).await.expect("a connection"));
-    let (stream, _) = listener.accept().await.expect("a link");
+    let (stream, _) = listener.accept().await.expect("a connection");
     let (commands, mut queue) = mpsc::channel(2);
-    read_frames(stream, commands).await.expect("a link without a frame");
+    read_frames(stream, commands).await.expect("a connection without a frame");
     assert!(queue.recv().await.is_none());
 }
 
-/// The reset comes between two messages. The second one is not lost with the connection.
+/// The connection is reset between two messages. The second message must not be lost.
 #[tokio::test]
-async fn message_after_a_reset_goes_out_on_a_new_link() {
+async fn message_after_a_reset_is_sent_on_a_new_connection() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let mut peers = PeerTransport::new(sender(), None);
-    let wanted = from_hex(&format!("{LENGTH}{FRAME}"));
+    let expected = from_hex(&format!("{LENGTH}{FRAME}"));
     for _ in 0..2 {
         peers.send(address, body());
         let accepted = timeout(Duration::from_secs(10), listener.accept()).await;
-        let (mut stream, _) = accepted.expect("a new link").expect("a link");
-        let mut received = vec![0; wanted.len()];
+        let (mut stream, _) = accepted.expect("a new connection in time").expect("a connection");
+        let mut received = vec![0; expected.len()];
         stream.read_exact(&mut received).await.expect("a frame");
-        assert_eq!(to_hex(&received), to_hex(&wanted));
-        // Dropping it resets the connection, before the next message is queued.
+        assert_eq!(to_hex(&received), to_hex(&expected));
+        // Dropping the stream resets the connection before the next message is queued.
         socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO)).expect("an option");
     }
 }
--- a/crates/control/src/platform_client.rs
+++ b/crates/control/src/platform_client.rs
@@ -1,7 +1,8 @@
-//! The client of the platform's server list: `GET /instances` over HTTP/1.1, page by page.
+//! A client for the platform's server list: `GET /instances` over HTTP/1.1, page by page.
 //!
-//! It keeps one connection and opens it again after any error. Each page has [`PAGE_TIMEOUT`]; a list is read completely or
-//! not at all. Servers in a state other than `ready` count as draining.
+//! The client keeps one connection and reconnects after any error. The timeout for each page is
+//! [`PAGE_TIMEOUT`]; a list is read completely or not at all. Servers in a state other than `ready` count as
+//! draining.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -17,33 +18,34 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// How long one page may take. It takes a few ms; a platform that takes longer has a fault, and another process may reach it.
+/// The timeout of one page, which normally takes a few ms. If the platform takes longer, it may still respond
+/// to another process.
 const PAGE_TIMEOUT: Duration = Duration::from_millis(700);
-/// The largest page: 50 entries of some 300 bytes, many times over.
+/// The maximum size of a page: many times the usual 50 entries of about 300 bytes.
 const MAX_PAGE_BYTES: usize = 4 * 1024 * 1024;
-/// Pages of one list. Guards against a list that never ends.
+/// The maximum number of pages of one list, which protects against a list without an end.
 const MAX_PAGES: usize = 400;
 
-/// Why the list could not be read. The text is logged as `error` of `list outcome=failed`.
+/// The reason why the list could not be read. The text is logged as `error` of `list outcome=failed`.
 #[derive(Debug, thiserror::Error)]
 pub enum PlatformError {
     /// No response within [`PAGE_TIMEOUT`].
-    #[error("no answer in time")]
+    #[error("timed out waiting for a page of the server list")]
     Timeout,
     /// Connecting or configuring the socket failed.
-    #[error("the connection failed: {0}")]
+    #[error("connecting to the platform failed: {0}")]
     Connection(#[from] std::io::Error),
     /// The HTTP exchange failed.
-    #[error("HTTP failed: {0}")]
+    #[error("HTTP request to the platform failed: {0}")]
     Http(#[from] hyper::Error),
-    /// A status other than 200; 429 over the rate of the platform.
-    #[error("it answered {0}")]
+    /// The status is not 200. It is 429 if the requests exceed the platform's rate limit.
+    #[error("the platform responded with status {0}")]
     Status(StatusCode),
-    /// The response is no list.
-    #[error("unreadable: {0}")]
+    /// The request could not be built, or the response is not a valid page.
+    #[error("invalid page of the server list: {0}")]
     InvalidBody(String),
     /// The lease ended, so the page was not requested.
-    #[error("the lease is over")]
+    #[error("the lease ended before the page was requested")]
     LeaseExpired,
 }
 
@@ -86,7 +88,7 @@
     fn from(instance: Instance) -> ServerEntry {
         let state = match instance.state.as_str() {
             "ready" => ServerState::Ready,
-            // In any other state a server gets no new requests.
+            // A server in any other state receives no new requests.
             _ => ServerState::Draining,
         };
         let stage = match instance.stage.as_deref() {
@@ -109,22 +111,24 @@
     }
 }
 
-/// A client with at most one connection.
+/// A client of the platform with at most one connection.
 pub struct PlatformClient {
     address: SocketAddr,
     sender: Option<SendRequest<Empty<Bytes>>>,
 }
 
 impl PlatformClient {
-    /// A client of the platform at `address`; it connects with the first request.
+    /// Creates a client of the platform at `address`. It connects for the first request.
     pub fn new(address: SocketAddr) -> PlatformClient {
         PlatformClient { address, sender: None }
     }
 
-    /// Reads all pages, each only if `may_request` returns true right before the request is sent.
+    /// Reads all pages. Each page is requested only if `may_request` returns true immediately before the
+    /// request is sent.
     ///
     /// # Errors
-    /// The first error of any page; the connection is closed then.
+    /// The first error of any page, after which the connection is closed, or [`PlatformError::InvalidBody`]
+    /// if the list has more than [`MAX_PAGES`] pages.
     pub async fn list_servers(
         &mut self, may_request: impl Fn() -> bool,
     ) -> Result<Vec<ServerEntry>, PlatformError> {
@@ -139,14 +143,14 @@
                 None => return Ok(entries),
             }
         }
-        Err(PlatformError::InvalidBody("the pages have no end".to_owned()))
+        Err(PlatformError::InvalidBody("the list has too many pages".to_owned()))
     }
 
     async fn page(
         &mut self, token: Option<&str>, may_request: impl Fn() -> bool,
     ) -> Result<Page, PlatformError> {
         let path = match token {
-            Some(token) => format!("/instances?PageToken={}", escape(token)),
+            Some(token) => format!("/instances?PageToken={}", percent_encode(token)),
             None => "/instances".to_owned(),
         };
         let request = Request::get(path)
@@ -161,13 +165,13 @@
         read_page(response).await
     }
 
-    /// The open connection if it is still usable, or a new one.
+    /// Returns the open connection if it is still usable, or opens a new one.
     async fn sender(&mut self) -> Result<&mut SendRequest<Empty<Bytes>>, PlatformError> {
-        let usable = match &mut self.sender {
+        let is_usable = match &mut self.sender {
             Some(sender) => sender.ready().await.is_ok(),
             None => false,
         };
-        if !usable {
+        if !is_usable {
             self.sender = None;
         }
         match self.sender.take() {
@@ -196,13 +200,13 @@
 }
 
 /// Percent-encodes a page token for the query (RFC 3986, section 2.3: all but unreserved characters).
-fn escape(token: &str) -> String {
-    let mut escaped = String::with_capacity(token.len());
+fn percent_encode(token: &str) -> String {
+    let mut encoded = String::with_capacity(token.len());
     for byte in token.bytes() {
         match byte {
-            b'A'..=b'Z' | b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => escaped.push(byte as char),
-            _ => escaped.push_str(&format!("%{byte:02X}")),
+            b'A'..=b'Z' | b'a'..=b'z' | b'0'..=b'9' | b'-' | b'.' | b'_' | b'~' => encoded.push(byte as char),
+            _ => encoded.push_str(&format!("%{byte:02X}")),
         }
     }
-    escaped
+    encoded
 }
--- a/crates/control/src/pulls.rs
+++ b/crates/control/src/pulls.rs
@@ -1,8 +1,9 @@
-//! Pulls of agents that wait until something is newer than what they have (long polling).
+//! Pulls from agents that wait until there is something newer than what the agent has (long polling).
 //!
-//! Owns the waiting pulls, a cache of encoded replies, and when each front was last sent a configuration. An agent has an old
-//! configuration for at most `ConfigMs / 4` because of this file: see [`PendingPulls::with_config_interval`]. A reply that
-//! can't be encoded is logged (`pull outcome=not_encoded`) and its connection closed, so that the agent follows another process.
+//! This module owns the waiting pulls, a cache of encoded replies, and the times at which each front-end node
+//! was last sent a configuration. It delays a new configuration by at most `ConfigMs / 4`: see
+//! [`PendingPulls::with_config_interval`]. If a reply can't be encoded, that is logged
+//! (`pull outcome=not_encoded`) and the connection is closed, so that the agent follows another process.
 
 use crate::reply::send_reply;
 use lugwharf_distribution::Tables;
@@ -18,36 +19,37 @@
 #[path = "pulls_tests.rs"]
 mod pulls_tests;
 
-/// The longest a pull may wait.
+/// The maximum wait of a pull.
 const MAX_WAIT: Duration = Duration::from_secs(5);
-/// Replies that are cached for other agents with the same versions. After a start all agents have nothing; later they differ
-/// by a change or two.
+/// The maximum number of replies that are cached for other agents with the same versions. After a start, no
+/// agent has any tables; later their versions differ by one or two changes.
 const MAX_CACHED_REPLIES: usize = 8;
-/// How long replies are cached. Agents pull twice a second, so all with the same versions have pulled by then.
+/// How long replies are cached. Agents pull twice a second, so all agents with the same versions have pulled
+/// by then.
 const REPLY_CACHE_TTL: Duration = Duration::from_secs(1);
 
-/// An encoded [`ControlReply`], shared by all agents that get the same one.
-pub type Frame = Arc<[u8]>;
+/// An encoded [`ControlReply`], shared by all agents that receive the same reply.
+pub type ReplyFrame = Arc<[u8]>;
 
 struct Pull {
     node: String,
     have: VersionVector,
     deadline: Duration,
-    reply: oneshot::Sender<Frame>,
+    reply: oneshot::Sender<ReplyFrame>,
 }
 
-/// The pulls that wait. All times count from the start of the process.
+/// The waiting pulls. All times count from the start of the process.
 #[derive(Default)]
 pub struct PendingPulls {
     waiting: Vec<Pull>,
     reply_cache: ReplyCache,
-    /// The minimum time between two configurations for one front.
+    /// The minimum time between two configurations sent to the same front-end node.
     config_interval: Duration,
-    /// When each front was last sent a configuration, if that was within `config_interval`.
+    /// When each front-end node was last sent a configuration, if that was within `config_interval`.
     config_sent_at: HashMap<String, Duration>,
 }
 
-/// A configuration that was sent to a front.
+/// A configuration that was sent to a front-end node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SentConfig {
     /// The name of the front-end node.
@@ -56,18 +58,18 @@
     pub version: u64,
 }
 
-/// The pulls that were replied to.
+/// The result of serving pulls: how many were answered, and the configurations that were sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PullsServed {
-    /// How many got something newer.
+    /// The number of replies with an update.
     pub updated: u64,
-    /// How many got nothing newer.
+    /// The number of replies without an update.
     pub unchanged: u64,
     /// The configurations that were sent.
     pub configs: Vec<SentConfig>,
 }
 
-/// What a reply says besides the update.
+/// The contents of a reply other than the update.
 #[derive(Clone, Default, PartialEq, Eq)]
 pub struct ReplyContext {
     /// Whether agents may rely on this process: it has a quorum and is not shutting down.
@@ -77,8 +79,8 @@
 }
 
 impl ReplyContext {
-    /// The reply with this update; `None` if it can't be encoded, which is logged.
-    pub fn encode(&self, update: Update) -> Option<Frame> {
+    /// Encodes a reply with this update. Returns `None` if the reply can't be encoded, which is logged.
+    pub fn encode(&self, update: Update) -> Option<ReplyFrame> {
         let reply =
             ControlReply::Update { has_quorum: self.has_quorum, control: self.control.clone(), update };
         match encode(&reply) {
@@ -91,30 +93,31 @@
     }
 }
 
-/// A reply with something newer.
+/// An encoded reply.
 #[derive(Clone)]
 struct CachedReply {
-    frame: Frame,
-    /// The version of the configuration in it, if there is one.
+    frame: ReplyFrame,
+    /// The version of the configuration in the reply, if it contains one.
     config: Option<u64>,
 }
 
-/// Replies by the versions that the agents had, as long as nothing changes. A large fleet that starts asks hundreds of times
-/// for the same list: to encode and hold it once for each agent would cost a control process its memory and seconds of CPU.
+/// Replies by the versions that the agents have, cached until the tables or the context change. When a large
+/// fleet starts, hundreds of agents request the same list: encoding and holding it separately for each agent
+/// would exhaust the memory of a control process and cost seconds of CPU time.
 #[derive(Default)]
 struct ReplyCache {
     vector: VersionVector,
     context: ReplyContext,
-    since: Duration,
+    created_at: Duration,
     replies: Vec<(VersionVector, CachedReply)>,
 }
 
 impl ReplyCache {
-    /// Drops the replies if they are old, or the tables or the context have changed.
+    /// Drops the cached replies if they have expired, or the tables or the context have changed.
     fn refresh(&mut self, now: Duration, vector: VersionVector, context: &ReplyContext) {
-        let is_old = now.saturating_sub(self.since) >= REPLY_CACHE_TTL;
-        if is_old || vector != self.vector || *context != self.context {
-            *self = ReplyCache { vector, context: context.clone(), since: now, replies: Vec::new() };
+        let is_expired = now.saturating_sub(self.created_at) >= REPLY_CACHE_TTL;
+        if is_expired || vector != self.vector || *context != self.context {
+            *self = ReplyCache { vector, context: context.clone(), created_at: now, replies: Vec::new() };
         }
     }
 
@@ -123,7 +126,7 @@
         found.map(|(_, reply)| reply.clone())
     }
 
-    /// The reply to an agent that has `have`, if there is something newer.
+    /// Returns the reply to an agent with the versions `have`, or `None` if there is nothing newer.
     fn reply(&mut self, have: &VersionVector, tables: &Tables) -> Option<CachedReply> {
         if let Some(reply) = self.find(have) {
             return Some(reply);
@@ -139,14 +142,16 @@
 }
 
 impl PendingPulls {
-    /// Pulls of fronts that are sent a configuration at most once in `interval`. Complete configurations in quick succession
-    /// would fill a front's link, and its requests would wait behind versions that are out of date when they arrive.
+    /// Creates an empty queue that sends each front-end node at most one configuration per `interval`.
+    /// Complete configurations in quick succession would saturate the link of a front-end node and delay its
+    /// requests, while most of these versions would be out of date on arrival.
     pub fn with_config_interval(interval: Duration) -> PendingPulls {
         PendingPulls { config_interval: interval, ..PendingPulls::default() }
     }
 
-    /// What a front counts as having. While no configuration is due for it, it counts as having the newest one. A front with no
-    /// configuration at all gets one at once.
+    /// Returns the versions that a front-end node is treated as having. While its next configuration is not
+    /// due, it is treated as having the newest one. A front-end node without any configuration is sent one
+    /// immediately.
     fn effective_vector(&self, pull: &Pull, now: Duration, newest: u64) -> VersionVector {
         let is_due = |sent_at: &Duration| now.saturating_sub(*sent_at) >= self.config_interval;
         let is_due = self.config_sent_at.get(&pull.node).is_none_or(is_due);
@@ -154,17 +159,17 @@
         VersionVector { config, ..pull.have }
     }
 
-    /// Adds a pull; the next [`PendingPulls::serve`] that has something for it replies.
+    /// Adds a pull. It is answered by a later [`PendingPulls::serve`].
     pub fn add(
         &mut self, now: Duration, node: String, have: VersionVector, wait_ms: u32,
-        reply: oneshot::Sender<Frame>,
+        reply: oneshot::Sender<ReplyFrame>,
     ) {
         let deadline = now + Duration::from_millis(u64::from(wait_ms)).min(MAX_WAIT);
         self.waiting.push(Pull { node, have, deadline, reply });
     }
 
-    /// Replies to all pulls for which something is newer or whose time is over; to all of them without a quorum, so that the
-    /// agents follow another process.
+    /// Replies to all pulls for which there is something newer or whose deadline has passed. Without a quorum
+    /// it replies to all pulls, so that the agents follow another process.
     pub fn serve(&mut self, now: Duration, tables: &Tables, context: &ReplyContext) -> PullsServed {
         self.reply_cache.refresh(now, tables.version_vector(), context);
         self.waiting.retain(|pull| !pull.reply.is_closed());
@@ -195,7 +200,7 @@
         }
         let unchanged = Update { vector: pull.have, ..Update::default() };
         let without_update = || context.encode(unchanged).map(|frame| CachedReply { frame, config: None });
-        // Without a reply the connection is closed, and the agent follows another process.
+        // If the reply can't be encoded, the connection is closed and the agent follows another process.
         let Some(CachedReply { frame, config }) = newer.or_else(without_update) else { return };
         send_reply(pull.reply, frame);
         if let Some(version) = config {
--- a/crates/control/src/pulls_tests.rs
+++ b/crates/control/src/pulls_tests.rs
@@ -1,7 +1,8 @@
-//! Which agent gets which reply, and that agents with the same versions share one.
+//! Tests of which agent receives which reply, and that agents with the same versions share one encoded reply.
 
 use super::{
-    Frame, MAX_CACHED_REPLIES, MAX_WAIT, PendingPulls, PullsServed, REPLY_CACHE_TTL, ReplyContext, SentConfig,
+    MAX_CACHED_REPLIES, MAX_WAIT, PendingPulls, PullsServed, REPLY_CACHE_TTL, ReplyContext, ReplyFrame,
+    SentConfig,
 };
 use lugwharf_distribution::Tables;
 use lugwharf_protocol::{
@@ -13,7 +14,7 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Bytes of the length in front of a frame.
+/// The size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 const WAIT_MS: u32 = 500;
 
@@ -41,7 +42,7 @@
     ReplyContext { has_quorum, control: vec![SocketAddr::from(([10, 0, 1, 1], 7041))] }
 }
 
-fn pull(pulls: &mut PendingPulls, now: Duration, have: VersionVector) -> oneshot::Receiver<Frame> {
+fn pull(pulls: &mut PendingPulls, now: Duration, have: VersionVector) -> oneshot::Receiver<ReplyFrame> {
     let (reply, answer) = oneshot::channel();
     pulls.add(now, "front-1".to_owned(), have, WAIT_MS, reply);
     answer
@@ -51,7 +52,7 @@
     SentConfig { node: "front-1".to_owned(), version }
 }
 
-fn update(frame: &Frame) -> Update {
+fn update(frame: &ReplyFrame) -> Update {
     let ControlReply::Update { update, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
     update
 }
@@ -61,11 +62,11 @@
     let tables = tables(20);
     let mut pulls = PendingPulls::default();
     let mut answers = Vec::new();
-    for asked in 0..100 {
-        let now = Duration::from_millis(asked);
+    for time_ms in 0..100 {
+        let now = Duration::from_millis(time_ms);
         let mut answer = pull(&mut pulls, now, VersionVector::default());
         pulls.serve(now, &tables, &context(true));
-        answers.push(answer.try_recv().expect("an answer at once"));
+        answers.push(answer.try_recv().expect("an immediate answer"));
     }
     assert!(answers.iter().all(|frame| Arc::ptr_eq(frame, &answers[0])));
     assert_eq!(update(&answers[0]).servers.expect("the list").entries.len(), 20);
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn up_to_date_agent_waits_its_time_and_gets_nothing_new() {
+fn up_to_date_agent_waits_until_its_deadline_and_receives_no_update() {
     let tables = tables(2);
     let mut pulls = PendingPulls::default();
     let have = tables.version_vector();
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn front_gets_the_newest_of_many_configurations_once_per_interval() {
+fn front_end_node_is_sent_the_newest_of_many_configurations_once_per_interval() {
     let config_interval = Duration::from_millis(500);
     let mut tables = tables(2);
     let mut pulls = PendingPulls::with_config_interval(config_interval);
@@ -168,7 +169,7 @@
 }
 
 #[test]
-fn restarted_front_gets_its_configuration_at_once() {
+fn restarted_front_end_node_is_sent_its_configuration_immediately() {
     let mut tables = tables(2);
     let mut pulls = PendingPulls::with_config_interval(Duration::from_millis(500));
     tables.advance_config(config(1));
@@ -180,12 +181,12 @@
     }
 }
 
-fn has_quorum(frame: &Frame) -> bool {
+fn has_quorum(frame: &ReplyFrame) -> bool {
     let ControlReply::Update { has_quorum, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
     has_quorum
 }
 
-/// The tables stay the same, so only the context tells the replies apart.
+/// The tables stay the same, so the replies differ only in their context.
 #[rstest]
 #[case::lost(true, false)]
 #[case::regained(false, true)]
@@ -214,7 +215,8 @@
     }
 }
 
-/// A front that has gone gets nothing, so it must not count as one that was just sent a configuration.
+/// Nothing is sent for an abandoned pull, so the front-end node must not count as one that was just sent a
+/// configuration.
 #[test]
 fn abandoned_pull_does_not_count_as_a_sent_configuration() {
     let mut tables = tables(2);
@@ -243,9 +245,9 @@
     assert!(has_quorum(&answer.try_recv().expect("an answer")));
 }
 
-/// Up-to-date and outdated pulls in one pass: `swap_remove` must skip none of them.
+/// Serves up-to-date and outdated pulls in one pass. `swap_remove` must not cause any of them to be skipped.
 #[test]
-fn serve_decides_each_pull_by_itself() {
+fn serve_decides_each_pull_separately() {
     let mut tables = tables(2);
     let mut pulls = PendingPulls::default();
     let old = tables.version_vector();
@@ -260,9 +262,9 @@
     }
 }
 
-/// The interval holds for each front by itself, and only for its length.
+/// The interval applies to each front-end node separately, and ends after its length.
 #[test]
-fn config_interval_holds_for_each_front_by_itself() {
+fn config_interval_applies_to_each_front_end_node_separately() {
     let config_interval = Duration::from_millis(500);
     let mut tables = tables(2);
     let mut pulls = PendingPulls::with_config_interval(config_interval);
@@ -282,7 +284,7 @@
     assert_eq!(pull_config(&tables, "front-1", config_interval, first), Some(2));
 }
 
-/// Only the first [`MAX_CACHED_REPLIES`] replies are cached, and each belongs to its versions.
+/// Only the first [`MAX_CACHED_REPLIES`] replies are cached, each for its own versions.
 #[test]
 fn reply_beyond_the_cache_is_encoded_again() {
     let mut tables = tables(2);
@@ -295,8 +297,8 @@
         answer.try_recv().expect("an answer")
     };
     let cached = u64::try_from(MAX_CACHED_REPLIES).expect("a number");
-    let first: Vec<Frame> = (0..=cached).map(&mut pull_config).collect();
-    let second: Vec<Frame> = (0..=cached).map(&mut pull_config).collect();
+    let first: Vec<ReplyFrame> = (0..=cached).map(&mut pull_config).collect();
+    let second: Vec<ReplyFrame> = (0..=cached).map(&mut pull_config).collect();
     let shared = |index: usize| Arc::ptr_eq(&first[index], &second[index]);
     assert!((0..MAX_CACHED_REPLIES).all(shared) && !shared(MAX_CACHED_REPLIES));
 }
--- a/crates/control/src/reply.rs
+++ b/crates/control/src/reply.rs
@@ -1,9 +1,9 @@
-//! Replies on one-shot channels whose receiver may be gone.
+//! Sends replies on one-shot channels whose receiver may have been dropped.
 
 use tokio::sync::oneshot;
 
-/// Replies to a request. The requester drops its receiver when it times out or its connection closes; there is nobody left
-/// to inform then, and the state has not changed by the reply, so a closed channel is no error.
+/// Replies to a request. The requester drops its receiver when it times out or its connection closes. A reply
+/// does not change any state, so a closed channel is not an error.
 pub fn send_reply<T>(reply: oneshot::Sender<T>, value: T) {
     let _ = reply.send(value);
 }
--- a/crates/control/src/server_reports.rs
+++ b/crates/control/src/server_reports.rs
@@ -1,9 +1,10 @@
-//! Asks model servers for their reports: `GET /report`, under the lease of the list watcher.
+//! Requests reports from model servers (`GET /report`) under the lease of the list watcher.
 //!
-//! The holder of a new lease asks each server once, since the changes of stage that the last holder ordered are known to the
-//! servers alone. A server without an answer is logged (`report outcome=failed`, `debug`) and planned as it is listed.
+//! The holder of a new lease requests a report from each server once, because only the servers know which
+//! stage changes the previous holder ordered. A failed request is logged (`report outcome=failed`, at
+//! `debug`); planning then uses the stage of the server in the list.
 
-use crate::command::{Command, notify};
+use crate::command::{Command, send_command};
 use crate::lease::LeaseWatch;
 use crate::leased_call::{self, CallError};
 use bytes::Bytes;
@@ -25,23 +26,25 @@
 #[path = "server_reports_tests.rs"]
 mod server_reports_tests;
 
-/// Servers respond at once. The first order under a lease is not due before its answers can have arrived.
+/// The timeout of a request. Servers respond immediately. The first order under a new lease is due only after
+/// this time, so that the reports can have arrived.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Calls at a time, of 1,500 servers at most: each takes a connection of its own.
+/// The maximum number of concurrent requests. A fleet has up to 1,500 servers, and each request opens a
+/// connection.
 const MAX_CALLS_IN_FLIGHT: usize = 32;
 
-/// A server that is to be asked.
+/// A request for the report of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReportRequest {
-    /// The server's id, which names its incarnation.
+    /// The id of the server. Each incarnation of a server has a new id.
     pub id: String,
-    /// Its address.
+    /// The address of the server.
     pub address: SocketAddr,
     /// The fencing token of the lease.
     pub token: FencingToken,
 }
 
-/// The body of a report, as far as it is needed. Encoded names are fixed; see docs/GLOSSARY.md.
+/// The fields of a report that are used here. The encoded names must not change; see `docs/GLOSSARY.md`.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct ReportBody {
@@ -52,18 +55,18 @@
     seq: u64,
 }
 
-/// Why a server has no usable report.
+/// The reason why a report could not be read. The text is logged as `error`.
 #[derive(Debug, thiserror::Error)]
 enum ReportError {
     #[error(transparent)]
     Call(#[from] CallError),
-    #[error("it answered {0}")]
+    #[error("the server responded with status {0}")]
     Status(StatusCode),
-    #[error("no stage is named {0:?}")]
+    #[error("unknown stage {0:?} in the report")]
     UnknownStage(String),
 }
 
-/// Asks the queued servers until the queue is closed.
+/// Sends the queued requests until the queue is closed.
 pub async fn run(
     mut requests: mpsc::Receiver<ReportRequest>, lease: LeaseWatch, commands: mpsc::Sender<Command>,
 ) {
@@ -76,7 +79,9 @@
             let report = timeout(RESPONSE_TIMEOUT, fetch(&request, &lease)).await;
             let ReportRequest { id, token, .. } = request;
             match report {
-                Ok(Ok(report)) => notify(&commands, Command::ServerReported { id, token, report }).await,
+                Ok(Ok(report)) => {
+                    send_command(&commands, Command::ServerReported { id, token, report }).await
+                }
                 Ok(Err(error)) => {
                     debug!("report", kv: { outcome = "failed", id = id.as_str(), error: = error })
                 }
--- a/crates/control/src/server_reports_tests.rs
+++ b/crates/control/src/server_reports_tests.rs
@@ -1,4 +1,4 @@
-//! A server's report is read under a lease that is held, and what is no report is left out.
+//! Tests that reports are read only under a held lease, and that invalid reports are ignored.
 
 use super::{ReportRequest, run};
 use crate::command::Command;
@@ -15,9 +15,9 @@
 
 const TOKEN: FencingToken = FencingToken(7);
 
-/// Asks a server that answers with this status and body, under a lease with `held` as its token; returns what it was sent and
-/// the report that was read.
-async fn ask(held: FencingToken, status: &str, body: &str) -> (String, Option<StageReport>) {
+/// Requests the report of a server that responds with this status and body, under a lease with the token
+/// `held`. Returns the request that the server received and the report that was read.
+async fn request_report(held: FencingToken, status: &str, body: &str) -> (String, Option<StageReport>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let response = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
@@ -29,7 +29,7 @@
                 break;
             }
         }
-        // The caller may have gone.
+        // The write fails if the caller has closed the connection.
         let _ = stream.write_all(response.as_bytes()).await;
         let _ = stream.read_to_end(&mut Vec::new()).await;
         String::from_utf8(received).expect("text").replace(&address.to_string(), "ADDRESS")
@@ -38,11 +38,11 @@
     let (_role, lease) = watch::channel(Some(HeldLease { token: held, expires_at }));
     let (requests, queue) = mpsc::channel(1);
     let (commands, mut reported) = mpsc::channel(1);
-    let asking = tokio::spawn(run(queue, LeaseWatch::new(lease), commands));
+    let task = tokio::spawn(run(queue, LeaseWatch::new(lease), commands));
     let request = ReportRequest { id: "i-1".to_owned(), address, token: TOKEN };
     requests.send(request).await.expect("a queue");
     drop(requests);
-    asking.await.expect("the task ends with its queue");
+    task.await.expect("the task ends with its queue");
     let report = match reported.recv().await {
         Some(Command::ServerReported { id, token: TOKEN, report }) if id == "i-1" => Some(report),
         Some(_) => panic!("another command"),
@@ -62,7 +62,7 @@
 )]
 #[tokio::test]
 async fn report_is_read(#[case] body: &str, #[case] expected: StageReport) {
-    let (received, report) = ask(TOKEN, "200 OK", body).await;
+    let (received, report) = request_report(TOKEN, "200 OK", body).await;
     assert_eq!(received, "GET /report HTTP/1.1\r\nhost: ADDRESS\r\nexpect-instance: i-1\r\n\r\n");
     assert_eq!(report, Some(expected));
 }
@@ -73,12 +73,13 @@
 #[case::no_stage("200 OK", r#"{"Busy":true}"#)]
 #[case::unknown_stage("200 OK", r#"{"Stage":"both"}"#)]
 #[tokio::test]
-async fn what_is_no_report_is_left_out(#[case] status: &str, #[case] body: &str) {
-    assert_eq!(ask(TOKEN, status, body).await.1, None);
+async fn invalid_report_is_ignored(#[case] status: &str, #[case] body: &str) {
+    assert_eq!(request_report(TOKEN, status, body).await.1, None);
 }
 
 #[tokio::test]
-async fn nothing_is_asked_once_the_lease_is_lost() {
-    let (received, report) = ask(FencingToken(TOKEN.0 + 1), "200 OK", r#"{"Stage":"decode"}"#).await;
+async fn no_report_is_requested_after_the_lease_is_lost() {
+    let (received, report) =
+        request_report(FencingToken(TOKEN.0 + 1), "200 OK", r#"{"Stage":"decode"}"#).await;
     assert_eq!((received.as_str(), report), ("", None));
 }
--- a/crates/control/src/shutdown.rs
+++ b/crates/control/src/shutdown.rs
@@ -1,12 +1,13 @@
-//! The order of steps after SIGTERM. A pure state machine: `(time, observation) -> step`.
+//! The shutdown sequence after SIGTERM, as a pure state machine: `(time, observation) -> step`.
 //!
-//! 1. The process resigns its lease at once, so that another process can take the singleton role.
-//! 2. If a learner can take its place in the view, it waits for a new lease holder, then asks to leave the view. It serves on
-//!    until a view without it serves and holds everything that was acknowledged.
-//! 3. It gives its last messages [`FLUSH_TIME`] to reach the other control processes, and ends.
+//! 1. The process resigns its lease immediately, so that another process can take the singleton role.
+//! 2. If a learner can replace it in the view, the process waits for a new lease holder, then requests to
+//!    leave the view. It continues to serve until a view without it serves and holds everything that was
+//!    acknowledged.
+//! 3. The process waits [`FLUSH_TIME`] for its last messages to reach the other control processes, then ends.
 //!
-//! Each wait is bounded: the platform kills the process after `GraceS`, and a rolling restart must not be slower than the
-//! start of a process. Without a replacement, step 2 is skipped.
+//! Each wait is bounded: the platform kills the process after `GraceS`, and a rolling restart must not be
+//! slower than the start of a process. Step 2 is skipped if there is no replacement.
 
 use std::time::Duration;
 
@@ -14,63 +15,64 @@
 #[path = "shutdown_tests.rs"]
 mod shutdown_tests;
 
-/// How long another process may take to acquire the lease after the resignation: a random delay of up to 75 ms, two round
-/// trips and a sync, on a busy machine. A view change before that would leave the role vacant for the length of a lease.
+/// The timeout for another process to acquire the lease after the resignation. That takes a random delay of
+/// up to 75 ms, two round trips and a disk sync, on a busy machine. A view change before the transfer would
+/// leave the role vacant for the duration of a lease.
 const LEASE_TRANSFER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long leaving the view may take. A view change that transfers the last entries takes some 300 ms, and as long again
-/// after a lost message.
+/// The timeout for leaving the view. A view change that transfers the last entries takes about 300 ms, and
+/// about 300 ms more after a lost message.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// Leaving takes at most this fraction of `GraceS`: one half.
+/// Leaving may take at most `GraceS` divided by this number.
 const GRACE_DIVISOR: u32 = 2;
-/// How long the last messages get to reach the other control processes.
+/// The time in which the last messages can reach the other control processes.
 const FLUSH_TIME: Duration = Duration::from_millis(50);
 
-/// How far this process is on its way out of the membership.
+/// The membership state of this process during a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Membership {
-    /// It is a member and has not asked to leave, or has no replacement.
+    /// This process is a member and has not requested to leave, or has no replacement.
     Staying,
-    /// It has asked to leave.
+    /// This process has requested to leave.
     Leaving,
-    /// The view serves without it, or it never was a member.
+    /// The view serves without this process, or it never was a member.
     Left,
 }
 
-/// What the shutdown depends on, at one moment.
+/// The state that the shutdown sequence depends on, observed at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct Observation {
     /// The membership of this process.
     pub membership: Membership,
-    /// Whether a learner may take the place of this process.
+    /// Whether a learner may replace this process.
     pub has_replacement: bool,
-    /// Whether another process holds the lease, or this one did not hold it at SIGTERM.
+    /// Whether another process holds the lease, or this process did not hold it at SIGTERM.
     pub is_lease_transferred: bool,
 }
 
-/// What to do now.
+/// The next step of the shutdown sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Go on serving.
+    /// Continue to serve.
     Wait,
-    /// Ask to leave the membership. Everything else goes on.
+    /// Request to leave the membership, and otherwise continue to serve.
     RequestLeave,
-    /// End now.
+    /// End the process.
     End(ShutdownOutcome),
 }
 
-/// How this process left the others.
+/// The outcome of the shutdown sequence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ShutdownOutcome {
-    /// The view serves without it.
+    /// The view serves without this process.
     Left,
-    /// It stays a member, since nobody could replace it.
+    /// This process stays a member because no other process could replace it.
     Stayed,
-    /// It asked to leave, and that took too long.
+    /// This process requested to leave, but leaving timed out.
     TimedOut,
 }
 
 impl ShutdownOutcome {
-    /// Its `outcome` in the log.
+    /// Returns the `outcome` in log lines.
     pub fn name(self) -> &'static str {
         match self {
             ShutdownOutcome::Left => "left",
@@ -95,7 +97,7 @@
     leave_deadline: Duration,
 }
 
-/// The longest that a shutdown takes, on a platform that kills after `grace`.
+/// Returns the maximum duration of a shutdown on a platform that kills the process after `grace`.
 pub fn max_duration(grace: Duration) -> Duration {
     leave_timeout(grace) + FLUSH_TIME
 }
@@ -105,18 +107,19 @@
 }
 
 impl ShutdownSequence {
-    /// A shutdown that begins at `now`, with the lease resigned.
+    /// Starts a shutdown sequence at `now`. The caller has already resigned the lease.
     pub fn begin(now: Duration, grace: Duration) -> ShutdownSequence {
         let leave_deadline = now + leave_timeout(grace);
         let lease_transfer_deadline = leave_deadline.min(now + LEASE_TRANSFER_TIMEOUT);
         ShutdownSequence { phase: Phase::TransferringLease, lease_transfer_deadline, leave_deadline }
     }
 
-    /// Advances by what is observed at `now`; call it with every tick.
+    /// Advances the sequence by the state observed at `now`, and returns the next step. Call this with every
+    /// tick.
     pub fn step(&mut self, now: Duration, observed: &Observation) -> Step {
         match self.phase {
             Phase::TransferringLease => self.await_lease_transfer(now, observed),
-            Phase::Leaving => self.await_departure(now, observed),
+            Phase::Leaving => self.await_leave(now, observed),
             Phase::Flushing { until, outcome } if now >= until => Step::End(outcome),
             Phase::Flushing { .. } => Step::Wait,
         }
@@ -136,7 +139,7 @@
         Step::RequestLeave
     }
 
-    fn await_departure(&mut self, now: Duration, observed: &Observation) -> Step {
+    fn await_leave(&mut self, now: Duration, observed: &Observation) -> Step {
         match observed.membership {
             Membership::Left => self.flush(now, ShutdownOutcome::Left),
             Membership::Staying => self.flush(now, ShutdownOutcome::Stayed),
--- a/crates/control/src/shutdown_tests.rs
+++ b/crates/control/src/shutdown_tests.rs
@@ -1,4 +1,4 @@
-//! The steps after SIGTERM by what is observed, and that each wait is bounded.
+//! Tests of the steps of a shutdown for each observed state, and that each wait is bounded.
 
 use super::{
     FLUSH_TIME, LEASE_TRANSFER_TIMEOUT, LEAVE_TIMEOUT, Membership, Observation, ShutdownOutcome,
@@ -20,7 +20,8 @@
     ShutdownSequence::begin(START, GRACE)
 }
 
-/// Ticks until the end with what is observed at each moment; returns how long it took, and the outcome.
+/// Ticks until the sequence ends, with the state observed at each time. Returns how long it took, and the
+/// outcome.
 fn end(
     shutdown: &mut ShutdownSequence, from: Duration, observed: impl Fn(Duration) -> Observation,
 ) -> (Duration, ShutdownOutcome) {
@@ -31,14 +32,14 @@
         }
         now += TICK;
     }
-    panic!("it goes on beyond the grace");
+    panic!("the shutdown takes longer than the grace time");
 }
 
 #[rstest]
 #[case::no_replacement(Observation { has_replacement: false, ..MEMBER }, ShutdownOutcome::Stayed)]
 #[case::no_replacement_and_no_lease_transfer(Observation { has_replacement: false, is_lease_transferred: false, ..MEMBER }, ShutdownOutcome::Stayed)]
 #[case::not_a_member(LEFT, ShutdownOutcome::Left)]
-#[case::the_last_process(Observation { has_replacement: false, is_lease_transferred: false, ..LEFT }, ShutdownOutcome::Left)]
+#[case::not_a_member_and_no_replacement(Observation { has_replacement: false, is_lease_transferred: false, ..LEFT }, ShutdownOutcome::Left)]
 fn without_a_replacement_the_process_ends_after_the_flush(
     #[case] observed: Observation, #[case] outcome: ShutdownOutcome,
 ) {
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn member_that_stays_after_all_ends_after_the_flush() {
+fn member_that_can_not_leave_ends_after_the_flush() {
     let mut shutdown = begin();
     assert_eq!(shutdown.step(START, &MEMBER), Step::RequestLeave);
     let (took, outcome) = end(&mut shutdown, START + TICK, |_| MEMBER);
@@ -95,9 +96,9 @@
 #[case::shorter_than_the_lease_transfer(Duration::from_millis(600), Duration::from_millis(300))]
 fn shutdown_times_out_within_the_grace(#[case] grace: Duration, #[case] within: Duration) {
     let mut shutdown = ShutdownSequence::begin(START, grace);
-    let stuck =
+    let never_leaving =
         Observation { membership: Membership::Leaving, has_replacement: true, is_lease_transferred: false };
-    let (took, outcome) = end(&mut shutdown, START, |_| stuck);
+    let (took, outcome) = end(&mut shutdown, START, |_| never_leaving);
     assert_eq!(outcome, ShutdownOutcome::TimedOut);
     assert!(took >= within && took <= within + FLUSH_TIME + TICK * 2, "{took:?}");
     assert!(took < grace && max_duration(grace) == within + FLUSH_TIME, "{took:?}");
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -1,11 +1,11 @@
-//! The answer to `GET /status`. The encoded names are fixed; `docs/OPERATING.md` lists them.
+//! The response to `GET /status`. The encoded names must not change; `docs/OPERATING.md` lists them.
 
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// The state of one control process, as it sees itself.
+/// The state of one control process, as known to that process.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Status {
@@ -13,39 +13,39 @@
     pub node: String,
     /// The peer address of this process.
     pub address: SocketAddr,
-    /// How long this process has run, in ms.
+    /// The time since the start of this process, in ms.
     pub uptime_ms: u64,
-    /// The number of the newest view that it knows; 0 for none.
+    /// The number of the newest view that this process knows; 0 for none.
     pub view: u64,
     /// The members of that view, by peer address.
     pub members: Vec<SocketAddr>,
     /// The chain of that view, head first.
     pub chain: Vec<SocketAddr>,
-    /// Processes that were heard from recently and are no members, by peer address.
+    /// Processes that recently sent messages and are not members, by peer address.
     pub learners: Vec<SocketAddr>,
-    /// Whether one of them has the history and may replace a member at once.
+    /// Whether one of the learners has the complete history and may replace a member immediately.
     pub standby: bool,
-    /// The position of this process in the chain, 0 for the head; null outside.
+    /// The position of this process in the chain, 0 for the head; null if it is not in the chain.
     pub position: Option<usize>,
     /// Whether this process is a member of the view.
     pub member: bool,
-    /// Whether the view serves, as far as is known here.
+    /// Whether the view serves, as far as this process knows.
     pub serving: bool,
-    /// Whether a majority of the view's members has been heard within a second.
+    /// Whether a majority of the view's members has sent a message within the last second.
     #[serde(rename = "InTouch")]
     pub has_quorum: bool,
-    /// Whether its disk takes writes.
+    /// Whether the disk of this process accepts writes.
     #[serde(rename = "DiskWell")]
     pub disk_healthy: bool,
-    /// The newest committed configuration that it knows of; 0 for none.
+    /// The version of the newest committed configuration that this process knows; 0 for none.
     pub config_version: u64,
     /// The singleton roles.
     pub roles: Vec<RoleStatus>,
-    /// Servers on the list.
+    /// The number of servers in the server list.
     pub servers: usize,
-    /// The same by service.
+    /// The servers by service.
     pub services: Vec<ServiceStatus>,
-    /// Live proxies of the whole fleet, as far as is known; 0 for unknown.
+    /// The number of live proxies of the whole fleet, as far as this process knows; 0 for unknown.
     pub live_proxies: u32,
     /// The agents that pull from this process, and how far behind they are.
     pub agents: Vec<AgentStatus>,
@@ -55,13 +55,14 @@
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RoleStatus {
-    /// The role: `list_reader`, the list watcher, which also sends orders to servers.
+    /// The name of the role. The only one is `list_reader`: the list watcher, which also sends orders to
+    /// servers.
     pub role: &'static str,
-    /// The last known lease holder, by peer address; null while none is known.
+    /// The last known lease holder, by peer address; null if none is known.
     pub holder: Option<SocketAddr>,
-    /// The fencing token of its lease.
+    /// The fencing token of the holder's lease.
     pub token: Option<u64>,
-    /// How long this process has known that holder under that token, in ms.
+    /// How long this process has known that holder with that token, in ms.
     pub held_ms: Option<u64>,
     /// Whether this process holds the lease now.
     pub held_here: bool,
@@ -71,19 +72,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ServiceStatus {
-    /// The service.
+    /// The name of the service.
     pub service: String,
-    /// Servers that get requests.
+    /// The number of servers that receive requests.
     pub ready: usize,
-    /// Servers that get no new requests: those that leave, and those that change their stage.
+    /// The number of servers that receive no new requests because they are leaving or changing their stage.
     pub draining: usize,
-    /// Servers in the prefill stage.
+    /// The number of servers in the prefill stage.
     pub prefill: usize,
-    /// Servers in the decode stage.
+    /// The number of servers in the decode stage.
     pub decode: usize,
-    /// Servers without a stage.
+    /// The number of servers without a stage.
     pub unstaged: usize,
-    /// Ids of those that change their stage; known to the lease holder alone.
+    /// The ids of the servers that are changing their stage. Only the lease holder knows them.
     pub changing: Vec<String>,
 }
 
@@ -91,21 +92,22 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct AgentStatus {
-    /// The front-end node.
+    /// The name of the front-end node.
     pub node: String,
-    /// The version of its configuration; 0 for none.
+    /// The version of the agent's configuration; 0 for none.
     pub config_version: u64,
-    /// Committed configurations above that version, as far as this process knows.
+    /// The number of committed configurations above that version, as far as this process knows.
     pub versions_behind: usize,
-    /// How long this process has known the first of them, in ms; 0 for an agent with the newest one.
+    /// How long this process has known the first of these configurations, in ms; 0 if the agent has the
+    /// newest one.
     pub behind_ms: u64,
-    /// Whether its server list is the newest.
+    /// Whether the agent has the newest server list.
     pub servers_current: bool,
-    /// The time since its last pull, in ms.
+    /// The time since the agent's last pull, in ms.
     pub silent_ms: u64,
 }
 
-/// Counts servers by service.
+/// Counts servers by service, state and stage.
 pub fn by_service<'a>(
     entries: impl Iterator<Item = &'a ServerEntry>, changing: &BTreeSet<String>,
 ) -> Vec<ServiceStatus> {
--- a/crates/control/src/status_tests.rs
+++ b/crates/control/src/status_tests.rs
@@ -1,4 +1,4 @@
-//! The field names and counts of the status.
+//! Tests of the field names and counts in the status.
 
 use crate::status::{AgentStatus, RoleStatus, ServiceStatus, Status, by_service};
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
@@ -44,7 +44,8 @@
     assert_eq!(by_service(entries.iter(), &changing), [model, plain]);
 }
 
-/// Operators depend on these names: none may go, and a new one has to be added to `docs/OPERATING.md` as well.
+/// Operators depend on these names: none may be removed, and a new one has to be added to
+/// `docs/OPERATING.md`.
 #[test]
 fn field_names_are_fixed() {
     let json = serde_json::to_value(example()).expect("JSON");
@@ -58,7 +59,7 @@
     assert_eq!(json["Chain"][0], "10.0.0.1:7700");
 }
 
-/// A status with one of everything.
+/// A status with an entry in most lists.
 pub fn example() -> Status {
     let address = SocketAddr::from(([10, 0, 0, 1], 7_700));
     Status {
@@ -97,7 +98,7 @@
     }
 }
 
-/// The page that operators read names every field.
+/// The operators' documentation lists every field.
 #[test]
 fn every_field_is_documented_for_operators() {
     let json = serde_json::to_value(example()).expect("JSON");
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -1,8 +1,9 @@
-//! The storage thread, sole owner of the log file. A slow disk delays only what waits for it.
+//! The storage thread, the sole owner of the log file. A slow disk delays only the operations that wait for
+//! it.
 //!
-//! Batches are written and synced in order; each ends with one [`Command::Persisted`]. A failed write is logged
-//! (`log_file outcome=write_failed`) and reported; the state machines retry it. A log that can't be used at the start is
-//! quarantined: this process then starts as if its disk had been lost.
+//! Batches are written and synced in order; each ends with one [`Command::Persisted`]. A failed write is
+//! logged (`log_file outcome=write_failed`) and reported to the state machine, which retries it. If the log
+//! can't be used at the start, it is quarantined, and this process starts as if its disk had been lost.
 
 use crate::command::Command;
 use crate::message::PersistOutcome;
@@ -19,31 +20,32 @@
 
 /// A batch of records to write and sync.
 pub struct LogBatch {
-    /// The state machine that it belongs to.
+    /// The state machine that the batch belongs to.
     pub owner: RecordOwner,
-    /// Its number, as its owner counts.
+    /// The number of the batch, assigned by its owner.
     pub number: u64,
-    /// Tagged records.
+    /// The records with their owner tags.
     pub records: Vec<Vec<u8>>,
-    /// Whether they replace the complete log.
+    /// Whether the records replace the complete log.
     pub is_rewrite: bool,
 }
 
-/// What was found on the disk.
+/// An opened log and the records that it contains.
 pub struct OpenedLog {
-    /// Tagged records in order.
+    /// The records with their owner tags, in order.
     pub records: Vec<Vec<u8>>,
-    /// Whether a log that can't be used was quarantined; this process starts as if its disk had been lost.
+    /// Whether an unusable log was quarantined. This process then starts as if its disk had been lost.
     pub was_quarantined: bool,
-    /// Takes batches for the storage thread.
+    /// Sends batches to the storage thread.
     pub writer: Sender<LogBatch>,
 }
 
-/// Opens the log in `directory` and starts the thread that writes it. A log that is corrupt in its middle, was written by
-/// another program, or holds records that are not `is_usable` is quarantined.
+/// Opens the log in `directory` and starts the thread that writes it. The log is quarantined if it is corrupt
+/// other than at its end, was written by another program, or contains records for which `is_usable` returns
+/// false.
 ///
 /// # Errors
-/// I/O errors of the log, and of the start of the thread.
+/// I/O errors of the log and of starting the thread.
 pub fn open(
     directory: &Path, commands: tokio::sync::mpsc::Sender<Command>, is_usable: impl Fn(&[Vec<u8>]) -> bool,
 ) -> Result<OpenedLog, StoreError> {
@@ -57,11 +59,11 @@
         .name("storage".to_owned())
         .spawn(move || write_batches(log, &directory, &queue, &commands))
         .map_err(StoreError::Io)?;
-    let records = recovered.records.into_iter().filter(|record| RecordOwner::is_owned(record)).collect();
+    let records = recovered.records.into_iter().filter(|record| RecordOwner::has_owner_tag(record)).collect();
     Ok(OpenedLog { records, was_quarantined, writer })
 }
 
-/// An open log with what it held.
+/// An open log with its recovered records.
 struct RecoveredLog {
     log: Log,
     recovered: Recovered,
@@ -84,7 +86,7 @@
     Ok(RecoveredLog { log, recovered, was_quarantined: true })
 }
 
-/// The storage thread: writes and syncs batches until the controller or its queue of commands is gone.
+/// Runs the storage thread: writes and syncs batches until the controller or its command queue is gone.
 fn write_batches(
     mut log: Log, directory: &Path, queue: &Receiver<LogBatch>, commands: &tokio::sync::mpsc::Sender<Command>,
 ) {
@@ -102,7 +104,8 @@
     }
 }
 
-/// The state machines retry a failed batch until it succeeds; only the first failure in a row is a warning.
+/// Logs a failed write. The state machines retry a failed batch until it succeeds, so only the first of
+/// several consecutive failures is a warning.
 fn log_write_failure(was_healthy: bool, directory: &Path, error: &StoreError) {
     let level = if was_healthy { Level::Warn } else { Level::Debug };
     log!(level, "log_file", kv: { outcome = "write_failed", directory: = directory.display(), error: = error });
--- a/crates/control/src/storage_tests.rs
+++ b/crates/control/src/storage_tests.rs
@@ -1,4 +1,4 @@
-//! Recovery of a log, and the quarantine of one that can't be used.
+//! Tests of the recovery of a log, and of the quarantine of an unusable log.
 
 use super::{LogBatch, open};
 use crate::command::Command;
@@ -11,7 +11,7 @@
 fn directory(name: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("lugwharf-storage-{name}-{}", std::process::id()));
     drop(fs::remove_dir_all(&directory));
-    fs::create_dir_all(&directory).expect("a folder");
+    fs::create_dir_all(&directory).expect("a directory");
     directory
 }
 
@@ -44,7 +44,7 @@
     let directory = directory(name);
     write(&directory, b"one");
     if overwrite {
-        for file in fs::read_dir(&directory).expect("a folder").flatten() {
+        for file in fs::read_dir(&directory).expect("a directory").flatten() {
             fs::write(file.path(), b"#!/bin/sh\necho this is no log of ours, and long enough\n")
                 .expect("written");
         }
