--- a/crates/control/src/http_bytes_tests.rs
+++ b/crates/control/src/http_bytes_tests.rs
@@ -299,7 +299,7 @@
     let (calls, queue) = mpsc::channel(1);
     let (commands, mut done) = mpsc::channel(1);
     let lease = HeldLease { token: FencingToken(7), expires_at: Instant::now() + Duration::from_secs(60) };
-    let (_role, lease) = watch::channel(Some(lease));
+    let (_lease_sender, lease) = watch::channel(Some(lease));
     tokio::spawn(orders::run(queue, LeaseWatch::new(lease), commands));
     let order = Order { id: "i-1".to_owned(), address, stage, if_revision };
     calls
--- a/crates/control/src/list_watcher_tests.rs
+++ b/crates/control/src/list_watcher_tests.rs
@@ -58,7 +58,7 @@
 async fn page_is_requested_only_under_a_valid_lease(#[case] remaining: Duration, #[case] is_requested: bool) {
     let platform = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = platform.local_addr().expect("bound");
-    let (_role, lease) =
+    let (_lease_sender, lease) =
         watch::channel(Some(HeldLease { token: FencingToken(7), expires_at: Instant::now() + remaining }));
     let (commands, _queue) = mpsc::channel(1);
     tokio::spawn(run(Cloud { address, rate_per_s: 1.0, lag_ms: 0 }, LeaseWatch::new(lease), commands));
--- a/crates/control/src/orders_tests.rs
+++ b/crates/control/src/orders_tests.rs
@@ -26,7 +26,7 @@
 
 /// Sends one order under a lease that expires at `expires_at`, and returns its outcome.
 async fn send_order(address: SocketAddr, expires_at: Instant) -> OrderOutcome {
-    let (_role, lease) = watch::channel(lease_until(expires_at));
+    let (_lease_sender, lease) = watch::channel(lease_until(expires_at));
     send_order_under(address, lease).await
 }
 
@@ -131,7 +131,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let server = tokio::spawn(receive_until_end(listener));
-    let (_role, lease) = watch::channel(lease);
+    let (_lease_sender, lease) = watch::channel(lease);
     assert_eq!(send_order_under(address, lease).await, OrderOutcome::Rejected);
     assert_eq!(server.await.expect("a connection"), b"");
 }
@@ -142,14 +142,14 @@
 async fn order_in_flight_is_aborted_when_the_lease_is_resigned() {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
-    let (role, lease) = watch::channel(lease_until(Instant::now() + LONG));
+    let (lease_sender, lease) = watch::channel(lease_until(Instant::now() + LONG));
     let server = tokio::spawn(async move {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"}") {
             assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
         }
-        role.send_replace(None);
+        lease_sender.send_replace(None);
         stream.read_buf(&mut received).await.map_err(|error| error.kind())
     });
     assert_eq!(send_order_under(address, lease).await, OrderOutcome::Unknown);
@@ -163,8 +163,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
     let address = listener.local_addr().expect("an address");
     let started_at = Instant::now();
-    let (role, lease) = watch::channel(lease_until(started_at + Duration::from_millis(100)));
-    role.send_if_modified(|lease| {
+    let (lease_sender, lease) = watch::channel(lease_until(started_at + Duration::from_millis(100)));
+    lease_sender.send_if_modified(|lease| {
         *lease = lease_until(started_at + LONG);
         false
     });
--- a/crates/control/src/pulls.rs
+++ b/crates/control/src/pulls.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// An encoded reply.
+/// An encoded reply with an update, or without one when it is sent at the deadline of a pull.
 #[derive(Clone)]
 struct CachedReply {
     frame: ReplyFrame,
--- a/crates/control/src/server_reports_tests.rs
+++ b/crates/control/src/server_reports_tests.rs
@@ -35,7 +35,7 @@
         String::from_utf8(received).expect("text").replace(&address.to_string(), "ADDRESS")
     });
     let expires_at = Instant::now() + Duration::from_secs(600);
-    let (_role, lease) = watch::channel(Some(HeldLease { token: held, expires_at }));
+    let (_lease_sender, lease) = watch::channel(Some(HeldLease { token: held, expires_at }));
     let (requests, queue) = mpsc::channel(1);
     let (commands, mut reported) = mpsc::channel(1);
     let task = tokio::spawn(run(queue, LeaseWatch::new(lease), commands));
