--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -1,34 +1,35 @@
-//! What the balancer asks its caller to do.
+//! The actions that the balancer returns to its caller.
 
 use super::id::{RequestId, ServerId, TimerId};
 use std::fmt;
 use std::time::Duration;
 
-/// An output of the balancer. Actions are carried out in the order in which they come.
+/// An output of the balancer. The caller executes actions in the order in which it receives them.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to this server.
+    /// Send an attempt of the request to this server.
     Send {
         /// The request.
         id: RequestId,
         /// The server.
         server: ServerId,
-        /// Stop waiting for the answer after this time.
+        /// How long to wait for the answer.
         timeout: Duration,
-        /// Don't send it, or don't send the rest of it, once this time is over: the idempotency window closes, and its
-        /// servers would no longer recognise it as a repeat.
+        /// The time within which the whole request must be written. The caller must not start or continue to
+        /// write it later: the deduplication window has then closed, and the servers no longer recognise a
+        /// repeat.
         write_within: Duration,
     },
-    /// Final answer: rejected. Nothing ran, or a retry is harmless.
+    /// Answer the client with a rejection. No attempt has been executed, or the client may safely retry.
     Reject {
         /// The request.
         id: RequestId,
-        /// When the client should try again.
+        /// The time after which the client should retry, if it is advised.
         retry_after: Option<Duration>,
     },
-    /// Final answer: failed. It may have run.
+    /// Answer the client with a failure. An attempt may have been executed.
     Fail(RequestId),
-    /// Stop waiting for an attempt. Its [`Event::Outcome`](super::Event::Outcome) is still due.
+    /// Cancel an attempt. The caller must still report its [`Event::Outcome`](super::Event::Outcome).
     Cancel {
         /// The request.
         id: RequestId,
@@ -39,10 +40,10 @@
     SetTimer {
         /// The timer.
         timer: TimerId,
-        /// The time from now on.
+        /// The delay from now.
         after: Duration,
     },
-    /// Ask a server for its load; [`Event::ProbeCompleted`](super::Event::ProbeCompleted) is due.
+    /// Probe a server for its load, and report [`Event::ProbeCompleted`](super::Event::ProbeCompleted).
     Probe(ServerId),
     /// Subscribe to the server list.
     Subscribe,
@@ -50,18 +51,18 @@
     Log(LogEvent),
 }
 
-/// A log line. The simulator's wire carries its text, so the text is fixed.
+/// A log line. Its text is part of the simulator's wire format and must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A server failed too often in a row. It gets nothing but single trials.
+    /// A server had too many consecutive failures. It is sent only single trial requests.
     Ejected(ServerId),
-    /// A trial succeeded. The server is back in use.
+    /// A trial request succeeded. The server is in use again.
     Readmitted(ServerId),
-    /// Requests are being rejected because servers are at their limits.
+    /// Requests are rejected because the concurrency limits are reached.
     Shedding,
-    /// The list names no server that takes requests.
+    /// The server list has no server that accepts requests.
     NoServers,
-    /// Discovery did not answer.
+    /// The server list could not be read from discovery.
     ListFailed,
 }
 
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,7 +1,8 @@
-//! The interface of the decision module: settings, events in, actions out.
+//! The interface of the decision module: its settings, its input events and its output actions.
 //!
-//! Times are [`Duration`](std::time::Duration)s. A clock reading is the time since an origin that the caller picks once
-//! and keeps; readings that go back count as the latest one so far. Ids are opaque to the module.
+//! Times are [`Duration`](std::time::Duration)s. A clock reading is the time since a fixed origin that the
+//! caller chooses; a reading that goes back counts as the latest reading so far. The module does not
+//! interpret ids.
 
 mod action;
 mod event;
--- a/src/api/server_list.rs
+++ b/src/api/server_list.rs
@@ -1,50 +1,51 @@
-//! The server list as the caller hands it over.
+//! Server list entries and updates, as the caller reports them.
 
 use super::id::ServerId;
 use std::time::Duration;
 
-/// What the list says about whether a server takes requests.
+/// Whether a server accepts requests, according to the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It finishes what it has in flight and takes nothing new.
+    /// The server completes its requests in flight and accepts no new ones.
     Draining,
-    /// It has left.
+    /// The server has been removed.
     Gone,
 }
 
 /// One entry of the server list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerEntry {
-    /// The server.
+    /// The id of the server.
     pub server: ServerId,
-    /// Whether it takes requests.
+    /// Whether the server accepts requests.
     pub availability: Availability,
-    /// Its cell.
+    /// The cell of the server, a group of servers that may share request deduplication; see
+    /// [`DedupScope::Cell`](super::DedupScope::Cell).
     pub cell: u16,
-    /// Its zone.
+    /// The zone of the server.
     pub zone: u16,
-    /// Its kind of machine. Servers of one kind suit the classes alike.
+    /// The machine type of the server. Servers of one type have the same relative latency for each class.
     pub machine_type: u8,
-    /// Its capacity relative to that of others. Values under 1, and NaN, count as 1.
+    /// The capacity of the server relative to other servers. Values below 1, and NaN, count as 1.
     pub weight: f64,
-    /// Clock reading of its last start; `None` if that is long ago.
+    /// The clock reading at the last start of the server; `None` if it started long ago.
     pub started_at: Option<Duration>,
 }
 
 /// An update of the server list, or of the subscription to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerListEvent {
-    /// The complete list. Servers that are missing from it are gone.
+    /// The complete list. Servers that are missing from it count as removed.
     Full(Vec<ServerEntry>),
     /// Only the entries that changed.
     Delta(Vec<ServerEntry>),
-    /// The list that this sidecar had last, perhaps out of date. Comes once, at the start.
+    /// The last list that this sidecar knew, which may be out of date. Reported once, at startup.
     Cached(Vec<ServerEntry>),
     /// A call to discovery failed. The current list stays in use.
     Failed,
-    /// A running subscription was reset or timed out. The current list stays in use, but the sidecar may be missing
-    /// changes already, so it asks again sooner than after [`ServerListEvent::Failed`].
+    /// A running subscription was reset or timed out. The current list stays in use, but the sidecar may
+    /// already be missing changes, so it subscribes again sooner than after [`ServerListEvent::Failed`].
     Interrupted,
 }
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,45 +1,47 @@
-//! What a balancer is configured with: the classes of requests, what the deployment permits, and prices.
+//! The configuration of a balancer: request classes, permissions of the deployment, and prices.
 
 use std::time::Duration;
 
-/// Whether the deployment permits something.
+/// Whether the deployment permits an optional behaviour of the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
-    /// The balancer may do it.
+    /// The behaviour is permitted.
     Granted,
-    /// The balancer must not do it.
+    /// The behaviour is forbidden.
     Denied,
 }
 
-/// The servers that recognise a repeat of a keyed request and drop it.
+/// The servers that recognise and drop a repeat of a request by its idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every server.
     All,
-    /// The servers in the zone of the server that had the first copy.
+    /// The servers in the zone of the server that received the first attempt.
     Zone,
-    /// The servers in its cell.
+    /// The servers in the cell of the server that received the first attempt.
     Cell,
 }
 
-/// Whether a request of a class may run more than once.
+/// Whether a request of a class may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Idempotency {
-    /// It may run at any time, anywhere, any number of times.
+    /// The request may be executed any number of times, on any server, at any time.
     Idempotent,
-    /// It carries an idempotency key: servers in the scope drop a repeat that arrives within the window.
+    /// The request carries an idempotency key: servers in the scope drop a repeat that arrives within the
+    /// window.
     Keyed {
-        /// The servers that drop the repeat.
+        /// The servers that drop a repeat.
         scope: DedupScope,
-        /// How long they remember the key, counted from the first attempt that may have run.
+        /// How long these servers remember the key, from the first attempt that may have been executed.
         window: Duration,
     },
-    /// It may be sent again only when every earlier attempt is known not to have run.
+    /// The request may be sent again only if it is known that no earlier attempt was executed.
     NonIdempotent,
 }
 
 impl Idempotency {
-    /// How long after the first attempt that may have run a retry may still reach its server.
+    /// The time after the first attempt that may have been executed within which a retry must reach its
+    /// server.
     pub fn window(self) -> Duration {
         if let Idempotency::Keyed { window, .. } = self { window } else { Duration::MAX }
     }
@@ -48,58 +50,61 @@
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// An answer within this time earns the full value.
+    /// An answer within this time earns the full value of the request.
     pub latency_target: Duration,
-    /// How long a client waits in all, over its own retries; zero if unknown.
+    /// The total time that a client waits, including its own retries; zero if unknown.
     pub deadline: Duration,
-    /// The latency target grows by this multiple of the request's own work ([`Arrival::cost`](super::Arrival::cost)).
+    /// The latency target grows by this multiple of the request's expected work
+    /// ([`Arrival::cost`](super::Arrival::cost)).
     pub latency_target_per_work: f64,
     /// The value of one request, or of one unit of its work; see [`ValueBasis`].
     pub value: f64,
-    /// The share of the value that an answer after the latency target earns, from 0 to 1.
+    /// The share of the value that an answer after the latency target still earns, from 0 to 1.
     pub late_value_share: f64,
-    /// Whether a request may run again.
+    /// Whether a request of the class may be executed more than once.
     pub idempotency: Idempotency,
 }
 
-/// What [`RequestClass::value`] is counted by.
+/// The unit to which [`RequestClass::value`] applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueBasis {
     /// Each request has the value of its class.
     PerRequest,
-    /// Each unit of work (a millisecond of expected latency) has the value of its class.
+    /// Each unit of a request's work (a millisecond of expected latency) has the value of its class.
     PerWork,
 }
 
-/// How the server list arrives.
+/// How the caller receives the server list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Discovery {
-    /// The caller follows the list by itself; [`Action::Subscribe`](super::Action::Subscribe) is never asked for.
+    /// The caller subscribes to the list by itself; the module never returns
+    /// [`Action::Subscribe`](super::Action::Subscribe).
     Pushed,
-    /// The caller follows the list once the module asks for it.
+    /// The caller subscribes to the list when the module returns
+    /// [`Action::Subscribe`](super::Action::Subscribe).
     OnRequest {
-        /// A sidecar without a subscription has to ask at least this often.
+        /// The maximum time between attempts to subscribe, while a sidecar has no subscription.
         max_poll_interval: Duration,
     },
 }
 
-/// How servers behave after a start.
+/// The capacity of servers after a start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SlowStart {
-    /// The share of its capacity that a server has at its start, at least.
+    /// The minimum share of its full capacity that a server has at its start.
     pub initial_capacity: f64,
-    /// A server has its full capacity this long after its start, at the latest.
+    /// The maximum time after its start until a server has its full capacity.
     pub ramp_time: Duration,
-    /// A server that is sent more than this multiple of its current capacity for a while fails.
+    /// A server fails if it is sent more than this multiple of its current capacity for a sustained time.
     pub overload_multiple: f64,
 }
 
-/// The weights of what good service consists of.
+/// The weights of the service objective. The queue serves first the requests that add the most to it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectiveWeights {
-    /// Weight of the served share of all value.
+    /// The weight of the served share of the value of all requests.
     pub total_value: f64,
-    /// Weight of that share in the class that is served worst.
+    /// The weight of the served share of the class for which it is smallest.
     pub worst_class: f64,
 }
 
@@ -108,43 +113,43 @@
 pub struct Settings {
     /// The zone of this sidecar.
     pub zone: u16,
-    /// The number of this sidecar among all sidecars, from 0; subsetting starts from it.
+    /// The index of this sidecar among all sidecars, from 0. It determines where the sidecar's subset starts.
     pub sidecar_index: u32,
-    /// How many sidecars there are.
+    /// The number of sidecars.
     pub sidecar_count: u32,
-    /// An upstream connection that is idle for this long is closed.
+    /// The idle time after which an upstream connection is closed.
     pub keep_alive: Duration,
-    /// The classes, by index.
+    /// The request classes, by index.
     pub classes: Vec<RequestClass>,
-    /// What value is counted by.
+    /// The unit to which the value of a class applies.
     pub value_basis: ValueBasis,
-    /// The price of an attempt that leaves the zone, in the value of an average request.
+    /// The price of an attempt in another zone, relative to the value of an average request.
     pub cross_zone_price: f64,
-    /// The price of a probe, in the value of an average request.
+    /// The price of a probe, relative to the value of an average request.
     pub probe_price: f64,
-    /// The price of a new connection, in the value of an average request.
+    /// The price of a new connection, relative to the value of an average request.
     pub handshake_price: f64,
-    /// Whether load reports say how many requests a server has in flight.
+    /// Whether load reports contain the number of requests that a server has in flight.
     pub is_load_reported: bool,
-    /// What good service consists of.
+    /// The weights of the service objective.
     pub objective: ObjectiveWeights,
-    /// Attempts that a request may have in all, the first included.
+    /// The maximum number of attempts of a request, including the first one.
     pub max_attempts: usize,
-    /// Whether an attempt may be cancelled.
+    /// Whether attempts may be cancelled.
     pub cancel: Permission,
     /// Whether servers may be probed.
     pub probes: Permission,
-    /// The longest `Retry-After` that clients heed; `None` where they heed none.
+    /// The longest `Retry-After` that clients honour; `None` if they honour none.
     pub max_retry_after: Option<Duration>,
-    /// How the list arrives.
+    /// How the caller receives the server list.
     pub discovery: Discovery,
-    /// How servers warm up.
+    /// The capacity of servers after a start.
     pub slow_start: SlowStart,
-    /// The resolution of the caller's timers: what falls due within one tick counts as due.
+    /// The resolution of the caller's timers. Whatever is due within one tick counts as due.
     pub tick: Duration,
 }
 
-/// The careful choice: what need not be granted is denied, nothing has a price, and there is no class yet.
+/// Conservative defaults: optional behaviours are denied, all prices are zero, and there are no classes.
 impl Default for Settings {
     fn default() -> Self {
         Settings {
--- a/src/decision/concurrency_window.rs
+++ b/src/decision/concurrency_window.rs
@@ -1,29 +1,35 @@
-//! The concurrency window: how many attempts may be in flight. It follows additive increase, multiplicative decrease.
+//! The concurrency window, which limits the attempts in flight by additive increase, multiplicative decrease
+//! (AIMD).
 
-/// The share by which a late attempt decreases the window.
+/// The share of the window by which a late attempt decreases it.
 pub(crate) const WINDOW_DECREASE: f64 = 0.1;
-/// One overload decreases the window to this share at most: all attempts that were in flight together report the same one.
-const MAX_EPISODE_DECREASE: f64 = 0.5;
+/// The minimum share of the window that remains after one overload. All attempts that were in flight together
+/// report the same overload, and must not decrease the window further.
+const MIN_WINDOW_SHARE_AFTER_OVERLOAD: f64 = 0.5;
 
-/// How many attempts may be in flight at the servers of one [`Locality`](super::server::Locality).
+/// The concurrency window for the servers of one [`Locality`](super::server::Locality).
 #[derive(Clone, Copy)]
 pub(crate) struct ConcurrencyWindow {
-    /// Attempts in flight, those at ejected servers included.
+    /// Attempts in flight, including those at ejected servers.
     pub(crate) in_flight: usize,
-    /// Attempts that may be in flight for each server in use.
+    /// Maximum attempts in flight per server in use.
     per_server: f64,
-    /// When the current overload was first noticed; 0 for never.
-    decreased_at_ms: f64,
-    /// How far the current overload may decrease `per_server`.
-    episode_floor: f64,
+    /// When the current overload was first detected; 0 before the first overload.
+    overload_detected_at_ms: f64,
+    /// The lowest value to which the current overload may decrease `per_server`.
+    overload_floor: f64,
 }
 
 impl ConcurrencyWindow {
-    /// Before the first server list.
-    pub(crate) const INITIAL: ConcurrencyWindow =
-        ConcurrencyWindow { in_flight: 0, per_server: 1.0, decreased_at_ms: 0.0, episode_floor: 0.0 };
+    /// The window before the first server list.
+    pub(crate) const INITIAL: ConcurrencyWindow = ConcurrencyWindow {
+        in_flight: 0,
+        per_server: 1.0,
+        overload_detected_at_ms: 0.0,
+        overload_floor: 0.0,
+    };
 
-    /// Attempts that may be in flight for each server in use.
+    /// Returns the maximum attempts in flight per server in use.
     pub(crate) fn per_server(&self) -> f64 {
         self.per_server
     }
@@ -33,18 +39,19 @@
         self.per_server = per_server;
     }
 
-    /// Decreases the window after an attempt that was sent then is late, to this minimum at most. Attempts sent before the
-    /// current overload was noticed belong to it.
+    /// Decreases the window after a late attempt that was sent at `sent_at_ms`, but not below
+    /// `min_per_server`. Attempts that were sent before the current overload was detected belong to that
+    /// overload.
     pub(crate) fn decrease(&mut self, sent_at_ms: f64, now_ms: f64, min_per_server: f64) {
-        if sent_at_ms >= self.decreased_at_ms {
-            self.decreased_at_ms = now_ms;
-            self.episode_floor = self.per_server * MAX_EPISODE_DECREASE;
+        if sent_at_ms >= self.overload_detected_at_ms {
+            self.overload_detected_at_ms = now_ms;
+            self.overload_floor = self.per_server * MIN_WINDOW_SHARE_AFTER_OVERLOAD;
         }
-        let floor = self.episode_floor.min(self.per_server);
+        let floor = self.overload_floor.min(self.per_server);
         self.per_server = (self.per_server * (1.0 - WINDOW_DECREASE)).max(floor).max(min_per_server);
     }
 
-    /// Increases the window by so many attempts for each server.
+    /// Increases the window by `per_server` attempts per server.
     pub(crate) fn increase(&mut self, per_server: f64) {
         self.per_server += per_server;
     }
--- a/src/decision/memory_tests.rs
+++ b/src/decision/memory_tests.rs
@@ -1,4 +1,5 @@
-//! Tests that the balancer's state stays bounded by the servers on the list and the requests that are open.
+//! Tests that the balancer's state stays bounded by the listed servers and the open requests, and tests that
+//! inspect its private state.
 
 use super::balancer::Balancer;
 use crate::api::*;
@@ -23,19 +24,19 @@
 #[test]
 fn state_is_bounded_by_listed_servers_and_open_requests() {
     let (mut rng, mut balancer) = (fastrand::Rng::with_seed(5), Balancer::new(settings(), 5));
-    let (mut out, mut flying) = (Vec::new(), BTreeSet::new());
+    let (mut out, mut in_flight) = (Vec::new(), BTreeSet::new());
     let mut listed: Vec<u64> = Vec::new();
     for step in 0..60_000u32 {
         let now = Duration::from_millis(u64::from(step) * 3);
         let event = match rng.u32(0..100) {
-            // Servers join and leave for good: each new one has its own id.
+            // Servers join and leave permanently: each new server has a new id.
             0 => {
                 listed.push(u64::from(step));
                 if listed.len() > 8 {
                     listed.remove(rng.usize(0..8));
                 }
                 let availability = Availability::Ready;
-                let line = |&id| ServerEntry {
+                let entry = |&id| ServerEntry {
                     server: ServerId(id),
                     availability,
                     cell: 0,
@@ -44,7 +45,7 @@
                     weight: 1.0,
                     started_at: None,
                 };
-                Event::ServerList(ServerListEvent::Full(listed.iter().map(line).collect()))
+                Event::ServerList(ServerListEvent::Full(listed.iter().map(entry).collect()))
             }
             1 if step % 2 == 0 => Event::ServerList(ServerListEvent::Interrupted),
             1 => Event::ServerList(ServerListEvent::Failed),
@@ -55,7 +56,7 @@
                 Event::Request(Arrival { id, class: 0, cost, client_timeout, origin })
             }
             51..=60 => Event::Timer(TimerId(u64::from(step - rng.u32(0..99).min(step)))),
-            _ => match flying.pop_first() {
+            _ => match in_flight.pop_first() {
                 Some((id, attempt)) => {
                     let all = [Outcome::Ok, Outcome::Error, Outcome::Timeout, Outcome::ConnectFailed];
                     let outcome = all[rng.usize(0..4)];
@@ -69,19 +70,19 @@
         balancer.handle(now, event, &mut out);
         for action in out.drain(..) {
             if let Action::Send { id, .. } = action {
-                flying.insert((id, balancer.requests[&id].attempts.len() - 1));
+                in_flight.insert((id, balancer.requests[&id].attempts.len() - 1));
             }
         }
-        assert!(balancer.servers.all().len() <= listed.len() + flying.len());
-        assert!(balancer.requests.len() <= balancer.queue.len() + flying.len());
+        assert!(balancer.servers.all().len() <= listed.len() + in_flight.len());
+        assert!(balancer.requests.len() <= balancer.queue.len() + in_flight.len());
     }
-    // Queued requests end with their time, attempts in flight with their outcome.
+    // Queued requests end with their timers, attempts in flight with their outcomes.
     let ids: Vec<RequestId> = balancer.requests.keys().copied().collect();
     let end = Duration::from_secs(1_000);
     for id in ids {
         balancer.handle(end, Event::Timer(TimerId(u64::from(id.0))), &mut out);
     }
-    for (id, attempt) in flying {
+    for (id, attempt) in in_flight {
         let (elapsed, request_status) = (Duration::from_millis(50), RequestStatus::Finished);
         balancer.handle(
             end,
@@ -108,9 +109,9 @@
 fn an_attempt_cancelled_early_does_not_lower_the_latency() {
     let (mut balancer, mut out) = (Balancer::new(settings(), 1), Vec::new());
     let (availability, started_at, server) = (Availability::Ready, None, ServerId(1));
-    let line =
+    let entry =
         ServerEntry { server, availability, cell: 0, zone: 0, machine_type: 0, weight: 1.0, started_at };
-    balancer.handle(Duration::ZERO, Event::ServerList(ServerListEvent::Full(vec![line])), &mut out);
+    balancer.handle(Duration::ZERO, Event::ServerList(ServerListEvent::Full(vec![entry])), &mut out);
     let (cost, origin) = (None, Origin::Fresh);
     let client_timeout = Duration::from_millis(1_200);
     for (round, outcome, elapsed) in [(0u32, Outcome::Ok, 100), (1, Outcome::Cancelled, 1)] {
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,19 +1,19 @@
-//! The decisions: events in, actions out, without I/O and without a clock.
+//! The decision logic. It turns events into actions, without I/O and without a clock.
 //!
-//! [`Balancer`] holds all state. Its methods are spread over the files by concern:
+//! [`Balancer`] holds all state. Its methods are split over the files by concern:
 //!
-//! - `queue`: arrival, waiting, dispatch
-//! - `outcomes`: attempts in flight, and what their end means
-//! - `admission`: concurrency windows, final answers
-//! - `selection`, `slow_start`: which server a request goes to
-//! - `probing`: asking servers for their load first
-//! - `outlier_ejection`: servers that fail
-//! - `server_list`: updates of the list
+//! - `queue`: arrival, queueing and dispatch of requests
+//! - `outcomes`: attempts in flight, and the processing of their outcomes
+//! - `admission`: concurrency windows, and final answers without a server's answer
+//! - `selection`, `slow_start`: the choice of a server
+//! - `probing`: probing servers for their load before sending
+//! - `outlier_ejection`: ejection of failing servers
+//! - `server_list`: updates of the server list
 //!
-//! The other files hold the data that these work on.
+//! The other files define the data that these methods work on.
 //!
-//! Inside the module times are `f64` milliseconds, since they enter averages and decays; names that hold one end in
-//! `_ms`. A point in time is measured from the caller's origin.
+//! Within the module, times are `f64` milliseconds, because averages and exponential decays are computed from
+//! them; their names end in `_ms`. Points in time are measured from the caller's origin.
 
 mod admission;
 mod balancer;
--- a/src/decision/outcome_history.rs
+++ b/src/decision/outcome_history.rs
@@ -1,12 +1,13 @@
-//! How attempts have lately ended, as a miss rate that is sceptical of few or old samples.
+//! The recent outcomes of attempts, as a miss rate that few or old samples raise only a little.
 
-/// Attempts that a history counts at most; older ones fade beyond that.
-const MAX_ATTEMPTS: f64 = 16.0;
-/// Imagined successes that are added to the attempts, so that few attempts prove little.
+/// Maximum number of attempts that a history counts. Older attempts decay beyond that.
+const MAX_COUNTED_ATTEMPTS: f64 = 16.0;
+/// Pseudo-count of successes that is added to the attempts (a Bayesian prior), so that few attempts have
+/// little weight.
 const PRIOR_SUCCESSES: f64 = 4.0;
 
-/// A decaying count of attempts and of misses among them. A miss is an attempt that failed or answered after its latency
-/// target.
+/// Decaying counts of attempts and of misses among them. A miss is an attempt that failed or was answered
+/// after its latency target.
 #[derive(Clone, Copy)]
 pub(crate) struct OutcomeHistory {
     attempts: f64,
@@ -18,19 +19,20 @@
     pub(crate) const EMPTY: OutcomeHistory =
         OutcomeHistory { attempts: 0.0, misses: 0.0, updated_at_ms: 0.0 };
 
-    /// Records the end of one attempt. Earlier ones fade by their age, and by the bound on their number.
+    /// Records the outcome of one attempt. Earlier attempts decay by age, or faster if
+    /// [`MAX_COUNTED_ATTEMPTS`] requires it.
     pub(crate) fn record(&mut self, is_miss: bool, now_ms: f64, time_constant_ms: f64) {
-        let by_age = (-(now_ms - self.updated_at_ms) / time_constant_ms).exp();
-        let keep = by_age.min(MAX_ATTEMPTS / self.attempts.max(MAX_ATTEMPTS));
-        self.attempts = self.attempts * keep + 1.0;
-        self.misses = self.misses * keep + f64::from(u8::from(is_miss));
+        let decay_by_age = (-(now_ms - self.updated_at_ms) / time_constant_ms).exp();
+        let decay_factor = decay_by_age.min(MAX_COUNTED_ATTEMPTS / self.attempts.max(MAX_COUNTED_ATTEMPTS));
+        self.attempts = self.attempts * decay_factor + 1.0;
+        self.misses = self.misses * decay_factor + f64::from(u8::from(is_miss));
         self.updated_at_ms = now_ms;
     }
 
-    /// The share of misses as of now, from 0 to 1.
+    /// Returns the share of misses, decayed to now, from 0 to 1.
     pub(crate) fn miss_rate(&self, now_ms: f64, time_constant_ms: f64) -> f64 {
-        let keep = (-(now_ms - self.updated_at_ms) / time_constant_ms).exp();
-        self.misses * keep / (self.attempts * keep + PRIOR_SUCCESSES)
+        let decay_factor = (-(now_ms - self.updated_at_ms) / time_constant_ms).exp();
+        self.misses * decay_factor / (self.attempts * decay_factor + PRIOR_SUCCESSES)
     }
 }
 
@@ -38,11 +40,12 @@
 #[derive(Clone, Copy)]
 pub(crate) struct ClassHistory {
     pub(crate) outcomes: OutcomeHistory,
-    /// The server is ejected for the class while its miss rate is above this; infinite while it is not ejected.
-    pub(crate) ejected_above: f64,
+    /// The miss rate above which the server is ejected for the class; infinite while the server is not
+    /// ejected for it.
+    pub(crate) ejection_miss_rate: f64,
 }
 
 impl ClassHistory {
     pub(crate) const EMPTY: ClassHistory =
-        ClassHistory { outcomes: OutcomeHistory::EMPTY, ejected_above: f64::INFINITY };
+        ClassHistory { outcomes: OutcomeHistory::EMPTY, ejection_miss_rate: f64::INFINITY };
 }
--- a/src/decision/outcomes.rs
+++ b/src/decision/outcomes.rs
@@ -1,4 +1,4 @@
-//! Attempts in flight, and what their end means for servers, windows and the request.
+//! Attempts in flight, and the effects of their outcomes on servers, concurrency windows and requests.
 
 use super::balancer::Balancer;
 use super::request::{Attempt, AttemptStatus, RequestPhase, RequestProfile};
@@ -6,28 +6,28 @@
 use super::statistics::update_ewma;
 use crate::api::{Action, LogEvent, Outcome, RequestId, RequestStatus, ServerId};
 
-/// Weight of one answer in the running means of classes.
+/// Weight of one answer in the running means of classes and in [`Balancer::mean_latency_ms`].
 pub(crate) const MEAN_GAIN: f64 = 1.0 / 32.0;
-/// Weight of one answer in [`Balancer::latency_per_load_ms`]: a few answers have to show an overload.
+/// Weight of one answer in [`Balancer::latency_per_load_ms`]. A few answers must suffice to show an overload.
 const LATENCY_PER_LOAD_GAIN: f64 = 1.0 / 8.0;
 /// Weight of one answer in [`Balancer::relative_latency`].
 const RELATIVE_LATENCY_GAIN: f64 = 1.0 / 16.0;
-/// A time-out counts against the server when it took more than this multiple of the mean latency: clients with little time
-/// left must not make a server look bad.
+/// A timeout counts as a failure of the server only if it exceeds this multiple of the mean latency: the
+/// short timeouts of some clients must not make a server look faulty.
 const SLOW_TIMEOUT_MULTIPLE: f64 = 2.0;
 
-/// What an attempt without an answer says about its server.
+/// The evidence that an attempt without an answer gives about its server.
 struct Failure {
     /// The latency sample to record.
     sample_ms: f64,
-    /// Whether it counts as a failure of the server.
-    is_servers_fault: bool,
-    /// Whether it may be a sign of overload.
+    /// Whether the attempt counts as a failure of the server.
+    is_server_failure: bool,
+    /// Whether the attempt may indicate an overload.
     may_be_overload: bool,
 }
 
 impl Balancer {
-    /// An attempt goes out.
+    /// Records an attempt that is being sent.
     pub(crate) fn record_sent(&mut self, id: RequestId, attempt_number: usize, attempt: Attempt) {
         let (locality, ramp_ms) = (self.locality_of(attempt.server), self.ramp_time_ms());
         let (Some(server), Some(request)) =
@@ -38,7 +38,7 @@
         server.recent_sends.increment(attempt.sent_at_ms, RECENT_SENDS_MS);
         server.in_flight.push(InFlightAttempt {
             id,
-            attempt: attempt_number,
+            attempt_number,
             sent_at_ms: attempt.sent_at_ms,
             normalization: attempt.normalization,
             locality,
@@ -65,7 +65,7 @@
             self.windows[locality as usize].in_flight -= 1;
         }
         match outcome {
-            // Its answer was recorded when it began to stream.
+            // The answer was recorded when its stream started.
             Outcome::Ok if phase == RequestPhase::Streaming => {}
             Outcome::Ok => self.record_answer(&attempt, &profile, elapsed_ms, out),
             _ => self.record_failure(&attempt, &profile, outcome, elapsed_ms, out),
@@ -80,24 +80,25 @@
         }
     }
 
-    /// Queues a request again after a failed attempt, if the rules and the budget let it.
+    /// Queues a request again after a failed attempt, if retry scope, deadline and retry budget allow it.
     fn retry(&mut self, id: RequestId, profile: &RequestProfile, outcome: Outcome, out: &mut Vec<Action>) {
-        // A retry storm feeds on attempts that cost servers work: only those are on the budget.
-        let is_free = matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent);
-        let price = if is_free { 0.0 } else { 1.0 };
+        // Only retries of attempts that cost servers work can cause a retry storm, so only these use the
+        // budget.
+        let is_free_of_budget = matches!(outcome, Outcome::ConnectFailed | Outcome::NotSent);
+        let budget_cost = if is_free_of_budget { 0.0 } else { 1.0 };
         let expected_ms = self.expected_latency_ms(profile);
         let request = &self.requests[&id];
-        let left_ms = request.deadline_at_ms - self.now_ms - expected_ms;
-        if left_ms <= 0.0 || self.retry_scope(request).is_none() || self.retry_budget < price {
+        let remaining_ms = request.deadline_at_ms - self.now_ms - expected_ms;
+        if remaining_ms <= 0.0 || self.retry_scope(request).is_none() || self.retry_budget < budget_cost {
             return self.reject_or_fail(id, out);
         }
-        self.retry_budget -= price;
-        let wait_ends_at_ms = self.now_ms + left_ms;
+        self.retry_budget -= budget_cost;
+        let wait_ends_at_ms = self.now_ms + remaining_ms;
         if let Some(request) = self.requests.get_mut(&id) {
             (request.phase, request.wait_ends_at_ms) = (RequestPhase::Queued, wait_ends_at_ms);
             request.candidates.clear();
         }
-        self.enqueue(id, left_ms, out);
+        self.enqueue(id, remaining_ms, out);
     }
 
     pub(crate) fn on_stream_started(
@@ -105,7 +106,7 @@
     ) {
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(&attempt) = request.attempts.get(attempt_number) else { return };
-        // The client may leave at the moment in which its stream starts: that request stays finished.
+        // The client may have disconnected just before its stream started. Its request stays finished.
         if request.phase != RequestPhase::Finished {
             request.phase = RequestPhase::Streaming;
         }
@@ -113,7 +114,7 @@
         self.record_answer(&attempt, &profile, elapsed_ms, out);
     }
 
-    /// Records an answer: a sample of its server and its class. It readmits an ejected server.
+    /// Records an answer in the statistics of its server and its class. An answer readmits an ejected server.
     fn record_answer(
         &mut self, attempt: &Attempt, profile: &RequestProfile, elapsed_ms: f64, out: &mut Vec<Action>,
     ) {
@@ -144,13 +145,14 @@
         self.median_latency_ms.record(sample_ms);
     }
 
-    /// Counts the value that is served: a late answer earns only part of it.
+    /// Adds the value that an answer earns to the served value of its class. A late answer earns only a part.
     fn record_served(&mut self, profile: &RequestProfile) {
         let served = self.request_value(profile) * self.earned_share(profile, self.now_ms);
-        self.class_service[profile.class].served += served;
+        self.class_value_totals[profile.class].served += served;
     }
 
-    /// Records how an answer compares with its class's mean, for the server's kind of machine.
+    /// Records the latency of an answer relative to the expected one, by the server's machine type and the
+    /// class.
     fn record_relative_latency(&mut self, server: ServerId, profile: &RequestProfile, elapsed_ms: f64) {
         let expected_ms = self.expected_latency_ms(profile);
         if let Some(server) = self.servers.get(server).filter(|_| expected_ms > 0.0) {
@@ -160,7 +162,8 @@
         }
     }
 
-    /// Records an attempt without an answer. It enters the averages as the longer of its duration and its time-out.
+    /// Records an attempt without an answer. Its latency sample is the longer of its duration and its
+    /// timeout; see [`Balancer::failure`] for cancelled attempts.
     fn record_failure(
         &mut self, attempt: &Attempt, profile: &RequestProfile, outcome: Outcome, elapsed_ms: f64,
         out: &mut Vec<Action>,
@@ -168,7 +171,7 @@
         let (now_ms, median_ms) = (self.now_ms, self.median_latency_ms.get());
         let Some(failure) = self.failure(attempt, profile, outcome, elapsed_ms) else { return };
         let Some(server) = self.servers.get_mut(attempt.server) else { return };
-        // An attempt that we cancelled only shows that an answer takes longer than it lasted.
+        // A cancelled attempt only shows that the answer takes longer than the time until the cancellation.
         if outcome != Outcome::Cancelled
             || failure.sample_ms > server.latency_ms_at(now_ms, self.time_constant_ms, median_ms)
         {
@@ -179,35 +182,35 @@
         if failure.may_be_overload && !attempt.is_recorded_late && (is_late || outcome == Outcome::Rejected) {
             self.decrease_window(attempt.server, attempt.sent_at_ms);
         }
-        if failure.is_servers_fault && outcome != Outcome::ConnectFailed {
+        if failure.is_server_failure && outcome != Outcome::ConnectFailed {
             self.record_class_outcome(attempt.server, profile.class, true);
         }
-        if failure.is_servers_fault {
+        if failure.is_server_failure {
             self.record_server_failure(attempt.server, out);
         }
     }
 
-    /// What a failed attempt says about its server; `None` if nothing.
+    /// Returns the evidence that a failed attempt gives about its server; `None` if there is none.
     fn failure(
         &self, attempt: &Attempt, profile: &RequestProfile, outcome: Outcome, elapsed_ms: f64,
     ) -> Option<Failure> {
         let normalized_ms = elapsed_ms * attempt.normalization;
-        let slow_ms = SLOW_TIMEOUT_MULTIPLE * self.mean_latency_ms;
+        let min_slow_timeout_ms = SLOW_TIMEOUT_MULTIPLE * self.mean_latency_ms;
         let sample_ms = elapsed_ms.max(attempt.timeout_ms);
         match outcome {
             Outcome::NotSent | Outcome::Ok => None,
             Outcome::Cancelled => Some(Failure {
                 sample_ms: normalized_ms,
-                is_servers_fault: elapsed_ms > profile.latency_target_ms / 2.0,
+                is_server_failure: elapsed_ms > profile.latency_target_ms / 2.0,
                 may_be_overload: true,
             }),
             Outcome::Timeout => {
-                let is_servers_fault = normalized_ms > slow_ms;
-                Some(Failure { sample_ms, is_servers_fault, may_be_overload: true })
+                let is_server_failure = normalized_ms > min_slow_timeout_ms;
+                Some(Failure { sample_ms, is_server_failure, may_be_overload: true })
             }
-            Outcome::Rejected => Some(Failure { sample_ms, is_servers_fault: false, may_be_overload: true }),
+            Outcome::Rejected => Some(Failure { sample_ms, is_server_failure: false, may_be_overload: true }),
             Outcome::Error | Outcome::ConnectFailed | Outcome::Reset => {
-                Some(Failure { sample_ms, is_servers_fault: true, may_be_overload: false })
+                Some(Failure { sample_ms, is_server_failure: true, may_be_overload: false })
             }
         }
     }
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -1,47 +1,51 @@
-//! Outlier ejection: after failures in a row a server gets no requests for a while, and after too many misses of one class
-//! it gets none of that class.
+//! Outlier ejection: after consecutive failures a server is sent no requests for a time, and after too many
+//! misses of one class it is sent no requests of that class.
 
 use super::balancer::Balancer;
 use super::outcome_history::OutcomeHistory;
 use super::server::{Health, InFlightAttempt, Server};
 use crate::api::{Action, LogEvent, ServerId};
 
-/// Failures in a row that eject a server at least: one is chance, two may be, three is the server.
+/// Minimum number of consecutive failures that eject a server. One or two failures may be due to chance.
 const MIN_CONSECUTIVE_FAILURES: u32 = 3;
-/// Where the median server misses as well, the failures in a row that chance makes less likely than this.
+/// If the median server misses too, so many failures are required that chance makes them less likely than
+/// this.
 const FALSE_EJECTION_PROBABILITY: f64 = 1e-3;
-/// The share of ready servers that may be ejected: when most look bad, the cause is elsewhere.
+/// Maximum share of ready servers that are ejected. If most servers look bad, the cause is elsewhere.
 const MAX_EJECTED_SHARE: f64 = 0.5;
-/// The first ejection, in time constants of latency samples. It doubles with each failed trial, up to so many times.
+/// Duration of the first ejection, in time constants of latency samples. Each failed trial doubles the
+/// duration, at most [`MAX_EJECTION_DOUBLINGS`] times.
 const EJECTION_TIME_CONSTANTS: f64 = 2.0;
 const MAX_EJECTION_DOUBLINGS: u32 = 2;
-/// A server is ejected for a class when its miss rate is so much above the median server's.
+/// A server is ejected for a class if its miss rate exceeds that of the median server by more than this.
 const CLASS_EJECTION_MARGIN: f64 = 0.25;
-/// It is readmitted when its miss rate has come down to this share of the rate that ejected it.
+/// The server is readmitted when its miss rate falls below this share of the threshold that ejected it.
 const CLASS_READMISSION_SHARE: f64 = 0.5;
-/// Time constant of outcome histories, in time constants of latency samples. It bounds what the next trial costs.
+/// Time constant of outcome histories, in time constants of latency samples. It limits how often trials are
+/// made, and thus what they cost.
 const HISTORY_TIME_CONSTANTS: f64 = 8.0;
-/// A latency sample has faded after so many time constants.
-pub(crate) const STALE_TIME_CONSTANTS: f64 = 4.0;
+/// The number of time constants after which a latency sample counts as stale.
+pub(crate) const STALE_AFTER_TIME_CONSTANTS: f64 = 4.0;
 
 impl Balancer {
     fn history_time_constant_ms(&self) -> f64 {
         HISTORY_TIME_CONSTANTS * self.time_constant_ms
     }
 
-    /// Records the end of an attempt in the histories, and ejects its server for the class if it misses far more than the
-    /// median server. A server that fails one class and serves the others well shows neither in its latency nor in its
-    /// failures in a row. Against the median, half of the list is ejected at most.
+    /// Records the outcome of an attempt in the histories, and ejects its server for the class if the server
+    /// misses far more often than the median server. A server that fails one class and serves the others well
+    /// is not detected by its latency or its consecutive failures. Because the reference is the median, at
+    /// most half of the list is ejected.
     pub(crate) fn record_class_outcome(&mut self, id: ServerId, class: usize, is_miss: bool) {
         let (now_ms, time_constant_ms) = (self.now_ms, self.history_time_constant_ms());
-        self.outcomes.record(is_miss, now_ms, self.time_constant_ms * STALE_TIME_CONSTANTS);
+        self.outcomes.record(is_miss, now_ms, self.time_constant_ms * STALE_AFTER_TIME_CONSTANTS);
         let Some(server) = self.servers.get_mut(id) else { return };
         server.outcomes.record(is_miss, now_ms, time_constant_ms);
         let history = server.class_history_mut(class);
         history.outcomes.record(is_miss, now_ms, time_constant_ms);
         let miss_rate = history.outcomes.miss_rate(now_ms, time_constant_ms);
-        if miss_rate < history.ejected_above * CLASS_READMISSION_SHARE {
-            history.ejected_above = f64::INFINITY;
+        if miss_rate < history.ejection_miss_rate * CLASS_READMISSION_SHARE {
+            history.ejection_miss_rate = f64::INFINITY;
         }
         if !is_miss {
             return;
@@ -51,11 +55,11 @@
         if miss_rate > threshold
             && let Some(server) = self.servers.get_mut(id)
         {
-            server.class_history_mut(class).ejected_above = threshold;
+            server.class_history_mut(class).ejection_miss_rate = threshold;
         }
     }
 
-    /// The miss rate of the median ready server.
+    /// Returns the miss rate of the median ready server.
     fn median_miss_rate(&self, history: impl Fn(&Server) -> OutcomeHistory) -> f64 {
         let time_constant_ms = self.history_time_constant_ms();
         let miss_rate = |id: &ServerId| history(&self.servers[*id]).miss_rate(self.now_ms, time_constant_ms);
@@ -64,27 +68,28 @@
         rates.get(rates.len().saturating_sub(1) / 2).copied().unwrap_or(0.0)
     }
 
-    /// Failures in a row that eject a server. They grow with the miss rate of the median server: while a part of all
-    /// requests can't be served in time anywhere, servers must not be ejected by turns and overload those that are left.
+    /// Returns the number of consecutive failures that eject a server. It grows with the miss rate of the
+    /// median server: while some requests can't be served in time by any server, servers must not be ejected
+    /// in turn and overload the others.
     fn ejection_threshold(&self) -> f64 {
         let miss_rate = self.median_miss_rate(|server| server.outcomes).clamp(1e-3, 0.99);
         (FALSE_EJECTION_PROBABILITY.ln() / miss_rate.ln()).max(f64::from(MIN_CONSECUTIVE_FAILURES))
     }
 
-    /// Returns whether a server gets no requests of a class. Once the misses have faded it gets one attempt of the class
-    /// at a time, until its miss rate is low again.
+    /// Returns whether a server is currently ejected for a class. Once its miss rate has decayed, the server
+    /// is sent one attempt of the class at a time, until its miss rate is low again.
     pub(crate) fn is_ejected_for_class(&self, server: &Server, class: usize) -> bool {
         let history = server.class_history(class);
         let is_of_class = |attempt: &InFlightAttempt| {
             self.requests.get(&attempt.id).is_some_and(|request| request.profile.class == class)
         };
-        history.ejected_above.is_finite()
+        history.ejection_miss_rate.is_finite()
             && (history.outcomes.miss_rate(self.now_ms, self.history_time_constant_ms())
-                > history.ejected_above
+                > history.ejection_miss_rate
                 || server.in_flight.iter().any(is_of_class))
     }
 
-    /// Counts a failure of a server, and ejects it after too many in a row.
+    /// Counts a failure of a server, and ejects the server after too many consecutive failures.
     pub(crate) fn record_server_failure(&mut self, id: ServerId, out: &mut Vec<Action>) {
         let ejected = self.servers.ejected().count() as f64;
         let max_ejected = self.servers.ready().len() as f64 * MAX_EJECTED_SHARE;
--- a/src/decision/probing.rs
+++ b/src/decision/probing.rs
@@ -1,7 +1,7 @@
-//! Probing before sending: a quiet sidecar asks two candidates for their load and sends to the better one.
+//! Probing: a sidecar with little traffic probes two candidates for their load and sends to the better one.
 //!
-//! The idea of probing for requests in flight and latency is that of Prequal (Wydrowski et al., "Load is not what you
-//! should balance", NSDI 2024); here probes are synchronous, and only made where [`Balancer::must_probe`] says so.
+//! Probing for requests in flight and latency follows Prequal (Wydrowski et al., "Load is not what you should
+//! balance", NSDI 2024). Here, probes are synchronous, and only sent if [`Balancer::must_probe`] holds.
 
 use super::admission::WAIT_SHARE;
 use super::balancer::Balancer;
@@ -9,12 +9,12 @@
 use super::server::{LoadReport, Locality, Server};
 use crate::api::{Action, Availability, Outcome, RequestId, ServerId};
 
-/// Rounds of probes before a request is rejected.
+/// Maximum number of probe rounds before a request is rejected.
 const MAX_PROBE_ROUNDS: u32 = 3;
 
 impl Balancer {
-    /// Draws two candidates and sends the request to the better one, at once or after a probe of both. Returns `false` if
-    /// the request may go nowhere now.
+    /// Draws two candidates and sends the request to the better one, immediately or after probing both.
+    /// Returns `false` if there is no server to which the request may be sent now.
     pub(crate) fn try_send(
         &mut self, id: RequestId, may_use_locality: impl Fn(Locality) -> bool, out: &mut Vec<Action>,
     ) -> bool {
@@ -28,13 +28,13 @@
         true
     }
 
-    /// Probes candidates for a request, which waits for a share of the time that it can spare.
+    /// Probes candidates for a request, which waits for at most [`WAIT_SHARE`] of its slack time.
     fn probe(&mut self, id: RequestId, candidates: &[ServerId], out: &mut Vec<Action>) {
         let (now_ms, tick_ms) = (self.now_ms, self.tick_ms());
         let service_ms = self.expected_service_time_ms(&self.requests[&id].profile);
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let spare_ms = request.profile.target_at_ms - now_ms - service_ms;
-        let wait_ms = (spare_ms * WAIT_SHARE).max(tick_ms);
+        let slack_ms = request.profile.target_at_ms - now_ms - service_ms;
+        let wait_ms = (slack_ms * WAIT_SHARE).max(tick_ms);
         (request.phase, request.wait_ends_at_ms) = (RequestPhase::Probing, now_ms + wait_ms);
         request.probe_rounds += 1;
         let pending = candidates.iter().map(|&server| Candidate { server, probe: ProbeState::Pending });
@@ -44,7 +44,7 @@
         self.set_request_timer(id, wait_ms, out);
     }
 
-    /// A probe ended. All requests that wait for one of this server get the result.
+    /// Handles the end of a probe. All requests that wait for a probe of this server use the result.
     pub(crate) fn on_probe_completed(
         &mut self, server_id: ServerId, outcome: Outcome, reported_load: Option<f64>, out: &mut Vec<Action>,
     ) {
@@ -68,15 +68,16 @@
         if request.candidates.iter().all(|candidate| candidate.probe != ProbeState::Pending) {
             self.choose_probed(id, out);
         } else if has_passed && request.wait_ends_at_ms > now_ms + tick_ms {
-            // A probe waits in the server's queue: the first to answer is the less busy. The other has one more tick.
+            // Probes wait in the servers' queues, so the first server to answer is the less busy one. The
+            // other has one more tick.
             request.wait_ends_at_ms = now_ms + tick_ms;
             self.set_request_timer(id, tick_ms, out);
         }
     }
 
-    /// Sends to the better of the candidates that passed, if it will serve in time; otherwise probes two more while there
-    /// is time to spare, and in the end rejects. That keeps requests away from servers that hang, are paused or are
-    /// overloaded by others.
+    /// Sends a request to the best candidate that passed its probe, if that server is expected to answer in
+    /// time. Otherwise probes two more candidates while there is slack time, and finally rejects the request.
+    /// This keeps requests away from servers that hang, are paused, or are overloaded by other clients.
     pub(crate) fn choose_probed(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let (profile, probe_rounds) = (request.profile, request.probe_rounds);
@@ -97,22 +98,22 @@
             self.awaiting_probes.remove(&id);
             return self.send(id, best, out);
         }
-        let spare_ms = profile.target_at_ms - self.now_ms - self.expected_service_time_ms(&profile);
-        let may_probe_again = probe_rounds < MAX_PROBE_ROUNDS && spare_ms > 0.0;
+        let slack_ms = profile.target_at_ms - self.now_ms - self.expected_service_time_ms(&profile);
+        let may_probe_again = probe_rounds < MAX_PROBE_ROUNDS && slack_ms > 0.0;
         let drawn = if may_probe_again { self.draw_candidates(id, |_| true) } else { Vec::new() };
         if drawn.is_empty() { self.reject_or_fail(id, out) } else { self.probe(id, &drawn, out) }
     }
 
-    /// The latency to expect at a server: the request's own, and a mean one for each request in flight there, more while
-    /// the server warms up.
+    /// Returns the expected latency at a server: the service time of the request plus a mean latency for each
+    /// request in flight there, increased while the server warms up.
     fn expected_completion_time_ms(&self, profile: &RequestProfile, server: &Server) -> f64 {
         let load = server.load_at(self.now_ms, self.time_constant_ms).unwrap_or(0.0);
         (load * self.latency_per_load_ms + self.expected_service_time_ms(profile))
             / self.capacity_share(server).sqrt()
     }
 
-    /// The latency to expect at an idle server. Half the latency target at most: a rough cost hint, or few samples, must
-    /// not reject what an idle server may serve in time.
+    /// Returns the expected latency at an idle server, at most half the latency target: an imprecise cost
+    /// hint, or few samples, must not cause a rejection of a request that an idle server may serve in time.
     fn expected_service_time_ms(&self, profile: &RequestProfile) -> f64 {
         self.expected_latency_ms(profile).min(profile.latency_target_ms / 2.0)
     }
--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -1,23 +1,23 @@
-//! Requests from their arrival until they are sent: the queue, its order and its timers.
+//! Requests from their arrival until they are sent: the priority queue, its dispatch and the request timers.
 
 use super::admission::WAIT_SHARE;
 use super::balancer::{Balancer, QUEUE_TIMER};
 use super::outcomes::MEAN_GAIN;
 use super::request::{Attempt, AttemptStatus, QueuedRequest, Request, RequestPhase, RequestProfile};
 use super::server::{LOCALITIES, Locality};
-use super::statistics::ClassService;
+use super::statistics::ClassValueTotals;
 use super::time::to_ms;
 use crate::api::{Action, Arrival, Origin, RequestClass, RequestId};
 
-/// Weight of one fresh request in the demanded and served value of each class: a longer memory than that of the means.
+/// Weight of one fresh request in the value totals of each class, which cover more requests than the means.
 const DEMAND_GAIN: f64 = 1.0 / 256.0;
-/// A queued request waits this share of its time for local capacity before it may cross zones.
+/// The share of its queue wait for which a request waits for local capacity before it may cross zones.
 const CROSS_ZONE_WAIT_SHARE: f64 = 0.5;
-/// Retries that each fresh request adds to the budget. A tenth cannot turn a slow fleet into a retry storm.
+/// Retries that each fresh request adds to the retry budget. One tenth prevents retry storms in a slow fleet.
 const RETRIES_PER_REQUEST: f64 = 0.1;
-/// Retries that the budget holds at most, for the moment in which a server with much in flight goes silent.
+/// Maximum retry budget. It covers a server that stops answering while many requests are in flight there.
 const MAX_RETRY_BUDGET: f64 = 10.0;
-/// While requests are queued, capacity is checked again after so many ticks.
+/// Interval, in ticks, at which the queue is dispatched again while requests are queued.
 const QUEUE_TIMER_TICKS: f64 = 4.0;
 
 impl Balancer {
@@ -26,7 +26,8 @@
         if self.requests.contains_key(&id) {
             return;
         }
-        // An unknown class, or a client that has left already: nothing has run, so a rejection is true.
+        // The class is unknown, or the client has disconnected. Nothing was executed, so a rejection is
+        // correct.
         let Some(class) =
             self.settings.classes.get(arrival.class).filter(|_| !arrival.client_timeout.is_zero())
         else {
@@ -38,7 +39,7 @@
             self.class_means[profile.class].record_cost(cost_ms, MEAN_GAIN);
         }
         let expected_ms = self.expected_latency_ms(&profile);
-        // A client's retry is no new demand: it earns no retry.
+        // A client's retry is not new demand, so it does not increase the retry budget.
         if arrival.origin == Origin::Fresh {
             self.retry_budget = (self.retry_budget + RETRIES_PER_REQUEST).min(MAX_RETRY_BUDGET);
             self.record_demand(&profile);
@@ -51,60 +52,61 @@
         self.enqueue(id, wait_ms, out);
     }
 
-    /// How long attempts of a request may take. Where a late answer has no value, an attempt ends at the latency target: a
-    /// few requests that take many times the usual would otherwise occupy every server. A client's retry whose target is
-    /// over has as long as the target is.
+    /// Returns how long attempts of a request may take. If a late answer has no value, attempts time out at
+    /// the latency target: otherwise a few requests that take many times the usual latency would occupy all
+    /// servers. A client's retry whose latency target has passed gets the full target duration.
     fn max_attempt_time_ms(&self, profile: &RequestProfile, timeout_ms: f64) -> f64 {
-        let is_late_worthless = self.settings.classes[profile.class].late_value_share <= 0.0;
-        if !is_late_worthless {
+        let is_late_answer_worthless = self.settings.classes[profile.class].late_value_share <= 0.0;
+        if !is_late_answer_worthless {
             return timeout_ms;
         }
-        let left_ms = profile.target_at_ms - self.now_ms;
-        if left_ms > 0.0 { left_ms } else { profile.latency_target_ms }
+        let remaining_ms = profile.target_at_ms - self.now_ms;
+        if remaining_ms > 0.0 { remaining_ms } else { profile.latency_target_ms }
     }
 
-    /// Counts the value that is demanded.
+    /// Adds the value of a request to the demanded value of its class.
     fn record_demand(&mut self, profile: &RequestProfile) {
-        self.class_service.iter_mut().for_each(|service| service.decay(DEMAND_GAIN));
-        self.class_service[profile.class].demanded += self.request_value(profile);
+        self.class_value_totals.iter_mut().for_each(|service| service.decay(DEMAND_GAIN));
+        self.class_value_totals[profile.class].demanded += self.request_value(profile);
     }
 
-    /// Queues a request: by falling priority, then in order of arrival.
+    /// Queues a request by descending priority, after queued requests of the same priority.
     pub(crate) fn enqueue(&mut self, id: RequestId, wait_ms: f64, out: &mut Vec<Action>) {
         let cross_zone_allowed_at_ms = self.now_ms + wait_ms * CROSS_ZONE_WAIT_SHARE;
         let Some(request) = self.requests.get_mut(&id) else { return };
         request.cross_zone_allowed_at_ms = cross_zone_allowed_at_ms;
         let profile = request.profile;
         let priority = self.priority(&profile);
-        let at = self.queue.partition_point(|queued| queued.priority >= priority);
-        self.queue.insert(at, QueuedRequest { priority, id });
+        let index = self.queue.partition_point(|queued| queued.priority >= priority);
+        self.queue.insert(index, QueuedRequest { priority, id });
         self.set_request_timer(id, wait_ms, out);
     }
 
-    /// What serving a request adds to the goal per unit of its work. It is higher for the class that is served worst.
+    /// Returns how much serving a request adds to the service objective per unit of work. It is higher for
+    /// the class with the smallest served share.
     fn priority(&self, profile: &RequestProfile) -> f64 {
         let objective = &self.settings.objective;
-        let worst_class =
-            objective.worst_class * ClassService::worst_class_gain(&self.class_service, profile.class);
+        let worst_class = objective.worst_class
+            * ClassValueTotals::worst_class_gain(&self.class_value_totals, profile.class);
         let answered_at_ms = self.now_ms + self.expected_latency_ms(profile);
         self.earned_share(profile, answered_at_ms)
             * self.value_per_work(profile)
             * (objective.total_value + worst_class)
     }
 
-    /// A request's timer fell due: it may have waited long enough, or its attempt may be late.
+    /// Handles a request's timer: ends a wait that is over, or records that an attempt is late.
     pub(crate) fn on_request_timer(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        // Timers are as coarse as a tick: one that fires early by less must still end the wait.
-        let soon_ms = self.now_ms + self.tick_ms();
+        // A timer that fires early by less than its resolution of one tick must still end the wait.
+        let tick_end_ms = self.now_ms + self.tick_ms();
         let Some(request) = self.requests.get_mut(&id) else { return };
         match request.phase {
-            RequestPhase::Queued if soon_ms > request.wait_ends_at_ms => {
+            RequestPhase::Queued if tick_end_ms > request.wait_ends_at_ms => {
                 self.log_shedding_once(out);
                 self.reject_or_fail(id, out);
             }
-            RequestPhase::Probing if soon_ms > request.wait_ends_at_ms => self.choose_probed(id, out),
+            RequestPhase::Probing if tick_end_ms > request.wait_ends_at_ms => self.choose_probed(id, out),
             RequestPhase::InFlight => {
-                let late_if_sent_before_ms = soon_ms - request.profile.latency_target_ms;
+                let late_if_sent_before_ms = tick_end_ms - request.profile.latency_target_ms;
                 let is_late = |attempt: &&mut Attempt| {
                     attempt.status == AttemptStatus::InFlight
                         && !attempt.is_recorded_late
@@ -120,23 +122,23 @@
         }
     }
 
-    /// Sends queued requests while a window has capacity. A request whose local window is full may go to a remote server
-    /// once it has waited for a while.
+    /// Sends queued requests while a concurrency window has capacity. If the local window is full, a request
+    /// may be sent to a remote server after a part of its wait; see [`CROSS_ZONE_WAIT_SHARE`].
     pub(crate) fn dispatch(&mut self, out: &mut Vec<Action>) {
         if self.queue.is_empty() {
             return;
         }
         let limits = LOCALITIES.map(|locality| self.limit(locality));
         let mut free = self.free_capacity(limits);
-        let mut at = 0;
-        while free.iter().any(|free| *free > 0.0) && at < self.queue.len() {
-            let id = self.queue[at].id;
+        let mut index = 0;
+        while free.iter().any(|free| *free > 0.0) && index < self.queue.len() {
+            let id = self.queue[index].id;
             let open = self.open_localities(id, limits, free);
             if open.contains(&true) && self.try_send(id, |locality| open[locality as usize], out) {
-                self.queue.remove(at);
+                self.queue.remove(index);
                 free = self.free_capacity(limits);
             } else {
-                at += 1;
+                index += 1;
             }
         }
         if !self.queue.is_empty() && !self.is_queue_timer_set {
@@ -146,17 +148,17 @@
         }
     }
 
-    /// Attempts that may be sent now, by locality.
+    /// Returns the number of attempts that may be sent now, by locality.
     fn free_capacity(&self, limits: [f64; 2]) -> [f64; 2] {
         LOCALITIES.map(|locality| limits[locality as usize] - self.in_flight(locality))
     }
 
-    /// The localities whose window has capacity for this request.
+    /// Returns the localities to which this request may be sent now.
     fn open_localities(&self, id: RequestId, limits: [f64; 2], free: [f64; 2]) -> [bool; 2] {
         let request = &self.requests[&id];
         let mut open = LOCALITIES.map(|locality| {
             let (free, limit) = (free[locality as usize], limits[locality as usize]);
-            // A limit under one is the share of requests that go out: the request's draw decides.
+            // A limit below one is the share of requests that may be sent, chosen by their random numbers.
             free >= 1.0 || limit < 1.0 && request.draw > 1.0 - free
         });
         let may_cross = self.now_ms >= request.cross_zone_allowed_at_ms;
@@ -165,8 +167,9 @@
     }
 }
 
-/// What an arrival asks for. The client of a retry counts from its own first attempt, and may have waited for all that its
-/// deadline leaves beside the rest of its time-out: otherwise retries whose time is over would be served before new demand.
+/// Returns the profile of an arrival. The latency target of a client's retry starts at the client's first
+/// request: the client is assumed to have waited for the class's deadline less its remaining timeout.
+/// Otherwise retries whose latency target has passed would be served before new demand.
 fn profile_of(arrival: &Arrival, class: &RequestClass, now_ms: f64) -> RequestProfile {
     let timeout_ms = to_ms(arrival.client_timeout);
     let cost_ms = arrival.cost.map(to_ms).filter(|&cost| cost > 0.0);
--- a/src/decision/request.rs
+++ b/src/decision/request.rs
@@ -1,15 +1,16 @@
-//! A request from its arrival to the end of its last attempt.
+//! The state of a request, from its arrival to the end of its last attempt.
 
 use crate::api::{RequestId, ServerId};
 
-/// Whether a server may have executed an attempt. It decides whether the request may be sent again.
+/// Whether a server may have executed an attempt, which determines whether the request may be sent again.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum AttemptStatus {
-    /// Sent, without an outcome so far. A server may be executing it.
+    /// The attempt was sent and has no outcome yet. A server may be executing it.
     InFlight,
-    /// Ended, and its outcome shows that no server has executed it ([`Outcome::never_ran`](crate::api::Outcome::never_ran)).
+    /// The attempt has ended, and its outcome proves that no server has executed it; see
+    /// [`Outcome::never_ran`](crate::api::Outcome::never_ran).
     NeverRan,
-    /// Ended in any other way, success included.
+    /// The attempt has ended with any other outcome, including success.
     MayHaveRun,
 }
 
@@ -17,36 +18,37 @@
 #[derive(Clone, Copy)]
 pub(crate) struct Attempt {
     pub(crate) server: ServerId,
-    /// [`Server::dedup_group`](super::server::Server::dedup_group) of its server when it was sent.
+    /// The [`Server::dedup_group`](super::server::Server::dedup_group) of the server when the attempt was
+    /// sent.
     pub(crate) dedup_group: Option<u16>,
     pub(crate) sent_at_ms: f64,
     pub(crate) timeout_ms: f64,
-    /// Turns its latency into that of a mean request: classes and kinds of machine that take longer than the mean must
-    /// not make a server look slow.
+    /// The factor that converts the latency of the attempt into that of a mean request: classes and machine
+    /// types that take longer than the mean must not make a server look slow.
     pub(crate) normalization: f64,
-    /// Requests in flight at its server by the last report, when it was sent.
+    /// The requests in flight at the server according to its last report, when the attempt was sent.
     pub(crate) reported_load: Option<f64>,
     pub(crate) status: AttemptStatus,
-    /// It passed its latency target and has decreased the window for that already.
+    /// Whether the attempt has exceeded its latency target and has already decreased the concurrency window.
     pub(crate) is_recorded_late: bool,
 }
 
-/// What a request is at.
+/// The phase of a request.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum RequestPhase {
-    /// Waits in the queue for capacity.
+    /// The request waits in the queue for capacity.
     Queued,
-    /// Waits for the probes of its candidates.
+    /// The request waits for the probes of its candidates.
     Probing,
-    /// Has an attempt in flight.
+    /// The request has an attempt in flight.
     InFlight,
-    /// Its answer is streaming to the client.
+    /// The answer is streaming to the client.
     Streaming,
-    /// Has its final answer, or its client has left.
+    /// The client has its final answer, or has disconnected.
     Finished,
 }
 
-/// What a probe has shown of a candidate.
+/// The state of the probe of a candidate.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum ProbeState {
     Pending,
@@ -54,38 +56,38 @@
     Failed,
 }
 
-/// A server that a request may be sent to once its probe passed.
+/// A server to which a request may be sent if the probe of the server passes.
 pub(crate) struct Candidate {
     pub(crate) server: ServerId,
     pub(crate) probe: ProbeState,
 }
 
-/// What a request asks for.
+/// The properties of a request that are fixed at its arrival.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestProfile {
     pub(crate) class: usize,
-    /// Expected work; `None` if unknown.
+    /// The expected work; `None` if unknown.
     pub(crate) cost_ms: Option<f64>,
-    /// An answer until then earns the full value.
+    /// The instant until which an answer earns the full value.
     pub(crate) target_at_ms: f64,
-    /// How long an answer may take for that, had the client not retried before.
+    /// The latency target from the arrival, not reduced by the time before a client's retry.
     pub(crate) latency_target_ms: f64,
 }
 
-/// Where the next attempt of a request may go.
+/// The servers to which the next attempt of a request may be sent.
 #[derive(Clone, Copy)]
 pub(crate) enum RetryScope {
     AnyServer,
-    /// Only servers that recognise a repeat.
-    Group(u16),
+    /// Only the servers of this deduplication group, which recognise a repeat.
+    DedupGroup(u16),
 }
 
 impl RetryScope {
-    /// Returns whether a server of this group is in the scope.
+    /// Returns whether a server of this deduplication group is in the scope.
     pub(crate) fn includes(self, dedup_group: Option<u16>) -> bool {
         match self {
             RetryScope::AnyServer => true,
-            RetryScope::Group(group) => dedup_group == Some(group),
+            RetryScope::DedupGroup(group) => dedup_group == Some(group),
         }
     }
 }
@@ -93,30 +95,32 @@
 /// A request that is not finished, or has an attempt in flight.
 pub(crate) struct Request {
     pub(crate) profile: RequestProfile,
-    /// The instant at which every attempt of it times out: the client's time-out, or the latency target where a late answer
-    /// has no value. [`RequestClass::deadline`](crate::api::RequestClass::deadline) is something else: the duration that a client waits in
-    /// all, over its own retries.
+    /// The instant at which every attempt of the request times out: the client's timeout, or the latency
+    /// target if a late answer has no value. This differs from
+    /// [`RequestClass::deadline`](crate::api::RequestClass::deadline), the total time that a client waits,
+    /// including its own retries.
     pub(crate) deadline_at_ms: f64,
-    /// Until when it stays queued, or waits for probes.
+    /// The instant until which the request stays queued or waits for probes.
     pub(crate) wait_ends_at_ms: f64,
-    /// Cross-zone routing: from this instant on it may go to a remote server although the local window is full.
+    /// The instant from which the request may be sent to a remote server if the local window is full.
     pub(crate) cross_zone_allowed_at_ms: f64,
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) phase: RequestPhase,
-    /// Servers probed for it, in all rounds.
+    /// The servers probed for the request since its last attempt, in all probe rounds.
     pub(crate) candidates: Vec<Candidate>,
     pub(crate) probe_rounds: u32,
-    /// A random number, uniform on [0, 1), drawn once at its arrival. It decides where only a share of the requests may go
-    /// somewhere: to a warming server goes a request whose draw is below the share, and where less than one attempt may be
-    /// in flight, one whose draw is among the highest. Since it is not drawn again, a request does not get through by
-    /// waiting and being looked at often.
+    /// A random number, uniform on [0, 1), drawn once at the arrival. It decides whenever only a share of the
+    /// requests may be sent: to a warming server if the number is below the share, and, if the limit on
+    /// attempts in flight is below one, if the number is among the highest. Since it is not drawn again,
+    /// waiting and repeated checks do not raise the probability that a request is sent.
     pub(crate) draw: f64,
 }
 
 impl Request {
-    /// A request that has just arrived: queued, with no attempt and no probe. `deadline_at_ms` and `wait_ends_at_ms` are
-    /// instants; `draw` is uniform on [0, 1). Until [`Balancer::enqueue`](super::balancer::Balancer::enqueue) sets when it
-    /// may cross zones, it may not before its wait ends.
+    /// Creates a request that has just arrived: queued, without attempts and probes. `deadline_at_ms` and
+    /// `wait_ends_at_ms` are instants; `draw` is uniform on [0, 1). The request may not cross zones before
+    /// its wait ends, until [`Balancer::enqueue`](super::balancer::Balancer::enqueue) sets an earlier
+    /// instant.
     pub(crate) fn new(profile: RequestProfile, deadline_at_ms: f64, wait_ends_at_ms: f64, draw: f64) -> Self {
         Request {
             profile,
@@ -136,19 +140,20 @@
         self.attempts.iter().any(|attempt| attempt.status == AttemptStatus::InFlight)
     }
 
-    /// The first attempt that may have had an effect, those in flight included.
-    pub(crate) fn first_possible_run(&self) -> Option<&Attempt> {
+    /// Returns the first attempt that a server may have executed, including attempts in flight.
+    pub(crate) fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.status != AttemptStatus::NeverRan)
     }
 
-    /// Returns whether it was sent to this server or probed it.
-    pub(crate) fn has_considered(&self, server: ServerId) -> bool {
+    /// Returns whether the request has an attempt at this server, or has this server among its probed
+    /// candidates.
+    pub(crate) fn has_attempted_or_probed(&self, server: ServerId) -> bool {
         let attempted = self.attempts.iter().any(|attempt| attempt.server == server);
         attempted || self.candidates.iter().any(|candidate| candidate.server == server)
     }
 }
 
-/// A request in the queue, and the priority that it was queued with.
+/// A queued request, with its priority at the time of queueing.
 #[derive(Clone, Copy)]
 pub(crate) struct QueuedRequest {
     pub(crate) priority: f64,
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -1,43 +1,44 @@
-//! Choosing a server: power of two choices over peak-EWMA latency, within a subset of the list.
+//! Server selection: power of two choices over peak-EWMA latency, within a subset of the server list.
 //!
-//! Two distinct random candidates are drawn and the one with the lower score wins (Mitzenmacher, "The Power of Two Choices
-//! in Randomized Load Balancing"). The score is a cost, lower is better: the peak-EWMA latency times one more than the
-//! requests in flight, as in Finagle's and linkerd's balancers, here divided by the server's weight. Requests in flight are
-//! those of this sidecar, or those that the server reported, if these are more. [`Balancer::score`] has the whole formula.
+//! Two distinct random candidates are drawn, and the one with the lower score is chosen (Mitzenmacher, "The
+//! Power of Two Choices in Randomized Load Balancing"). The score is a cost: the peak-EWMA latency times the
+//! requests in flight plus one, as in Finagle's and linkerd's balancers, here divided by the server's weight.
+//! The requests in flight are those of this sidecar, or those that the server has reported, if these are
+//! more. [`Balancer::score`] has the complete formula.
 
 use super::balancer::Balancer;
-use super::outlier_ejection::STALE_TIME_CONSTANTS;
+use super::outlier_ejection::STALE_AFTER_TIME_CONSTANTS;
 use super::request::{Attempt, AttemptStatus, Request, RequestPhase, RequestProfile, RetryScope};
 use super::server::{Health, Locality, Server};
 use super::time::{from_ms, to_ms};
 use crate::api::{Action, Idempotency, Permission, RequestId, ServerId};
 
-/// A peak over some tens of answers is about this many times their mean, if they are distributed exponentially.
+/// Approximate ratio of peak to mean over some tens of answers, if latencies are distributed exponentially.
 const PEAK_OVER_MEAN: f64 = 3.0;
-/// Servers probed together; each has the price of a probe.
+/// Number of servers probed for one request at a time. Each of them has the price of a probe.
 const PROBES_PER_ROUND: f64 = 2.0;
-/// Random draws for a pair of candidates before all servers are searched one after the other.
+/// Random draws for a pair of candidates before all servers are searched in list order.
 const MAX_DRAWS: usize = 8;
-/// A connection is kept open by this many requests within its keep-alive time, or by as many as bring the price of its
-/// handshake down to [`MAX_HANDSHAKE_SHARE`] of a request's value.
+/// Minimum number of requests per connection within its keep-alive time. More are required if that is needed
+/// to bring the price of the handshake down to [`MAX_HANDSHAKE_SHARE`] of the value of a request.
 const REQUESTS_PER_CONNECTION: f64 = 4.0;
 const MAX_HANDSHAKE_SHARE: f64 = 1.0 / 300.0;
-/// Servers in the subset at least: enough for a real choice, also when some of them are ejected.
-const MIN_SUBSET: usize = 8;
-/// The subset of a sidecar that probes: all servers.
-const UNLIMITED_SUBSET: f64 = 1e6;
-/// The fraction of the golden ratio: its multiples, by sidecar index, are spread evenly over a circle.
+/// Minimum subset size. It leaves a choice even if some servers of the subset are ejected.
+const MIN_SUBSET_SIZE: usize = 8;
+/// Subset size of a sidecar that probes: more than any list has, so its subset is the complete list.
+const UNLIMITED_SUBSET_SIZE: f64 = 1e6;
+/// Fractional part of the golden ratio. Its multiples by the sidecar index are spread evenly over a circle.
 const GOLDEN_RATIO_FRACTION: f64 = 0.618_033_988_749_895;
 
 impl Balancer {
-    /// Sends a request to a server.
+    /// Sends an attempt of a request to a server.
     pub(crate) fn send(&mut self, id: RequestId, server_id: ServerId, out: &mut Vec<Action>) {
         let (request, server) = (&self.requests[&id], &self.servers[server_id]);
         let (profile, attempt_number) = (request.profile, request.attempts.len());
         let idempotency = self.settings.classes[profile.class].idempotency;
         let timeout_ms = request.deadline_at_ms - self.now_ms;
         let write_within_ms = request
-            .first_possible_run()
+            .first_possible_execution()
             .map_or(timeout_ms, |first| first.sent_at_ms + to_ms(idempotency.window()) - self.now_ms);
         let attempt = Attempt {
             server: server_id,
@@ -59,57 +60,59 @@
 
     /// Returns whether requests are sent only after a probe.
     ///
-    /// That is the case where own traffic is so sparse that what it shows of the servers has faded before it comes again,
-    /// and where probes pay: a probe saves one miss at most, so the miss rate has to exceed the price, and it has to show
-    /// the load. Probes that show no load spare nothing in an overload and add to it.
+    /// That is the case if the traffic of this sidecar is so sparse that its statistics of the servers are
+    /// stale before they are used again, and if probes are worth their price: a probe saves at most one miss,
+    /// so the miss rate must reach the price of the probes, and the probes must report load. Probes without a
+    /// load report only add to an overload.
     pub(crate) fn must_probe(&self) -> bool {
-        let stale_after_ms = self.time_constant_ms * STALE_TIME_CONSTANTS;
-        let sends_until_stale = self.sends_per_ms() * self.time_constant_ms * STALE_TIME_CONSTANTS;
+        let stale_after_ms = self.time_constant_ms * STALE_AFTER_TIME_CONSTANTS;
+        let sends_until_stale = self.sends_per_ms() * self.time_constant_ms * STALE_AFTER_TIME_CONSTANTS;
         let miss_rate = self.outcomes.miss_rate(self.now_ms, stale_after_ms);
-        let pays = miss_rate >= PROBES_PER_ROUND * self.settings.probe_price.max(0.0);
+        let is_worth_its_price = miss_rate >= PROBES_PER_ROUND * self.settings.probe_price.max(0.0);
         self.settings.probes == Permission::Granted
-            && pays
+            && is_worth_its_price
             && self.settings.is_load_reported
             && sends_until_stale < self.servers.ready().len() as f64
     }
 
-    /// Where the next attempt of a request may go; `None` if it may have none.
+    /// Returns where the next attempt of a request may be sent; `None` if no further attempt is allowed.
     pub(crate) fn retry_scope(&self, request: &Request) -> Option<RetryScope> {
-        let is_spent = request.attempts.len() >= self.settings.max_attempts;
-        let is_over = matches!(request.phase, RequestPhase::Finished | RequestPhase::Streaming)
+        let has_no_attempts_left = request.attempts.len() >= self.settings.max_attempts;
+        let has_ended = matches!(request.phase, RequestPhase::Finished | RequestPhase::Streaming)
             || self.now_ms >= request.deadline_at_ms;
-        if is_spent || is_over || request.is_in_flight() {
+        if has_no_attempts_left || has_ended || request.is_in_flight() {
             return None;
         }
-        let soon_ms = self.now_ms + self.tick_ms();
+        let tick_end_ms = self.now_ms + self.tick_ms();
         let idempotency = self.settings.classes[request.profile.class].idempotency;
-        match (idempotency, request.first_possible_run()) {
+        match (idempotency, request.first_possible_execution()) {
             (_, None) | (Idempotency::Idempotent, _) => Some(RetryScope::AnyServer),
-            (_, Some(first)) if soon_ms >= first.sent_at_ms + to_ms(idempotency.window()) => None,
+            (_, Some(first)) if tick_end_ms >= first.sent_at_ms + to_ms(idempotency.window()) => None,
             (Idempotency::Keyed { .. }, Some(first)) => {
-                Some(first.dedup_group.map_or(RetryScope::AnyServer, RetryScope::Group))
+                Some(first.dedup_group.map_or(RetryScope::AnyServer, RetryScope::DedupGroup))
             }
             (Idempotency::NonIdempotent, Some(_)) => None,
         }
     }
 
-    /// Draws two distinct random ready servers for a request, fewer if there are fewer that it may go to. `may_use_locality`
-    /// tells whether it may go to a locality now: by the room in the windows, and by whether it may cross zones.
+    /// Draws two distinct random ready servers for a request, or fewer if fewer are eligible.
+    /// `may_use_locality` returns whether the request may be sent to a locality now, by the capacity of its
+    /// window and the wait before crossing zones.
     ///
-    /// The servers are drawn from the first of these tiers that has any, even if that is only one:
-    /// 1. where crossing zones has a price: servers of the own zone, in the subset, that are in use and have a score below
-    ///    [`Balancer::local_score_bound_ms`];
-    /// 2. servers in the subset that are in use: healthy ones, and ejected ones that are due for a trial, but none that is
-    ///    ejected for the class;
+    /// The servers are drawn from the first of these tiers that has at least one eligible server:
+    /// 1. if crossing zones has a price: servers in the sidecar's own zone and in the subset that are in use
+    ///    and have a score below [`Balancer::local_score_bound_ms`];
+    /// 2. servers in the subset that are in use: healthy ones, and ejected ones that are due for a trial, but
+    ///    none that is ejected for the class;
     /// 3. servers of the complete list that are in use;
-    /// 4. servers of the complete list, ejected ones included, as in Envoy's panic mode: if all look bad, the cause is
-    ///    probably elsewhere.
+    /// 4. servers of the complete list, including ejected ones, as in Envoy's panic mode: if all servers look
+    ///    bad, the cause is probably elsewhere.
     ///
-    /// In each tier only those count that the request may go to: by its retry scope, in a locality that it may use, not
-    /// attempted before nor probed since the last attempt, and warm enough.
+    /// In each tier, a server is eligible if it is in the request's retry scope, is in a locality that the
+    /// request may use, was neither attempted before nor probed since the last attempt, and is warm enough.
     ///
-    /// [`MAX_DRAWS`] random numbers are drawn in every call, whatever is found, and all tiers share them: so the sequence of
-    /// the generator does not depend on the list.
+    /// Every call draws [`MAX_DRAWS`] random numbers, and all tiers share them, so the generator's sequence
+    /// does not depend on the server list.
     pub(crate) fn draw_candidates(
         &mut self, id: RequestId, may_use_locality: impl Fn(Locality) -> bool,
     ) -> Vec<ServerId> {
@@ -121,11 +124,11 @@
         let is_allowed = |server: &Server| {
             scope.includes(server.dedup_group(idempotency))
                 && may_use_locality(self.locality(server))
-                && !request.has_considered(server.entry.server)
+                && !request.has_attempted_or_probed(server.entry.server)
                 && self.is_warm_enough(server, request)
         };
-        // A trial may fail after the server has executed the request, and a non-idempotent one may not be sent again then. So
-        // it makes no trial; it goes to an ejected server only where all look bad.
+        // A trial may fail after the server has executed the request. A non-idempotent request could not be
+        // sent again then, so it is never a trial, and is sent to an ejected server only in tier 4.
         let may_try_ejected = idempotency != Idempotency::NonIdempotent;
         let is_preferred = |server: &Server| {
             let is_in_use =
@@ -139,7 +142,7 @@
         if bound > 0.0 {
             found = self.draw_pair(self.servers.ready_in_zone(), subset, draws, is_fast_enough);
         }
-        // If the subset has none, the complete list is searched; if all servers look bad, all are used.
+        // Tiers 2 and 3; tier 4 follows if both are empty.
         for max_servers in [subset, usize::MAX] {
             if found.is_empty() {
                 found = self.draw_pair(ready, max_servers, draws, is_preferred);
@@ -148,38 +151,39 @@
         if found.is_empty() { self.draw_pair(ready, usize::MAX, draws, is_allowed) } else { found }
     }
 
-    /// The score below which a local server is preferred to all remote ones; zero where crossing zones has no price.
+    /// Returns the score below which local servers are preferred to all remote ones; zero without a price.
     ///
-    /// By Chebyshev's bound, a miss of the latency target is no likelier than (mean / target)^2. While that is below the
-    /// price of crossing, crossing cannot pay. The score is a peak, hence [`PEAK_OVER_MEAN`].
+    /// By Chebyshev's inequality, the probability that an answer misses the latency target is at most (mean /
+    /// target)^2. While this is below the price of crossing zones, crossing cannot be worth its price. The
+    /// score is based on peak latencies, hence the factor [`PEAK_OVER_MEAN`].
     fn local_score_bound_ms(&self, profile: &RequestProfile) -> f64 {
         let target_ms = profile.latency_target_ms * self.normalization(profile);
         PEAK_OVER_MEAN * target_ms * self.settings.cross_zone_price.max(0.0).sqrt()
     }
 
-    /// The candidate with the lowest score, which is the best one.
+    /// Returns the candidate with the lowest score, which is the best one.
     pub(crate) fn lowest_score(&self, candidates: &[ServerId], class: usize) -> Option<ServerId> {
         let score = |id: &ServerId| self.score(&self.servers[*id], class);
         candidates.iter().copied().min_by(|a, b| score(a).total_cmp(&score(b)))
     }
 
-    /// The number of servers that this sidecar draws from: as many as its own traffic can keep connections to and
-    /// statistics of. The subsets of all sidecars cover the list evenly, and so do those of the sidecars in one zone,
-    /// whichever indexes these have.
+    /// Returns the number of servers that this sidecar draws from: as many as its traffic can keep
+    /// connections open to and statistics fresh for. The subsets of all sidecars cover the list evenly, and
+    /// so do those of the sidecars in one zone, whichever indexes these sidecars have.
     pub(crate) fn subset_size(&self) -> usize {
         let handshakes = self.settings.handshake_price / MAX_HANDSHAKE_SHARE;
         let requests_per_connection = REQUESTS_PER_CONNECTION.max(handshakes);
         let connections = if self.must_probe() {
-            UNLIMITED_SUBSET
+            UNLIMITED_SUBSET_SIZE
         } else {
             self.sends_per_ms() * to_ms(self.settings.keep_alive) / requests_per_connection
         };
-        (connections as usize).clamp(MIN_SUBSET, self.servers.ready().len().max(MIN_SUBSET))
+        (connections as usize).clamp(MIN_SUBSET_SIZE, self.servers.ready().len().max(MIN_SUBSET_SIZE))
     }
 
-    /// Two distinct random eligible servers, fewer if there are fewer, among the `max_servers` that follow this sidecar's
-    /// own starting position in the list, which is taken as a circle. When the draws don't find two, all of these are searched
-    /// one after the other, from the position of the first draw on.
+    /// Returns two distinct random eligible servers, or fewer if there are fewer, among the `max_servers`
+    /// servers from this sidecar's start position in the list, which is treated as a ring. If the draws don't
+    /// find two, all of these servers are searched in order, starting at the position of the first draw.
     fn draw_pair(
         &self, list: &[ServerId], max_servers: usize, draws: [usize; MAX_DRAWS],
         is_eligible: impl Fn(&Server) -> bool,
@@ -198,11 +202,11 @@
         pair
     }
 
-    /// The score of a server, a cost in ms of which lower is better: `latency * relative latency * (in flight + 1) /
-    /// (weight * sqrt(capacity share))`. Latency (of a mean request) and weight count as 1 at least; the relative latency is
-    /// that of the class at the kind of machine. Requests in flight are the greater of the own ones and the reported load.
-    /// While a server warms up, its true capacity lies between the capacity share and 1; the square root is the geometric
-    /// mean of both.
+    /// Returns the score of a server, a cost in ms (lower is better): `latency * relative latency * (in
+    /// flight + 1) / (weight * sqrt(capacity share))`. Latency (of a mean request) and weight are at least 1;
+    /// the relative latency is that of the class on the machine type. `in flight` is the greater of this
+    /// sidecar's own attempts in flight and the reported load. While a server warms up, its true capacity
+    /// lies between the capacity share and 1; the square root is the geometric mean of both.
     fn score(&self, server: &Server, class: usize) -> f64 {
         let weight = server.entry.weight.max(1.0) * self.capacity_share(server).sqrt();
         let reported_load = server.load_at(self.now_ms, self.time_constant_ms).unwrap_or(0.0);
--- a/src/decision/server_list.rs
+++ b/src/decision/server_list.rs
@@ -1,13 +1,13 @@
-//! Updates of the server list, and when to subscribe to it.
+//! Updates of the server list, and the scheduling of subscriptions.
 
 use super::balancer::{Balancer, SUBSCRIBE_TIMER};
 use super::time::{from_ms, to_ms};
 use crate::api::{Action, Discovery, LogEvent, ServerListEvent};
 
-/// A new subscription comes within this share of [`Discovery::OnRequest::max_poll_interval`].
-const RESUBSCRIBE_SHARE: f64 = 0.5;
-/// After a running subscription was interrupted, a new one comes within this time: the sidecar may be missing changes.
-const RESUME_WITHIN_MS: f64 = 300.0;
+/// Maximum delay of a new subscription, as a share of [`Discovery::OnRequest::max_poll_interval`].
+const MAX_RESUBSCRIBE_DELAY_SHARE: f64 = 0.5;
+/// Maximum delay of a new subscription after an interrupted one, because the sidecar may be missing changes.
+const MAX_RESUBSCRIBE_DELAY_MS: f64 = 300.0;
 
 impl Balancer {
     pub(crate) fn on_server_list(&mut self, update: ServerListEvent, out: &mut Vec<Action>) {
@@ -22,18 +22,19 @@
                 self.schedule_subscription(f64::INFINITY, out);
             }
             ServerListEvent::Failed => self.schedule_subscription(f64::INFINITY, out),
-            ServerListEvent::Interrupted => self.schedule_subscription(RESUME_WITHIN_MS, out),
+            ServerListEvent::Interrupted => self.schedule_subscription(MAX_RESUBSCRIBE_DELAY_MS, out),
         }
         if self.servers.ready().is_empty() {
             out.push(Action::Log(LogEvent::NoServers));
         }
     }
 
-    /// Schedules a subscription at a uniformly random time, so that many sidecars don't call discovery in step.
-    fn schedule_subscription(&mut self, within_ms: f64, out: &mut Vec<Action>) {
+    /// Schedules a subscription after a uniformly random delay, so that sidecars don't subscribe
+    /// simultaneously.
+    fn schedule_subscription(&mut self, max_delay_ms: f64, out: &mut Vec<Action>) {
         if let Discovery::OnRequest { max_poll_interval } = self.settings.discovery {
-            let within_ms = within_ms.min(to_ms(max_poll_interval) * RESUBSCRIBE_SHARE);
-            let after = from_ms(within_ms * self.rng.f64());
+            let max_delay_ms = max_delay_ms.min(to_ms(max_poll_interval) * MAX_RESUBSCRIBE_DELAY_SHARE);
+            let after = from_ms(max_delay_ms * self.rng.f64());
             out.push(Action::SetTimer { timer: SUBSCRIBE_TIMER, after });
         }
     }
--- a/src/decision/server_table.rs
+++ b/src/decision/server_table.rs
@@ -1,4 +1,4 @@
-//! The servers of the list, with the indexes that selection draws from.
+//! The table of servers, with indexes for selection.
 
 use super::server::{Health, InFlightAttempt, Locality, Server};
 use super::time::to_ms;
@@ -6,34 +6,34 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// A server that may still be warming up, and when it started.
+/// A server that may still be warming up, with its start time.
 pub(crate) struct WarmingUp {
     pub(crate) id: ServerId,
     pub(crate) started_at_ms: f64,
 }
 
-/// All servers that are listed or still have attempts in flight. It stays bounded by these: a server that is
-/// gone from the list is removed once its attempts have ended.
+/// All servers that are on the list or still have attempts in flight. A server that has left the list is
+/// removed once its attempts have ended, so the size of the table stays bounded.
 pub(crate) struct ServerTable {
     /// The zone of this sidecar.
     zone: u16,
-    /// How long a server warms up.
+    /// The time for which a server warms up.
     ramp_time_ms: f64,
     by_id: BTreeMap<ServerId, Server>,
-    /// Servers that take requests, sorted.
+    /// Servers that accept requests, sorted by id.
     ready: Vec<ServerId>,
-    /// Those of `ready` in the zone of this sidecar, sorted.
+    /// The servers of `ready` in the zone of this sidecar, sorted by id.
     ready_in_zone: Vec<ServerId>,
     warming_up: Vec<WarmingUp>,
     ejected: BTreeSet<ServerId>,
 }
 
-/// Inserts an id into a sorted list, or removes it.
+/// Inserts an id into a sorted list, or removes the id from it.
 fn set_membership(list: &mut Vec<ServerId>, id: ServerId, is_member: bool) {
     match (list.binary_search(&id), is_member) {
-        (Err(at), true) => list.insert(at, id),
-        (Ok(at), false) => {
-            list.remove(at);
+        (Err(index), true) => list.insert(index, id),
+        (Ok(index), false) => {
+            list.remove(index);
         }
         _ => {}
     }
@@ -60,24 +60,25 @@
         self.by_id.get_mut(&id)
     }
 
-    /// Servers that take requests, sorted by id.
+    /// Returns the servers that accept requests, sorted by id.
     pub(crate) fn ready(&self) -> &[ServerId] {
         &self.ready
     }
 
-    /// Servers in the zone of this sidecar that take requests, sorted by id.
+    /// Returns the servers in the zone of this sidecar that accept requests, sorted by id.
     pub(crate) fn ready_in_zone(&self) -> &[ServerId] {
         &self.ready_in_zone
     }
 
-    /// Ready servers that may still be warming up.
+    /// Returns the ready servers that may still be warming up.
     pub(crate) fn warming_up(&self) -> &[WarmingUp] {
         &self.warming_up
     }
 
-    /// Servers that are ejected, until they are readmitted or the list changes them to one that is not ready.
+    /// Returns the ejected servers, until they are readmitted or a list update makes them not ready.
     ///
-    /// One that was not ready any more when it was ejected is included until then; one that has been removed is skipped.
+    /// A server that was already not ready when it was ejected is included until then. Removed servers are
+    /// skipped.
     pub(crate) fn ejected(&self) -> impl Iterator<Item = &Server> {
         self.ejected.iter().filter_map(|id| self.by_id.get(id))
     }
@@ -90,7 +91,8 @@
         self.ejected.remove(&id);
     }
 
-    /// Takes over entries of the server list. Servers that are missing from a complete one are gone.
+    /// Applies entries of the server list. Servers that are missing from a complete list become
+    /// [`Availability::Gone`].
     pub(crate) fn apply(&mut self, is_complete: bool, entries: Vec<ServerEntry>, now_ms: f64) {
         let mut changed: Vec<ServerId> = entries.iter().map(|entry| entry.server).collect();
         if is_complete {
@@ -117,9 +119,9 @@
         let started_at_ms = server.entry.started_at.map(to_ms).filter(|_| is_ready);
         set_membership(&mut self.ready, id, is_ready);
         set_membership(&mut self.ready_in_zone, id, is_ready && is_in_zone);
-        let warm_since_ms = now_ms - self.ramp_time_ms;
-        self.warming_up.retain(|other| other.id != id && other.started_at_ms > warm_since_ms);
-        let started_at_ms = started_at_ms.filter(|&started_at| started_at > warm_since_ms);
+        let warm_if_started_by_ms = now_ms - self.ramp_time_ms;
+        self.warming_up.retain(|other| other.id != id && other.started_at_ms > warm_if_started_by_ms);
+        let started_at_ms = started_at_ms.filter(|&started_at| started_at > warm_if_started_by_ms);
         self.warming_up.extend(started_at_ms.map(|started_at_ms| WarmingUp { id, started_at_ms }));
         if !is_ready || is_healthy {
             self.ejected.remove(&id);
@@ -129,21 +131,22 @@
 
     /// Removes an attempt that has ended from the attempts in flight at its server.
     ///
-    /// Returns the locality whose concurrency window the attempt was charged to, so that the caller can release it there;
-    /// `None` if the attempt was not in flight at this server. The last attempt of a server that is gone from the list
-    /// removes the server as well.
+    /// Returns the locality whose concurrency window counts the attempt, so that the caller can release it
+    /// there; `None` if the attempt was not in flight at this server. A server that has left the list is
+    /// removed with its last attempt.
     pub(crate) fn remove_in_flight(
         &mut self, server_id: ServerId, request_id: RequestId, attempt_number: usize,
     ) -> Option<Locality> {
         let server = self.by_id.get_mut(&server_id)?;
-        let is_ended = |other: &InFlightAttempt| other.id == request_id && other.attempt == attempt_number;
-        let at = server.in_flight.iter().position(is_ended);
-        let locality = at.map(|at| server.in_flight.remove(at).locality);
+        let is_same_attempt =
+            |other: &InFlightAttempt| other.id == request_id && other.attempt_number == attempt_number;
+        let index = server.in_flight.iter().position(is_same_attempt);
+        let locality = index.map(|index| server.in_flight.remove(index).locality);
         self.remove_if_gone(server_id);
         locality
     }
 
-    /// Removes a server that is gone from the list and has no attempt in flight.
+    /// Removes a server if it has left the list and has no attempt in flight.
     fn remove_if_gone(&mut self, id: ServerId) {
         let is_gone =
             |server: &Server| server.has_availability(Availability::Gone) && server.in_flight.is_empty();
@@ -158,8 +161,8 @@
     }
 }
 
-/// Panics for a server that is not in the table: selection only handles ids of [`ServerTable::ready`], and no server is
-/// removed while an event is handled before its attempt is recorded.
+/// Panics if the server is not in the table. Selection only uses ids of [`ServerTable::ready`], and no server
+/// is removed between its selection and the recording of its attempt.
 impl Index<ServerId> for ServerTable {
     type Output = Server;
 
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -1,20 +1,20 @@
-//! Slow start: servers that have just started have a share of their capacity, and get a share of the requests.
+//! Slow start: a server that has just started has a share of its capacity, and is sent a share of requests.
 
 use super::balancer::Balancer;
 use super::request::Request;
 use super::server::{RECENT_SENDS_MS, Server};
 use super::time::to_ms;
 
-/// Mean requests that may come close together by chance alone.
-const SEND_BURST: f64 = 0.5;
+/// Mean requests by which sends may exceed the even share, because requests may arrive in bursts by chance.
+const SEND_BURST_ALLOWANCE: f64 = 0.5;
 
 impl Balancer {
-    /// The share of its capacity that a server has now, at least.
+    /// Returns the minimum share of its capacity that a server has now.
     pub(crate) fn capacity_share(&self, server: &Server) -> f64 {
         server.entry.started_at.map_or(1.0, |started_at| self.capacity_share_at(to_ms(started_at)))
     }
 
-    /// The share of its capacity that a server has now if it started then: it grows linearly over the ramp time.
+    /// Returns this share for a server that started at this time. The share grows linearly over the ramp time.
     pub(crate) fn capacity_share_at(&self, started_at_ms: f64) -> f64 {
         let initial = self.settings.slow_start.initial_capacity;
         let age = (self.now_ms - started_at_ms).max(0.0) / self.ramp_time_ms();
@@ -23,8 +23,9 @@
 
     /// Returns whether a server has warmed up far enough for this request.
     ///
-    /// Of all requests, at all sidecars, only a share may go to a warming server, so that the fleet together does not
-    /// overload it: its capacity share times half the multiple at which it fails, which is twice its even share at most.
+    /// Only a share of all requests, at all sidecars, may be sent to a warming server, so that all sidecars
+    /// together do not overload it: its capacity share times half the multiple at which it fails. With two
+    /// random candidates, that is at most twice its even share.
     pub(crate) fn is_warm_enough(&self, server: &Server, request: &Request) -> bool {
         let multiple = self.settings.slow_start.overload_multiple / 2.0;
         let request_size = 1.0 / self.normalization(&request.profile);
@@ -32,9 +33,10 @@
             && self.is_within_warmup_rate(server, request_size, multiple)
     }
 
-    /// The bound for the case in which few other servers are left to draw from: a warming server gets so many times its
-    /// even share of own sends, by its capacity share, and no request heavier than its share of all sidecars' in a second.
-    /// The request's size is relative to a mean request.
+    /// Returns whether a request keeps a warming server within its rate limit, which applies if few other
+    /// servers are left to draw from. The limit is `multiple` times the server's even share of this sidecar's
+    /// sends, reduced to its capacity share. A request must also not be larger than this share of one
+    /// second's sends of all sidecars. `request_size` is relative to a mean request.
     fn is_within_warmup_rate(&self, server: &Server, request_size: f64, multiple: f64) -> bool {
         let share = self.capacity_share(server);
         let ready = self.servers.ready().len();
@@ -42,8 +44,8 @@
         let even_share = |servers: f64| self.sends_per_ms() * RECENT_SENDS_MS * share * multiple / servers;
         let of_all_sidecars = even_share(ready.max(1) as f64) * f64::from(self.settings.sidecar_count);
         share >= 1.0
-            || request_size <= of_all_sidecars.max(SEND_BURST)
+            || request_size <= of_all_sidecars.max(SEND_BURST_ALLOWANCE)
                 && server.recent_sends.at(self.now_ms, RECENT_SENDS_MS)
-                    < even_share(drawn_from as f64) + SEND_BURST
+                    < even_share(drawn_from as f64) + SEND_BURST_ALLOWANCE
     }
 }
--- a/src/decision/time.rs
+++ b/src/decision/time.rs
@@ -2,12 +2,12 @@
 
 use std::time::Duration;
 
-/// Milliseconds in a duration.
+/// Converts a duration to milliseconds.
 pub(crate) fn to_ms(time: Duration) -> f64 {
     time.as_secs_f64() * 1e3
 }
 
-/// The duration of these milliseconds. Negative and non-finite ones, and those past the range of a duration, are zero.
+/// Converts milliseconds to a duration. Negative, non-finite and too large values become zero.
 pub(crate) fn from_ms(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms / 1e3).unwrap_or(Duration::ZERO)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,19 @@
-//! The decisions of a client-side load balancer that runs beside each calling process.
+//! The decision logic of a client-side load balancer that runs as a sidecar next to each client process.
 //!
-//! Each request goes to the better of two random servers, judged by its peak-EWMA latency times the attempts in flight
-//! (power of two choices). Around that stand outlier ejection, a retry budget, slow start, subsetting and admission
-//! control. The module does no I/O and reads no clock: the caller reports events and carries out actions.
+//! Each request is sent to the better of two randomly chosen servers (power of two choices). Servers are
+//! scored by their peak-EWMA latency and their requests in flight. Outlier ejection, a retry budget, slow
+//! start, subsetting and admission control complete the design. The module does no I/O and reads no clock:
+//! the caller reports events and executes actions.
 //!
-//! The workspace has a second, younger load balancer: `lugwharf-routing`, which decides for the proxies of language model
-//! servers. The two share no code and no settings, but the design: power of two choices over peak-EWMA latency, outlier
-//! ejection, a retry budget, and no I/O in the decisions. This one is the older and stays in service as the sidecar.
+//! The workspace has a second, newer load balancer: `lugwharf-routing`, which decides for the proxies of
+//! language model servers. The two share no code and no settings, but they share the design: power of two
+//! choices over peak-EWMA latency, outlier ejection, a retry budget, and decisions without I/O. This crate is
+//! the older one and remains in service as the sidecar.
 //!
-//! A caller hands each event to [`Balancer::handle`] and carries out the actions in order. It owes the module one
-//! [`Event::Outcome`](api::Event::Outcome) for each [`Action::Send`](api::Action::Send), and an
-//! [`Event::Timer`](api::Event::Timer) for each [`Action::SetTimer`](api::Action::SetTimer). The first answer with
-//! [`Outcome::Ok`](api::Outcome::Ok) goes to the client and ends the request.
+//! A caller passes each event to [`Balancer::handle`] and executes the returned actions in order. The caller
+//! must report one [`Event::Outcome`](api::Event::Outcome) for each [`Action::Send`](api::Action::Send), and
+//! one [`Event::Timer`](api::Event::Timer) for each [`Action::SetTimer`](api::Action::SetTimer). The first
+//! answer with [`Outcome::Ok`](api::Outcome::Ok) goes to the client and ends the request.
 //!
 //! ```
 //! use lugwharf_sidecar::{Balancer, api::*};
@@ -30,7 +32,7 @@
 //! let mut balancer = Balancer::new(settings, 42);
 //! let mut actions = Vec::new();
 //!
-//! // The list names two servers; a request arrives and goes to one of them.
+//! // The server list has two servers. A request arrives and is sent to one of them.
 //! let entry = |id| ServerEntry {
 //!     server: ServerId(id),
 //!     availability: Availability::Ready,
@@ -51,7 +53,7 @@
 //! balancer.handle(ms(1), Event::Request(arrival), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Send { id: RequestId(7), .. })));
 //!
-//! // The caller sent it. The server answers after 30 ms, and the request is finished.
+//! // The caller has sent the request. The server answers after 30 ms, and the request is finished.
 //! actions.clear();
 //! let answer = Event::Outcome {
 //!     id: RequestId(7),
--- a/src/settings_text.rs
+++ b/src/settings_text.rs
@@ -1,12 +1,14 @@
 //! Reads the settings text into [`Settings`] and [`NetworkSettings`].
 //!
-//! The text has one `path=value` a line. Its keys and words are the operators' and fixed, also where the code has other
-//! names for them. Times are milliseconds. Unknown keys are ignored, and of a key that comes twice the last value counts
-//! (but see [`load_field_index`]). The simulator's adapter and the sidecar share this reader.
+//! The text has one `path=value` pair per line. Its keys and its named values are part of the operators'
+//! interface and must not change, even where the code uses other names. Times are in milliseconds. Unknown
+//! keys are ignored, and if a key occurs twice, its last value applies (but see [`load_field_index`]). The
+//! simulator's adapter and the sidecar share this parser.
 //!
-//! A missing key has the default that [`parse`] or [`parse_network_settings`] states, unless it is required. These
-//! defaults are those of the text alone. Programs that build [`Settings`] themselves start from [`Settings::default`],
-//! which differs in two values: two attempts instead of one, and a tick of 1 ms instead of 5 ms.
+//! A missing key has the default that [`parse`] or [`parse_network_settings`] states, unless it is required.
+//! These defaults are those of the text alone. Programs that build [`Settings`] themselves start from
+//! [`Settings::default`], which differs in two values: two attempts instead of one, and a tick of 1 ms
+//! instead of 5 ms.
 
 use crate::api::{
     DedupScope, Discovery, Idempotency, ObjectiveWeights, Permission, RequestClass, Settings, SlowStart,
@@ -15,10 +17,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The longest time that is accepted, in milliseconds: it is added to a clock, which cannot hold any time.
+/// The longest accepted time, in milliseconds. Times are added to a clock reading, whose range is limited.
 const MAX_TIME_MS: f64 = 1e12;
 
-/// A setting that is required and missing, or that cannot be read.
+/// A required setting is missing, or a setting has an invalid value.
 #[derive(Debug, thiserror::Error)]
 #[error("setting {key}: {problem}")]
 pub struct SettingError {
@@ -27,7 +29,7 @@
 }
 
 impl SettingError {
-    fn unreadable(key: &str, text: &str) -> Self {
+    fn invalid(key: &str, text: &str) -> Self {
         SettingError { key: key.into(), problem: format!("cannot read {text:?}") }
     }
 
@@ -36,7 +38,7 @@
     }
 }
 
-/// The settings text by key.
+/// The values of the settings text, by key.
 struct KeyValues<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> KeyValues<'a> {
@@ -44,21 +46,21 @@
         KeyValues(text.lines().filter_map(|line| line.trim_end().split_once('=')).collect())
     }
 
-    fn optional<T>(&self, key: &str, read: impl Fn(&str) -> Option<T>) -> Result<Option<T>, SettingError> {
+    fn optional<T>(&self, key: &str, parse: impl Fn(&str) -> Option<T>) -> Result<Option<T>, SettingError> {
         let Some(text) = self.0.get(key) else { return Ok(None) };
-        read(text).map(Some).ok_or_else(|| SettingError::unreadable(key, text))
+        parse(text).map(Some).ok_or_else(|| SettingError::invalid(key, text))
     }
 
-    fn required<T>(&self, key: &str, read: impl Fn(&str) -> Option<T>) -> Result<T, SettingError> {
-        self.optional(key, read)?.ok_or_else(|| SettingError::missing(key))
+    fn required<T>(&self, key: &str, parse: impl Fn(&str) -> Option<T>) -> Result<T, SettingError> {
+        self.optional(key, parse)?.ok_or_else(|| SettingError::missing(key))
     }
 
     fn number(&self, key: &str, default: f64) -> Result<f64, SettingError> {
-        Ok(self.optional(key, number)?.unwrap_or(default))
+        Ok(self.optional(key, parse_number)?.unwrap_or(default))
     }
 
     fn time(&self, key: &str, default: Duration) -> Result<Duration, SettingError> {
-        Ok(self.optional(key, time)?.unwrap_or(default))
+        Ok(self.optional(key, parse_duration)?.unwrap_or(default))
     }
 
     fn permission(&self, key: &str) -> Result<Permission, SettingError> {
@@ -66,32 +68,32 @@
         Ok(if is_granted { Permission::Granted } else { Permission::Denied })
     }
 
-    /// The items of a list that is separated by commas; none if the key is missing.
+    /// Returns the items of a comma-separated list; empty if the key is missing.
     fn list(&self, key: &str) -> Vec<String> {
         let text = self.0.get(key).filter(|text| !text.is_empty());
         text.map_or(Vec::new(), |text| text.split(',').map(String::from).collect())
     }
 }
 
-fn number(text: &str) -> Option<f64> {
+fn parse_number(text: &str) -> Option<f64> {
     text.parse::<f64>().ok().filter(|n| n.is_finite())
 }
 
-fn time(text: &str) -> Option<Duration> {
-    let ms = number(text).filter(|ms| *ms <= MAX_TIME_MS)?;
+fn parse_duration(text: &str) -> Option<Duration> {
+    let ms = parse_number(text).filter(|ms| *ms <= MAX_TIME_MS)?;
     Duration::try_from_secs_f64(ms / 1e3).ok()
 }
 
-/// Counts stay in the range of the indexes that the simulator's wire has for the counted.
-fn count(text: &str) -> Option<usize> {
+/// Parses a count. Counts are limited to `u16`, the type of the indexes in the simulator's wire format.
+fn parse_count(text: &str) -> Option<usize> {
     text.parse::<u16>().ok().map(usize::from)
 }
 
-/// Reads the settings of the decision module.
+/// Parses the settings of the decision module.
 ///
-/// Required are `zone`, `discovery` (`pushed`, `on_request`), `requestClasses.count` and, for each class, `aim` and
-/// `idempotency` (`retryable`, `fragile`, or `dedup`, which needs `group` and `dedupWindow`). The defaults of the others
-/// are the careful choice:
+/// Required are `zone`, `discovery` (`pushed`, `on_request`), `requestClasses.count` and, for each class,
+/// `aim` and `idempotency` (`retryable`, `fragile`, or `dedup`, which needs `group` and `dedupWindow`). The
+/// other keys have conservative defaults:
 ///
 /// | keys | default |
 /// | --- | --- |
@@ -99,39 +101,39 @@
 /// | `policyLimits.cancel`, `policyLimits.probes`, `policyLimits.retryAfter` | `false` |
 /// | `policyLimits.mostTries` | 1 |
 /// | `policyLimits.keepalive` | 15 s |
-/// | `policyLimits.maxRetryAfter`, read only where `policyLimits.retryAfter` is `true` | 0 |
+/// | `policyLimits.maxRetryAfter`, read only if `policyLimits.retryAfter` is `true` | 0 |
 /// | `prices.crossZone`, `prices.probe`, `prices.handshake` | 0 |
 /// | `worthBy` (`request`, `work`) | `request` |
 /// | `blend.whole`, `blend.worstWindow`, `blend.worstClass` | 1, 0, 0 |
-/// | `obligations.mustAskIn`, used only where `discovery` is `on_request` | 10 s |
+/// | `obligations.mustAskIn`, used only if `discovery` is `on_request` | 10 s |
 /// | `obligations.coldFrom`, `obligations.rampTime`, `obligations.fallMultiple` | 0.1, 30 s, 2 |
 /// | `tick` | 5 ms |
 /// | `report.fields` | no load reports |
-/// | of each class: `deadline`, `aimStretch`, `points`, `lateWorth` | 0 (unknown), 0, 1, 0 |
+/// | for each class: `deadline`, `aimStretch`, `points`, `lateWorth` | 0 (unknown), 0, 1, 0 |
 pub fn parse(text: &str) -> Result<Settings, SettingError> {
     let values = KeyValues::new(text);
-    let class_count = values.required("requestClasses.count", count)?;
+    let class_count = values.required("requestClasses.count", parse_count)?;
     let tick = values.time("tick", Duration::from_millis(5))?;
     Ok(Settings {
         zone: values.required("zone", |text| text.parse().ok())?,
         sidecar_index: values.optional("me", |text| text.parse().ok())?.unwrap_or(0),
         sidecar_count: values.optional("instances", |text| text.parse().ok())?.unwrap_or(1),
         keep_alive: values.time("policyLimits.keepalive", Duration::from_secs(15))?,
-        classes: (0..class_count).map(|index| class(&values, index)).collect::<Result<_, _>>()?,
-        value_basis: values.optional("worthBy", value_basis)?.unwrap_or(ValueBasis::PerRequest),
+        classes: (0..class_count).map(|index| parse_class(&values, index)).collect::<Result<_, _>>()?,
+        value_basis: values.optional("worthBy", parse_value_basis)?.unwrap_or(ValueBasis::PerRequest),
         cross_zone_price: values.number("prices.crossZone", 0.0)?,
         probe_price: values.number("prices.probe", 0.0)?,
         handshake_price: values.number("prices.handshake", 0.0)?,
         is_load_reported: load_field_index(text).is_some(),
-        objective: objective(&values)?,
-        max_attempts: values.optional("policyLimits.mostTries", count)?.unwrap_or(1),
+        objective: parse_objective(&values)?,
+        max_attempts: values.optional("policyLimits.mostTries", parse_count)?.unwrap_or(1),
         cancel: values.permission("policyLimits.cancel")?,
         probes: values.permission("policyLimits.probes")?,
         max_retry_after: match values.permission("policyLimits.retryAfter")? {
             Permission::Granted => Some(values.time("policyLimits.maxRetryAfter", Duration::ZERO)?),
             Permission::Denied => None,
         },
-        discovery: discovery(&values)?,
+        discovery: parse_discovery(&values)?,
         slow_start: SlowStart {
             initial_capacity: values.number("obligations.coldFrom", 0.1)?,
             ramp_time: values.time("obligations.rampTime", Duration::from_secs(30))?,
@@ -141,7 +143,7 @@
     })
 }
 
-fn value_basis(text: &str) -> Option<ValueBasis> {
+fn parse_value_basis(text: &str) -> Option<ValueBasis> {
     match text {
         "work" => Some(ValueBasis::PerWork),
         "request" => Some(ValueBasis::PerRequest),
@@ -149,13 +151,13 @@
     }
 }
 
-fn objective(values: &KeyValues) -> Result<ObjectiveWeights, SettingError> {
-    // The worst stretch of time is unknown until it is over, so its weight goes to the total.
+fn parse_objective(values: &KeyValues) -> Result<ObjectiveWeights, SettingError> {
+    // Which time window is the worst one is known only afterwards, so its weight is added to the total.
     let total_value = values.number("blend.whole", 1.0)? + values.number("blend.worstWindow", 0.0)?;
     Ok(ObjectiveWeights { total_value, worst_class: values.number("blend.worstClass", 0.0)? })
 }
 
-fn discovery(values: &KeyValues) -> Result<Discovery, SettingError> {
+fn parse_discovery(values: &KeyValues) -> Result<Discovery, SettingError> {
     let max_poll_interval = values.time("obligations.mustAskIn", Duration::from_secs(10))?;
     values.required("discovery", |text| match text {
         "pushed" => Some(Discovery::Pushed),
@@ -164,11 +166,11 @@
     })
 }
 
-fn class(values: &KeyValues, index: usize) -> Result<RequestClass, SettingError> {
+fn parse_class(values: &KeyValues, index: usize) -> Result<RequestClass, SettingError> {
     let key = |name: &str| format!("requestClasses.{index}.{name}");
-    let idempotency = idempotency(values, &key)?;
+    let idempotency = parse_idempotency(values, &key)?;
     Ok(RequestClass {
-        latency_target: values.required(&key("aim"), time)?,
+        latency_target: values.required(&key("aim"), parse_duration)?,
         deadline: values.time(&key("deadline"), Duration::ZERO)?,
         latency_target_per_work: values.number(&key("aimStretch"), 0.0)?,
         value: values.number(&key("points"), 1.0)?,
@@ -177,20 +179,20 @@
     })
 }
 
-fn idempotency(values: &KeyValues, key: &impl Fn(&str) -> String) -> Result<Idempotency, SettingError> {
+fn parse_idempotency(values: &KeyValues, key: &impl Fn(&str) -> String) -> Result<Idempotency, SettingError> {
     let text = values.required(&key("idempotency"), |text| Some(text.to_owned()))?;
     match text.as_str() {
         "retryable" => Ok(Idempotency::Idempotent),
         "dedup" => Ok(Idempotency::Keyed {
-            scope: values.required(&key("group"), dedup_scope)?,
-            window: values.required(&key("dedupWindow"), time)?,
+            scope: values.required(&key("group"), parse_dedup_scope)?,
+            window: values.required(&key("dedupWindow"), parse_duration)?,
         }),
         "fragile" => Ok(Idempotency::NonIdempotent),
-        other => Err(SettingError::unreadable(&key("idempotency"), other)),
+        other => Err(SettingError::invalid(&key("idempotency"), other)),
     }
 }
 
-fn dedup_scope(text: &str) -> Option<DedupScope> {
+fn parse_dedup_scope(text: &str) -> Option<DedupScope> {
     match text {
         "all" => Some(DedupScope::All),
         "zone" => Some(DedupScope::Zone),
@@ -199,37 +201,40 @@
     }
 }
 
-/// The index of the value of a load report that says how many requests a server has in flight: those that it handles and
-/// those that wait (`concurrent`), or else those that wait alone (`depth`). `None` if the text names neither.
+/// Returns the index, within a load report, of the number of requests that a server has in flight:
+/// `concurrent` (requests being executed and queued) if the report has it, otherwise `depth` (queued requests
+/// only). `None` if `report.fields` names neither.
 ///
-/// Where `report.fields` comes twice, the first line counts here, and the last one for the name that
-/// [`parse_network_settings`] looks up by this index.
+/// If `report.fields` occurs twice, the first line applies here, while [`parse_network_settings`] looks up
+/// the name at this index in the last line.
 pub fn load_field_index(text: &str) -> Option<usize> {
     let fields = text.lines().find_map(|line| line.trim_end().strip_prefix("report.fields="))?;
     let index_of = |name| fields.split(',').position(|field| field == name);
     index_of("concurrent").or_else(|| index_of("depth"))
 }
 
-/// What the sidecar's network code needs of the settings besides what the decision module does.
+/// The settings that the sidecar's network code needs in addition to those of the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkSettings {
     /// The names of the zones, by index.
     pub zones: Vec<String>,
-    /// The names of the kinds of machine, by index.
+    /// The names of the machine types, by index.
     pub machine_types: Vec<String>,
-    /// The names of the classes, by index.
+    /// The names of the request classes, by index.
     pub classes: Vec<String>,
-    /// A connection that takes longer to come up has failed. 250 ms by default.
+    /// The time within which a connection must be established. 250 ms by default.
     pub connect_timeout: Duration,
-    /// The name of the load report's value that the module asks for; `None` where there are no reports.
+    /// The name of the load report's field that the decision module uses; `None` if there are no load
+    /// reports.
     pub load_field_name: Option<String>,
 }
 
-/// Reads the part of the settings that the network code needs. Required are `requestClasses.count` and the `name` of each
-/// class. By default `areas`, `skus` and `report.fields` are empty, and `policyLimits.connectTimeout` is 250 ms.
+/// Parses the settings that the network code needs. Required are `requestClasses.count` and the `name` of
+/// each class. By default `areas`, `skus` and `report.fields` are empty, and `policyLimits.connectTimeout` is
+/// 250 ms.
 pub fn parse_network_settings(text: &str) -> Result<NetworkSettings, SettingError> {
     let values = KeyValues::new(text);
-    let class_count = values.required("requestClasses.count", count)?;
+    let class_count = values.required("requestClasses.count", parse_count)?;
     let name = |index| values.required(&format!("requestClasses.{index}.name"), |text| Some(text.to_owned()));
     Ok(NetworkSettings {
         zones: values.list("areas"),
