--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -14,7 +14,8 @@
         server.entry.started_at.map_or(1.0, |started_at| self.capacity_share_at(to_ms(started_at)))
     }
 
-    /// Returns this share for a server that started at this time. The share grows linearly over the ramp time.
+    /// Returns this share for a server that started at this time. The share grows linearly over the ramp
+    /// time.
     pub(crate) fn capacity_share_at(&self, started_at_ms: f64) -> f64 {
         let initial = self.settings.slow_start.initial_capacity;
         let age = (self.now_ms - started_at_ms).max(0.0) / self.ramp_time_ms();
--- a/tests/adapter.rs
+++ b/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! Tests of the simulator's adapter over pipes, on frames that the tests build.
+//! Tests of the simulator's adapter, which receives frames that the tests build over a pipe.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -14,7 +14,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("starts");
-    // It may have given up on bad input before all is written.
+    // The adapter may exit on invalid input before all input is written.
     let _ = child.stdin.take().expect("has an input").write_all(input);
     child.wait_with_output().expect("ends")
 }
@@ -28,32 +28,32 @@
     record
 }
 
-fn event(code: u8, who: u32, fields: &[(usize, &[u8])]) -> Vec<u8> {
+fn event(code: u8, instance: u32, fields: &[(usize, &[u8])]) -> Vec<u8> {
     let mut event = record(48, code, fields);
-    event[1..5].copy_from_slice(&who.to_le_bytes());
+    event[1..5].copy_from_slice(&instance.to_le_bytes());
     event
 }
 
-fn up(who: u32, settings: &str) -> Vec<u8> {
-    event(2, who, &[(5, &7u64.to_le_bytes()), (17, &(settings.len() as u32).to_le_bytes())])
+fn start_event(instance: u32, settings: &str) -> Vec<u8> {
+    event(2, instance, &[(5, &7u64.to_le_bytes()), (17, &(settings.len() as u32).to_le_bytes())])
 }
 
-fn manifest(list: u32, offset: usize, count: u32) -> Vec<u8> {
+fn declare_list_event(list: u32, offset: usize, count: u32) -> Vec<u8> {
     event(3, list, &[(5, &(offset as u32).to_le_bytes()), (9, &count.to_le_bytes())])
 }
 
-fn discovery(who: u32, how: u8, list: u32) -> Vec<u8> {
-    event(8, who, &[(5, &[how]), (10, &list.to_le_bytes())])
+fn discovery_event(instance: u32, list_kind: u8, list: u32) -> Vec<u8> {
+    event(8, instance, &[(5, &[list_kind]), (10, &list.to_le_bytes())])
 }
 
-fn inbound(who: u32, id: u32) -> Vec<u8> {
-    event(10, who, &[(5, &id.to_le_bytes()), (25, &900f64.to_le_bytes())])
+fn request_event(instance: u32, id: u32) -> Vec<u8> {
+    event(10, instance, &[(5, &id.to_le_bytes()), (25, &900f64.to_le_bytes())])
 }
 
-fn done(who: u32, id: u32, verdict: u16, ended: u8) -> Vec<u8> {
+fn outcome_event(instance: u32, id: u32, outcome: u16, finished: u8) -> Vec<u8> {
     let fields: [(usize, &[u8]); 4] =
-        [(5, &id.to_le_bytes()), (16, &verdict.to_le_bytes()), (18, &30f64.to_le_bytes()), (26, &[ended])];
-    event(4, who, &fields)
+        [(5, &id.to_le_bytes()), (16, &outcome.to_le_bytes()), (18, &30f64.to_le_bytes()), (26, &[finished])];
+    event(4, instance, &fields)
 }
 
 fn entry(last_byte: u8) -> Vec<u8> {
@@ -69,7 +69,7 @@
     frame
 }
 
-/// The records of each reply in the output.
+/// Returns the records of each reply in the output.
 fn replies(mut output: &[u8]) -> Vec<Vec<Vec<u8>>> {
     let mut replies = vec![];
     while !output.is_empty() {
@@ -85,17 +85,25 @@
     reply.iter().filter(|r| r[0] == 0).cloned().collect()
 }
 
-/// Brings one instance up with one server.
-fn start(clock: f64, who: u32, last_byte: u8) -> Vec<u8> {
+/// Returns a frame that starts one instance with one server.
+fn start(clock: f64, instance: u32, last_byte: u8) -> Vec<u8> {
     let tail = [SETTINGS.as_bytes(), &entry(last_byte)].concat();
-    frame(clock, &[up(who, SETTINGS), manifest(0, SETTINGS.len(), 1), discovery(who, 3, 0)], &tail)
+    frame(
+        clock,
+        &[
+            start_event(instance, SETTINGS),
+            declare_list_event(0, SETTINGS.len(), 1),
+            discovery_event(instance, 3, 0),
+        ],
+        &tail,
+    )
 }
 
-fn rejected(input: &[u8], words: &str) {
+fn assert_rejected(input: &[u8], expected: &str) {
     let output = run(input);
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
-    assert!(!output.status.success(), "accepted, but {words}");
-    assert!(message.contains(words) && message.lines().count() == 1, "{message}");
+    assert!(!output.status.success(), "accepted, but must be rejected with {expected:?}");
+    assert!(message.contains(expected) && message.lines().count() == 1, "{message}");
     assert!(!message.contains("panicked"), "{message}");
 }
 
@@ -109,8 +117,11 @@
 
 #[test]
 fn a_request_is_sent_to_the_listed_server_and_its_end_causes_no_action() {
-    let input =
-        [start(1.0, 3, 9), frame(6.0, &[inbound(3, 77)], &[]), frame(36.0, &[done(3, 77, 1, 1)], &[])];
+    let input = [
+        start(1.0, 3, 9),
+        frame(6.0, &[request_event(3, 77)], &[]),
+        frame(36.0, &[outcome_event(3, 77, 1, 1)], &[]),
+    ];
     let output = run(&input.concat());
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = replies(&output.stdout);
@@ -119,39 +130,50 @@
     assert_eq!(sends[0][1..5], 3u32.to_le_bytes());
     assert_eq!(sends[0][5..9], 77u32.to_le_bytes());
     assert_eq!(sends[0][9..15], [10, 0, 0, 9, 0x23, 0x2b]);
-    // The latency target: a late answer has no value here.
+    // The timeout is the latency target, because a late answer has no value.
     assert_eq!(sends[0][15..23], 400f64.to_le_bytes());
     assert!(replies[2].is_empty());
 }
 
 #[test]
 fn lists_are_resolved_in_record_order_and_instances_restart_inside_a_batch() {
-    // Number 0 is declared twice in one batch; the two instances hold different lists.
+    // List number 0 is declared twice in one batch, so the two instances have different lists.
     let tail = [SETTINGS.as_bytes(), &entry(1), &entry(2)].concat();
     let at = SETTINGS.len();
     let records = [
-        up(0, SETTINGS),
-        manifest(0, at, 1),
-        discovery(0, 3, 0),
-        up(1, SETTINGS),
-        manifest(0, at + 24, 1),
-        discovery(1, 3, 0),
-        inbound(0, 5),
-        inbound(1, 6),
+        start_event(0, SETTINGS),
+        declare_list_event(0, at, 1),
+        discovery_event(0, 3, 0),
+        start_event(1, SETTINGS),
+        declare_list_event(0, at + 24, 1),
+        discovery_event(1, 3, 0),
+        request_event(0, 5),
+        request_event(1, 6),
+    ];
+    let restart = [
+        event(5, 0, &[]),
+        start_event(0, SETTINGS),
+        discovery_event(0, 3, 0),
+        outcome_event(0, 5, 1, 1),
+        request_event(0, 8),
     ];
-    let restart = [event(5, 0, &[]), up(0, SETTINGS), discovery(0, 3, 0), done(0, 5, 1, 1), inbound(0, 8)];
     let output = run(&[frame(1.0, &records, &tail), frame(9.0, &restart, SETTINGS.as_bytes())].concat());
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let replies = replies(&output.stdout);
-    let to: Vec<u8> = sends(&replies[0]).iter().map(|r| r[12]).collect();
-    assert_eq!(to, [1, 2]);
-    let again = sends(&replies[1]);
-    assert_eq!((again.len(), again[0][12]), (1, 2), "the restarted one has the list as it is now");
+    let receivers: Vec<u8> = sends(&replies[0]).iter().map(|r| r[12]).collect();
+    assert_eq!(receivers, [1, 2]);
+    let sends_after_restart = sends(&replies[1]);
+    assert_eq!(
+        (sends_after_restart.len(), sends_after_restart[0][12]),
+        (1, 2),
+        "the restarted instance has the current list"
+    );
 }
 
 #[test]
 fn unknown_codes_and_instances_are_skipped_with_a_message() {
-    let input = [start(1.0, 0, 1), frame(2.0, &[event(99, 0, &[]), event(0, 5, &[]), inbound(0, 4)], &[])];
+    let input =
+        [start(1.0, 0, 1), frame(2.0, &[event(99, 0, &[]), event(0, 5, &[]), request_event(0, 4)], &[])];
     let output = run(&input.concat());
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(output.status.success() && message.contains("code 99") && message.contains("instance 5"));
@@ -160,51 +182,56 @@
 
 #[test]
 fn bad_frames_end_with_one_message_and_no_partial_reply() {
-    rejected(&[1, 2, 3], "ends inside a frame");
-    let whole = start(1.0, 0, 1);
-    rejected(&whole[..whole.len() - 1], "ends inside a frame");
-    let mut huge = frame(1.0, &[], &[]);
-    huge[..4].copy_from_slice(&u32::MAX.to_le_bytes());
-    rejected(&huge, "ends inside a frame");
-    let mut many = frame(1.0, &[], &[]);
-    many[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
-    rejected(&many, "cannot hold");
-    rejected(&frame(f64::NAN, &[], &[]), "clock");
-    rejected(&frame(1.0, &[manifest(0, 4_000_000_000, 1)], &[]), "beyond");
-    rejected(&frame(1.0, &[manifest(0, 0, u32::MAX)], &[]), "beyond");
-    rejected(&frame(1.0, &[manifest(16, 0, 0)], &[]), "list number 16");
-    rejected(&frame(1.0, &[up(0, "x")], &[0xff]), "UTF-8");
-    let undeclared = [up(0, SETTINGS), discovery(0, 0, 3)];
-    rejected(&frame(1.0, &undeclared, SETTINGS.as_bytes()), "list 3 was never declared");
-    let bad = [start(1.0, 0, 1), frame(2.0, &[inbound(0, 1), done(0, 1, 77, 0)], &[])].concat();
-    rejected(&bad, "outcome 77");
-    assert_eq!(replies(&run(&bad).stdout).len(), 1, "only the batch before was answered");
+    assert_rejected(&[1, 2, 3], "ends inside a frame");
+    let complete_frame = start(1.0, 0, 1);
+    assert_rejected(&complete_frame[..complete_frame.len() - 1], "ends inside a frame");
+    let mut oversized_frame = frame(1.0, &[], &[]);
+    oversized_frame[..4].copy_from_slice(&u32::MAX.to_le_bytes());
+    assert_rejected(&oversized_frame, "ends inside a frame");
+    let mut too_many_records = frame(1.0, &[], &[]);
+    too_many_records[12..16].copy_from_slice(&u32::MAX.to_le_bytes());
+    assert_rejected(&too_many_records, "cannot hold");
+    assert_rejected(&frame(f64::NAN, &[], &[]), "clock");
+    assert_rejected(&frame(1.0, &[declare_list_event(0, 4_000_000_000, 1)], &[]), "beyond");
+    assert_rejected(&frame(1.0, &[declare_list_event(0, 0, u32::MAX)], &[]), "beyond");
+    assert_rejected(&frame(1.0, &[declare_list_event(16, 0, 0)], &[]), "list number 16");
+    assert_rejected(&frame(1.0, &[start_event(0, "x")], &[0xff]), "UTF-8");
+    let undeclared = [start_event(0, SETTINGS), discovery_event(0, 0, 3)];
+    assert_rejected(&frame(1.0, &undeclared, SETTINGS.as_bytes()), "list 3 was never declared");
+    let frames =
+        [start(1.0, 0, 1), frame(2.0, &[request_event(0, 1), outcome_event(0, 1, 77, 0)], &[])].concat();
+    assert_rejected(&frames, "outcome 77");
+    assert_eq!(replies(&run(&frames).stdout).len(), 1, "only the preceding batch was answered");
 }
 
 #[test]
 fn settings_have_defaults_or_an_error_that_names_the_key() {
     let with = |from: &str, to: &str| {
         let settings = SETTINGS.replace(from, to);
-        frame(1.0, &[up(0, &settings)], settings.as_bytes())
+        frame(1.0, &[start_event(0, &settings)], settings.as_bytes())
     };
     for optional in ["tick=5.0\n", "policyLimits.mostTries=3\n"] {
         assert!(run(&with(optional, "")).status.success(), "{optional}");
     }
-    for needed in ["zone=0", "discovery=pushed", "requestClasses.0.idempotency=retryable"] {
-        let key = needed.split('=').next().expect("a key");
-        rejected(&with(needed, "left.out=1"), &format!("setting {key}: missing"));
+    for required in ["zone=0", "discovery=pushed", "requestClasses.0.idempotency=retryable"] {
+        let key = required.split('=').next().expect("a key");
+        assert_rejected(&with(required, "left.out=1"), &format!("setting {key}: missing"));
     }
-    rejected(&with("aim=400.0", "aim=soon"), "setting requestClasses.0.aim: cannot read \"soon\"");
-    rejected(&with("retryable", "dedup"), "setting requestClasses.0.group: missing");
+    assert_rejected(&with("aim=400.0", "aim=soon"), "setting requestClasses.0.aim: cannot read \"soon\"");
+    assert_rejected(&with("retryable", "dedup"), "setting requestClasses.0.group: missing");
 }
 
 #[test]
 fn corrupt_frames_never_panic() {
     let mut rng = fastrand::Rng::with_seed(20);
-    let whole = [start(1.0, 0, 1), frame(6.0, &[inbound(0, 77)], &[]), frame(9.0, &[done(0, 77, 2, 0)], &[])];
-    let whole = whole.concat();
+    let complete_frame = [
+        start(1.0, 0, 1),
+        frame(6.0, &[request_event(0, 77)], &[]),
+        frame(9.0, &[outcome_event(0, 77, 2, 0)], &[]),
+    ];
+    let complete_frame = complete_frame.concat();
     for _ in 0..300 {
-        let mut bytes = whole.clone();
+        let mut bytes = complete_frame.clone();
         for _ in 0..rng.usize(1..6) {
             let at = rng.usize(0..bytes.len());
             bytes[at] = rng.u8(..);
@@ -221,25 +248,30 @@
     let entries: Vec<u8> = (0..20).flat_map(entry).collect();
     let at = settings.len();
     let tail = [settings.as_bytes(), &entries].concat();
-    let up = [up(0, &settings), manifest(0, at, 20), discovery(0, 3, 0), inbound(0, 5)];
-    let start = frame(1.0, &up, &tail);
+    let records = [
+        start_event(0, &settings),
+        declare_list_event(0, at, 20),
+        discovery_event(0, 3, 0),
+        request_event(0, 5),
+    ];
+    let start = frame(1.0, &records, &tail);
     let first = replies(&run(&start).stdout);
     let probes: Vec<Vec<u8>> = first[0].iter().filter(|r| r[0] == 5).map(|r| r[5..11].to_vec()).collect();
     assert_eq!(probes.len(), 2);
-    // The second value of the report is the one that counts.
-    let result = |server: &[u8], held: f32| {
+    // The second value of the report is `concurrent`, the number of requests in flight.
+    let result = |server: &[u8], reported_load: f32| {
         let fields: [(usize, &[u8]); 5] = [
             (5, server),
             (11, &1u16.to_le_bytes()),
             (21, &[2]),
             (22, &0.5f32.to_le_bytes()),
-            (26, &held.to_le_bytes()),
+            (26, &reported_load.to_le_bytes()),
         ];
         event(6, 0, &fields)
     };
-    for (idle, held) in [(0, [0.0, 3.0]), (1, [3.0, 0.0])] {
-        let results = [result(&probes[0], held[0]), result(&probes[1], held[1])];
-        let said = replies(&run(&[start.clone(), frame(6.0, &results, &[])].concat()).stdout);
-        assert_eq!(sends(&said[1])[0][9..15], probes[idle]);
+    for (idle, reported_loads) in [(0, [0.0, 3.0]), (1, [3.0, 0.0])] {
+        let results = [result(&probes[0], reported_loads[0]), result(&probes[1], reported_loads[1])];
+        let reply = replies(&run(&[start.clone(), frame(6.0, &results, &[])].concat()).stdout);
+        assert_eq!(sends(&reply[1])[0][9..15], probes[idle]);
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A caller of the module for tests, with its clock, its timers and a log of all actions.
+//! A test harness that acts as the caller of the decision module, with a clock, timers and a log of all
+//! actions.
 #![allow(dead_code)]
 
 use lugwharf_sidecar::{Balancer, api::*};
@@ -58,7 +59,7 @@
     pub balancer: Balancer,
     pub now: u64,
     pub timers: Vec<(u64, TimerId)>,
-    /// All actions so far but timers, with their time.
+    /// All actions so far except timers, with the times at which they were returned.
     pub log: Vec<(u64, Action)>,
     next_id: u32,
 }
@@ -75,7 +76,7 @@
         harness
     }
 
-    /// Handles one event and returns the actions except timers, which it keeps.
+    /// Handles one event and returns the resulting actions except timers, which the harness keeps.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = vec![];
         self.balancer.handle(ms(self.now), event, &mut out);
@@ -94,7 +95,7 @@
         actions
     }
 
-    /// Advances the clock in ticks of 5 ms and fires what falls due.
+    /// Advances the clock in ticks of 5 ms and fires the timers that expire.
     pub fn advance(&mut self, time: u64) -> Vec<Action> {
         let mut actions = vec![];
         let end = self.now + time;
@@ -110,7 +111,7 @@
         actions
     }
 
-    /// Handles a request of this class with an id that the test chooses.
+    /// Handles the arrival of a request of this class with this id.
     pub fn arrive(&mut self, id: u32, class: usize, client_timeout: u64, origin: Origin) -> Vec<Action> {
         let (id, cost, client_timeout) = (RequestId(id), None, ms(client_timeout));
         self.handle(Event::Request(Arrival { id, class, cost, client_timeout, origin }))
@@ -134,14 +135,15 @@
         self.handle(Event::Outcome { id, attempt, outcome, elapsed: ms(elapsed), request_status })
     }
 
-    /// Serves some requests, one after the other.
+    /// Serves `count` requests, one after the other.
     pub fn serve_many(&mut self, count: usize, elapsed: impl Fn(ServerId) -> u64) {
         for _ in 0..count {
             self.serve(&elapsed);
         }
     }
 
-    /// Serves one request after the time that `elapsed` gives for the server it went to, and returns that server.
+    /// Sends one request, reports its answer after the time that `elapsed` returns for its server, and
+    /// returns that server.
     pub fn serve(&mut self, elapsed: impl Fn(ServerId) -> u64) -> ServerId {
         let (id, actions) = self.request();
         let server = sent_to(&actions).expect("sent at once");
--- a/tests/decision_digests.rs
+++ b/tests/decision_digests.rs
@@ -1,9 +1,10 @@
-//! Digests of whole simulated days of the decision module.
+//! Digests of all actions of the decision module in seeded simulations.
 //!
-//! Each day plays a seeded sequence of events (requests of each class, outcomes, probes, streams, list changes, timers,
-//! clients that leave) and folds every action, with its time, into a digest. The encoding is this file's own: kinds as
-//! numbers, ids and times as integers. The constants below must never change while the behaviour is meant to stay.
-//! They were captured on 1a8c4db, and hold for a C library whose `exp` and `ln` round as the one there does.
+//! Each simulation generates a seeded sequence of events (requests of each class, outcomes, probes, streams,
+//! list changes, timers, client disconnects) and folds every action, with its time, into a digest. The
+//! encoding is defined in this file: action kinds as numbers, ids and times as integers. The digests must not
+//! change unless a change of behaviour is intended. They were captured on 1a8c4db, and require a C library
+//! whose `exp` and `ln` round like the one used there.
 
 use lugwharf_sidecar::{Balancer, api::*, settings_text};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,8 +14,9 @@
 const MS: u64 = 1_000_000;
 const SEEDS: u64 = 10;
 
-/// Name, settings text, servers on the list, mean time between requests in microseconds, seconds played.
-const DAYS: [(&str, &str, u64, u64, u64); 5] = [
+/// For each scenario: name, settings text, number of servers, mean time between requests in microseconds, and
+/// simulated seconds.
+const SCENARIOS: [(&str, &str, u64, u64, u64); 5] = [
     (
         "three classes, two zones, pushed list",
         "zone=0\ntick=5.0\ndiscovery=pushed\nme=1\ninstances=4\nworthBy=work\nprices.crossZone=0.05\n\
@@ -33,7 +35,7 @@
         9,
     ),
     (
-        "a quiet sidecar of many that probes, list on request",
+        "one of many sidecars, with little traffic and probes, list on request",
         "zone=1\ntick=1.0\ndiscovery=on_request\nobligations.mustAskIn=8000\nme=17\ninstances=100\n\
          report.fields=depth,concurrent\nprices.probe=0.01\n\
          policyLimits.cancel=true\npolicyLimits.probes=true\npolicyLimits.mostTries=2\n\
@@ -46,7 +48,7 @@
         40,
     ),
     (
-        "the defaults, one safe class",
+        "the defaults, one idempotent class",
         "zone=0\ndiscovery=pushed\nrequestClasses.count=1\nrequestClasses.0.aim=250\nrequestClasses.0.idempotency=retryable\n",
         5,
         9_000,
@@ -78,7 +80,7 @@
     ),
 ];
 
-const DIGESTS: [[u64; SEEDS as usize]; DAYS.len()] = [
+const DIGESTS: [[u64; SEEDS as usize]; SCENARIOS.len()] = [
     [
         0x6cb6_9064_591b_1367,
         0xedc0_1d3f_5e2f_cbf4,
@@ -152,10 +154,10 @@
     }
 }
 
-/// Xorshift; independent of the module's generator.
-struct Draws(u64);
+/// A xorshift generator, independent of the random number generator of the decision module.
+struct Xorshift(u64);
 
-impl Draws {
+impl Xorshift {
     fn next(&mut self) -> u64 {
         self.0 ^= self.0 << 13;
         self.0 ^= self.0 >> 7;
@@ -172,45 +174,46 @@
     }
 }
 
-struct Machine {
+struct SimulatedServer {
     id: u64,
     availability: u8,
     started_ms: u64,
-    /// What a request takes there, in microseconds, and of a thousand requests how many fail.
-    usual_us: u64,
-    failing: u64,
-    busy: u64,
+    /// The typical latency of a request, in microseconds, and the number of failures per thousand requests.
+    latency_us: u64,
+    failures_per_thousand: u64,
+    in_flight: u64,
 }
 
 #[derive(Clone, Copy)]
-enum Due {
+enum ScheduledEvent {
     Arrival,
     Timer(u64),
     Outcome(u32, usize, u64),
     Stream(u32, usize),
-    Departure(u32),
-    Probed(u64),
+    ClientDisconnect(u32),
+    ProbeCompleted(u64),
     ListChange,
 }
 
-struct Day {
+struct Simulation {
     balancer: Balancer,
-    draws: Draws,
+    rng: Xorshift,
     digest: Digest,
     now: u64,
-    queue: BTreeMap<(u64, u64), Due>,
-    serial: u64,
-    machines: Vec<Machine>,
+    queue: BTreeMap<(u64, u64), ScheduledEvent>,
+    last_sequence: u64,
+    servers: Vec<SimulatedServer>,
     classes: u64,
-    pause_us: u64,
+    mean_interval_us: u64,
     next_id: u32,
-    /// Attempts sent for each request so far.
+    /// The number of attempts sent so far, by request.
     sent: BTreeMap<u32, usize>,
-    /// When each attempt that is out was sent, and to which machine.
-    out: BTreeMap<(u32, usize), (u64, usize)>,
-    /// Requests whose client has its answer or has left.
-    over: BTreeSet<u32>,
-    /// How often each kind of action, event and log line came.
+    /// The attempts in flight, with their times of sending and the indexes of their servers.
+    in_flight_attempts: BTreeMap<(u32, usize), (u64, usize)>,
+    /// Requests whose client has its final answer or has disconnected.
+    finished: BTreeSet<u32>,
+    /// The number of actions by kind, where each kind of log line counts as a kind of action, and of outcomes
+    /// by code.
     actions: [u64; 13],
     outcomes: [u64; 9],
 }
@@ -228,159 +231,163 @@
     }
 }
 
-impl Day {
-    fn new(text: &str, servers: u64, pause_us: u64, seed: u64) -> Day {
-        let settings = settings_text::parse(text).expect("readable");
+impl Simulation {
+    fn new(text: &str, server_count: u64, mean_interval_us: u64, seed: u64) -> Simulation {
+        let settings = settings_text::parse(text).expect("valid settings");
         let classes = settings.classes.len() as u64;
-        let mut draws = Draws(0x9e37_79b9_7f4a_7c15 ^ (seed + 1).wrapping_mul(0xd6e8_feb8_6659_fd93));
-        let machines = (0..servers).map(|id| Machine {
+        let mut rng = Xorshift(0x9e37_79b9_7f4a_7c15 ^ (seed + 1).wrapping_mul(0xd6e8_feb8_6659_fd93));
+        let servers = (0..server_count).map(|id| SimulatedServer {
             id: 100 + id * 7,
             availability: 1,
             started_ms: 0,
-            usual_us: 15_000 + draws.below(60_000) * if draws.one_in(6) { 6 } else { 1 },
-            failing: if draws.one_in(5) { 400 } else { 4 },
-            busy: 0,
+            latency_us: 15_000 + rng.below(60_000) * if rng.one_in(6) { 6 } else { 1 },
+            failures_per_thousand: if rng.one_in(5) { 400 } else { 4 },
+            in_flight: 0,
         });
-        let machines = machines.collect();
-        Day {
+        let servers = servers.collect();
+        Simulation {
             balancer: Balancer::new(settings, seed),
-            draws,
+            rng,
             digest: Digest(0xcbf2_9ce4_8422_2325),
             now: 0,
             queue: BTreeMap::new(),
-            serial: 0,
-            machines,
+            last_sequence: 0,
+            servers,
             classes,
-            pause_us,
+            mean_interval_us,
             next_id: 0,
             sent: BTreeMap::new(),
-            out: BTreeMap::new(),
-            over: BTreeSet::new(),
+            in_flight_attempts: BTreeMap::new(),
+            finished: BTreeSet::new(),
             actions: [0; 13],
             outcomes: [0; 9],
         }
     }
 
-    fn after(&mut self, time: u64, due: Due) {
-        self.serial += 1;
-        self.queue.insert((self.now + time, self.serial), due);
+    fn schedule(&mut self, delay: u64, scheduled: ScheduledEvent) {
+        self.last_sequence += 1;
+        self.queue.insert((self.now + delay, self.last_sequence), scheduled);
     }
 
-    fn line(&self, at: usize) -> ServerEntry {
-        let machine = &self.machines[at];
+    fn entry(&self, at: usize) -> ServerEntry {
+        let server = &self.servers[at];
         ServerEntry {
-            server: ServerId(machine.id),
+            server: ServerId(server.id),
             availability: [Availability::Gone, Availability::Ready, Availability::Draining]
-                [usize::from(machine.availability)],
-            cell: (machine.id / 7 % 4) as u16,
-            zone: (machine.id / 7 % 3) as u16,
-            machine_type: (machine.id / 7 % 2) as u8,
-            weight: [1.0, 1.0, 2.0, 0.5, f64::NAN][(machine.id / 7 % 5) as usize],
-            started_at: (machine.started_ms > 0).then(|| Duration::from_millis(machine.started_ms)),
+                [usize::from(server.availability)],
+            cell: (server.id / 7 % 4) as u16,
+            zone: (server.id / 7 % 3) as u16,
+            machine_type: (server.id / 7 % 2) as u8,
+            weight: [1.0, 1.0, 2.0, 0.5, f64::NAN][(server.id / 7 % 5) as usize],
+            started_at: (server.started_ms > 0).then(|| Duration::from_millis(server.started_ms)),
         }
     }
 
-    fn play(mut self, seconds: u64) -> Day {
-        let all = (0..self.machines.len()).map(|at| self.line(at)).collect();
-        self.tell(Event::ServerList(ServerListEvent::Cached(all)));
-        self.after(MS, Due::Arrival);
-        self.after(300 * MS, Due::ListChange);
-        while let Some(((at, _), due)) = self.queue.pop_first() {
+    fn run(mut self, seconds: u64) -> Simulation {
+        let all = (0..self.servers.len()).map(|at| self.entry(at)).collect();
+        self.handle(Event::ServerList(ServerListEvent::Cached(all)));
+        self.schedule(MS, ScheduledEvent::Arrival);
+        self.schedule(300 * MS, ScheduledEvent::ListChange);
+        while let Some(((at, _), scheduled)) = self.queue.pop_first() {
             if at > seconds * SECOND {
                 break;
             }
             self.now = at;
-            self.play_one(due);
+            self.run_event(scheduled);
         }
         self
     }
 
-    fn play_one(&mut self, due: Due) {
-        match due {
-            Due::Arrival => self.arrive(),
-            Due::Timer(mark) => self.tell(Event::Timer(TimerId(mark))),
-            Due::Outcome(id, attempt, code) => self.end(id, attempt, code),
-            Due::Stream(id, attempt) => {
-                if let Some((sent, _)) = self.out.get(&(id, attempt)).copied() {
+    fn run_event(&mut self, scheduled: ScheduledEvent) {
+        match scheduled {
+            ScheduledEvent::Arrival => self.arrive(),
+            ScheduledEvent::Timer(id) => self.handle(Event::Timer(TimerId(id))),
+            ScheduledEvent::Outcome(id, attempt, code) => self.end_attempt(id, attempt, code),
+            ScheduledEvent::Stream(id, attempt) => {
+                if let Some((sent, _)) = self.in_flight_attempts.get(&(id, attempt)).copied() {
                     let elapsed = Duration::from_nanos(self.now - sent);
-                    self.tell(Event::StreamStarted { id: RequestId(id), attempt, elapsed });
+                    self.handle(Event::StreamStarted { id: RequestId(id), attempt, elapsed });
                 }
             }
-            Due::Departure(id) => {
-                if self.over.insert(id) {
-                    self.tell(Event::ClientDisconnected(RequestId(id)));
+            ScheduledEvent::ClientDisconnect(id) => {
+                if self.finished.insert(id) {
+                    self.handle(Event::ClientDisconnected(RequestId(id)));
                 }
             }
-            Due::Probed(server) => {
-                let code = [1, 1, 1, 1, 1, 3, 4, 5][self.draws.below(8) as usize];
-                let busy = self.machines.iter().find(|m| m.id == server).map_or(0, |m| m.busy);
-                let held = (!self.draws.one_in(6)).then(|| (busy + self.draws.below(4)) as f64);
-                self.tell(Event::ProbeCompleted {
+            ScheduledEvent::ProbeCompleted(server) => {
+                let code = [1, 1, 1, 1, 1, 3, 4, 5][self.rng.below(8) as usize];
+                let in_flight = self
+                    .servers
+                    .iter()
+                    .find(|listed| listed.id == server)
+                    .map_or(0, |listed| listed.in_flight);
+                let reported_load = (!self.rng.one_in(6)).then(|| (in_flight + self.rng.below(4)) as f64);
+                self.handle(Event::ProbeCompleted {
                     server: ServerId(server),
                     outcome: outcome(code),
-                    reported_load: held,
+                    reported_load,
                 });
             }
-            Due::ListChange => self.change_list(),
+            ScheduledEvent::ListChange => self.change_list(),
         }
     }
 
     fn arrive(&mut self) {
         let id = self.next_id;
         self.next_id += 1;
-        let class = if self.draws.one_in(200) { 9 } else { self.draws.below(self.classes) as usize };
-        let cost = self.draws.one_in(2).then(|| Duration::from_micros(self.draws.below(90_000)));
+        let class = if self.rng.one_in(200) { 9 } else { self.rng.below(self.classes) as usize };
+        let cost = self.rng.one_in(2).then(|| Duration::from_micros(self.rng.below(90_000)));
         let client_timeout =
-            Duration::from_millis(if self.draws.one_in(100) { 0 } else { 60 + self.draws.below(1_200) });
-        let origin = if self.draws.one_in(8) { Origin::ClientRetry } else { Origin::Fresh };
-        self.tell(Event::Request(Arrival { id: RequestId(id), class, cost, client_timeout, origin }));
-        if self.draws.one_in(12) {
-            let leaves = self.draws.below(400) * MS;
-            self.after(leaves, Due::Departure(id));
+            Duration::from_millis(if self.rng.one_in(100) { 0 } else { 60 + self.rng.below(1_200) });
+        let origin = if self.rng.one_in(8) { Origin::ClientRetry } else { Origin::Fresh };
+        self.handle(Event::Request(Arrival { id: RequestId(id), class, cost, client_timeout, origin }));
+        if self.rng.one_in(12) {
+            let delay = self.rng.below(400) * MS;
+            self.schedule(delay, ScheduledEvent::ClientDisconnect(id));
         }
-        // Every fourth 1.5 s are a rush.
-        let rush = self.now / (SECOND * 3 / 2) % 4 == 2;
-        let pause = self.pause_us * 2 * (1 + self.draws.below(999)) / if rush { 8 } else { 1 };
-        self.after(pause, Due::Arrival);
+        // Every fourth period of 1.5 s is a burst.
+        let is_burst = self.now / (SECOND * 3 / 2) % 4 == 2;
+        let interval = self.mean_interval_us * 2 * (1 + self.rng.below(999)) / if is_burst { 8 } else { 1 };
+        self.schedule(interval, ScheduledEvent::Arrival);
     }
 
     fn change_list(&mut self) {
-        let at = self.draws.below(self.machines.len() as u64) as usize;
-        match self.draws.below(12) {
-            0..=2 => self.machines[at].availability = 0,
-            3..=4 => self.machines[at].availability = 2,
+        let at = self.rng.below(self.servers.len() as u64) as usize;
+        match self.rng.below(12) {
+            0..=2 => self.servers[at].availability = 0,
+            3..=4 => self.servers[at].availability = 2,
             5 => {}
             _ => {
                 let started_ms = self.now / MS + 1;
-                let machine = &mut self.machines[at];
-                machine.started_ms = if machine.availability == 1 { machine.started_ms } else { started_ms };
-                machine.availability = 1;
-                machine.failing = if self.draws.one_in(5) { 400 } else { 4 };
+                let server = &mut self.servers[at];
+                server.started_ms = if server.availability == 1 { server.started_ms } else { started_ms };
+                server.availability = 1;
+                server.failures_per_thousand = if self.rng.one_in(5) { 400 } else { 4 };
             }
         }
-        let all = (0..self.machines.len()).map(|at| self.line(at)).collect();
-        let news = match self.draws.below(9) {
+        let all = (0..self.servers.len()).map(|at| self.entry(at)).collect();
+        let update = match self.rng.below(9) {
             0 => ServerListEvent::Full(all),
             1 => ServerListEvent::Failed,
             2 => ServerListEvent::Interrupted,
-            _ => ServerListEvent::Delta(vec![self.line(at)]),
+            _ => ServerListEvent::Delta(vec![self.entry(at)]),
         };
-        self.tell(Event::ServerList(news));
-        let pause = (50 + self.draws.below(700)) * MS;
-        self.after(pause, Due::ListChange);
+        self.handle(Event::ServerList(update));
+        let interval = (50 + self.rng.below(700)) * MS;
+        self.schedule(interval, ScheduledEvent::ListChange);
     }
 
-    fn end(&mut self, id: u32, attempt: usize, code: u64) {
-        let Some((sent, machine)) = self.out.remove(&(id, attempt)) else { return };
-        self.machines[machine].busy -= 1;
+    fn end_attempt(&mut self, id: u32, attempt: usize, code: u64) {
+        let Some((sent, server)) = self.in_flight_attempts.remove(&(id, attempt)) else { return };
+        self.servers[server].in_flight -= 1;
         self.outcomes[code as usize] += 1;
         if code == 1 {
-            self.over.insert(id);
+            self.finished.insert(id);
         }
         let request_status =
-            if self.over.contains(&id) { RequestStatus::Finished } else { RequestStatus::AwaitingAnswer };
+            if self.finished.contains(&id) { RequestStatus::Finished } else { RequestStatus::AwaitingAnswer };
         let elapsed = Duration::from_nanos(self.now - sent);
-        self.tell(Event::Outcome {
+        self.handle(Event::Outcome {
             id: RequestId(id),
             attempt,
             outcome: outcome(code),
@@ -389,66 +396,66 @@
         });
     }
 
-    /// How an attempt will end: by itself or by its time-out.
-    fn launch(&mut self, id: u32, server: u64, timeout: Duration) {
+    /// Starts an attempt and schedules its outcome: a failure, a timeout or an answer.
+    fn start_attempt(&mut self, id: u32, server: u64, timeout: Duration) {
         let attempt = self.sent.entry(id).or_insert(0);
         let number = std::mem::replace(attempt, *attempt + 1);
-        let at = self.machines.iter().position(|m| m.id == server).expect("listed");
-        self.machines[at].busy += 1;
-        self.out.insert((id, number), (self.now, at));
-        let fails = self.draws.below(1_000) < self.machines[at].failing;
-        let jitter = 500 + self.draws.below(1_000);
-        let elapsed = self.machines[at].usual_us * jitter * (2 + self.machines[at].busy) / 3;
+        let at = self.servers.iter().position(|listed| listed.id == server).expect("listed");
+        self.servers[at].in_flight += 1;
+        self.in_flight_attempts.insert((id, number), (self.now, at));
+        let will_fail = self.rng.below(1_000) < self.servers[at].failures_per_thousand;
+        let jitter = 500 + self.rng.below(1_000);
+        let elapsed = self.servers[at].latency_us * jitter * (2 + self.servers[at].in_flight) / 3;
         let timeout = timeout.as_nanos() as u64;
-        if fails {
-            let code = [2, 2, 3, 5, 6, 8][self.draws.below(6) as usize];
-            let elapsed = self.draws.below(30) * MS;
-            self.after(elapsed.min(timeout), Due::Outcome(id, number, code));
+        if will_fail {
+            let code = [2, 2, 3, 5, 6, 8][self.rng.below(6) as usize];
+            let elapsed = self.rng.below(30) * MS;
+            self.schedule(elapsed.min(timeout), ScheduledEvent::Outcome(id, number, code));
         } else if elapsed >= timeout {
-            self.after(timeout, Due::Outcome(id, number, 4));
+            self.schedule(timeout, ScheduledEvent::Outcome(id, number, 4));
         } else {
-            if self.draws.one_in(20) {
-                self.after(elapsed / 2, Due::Stream(id, number));
+            if self.rng.one_in(20) {
+                self.schedule(elapsed / 2, ScheduledEvent::Stream(id, number));
             }
-            self.after(elapsed, Due::Outcome(id, number, 1));
+            self.schedule(elapsed, ScheduledEvent::Outcome(id, number, 1));
         }
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(Duration::from_nanos(self.now), event, &mut actions);
         for action in actions {
             self.digest.fold(&[self.now]);
-            self.carry_out(&action);
+            self.execute(&action);
         }
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn execute(&mut self, action: &Action) {
         let nanos = |time: &Duration| time.as_nanos() as u64;
         let words: Vec<u64> = match action {
             Action::Send { id, server, timeout, write_within } => {
-                self.launch(id.0, server.0, *timeout);
+                self.start_attempt(id.0, server.0, *timeout);
                 vec![0, u64::from(id.0), server.0, nanos(timeout), nanos(write_within)]
             }
             Action::Reject { id, retry_after } => {
-                self.over.insert(id.0);
+                self.finished.insert(id.0);
                 vec![1, u64::from(id.0), retry_after.as_ref().map_or(u64::MAX, nanos)]
             }
             Action::Fail(id) => {
-                self.over.insert(id.0);
+                self.finished.insert(id.0);
                 vec![2, u64::from(id.0)]
             }
             Action::Cancel { id, attempt } => {
-                self.after(0, Due::Outcome(id.0, *attempt, 7));
+                self.schedule(0, ScheduledEvent::Outcome(id.0, *attempt, 7));
                 vec![3, u64::from(id.0), *attempt as u64]
             }
             Action::SetTimer { timer, after } => {
-                self.after(nanos(after), Due::Timer(timer.0));
+                self.schedule(nanos(after), ScheduledEvent::Timer(timer.0));
                 vec![4, timer.0, nanos(after)]
             }
             Action::Probe(server) => {
-                let takes = (1 + self.draws.below(30)) * MS / 2;
-                self.after(takes, Due::Probed(server.0));
+                let latency = (1 + self.rng.below(30)) * MS / 2;
+                self.schedule(latency, ScheduledEvent::ProbeCompleted(server.0));
                 vec![5, server.0]
             }
             Action::Subscribe => vec![6],
@@ -464,22 +471,23 @@
 }
 
 #[test]
-fn seeded_days_end_with_the_captured_digests() {
+fn seeded_simulations_end_with_the_captured_digests() {
     let (mut actions, mut outcomes) = ([0; 13], [0; 9]);
     let mut digests = DIGESTS;
-    for (day, (name, text, servers, pause_us, seconds)) in DAYS.into_iter().enumerate() {
-        let mut of_day = [0; 13];
+    for (scenario, (name, text, server_count, mean_interval_us, seconds)) in SCENARIOS.into_iter().enumerate()
+    {
+        let mut scenario_actions = [0; 13];
         for seed in 0..SEEDS {
-            let played = Day::new(text, servers, pause_us, seed).play(seconds);
-            digests[day][seed as usize] = played.digest.0;
-            played.actions.iter().zip(&mut of_day).for_each(|(played, all)| *all += played);
-            played.outcomes.iter().zip(&mut outcomes).for_each(|(played, all)| *all += played);
+            let simulation = Simulation::new(text, server_count, mean_interval_us, seed).run(seconds);
+            digests[scenario][seed as usize] = simulation.digest.0;
+            simulation.actions.iter().zip(&mut scenario_actions).for_each(|(count, total)| *total += count);
+            simulation.outcomes.iter().zip(&mut outcomes).for_each(|(count, total)| *total += count);
         }
-        println!("{name}: actions {of_day:?}");
-        of_day.iter().zip(&mut actions).for_each(|(played, all)| *all += played);
+        println!("{name}: actions {scenario_actions:?}");
+        scenario_actions.iter().zip(&mut actions).for_each(|(count, total)| *total += count);
     }
     println!("outcomes {outcomes:?}");
-    assert!(actions[..12].iter().all(|count| *count > 0), "each kind of action came: {actions:?}");
-    assert!(outcomes[1..].iter().all(|count| *count > 0), "each kind of outcome came: {outcomes:?}");
+    assert!(actions[..12].iter().all(|count| *count > 0), "each kind of action must occur: {actions:?}");
+    assert!(outcomes[1..].iter().all(|count| *count > 0), "each kind of outcome must occur: {outcomes:?}");
     assert_eq!(digests, DIGESTS, "{digests:#018x?}");
 }
--- a/tests/module/attempts.rs
+++ b/tests/module/attempts.rs
@@ -1,28 +1,33 @@
-//! Tests of final answers, and of which attempts a request may have.
+//! Tests of final answers, and of the conditions for retries.
 
 use crate::common::*;
-use crate::{SAFE, entries, harness, keyed};
+use crate::{IDEMPOTENT, entries, harness, keyed};
 use lugwharf_sidecar::{Balancer, api::*};
 
 #[test]
 fn a_queued_request_is_rejected_before_its_client_timeout() {
     for client_timeout in [1, 40, 300, 1_200] {
-        let mut harness = harness(SAFE, 0);
+        let mut harness = harness(IDEMPOTENT, 0);
         harness.request_of_class(0, client_timeout);
         let actions = harness.advance(client_timeout);
-        assert!(is_rejected(&actions), "patience {client_timeout}");
+        assert!(is_rejected(&actions), "client timeout {client_timeout} ms");
     }
 }
 
 #[test]
 fn a_request_timer_that_fires_early_by_less_than_a_tick_ends_the_queue_wait() {
-    // Incident if274e6, lost requests: the clock is coarser than the queue wait.
-    let mut b = Balancer::new(settings(vec![class(SAFE)]), 1);
+    // Regression test for incident if274e6: requests were never answered, because a timer may fire early by
+    // less than its resolution.
+    let mut balancer = Balancer::new(settings(vec![class(IDEMPOTENT)]), 1);
     let mut out = vec![];
-    b.handle(ms(0), Event::ServerList(ServerListEvent::Full(vec![])), &mut out);
+    balancer.handle(ms(0), Event::ServerList(ServerListEvent::Full(vec![])), &mut out);
     let id = RequestId(1);
     let (client_timeout, origin) = (ms(300), Origin::Fresh);
-    b.handle(ms(1), Event::Request(Arrival { id, class: 0, cost: None, client_timeout, origin }), &mut out);
+    balancer.handle(
+        ms(1),
+        Event::Request(Arrival { id, class: 0, cost: None, client_timeout, origin }),
+        &mut out,
+    );
     let timers = out.iter().filter_map(|a| match a {
         Action::SetTimer { timer, after } if timer.0 == 1 => Some((*timer, *after)),
         _ => None,
@@ -30,33 +35,40 @@
     let timers: Vec<_> = timers.collect();
     out.clear();
     for (timer, after) in timers {
-        let early = std::time::Duration::from_micros(1);
-        b.handle(ms(1) + after - early, Event::Timer(timer), &mut out);
+        let less_than_a_tick = std::time::Duration::from_micros(1);
+        balancer.handle(ms(1) + after - less_than_a_tick, Event::Timer(timer), &mut out);
     }
     assert!(is_rejected(&out));
 }
 
 #[test]
 fn a_timeout_at_the_deadline_is_followed_by_the_final_answer() {
-    for (idempotency, refuses) in
-        [(SAFE, true), (keyed(DedupScope::Cell), false), (Idempotency::NonIdempotent, false)]
+    for (idempotency, is_rejection_expected) in
+        [(IDEMPOTENT, true), (keyed(DedupScope::Cell), false), (Idempotency::NonIdempotent, false)]
     {
         let mut harness = harness(idempotency, 1);
         let (id, _) = harness.request();
         harness.advance(1_200);
         let actions = harness.end_attempt(id, 0, Outcome::Timeout, 1_200);
-        assert_eq!((is_rejected(&actions), is_failed(&actions)), (refuses, !refuses), "{idempotency:?}");
+        assert_eq!(
+            (is_rejected(&actions), is_failed(&actions)),
+            (is_rejection_expected, !is_rejection_expected),
+            "{idempotency:?}"
+        );
     }
 }
 
 #[test]
 fn nothing_is_sent_for_a_finished_request() {
-    let mut harness = harness(SAFE, 3);
+    let mut harness = harness(IDEMPOTENT, 3);
     let (id, _) = harness.request();
     harness.handle(Event::ClientDisconnected(id));
     let actions = harness.end_attempt(id, 0, Outcome::Error, 30);
     assert!(actions.is_empty() && harness.advance(2_000).is_empty());
-    assert!(harness.end_attempt(id, 0, Outcome::Ok, 30).is_empty(), "a second outcome is nothing new");
+    assert!(
+        harness.end_attempt(id, 0, Outcome::Ok, 30).is_empty(),
+        "a second outcome of the same attempt is ignored"
+    );
 }
 
 #[test]
@@ -71,27 +83,30 @@
         let mut harness = harness(Idempotency::NonIdempotent, 3);
         harness.serve_many(20, |_| 30);
         let (id, first) = harness.request();
-        let again = sent_to(&harness.end_attempt(id, 0, outcome, 1));
-        assert!(again.is_some() && again != sent_to(&first), "{outcome:?}");
-        assert!(harness.advance(1_000).iter().all(|a| matches!(a, Action::Log(_))), "and never sent twice");
+        let retry = sent_to(&harness.end_attempt(id, 0, outcome, 1));
+        assert!(retry.is_some() && retry != sent_to(&first), "{outcome:?}");
+        assert!(
+            harness.advance(1_000).iter().all(|a| matches!(a, Action::Log(_))),
+            "and no further attempt is sent"
+        );
     }
 }
 
 #[test]
 fn a_keyed_request_is_retried_only_in_its_dedup_group_and_window() {
-    for (group, inside) in [(DedupScope::Cell, [1, 2, 3]), (DedupScope::Zone, [1, 2, 4])] {
+    for (scope, group) in [(DedupScope::Cell, [1, 2, 3]), (DedupScope::Zone, [1, 2, 4])] {
         for seed in 0..20 {
             let mut servers = entries(6);
             servers.iter_mut().for_each(|s| (s.cell, s.zone) = (1, 1));
             servers[..3].iter_mut().for_each(|s| s.cell = 0);
             servers.iter_mut().filter(|s| [1, 2, 4].contains(&s.server.0)).for_each(|s| s.zone = 0);
-            let mut harness = Harness::seeded(settings(vec![class(keyed(group))]), servers, seed);
+            let mut harness = Harness::seeded(settings(vec![class(keyed(scope))]), servers, seed);
             harness.serve_many(20, |_| 30);
             let (id, actions) = harness.request();
             let first = sent_to(&actions).map_or(0, |s| s.0);
-            let again = sent_to(&harness.end_attempt(id, 0, Outcome::Error, 30)).map_or(0, |s| s.0);
-            assert_eq!(inside.contains(&first), inside.contains(&again), "{group:?} {first} {again}");
-            // Outside the window the answer is a failure.
+            let retry = sent_to(&harness.end_attempt(id, 0, Outcome::Error, 30)).map_or(0, |s| s.0);
+            assert_eq!(group.contains(&first), group.contains(&retry), "{scope:?} {first} {retry}");
+            // After the window, the final answer is a failure.
             harness.advance(800);
             let actions = harness.end_attempt(id, 1, Outcome::Error, 800);
             assert!(is_failed(&actions) && sent_to(&actions).is_none());
@@ -109,7 +124,7 @@
 
 #[test]
 fn a_request_is_rejected_after_max_attempts() {
-    let mut harness = harness(SAFE, 9);
+    let mut harness = harness(IDEMPOTENT, 9);
     harness.serve_many(50, |_| 30);
     let (id, _) = harness.request();
     assert!(sent_to(&harness.end_attempt(id, 0, Outcome::ConnectFailed, 1)).is_some());
@@ -119,8 +134,9 @@
 
 #[test]
 fn a_request_never_has_two_attempts_in_flight() {
-    // Hedged requests would waste capacity in an overload: a silent or slow server is waited for.
-    let mut harness = harness(SAFE, 4);
+    // Hedged requests would waste capacity in an overload, so the sidecar waits for an unresponsive or slow
+    // server.
+    let mut harness = harness(IDEMPOTENT, 4);
     harness.serve_many(60, |_| 50);
     harness.request();
     assert!(sent_to(&harness.advance(1_000)).is_none());
@@ -128,34 +144,34 @@
 
 #[test]
 fn retries_stay_within_the_retry_budget() {
-    let mut harness = harness(SAFE, 6);
-    let mut extra = 0;
+    let mut harness = harness(IDEMPOTENT, 6);
+    let mut retries = 0;
     for _ in 0..500 {
         let (id, actions) = harness.request();
-        extra -= i32::from(sent_to(&actions).is_some());
+        retries -= i32::from(sent_to(&actions).is_some());
         for attempt in 0..3 {
             harness.end_attempt(id, attempt, Outcome::Error, 5);
         }
         harness.advance(5);
     }
-    extra += harness.log.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count() as i32;
-    assert!((1..=60).contains(&extra), "{extra} further attempts for 500 requests");
+    retries += harness.log.iter().filter(|(_, a)| matches!(a, Action::Send { .. })).count() as i32;
+    assert!((1..=60).contains(&retries), "{retries} retries for 500 requests");
 }
 
 #[test]
 fn invalid_input_is_rejected_or_ignored() {
-    let mut harness = harness(SAFE, 2);
+    let mut harness = harness(IDEMPOTENT, 2);
     assert!(is_rejected(&harness.request_of_class(7, 1_000).1), "unknown class");
-    assert!(is_rejected(&harness.request_of_class(0, 0).1), "no patience");
+    assert!(is_rejected(&harness.request_of_class(0, 0).1), "client timeout of zero");
     assert!(harness.handle(Event::ClientDisconnected(RequestId(999))).is_empty());
     assert!(harness.end_attempt(RequestId(999), 0, Outcome::Ok, 1).is_empty());
     assert!(harness.handle(Event::Timer(TimerId(u64::MAX))).is_empty());
     let (id, _) = harness.request();
     assert!(harness.end_attempt(id, 9, Outcome::Ok, 1).is_empty(), "unknown attempt");
-    let mut twice = entries(2);
-    twice.extend(entries(2));
-    twice.iter_mut().for_each(|l| l.weight = f64::NAN);
-    harness.handle(Event::ServerList(ServerListEvent::Full(twice)));
+    let mut duplicate_entries = entries(2);
+    duplicate_entries.extend(entries(2));
+    duplicate_entries.iter_mut().for_each(|s| s.weight = f64::NAN);
+    harness.handle(Event::ServerList(ServerListEvent::Full(duplicate_entries)));
     assert!(sent_to(&harness.request().1).is_some());
     let arrival = |id, cost| Arrival {
         id: RequestId(id),
@@ -165,16 +181,16 @@
         origin: Origin::ClientRetry,
     };
     assert!(sent_to(&harness.handle(Event::Request(arrival(5_000, ms(0))))).is_some());
-    assert!(harness.handle(Event::Request(arrival(5_000, ms(0)))).is_empty(), "the same id again");
+    assert!(harness.handle(Event::Request(arrival(5_000, ms(0)))).is_empty(), "the id of an open request");
 }
 
 #[test]
 fn a_started_stream_is_never_retried_or_timed_out() {
-    let mut harness = harness(SAFE, 3);
+    let mut harness = harness(IDEMPOTENT, 3);
     let (id, _) = harness.request();
     harness.advance(20);
     assert!(harness.handle(Event::StreamStarted { id, attempt: 0, elapsed: ms(20) }).is_empty());
-    assert!(harness.advance(5_000).is_empty(), "no deadline runs any longer, and nothing is repeated");
+    assert!(harness.advance(5_000).is_empty(), "neither a timeout nor a retry");
     assert!(harness.end_attempt(id, 0, Outcome::Ok, 5_020).is_empty());
     let (id, _) = harness.request();
     harness.handle(Event::StreamStarted { id, attempt: 0, elapsed: ms(20) });
@@ -185,21 +201,24 @@
         elapsed: ms(90),
         request_status: RequestStatus::Finished,
     };
-    assert!(harness.handle(event).iter().all(|a| matches!(a, Action::Log(_))), "its break is the end");
+    assert!(
+        harness.handle(event).iter().all(|a| matches!(a, Action::Log(_))),
+        "a connection loss ends the request"
+    );
     let (id, _) = harness.request();
     harness.handle(Event::ClientDisconnected(id));
     harness.handle(Event::StreamStarted { id, attempt: 0, elapsed: ms(20) });
     let actions = harness.end_attempt(id, 0, Outcome::Reset, 90);
     assert!(
         actions.iter().all(|a| matches!(a, Action::Log(_))),
-        "a stream too late for its client changes nothing"
+        "a stream that starts after the client disconnected changes nothing"
     );
 }
 
 #[test]
 fn a_client_retry_adds_nothing_to_the_retry_budget() {
-    for (origin, again) in [(Origin::Fresh, true), (Origin::ClientRetry, false)] {
-        let mut harness = harness(SAFE, 4);
+    for (origin, retry) in [(Origin::Fresh, true), (Origin::ClientRetry, false)] {
+        let mut harness = harness(IDEMPOTENT, 4);
         for id in 0..30 {
             harness.arrive(id, 0, 1_200, origin);
             harness.advance(20);
@@ -208,7 +227,7 @@
         harness.arrive(99, 0, 1_200, origin);
         assert_eq!(
             sent_to(&harness.end_attempt(RequestId(99), 0, Outcome::Error, 5)).is_some(),
-            again,
+            retry,
             "{origin:?}"
         );
     }
@@ -216,7 +235,7 @@
 
 #[test]
 fn a_retry_never_goes_to_a_server_that_had_the_request() {
-    let mut harness = harness(SAFE, 1);
+    let mut harness = harness(IDEMPOTENT, 1);
     harness.serve_many(30, |_| 20);
     let (id, _) = harness.request();
     assert!(sent_to(&harness.end_attempt(id, 0, Outcome::ConnectFailed, 1)).is_none());
@@ -225,7 +244,7 @@
 
 #[test]
 fn a_keyed_retry_must_be_written_within_the_dedup_window() {
-    // A retry may be decided in time and then wait for a connection.
+    // A retry may be sent by the module in time and then wait for a connection.
     let window = ms(1_000);
     for (idempotency, write_within) in [
         (Idempotency::Keyed { scope: DedupScope::All, window }, Some(700)),
@@ -242,10 +261,10 @@
         };
         let (id, actions) = harness.request();
         let (timeout, first) = times(&actions).expect("sent");
-        assert_eq!(first, timeout, "what is no repeat has all its time");
+        assert_eq!(first, timeout, "the first attempt may be written until its timeout");
         harness.advance(300);
-        let (timeout, again) = times(&harness.end_attempt(id, 0, Outcome::Reset, 300)).expect("sent again");
-        assert_eq!(again, write_within.map_or(timeout, ms), "{idempotency:?}");
+        let (timeout, retry) = times(&harness.end_attempt(id, 0, Outcome::Reset, 300)).expect("sent again");
+        assert_eq!(retry, write_within.map_or(timeout, ms), "{idempotency:?}");
     }
 }
 
@@ -259,11 +278,11 @@
             Action::Send { timeout, .. } => Some(*timeout),
             _ => None,
         };
-        harness.log.iter().find_map(sent).expect("it is sent")
+        harness.log.iter().find_map(sent).expect("sent")
     };
     assert_eq!(timeout(0.0, 1_200, Origin::Fresh), ms(400), "the latency target");
-    assert_eq!(timeout(0.3, 1_200, Origin::Fresh), ms(1_200), "a late answer earns something");
-    assert_eq!(timeout(0.0, 300, Origin::Fresh), ms(300), "the client leaves earlier");
-    assert_eq!(timeout(0.0, 900, Origin::ClientRetry), ms(100), "300 may have gone before");
-    assert_eq!(timeout(0.0, 700, Origin::ClientRetry), ms(400), "nothing is left to earn");
+    assert_eq!(timeout(0.3, 1_200, Origin::Fresh), ms(1_200), "a late answer has a value");
+    assert_eq!(timeout(0.0, 300, Origin::Fresh), ms(300), "the client timeout is shorter");
+    assert_eq!(timeout(0.0, 900, Origin::ClientRetry), ms(100), "the client may have waited 300 ms before");
+    assert_eq!(timeout(0.0, 700, Origin::ClientRetry), ms(400), "the latency target has passed");
 }
--- a/tests/module/main.rs
+++ b/tests/module/main.rs
@@ -1,4 +1,4 @@
-//! Behaviour of the module by scenario.
+//! Scenario tests of the decision module.
 
 mod admission;
 mod attempts;
@@ -12,7 +12,7 @@
 use common::*;
 use lugwharf_sidecar::api::*;
 
-const SAFE: Idempotency = Idempotency::Idempotent;
+const IDEMPOTENT: Idempotency = Idempotency::Idempotent;
 
 fn keyed(scope: DedupScope) -> Idempotency {
     Idempotency::Keyed { scope, window: ms(800) }
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -1,4 +1,5 @@
-//! The deploy file names files that exist, and the decision module does no I/O and reads no clock.
+//! Checks that the files named in `deploy/balancer.toml` exist, and that the decision module does no I/O and
+//! reads no clock.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,22 +8,22 @@
     Path::new(env!("CARGO_MANIFEST_DIR"))
 }
 
-/// The value of a key of `deploy/balancer.toml`, as it stands there.
+/// Returns the unparsed value of a key of `deploy/balancer.toml`.
 fn deploy_value(key: &str) -> String {
     let text = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
     let values: Vec<&str> =
         text.lines().filter_map(|line| line.strip_prefix(key)?.trim_start().strip_prefix('=')).collect();
-    assert_eq!(values.len(), 1, "{key} is named once");
+    assert_eq!(values.len(), 1, "{key} must occur exactly once");
     values[0].trim().to_owned()
 }
 
-/// The strings in a list.
-fn strings(value: &str) -> Vec<&str> {
+/// Returns the strings in a TOML list.
+fn list_items(value: &str) -> Vec<&str> {
     let list = value.split_once('[').and_then(|(_, rest)| rest.split_once(']')).expect("a list").0;
     list.split('"').skip(1).step_by(2).collect()
 }
 
-/// All files of the module, tests and programs aside.
+/// Returns all source files of the module, except tests and programs.
 fn module_files(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
     let mut files = Vec::new();
@@ -40,15 +41,18 @@
 #[test]
 fn the_deploy_file_names_policy_files_and_a_node_folder_that_exist() {
     let policy = deploy_value("policy");
-    let policy = strings(&policy);
+    let policy = list_items(&policy);
     assert!(!policy.is_empty());
-    let all = module_files(&root().join("src"));
+    let module_files_found = module_files(&root().join("src"));
     for file in policy {
-        assert!(all.contains(&root().join(file)), "{file} is a file of the module");
+        assert!(
+            module_files_found.contains(&root().join(file)),
+            "{file} must be a source file of the module"
+        );
     }
     let node = deploy_value("node");
-    for folder in strings(&node) {
-        assert!(root().join(folder).join("main.rs").is_file(), "{folder} holds the program");
+    for folder in list_items(&node) {
+        assert!(root().join(folder).join("main.rs").is_file(), "{folder} must contain main.rs");
     }
     assert!(deploy_value("run").starts_with("\"exec target/release/lugwharf-sidecar\""));
     assert!(deploy_value("sim").starts_with("\"exec target/release/lugwharf-simulator\""));
--- a/tests/settings_keys.rs
+++ b/tests/settings_keys.rs
@@ -1,4 +1,4 @@
-//! Each key of the settings text, with its default and with a value of its own.
+//! Tests of each key of the settings text, with its default and with another value.
 
 use lugwharf_sidecar::api::*;
 use lugwharf_sidecar::settings_text::{self, NetworkSettings};
@@ -8,11 +8,11 @@
     Duration::from_millis(ms)
 }
 
-/// The fewest lines that are readable.
-const FEWEST: &str = "zone=1\ndiscovery=pushed\nrequestClasses.count=1\nrequestClasses.0.name=pay\n\
+/// The settings text with the required keys only.
+const MINIMAL: &str = "zone=1\ndiscovery=pushed\nrequestClasses.count=1\nrequestClasses.0.name=pay\n\
     requestClasses.0.aim=290\nrequestClasses.0.idempotency=retryable\n";
 
-const ALL: &str = "zone=2\nme=7\ninstances=9\ntick=2.5\nworthBy=work\ndiscovery=on_request\n\
+const COMPLETE: &str = "zone=2\nme=7\ninstances=9\ntick=2.5\nworthBy=work\ndiscovery=on_request\n\
     areas=a,b_c\nskus=small,large\n\
     prices.crossZone=0.25\nprices.probe=0.125\nprices.handshake=0.5\n\
     blend.whole=0.5\nblend.worstWindow=0.25\nblend.worstClass=0.125\n\
@@ -29,7 +29,7 @@
     requestClasses.2.name=look\nrequestClasses.2.aim=400.5\nrequestClasses.2.idempotency=fragile\n";
 
 #[test]
-fn a_key_left_out_has_its_literal_default() {
+fn a_missing_key_has_its_literal_default() {
     let class = RequestClass {
         latency_target: ms(290),
         deadline: ms(0),
@@ -58,7 +58,7 @@
         slow_start: SlowStart { initial_capacity: 0.1, ramp_time: ms(30_000), overload_multiple: 2.0 },
         tick: ms(5),
     };
-    assert_eq!(settings_text::parse(FEWEST).expect("readable"), expected);
+    assert_eq!(settings_text::parse(MINIMAL).expect("valid settings"), expected);
     let expected = NetworkSettings {
         zones: vec![],
         machine_types: vec![],
@@ -66,14 +66,19 @@
         connect_timeout: ms(250),
         load_field_name: None,
     };
-    assert_eq!(settings_text::parse_network_settings(FEWEST).expect("readable"), expected);
-    assert_eq!(settings_text::load_field_index(FEWEST), None);
-    let asked = settings_text::parse(&FEWEST.replace("pushed", "on_request")).expect("readable");
-    assert_eq!(asked.discovery, Discovery::OnRequest { max_poll_interval: ms(10_000) });
-    let advised = settings_text::parse(&format!("{FEWEST}policyLimits.retryAfter=true\n")).expect("readable");
-    assert_eq!(advised.max_retry_after, Some(ms(0)));
-    let denied = settings_text::parse(&format!("{FEWEST}policyLimits.maxRetryAfter=60\n")).expect("readable");
-    assert_eq!(denied.max_retry_after, None, "only where it is granted");
+    assert_eq!(settings_text::parse_network_settings(MINIMAL).expect("valid settings"), expected);
+    assert_eq!(settings_text::load_field_index(MINIMAL), None);
+    let on_request = settings_text::parse(&MINIMAL.replace("pushed", "on_request")).expect("valid settings");
+    assert_eq!(on_request.discovery, Discovery::OnRequest { max_poll_interval: ms(10_000) });
+    let with_retry_after =
+        settings_text::parse(&format!("{MINIMAL}policyLimits.retryAfter=true\n")).expect("valid settings");
+    assert_eq!(with_retry_after.max_retry_after, Some(ms(0)));
+    let without_retry_after =
+        settings_text::parse(&format!("{MINIMAL}policyLimits.maxRetryAfter=60\n")).expect("valid settings");
+    assert_eq!(
+        without_retry_after.max_retry_after, None,
+        "`maxRetryAfter` applies only if `retryAfter` is `true`"
+    );
 }
 
 #[test]
@@ -118,7 +123,7 @@
         slow_start: SlowStart { initial_capacity: 0.25, ramp_time: ms(9_000), overload_multiple: 4.0 },
         tick: Duration::from_micros(2_500),
     };
-    assert_eq!(settings_text::parse(ALL).expect("readable"), expected);
+    assert_eq!(settings_text::parse(COMPLETE).expect("valid settings"), expected);
     let expected = NetworkSettings {
         zones: vec!["a".into(), "b_c".into()],
         machine_types: vec!["small".into(), "large".into()],
@@ -126,20 +131,21 @@
         connect_timeout: ms(70),
         load_field_name: Some("concurrent".into()),
     };
-    assert_eq!(settings_text::parse_network_settings(ALL).expect("readable"), expected);
-    assert_eq!(settings_text::load_field_index(ALL), Some(2));
+    assert_eq!(settings_text::parse_network_settings(COMPLETE).expect("valid settings"), expected);
+    assert_eq!(settings_text::load_field_index(COMPLETE), Some(2));
     assert_eq!(settings_text::load_field_index("report.fields=load_share,depth\n"), Some(1));
-    let anywhere = ALL.replace("group=cell", "group=all");
-    let anywhere = settings_text::parse(&anywhere).expect("readable").classes[1].idempotency;
-    assert_eq!(anywhere, Idempotency::Keyed { scope: DedupScope::All, window: ms(700) });
-    let by_request = settings_text::parse(&ALL.replace("worthBy=work", "worthBy=request")).expect("readable");
+    let all_servers = COMPLETE.replace("group=cell", "group=all");
+    let all_servers = settings_text::parse(&all_servers).expect("valid settings").classes[1].idempotency;
+    assert_eq!(all_servers, Idempotency::Keyed { scope: DedupScope::All, window: ms(700) });
+    let by_request =
+        settings_text::parse(&COMPLETE.replace("worthBy=work", "worthBy=request")).expect("valid settings");
     assert_eq!(by_request.value_basis, ValueBasis::PerRequest);
 }
 
 #[test]
-fn what_cannot_be_read_is_named_with_its_text() {
+fn an_error_names_the_key_and_the_invalid_text() {
     let error = |from: &str, to: &str| {
-        settings_text::parse(&ALL.replace(from, to)).expect_err("unreadable").to_string()
+        settings_text::parse(&COMPLETE.replace(from, to)).expect_err("an invalid value").to_string()
     };
     for (key, from, to) in [
         ("zone", "zone=2\n", "zone=-1\n"),
@@ -160,15 +166,15 @@
         assert_eq!(error(from, to), format!("setting {key}: cannot read {text:?}"));
     }
     for key in ["zone", "discovery", "requestClasses.count", "requestClasses.0.dedupWindow"] {
-        let text: String = ALL
+        let text: String = COMPLETE
             .lines()
             .filter(|line| !line.starts_with(&format!("{key}=")))
             .map(|l| format!("{l}\n"))
             .collect();
-        let error = settings_text::parse(&text).expect_err("incomplete").to_string();
+        let error = settings_text::parse(&text).expect_err("a missing key").to_string();
         assert_eq!(error, format!("setting {key}: missing"));
     }
-    let nameless = ALL.replace("requestClasses.1.name=report\n", "");
-    let error = settings_text::parse_network_settings(&nameless).expect_err("incomplete").to_string();
+    let without_name = COMPLETE.replace("requestClasses.1.name=report\n", "");
+    let error = settings_text::parse_network_settings(&without_name).expect_err("a missing key").to_string();
     assert_eq!(error, "setting requestClasses.1.name: missing");
 }
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -1,7 +1,9 @@
-//! A whole session of the simulator's wire, byte for byte: each kind of record in, each kind of record out.
+//! Replays a captured session of the simulator's wire format, with each kind of input and output record, and
+//! compares the output byte for byte.
 //!
-//! `fixtures/simulator_session.txt` was captured on 1a8c4db and must never change. Each `in` line is one frame that the
-//! simulator writes, the `out` line below it the frame that the adapter has to answer, both in hexadecimal digits.
+//! `fixtures/simulator_session.txt` was captured on 1a8c4db and must not change. Each `in` line is one frame
+//! that the simulator writes, and the `out` line after it is the frame that the adapter must answer, both in
+//! hexadecimal digits.
 
 use std::collections::BTreeSet;
 use std::io::Write;
@@ -15,7 +17,7 @@
     lines.map(|text| (0..text.len()).step_by(2).map(|at| byte(text, at)).collect()).collect()
 }
 
-/// The first byte of each record of these frames.
+/// Returns the set of record codes, the first byte of each record, in these frames.
 fn codes(frames: &[Vec<u8>], header: usize, count_at: usize, record: usize) -> BTreeSet<u8> {
     let number =
         |frame: &[u8]| u32::from_le_bytes(frame[count_at..count_at + 4].try_into().expect("four")) as usize;
@@ -43,21 +45,21 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("starts");
-    let mut to = adapter.stdin.take().expect("an input");
-    let writing = std::thread::spawn(move || to.write_all(&input.concat()).expect("written"));
+    let mut adapter_input = adapter.stdin.take().expect("an input");
+    let writer = std::thread::spawn(move || adapter_input.write_all(&input.concat()).expect("written"));
     let output = adapter.wait_with_output().expect("ends");
-    writing.join().expect("all written");
+    writer.join().expect("all written");
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(
         String::from_utf8_lossy(&output.stderr),
         "lugwharf-simulator: skipped an event of unknown code 99\n\
          lugwharf-simulator: skipped an event for instance 4, which is not up\n"
     );
-    let mut rest = &output.stdout[..];
+    let mut remaining_output = &output.stdout[..];
     for (number, frame) in expected.iter().enumerate() {
-        let (answer, after) = rest.split_at(frame.len().min(rest.len()));
-        assert_eq!(answer, frame, "the answer to frame {number}");
-        rest = after;
+        let (answer, remaining) = remaining_output.split_at(frame.len().min(remaining_output.len()));
+        assert_eq!(answer, frame, "answer to frame {number}");
+        remaining_output = remaining;
     }
-    assert!(rest.is_empty(), "{} bytes too many", rest.len());
+    assert!(remaining_output.is_empty(), "{} surplus bytes", remaining_output.len());
 }
--- a/tests/sockets/answers.rs
+++ b/tests/sockets/answers.rs
@@ -1,12 +1,13 @@
-//! Literal answers to the application: status line, headers and body, but for the date.
+//! Tests of the literal answers to the client: status line, headers and body, except the date.
 
 use crate::harness::*;
 use crate::{ok, read_to_end};
 use serde_json::json;
 use std::io::Write;
 
-/// Everything that comes on a new connection after this text is written, until it is closed; without the date.
-fn answer_to(sidecar: &Sidecar, text: &str) -> String {
+/// Writes this text on a new connection, and returns all that is received until the connection is closed,
+/// without the date.
+fn exchange(sidecar: &Sidecar, text: &str) -> String {
     let mut client = sidecar.connect();
     client.write_all(text.as_bytes()).expect("written");
     without_date(&read_to_end(&mut client))
@@ -20,19 +21,20 @@
     format!("{}\r\n\r\n{body}", kept.join("\r\n"))
 }
 
-/// The answer to a bad request, which closes its connection and never reaches the module.
-fn rejected(status: &str, why: &str) -> String {
-    format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{why}", why.len())
+/// Returns the literal answer to an invalid request, which closes its connection and does not reach the
+/// decision module.
+fn rejection(status: &str, reason: &str) -> String {
+    format!("HTTP/1.1 {status}\r\nconnection: close\r\ncontent-length: {}\r\n\r\n{reason}", reason.len())
 }
 
 #[test]
 fn readiness_and_final_answers_have_their_literal_form() {
-    let upstream = Upstream::start(|seen| match seen.body.as_str() {
+    let upstream = Upstream::start(|received| match received.body.as_str() {
         "typed" => Reply::text(200, "Content-Type: text/x-typed\r\nX-Other: 1\r\n", "hello"),
         "broken" => Reply::text(500, "", "why"),
         _ => ok("plain"),
     });
-    let sidecar = Sidecar::with(&[&upstream], |config| {
+    let sidecar = Sidecar::start_with(&[&upstream], |config| {
         config["settings"]["policyLimits"]["maxRetryAfter"] = json!(50.0);
         config["settings"]["requestClasses"][0]["aim"] = json!(4_000.0);
     });
@@ -52,10 +54,10 @@
     assert_eq!(send(""), "HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nplain");
     assert_eq!(send("broken"), "HTTP/1.1 502 Bad Gateway\r\ncontent-length: 6\r\n\r\nfailed");
     sidecar.discovery.publish(2, true, &[upstream.list_entry("Terminating")]);
-    sidecar.discovery.wait_for_index(2);
-    let refused =
+    sidecar.discovery.wait_for_watch(2);
+    let rejection_text =
         "HTTP/1.1 503 Service Unavailable\r\nretry-after: 0.050\r\ncontent-length: 7\r\n\r\nrefused";
-    assert_eq!(send(""), refused);
+    assert_eq!(send(""), rejection_text);
     assert_eq!(ready(), "HTTP/1.1 503 Service Unavailable\r\ncontent-length: 0\r\n\r\n");
 }
 
@@ -65,7 +67,7 @@
     let sidecar = Sidecar::start(&[&upstream]);
     let pay = || call("pay", 2.0);
     let with = |from: &str, to: &str| pay().text().replace(from, to);
-    for (text, status, why) in [
+    for (text, status, reason) in [
         (with("Content-Length: 0", "Transfer-Encoding: chunked"), "400 Bad Request", "a transfer coding"),
         (
             with("X-Budget", "X-Again: 1\r\nX-Again: 1\r\nX-Budget"),
@@ -77,7 +79,7 @@
             "413 Payload Too Large",
             "a body that is too long",
         ),
-        (pay().without("X-Call-Id").text(), "400 Bad Request", "no id"),
+        (pay().without_header("X-Call-Id").text(), "400 Bad Request", "no id"),
         (call("nobody", 2.0).text(), "400 Bad Request", "no such class"),
         (
             pay().header("Idempotency-Key", "k").text(),
@@ -86,15 +88,15 @@
         ),
         (pay().header("X-Budget", "soon").text(), "400 Bad Request", "no readable budget"),
     ] {
-        assert_eq!(answer_to(&sidecar, &text), rejected(status, why));
+        assert_eq!(exchange(&sidecar, &text), rejection(status, reason));
     }
-    // A body that does not end while its client stays connected.
+    // The client stays connected but does not send the complete body.
     let mut client = sidecar.connect();
     let text = call("pay", 0.3).text().replace("Length: 0", "Length: 5");
     client.write_all(text.as_bytes()).expect("written");
     assert_eq!(
         without_date(&read_to_end(&mut client)),
-        rejected("408 Request Timeout", "a body that does not end")
+        rejection("408 Request Timeout", "a body that does not end")
     );
     assert!(upstream.requests().is_empty());
 }
@@ -103,18 +105,18 @@
 fn the_id_of_an_open_request_is_rejected_with_its_literal_reason() {
     let upstream = Upstream::start(|_| Reply::NoAnswer);
     let sidecar = Sidecar::start(&[&upstream]);
-    let same = || call("pay", 20.0).header("X-Call-Id", "same").text();
+    let request_text = || call("pay", 20.0).header("X-Call-Id", "same").text();
     let mut first = sidecar.connect();
-    first.write_all(same().as_bytes()).expect("written");
+    first.write_all(request_text().as_bytes()).expect("written");
     upstream.wait_for("the request", |state| state.requests.len() == 1);
     let mut second = sidecar.connect();
-    second.write_all(same().as_bytes()).expect("written");
+    second.write_all(request_text().as_bytes()).expect("written");
     let answer_text = without_date(&read_to_end(&mut second));
-    assert_eq!(answer_text, rejected("409 Conflict", "the id of an open request"));
+    assert_eq!(answer_text, rejection("409 Conflict", "the id of an open request"));
 }
 
 #[test]
-fn an_upstream_gets_the_clients_headers_in_their_order_and_none_of_the_connection() {
+fn an_upstream_receives_the_client_headers_without_connection_headers() {
     let upstream = Upstream::start(|_| ok("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let call = call("report", 2.0)
@@ -125,7 +127,7 @@
         sidecar.send(&call.header("Expect", "nothing").header("X-Again", "1").body("hello")).status,
         200
     );
-    let seen = upstream.requests();
+    let received = upstream.requests();
     let names = [
         "host",
         "x-call-id",
@@ -136,13 +138,13 @@
         "x-budget",
         "content-length",
     ];
-    let mut seen_names = seen[0].header_names();
-    seen_names.sort_unstable();
+    let mut received_names = received[0].header_names();
+    received_names.sort_unstable();
     let mut sorted = names;
     sorted.sort_unstable();
-    assert_eq!(seen_names, sorted);
-    assert_eq!((seen[0].header("x-own"), seen[0].header("host")), (Some("kept"), Some("origin.svc")));
-    let budget = seen[0].header("x-budget").expect("a budget");
+    assert_eq!(received_names, sorted);
+    assert_eq!((received[0].header("x-own"), received[0].header("host")), (Some("kept"), Some("origin.svc")));
+    let budget = received[0].header("x-budget").expect("a budget");
     let digits = budget.strip_prefix("1.").expect("under 2 s, over 1");
     assert!(digits.len() == 4 && digits.bytes().all(|byte| byte.is_ascii_digit()), "four decimals: {budget}");
 }
--- a/tests/sockets/harness/message.rs
+++ b/tests/sockets/harness/message.rs
@@ -1,10 +1,10 @@
-//! Messages as the tests write and read them.
+//! HTTP messages that the tests write and read.
 
 use std::io::{BufRead, BufReader};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A message as it was read.
+/// A request or response that was received.
 #[derive(Clone, Debug)]
 pub struct ReceivedMessage {
     pub start_line: String,
@@ -13,7 +13,7 @@
 }
 
 impl ReceivedMessage {
-    /// `None` at the end of the connection.
+    /// Reads one message; `None` at the end of the connection.
     pub(super) fn read(from: &mut impl BufRead) -> Option<ReceivedMessage> {
         let mut line = || {
             let mut line = String::new();
@@ -27,19 +27,19 @@
             let Some((name, value)) = line.split_once(':') else { break };
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
-        let mut seen = ReceivedMessage { start_line: start, headers, body: String::new() };
-        let length = seen.header("content-length").map_or(0, |text| text.parse().expect("a length"));
+        let mut received = ReceivedMessage { start_line: start, headers, body: String::new() };
+        let length = received.header("content-length").map_or(0, |text| text.parse().expect("a length"));
         let mut body = vec![0; length];
         from.read_exact(&mut body).ok()?;
-        seen.body = String::from_utf8(body).expect("text");
-        Some(seen)
+        received.body = String::from_utf8(body).expect("text");
+        Some(received)
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(other, _)| other == name).map(|(_, value)| value.as_str())
     }
 
-    /// In lower case, in their order.
+    /// Returns the header names in lower case, in the order of the message.
     pub fn header_names(&self) -> Vec<&str> {
         self.headers.iter().map(|(name, _)| name.as_str()).collect()
     }
@@ -47,11 +47,13 @@
 
 #[derive(Clone)]
 pub enum Reply {
+    /// Sends this text and closes the sending side of the connection.
     Raw(String),
-    /// Sends this text and keeps the connection.
+    /// Sends this text and keeps the connection open.
     Complete(String),
+    /// Closes the connection without an answer.
     Close,
-    /// Sends nothing and keeps the connection until the other side closes it.
+    /// Sends nothing and keeps the connection open until the peer closes it.
     NoAnswer,
 }
 
@@ -64,7 +66,7 @@
     }
 }
 
-/// A request of the application.
+/// A request that the client sends to the sidecar.
 pub struct Call {
     path: String,
     headers: Vec<(String, String)>,
@@ -78,7 +80,7 @@
         self
     }
 
-    pub fn without(mut self, name: &str) -> Call {
+    pub fn without_header(mut self, name: &str) -> Call {
         self.headers.retain(|(other, _)| other != name);
         self
     }
@@ -99,10 +101,11 @@
     }
 }
 
-/// A request of this class and budget in seconds, with an id of its own and, for a keyed class, a key.
+/// Creates a request of this class with this budget in seconds, a unique id and, for the keyed class, an
+/// idempotency key.
 pub fn call(class: &str, budget: f64) -> Call {
-    static NUMBER: AtomicUsize = AtomicUsize::new(0);
-    let id = format!("call-{}", NUMBER.fetch_add(1, Ordering::SeqCst));
+    static NEXT_ID: AtomicUsize = AtomicUsize::new(0);
+    let id = format!("call-{}", NEXT_ID.fetch_add(1, Ordering::SeqCst));
     let headers = [("Host", "origin.svc"), ("X-Call-Id", &id), ("X-Call-Class", class)];
     let headers = headers.map(|(name, value)| (name.to_owned(), value.to_owned())).to_vec();
     let call = Call { path: "/api".into(), headers, body: String::new() };
@@ -113,7 +116,7 @@
 pub struct Answer {
     pub status: u16,
     pub body: String,
-    seen: ReceivedMessage,
+    received: ReceivedMessage,
 }
 
 impl Answer {
@@ -121,21 +124,22 @@
         Answer::try_read(from).expect("an answer")
     }
 
-    /// The answer as it was written, up to the length that it names.
+    /// Reads an answer up to its content length, and returns its text.
     pub fn read_text(from: &mut TcpStream) -> String {
-        let seen = ReceivedMessage::read(&mut BufReader::new(from)).expect("an answer");
+        let received = ReceivedMessage::read(&mut BufReader::new(from)).expect("an answer");
         let headers: String =
-            seen.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
-        format!("{}\r\n{headers}\r\n{}", seen.start_line, seen.body)
+            received.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
+        format!("{}\r\n{headers}\r\n{}", received.start_line, received.body)
     }
 
     pub(super) fn try_read(from: &mut TcpStream) -> Option<Answer> {
-        let seen = ReceivedMessage::read(&mut BufReader::new(from))?;
-        let status = seen.start_line.split(' ').nth(1).and_then(|text| text.parse().ok()).expect("a status");
-        Some(Answer { status, body: seen.body.clone(), seen })
+        let received = ReceivedMessage::read(&mut BufReader::new(from))?;
+        let status =
+            received.start_line.split(' ').nth(1).and_then(|text| text.parse().ok()).expect("a status");
+        Some(Answer { status, body: received.body.clone(), received })
     }
 
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.seen.header(name)
+        self.received.header(name)
     }
 }
--- a/tests/sockets/harness/mod.rs
+++ b/tests/sockets/harness/mod.rs
@@ -1,4 +1,5 @@
-//! Upstreams, discovery and an application for tests, on loopback sockets with ports from the kernel.
+//! Upstreams, a discovery service, a sidecar process and a client for tests, on loopback sockets with ports
+//! assigned by the kernel.
 
 mod discovery;
 mod message;
@@ -14,40 +15,42 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Long enough for any machine; reached only when something is broken.
-const LONG: Duration = Duration::from_secs(30);
+/// The timeout of waits, long enough for a slow machine. It is reached only if a test fails.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Counts over all upstreams that share it, from 1.
+/// A counter that several upstreams share.
 #[derive(Clone, Default)]
-pub struct Shared(Arc<AtomicUsize>);
+pub struct SharedCounter(Arc<AtomicUsize>);
 
-impl Shared {
-    pub fn count(&self) -> usize {
+impl SharedCounter {
+    /// Increments the counter and returns its new value, from 1.
+    pub fn increment(&self) -> usize {
         self.0.fetch_add(1, Ordering::SeqCst) + 1
     }
 }
 
-/// State that a test waits on.
-struct Watched<T>(Mutex<T>, Condvar);
+/// State with a condition variable, so that a test can wait for a change.
+struct Monitor<T>(Mutex<T>, Condvar);
 
-impl<T> Watched<T> {
+impl<T> Monitor<T> {
     fn new(value: T) -> Arc<Self> {
-        Arc::new(Watched(Mutex::new(value), Condvar::new()))
+        Arc::new(Monitor(Mutex::new(value), Condvar::new()))
     }
 
     fn get(&self) -> MutexGuard<'_, T> {
         self.0.lock().expect("no panic")
     }
 
-    fn change<R>(&self, change: impl FnOnce(&mut T) -> R) -> R {
-        let result = change(&mut self.get());
+    fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
+        let result = update(&mut self.get());
         self.1.notify_all();
         result
     }
 
-    fn wait(&self, what: &str, until: impl Fn(&T) -> bool) -> MutexGuard<'_, T> {
-        let (state, timeout) = self.1.wait_timeout_while(self.get(), LONG, |s| !until(s)).expect("no panic");
-        assert!(!timeout.timed_out(), "waited in vain for {what}");
+    fn wait(&self, what: &str, condition: impl Fn(&T) -> bool) -> MutexGuard<'_, T> {
+        let (state, timeout) =
+            self.1.wait_timeout_while(self.get(), WAIT_TIMEOUT, |s| !condition(s)).expect("no panic");
+        assert!(!timeout.timed_out(), "timed out waiting for {what}");
         state
     }
 }
--- a/tests/sockets/harness/sidecar.rs
+++ b/tests/sockets/harness/sidecar.rs
@@ -1,7 +1,7 @@
-//! The sidecar's process.
+//! A sidecar process and its configuration.
 
 use super::message::Call;
-use super::{Answer, Discovery, LONG, Upstream, Watched};
+use super::{Answer, Discovery, Monitor, Upstream, WAIT_TIMEOUT};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,27 +15,29 @@
     process: Child,
     addr: SocketAddr,
     pub discovery: Discovery,
-    /// Its log lines since it started to listen.
-    log: Arc<Watched<Vec<String>>>,
+    /// The log lines of the process since it started to listen.
+    log: Arc<Monitor<Vec<String>>>,
     config: Value,
     file: String,
 }
 
 impl Sidecar {
     pub fn start(upstreams: &[&Upstream]) -> Sidecar {
-        Sidecar::with(upstreams, |_| {})
+        Sidecar::start_with(upstreams, |_| {})
     }
 
-    /// Starts a sidecar after this shell command.
-    pub fn under(shell: &str, upstreams: &[&Upstream]) -> Sidecar {
+    /// Starts a sidecar in a shell, after this shell command.
+    pub fn start_in_shell(shell: &str, upstreams: &[&Upstream]) -> Sidecar {
         Sidecar::launch(shell, upstreams, |_| {})
     }
 
-    pub fn with(upstreams: &[&Upstream], change: impl FnOnce(&mut Value)) -> Sidecar {
+    /// Starts a sidecar whose configuration is modified by `change`.
+    pub fn start_with(upstreams: &[&Upstream], change: impl FnOnce(&mut Value)) -> Sidecar {
         Sidecar::launch(":", upstreams, change)
     }
 
-    /// Starts a sidecar, and waits until it is ready and has called discovery, which lists these upstreams.
+    /// Starts a sidecar, and waits until the sidecar is ready and has called discovery, which lists these
+    /// upstreams.
     fn launch(shell: &str, upstreams: &[&Upstream], change: impl FnOnce(&mut Value)) -> Sidecar {
         let members: Vec<Value> = upstreams.iter().map(|upstream| upstream.list_entry("Ready")).collect();
         let known = json!({"revision": 1, "complete": true, "members": members});
@@ -54,9 +56,9 @@
             },
         });
         change(&mut config);
-        discovery.registry.change(|r| r.complete_list = config["known"].clone());
-        static NUMBER: AtomicUsize = AtomicUsize::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::SeqCst);
+        discovery.registry.update(|r| r.complete_list = config["known"].clone());
+        static NEXT_FILE: AtomicUsize = AtomicUsize::new(0);
+        let number = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
         let file = format!("{}/{}-{number}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
         std::fs::write(&file, config.to_string()).expect("written");
         let mut process = Command::new("sh")
@@ -68,10 +70,13 @@
             .expect("started");
         let mut lines = BufReader::new(process.stderr.take().expect("a log")).lines();
         let addr = lines.find_map(|line| line.ok()?.split_once("listening on ")?.1.parse().ok());
-        let log = Watched::new(Vec::new());
-        let of = log.clone();
-        thread::spawn(move || lines.map_while(Result::ok).for_each(|line| of.change(|log| log.push(line))));
-        let sidecar = Sidecar { process, addr: addr.expect("it listens"), discovery, log, config, file };
+        let log = Monitor::new(Vec::new());
+        let shared_log = log.clone();
+        thread::spawn(move || {
+            lines.map_while(Result::ok).for_each(|line| shared_log.update(|log| log.push(line)))
+        });
+        let sidecar =
+            Sidecar { process, addr: addr.expect("a listen address"), discovery, log, config, file };
         sidecar.wait_until("readiness", |sidecar| sidecar.readiness() == 200);
         if sidecar.config["settings"]["discovery"] == "pushed" {
             drop(sidecar.discovery.registry.wait("a call", |r| r.watches.iter().any(|w| w.0 == 1)));
@@ -79,14 +84,14 @@
         sidecar
     }
 
-    /// Replaces its configuration by this text and sends SIGHUP.
+    /// Replaces the configuration file by this text and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(&self.file, text).expect("written");
         self.signal("HUP");
     }
 
-    /// Names another discovery in its configuration, and reloads it.
-    pub fn move_to(&self, discovery: &Discovery) {
+    /// Reloads the configuration with the address of another discovery service.
+    pub fn reload_with_discovery(&self, discovery: &Discovery) {
         let mut config = self.config.clone();
         config["discovery"] = json!(discovery.addr.to_string());
         self.reload(&config.to_string());
@@ -94,44 +99,45 @@
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.addr).expect("accepted");
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream
     }
 
     /// Sends a request on a new connection and reads the answer.
     pub fn send(&self, call: &Call) -> Answer {
         let mut stream = self.connect();
-        // A long body may be answered before it is read to its end.
+        // The sidecar may reject a long body before all of the body is written.
         drop(stream.write_all(call.text().as_bytes()));
         Answer::read(&mut stream)
     }
 
-    /// The status of readiness; 0 if nobody answers.
+    /// Returns the status of `/health/ready`; 0 if there is no answer.
     pub fn readiness(&self) -> u16 {
         let Ok(mut stream) = TcpStream::connect(self.addr) else { return 0 };
-        stream.set_read_timeout(Some(LONG)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         drop(stream.write_all(b"GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n"));
         Answer::try_read(&mut stream).map_or(0, |answer| answer.status)
     }
 
-    /// CPU used so far, in hundredths of a second.
-    pub fn cpu_ticks(&self) -> u64 {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).expect("its figures");
+    /// Returns the CPU time used so far, in hundredths of a second.
+    pub fn cpu_time_ticks(&self) -> u64 {
+        let stat =
+            std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).expect("process statistics");
         let fields: Vec<&str> = stat.rsplit(')').next().expect("fields").split_whitespace().collect();
         [11, 12].iter().map(|&at| fields[at].parse::<u64>().expect("ticks")).sum()
     }
 
-    pub fn wait_until(&self, what: &str, until: impl Fn(&Sidecar) -> bool) {
+    pub fn wait_until(&self, what: &str, condition: impl Fn(&Sidecar) -> bool) {
         let start = Instant::now();
-        while !until(self) {
-            assert!(start.elapsed() < LONG, "waited in vain for {what}");
+        while !condition(self) {
+            assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Waits until it has logged a line with this start.
-    pub fn wait_for_line(&self, start: &str) {
-        drop(self.log.wait(start, |log| log.iter().any(|line| line.starts_with(start))));
+    /// Waits until the process has logged a line with this prefix.
+    pub fn wait_for_log_line(&self, prefix: &str) {
+        drop(self.log.wait(prefix, |log| log.iter().any(|line| line.starts_with(prefix))));
     }
 
     pub fn terminate(&self) {
@@ -149,13 +155,13 @@
             if let Some(status) = self.process.try_wait().expect("a child") {
                 return status.code();
             }
-            assert!(start.elapsed() < LONG, "waited in vain for the end");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for the process to exit");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    pub fn descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.process.id())).expect("its descriptors").count()
+    pub fn open_descriptors(&self) -> usize {
+        std::fs::read_dir(format!("/proc/{}/fd", self.process.id())).expect("open descriptors").count()
     }
 }
 
--- a/tests/sockets/harness/upstream.rs
+++ b/tests/sockets/harness/upstream.rs
@@ -1,6 +1,6 @@
-//! An upstream under the test's control.
+//! An upstream server that the test controls.
 
-use super::{ReceivedMessage, Reply, Watched};
+use super::{Monitor, ReceivedMessage, Reply};
 use serde_json::{Value, json};
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -9,18 +9,18 @@
 use std::thread;
 
 #[derive(Default)]
-pub struct State {
+pub struct UpstreamState {
     pub requests: Vec<ReceivedMessage>,
     pub accepted: usize,
     pub closed_by_peer: usize,
-    open: Vec<TcpStream>,
+    open_connections: Vec<TcpStream>,
 }
 
 pub struct Upstream {
     pub addr: SocketAddr,
-    state: Arc<Watched<State>>,
+    state: Arc<Monitor<UpstreamState>>,
     stopped: Arc<AtomicBool>,
-    listening: Mutex<Option<thread::JoinHandle<()>>>,
+    accept_thread: Mutex<Option<thread::JoinHandle<()>>>,
 }
 
 impl Upstream {
@@ -28,30 +28,33 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = listener.local_addr().expect("an address");
         let (state, stopped, reply) =
-            (Watched::new(State::default()), Arc::new(AtomicBool::new(false)), Arc::new(reply));
-        let (state_of, stopped_of) = (state.clone(), stopped.clone());
-        let listening = thread::spawn(move || {
+            (Monitor::new(UpstreamState::default()), Arc::new(AtomicBool::new(false)), Arc::new(reply));
+        let (shared_state, shared_stopped) = (state.clone(), stopped.clone());
+        let accept_thread = thread::spawn(move || {
             for stream in listener.incoming() {
-                if stopped_of.load(Ordering::SeqCst) {
+                if shared_stopped.load(Ordering::SeqCst) {
                     return;
                 }
-                let (stream, state, reply) = (stream.expect("a connection"), state_of.clone(), reply.clone());
+                let (stream, state, reply) =
+                    (stream.expect("a connection"), shared_state.clone(), reply.clone());
                 thread::spawn(move || Upstream::serve(stream, &state, &*reply));
             }
         });
-        Upstream { addr, state, stopped, listening: Mutex::new(Some(listening)) }
+        Upstream { addr, state, stopped, accept_thread: Mutex::new(Some(accept_thread)) }
     }
 
-    fn serve(mut stream: TcpStream, state: &Watched<State>, reply: &dyn Fn(&ReceivedMessage) -> Reply) {
+    fn serve(
+        mut stream: TcpStream, state: &Monitor<UpstreamState>, reply: &dyn Fn(&ReceivedMessage) -> Reply,
+    ) {
         let clone = || stream.try_clone().expect("a clone");
         let mut reader = BufReader::new(clone());
-        state.change(|state| {
+        state.update(|state| {
             state.accepted += 1;
-            state.open.push(clone());
+            state.open_connections.push(clone());
         });
-        while let Some(seen) = ReceivedMessage::read(&mut reader) {
-            state.change(|state| state.requests.push(seen.clone()));
-            match reply(&seen) {
+        while let Some(received) = ReceivedMessage::read(&mut reader) {
+            state.update(|state| state.requests.push(received.clone()));
+            match reply(&received) {
                 Reply::Complete(text) => drop(stream.write_all(text.as_bytes())),
                 Reply::Raw(text) => {
                     drop(stream.write_all(text.as_bytes()));
@@ -61,7 +64,7 @@
                 Reply::NoAnswer => {}
             }
         }
-        state.change(|state| state.closed_by_peer += 1);
+        state.update(|state| state.closed_by_peer += 1);
     }
 
     pub fn list_entry(&self, phase: &str) -> Value {
@@ -70,29 +73,29 @@
             "size": 1.0, "up_since_ms": 0})
     }
 
-    pub fn state(&self) -> MutexGuard<'_, State> {
+    pub fn state(&self) -> MutexGuard<'_, UpstreamState> {
         self.state.get()
     }
 
-    /// The requests so far.
+    /// Returns the requests received so far.
     pub fn requests(&self) -> Vec<ReceivedMessage> {
         self.state().requests.clone()
     }
 
-    pub fn wait_for(&self, what: &str, until: impl Fn(&State) -> bool) {
-        drop(self.state.wait(what, until));
+    pub fn wait_for(&self, what: &str, condition: impl Fn(&UpstreamState) -> bool) {
+        drop(self.state.wait(what, condition));
     }
 
-    /// Closes the connections, as at the end of the idle time.
+    /// Closes the sending side of all connections, as a server does after its idle timeout.
     pub fn close_idle(&self) {
-        self.state().open.drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Write)));
+        self.state().open_connections.drain(..).for_each(|stream| drop(stream.shutdown(Shutdown::Write)));
     }
 
-    /// From now on connections are refused.
+    /// Stops listening, so that new connections are refused.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
         drop(TcpStream::connect(self.addr));
-        let listening = self.listening.lock().expect("no panic").take();
-        listening.expect("stopped once").join().expect("an end");
+        let accept_thread = self.accept_thread.lock().expect("no panic").take();
+        accept_thread.expect("stopped once").join().expect("an end");
     }
 }
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -1,4 +1,5 @@
-//! The sidecar on loopback sockets: the real program between a client, upstreams and discovery of the test's own.
+//! Tests of the sidecar program on loopback sockets. The tests act as its client, its upstreams and its
+//! discovery service.
 
 mod answers;
 mod connections;
@@ -13,10 +14,10 @@
     Reply::text(200, "", body)
 }
 
-/// All that comes until the connection is closed.
+/// Reads until the connection is closed, and returns the received text.
 fn read_to_end(client: &mut std::net::TcpStream) -> String {
     let mut bytes = Vec::new();
-    // A reset ends it as well.
+    // A connection reset also ends the text.
     drop(client.read_to_end(&mut bytes));
     String::from_utf8_lossy(&bytes).into_owned()
 }
--- a/tests/startup.rs
+++ b/tests/startup.rs
@@ -1,4 +1,4 @@
-//! The sidecar's ends at a bad start: one plain line and a non-zero exit code.
+//! Tests of startup failures of the sidecar: it prints one line and exits with a non-zero code.
 
 use std::net::TcpListener;
 use std::process::{Command, Stdio};
@@ -8,8 +8,8 @@
     "settings":{"zone":0,"discovery":"pushed",
     "requestClasses":[{"name":"pay","aim":290.0,"deadline":900.0,"idempotency":"fragile"}]}}"#;
 
-/// What a sidecar with this configuration file says, and its exit code.
-fn started_with(file: Option<&str>) -> (String, Option<i32>) {
+/// Starts a sidecar with this configuration file, and returns its standard error and its exit code.
+fn start_with(file: Option<&str>) -> (String, Option<i32>) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lugwharf-sidecar"));
     for key in ["BALANCER_CONFIG", "BALANCER_NAME", "BALANCER_LISTEN", "BALANCER_DISCOVERY"] {
         command.env_remove(key);
@@ -22,22 +22,22 @@
     (String::from_utf8(output.stderr).expect("text"), output.status.code())
 }
 
-fn started_with_text(name: &str, text: &str) -> (String, Option<i32>) {
+fn start_with_text(name: &str, text: &str) -> (String, Option<i32>) {
     let file = format!("{}/startup-{}-{name}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
     std::fs::write(&file, text).expect("written");
-    let ended = started_with(Some(&file));
+    let result = start_with(Some(&file));
     std::fs::remove_file(&file).expect("removed");
-    ended
+    result
 }
 
 #[test]
-fn a_bad_configuration_ends_in_one_literal_line_and_exit_code_1() {
-    let said = |text: &str| (format!("lugwharf-sidecar: {text}\n"), Some(1));
-    assert_eq!(started_with(None), said("BALANCER_CONFIG is not set"));
+fn an_invalid_configuration_exits_with_code_1_and_one_literal_line() {
+    let failure = |text: &str| (format!("lugwharf-sidecar: {text}\n"), Some(1));
+    assert_eq!(start_with(None), failure("BALANCER_CONFIG is not set"));
     let missing = "/nowhere/at/all.json";
     assert_eq!(
-        started_with(Some(missing)),
-        said("reading /nowhere/at/all.json: No such file or directory (os error 2)")
+        start_with(Some(missing)),
+        failure("reading /nowhere/at/all.json: No such file or directory (os error 2)")
     );
     for (name, from, to, line) in [
         ("json", "{\"name\"", "{", "the configuration is no JSON: key must be a string at line 1 column 2"),
@@ -50,17 +50,17 @@
         ("class-name", "\"name\":\"pay\",", "", "setting requestClasses.0.name: missing"),
     ] {
         assert!(JSON.contains(from), "{name}");
-        assert_eq!(started_with_text(name, &JSON.replacen(from, to, 1)), said(line), "{name}");
+        assert_eq!(start_with_text(name, &JSON.replacen(from, to, 1)), failure(line), "{name}");
     }
 }
 
 #[test]
-fn an_address_in_use_ends_in_one_line_after_its_predecessors_time() {
-    let holder = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = holder.local_addr().expect("an address");
-    let since = std::time::Instant::now();
-    let ended = started_with_text("in-use", &JSON.replace("127.0.0.1:0", &addr.to_string()));
+fn an_address_in_use_exits_with_one_line_after_the_predecessors_shutdown_time() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let addr = listener.local_addr().expect("an address");
+    let started_at = std::time::Instant::now();
+    let result = start_with_text("in-use", &JSON.replace("127.0.0.1:0", &addr.to_string()));
     let line = format!("lugwharf-sidecar: listening on {addr}: Address already in use (os error 98)\n");
-    assert_eq!(ended, (line, Some(1)));
-    assert!(since.elapsed() >= std::time::Duration::from_millis(3_660), "{:?}", since.elapsed());
+    assert_eq!(result, (line, Some(1)));
+    assert!(started_at.elapsed() >= std::time::Duration::from_millis(3_660), "{:?}", started_at.elapsed());
 }
