--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -21,7 +21,7 @@
 const MAX_DRAWS: usize = 8;
 /// Minimum number of requests per connection within its keep-alive time. More are required if that is needed
 /// to bring the price of the handshake down to [`MAX_HANDSHAKE_SHARE`] of the value of a request.
-const REQUESTS_PER_CONNECTION: f64 = 4.0;
+const MIN_REQUESTS_PER_CONNECTION: f64 = 4.0;
 const MAX_HANDSHAKE_SHARE: f64 = 1.0 / 300.0;
 /// Minimum subset size. It leaves a choice even if some servers of the subset are ejected.
 const MIN_SUBSET_SIZE: usize = 8;
@@ -151,7 +151,7 @@
         if found.is_empty() { self.draw_pair(ready, usize::MAX, draws, is_allowed) } else { found }
     }
 
-    /// Returns the score below which local servers are preferred to all remote ones; zero without a price.
+    /// Returns the score below which local servers are preferred to remote ones; zero if crossing has no price.
     ///
     /// By Chebyshev's inequality, the probability that an answer misses the latency target is at most (mean /
     /// target)^2. While this is below the price of crossing zones, crossing cannot be worth its price. The
@@ -172,7 +172,7 @@
     /// so do those of the sidecars in one zone, whichever indexes these sidecars have.
     pub(crate) fn subset_size(&self) -> usize {
         let handshakes = self.settings.handshake_price / MAX_HANDSHAKE_SHARE;
-        let requests_per_connection = REQUESTS_PER_CONNECTION.max(handshakes);
+        let requests_per_connection = MIN_REQUESTS_PER_CONNECTION.max(handshakes);
         let connections = if self.must_probe() {
             UNLIMITED_SUBSET_SIZE
         } else {
