--- a/crates/routing/src/selection.rs
+++ b/crates/routing/src/selection.rs
@@ -36,10 +36,8 @@
         let drawn = locality::draw_local_first(&scorer, &mut self.rng, eligible);
         let drawn = drawn.ok_or(SelectionError::NoServer)?;
         let affinity_winner = prefix_affinity::pick(&scorer, eligible);
-        let is_within_tolerance = |affinity_winner: &Candidate| {
-            affinity_winner.score <= drawn.score * self.tuning.affinity_tolerance
-        };
-        let selected = affinity_winner.filter(is_within_tolerance).unwrap_or(drawn);
+        let is_tolerated = |winner: &Candidate| winner.score <= drawn.score * self.tuning.affinity_tolerance;
+        let selected = affinity_winner.filter(is_tolerated).unwrap_or(drawn);
         scorer.selection(selected).ok_or(SelectionError::NoServer)
     }
 
