--- a/crates/chain/examples/history_log.rs
+++ b/crates/chain/examples/history_log.rs
@@ -1,12 +1,13 @@
-//! Measures what the log of many changes costs: bytes written and on disk, time to start from it, peak memory.
+//! Measures the cost of a log with many changes: bytes written, bytes on disk, recovery time and peak memory.
 //!
 //! ```text
 //! cargo run --release -p lugwharf-chain --example history_log [CHANGES [ROUTES]]
 //! ```
 //!
-//! By default 1,000 changes, each a configuration of 350 routes, are committed by a single replica whose log is a real file in
-//! a new directory below the system's temporary one. Then the log is read in a process of its own, so that the memory of a
-//! start is measured alone. Peak memory is read from `/proc`, so it runs on Linux only.
+//! By default, a single replica commits 1,000 changes, each a configuration with 350 routes. Its log is a
+//! real file in a new directory below the system's temporary directory. The log is then recovered in a
+//! separate process, so that the peak memory of the recovery is measured in isolation. Peak memory is read
+//! from `/proc`, so the example runs on Linux only.
 
 use lugwharf_chain::{Action, Event, OperatorRequestId, OperatorResponse, Replica, ReplicaSettings};
 use lugwharf_store::Log;
@@ -21,23 +22,23 @@
 
 const DEFAULT_CHANGES: u64 = 1_000;
 const DEFAULT_ROUTES: usize = 350;
-/// How far the clock of the replica advances with each tick.
+/// The time by which the clock of the replica advances with each tick.
 const TICK: Duration = Duration::from_millis(30);
-/// The first argument of the process that only reads the log.
+/// The first argument of the process that only recovers the log.
 const READ_LOG: &str = "start";
 
-/// A single replica with its log on disk. Its clock advances with each tick, without waiting.
+/// A single replica with its log on disk. Its clock advances with each tick instead of following real time.
 struct LocalReplica {
     replica: Replica,
     log: Log,
     now: Duration,
-    /// Bytes appended, and of rewritten logs.
+    /// The bytes written by appends and by rewrites of the log.
     written_bytes: u64,
     rewrites: u64,
 }
 
 impl LocalReplica {
-    /// Recovers a replica from the log in a directory; an empty directory is a new disk.
+    /// Recovers a replica from the log in a directory. An empty directory counts as a new disk.
     fn open(directory: &Path) -> BoxResult<LocalReplica> {
         let (log, recovered) = Log::open(directory)?;
         let local_address = SocketAddr::from(([127, 0, 0, 1], 7_000));
@@ -49,7 +50,8 @@
         Ok(local)
     }
 
-    /// Executes actions, and those that follow from them, until there are none. Returns the last response to the operator.
+    /// Executes actions and those that result from them, until none remain. Returns the last response to the
+    /// operator.
     fn execute(&mut self, mut actions: Vec<Action>) -> BoxResult<Option<OperatorResponse>> {
         let mut last_response = None;
         while !actions.is_empty() {
@@ -68,7 +70,7 @@
                         self.replica.handle(self.now, Event::Persisted { batch }, &mut next_actions);
                     }
                     Action::Respond { response, .. } => last_response = Some(response),
-                    // There are no peers, and nobody reads the log lines.
+                    // There are no peers, and log events are not needed.
                     _ => {}
                 }
             }
@@ -111,7 +113,7 @@
     }
 }
 
-/// A configuration of the size of a real one, with other bytes in each version.
+/// A configuration of realistic size, with different bytes in each version.
 fn configuration(version: u64, route_count: usize) -> Arc<[u8]> {
     let route = |number: usize| {
         format!(
@@ -124,14 +126,17 @@
     format!("{{\"Version\":{version},\"Routes\":[{}]}}", routes.join(",")).into_bytes().into()
 }
 
-/// The peak resident memory of this process in KiB, as the kernel counts it.
+/// The peak resident memory of this process in KiB, as reported by the kernel.
 fn peak_memory_kib() -> BoxResult<u64> {
     let status = std::fs::read_to_string("/proc/self/status")?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).ok_or("no VmHWM")?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .ok_or("/proc/self/status has no VmHWM line")?;
     Ok(line.trim().trim_end_matches(" kB").parse()?)
 }
 
-/// Commits changes, and prints what they cost.
+/// Commits changes and prints the cost.
 fn measure_writing(directory: &Path, change_count: u64, route_count: usize) -> BoxResult<()> {
     let mut replica = LocalReplica::open(directory)?;
     replica.tick_until_serving()?;
@@ -151,7 +156,7 @@
     Ok(())
 }
 
-/// Starts a replica from its log, and prints what that costs.
+/// Recovers a replica from its log and prints the cost.
 fn measure_start(directory: &Path) -> BoxResult<()> {
     let memory_before = peak_memory_kib()?;
     let started_at = Instant::now();
@@ -179,5 +184,5 @@
     measure_writing(&directory, change_count, route_count)?;
     let status = Command::new(std::env::current_exe()?).arg(READ_LOG).arg(&directory).status()?;
     std::fs::remove_dir_all(&directory)?;
-    if status.success() { Ok(()) } else { Err("the process that reads the log failed".into()) }
+    if status.success() { Ok(()) } else { Err("the process that recovers the log failed".into()) }
 }
--- a/crates/chain/src/byte_string.rs
+++ b/crates/chain/src/byte_string.rs
@@ -1,16 +1,17 @@
-//! A serde form for shared bytes (`#[serde(with = "byte_string")]`): one CBOR byte string instead of an array of numbers.
+//! Serde encoding for shared bytes (`#[serde(with = "byte_string")]`): a single CBOR byte string instead of
+//! an array of numbers.
 
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserializer, Serializer};
 use std::fmt;
 use std::sync::Arc;
 
-/// Serialises the bytes as one byte string.
+/// Serialises the bytes as a single byte string.
 pub fn serialize<S: Serializer>(bytes: &Arc<[u8]>, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(bytes)
 }
 
-/// Deserialises one byte string, or an array of numbers.
+/// Deserialises a byte string or an array of numbers.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Arc<[u8]>, D::Error> {
     deserializer.deserialize_byte_buf(BytesVisitor)
 }
--- a/crates/chain/src/digest.rs
+++ b/crates/chain/src/digest.rs
@@ -1,8 +1,8 @@
-//! The digest of a configuration, by which a change is identified without its bytes.
+//! The digest of a configuration, which identifies a change without its bytes.
 //!
-//! Earlier versions identified a change by [`Fnv`] alone, a hash with collisions that are easy to construct. Now [`Blake3`]
-//! does. Logs and processes of earlier versions only know the older hash, so a digest carries both, and the older one decides
-//! only if the newer one is missing on one side.
+//! Earlier versions identified a change by [`Fnv`] alone, for which collisions are easy to construct. The
+//! current version uses [`Blake3`]. Logs and processes of earlier versions contain only the older hash, so a
+//! digest carries both. The older hash is compared only if one side lacks the newer one.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -15,7 +15,7 @@
 pub struct Fnv(pub u64, pub u64);
 
 impl Fnv {
-    /// Hashes bytes.
+    /// Returns the hash of some bytes.
     pub fn of(bytes: &[u8]) -> Fnv {
         let hash = bytes.iter().fold(FNV_OFFSET, |hash, byte| {
             let mixed = hash ^ u128::from(*byte);
@@ -30,12 +30,12 @@
 pub struct Blake3(pub u64, pub u64);
 
 impl Blake3 {
-    /// Hashes bytes.
+    /// Returns the hash of some bytes.
     pub fn of(bytes: &[u8]) -> Blake3 {
         Blake3::of_parts([bytes])
     }
 
-    /// Hashes the concatenation of several parts.
+    /// Returns the hash of the concatenation of several parts.
     pub fn of_parts<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Blake3 {
         let mut hasher = blake3::Hasher::new();
         for part in parts {
@@ -54,30 +54,32 @@
     }
 }
 
-/// The digest of a change: the hashes of its configuration, and the hash of the request that the
-/// configuration was computed from if the operator did not send a full one.
+/// The digest of a change: the hashes of its configuration and, if the operator did not send a full
+/// configuration, the hash of the request from which the configuration was computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Digest {
-    /// The only hash that earlier versions know.
+    /// The FNV-1a hash of the configuration, the only hash that earlier versions know.
     pub fnv: Fnv,
-    /// Missing if an earlier version wrote the entry and its bytes were dropped before this version first read it.
+    /// The BLAKE3 hash of the configuration. Missing if an earlier version wrote the entry and its bytes were
+    /// dropped before this version first decoded the entry.
     pub blake3: Option<Blake3>,
-    /// The hash of the request, if it changes named items of its base.
+    /// The hash of the request, if the request was a partial update of its base configuration.
     pub request_hash: Option<Blake3>,
 }
 
 impl Digest {
-    /// The digest of these bytes.
+    /// Returns the digest of a full configuration.
     pub fn of(bytes: &[u8]) -> Digest {
         Digest { fnv: Fnv::of(bytes), blake3: Some(Blake3::of(bytes)), request_hash: None }
     }
 
-    /// The digest of the bytes that were computed from a request with this hash.
+    /// Returns the digest of a configuration that was computed from a request with this hash.
     pub fn of_request(bytes: &[u8], request_hash: Option<Blake3>) -> Digest {
         Digest { request_hash, ..Digest::of(bytes) }
     }
 
-    /// Whether both identify the same change. One request on one base gives the same bytes, whichever process computes them.
+    /// Whether both digests identify the same change. Equal request hashes are sufficient: a request that is
+    /// applied to the same base yields the same bytes in every process.
     pub fn matches(&self, other: &Digest) -> bool {
         let same_request = self.request_hash.is_some() && self.request_hash == other.request_hash;
         same_request || self.has_same_bytes(other)
@@ -90,17 +92,18 @@
         }
     }
 
-    /// Whether this is the digest of these bytes, by the stronger hash that is known.
-    pub fn fits(&self, bytes: &[u8]) -> bool {
+    /// Whether this is the digest of these bytes, according to the strongest hash that is present.
+    pub fn matches_bytes(&self, bytes: &[u8]) -> bool {
         match self.blake3 {
             Some(known) => known == Blake3::of(bytes),
             None => self.fnv == Fnv::of(bytes),
         }
     }
 
-    /// Adds the hash that an earlier version did not know, if these are the bytes.
-    pub fn completed(self, bytes: &[u8]) -> Digest {
-        let is_incomplete = self.blake3.is_none() && self.fits(bytes);
+    /// Returns the digest with the BLAKE3 hash added, if an earlier version omitted it and these are the
+    /// bytes.
+    pub fn with_blake3(self, bytes: &[u8]) -> Digest {
+        let is_incomplete = self.blake3.is_none() && self.matches_bytes(bytes);
         if is_incomplete { Digest { blake3: Some(Blake3::of(bytes)), ..self } } else { self }
     }
 }
--- a/crates/chain/src/digest_tests.rs
+++ b/crates/chain/src/digest_tests.rs
@@ -1,9 +1,10 @@
-//! The hashes against published values, and digests with one or both of them.
+//! Tests the hashes against published values, and digests that have one or both of them.
 
 use crate::digest::{Blake3, Digest, Fnv};
 use rstest::rstest;
 
-/// BLAKE3 of nothing and of one zero byte begins so in the test vectors of its authors; FNV-1a of nothing is its offset.
+/// The BLAKE3 values are the first 128 bits of the authors' test vectors for the empty input and a single
+/// zero byte. FNV-1a of the empty input is its offset basis.
 #[test]
 fn hashes_match_published_vectors() {
     assert_eq!(Blake3::of(b"").to_string(), "af1349b9f5f9a1a6a0404dea36dcc949");
@@ -12,34 +13,34 @@
 }
 
 #[test]
-fn parts_hash_like_their_concatenation() {
+fn hash_of_parts_equals_hash_of_their_concatenation() {
     assert_eq!(Blake3::of_parts([&b"one"[..], b"", b"two"]), Blake3::of(b"onetwo"));
 }
 
-fn of_earlier_version(text: &str) -> Digest {
+fn without_blake3(text: &str) -> Digest {
     Digest { blake3: None, ..Digest::of(text.as_bytes()) }
 }
 
-/// The same older hash under another newer one, as somebody could make it on purpose.
-fn collided(text: &str) -> Digest {
+/// A digest with the same FNV-1a hash and a different BLAKE3 hash, as from a deliberate FNV-1a collision.
+fn with_colliding_fnv(text: &str) -> Digest {
     Digest { blake3: Some(Blake3(1, 2)), ..Digest::of(text.as_bytes()) }
 }
 
 #[rstest]
 #[case::same(Digest::of(b"text"), true)]
 #[case::other(Digest::of(b"other"), false)]
-#[case::of_an_earlier_version(of_earlier_version("text"), true)]
-#[case::other_of_an_earlier_version(of_earlier_version("other"), false)]
-#[case::collision_of_the_older_hash(collided("text"), false)]
+#[case::of_an_earlier_version(without_blake3("text"), true)]
+#[case::other_of_an_earlier_version(without_blake3("other"), false)]
+#[case::collision_of_the_older_hash(with_colliding_fnv("text"), false)]
 fn digests_match_by_the_strongest_common_hash(#[case] digest: Digest, #[case] matches: bool) {
     assert_eq!(digest.matches(&Digest::of(b"text")), matches);
     assert_eq!(Digest::of(b"text").matches(&digest), matches);
-    assert_eq!(digest.fits(b"text"), matches);
+    assert_eq!(digest.matches_bytes(b"text"), matches);
 }
 
 #[test]
 fn digest_of_earlier_version_is_completed_only_by_its_own_bytes() {
-    assert_eq!(of_earlier_version("text").completed(b"text"), Digest::of(b"text"));
-    assert_eq!(of_earlier_version("text").completed(b"other"), of_earlier_version("text"));
-    assert_eq!(collided("text").completed(b"text"), collided("text"));
+    assert_eq!(without_blake3("text").with_blake3(b"text"), Digest::of(b"text"));
+    assert_eq!(without_blake3("text").with_blake3(b"other"), without_blake3("text"));
+    assert_eq!(with_colliding_fnv("text").with_blake3(b"text"), with_colliding_fnv("text"));
 }
--- a/crates/chain/src/event.rs
+++ b/crates/chain/src/event.rs
@@ -19,43 +19,47 @@
         /// The message.
         message: Message,
     },
-    /// The connection to a peer broke. A hint that lets the peer be suspected sooner.
+    /// The connection to a peer was closed. The peer is then suspected earlier than by missing heartbeats
+    /// alone.
     LinkDown {
         /// The peer.
         peer: SocketAddr,
     },
-    /// The operator submits a configuration that was already validated.
+    /// The operator submits a configuration that has already been validated.
     Submit {
-        /// The request, named again in its [`crate::Action::Respond`].
+        /// The identity of the request, which is repeated in [`crate::Action::Respond`].
         id: OperatorRequestId,
-        /// The version that it builds on (`If-Match`).
+        /// The version on which the configuration is based (`If-Match`).
         base: u64,
-        /// Its own version.
+        /// The version of the configuration.
         version: u64,
-        /// The hash of the request that the configuration was computed from; `None` if the operator sent a full configuration.
+        /// The hash of the request from which the configuration was computed; `None` if the operator sent a
+        /// full configuration.
         request_hash: Option<Blake3>,
-        /// The configuration, byte for byte. Empty if the base is not available to compute it from: such a change is
-        /// recognised if it was accepted before, otherwise refused because its base is not current, and never written.
+        /// The encoded configuration. Empty if the base is no longer available to compute the configuration
+        /// from: such a change is accepted if it is already committed, otherwise rejected because its base is
+        /// outdated, and never written.
         bytes: Arc<[u8]>,
     },
-    /// The operator reads the newest committed configuration.
+    /// The operator requests the newest committed configuration.
     Read {
-        /// The request, named again in its [`crate::Action::Respond`].
+        /// The identity of the request, which is repeated in [`crate::Action::Respond`].
         id: OperatorRequestId,
     },
-    /// The operator has disconnected; no response is wanted.
+    /// The operator has disconnected, so no response is needed.
     Cancel {
         /// The request.
         id: OperatorRequestId,
     },
-    /// The process is shutting down and asks to be left out of the next view; see [`crate::LeaveState`].
+    /// The process is shutting down and requests a view without itself; see [`crate::LeaveState`].
     Leave,
-    /// A batch is synced to disk.
+    /// A batch was synced to disk.
     Persisted {
-        /// The batch, as named in [`crate::Action::Persist`] or [`crate::Action::RewriteLog`].
+        /// The batch, as identified in [`crate::Action::Persist`] or [`crate::Action::RewriteLog`].
         batch: BatchId,
     },
-    /// The disk refused a batch. What the append left on disk must be removed before the next batch.
+    /// A batch could not be written. The driver must remove what the failed append left on disk before the
+    /// next batch.
     PersistFailed {
         /// The batch.
         batch: BatchId,
--- a/crates/chain/src/heartbeat.rs
+++ b/crates/chain/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Heartbeats.
+//! Heartbeats between the processes of the control plane.
 //!
 //! Encoded names are fixed by `serde(rename)` where the code uses another term; see docs/GLOSSARY.md.
 
@@ -7,60 +7,61 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// How far the history of a replica reaches. Encoded names are fixed; see docs/GLOSSARY.md.
+/// The extent of the history that a replica holds. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryPosition {
     /// The number of the newest view whose history the replica holds.
     #[serde(rename = "installed")]
     pub installed_view: u64,
-    /// The index of its last entry.
+    /// The index of the last entry of that history.
     pub last_index: u64,
 }
 
-/// The state of a link as one of its ends sees it. Encoded names are fixed; see docs/GLOSSARY.md.
+/// The state of a link as observed by one of its ends. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Link {
-    /// The other end, from which a heartbeat was received lately.
+    /// The address of the other end, from which a heartbeat was received recently.
     pub peer: SocketAddr,
-    /// Whether the other end reports that it receives heartbeats from this one.
+    /// Whether the other end reports that it receives heartbeats from this end.
     #[serde(rename = "two_way")]
     pub bidirectional: bool,
 }
 
-/// A heartbeat: the state of a process, as far as others need it to judge the view. Encoded names are fixed; see
-/// docs/GLOSSARY.md.
+/// A heartbeat: the state of a process that the other processes need to plan the next view. Encoded names are
+/// fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The sender.
+    /// The identity of the sender.
     pub sender: MemberId,
-    /// Drawn at random at the start of the process.
+    /// A random number, generated when the process started.
     pub incarnation: u64,
     /// Whether the sender may take part in bootstrapping the first view.
     #[serde(rename = "founder")]
     pub may_bootstrap: bool,
     /// Whether the sender may become a member.
     pub counts_for_quorum: bool,
-    /// The number of the newest view that it knows.
+    /// The number of the newest view that the sender knows.
     pub view: u64,
-    /// The number of the newest view whose history it holds on disk.
+    /// The number of the newest view whose history the sender holds on disk.
     #[serde(rename = "installed")]
     pub installed_view: u64,
-    /// Whether it has promised a later view than the newest that it knows.
+    /// Whether the sender has promised a view later than the newest one that it knows.
     pub sealed: bool,
-    /// The index of the last entry on its disk.
+    /// The index of the last entry on the sender's disk.
     #[serde(rename = "synced")]
     pub synced_index: u64,
-    /// The newest committed entry that it knows.
+    /// The header of the newest committed entry that the sender knows.
     pub committed: Option<EntryHeader>,
-    /// Its disk holds the committed history up to this index. `None` from earlier versions, which do not report it.
+    /// The index up to which the sender holds the committed history on disk. `None` from earlier versions,
+    /// which do not report it.
     #[serde(default, rename = "held")]
     pub durable_commit_index: Option<u64>,
-    /// Whether it is shutting down and asks to be left out of the next view.
+    /// Whether the sender is shutting down and asks to be left out of the next view.
     #[serde(default, rename = "leaving")]
     pub is_leaving: bool,
-    /// Whether its disk accepts batches in time.
+    /// Whether the sender's disk completes batches in time.
     #[serde(rename = "disk_well")]
     pub disk_healthy: bool,
-    /// The peers that it received heartbeats from lately.
+    /// The peers from which the sender has received heartbeats recently.
     pub links: Vec<Link>,
 }
--- a/crates/chain/src/history.rs
+++ b/crates/chain/src/history.rs
@@ -1,9 +1,10 @@
-//! The history of configurations as one replica holds it.
+//! The history of configurations that a replica holds.
 //!
-//! Old entries are truncated twice: first the bytes go and the header remains, which is enough to recognise a resend; then the
-//! header goes too ([`HistoryLimits`]).
+//! Old entries are dropped in two steps ([`HistoryLimits`]). First their bytes are dropped and the header
+//! remains, which is sufficient to recognise a resent change. Later the header is dropped as well.
 //!
-//! Invariant: all entries but the last are committed, since the head appends an entry only once the one before it is.
+//! Invariant: all entries except the last are committed, since the head appends an entry only after the
+//! previous one is committed.
 
 use crate::digest::Digest;
 use crate::entry::{CommittedConfig, Entry, EntryBody, EntryHeader, HistorySuffix};
@@ -11,18 +12,18 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// The history of configurations.
+/// The retained part of the history of configurations.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     limits: HistoryLimits,
-    /// Contiguous, oldest first.
+    /// The headers of consecutive entries, oldest first.
     headers: VecDeque<EntryHeader>,
-    /// The bytes by index.
+    /// The bytes of the newest entries, by index.
     bodies: BTreeMap<u64, Arc<[u8]>>,
 }
 
 impl History {
-    /// An empty history that retains this much.
+    /// Creates an empty history with these limits.
     pub fn new(limits: HistoryLimits) -> History {
         History { limits, ..History::default() }
     }
@@ -49,7 +50,7 @@
         self.headers.get(offset).copied()
     }
 
-    /// Whether the history contains this very entry.
+    /// Whether the retained history contains this entry, not just another one at the same index.
     pub fn contains(&self, header: &EntryHeader) -> bool {
         self.header(header.index).is_some_and(|own| own.is_same(header))
     }
@@ -67,26 +68,27 @@
         Some(CommittedConfig { version: entry.header.version, base: entry.header.base, bytes: entry.bytes })
     }
 
-    /// The header of the entry that is this very change. Versions increase along the history.
+    /// The header of the entry that is this change. Uses a binary search, since versions increase along the
+    /// history.
     pub fn find(&self, version: u64, base: u64, digest: Digest) -> Option<EntryHeader> {
         let position = self.headers.binary_search_by_key(&version, |header| header.version).ok()?;
         let header = self.headers.get(position).copied()?;
         (header.base == base && header.digest.matches(&digest)).then_some(header)
     }
 
-    /// Whether such a change may be an entry whose header was dropped. Versions increase along the history, so dropped ones
-    /// are not above the base of the first retained entry.
+    /// Whether this change may be an entry whose header was dropped. Since versions increase along the
+    /// history, dropped versions are not above the base of the first retained entry.
     pub fn may_have_dropped(&self, version: u64, base: u64) -> bool {
         let last_dropped = self.headers.front().filter(|first| first.index > 1).map(|first| first.base);
         base < version && last_dropped.is_some_and(|dropped| version <= dropped)
     }
 
-    /// Appends an entry. Returns whether it follows the last one; otherwise nothing changes.
+    /// Appends an entry if it directly follows the last one. Returns whether it was appended.
     #[must_use]
     pub fn append(&mut self, entry: Entry) -> bool {
         let follows = entry.header.index == self.last_index() + 1;
         if follows {
-            let digest = entry.header.digest.completed(&entry.bytes);
+            let digest = entry.header.digest.with_blake3(&entry.bytes);
             self.headers.push_back(EntryHeader { digest, ..entry.header });
             self.bodies.insert(entry.header.index, entry.bytes);
             self.drop_oldest();
@@ -94,12 +96,13 @@
         follows
     }
 
-    /// The suffix for a replica that holds the committed history up to `after`.
+    /// The suffix to send to a replica that holds the committed history up to `after`.
     pub fn suffix(&self, after: u64) -> HistorySuffix {
         self.suffix_up_to(after, u64::MAX)
     }
 
-    /// The suffix for a replica that holds the committed history up to `after`, without the entries behind `last`.
+    /// The suffix to send to a replica that holds the committed history up to `after`, without the entries
+    /// after `last`.
     pub fn suffix_up_to(&self, after: u64, last: u64) -> HistorySuffix {
         let is_included = |index: u64| index > after && index <= last;
         let headers = self.headers.iter().filter(|header| is_included(header.index)).copied().collect();
@@ -108,40 +111,40 @@
         HistorySuffix { after, headers, bodies }
     }
 
-    /// Replaces the entries behind `suffix.after` by another replica's. Returns whether the suffix fits to this history;
-    /// otherwise nothing changes.
+    /// Replaces the entries after `suffix.after` by those of the suffix. Returns `false` and changes nothing
+    /// if the suffix would leave a gap.
     ///
-    /// A suffix whose first header does not follow `after` is a whole history whose oldest headers were dropped: it replaces
-    /// everything.
+    /// A suffix whose first header does not follow `after` is a complete history whose oldest headers were
+    /// dropped: it replaces all entries.
     #[must_use]
     pub fn install(&mut self, suffix: &HistorySuffix) -> bool {
         let first = suffix.headers.first().map_or(suffix.after + 1, |header| header.index);
         let replaces_all = first != suffix.after + 1;
-        let fits = replaces_all || suffix.after <= self.last_index();
+        let is_applicable = replaces_all || suffix.after <= self.last_index();
         let is_contiguous = suffix.headers.iter().zip(first..).all(|(header, index)| header.index == index);
-        if !fits || !is_contiguous {
+        if !is_applicable || !is_contiguous {
             return false;
         }
         self.truncate(if replaces_all { 0 } else { suffix.after });
         self.headers.extend(&suffix.headers);
         self.bodies.extend(suffix.bodies.iter().map(|body| (body.index, body.bytes.clone())));
         self.drop_oldest();
-        self.complete_digests();
+        self.add_missing_hashes();
         true
     }
 
-    /// Adds the hash that an earlier version did not send to each digest whose bytes are retained.
-    fn complete_digests(&mut self) {
+    /// Adds the BLAKE3 hash that an earlier version did not send to each digest whose bytes are retained.
+    fn add_missing_hashes(&mut self) {
         let Some(first) = self.headers.front().map(|header| header.index) else { return };
         for (index, bytes) in &self.bodies {
             let offset = index.checked_sub(first).and_then(|offset| usize::try_from(offset).ok());
             if let Some(header) = offset.and_then(|offset| self.headers.get_mut(offset)) {
-                header.digest = header.digest.completed(bytes);
+                header.digest = header.digest.with_blake3(bytes);
             }
         }
     }
 
-    /// Removes the entries behind an index.
+    /// Removes the entries after an index.
     fn truncate(&mut self, last_index: u64) {
         while self.headers.back().is_some_and(|header| header.index > last_index) {
             self.headers.pop_back();
@@ -149,7 +152,7 @@
         self.bodies.retain(|index, _| *index <= last_index);
     }
 
-    /// Drops what exceeds the limits.
+    /// Drops the oldest headers and bodies that exceed the limits.
     fn drop_oldest(&mut self) {
         while self.headers.len() > self.limits.max_headers {
             self.headers.pop_front();
--- a/crates/chain/src/history_stream.rs
+++ b/crates/chain/src/history_stream.rs
@@ -1,8 +1,9 @@
 //! The transfer of a history to another replica in chunks.
 //!
-//! The stream is a CBOR header, with the entry headers and the lengths of the bodies, followed by the bodies themselves. It is
-//! identified by the hash over all of it. So a chunk of one stream is never mistaken for one of another, and a receiver can
-//! resume at any source that holds the same history.
+//! The stream consists of a CBOR header, which contains the entry headers and the lengths of the bodies,
+//! followed by the bodies. It is identified by the hash of its whole content. A chunk of one stream is
+//! therefore never mistaken for a chunk of another, and a receiver can resume at any source that holds the
+//! same history.
 
 use crate::byte_string;
 use crate::digest::Blake3;
@@ -12,17 +13,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The longest stream that a receiver accepts, in bytes. Two configurations of 3 MB and 10,000 headers take 7 MB.
+/// The maximum length of a stream that a receiver accepts, in bytes. Two configurations of 3 MB each and
+/// 10,000 headers take 7 MB.
 const MAX_STREAM_BYTES: u64 = 16 * 1024 * 1024;
-/// The streams that a source retains for receivers at different offsets.
+/// The maximum number of streams that a source retains, for receivers that have reached different offsets.
 const MAX_STREAMS: usize = 4;
-/// A stream that nobody has requested for this long is dropped.
+/// A stream is dropped if it has not been requested for this long.
 const STREAM_TTL: Duration = Duration::from_secs(1);
 
 /// A request for a chunk. Encoded names are fixed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkRequest {
-    /// The stream to resume, `None` to begin one.
+    /// The stream to resume, `None` to start a new one.
     pub stream: Option<Blake3>,
     /// The offset of the chunk in bytes.
     pub offset: u64,
@@ -31,14 +33,15 @@
 /// A chunk of a stream. Encoded names are fixed; see docs/GLOSSARY.md.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The hash over the whole stream.
+    /// The hash of the whole stream.
     pub stream: Blake3,
     /// The length of the whole stream in bytes.
     #[serde(rename = "total")]
     pub total_bytes: u64,
     /// The offset of the chunk in bytes.
     pub offset: u64,
-    /// Whether this is the last chunk in response to one request, so that the next one must be requested.
+    /// Whether this is the last chunk of the response to one request, so that the receiver must request the
+    /// next one.
     #[serde(rename = "last")]
     pub is_last_of_response: bool,
     /// The bytes of the chunk.
@@ -49,9 +52,9 @@
 /// The limits of the response to one request.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseLimits {
-    /// The longest chunk, in bytes.
+    /// The maximum length of a chunk, in bytes.
     pub chunk_bytes: usize,
-    /// The most chunks.
+    /// The maximum number of chunks.
     pub max_chunks: usize,
 }
 
@@ -70,7 +73,7 @@
     bytes: u64,
 }
 
-/// A stream at its source. It shares the bodies with the history.
+/// A stream at its source. The stream shares the bodies with the history.
 #[derive(Debug)]
 pub struct HistoryStream {
     hash: Blake3,
@@ -79,15 +82,15 @@
 }
 
 impl HistoryStream {
-    /// The stream of a part of a history.
+    /// Creates the stream that carries a part of a history.
     pub fn new(suffix: HistorySuffix) -> HistoryStream {
         let length = |body: &EntryBody| BodyLength { index: body.index, bytes: body.bytes.len() as u64 };
         let bodies = suffix.bodies.iter().map(length).collect();
         let header = StreamHeader { after: suffix.after, headers: suffix.headers, bodies };
         let mut encoded = Vec::new();
-        // Writing to a vector fails for no value of these types.
+        // Encoding these types into a vector does not fail.
         let written = ciborium::into_writer(&header, &mut encoded);
-        debug_assert!(written.is_ok(), "a header that cannot be encoded: {written:?}");
+        debug_assert!(written.is_ok(), "cannot encode a stream header: {written:?}");
         let mut segments = vec![Arc::from(encoded)];
         segments.extend(suffix.bodies.into_iter().map(|body| body.bytes));
         let hash = Blake3::of_parts(segments.iter().map(|segment| segment.as_ref()));
@@ -95,7 +98,7 @@
         HistoryStream { hash, total_bytes, segments }
     }
 
-    /// The requested chunk; the first one if the request resumes another stream.
+    /// The requested chunk, or the first chunk if the request resumes a different stream.
     pub fn chunk(&self, request: ChunkRequest, max_bytes: usize) -> Chunk {
         let resumes = request.stream == Some(self.hash);
         let offset = usize::try_from(request.offset).unwrap_or(usize::MAX);
@@ -109,7 +112,7 @@
         }
     }
 
-    /// The requested chunk and those behind it, as far as the limits allow.
+    /// The requested chunk and the following ones, as far as the limits allow.
     fn response(&self, request: ChunkRequest, limits: ResponseLimits) -> Vec<Chunk> {
         let mut chunks = vec![self.chunk(request, limits.chunk_bytes)];
         while chunks.len() < limits.max_chunks {
@@ -143,15 +146,17 @@
     requested_at: Duration,
 }
 
-/// The streams that a source has sent lately. They are retained so that a transfer ends even while the history grows.
+/// The streams that a source has sent recently. They are retained so that a transfer completes even while the
+/// history grows.
 #[derive(Debug, Default)]
 pub struct StreamCache {
-    /// The one that was requested last comes last.
+    /// The streams, ordered by the time of their last request.
     streams: VecDeque<RetainedStream>,
 }
 
 impl StreamCache {
-    /// The chunks in response to a request. `make_suffix` returns the history to send if the stream is not retained.
+    /// Returns the chunks that answer a request. `make_suffix` returns the history to send if the requested
+    /// stream is not retained.
     pub fn chunks(
         &mut self, now: Duration, request: ChunkRequest, limits: ResponseLimits,
         make_suffix: impl FnOnce() -> HistorySuffix,
@@ -171,13 +176,13 @@
         chunks
     }
 
-    /// Drops the streams that nobody has requested lately.
+    /// Drops the streams that have not been requested recently.
     pub fn drop_idle(&mut self, now: Duration) {
         self.streams.retain(|retained| now < retained.requested_at + STREAM_TTL);
     }
 }
 
-/// The effect of a chunk on the assembly of a stream.
+/// The result of adding a chunk to the assembly of a stream.
 #[derive(Debug, PartialEq, Eq)]
 pub enum AssemblyProgress {
     /// The chunk was not the next one.
@@ -186,21 +191,22 @@
     Incomplete,
     /// The stream is complete.
     Complete(HistorySuffix),
-    /// The stream does not match its hash, is too long or does not fit the request. Assembly has to start again.
+    /// The stream does not match its hash, is too long or does not match the request. The assembly must be
+    /// restarted.
     Corrupt,
 }
 
 /// A stream at its receiver.
 #[derive(Debug)]
 pub struct StreamAssembly {
-    /// The receiver held the committed history up to this index when it began.
+    /// The index up to which the receiver held the committed history when the assembly started.
     pub after: u64,
     stream: Option<Blake3>,
     bytes: Vec<u8>,
 }
 
 impl StreamAssembly {
-    /// An assembly without any chunk.
+    /// Creates an assembly without chunks.
     pub fn new(after: u64) -> StreamAssembly {
         StreamAssembly { after, stream: None, bytes: Vec::new() }
     }
@@ -210,7 +216,7 @@
         ChunkRequest { stream: self.stream, offset: self.bytes.len() as u64 }
     }
 
-    /// Adds a chunk. The first chunk of another stream starts the assembly again.
+    /// Adds a chunk. The first chunk of a different stream restarts the assembly.
     pub fn add(&mut self, chunk: &Chunk) -> AssemblyProgress {
         if chunk.total_bytes > MAX_STREAM_BYTES {
             return AssemblyProgress::Corrupt;
--- a/crates/chain/src/history_stream_tests.rs
+++ b/crates/chain/src/history_stream_tests.rs
@@ -1,4 +1,4 @@
-//! Streams of a history: chunks, reassembly, resumption at another source, corruption.
+//! Tests the streams of a history: chunks, reassembly, resumption at another source, and corruption.
 
 use crate::digest::Digest;
 use crate::entry::{EntryBody, EntryHeader, HistorySuffix};
@@ -49,7 +49,8 @@
     }
 }
 
-/// A lost chunk is requested again, a repeated one is ignored, and another source with the same history resumes.
+/// A lost chunk is requested again, a duplicate is ignored, and another source with the same history can
+/// resume the stream.
 #[test]
 fn stream_is_resumed_after_loss_and_at_another_source() {
     let stream = HistoryStream::new(suffix(9, 90));
@@ -63,7 +64,8 @@
     assert_eq!(receive_rest(&other_source, &mut assembly, 100), AssemblyProgress::Complete(suffix(9, 90)));
 }
 
-/// The source has another history by now: its stream starts again, and nothing of the first one remains.
+/// The history of the source has changed meanwhile, so its new stream restarts the assembly and nothing of
+/// the first one remains.
 #[test]
 fn assembly_restarts_with_another_stream() {
     let mut assembly = StreamAssembly::new(3);
@@ -117,7 +119,7 @@
     chunks.remove(0)
 }
 
-/// One request gets several chunks, of which the last is marked.
+/// A request is answered by several chunks, of which the last is marked.
 #[rstest]
 #[case::from_the_start(0, &[0, 100, 200])]
 #[case::from_within(300, &[300, 400, 500])]
@@ -140,7 +142,7 @@
     );
 }
 
-/// A stream is sent to its end whatever is appended to the history meanwhile; an idle one is dropped.
+/// A stream stays available while entries are appended to the history, and is dropped once it is idle.
 #[test]
 fn streams_are_retained_until_idle() {
     let mut streams = StreamCache::default();
--- a/crates/chain/src/history_tests.rs
+++ b/crates/chain/src/history_tests.rs
@@ -1,4 +1,5 @@
-//! The history: append, recognition of resends, installation of another replica's history.
+//! Tests of the history: append, recognition of resent changes, and installation of another replica's
+//! history.
 
 use crate::digest::Digest;
 use crate::entry::{Entry, EntryHeader, HistorySuffix};
@@ -94,7 +95,7 @@
     assert_eq!(replica.last_index(), 6);
 }
 
-/// Entries 1 to 6 have versions 10 to 60; the headers of the last three are retained.
+/// Entries 1 to 6 have the versions 10 to 60. The headers of the last three are retained.
 #[rstest]
 #[case::dropped_header(30, 20, true)]
 #[case::between_dropped_headers(15, 10, true)]
--- a/crates/chain/src/journal.rs
+++ b/crates/chain/src/journal.rs
@@ -1,8 +1,8 @@
-//! The journal: collects records into batches for the disk, and delays effects until their records are synced.
+//! The journal: groups records into batches for the disk, and defers effects until their records are synced.
 //!
-//! At most one batch is in flight. Records that arrive meanwhile form the next one (group commit). An [`Effect`] is released
-//! once every record that was added before it is on disk; this is how a promise, an acceptance or an acknowledgement is never
-//! sent before it is durable.
+//! At most one batch is in flight. Records that are appended meanwhile form the next batch (group commit). An
+//! [`Effect`] is released once every record that was appended before it is on disk, so a promise, an
+//! acceptance or an acknowledgement is never sent before it is durable.
 
 use crate::action::BatchId;
 use crate::entry::EntryHeader;
@@ -10,13 +10,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A batch that the disk refused is retried after this. The retry also shows whether the disk accepts writes again.
+/// The delay before a failed batch is written again. The retry also detects whether the disk accepts writes
+/// again.
 const RETRY_AFTER: Duration = Duration::from_millis(400);
 
-/// What the replica does once the records before it are synced.
+/// An operation that the replica performs once the preceding records are synced.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// The identity is on disk: take part.
+    /// The identity is on disk: start to participate.
     BecomeReady,
     /// Send a message to a peer.
     Send {
@@ -32,9 +33,9 @@
         /// The index of the last entry of the history.
         last_index: u64,
     },
-    /// Committed entries that a process outside the chain has fetched are on disk.
+    /// Committed entries that a process outside the chain has received are on disk.
     LearnerSynced {
-        /// The index of the last of them.
+        /// The index of the last of these entries.
         index: u64,
     },
     /// An entry is on disk.
@@ -46,14 +47,14 @@
     },
 }
 
-/// A batch of records for the disk.
+/// A batch of records to be written to the disk.
 #[derive(Clone, Debug)]
 pub struct Batch {
-    /// Counts the batches from 1.
+    /// The sequence number of the batch, from 1.
     pub id: BatchId,
     /// The encoded records, in order.
     pub records: Vec<Vec<u8>>,
-    /// Whether they replace the complete log.
+    /// Whether the records replace the whole log.
     pub is_rewrite: bool,
 }
 
@@ -62,13 +63,14 @@
     batch: Batch,
     effects: Vec<Effect>,
     started_at: Duration,
-    /// The time of the last refusal, until the batch is retried.
+    /// The time of the last failed write, until the batch is written again.
     failed_at: Option<Duration>,
-    /// Whether it was refused at least once. The disk then counts as unhealthy until the batch is synced.
-    was_refused: bool,
+    /// Whether a write of the batch has failed at least once. The disk then counts as unhealthy until the
+    /// batch is synced.
+    has_failed: bool,
 }
 
-/// The records that are not synced yet.
+/// The records that are not synced yet, and the effects that wait for them.
 #[derive(Debug, Default)]
 pub struct Journal {
     in_flight: Option<InFlight>,
@@ -79,7 +81,7 @@
 }
 
 impl Journal {
-    /// A journal for a log that contains this many bytes of records.
+    /// Creates a journal for a log that contains this many bytes of records.
     pub fn new(log_bytes: usize) -> Journal {
         Journal { log_bytes, ..Journal::default() }
     }
@@ -90,12 +92,12 @@
         self.records.push(record);
     }
 
-    /// Adds an effect that is released once all records so far are synced.
+    /// Adds an effect that is released once all records appended so far are synced.
     pub fn after_sync(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// The size of the log in bytes of records, the unsynced ones included.
+    /// The total size of the records of the log in bytes, including unsynced ones.
     pub fn log_bytes(&self) -> usize {
         self.log_bytes
     }
@@ -105,7 +107,7 @@
         self.in_flight.is_none()
     }
 
-    /// Takes the effects that do not wait for any record.
+    /// Takes the effects that do not wait for a record.
     pub fn take_released(&mut self) -> Vec<Effect> {
         if self.is_idle() && self.records.is_empty() { std::mem::take(&mut self.effects) } else { Vec::new() }
     }
@@ -119,7 +121,8 @@
         Some(self.start(now, records, false))
     }
 
-    /// Starts a rewrite of the log instead of the next batch, whose records `snapshot` must contain. Only while idle.
+    /// Starts a rewrite of the log in place of the next batch. `snapshot` must cover the records of that
+    /// batch. Must only be called while no batch is in flight.
     pub fn start_rewrite(&mut self, now: Duration, snapshot: Vec<Vec<u8>>) -> Batch {
         self.records.clear();
         self.log_bytes = snapshot.iter().map(Vec::len).sum();
@@ -134,26 +137,27 @@
             effects: std::mem::take(&mut self.effects),
             started_at: now,
             failed_at: None,
-            was_refused: false,
+            has_failed: false,
         });
         batch
     }
 
-    /// Records that a batch is synced. Returns the effects that it releases.
+    /// Handles the completion of a batch. Returns the effects that it releases.
     pub fn record_persisted(&mut self, id: BatchId) -> Vec<Effect> {
-        let is_this = |in_flight: &mut InFlight| in_flight.batch.id == id && in_flight.failed_at.is_none();
-        self.in_flight.take_if(is_this).map_or_else(Vec::new, |in_flight| in_flight.effects)
+        let is_expected =
+            |in_flight: &mut InFlight| in_flight.batch.id == id && in_flight.failed_at.is_none();
+        self.in_flight.take_if(is_expected).map_or_else(Vec::new, |in_flight| in_flight.effects)
     }
 
-    /// Records that the disk refused a batch.
+    /// Handles the failure to write a batch.
     pub fn record_failure(&mut self, now: Duration, id: BatchId) {
         if let Some(in_flight) = self.in_flight.as_mut().filter(|in_flight| in_flight.batch.id == id) {
             in_flight.failed_at = Some(now);
-            in_flight.was_refused = true;
+            in_flight.has_failed = true;
         }
     }
 
-    /// The refused batch, once its retry is due.
+    /// Returns the failed batch once its retry is due.
     pub fn take_retry(&mut self, now: Duration) -> Option<Batch> {
         let in_flight = self.in_flight.as_mut()?;
         if now < in_flight.failed_at? + RETRY_AFTER {
@@ -163,14 +167,15 @@
         Some(in_flight.batch.clone())
     }
 
-    /// Whether the batch in flight was neither refused nor has taken `max_duration`.
+    /// Whether the batch in flight has neither failed nor taken longer than `max_duration`.
     pub fn is_healthy(&self, now: Duration, max_duration: Duration) -> bool {
         self.in_flight
             .as_ref()
-            .is_none_or(|in_flight| !in_flight.was_refused && now < in_flight.started_at + max_duration)
+            .is_none_or(|in_flight| !in_flight.has_failed && now < in_flight.started_at + max_duration)
     }
 
-    /// Discounts a pause of the process from the duration of the batch in flight: it is no fault of the disk.
+    /// Excludes a pause of the process from the duration of the batch in flight, since the disk did not cause
+    /// it.
     pub fn discount_pause(&mut self, pause: Duration) {
         if let Some(in_flight) = self.in_flight.as_mut() {
             in_flight.started_at += pause;
--- a/crates/chain/src/journal_tests.rs
+++ b/crates/chain/src/journal_tests.rs
@@ -1,4 +1,4 @@
-//! Batches: one in flight, effects after the sync, retries.
+//! Tests of the journal: at most one batch in flight, release of effects after the sync, and retries.
 
 use crate::action::BatchId;
 use crate::journal::{Effect, Journal};
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn refused_batch_is_retried_and_disk_is_unhealthy_until_persisted() {
+fn failed_batch_is_retried_and_disk_is_unhealthy_until_persisted() {
     let mut journal = journal();
     let batch = journal.start_batch(at(0)).unwrap();
     assert!(journal.is_healthy(at(10), SUSPECT_AFTER));
--- a/crates/chain/src/lib.rs
+++ b/crates/chain/src/lib.rs
@@ -1,45 +1,54 @@
-//! The configuration history: chain replication over the control plane, reconfigured by views that Paxos decides.
+//! A replicated history of configurations: chain replication across the control processes, reconfigured by
+//! views that are decided by Paxos.
 //!
-//! [`Replica`] is a deterministic state machine without I/O, in the manner of raft-rs: a driver hands it [`Event`]s with the
-//! monotonic time and carries out the resulting [`Action`]s in order.
+//! [`Replica`] is a deterministic state machine without I/O, in the style of raft-rs: a driver passes it
+//! [`Event`]s together with the monotonic time and executes the resulting [`Action`]s in order.
 //!
 //! # The protocol
 //!
-//! - **Chain** (van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability", OSDI 2004). The
-//!   head accepts a change if it builds on the newest committed one, and has at most one uncommitted. Each replica syncs an
-//!   entry before it sends it on, so the history of a replica is a prefix of its predecessor's. What the tail has synced is
-//!   committed. The tail announces it to all, and the process that received the operator's request responds.
-//! - **Views.** A [`View`] names the members, which are the acceptors of the next view, and the chain, a subset of them. View
-//!   `n + 1` is decided by single-decree Paxos (Lamport, "Paxos Made Simple") among the members of view `n`. Promises and
-//!   acceptances are synced before they are sent. View 1 is decided among the seeds of the first start.
-//! - **Seal.** A replica that has promised view `n + 1` takes no further part in view `n`.
-//! - **State transfer.** A view names a source in its chain. The other replicas replace their history by the source's. The view
-//!   serves once all replicas of its chain hold that history on disk.
-//! - **Confirmation.** A read, and a refusal because of a base that was never seen here, wait until a majority of the members
-//!   has said, after the request arrived, that it has promised no later view. This needs neither leases nor clocks.
-//! - **Members.** A view has `2 f + 1` members, where `f` is the fault tolerance. Every other process is a learner: it keeps the
-//!   committed history off the critical path of a change, and replaces a member that leaves, is lost or has lost its disk. At
-//!   most one member is replaced per view.
-//! - **Identity.** A member is an address together with a disk ([`MemberId`]). A machine with a new disk is another process: it
-//!   neither votes nor replicates until a view names it.
+//! - **Chain** (van Renesse and Schneider, "Chain Replication for Supporting High Throughput and
+//!   Availability", OSDI 2004). The head accepts a change if the change is based on the newest committed one.
+//!   At most one change is uncommitted. Each replica syncs an entry to disk before it forwards the entry, so
+//!   the history of a replica is a prefix of its predecessor's. An entry is committed once the tail has
+//!   synced it. The tail announces the commit to all processes, and the process that received the operator's
+//!   request responds.
+//! - **Views.** A [`View`] names the members, which are the acceptors of the next view, and the chain, which
+//!   is a subset of the members. View `n + 1` is decided by single-decree Paxos (Lamport, "Paxos Made
+//!   Simple") among the members of view `n`. Promises and acceptances are synced before they are sent. View 1
+//!   is decided among the seeds when the system starts for the first time.
+//! - **Sealing.** A replica that has promised view `n + 1` stops participating in view `n`.
+//! - **State transfer.** A view names a source in its chain. The other replicas of the chain replace their
+//!   history by the source's. The view starts to serve once all replicas of its chain hold that history on
+//!   disk.
+//! - **Confirmation.** Some responses wait until a majority of the members has stated, after the request
+//!   arrived, that it has promised no later view: reads, and rejections of changes whose base version is
+//!   unknown to the head. Confirmation depends neither on leases nor on clocks.
+//! - **Members.** A view has `2 f + 1` members, where `f` is the fault tolerance. Every other process is a
+//!   learner: it replicates the committed history without delaying changes, and replaces a member that
+//!   leaves, fails or loses its disk. Each view replaces at most one member.
+//! - **Identity.** A member is identified by its address and its disk ([`MemberId`]). A machine with a new
+//!   disk is a different process: it neither votes nor replicates until a view names it.
 //!
 //! # Why no acknowledged entry is lost
 //!
-//! An acknowledged entry is on the disks of all replicas of the chain of a view that served, at least `fault_tolerance + 1`.
-//! Each majority of the members has a member in common with the chain ([`View::is_sufficient`]). So a proposer of the next view
-//! gets a promise from a replica of the chain. Either that replica holds the history of the view and is fit as a source, or it
-//! does not; then the view has not served and, since that replica is sealed, never will. In the second case the same argument
-//! applies to the view before, and so on: a view lists those before it that may have served ([`View::lineage`]). Each replica
-//! with the history of the newest view that may have served, or of a later one that installed it, is fit as a source.
+//! An acknowledged entry is on the disks of all replicas of the chain of a view that has served, which are at
+//! least `fault_tolerance + 1`. Each majority of the members has a member in common with the chain
+//! ([`View::is_sufficient`]). So a proposer of the next view receives a promise from a replica of the chain.
+//! If that replica holds the history of the view, it is a valid source. Otherwise the view has not served
+//! and, since that replica is sealed, never will; the same argument then applies to the previous view, and so
+//! on. For this purpose a view lists the earlier views that may have served ([`View::lineage`]). A replica is
+//! a valid source if it holds the history of the newest view that may have served, or of a later view that
+//! installed it.
 //!
 //! # Obligations of the driver
 //!
-//! - `seed` differs from start to start, since identities come from it.
-//! - If the log is corrupt or cannot be recovered, the disk counts as lost: set the log aside and start with no records and
-//!   `bootstrap = false`.
-//! - A batch that the disk refused comes again, under its number and unchanged, until it is persisted. What a failed append left
-//!   on disk must be removed before (`lugwharf_store::Log` does so).
-//! - `from` is the address under which a peer listens, not the one from which it connected.
+//! - `seed` must differ from start to start, since identities are derived from it.
+//! - If the log is corrupt or cannot be recovered, the disk counts as lost: move the log aside and start
+//!   without records and with `bootstrap = false`.
+//! - A batch that could not be written is emitted again, unchanged and under the same number, until it is
+//!   persisted. The driver must first remove what the failed append left on disk (`lugwharf_store::Log` does
+//!   so).
+//! - `from` must be the address on which a peer listens, not the one from which it connected.
 #![forbid(unsafe_code)]
 
 mod action;
--- a/crates/chain/src/log_event.rs
+++ b/crates/chain/src/log_event.rs
@@ -1,10 +1,10 @@
-//! The events that a replica has its driver write to the process log.
+//! The events of a replica that the driver writes to the process log.
 
 use crate::entry::EntryHeader;
 use crate::member::MemberId;
 use std::net::SocketAddr;
 
-/// The reason for which a view is proposed.
+/// The reason why a view is proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViewChangeReason {
     /// No view was decided yet.
@@ -17,31 +17,31 @@
     ChainExtension,
     /// A proposal sealed the current view and was not finished.
     UnfinishedProposal,
-    /// The chain does not get to hold the history.
+    /// The chain has not obtained the history of the view in time.
     Stalled,
 }
 
-/// What is wrong with a replica of the chain, or with a member.
+/// The fault of a replica of the chain, or of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaFault {
-    /// Another disk answers under its address: its own is lost.
+    /// A process with another disk runs at the replica's address, so the original disk is lost.
     DiskLost,
-    /// Its disk rejects batches, or is too slow.
+    /// Writes to the replica's disk fail or take too long.
     DiskFault,
-    /// It is shutting down.
+    /// The replica is shutting down.
     Leaving,
-    /// Neither this process nor, as far as it knows, another one hears it.
+    /// Neither this process nor, as far as it knows, any other process receives heartbeats from the replica.
     Unreachable,
-    /// It and another replica do not reach each other.
+    /// The replica and another one receive no heartbeats from each other.
     LinkSevered,
 }
 
-/// The replica or member because of which a view is proposed.
+/// The replica or member that caused a view to be proposed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultyReplica {
-    /// Its peer address.
+    /// The peer address of the replica.
     pub address: SocketAddr,
-    /// What is wrong with it, as far as the proposer sees.
+    /// The fault of the replica, as observed by the proposer.
     pub fault: ReplicaFault,
 }
 
@@ -50,41 +50,41 @@
 pub enum LogEvent {
     /// The replica has started.
     Started {
-        /// Its identity.
+        /// The identity of the replica.
         identity: MemberId,
-        /// Whether it may take part in bootstrapping the first view.
+        /// Whether the replica may take part in bootstrapping the first view.
         may_bootstrap: bool,
-        /// The number of the newest view on its disk.
+        /// The number of the newest view on disk.
         view_number: u64,
     },
-    /// A proposal for the next view begins.
+    /// This process has started to propose the next view.
     Proposing {
         /// The number of the view.
         view_number: u64,
-        /// The reason for which the current view has to be replaced.
+        /// The reason why the current view must be replaced.
         reason: ViewChangeReason,
-        /// The first replica of the current chain, or member, with which something is wrong.
+        /// The first faulty replica of the current chain, or else the first faulty member outside the chain.
         faulty_replica: Option<FaultyReplica>,
     },
     /// All replicas of a view's chain hold the history.
     Serving {
         /// The number of the view.
         view_number: u64,
-        /// The length of its chain.
+        /// The number of replicas of the view's chain.
         chain_length: usize,
     },
     /// An entry was committed.
     EntryCommitted(EntryHeader),
-    /// A proposer used one proposal number for two views. The second was not accepted; the proposer's disk lost a synced
-    /// promise or was copied.
+    /// A proposer used the same proposal number for two views. The second proposal was not accepted. The
+    /// proposer's disk has lost a synced promise, or was copied.
     ProposalNumberReused {
         /// The number of the view.
         view_number: u64,
     },
-    /// The disk refused a batch, or a batch takes too long.
+    /// A batch could not be written, or its write takes too long.
     DiskFault,
-    /// The disk accepts batches again.
+    /// The disk completes batches in time again.
     DiskHealthy,
-    /// An entry that was never committed was replaced by the history of a newer view.
+    /// An uncommitted entry was replaced by the history of a newer view.
     EntrySuperseded(EntryHeader),
 }
--- a/crates/chain/src/message.rs
+++ b/crates/chain/src/message.rs
@@ -1,10 +1,10 @@
-//! The messages between replicas. Each names the view or the Paxos instance that it belongs to, so that a receiver
-//! recognises a late one as stale. Messages may be lost, repeated or delayed; between two processes they arrive in order as
-//! long as their connection lasts.
+//! The messages between replicas. Most of them name the view or the Paxos instance to which they belong, so
+//! that a receiver recognises stale ones. Messages may be lost, duplicated or delayed; between two processes
+//! they arrive in order while the connection lasts.
 //!
-//! Names of fields and variants are part of the encoding (CBOR maps with text keys), and a rolling upgrade mixes two versions
-//! of the program. Encoded names are therefore fixed by `serde(rename)` where the code uses another term; see
-//! `docs/GLOSSARY.md`. `encoding_tests.rs` pins the bytes.
+//! Names of fields and variants are part of the encoding (CBOR maps with text keys), and processes of two
+//! versions communicate during a rolling upgrade. Encoded names are therefore fixed by `serde(rename)` where
+//! the code uses another term; see `docs/GLOSSARY.md`. `encoding_tests.rs` fixes the encoded bytes.
 
 use crate::byte_string;
 use crate::digest::{Blake3, Fnv};
@@ -21,9 +21,10 @@
 /// A message from one replica to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// The sender is alive; see [`Heartbeat`].
+    /// A heartbeat; see [`Heartbeat`].
     Heartbeat(Heartbeat),
-    /// Asks for the receiver's newest view if its number is above this one. Answered with [`Message::Decided`].
+    /// Requests the receiver's newest view if its number is higher than `above`. Answered by
+    /// [`Message::Decided`].
     ViewRequest {
         /// The number of the newest view that the sender knows.
         above: u64,
@@ -33,42 +34,44 @@
         /// The view.
         view: View,
     },
-    /// Paxos phase 1a: asks for a promise in the instance that decides view `instance`.
+    /// Paxos phase 1a: requests a promise in the instance that decides view `instance`.
     Prepare {
         /// The number of the view to decide.
         instance: u64,
-        /// The proposal.
+        /// The number of the proposal.
         #[serde(rename = "ballot")]
         proposal: ProposalNumber,
     },
-    /// Paxos phase 1b: the sender accepts no lower proposal, and has stopped taking part in the view before `instance`.
+    /// Paxos phase 1b: the sender accepts no proposal with a lower number, and has stopped participating in
+    /// the view before `instance`.
     Promise {
-        /// The acceptor. The proposer needs its disk as well as its address, since only the former identifies a member.
+        /// The acceptor. Names its disk as well as its address, since the address alone does not identify a
+        /// member.
         sender: MemberId,
         /// The number of the view to decide.
         instance: u64,
-        /// The proposal.
+        /// The number of the proposal.
         #[serde(rename = "ballot")]
         proposal: ProposalNumber,
-        /// What the sender has accepted in a lower proposal.
+        /// The proposal with the highest number that the sender has accepted, if any.
         accepted: Option<Box<AcceptedProposal>>,
-        /// How far the sender's history reaches. The proposer chooses the source of the view by it.
+        /// The extent of the sender's history, from which the proposer chooses the source of the view.
         #[serde(rename = "holding")]
         position: HistoryPosition,
     },
-    /// The sender has promised a higher proposal.
+    /// The sender has promised a proposal with a higher number.
     Rejected {
         /// The number of the view to decide.
         instance: u64,
-        /// The proposal that is rejected.
+        /// The number of the rejected proposal.
         #[serde(rename = "ballot")]
         proposal: ProposalNumber,
-        /// The higher one.
+        /// The number of the promised proposal.
         promised: ProposalNumber,
     },
-    /// Paxos phase 2a: asks to accept a view. The instance is the number of the view.
+    /// Paxos phase 2a: requests the acceptance of a view. The Paxos instance is the number of the view.
     Accept {
-        /// The proposal.
+        /// The number of the proposal.
         #[serde(rename = "ballot")]
         proposal: ProposalNumber,
         /// The view.
@@ -78,25 +81,25 @@
     Accepted {
         /// The number of the view to decide.
         instance: u64,
-        /// The proposal.
+        /// The number of the proposal.
         #[serde(rename = "ballot")]
         proposal: ProposalNumber,
     },
-    /// Asks the source of a view for its history.
+    /// Requests the history of a view from the source of that view.
     StateRequest {
         /// The number of the view.
         view: u64,
-        /// The sender holds the committed history up to this index.
+        /// The index up to which the sender holds the committed history.
         after: u64,
-        /// The chunk to send. `None` from earlier versions, which want the history in one message.
+        /// The requested chunk. `None` from earlier versions, which expect the history in one message.
         #[serde(default, rename = "piece")]
         chunk: Option<ChunkRequest>,
     },
-    /// The history of a view in one message; only to and from earlier versions.
+    /// The history of a view in one message. Only exchanged with earlier versions.
     State {
         /// The number of the view.
         view: u64,
-        /// What the receiver lacks.
+        /// The part of the history that the receiver is missing.
         #[serde(rename = "transfer")]
         suffix: HistorySuffix,
     },
@@ -109,29 +112,29 @@
         #[serde(rename = "piece")]
         chunk: Chunk,
     },
-    /// Asks for the committed history behind an index, as a learner does.
+    /// Requests the committed history after an index, for a learner.
     HistoryRequest {
-        /// The sender holds the committed history up to this index.
+        /// The index up to which the sender holds the committed history.
         after: u64,
-        /// The chunk to send.
+        /// The requested chunk.
         #[serde(rename = "piece")]
         chunk: ChunkRequest,
     },
-    /// A chunk of the committed history, for a process that is not in the chain.
+    /// A chunk of the committed history, for a process outside the chain.
     #[serde(rename = "HistoryPiece")]
     HistoryChunk {
         /// The chunk.
         #[serde(rename = "piece")]
         chunk: Chunk,
     },
-    /// An entry, from a replica to its successor in the chain.
+    /// An entry, sent by a replica to its successor in the chain.
     Replicate {
         /// The number of the view.
         view: u64,
         /// The entry.
         entry: Entry,
     },
-    /// The sender has synced all entries up to this index; to its predecessor in the chain.
+    /// Acknowledges to the predecessor in the chain that the sender has synced all entries up to an index.
     Replicated {
         /// The number of the view.
         view: u64,
@@ -144,44 +147,47 @@
         #[serde(rename = "mark")]
         header: EntryHeader,
     },
-    /// Asks a member whether a view is still in force, as read-index asks in Raft (Ongaro's thesis, section 6.4).
+    /// Asks a member to confirm that a view is still current, like a read-index request in Raft (Ongaro's
+    /// thesis, section 6.4).
     Confirm {
         /// The number of the view.
         view: u64,
-        /// The round of confirmation.
+        /// The identity of the confirmation round.
         #[serde(rename = "question")]
         request_id: RequestId,
     },
-    /// The sender has promised no later view.
+    /// Confirms that the sender has promised no later view.
     Confirmed {
         /// The number of the view.
         view: u64,
-        /// The round of confirmation.
+        /// The identity of the confirmation round.
         #[serde(rename = "question")]
         request_id: RequestId,
     },
-    /// A configuration change, for the head.
+    /// A configuration change, sent to the head.
     Submit {
         /// The request.
         #[serde(rename = "call")]
         request_id: RequestId,
-        /// The version that the change builds on.
+        /// The version on which the change is based.
         base: u64,
         /// The version of the change.
         version: u64,
-        /// The hash of the bytes, for a head of an earlier version. A head of this version hashes what it receives.
+        /// The hash of the bytes, for a head of an earlier version. A head of this version computes the hash
+        /// itself.
         digest: Fnv,
-        /// The configuration, byte for byte.
+        /// The encoded configuration.
         #[serde(with = "byte_string")]
         bytes: Arc<[u8]>,
-        /// As in [`crate::Event::Submit`]. Earlier versions neither send nor read it.
+        /// As in [`crate::Event::Submit`]. Earlier versions neither send nor decode this field.
         #[serde(default, skip_serializing_if = "Option::is_none", rename = "request")]
         request_hash: Option<Blake3>,
-        /// Whether the sender forwards it for another process. A forwarded request is not forwarded again.
+        /// Whether the sender forwards the request on behalf of another process. A forwarded request is not
+        /// forwarded again.
         #[serde(default, rename = "relayed")]
         forwarded: bool,
     },
-    /// A read, for the tail.
+    /// A read request, sent to the tail.
     Read {
         /// The request.
         #[serde(rename = "call")]
@@ -195,10 +201,10 @@
         /// The request.
         #[serde(rename = "call")]
         request_id: RequestId,
-        /// Its outcome.
+        /// The outcome of the request.
         outcome: RequestOutcome,
     },
-    /// Asks for the newest committed configuration if its version is above this one.
+    /// Requests the newest committed configuration if its version is higher than `above`.
     ConfigRequest {
         /// The newest version that the sender knows, 0 for none.
         above: u64,
--- a/crates/chain/src/paxos/acceptor.rs
+++ b/crates/chain/src/paxos/acceptor.rs
@@ -1,16 +1,16 @@
-//! The state of an acceptor.
+//! The state of a Paxos acceptor.
 
 use super::ProposalNumber;
 use crate::view::View;
 use serde::{Deserialize, Serialize};
 
-/// A view that an acceptor has accepted. Encoded as a pair, as earlier versions do.
+/// A proposal that an acceptor has accepted. Encoded as a pair, for compatibility with earlier versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(ProposalNumber, View)", into = "(ProposalNumber, View)")]
 pub struct AcceptedProposal {
-    /// The proposal in which it was accepted.
+    /// The number of the proposal.
     pub number: ProposalNumber,
-    /// The view.
+    /// The proposed view.
     pub view: View,
 }
 
@@ -28,22 +28,22 @@
 
 /// The state of an acceptor in the instance that decides the view after the newest one.
 ///
-/// Both fields are on disk before they are reported to a proposer. A decided view resets them.
+/// Both fields are synced before they are reported to a proposer. They are reset when a view is decided.
 #[derive(Clone, Debug, Default)]
 pub struct Acceptor {
-    /// The highest proposal that it has promised.
+    /// The highest proposal number that the acceptor has promised.
     pub promised: Option<ProposalNumber>,
-    /// What it has accepted in the highest proposal so far.
+    /// The accepted proposal with the highest number.
     pub accepted: Option<Box<AcceptedProposal>>,
 }
 
 impl Acceptor {
-    /// Whether a proposal is high enough to be promised or accepted.
+    /// Whether a proposal number is high enough to be promised or accepted.
     pub fn admits(&self, proposal: ProposalNumber) -> bool {
         self.promised.is_none_or(|promised| proposal >= promised)
     }
 
-    /// Compares an admitted proposal with the one that was accepted.
+    /// Compares an admitted proposal with the accepted one.
     pub fn compare_accepted(&self, proposal: ProposalNumber, view: &View) -> AcceptedComparison {
         match &self.accepted {
             Some(accepted) if accepted.number == proposal && accepted.view == *view => {
@@ -55,13 +55,13 @@
     }
 }
 
-/// The relation of an admitted proposal to the one that an acceptor has accepted.
+/// The relation of an admitted proposal to the accepted one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptedComparison {
-    /// Nothing was accepted, or only in a lower proposal.
+    /// No proposal was accepted, or only one with a lower number.
     Newer,
-    /// This very proposal was accepted.
+    /// The same proposal was accepted.
     Identical,
-    /// Another view was accepted under the same number. No correct proposer uses a number twice.
+    /// A different view was accepted under the same number. No correct proposer uses a number for two views.
     OtherView,
 }
--- a/crates/chain/src/paxos/mod.rs
+++ b/crates/chain/src/paxos/mod.rs
@@ -1,11 +1,12 @@
-//! Single-decree Paxos on the next view: the states of an acceptor and of a proposer.
+//! Single-decree Paxos that decides the next view: the states of an acceptor and of a proposer.
 //!
-//! Terms and phases as in Lamport, "Paxos Made Simple", section 2.2. Instance `n` decides view `n`; its acceptors are the
-//! members of view `n - 1`. The messages are sent and received by `replica::acceptor` and `replica::proposer`.
+//! Terms and phases are those of Lamport, "Paxos Made Simple", section 2.2. Instance `n` decides view `n`,
+//! and its acceptors are the members of view `n - 1`. The messages are handled by `replica::acceptor` and
+//! `replica::proposer`.
 //!
-//! Two things are added to plain Paxos. A promise for view `n + 1` also seals view `n`: its sender takes no further part in
-//! it. And a promise reports how far the sender's history reaches, so that the proposer can name a source for the history of
-//! the next view ([`Lineage`]).
+//! There are two extensions to plain Paxos. A promise for view `n + 1` also seals view `n`: the sender stops
+//! participating in it. A promise also reports the extent of the sender's history, from which the proposer
+//! chooses the source of the next view ([`Lineage`]).
 
 mod acceptor;
 mod lineage;
--- a/crates/chain/src/paxos/proposer.rs
+++ b/crates/chain/src/paxos/proposer.rs
@@ -13,39 +13,39 @@
 pub struct ReceivedPromise {
     /// The acceptor.
     pub member: MemberId,
-    /// What the acceptor has accepted in a lower proposal.
+    /// The proposal with the highest number that the acceptor has accepted, if any.
     pub accepted: Option<Box<AcceptedProposal>>,
-    /// How far the acceptor's history reaches.
+    /// The extent of the acceptor's history.
     pub position: HistoryPosition,
 }
 
-/// The phase of an attempt.
+/// The Paxos phase of an attempt.
 #[derive(Clone, Debug)]
 pub enum Phase {
-    /// Phase 1: promises are collected.
+    /// Phase 1: the proposer collects promises.
     Preparing {
-        /// The promises so far, by the address of the acceptor.
+        /// The promises received so far, by the address of the acceptor.
         promises: BTreeMap<SocketAddr, ReceivedPromise>,
-        /// The time at which they became a majority.
+        /// The time at which the promises became a majority.
         majority_since: Option<Duration>,
     },
-    /// Phase 2: acceptances are collected.
+    /// Phase 2: the proposer collects acceptances.
     Accepting {
         /// The proposed view.
         view: Box<View>,
-        /// The addresses of the acceptors that have accepted it.
+        /// The addresses of the acceptors that have accepted the view.
         accepted: BTreeSet<SocketAddr>,
     },
 }
 
-/// One attempt to get a view decided.
+/// An attempt to have a view decided.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The number of the proposal.
     pub proposal: ProposalNumber,
-    /// The time at which the attempt fails.
+    /// The time at which the current phase times out.
     pub deadline: Duration,
-    /// Its phase.
+    /// The current phase of the attempt.
     pub phase: Phase,
 }
 
@@ -54,27 +54,27 @@
 pub struct Proposer {
     /// The attempt in progress.
     pub attempt: Option<Attempt>,
-    /// No attempt begins before this time.
+    /// The time before which no attempt begins.
     pub backoff_until: Duration,
-    /// The number of attempts that failed in a row.
+    /// The number of consecutive failed attempts.
     pub consecutive_failures: u32,
-    /// The highest round of any proposal seen.
+    /// The highest round of any proposal that this process has seen.
     pub highest_round: u64,
-    /// The time since which this process wants another view.
+    /// The time since which this process has planned a different view.
     pub change_wanted_since: Option<Duration>,
-    /// The time since which some member has promised a view that is not decided yet.
+    /// The time since which a member has promised a view that is not decided yet.
     pub sealed_since: Option<Duration>,
 }
 
 impl Proposer {
-    /// The proposer of a process that restarts. It continues above every number that it may have used before: a proposer
-    /// syncs its own promise before it sends a number to anybody.
+    /// Restores the proposer after a restart. A proposer syncs its own promise before it sends a proposal
+    /// number, so it continues above every number that it may have used.
     pub fn recover(promised: Option<ProposalNumber>) -> Proposer {
         let highest_round = promised.map_or(0, |proposal| proposal.round);
         Proposer { highest_round, ..Proposer::default() }
     }
 
-    /// The attempt in progress, if it is this proposal.
+    /// The attempt in progress, if it has this proposal number.
     pub fn attempt_for(&mut self, proposal: ProposalNumber) -> Option<&mut Attempt> {
         self.attempt.as_mut().filter(|attempt| attempt.proposal == proposal)
     }
--- a/crates/chain/src/paxos/proposer_tests.rs
+++ b/crates/chain/src/paxos/proposer_tests.rs
@@ -1,4 +1,4 @@
-//! The lineage of a view and the choice of its source.
+//! Tests of the lineage of a view, the choice of its source, and the rules of an acceptor.
 
 use crate::heartbeat::HistoryPosition;
 use crate::member::MemberId;
@@ -13,8 +13,8 @@
     MemberId { address: SocketAddr::from(([10, 0, 0, number], 7000)), disk }
 }
 
-/// View 5 with three members and a chain of the first two. It was decided when views 3 and 4 may have served, view 4 with a chain
-/// of the last two.
+/// View 5 with three members and a chain of the first two. When view 5 was decided, views 3 and 4 may have
+/// served; the chain of view 4 consisted of the last two members.
 fn view() -> View {
     let members = vec![member(1, 1), member(2, 2), member(3, 3)];
     View {
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn member_with_a_lost_disk_is_no_source() {
+fn member_with_a_lost_disk_is_not_a_source() {
     let lost = member(1, 1);
     let position = HistoryPosition { installed_view: 5, last_index: 9 };
     let promises =
@@ -85,9 +85,9 @@
 #[case::too_few_members(3, 1, 2, 2, false)]
 #[case::four_members(3, 1, 4, 2, true)]
 #[case::five_members(3, 1, 5, 2, false)]
-#[case::five_that_bear_two(5, 2, 5, 3, true)]
-#[case::two_machines_in_all(2, 1, 2, 2, true)]
-#[case::a_single_machine(1, 0, 1, 1, true)]
+#[case::five_that_tolerate_two(5, 2, 5, 3, true)]
+#[case::two_processes_in_total(2, 1, 2, 2, true)]
+#[case::single_process(1, 0, 1, 1, true)]
 fn view_is_sufficient_with_enough_members_and_replicas(
     #[case] min_members: u32, #[case] fault_tolerance: u32, #[case] members: usize, #[case] replicas: usize,
     #[case] is_sufficient: bool,
--- a/crates/chain/src/peers.rs
+++ b/crates/chain/src/peers.rs
@@ -1,8 +1,9 @@
-//! The state of the other processes of the control plane and of the links between them, as heartbeats report it.
+//! The state of the other processes of the control plane and of the links between them, derived from
+//! heartbeats.
 //!
-//! A failure detector with a fixed timeout: a peer is alive as long as its last heartbeat is younger than `suspect_after`. A
-//! link between two processes counts as up if each of them reports that it receives the other's heartbeats in both directions,
-//! so that one-way partitions are seen as well.
+//! This is a failure detector with a fixed timeout: a peer is alive while its last heartbeat is younger than
+//! `suspect_after`. A link between two processes counts as up only if both ends report it as bidirectional,
+//! so one-way partitions are detected as well.
 
 use crate::heartbeat::{Heartbeat, Link};
 use crate::member::MemberId;
@@ -10,28 +11,30 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The most peers that are kept; more than a control plane has processes. Bounds what unknown senders can make this process remember.
+/// The maximum number of peers, which is more than a control plane has processes. Bounds the memory that
+/// unknown senders can occupy.
 const MAX_PEERS: usize = 64;
-/// A silent peer that is neither member nor seed is forgotten after this.
+/// A peer that is neither a member nor a seed is forgotten after this time without a heartbeat.
 const FORGET_AFTER: Duration = Duration::from_secs(15);
-/// A peer whose connection broke is suspected after `suspect_after` divided by this.
+/// A peer whose connection was closed is suspected after `suspect_after` divided by this.
 const BROKEN_LINK_DIVISOR: u32 = 2;
-/// A peer that flaps has to be healthy for longer, at most `1 << MAX_BACKOFF_FLAPS` times as long.
+/// A peer that is repeatedly removed from the chain (flaps) must be healthy for longer, at most `1 <<
+/// MAX_BACKOFF_FLAPS` times as long.
 const MAX_BACKOFF_FLAPS: u32 = 2;
-/// A peer that was healthy for this long has its flap count reset.
+/// The flap count of a peer is reset after the peer has been healthy for this long.
 const RESET_FLAPS_AFTER: Duration = Duration::from_secs(10);
 
-/// What is known of one peer.
+/// The state of one peer.
 #[derive(Debug, Default)]
 struct Peer {
     last_heartbeat_at: Option<Duration>,
-    /// The time at which the address became known.
+    /// The time at which the address became known to this process.
     known_since: Duration,
     heartbeat: Option<Heartbeat>,
     is_link_broken: bool,
-    /// The time since which its link is bidirectional and its disk healthy.
+    /// The time since which the peer's link has been bidirectional and its disk healthy.
     healthy_since: Option<Duration>,
-    /// How often it was removed from a chain, as a bounded count.
+    /// The number of times that the peer was removed from a chain, up to a limit.
     flap_count: u32,
 }
 
@@ -44,12 +47,12 @@
 }
 
 impl Peers {
-    /// An empty table. A peer is suspected after `suspect_after` without a heartbeat.
+    /// Creates an empty table. A peer is suspected after `suspect_after` without a heartbeat.
     pub fn new(local_address: SocketAddr, suspect_after: Duration) -> Peers {
         Peers { local_address, suspect_after, peers: BTreeMap::new() }
     }
 
-    /// Adds an address, unless it is known, this process's own, or one too many.
+    /// Adds an address, unless the address is already known or this process's own, or the limit is reached.
     pub fn add(&mut self, address: SocketAddr, now: Duration) {
         let is_other = address != self.local_address;
         if is_other && !self.peers.contains_key(&address) && self.peers.len() < MAX_PEERS {
@@ -57,20 +60,22 @@
         }
     }
 
-    /// Forgets the peers that have been silent for long, except those that `is_permanent` names.
-    pub fn forget_silent(&mut self, now: Duration, is_permanent: impl Fn(SocketAddr) -> bool) {
+    /// Removes the peers from which no heartbeat has arrived for a long time, except those for which
+    /// `is_permanent` holds.
+    pub fn forget_inactive(&mut self, now: Duration, is_permanent: impl Fn(SocketAddr) -> bool) {
         self.peers.retain(|address, peer| {
-            let silent_since = peer.last_heartbeat_at.unwrap_or(peer.known_since);
-            now < silent_since + FORGET_AFTER || is_permanent(*address)
+            let inactive_since = peer.last_heartbeat_at.unwrap_or(peer.known_since);
+            now < inactive_since + FORGET_AFTER || is_permanent(*address)
         });
     }
 
-    /// All known addresses, each with whether a heartbeat was ever received from it.
+    /// All known addresses, each with whether a heartbeat was ever received from that address.
     pub fn addresses(&self) -> impl Iterator<Item = (SocketAddr, bool)> {
         self.peers.iter().map(|(address, peer)| (*address, peer.last_heartbeat_at.is_some()))
     }
 
-    /// Records a heartbeat. Returns whether it is the first one of a process, that is of a new incarnation.
+    /// Records a heartbeat. Returns whether the heartbeat is the first one of a new incarnation of the
+    /// process.
     pub fn record_heartbeat(&mut self, from: SocketAddr, heartbeat: Heartbeat, now: Duration) -> bool {
         self.add(from, now);
         let Some(peer) = self.peers.get_mut(&from) else { return false };
@@ -86,14 +91,15 @@
         is_new_incarnation
     }
 
-    /// Records that the connection to a peer broke.
+    /// Records that the connection to a peer was closed.
     pub fn record_link_down(&mut self, peer: SocketAddr) {
         if let Some(peer) = self.peers.get_mut(&peer) {
             peer.is_link_broken = true;
         }
     }
 
-    /// Discounts a pause of this process from the silence of its peers: it could not receive their heartbeats meanwhile.
+    /// Excludes a pause of this process from the time without heartbeats, since this process could not
+    /// receive heartbeats meanwhile.
     pub fn discount_pause(&mut self, pause: Duration, now: Duration) {
         for peer in self.peers.values_mut() {
             peer.last_heartbeat_at = peer.last_heartbeat_at.map(|at| (at + pause).min(now));
@@ -108,7 +114,7 @@
         }
     }
 
-    /// Updates since when each peer is healthy.
+    /// Updates the time since which each peer has been healthy.
     pub fn refresh_health(&mut self, now: Duration) {
         let addresses: Vec<SocketAddr> = self.peers.keys().copied().collect();
         for address in addresses {
@@ -126,14 +132,15 @@
         }
     }
 
-    /// Whether a peer has been healthy for `duration`, or for a multiple of it if it was removed from a chain repeatedly.
+    /// Whether a peer has been healthy for `duration`, or for a multiple of it if the peer was repeatedly
+    /// removed from a chain.
     pub fn is_healthy_for(&self, address: SocketAddr, duration: Duration, now: Duration) -> bool {
         let Some(peer) = self.peers.get(&address) else { return false };
         let min_duration = duration * (1 << peer.flap_count.saturating_sub(1));
         peer.healthy_since.is_some_and(|since| now >= since + min_duration)
     }
 
-    /// The last heartbeat of a peer, however old.
+    /// The last heartbeat of a peer, whatever its age.
     pub fn last_heartbeat(&self, address: SocketAddr) -> Option<&Heartbeat> {
         self.peers.get(&address)?.heartbeat.as_ref()
     }
@@ -148,19 +155,22 @@
         self.live_heartbeat(address, now).map(|heartbeat| heartbeat.sender)
     }
 
-    /// Whether the last heartbeat of a peer is young enough.
+    /// Whether the last heartbeat of a peer is recent enough.
     pub fn is_alive(&self, address: SocketAddr, now: Duration) -> bool {
         let Some(peer) = self.peers.get(&address) else { return false };
         let divisor = if peer.is_link_broken { BROKEN_LINK_DIVISOR } else { 1 };
         peer.last_heartbeat_at.is_some_and(|at| now < at + self.suspect_after / divisor)
     }
 
-    /// Whether a peer that was heard before is suspected, or one that was never heard has been known for `never_heard_after`.
-    pub fn is_lost(&self, address: SocketAddr, never_heard_after: Duration, now: Duration) -> bool {
+    /// Whether a peer is presumed to have failed: its heartbeats have stopped or, if none was ever received,
+    /// its address has been known for `never_seen_timeout`.
+    pub fn is_presumed_failed(
+        &self, address: SocketAddr, never_seen_timeout: Duration, now: Duration,
+    ) -> bool {
         let Some(peer) = self.peers.get(&address) else { return false };
         match peer.last_heartbeat_at {
             Some(_) => !self.is_alive(address, now),
-            None => now >= peer.known_since + never_heard_after,
+            None => now >= peer.known_since + never_seen_timeout,
         }
     }
 
@@ -175,11 +185,11 @@
         addresses
     }
 
-    /// Whether a peer is alive and reports that it receives this process's heartbeats.
+    /// Whether a peer is alive and reports that it receives heartbeats from this process.
     pub fn is_bidirectional(&self, address: SocketAddr, now: Duration) -> bool {
-        let hears_this_process =
+        let receives_local_heartbeats =
             |heartbeat: &Heartbeat| heartbeat.links.iter().any(|link| link.peer == self.local_address);
-        self.live_heartbeat(address, now).is_some_and(hears_this_process)
+        self.live_heartbeat(address, now).is_some_and(receives_local_heartbeats)
     }
 
     /// Whether `reporter` reports a bidirectional link to `peer`.
@@ -191,24 +201,24 @@
         self.live_heartbeat(reporter, now).is_some_and(|heartbeat| heartbeat.links.contains(&link))
     }
 
-    /// Whether both ends report their link as bidirectional.
+    /// Whether both ends report the link between them as bidirectional.
     pub fn is_linked(&self, one: SocketAddr, other: SocketAddr, now: Duration) -> bool {
         one == other || (self.reports_link(one, other, now) && self.reports_link(other, one, now))
     }
 
-    /// Whether neither end reports their link as bidirectional.
-    pub fn is_severed(&self, one: SocketAddr, other: SocketAddr, now: Duration) -> bool {
+    /// Whether neither end reports the link between them as bidirectional.
+    pub fn is_link_severed(&self, one: SocketAddr, other: SocketAddr, now: Duration) -> bool {
         one != other && !self.reports_link(one, other, now) && !self.reports_link(other, one, now)
     }
 
-    /// Whether some live peer reports that it receives heartbeats from this address.
-    pub fn is_heard_by_others(&self, address: SocketAddr, now: Duration) -> bool {
+    /// Whether any live peer reports that it receives heartbeats from this address.
+    pub fn is_reachable_by_others(&self, address: SocketAddr, now: Duration) -> bool {
         let others = self.peers.keys().filter(|other| **other != address);
         let mut heartbeats = others.filter_map(|other| self.live_heartbeat(*other, now));
         heartbeats.any(|heartbeat| heartbeat.links.iter().any(|link| link.peer == address))
     }
 
-    /// The links of this process, as it reports them in its heartbeats.
+    /// The links of this process, to be reported in its heartbeats.
     pub fn links(&self, now: Duration) -> Vec<Link> {
         let link = |peer| Link { peer, bidirectional: self.is_bidirectional(peer, now) };
         self.live_addresses(now).into_iter().map(link).collect()
--- a/crates/chain/src/record.rs
+++ b/crates/chain/src/record.rs
@@ -1,6 +1,7 @@
 //! The records of a replica's log.
 //!
-//! The state of a replica is the sum of its records, in order. Encoded names are fixed; see docs/GLOSSARY.md.
+//! The persistent state of a replica results from applying its records in order. Encoded names are fixed; see
+//! docs/GLOSSARY.md.
 
 use crate::entry::{Entry, HistorySuffix};
 use crate::error::DecodeError;
@@ -12,25 +13,25 @@
 /// One record of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The identity of the disk; always the first record.
+    /// The identity of the disk. Always the first record.
     Identity {
-        /// Drawn at random when the disk was empty.
+        /// A random number, generated when the disk was empty.
         disk: u64,
         /// The seeds, if the replica may take part in bootstrapping the first view.
         #[serde(rename = "founding")]
         bootstrap_seeds: Option<Vec<SocketAddr>>,
     },
-    /// A promise in the instance that decides the view after the newest one.
+    /// A promise in the Paxos instance that decides the view after the newest one.
     Promise {
         /// The number of the view to decide.
         instance: u64,
-        /// The promised proposal.
+        /// The number of the promised proposal.
         #[serde(rename = "ballot")]
         proposal: ProposalNumber,
     },
     /// A view was accepted.
     Accept {
-        /// The proposal in which it was accepted.
+        /// The number of the proposal that was accepted.
         #[serde(rename = "ballot")]
         proposal: ProposalNumber,
         /// The view.
@@ -45,7 +46,7 @@
     Install {
         /// The number of the view.
         view: u64,
-        /// The entries that replace those behind `suffix.after`.
+        /// The entries that replace those after `suffix.after`.
         #[serde(rename = "transfer")]
         suffix: HistorySuffix,
     },
@@ -56,17 +57,19 @@
     },
 }
 
-/// An installation with longer bodies is split into several records, so that a rewrite never needs two encoded copies of the
-/// complete history in memory. A record is then no longer than this and one configuration.
+/// An installation with longer bodies is split into several records, so that a rewrite never holds two
+/// encoded copies of the complete history in memory. No record is then longer than the sum of this limit and
+/// one configuration.
 const MAX_UNSPLIT_BODY_BYTES: usize = 1024 * 1024;
-/// The most headers in one record. Their encoding is well below [`MAX_UNSPLIT_BODY_BYTES`].
+/// The maximum number of headers in a record. Their encoding is much shorter than [`MAX_UNSPLIT_BODY_BYTES`].
 const MAX_HEADERS_PER_RECORD: usize = 1_000;
 
 impl Record {
-    /// The records that install `suffix` as the history of `view`, on a replica whose installed view was `installed_before`.
+    /// The records that install `suffix` as the history of `view`, on a replica whose installed view was
+    /// `installed_before`.
     ///
-    /// A short suffix makes one record. A longer one makes several, of which only the last one names `view`: after a crash in
-    /// between, the replica does not claim to hold the history of `view`.
+    /// A short suffix is written as one record and a longer one as several. Only the last record names
+    /// `view`, so that after a crash in between the replica does not claim to hold the history of `view`.
     pub fn installation(installed_before: u64, view: u64, suffix: &HistorySuffix) -> Vec<Record> {
         let body_bytes: usize = suffix.bodies.iter().map(|body| body.bytes.len()).sum();
         if suffix.headers.len() <= MAX_HEADERS_PER_RECORD && body_bytes <= MAX_UNSPLIT_BODY_BYTES {
@@ -90,9 +93,9 @@
     /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
-        // Writing to a vector fails for no value of these types.
+        // Encoding these types into a vector does not fail.
         let written = ciborium::into_writer(self, &mut bytes);
-        debug_assert!(written.is_ok(), "a record that cannot be encoded: {written:?}");
+        debug_assert!(written.is_ok(), "cannot encode a log record: {written:?}");
         bytes
     }
 
--- a/crates/chain/src/replica/acceptor.rs
+++ b/crates/chain/src/replica/acceptor.rs
@@ -1,6 +1,6 @@
-//! The acceptor of the next view: Paxos phases 1b and 2b.
+//! The acceptor of the instance that decides the next view: Paxos phases 1b and 2b.
 //!
-//! Every promise and acceptance is on disk before it is sent.
+//! Every promise and acceptance is synced before it is sent.
 
 use super::Replica;
 use crate::heartbeat::HistoryPosition;
@@ -13,7 +13,8 @@
 use std::net::SocketAddr;
 
 impl Replica {
-    /// Whether this process votes in an instance now. Brings the sender or itself up to date if one of them is behind.
+    /// Whether this process votes in an instance now. Also exchanges the newest view if the sender or this
+    /// process is behind.
     fn votes_in(&mut self, from: SocketAddr, instance: u64) -> bool {
         let next = self.view.number + 1;
         if instance < next {
@@ -55,7 +56,7 @@
             return self.reject(from, instance, proposal);
         }
         match self.acceptor.compare_accepted(proposal, &view) {
-            // The message was repeated: the reply may have been lost.
+            // The message is a duplicate. The reply may have been lost, so it is sent again.
             AcceptedComparison::Identical => {}
             AcceptedComparison::Newer => {
                 self.seal(proposal);
@@ -72,7 +73,7 @@
         self.send_after_sync(from, Message::Accepted { instance, proposal });
     }
 
-    /// Promises to accept no lower proposal, which seals the current view.
+    /// Promises to accept no lower-numbered proposal, which seals the current view.
     pub(super) fn promise(&mut self, instance: u64, proposal: ProposalNumber) {
         if self.acceptor.promised != Some(proposal) {
             self.seal(proposal);
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Ends this process's part in the current view.
+    /// Records the promise. From then on this process no longer participates in the current view.
     fn seal(&mut self, proposal: ProposalNumber) {
         self.acceptor.promised = Some(proposal);
         self.proposer.highest_round = self.proposer.highest_round.max(proposal.round);
--- a/crates/chain/src/replica/change_queue.rs
+++ b/crates/chain/src/replica/change_queue.rs
@@ -1,17 +1,18 @@
-//! Deciding on the changes of the operator. Only the head of a serving view decides.
+//! Decides on the changes that operators submit. Only the head of a serving view decides.
 //!
-//! | the change | decision |
+//! | Change | Decision |
 //! | --- | --- |
 //! | is in the committed history | accepted |
-//! | is so old that its header may have been dropped | none: the operator gets "unavailable" |
-//! | arrives while another one is uncommitted | none until that one is committed |
-//! | builds on the current version and has a higher one | appended; never without bytes |
-//! | builds on the current version and has no higher one | stale version |
-//! | builds on an older version | conflict |
-//! | builds on a version that was never seen here | conflict, once a majority confirms that the view is in force |
+//! | is so old that its header may have been dropped | none: the request times out as "unavailable" |
+//! | arrives while another change is uncommitted | deferred until that change is committed |
+//! | is based on the current version and has a higher one | appended, unless it has no bytes |
+//! | is based on the current version and has no higher one | stale version |
+//! | is based on an older version | conflict |
+//! | is based on an unknown version | conflict, once a majority has confirmed that the view is current |
 //!
-//! The refusals in rows 5 and 6 are final, since committed versions only increase. The one in the last row needs the
-//! confirmation: a newer view, which this process does not know yet, may have committed that base.
+//! The rejections in rows 5 and 6 are final, since committed versions only increase. The rejection in the
+//! last row must be confirmed first: a newer view, which this process does not know yet, may have committed
+//! that base.
 
 use super::Replica;
 use crate::digest::{Blake3, Digest};
@@ -23,12 +24,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The most undecided changes; far more than the operators have in flight.
+/// The maximum number of undecided changes, which is far more than operators have in flight.
 const MAX_PENDING_CHANGES: usize = 64;
-/// An older change is dropped: the process that received it from the operator has answered by then.
+/// A change is dropped after this time, when the process that received it from the operator has already
+/// responded.
 const DROP_AFTER: Duration = Duration::from_millis(1_500);
 
-/// A change as a process sends it to the head.
+/// A change as received by the head.
 #[derive(Debug)]
 pub(super) struct SubmittedChange {
     pub(super) request_id: RequestId,
@@ -38,10 +40,10 @@
     pub(super) bytes: Arc<[u8]>,
 }
 
-/// A change that is not decided yet.
+/// A change without a decision.
 #[derive(Debug)]
 struct PendingChange {
-    /// The process that gets the outcome.
+    /// The process to which the outcome is sent.
     origin: SocketAddr,
     request_id: RequestId,
     base: u64,
@@ -49,24 +51,24 @@
     digest: Digest,
     bytes: Arc<[u8]>,
     received_at: Duration,
-    /// The round of confirmation that a refusal waits for.
+    /// The confirmation round that must complete before the change is rejected.
     confirmation_round: Option<u64>,
 }
 
-/// The changes that are not decided yet, in the order of their arrival.
+/// The changes without a decision, in order of arrival.
 #[derive(Debug, Default)]
 pub struct ChangeQueue {
     pending: VecDeque<PendingChange>,
 }
 
 impl ChangeQueue {
-    /// Drops all changes, as on entering a view: the processes that received them send them again.
+    /// Drops all changes when a view is entered. The processes that received them send them again.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
 }
 
-/// What to do with a change.
+/// The decision on a change.
 enum Decision {
     Respond(RequestOutcome),
     Append,
@@ -77,12 +79,12 @@
 impl Replica {
     pub(super) fn on_submit(&mut self, origin: SocketAddr, change: SubmittedChange) {
         let SubmittedChange { request_id, base, version, request_hash, bytes } = change;
-        let is_repeat = self.change_queue.pending.iter().any(|pending| pending.request_id == request_id);
+        let is_duplicate = self.change_queue.pending.iter().any(|pending| pending.request_id == request_id);
         let is_head = self.view.head() == Some(self.identity) && !self.is_sealed();
-        if !is_head || is_repeat || self.change_queue.pending.len() >= MAX_PENDING_CHANGES {
+        if !is_head || is_duplicate || self.change_queue.pending.len() >= MAX_PENDING_CHANGES {
             return;
         }
-        // The digest is computed here: nothing depends on what another process claims about the bytes.
+        // The digest is computed from the bytes. The one in the message is not trusted.
         let digest = Digest::of_request(&bytes, request_hash);
         self.change_queue.pending.push_back(PendingChange {
             origin,
@@ -97,7 +99,7 @@
         self.decide_changes();
     }
 
-    /// Decides on all changes that can be decided now.
+    /// Decides on all changes that can be decided at this time.
     pub(super) fn decide_changes(&mut self) {
         if !self.is_active_head() || !self.state_transfer.is_serving {
             return;
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Does what was decided on a change. Returns its outcome, if there is one already.
+    /// Decides on a change and executes the decision. Returns the outcome, if there is one already.
     fn process_change(&mut self, change: &mut PendingChange) -> Option<RequestOutcome> {
         match self.decide(change) {
             Decision::Respond(outcome) => return Some(outcome),
@@ -136,8 +138,8 @@
         }
         let current = self.history.last_version();
         if change.base == current && change.version > current {
-            // Without bytes it was computed from another base than the one that is current by now. The process that received
-            // it cancels it and computes it again.
+            // A change without bytes was sent because its base was not available, but that base has become
+            // current. The process that received the change cancels it and computes the configuration again.
             return if change.bytes.is_empty() { Decision::Wait } else { Decision::Append };
         }
         if change.base == current {
--- a/crates/chain/src/replica/commit.rs
+++ b/crates/chain/src/replica/commit.rs
@@ -1,7 +1,8 @@
-//! What is committed, and how other processes get to know it.
+//! Commits entries and announces commits to other processes.
 //!
-//! The tail commits what it has synced and announces it to all live peers. Commits and configurations that are lost on the way
-//! spread with heartbeats, which carry the header of the newest committed entry.
+//! The tail commits the entries that it has synced and announces them to all live peers. Announcements and
+//! configurations that are lost are recovered through heartbeats, which carry the header of the newest
+//! committed entry.
 
 use super::Replica;
 use crate::action::Action;
@@ -12,12 +13,13 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The newest committed entry that this process knows of. It may be ahead of the history that this process holds.
+/// The newest committed entry that this process knows. It may be ahead of this process's own history.
 #[derive(Debug, Default)]
 pub struct NewestCommitted {
     /// The header of the newest committed entry.
     pub header: Option<EntryHeader>,
-    /// The newest committed configuration. Older than `header` until it has been fetched.
+    /// The newest committed configuration. Older than `header` until the configuration of that entry has been
+    /// fetched.
     pub config: Option<Arc<CommittedConfig>>,
 }
 
@@ -40,7 +42,7 @@
 }
 
 impl Replica {
-    /// The tail commits what it has synced.
+    /// Commits the last synced entry, if this process is the tail of a serving view.
     pub(super) fn commit_if_tail(&mut self) {
         let has_uncommitted = self.synced_index > self.commit_index;
         let commits = self.is_active_tail() && self.state_transfer.is_serving && has_uncommitted;
@@ -58,7 +60,7 @@
         }
     }
 
-    /// Records that an entry of the history held here is committed, and so are all before it.
+    /// Records that an entry of this process's history and all entries before it are committed.
     pub(super) fn commit(&mut self, header: EntryHeader) {
         if header.index <= self.commit_index {
             return;
@@ -70,7 +72,7 @@
         self.decide_changes();
     }
 
-    /// Publishes a committed entry of the history, if it is the newest.
+    /// Publishes a committed entry of the history, if it is the newest one.
     pub(super) fn publish(&mut self, index: u64) {
         let Some(header) = self.history.header(index) else { return };
         self.newest_committed.record_header(header);
@@ -94,7 +96,7 @@
         self.drive_pending_requests();
     }
 
-    /// Handles the report of another process that an entry is committed.
+    /// Handles another process's announcement that an entry is committed.
     pub(super) fn on_committed(&mut self, from: SocketAddr, header: EntryHeader) {
         self.newest_committed.record_header(header);
         self.commit_newest_if_held();
@@ -107,7 +109,7 @@
         self.append_newest_committed();
     }
 
-    /// Commits the newest committed entry, if the history held here contains it.
+    /// Commits the newest committed entry, if this process's history contains it.
     pub(super) fn commit_newest_if_held(&mut self) {
         if let Some(header) = self.newest_committed.header.filter(|header| self.history.contains(header)) {
             self.commit(header);
--- a/crates/chain/src/replica/forwarding.rs
+++ b/crates/chain/src/replica/forwarding.rs
@@ -1,9 +1,10 @@
-//! Forwarding of requests for processes that cannot reach an end of the chain.
+//! Forwards requests for processes that cannot reach an end of the chain.
 //!
-//! A process without a bidirectional link to the head or the tail sends its request to a peer that has one. That peer forwards
-//! it under its own address and forwards the outcome back. A request is forwarded once: two processes that know different views
-//! could otherwise send it to and fro. Forwarding promises nothing: what is lost is sent again by the process that received the
-//! request, and commits spread with heartbeats as well.
+//! A process without a bidirectional link to the head or the tail sends its request to a peer that has one.
+//! That peer forwards the request under its own address and returns the outcome. A request is forwarded only
+//! once, since two processes that know different views could otherwise forward it in a loop. Forwarding is
+//! best effort: a lost request is sent again by the process that received it from the operator, and commits
+//! also spread with heartbeats.
 
 use super::{Replica, change_queue::SubmittedChange};
 use crate::digest::Digest;
@@ -13,14 +14,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The most forwarded requests: as many as two other processes accept from their operators.
+/// The maximum number of forwarded requests: as many as two other processes accept from their operators.
 const MAX_FORWARDED: usize = 256;
-/// An older request is forgotten: the process that received it from the operator has answered by then.
+/// A request is forgotten after this time, when the process that received it from the operator has already
+/// responded.
 const FORGET_AFTER: Duration = Duration::from_millis(1_500);
-/// If several peers could forward a request, another one is tried after this.
+/// If several peers can forward a request, the next one is used after this time.
 const NEXT_HOP_ROTATION: Duration = Duration::from_millis(300);
 
-/// The requests that were forwarded and have no outcome yet.
+/// The forwarded requests without an outcome.
 #[derive(Debug, Default)]
 pub struct ForwardedRequests {
     requests: BTreeMap<RequestId, ForwardedRequest>,
@@ -28,14 +30,14 @@
 
 #[derive(Debug)]
 struct ForwardedRequest {
-    /// The process that gets the outcome.
+    /// The process to which the outcome is sent.
     origin: SocketAddr,
     forwarded_at: Duration,
 }
 
 impl Replica {
-    /// The address to send to so that a message reaches `target`: the target itself, or a peer that reaches it if this process
-    /// does not.
+    /// The address to which a message for `target` is sent: the target itself or, if this process cannot
+    /// reach it, a peer that can.
     pub(super) fn next_hop(&self, target: SocketAddr) -> SocketAddr {
         if target == self.identity.address || self.peers.is_bidirectional(target, self.now) {
             return target;
@@ -47,9 +49,9 @@
         };
         let live_peers = self.peers.live_addresses(self.now).into_iter();
         let forwarders: Vec<SocketAddr> = live_peers.filter(can_forward).collect();
-        let turn = (self.now.as_millis() / NEXT_HOP_ROTATION.as_millis()) as usize;
-        // Without a forwarder the link may just be too young to be known.
-        forwarders.get(turn % forwarders.len().max(1)).copied().unwrap_or(target)
+        let rotation = (self.now.as_millis() / NEXT_HOP_ROTATION.as_millis()) as usize;
+        // If there is no forwarder, the link to the target may be up but not yet known to be bidirectional.
+        forwarders.get(rotation % forwarders.len().max(1)).copied().unwrap_or(target)
     }
 
     pub(super) fn forward_submit(&mut self, origin: SocketAddr, change: SubmittedChange) {
@@ -78,7 +80,7 @@
         self.outbox.send(target, message);
     }
 
-    /// Forwards an outcome to the process that received the request.
+    /// Forwards an outcome to the process that received the request from the operator.
     pub(super) fn forward_outcome(&mut self, request_id: RequestId, outcome: RequestOutcome) {
         if let Some(request) = self.forwarded_requests.requests.remove(&request_id) {
             self.outbox.send(request.origin, Message::Outcome { request_id, outcome });
--- a/crates/chain/src/replica/heartbeats.rs
+++ b/crates/chain/src/replica/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: when they are sent, and what follows from those received.
+//! Sends heartbeats, and handles those of other processes.
 
 use super::Replica;
 use crate::heartbeat::Heartbeat;
@@ -6,10 +6,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An address that was never heard and is no member gets one heartbeat in this many.
-const UNHEARD_ONE_IN: u64 = 4;
+/// Addresses that are not members and from which no heartbeat has arrived are included in one of this many
+/// rounds.
+const UNSEEN_PEER_ROUND_INTERVAL: u64 = 4;
 
-/// When heartbeats are due.
+/// The schedule of heartbeats.
 #[derive(Debug, Default)]
 pub struct HeartbeatSchedule {
     next_at: Duration,
@@ -17,7 +18,7 @@
 }
 
 impl Replica {
-    /// The identity is on disk: this process takes part from now on.
+    /// Starts to participate, since the identity is on disk.
     pub(super) fn become_ready(&mut self) {
         self.is_ready = true;
         self.send_heartbeats();
@@ -25,12 +26,12 @@
 
     pub(super) fn send_heartbeats_if_due(&mut self) {
         if self.now >= self.heartbeat_schedule.next_at {
-            self.forget_silent_strangers();
+            self.forget_inactive_peers();
             self.send_heartbeats();
         }
     }
 
-    /// Makes heartbeats due with the next tick.
+    /// Makes heartbeats due at the next tick.
     pub(super) fn send_heartbeats_soon(&mut self) {
         self.heartbeat_schedule.next_at = self.now;
     }
@@ -38,11 +39,11 @@
     pub(super) fn send_heartbeats(&mut self) {
         self.heartbeat_schedule.next_at = self.now + self.settings.heartbeat_interval;
         self.heartbeat_schedule.rounds += 1;
-        let includes_unheard = self.heartbeat_schedule.rounds % UNHEARD_ONE_IN == 1;
-        let is_due = |address: SocketAddr, was_heard: bool| {
-            was_heard || includes_unheard || self.view.has_member_at(address)
+        let includes_unseen = self.heartbeat_schedule.rounds % UNSEEN_PEER_ROUND_INTERVAL == 1;
+        let is_due = |address: SocketAddr, was_seen: bool| {
+            was_seen || includes_unseen || self.view.has_member_at(address)
         };
-        let due = self.peers.addresses().filter(|(address, was_heard)| is_due(*address, *was_heard));
+        let due = self.peers.addresses().filter(|(address, was_seen)| is_due(*address, *was_seen));
         let due: Vec<SocketAddr> = due.map(|(address, _)| address).collect();
         let heartbeat = self.heartbeat();
         for address in due {
@@ -68,12 +69,12 @@
         }
     }
 
-    /// Forgets silent peers that are neither members nor seeds.
-    fn forget_silent_strangers(&mut self) {
+    /// Forgets inactive peers that are neither members nor seeds.
+    fn forget_inactive_peers(&mut self) {
         let view = self.view.clone();
         let seeds = &self.settings.seeds;
         let is_permanent = |address| view.has_member_at(address) || seeds.contains(&address);
-        self.peers.forget_silent(self.now, is_permanent);
+        self.peers.forget_inactive(self.now, is_permanent);
     }
 
     pub(super) fn on_heartbeat(&mut self, from: SocketAddr, heartbeat: Heartbeat) {
@@ -83,7 +84,7 @@
         }
         let is_new_incarnation = self.peers.record_heartbeat(from, heartbeat, self.now);
         if is_new_incarnation {
-            // A process that has just started learns at once that its link works in both directions.
+            // The reply tells a process that has just started that its link is bidirectional.
             let reply = Message::Heartbeat(self.heartbeat());
             self.outbox.send(from, reply);
         }
--- a/crates/chain/src/replica/learner.rs
+++ b/crates/chain/src/replica/learner.rs
@@ -1,13 +1,17 @@
-//! The learner: keeps the committed history outside the chain, as a member or as a process that may become one.
+//! The learner: replicates the committed history outside the chain, on members and on processes that may
+//! become members.
 //!
-//! Other than a learner of raft-rs it may vote: members outside the chain vote on the next view and follow the history here.
+//! Unlike a learner in raft-rs, a learner may vote: members outside the chain vote on the next view and
+//! replicate the history as learners.
 //!
-//! A learner stores only what is known to be committed. So its history is a prefix of the committed one, or such a prefix and
-//! one entry of an earlier view that may or may not be committed. Its installed view does not change, so what it stores here does
-//! not make it a source of a view.
+//! A learner stores only entries that are known to be committed. Its history is therefore a prefix of the
+//! committed history, possibly followed by one entry of an earlier view whose commit status is unknown. A
+//! learner's installed view does not change, so the entries stored here do not make it a valid source of a
+//! view.
 //!
-//! Learners cost the chain nothing while a change is in flight: a learner builds the newest entry from the commit and the
-//! configuration, both of which it gets in any case. What is missing before that comes in chunks, one per tick.
+//! Learners add no work to the chain while a change is in flight: a learner assembles the newest entry from
+//! the commit announcement and the configuration, both of which are sent to it anyway. Earlier entries that
+//! are missing are fetched in chunks, one per tick.
 
 use super::Replica;
 use crate::entry::{Entry, HistorySuffix};
@@ -20,25 +24,27 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A learner that is behind for this long requests chunks. Before, the configuration comes without a request, unless more than
-/// one entry is missing.
+/// A learner that has been behind for this long requests chunks. Until then the configuration arrives without
+/// a request, unless more than one entry is missing.
 const CATCH_UP_AFTER: Duration = Duration::from_millis(100);
-/// A chunk that has not come within this is requested from another process.
+/// A chunk that has not arrived within this time is requested from another process.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// The state of catching up with the committed history.
+/// The state of a learner that catches up with the committed history.
 #[derive(Debug, Default)]
 pub struct Learner {
     behind_since: Option<Duration>,
     assembly: Option<StreamAssembly>,
     request: Option<SentRequest>,
-    /// Advances with each source that did not answer or sent an invalid stream, and selects the next one, modulo the sources.
+    /// Selects the source, modulo the number of sources. Advances after each source that did not answer or
+    /// sent an invalid stream.
     source_cursor: usize,
-    /// The streams sent to other learners. Replicas of the chain need the history of a view instead.
+    /// The streams sent to other learners. They are kept apart from those of state transfer, since replicas
+    /// of the chain need the complete history of a view.
     pub(super) streams: StreamCache,
 }
 
-/// A request without a response yet.
+/// A request without a response.
 #[derive(Debug)]
 struct SentRequest {
     source: SocketAddr,
@@ -46,7 +52,7 @@
 }
 
 impl Learner {
-    /// Forgets the transfer in progress: it is complete, has failed, or is not needed any more.
+    /// Discards the transfer in progress, because it is complete, has failed, or is no longer needed.
     pub fn reset_catch_up(&mut self) {
         self.behind_since = None;
         self.assembly = None;
@@ -55,13 +61,13 @@
 }
 
 impl Replica {
-    /// The committed history is on disk up to this index.
+    /// The index up to which this process holds the committed history on disk.
     pub(super) fn durable_commit_index(&self) -> u64 {
         self.synced_index.min(self.commit_index)
     }
 
-    /// Whether this process keeps the history outside the chain. Not once it has promised the next view
-    /// and reported its history to the proposer, which relies on that history.
+    /// Whether this process replicates the history outside the chain. A process that has promised the next
+    /// view stops, since the proposer relies on the history position reported in the promise.
     fn is_learner(&self) -> bool {
         let is_outside = self.view.number > 0 && self.view.position(self.identity).is_none();
         let is_eligible = self.is_member() || self.settings.counts_for_quorum;
@@ -72,7 +78,8 @@
         self.newest_committed.index() > self.commit_index
     }
 
-    /// Appends the newest committed entry, if it follows the last one and its configuration is known.
+    /// Appends the newest committed entry, if it directly follows the last one and its configuration is
+    /// known.
     pub(super) fn append_newest_committed(&mut self) {
         let header = self.newest_committed.header;
         let Some(header) = header.filter(|_| self.is_behind() && self.is_learner()) else { return };
@@ -82,7 +89,7 @@
         }
         let config = self.newest_committed.config.clone();
         let Some(config) = config.filter(|config| config.version == header.version) else { return };
-        if !header.digest.fits(&config.bytes) {
+        if !header.digest.matches_bytes(&config.bytes) {
             return;
         }
         let entry = Entry { header, bytes: config.bytes.clone() };
@@ -118,7 +125,8 @@
         self.outbox.send(source, Message::HistoryRequest { after, chunk });
     }
 
-    /// A live peer that holds more than this process; the next one after each that failed.
+    /// A live peer that holds more of the committed history than this process. Advances to the next one after
+    /// each failure.
     fn choose_history_source(&self) -> Option<SocketAddr> {
         let sources = self.peers.with_history_beyond(self.commit_index, self.now);
         sources.get(self.learner.source_cursor.checked_rem(sources.len())?).copied()
@@ -136,9 +144,9 @@
         }
     }
 
-    /// Handles a chunk from the source of the request in flight. The next chunk is requested with the next tick; after an
-    /// invalid stream a new transfer starts at the next source once `CATCH_UP_AFTER` has passed again. A chunk that does not
-    /// belong to the transfer leaves the request to its timeout.
+    /// Handles a chunk from the source of the request in flight. The next chunk is requested at the next
+    /// tick. After an invalid stream, a new transfer starts at the next source once `CATCH_UP_AFTER` has
+    /// passed again. A chunk that does not belong to the transfer is ignored, so the request times out.
     pub(super) fn on_history_chunk(&mut self, from: SocketAddr, chunk: &Chunk) {
         let is_expected = self.learner.request.as_ref().is_some_and(|request| request.source == from);
         if !is_expected || !self.is_learner() {
@@ -159,10 +167,11 @@
         }
     }
 
-    /// Installs committed entries.
+    /// Installs committed entries from another process.
     fn install_committed(&mut self, suffix: &HistorySuffix) {
         let Some(last) = suffix.headers.last().copied() else { return };
-        // Entries that were committed during the transfer may have been appended already (`append_newest_committed`).
+        // `append_newest_committed` may already have appended entries that were committed during the
+        // transfer.
         let extends_history = suffix.after <= self.commit_index && last.index > self.commit_index;
         if !extends_history || !self.history.install(suffix) {
             return;
@@ -177,7 +186,8 @@
         self.commit_newest_if_held();
     }
 
-    /// Committed entries up to this index are on disk. The history may have been replaced by a shorter one meanwhile.
+    /// Records that committed entries up to this index are on disk. The history may have been replaced by a
+    /// shorter one meanwhile.
     pub(super) fn on_learner_synced(&mut self, index: u64) {
         self.synced_index = self.synced_index.max(index.min(self.history.last_index()));
     }
--- a/crates/chain/src/replica/leave.rs
+++ b/crates/chain/src/replica/leave.rs
@@ -1,14 +1,15 @@
-//! Leaving the control plane gracefully before the process ends.
+//! Graceful leave of the control plane before a process ends.
 //!
-//! A process that shuts down reports it in its heartbeats. The others decide a view whose chain is without it and, if a learner
-//! is ready, in which that learner replaces it as a member. It takes part until then.
+//! A process that is shutting down reports this in its heartbeats. The other members then decide a view whose
+//! chain does not contain the process and in which, if possible, a ready learner replaces the process as a
+//! member. The process participates until that view is entered.
 
 use super::Replica;
 use crate::status::LeaveState;
 use std::net::SocketAddr;
 
 impl Replica {
-    /// Starts to leave.
+    /// Starts a graceful leave.
     pub(super) fn leave(&mut self) {
         self.is_leaving = true;
         if self.is_ready {
@@ -34,12 +35,12 @@
         }
     }
 
-    /// Whether a learner is ready to replace a member, as far as is known here.
+    /// Whether a learner is ready to replace a member, as far as this process knows.
     pub fn has_ready_learner(&self) -> bool {
         self.planner().has_ready_learner()
     }
 
-    /// The live processes that are not members.
+    /// The addresses of the live processes that are not members.
     pub(super) fn learner_addresses(&self) -> Vec<SocketAddr> {
         let mut addresses = self.peers.live_addresses(self.now);
         addresses.retain(|address| !self.view.has_member_at(*address));
--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -1,21 +1,21 @@
 //! The replica: the state machine of one control process.
 //!
-//! | module | concern | state |
+//! | Module | Responsibility | State |
 //! | --- | --- | --- |
 //! | `recovery` | recovery of the state from the log, and the snapshot for a rewrite of the log | |
-//! | `outbox` | actions for the driver, messages to itself | [`Outbox`] |
+//! | `outbox` | actions for the driver, and messages of the replica to itself | [`Outbox`] |
 //! | `heartbeats` | sending and receiving heartbeats | [`HeartbeatSchedule`], [`Peers`] |
-//! | `acceptor`, `proposer` | deciding the next view by Paxos | [`Acceptor`], [`Proposer`] |
+//! | `acceptor`, `proposer` | decision on the next view by Paxos | [`Acceptor`], [`Proposer`] |
 //! | `view_change` | entering a decided view | the view |
-//! | `state_transfer` | fetching the history of a new view; when a view serves | [`StateTransfer`] |
-//! | `replication` | entries down the chain, acknowledgements back up | [`Successor`] |
-//! | `commit` | what is committed, and spreading it | commit index, [`NewestCommitted`] |
-//! | `learner` | keeping the committed history outside the chain | [`Learner`] |
-//! | `leave` | leaving the control plane before the process ends | |
-//! | `change_queue` | deciding on the operator's changes, at the head | [`ChangeQueue`] |
-//! | `read_only` | linearizable reads at the tail; confirming that the view is still in force | [`ReadOnly`] |
-//! | `pending_requests` | the operator's requests at this process | [`PendingRequests`] |
-//! | `forwarding` | forwarding requests for processes that cannot reach an end of the chain | [`ForwardedRequests`] |
+//! | `state_transfer` | transfer of the history of a new view, and the start of service | [`StateTransfer`] |
+//! | `replication` | replication of entries, and acknowledgements | [`Successor`] |
+//! | `commit` | commits and their announcement | commit index, [`NewestCommitted`] |
+//! | `learner` | replication of the committed history outside the chain | [`Learner`] |
+//! | `leave` | graceful leave before the process ends | |
+//! | `change_queue` | decisions on the operator's changes, at the head | [`ChangeQueue`] |
+//! | `read_only` | linearizable reads at the tail, and confirmation that the view is current | [`ReadOnly`] |
+//! | `pending_requests` | requests that this process has received from operators | [`PendingRequests`] |
+//! | `forwarding` | requests of processes that cannot reach an end of the chain | [`ForwardedRequests`] |
 
 mod acceptor;
 mod change_queue;
@@ -64,21 +64,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A longer time between two events was a pause of the whole process: ticks come every 20 to 50 ms.
+/// A longer interval between two events counts as a pause of the whole process, since ticks arrive every 20
+/// to 50 ms.
 const MAX_EVENT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// A replica: the state machine of one process of the control plane.
 ///
-/// It does no I/O and reads no clock. It is deterministic: the same settings, records and events give the same actions.
+/// A replica does no I/O and reads no clock. It is deterministic: the same settings, records and events yield
+/// the same actions.
 pub struct Replica {
     settings: ReplicaSettings,
     rng: fastrand::Rng,
     identity: MemberId,
-    /// Drawn at random at the start of the process.
+    /// A random number, generated when the process started.
     incarnation: u64,
     /// The seeds, if this process may take part in bootstrapping the first view.
     bootstrap_seeds: Option<Vec<SocketAddr>>,
-    /// Whether the identity is on disk. Nothing is sent before, and no message is handled.
+    /// Whether the identity is on disk. Until then no message is sent or handled.
     is_ready: bool,
     /// Whether this process is shutting down and asks to be left out of the next view.
     is_leaving: bool,
@@ -88,9 +90,9 @@
     outbox: Outbox,
 
     journal: Journal,
-    /// The size of the log in bytes beyond which it is rewritten.
+    /// The size in bytes above which the log is rewritten.
     rewrite_threshold_bytes: usize,
-    /// As reported last to the process log.
+    /// The disk health that was last reported to the process log.
     disk_was_healthy: bool,
 
     view: Arc<View>,
@@ -103,9 +105,9 @@
 
     history: History,
     state_transfer: StateTransfer,
-    /// All entries up to this index are on disk.
+    /// The index up to which all entries are on disk. At most the last index of the history.
     synced_index: u64,
-    /// All entries up to this index are known to be committed. Both are at most the last index of the history.
+    /// The index up to which all entries are known to be committed. At most the last index of the history.
     commit_index: u64,
     newest_committed: NewestCommitted,
 
@@ -118,12 +120,12 @@
 }
 
 impl Replica {
-    /// Starts a replica from the records of its log; no records if the disk is empty.
+    /// Starts a replica from the records of its log, which are empty for a new disk.
     ///
     /// # Errors
     ///
-    /// If the records are not those of a replica. The disk then counts as lost: the driver sets the log aside and starts with
-    /// no records and without `bootstrap`.
+    /// Returns an error if the records are not those of a replica. The disk then counts as lost: the driver
+    /// moves the log aside and starts without records and without `bootstrap`.
     pub fn recover(
         settings: ReplicaSettings, records: &[Vec<u8>], now: Duration, actions: &mut Vec<Action>,
     ) -> Result<Replica, RecoverError> {
@@ -133,7 +135,8 @@
         Ok(replica)
     }
 
-    /// Handles one event and appends the resulting actions. `now` is monotonic time since the start of the process.
+    /// Handles an event and appends the resulting actions. `now` is the monotonic time since the start of the
+    /// process.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.advance_clock(now);
         match event {
@@ -153,7 +156,7 @@
         self.outbox.append_to(actions);
     }
 
-    /// Replaces the seeds, as after a change of the settings file.
+    /// Replaces the seeds, for example after a change of the settings file.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         for seed in &seeds {
             self.peers.add(*seed, self.now);
@@ -184,7 +187,8 @@
         }
     }
 
-    /// Sets the clock. A pause of the whole process counts neither as silence of the peers nor as a slow disk.
+    /// Advances the clock. A pause of the whole process counts neither as missing heartbeats of the peers nor
+    /// as a slow disk.
     fn advance_clock(&mut self, now: Duration) {
         let interval = now.saturating_sub(self.now);
         self.now = self.now.max(now);
@@ -285,8 +289,8 @@
         }
     }
 
-    /// Handles this process's messages to itself and the effects that need no sync, until there are none, then starts the next
-    /// batch.
+    /// Handles the messages of this process to itself and the effects that wait for no sync, until none
+    /// remain. Then starts the next batch.
     fn run_to_quiescence(&mut self) {
         loop {
             let effects = self.journal.take_released();
@@ -303,7 +307,7 @@
         self.start_batch_if_idle();
     }
 
-    /// Starts the next batch, or a rewrite if the log has become too long.
+    /// Starts the next batch, or a rewrite if the log exceeds its size limit.
     fn start_batch_if_idle(&mut self) {
         if self.journal.is_idle() && self.journal.log_bytes() > self.rewrite_threshold_bytes {
             let snapshot = self.snapshot();
@@ -331,7 +335,7 @@
         self.journal.append(record.encode());
     }
 
-    /// Sends a message once all records so far are synced.
+    /// Sends a message once all records appended so far are synced.
     fn send_after_sync(&mut self, to: SocketAddr, message: Message) {
         self.journal.after_sync(Effect::Send { to, message });
     }
@@ -340,7 +344,8 @@
         self.journal.is_healthy(self.now, self.settings.suspect_after)
     }
 
-    /// Whether this process has promised the view after the newest that it knows. It then takes no further part in the latter.
+    /// Whether this process has promised the view after the newest one that it knows, and so no longer
+    /// participates in the latter.
     fn is_sealed(&self) -> bool {
         self.acceptor.promised.is_some()
     }
@@ -354,7 +359,7 @@
         if self.view.number == 0 { self.bootstrap_seeds.is_some() } else { self.is_member() }
     }
 
-    /// The position in the chain, if this process holds the view's history and takes part in the view.
+    /// The position in the chain, if this process holds the view's history and participates in the view.
     fn active_position(&self) -> Option<usize> {
         let is_active = self.state_transfer.installed_view == self.view.number && !self.is_sealed();
         self.view.position(self.identity).filter(|_| is_active)
@@ -383,7 +388,7 @@
         }
     }
 
-    /// Whether this process has bidirectional links to a majority of the members, itself included.
+    /// Whether this process has bidirectional links to a majority of the members, counting itself.
     fn has_quorum(&self) -> bool {
         let local_address = self.identity.address;
         let is_connected =
--- a/crates/chain/src/replica/outbox.rs
+++ b/crates/chain/src/replica/outbox.rs
@@ -1,4 +1,4 @@
-//! The actions that a replica hands to its driver, and the messages that it sends to itself.
+//! The actions that a replica passes to its driver, and the messages that it sends to itself.
 
 use crate::action::{Action, OperatorResponse};
 use crate::log_event::LogEvent;
@@ -7,17 +7,17 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The outputs of a replica that the driver has not taken yet.
+/// The outputs of a replica that the driver has not received yet.
 #[derive(Debug)]
 pub struct Outbox {
     local_address: SocketAddr,
     actions: Vec<Action>,
-    /// Messages of this process to itself. They are handled before the current event ends, without the driver.
+    /// Messages of this process to itself. They are handled as part of the current event, without the driver.
     loopback: VecDeque<Message>,
 }
 
 impl Outbox {
-    /// An empty outbox of the process at this address.
+    /// Creates an empty outbox for the process at this address.
     pub fn new(local_address: SocketAddr) -> Outbox {
         Outbox { local_address, actions: Vec::new(), loopback: VecDeque::new() }
     }
--- a/crates/chain/src/replica/pending_requests.rs
+++ b/crates/chain/src/replica/pending_requests.rs
@@ -1,7 +1,8 @@
-//! The operator's requests at this process. Each is sent to the head or the tail and answered within a bounded time.
+//! The requests that this process has received from operators. Each is sent to the head or the tail and
+//! answered within a bounded time.
 //!
-//! A request is sent again until its outcome arrives or it times out, since messages may be lost and views change. That is safe:
-//! the head recognises a change that is already in the history.
+//! A request is sent again until its outcome arrives or it times out, since messages may be lost and views
+//! change. Resending is safe, because the head recognises a change that is already in the history.
 
 use super::Replica;
 use crate::action::OperatorResponse;
@@ -15,14 +16,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request without an outcome is sent again after this.
+/// A request without an outcome is sent again after this time.
 const RESEND_AFTER: Duration = Duration::from_millis(300);
-/// The timeout at a process without a quorum. Short, so that the operator turns to another process.
+/// The request timeout of a process without a quorum. It is short so that the operator retries at another
+/// process soon.
 const NO_QUORUM_TIMEOUT: Duration = Duration::from_millis(350);
-/// The most pending requests; far more than the operators have in flight.
+/// The maximum number of pending requests, which is far more than operators have in flight.
 const MAX_PENDING_REQUESTS: usize = 128;
 
-/// What a request asks for.
+/// The operation that a request asks for.
 #[derive(Debug)]
 enum Operation {
     Submit {
@@ -32,17 +34,18 @@
         bytes: Arc<[u8]>,
     },
     Read {
-        /// The version that the tail has named. The read waits until this process knows a configuration that is as new.
+        /// The version reported by the tail. The response is sent once this process knows a configuration
+        /// that is at least as new.
         min_version: Option<u64>,
     },
 }
 
-/// A request that is not answered yet.
+/// A request without a response.
 #[derive(Debug)]
 struct PendingRequest {
     operation: Operation,
     received_at: Duration,
-    /// The newest committed version that was known here when the request arrived.
+    /// The newest committed version that this process knew when the request arrived.
     known_version: u64,
     last_sent: Option<SentRequest>,
 }
@@ -55,7 +58,7 @@
     sent_at: Duration,
 }
 
-/// The requests that are not answered yet.
+/// The requests without a response.
 #[derive(Debug, Default)]
 pub struct PendingRequests {
     requests: BTreeMap<OperatorRequestId, PendingRequest>,
@@ -95,7 +98,7 @@
         self.drive_pending_request(id);
     }
 
-    /// Sends the requests that are due and answers those that time out.
+    /// Sends the requests that are due, and answers those that have timed out.
     pub(super) fn drive_pending_requests(&mut self) {
         let ids: Vec<OperatorRequestId> = self.pending_requests.requests.keys().copied().collect();
         for id in ids {
@@ -189,7 +192,7 @@
         }
     }
 
-    /// Responds to a read, or fetches the configuration that it waits for.
+    /// Responds to a read, or requests the configuration for which the read waits.
     fn fetch_config(&mut self, from: SocketAddr, id: OperatorRequestId, min_version: u64) {
         self.respond_to_read(id, min_version);
         if self.pending_requests.requests.contains_key(&id) {
@@ -198,7 +201,7 @@
         }
     }
 
-    /// Accepts the pending changes that are this committed entry.
+    /// Responds to the pending changes that are identical to this committed entry.
     pub(super) fn accept_pending_submits(&mut self, header: EntryHeader) {
         let is_this_entry = |request: &PendingRequest| match request.operation {
             Operation::Submit { base, version, digest, .. } => {
--- a/crates/chain/src/replica/proposer.rs
+++ b/crates/chain/src/replica/proposer.rs
@@ -1,7 +1,7 @@
-//! The proposer of the next view: when to propose, and Paxos phases 1a and 2a.
+//! The proposer of the next view: Paxos phases 1a and 2a, and the conditions for starting an attempt.
 //!
-//! Any member may propose. Members propose in the order of the chain, one delay apart, so that they rarely compete; competing is
-//! safe and resolved by the proposal numbers and a random backoff.
+//! Any member may propose. Members wait for one delay per position in the chain, so that they rarely compete.
+//! Competing proposals are safe and are resolved by the proposal numbers and a random backoff.
 
 use super::Replica;
 use crate::log_event::{LogEvent, ViewChangeReason};
@@ -14,20 +14,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The timeout of each phase: two rounds with two syncs on a disk 25 times slower than usual fit in with room to spare.
+/// The timeout of each phase. Two message rounds with two syncs on a disk that is 25 times slower than usual
+/// complete well within it.
 const PHASE_TIMEOUT: Duration = Duration::from_millis(800);
-/// After a majority of promises, the remaining ones are awaited for this long: they may report a longer history.
+/// The time for which the remaining promises are awaited after a majority: they may report a longer history.
 const STRAGGLER_WAIT: Duration = Duration::from_millis(100);
-/// The delay of each member behind the one before it in the order of the chain.
+/// The delay between consecutive members, in the order of the chain.
 const RANK_DELAY: Duration = Duration::from_millis(150);
-/// The longest backoff after the first failed attempt. It doubles with each failure, up to `MAX_BACKOFF_DOUBLINGS` times.
+/// The maximum backoff after the first failed attempt. It doubles with each further failure, up to
+/// `MAX_BACKOFF_DOUBLINGS` times.
 const BASE_BACKOFF: Duration = Duration::from_millis(80);
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// A proposal that sealed the current view should be finished by its proposer within this.
+/// The time within which a proposer should complete a proposal that has sealed the current view.
 const UNFINISHED_AFTER: Duration = Duration::from_millis(500);
-/// A view should serve within this: a transfer and a sync on a slow disk fit in with room to spare.
+/// The time within which a view should serve. A transfer and a sync on a slow disk complete well within it.
 const STALLED_AFTER: Duration = Duration::from_millis(1_500);
-/// At the first start, silent seeds are awaited for this long.
+/// The time for which unreachable seeds are awaited when the system starts for the first time.
 const BOOTSTRAP_WAIT: Duration = Duration::from_millis(1_000);
 
 impl Replica {
@@ -55,31 +57,32 @@
         }
     }
 
-    /// The view that should replace the current one, and why.
+    /// The view that should replace the current one, and the reason.
     fn wanted_change(&self) -> Option<(Plan, ViewChangeReason)> {
         let planner = self.planner();
         let plan = planner.plan(&[])?;
         if self.view.number == 0 && !self.may_begin_bootstrap(&plan) {
             return None;
         }
-        let stopped = || self.stop_reason().filter(|_| planner.is_admissible(&plan));
-        let reason = planner.change_reason(&plan).or_else(stopped)?;
+        let no_progress = || self.no_progress_reason().filter(|_| planner.is_admissible(&plan));
+        let reason = planner.change_reason(&plan).or_else(no_progress)?;
         Some((plan, reason))
     }
 
-    /// Whether all seeds are linked with each other, or were awaited long enough.
+    /// Whether all seeds are linked with each other, or `BOOTSTRAP_WAIT` has passed.
     fn may_begin_bootstrap(&self, plan: &Plan) -> bool {
         let seeds = self.view.members.len();
         let all_linked = plan.members.len() == seeds && plan.chain.len() == seeds;
         all_linked || self.now >= self.started_at + BOOTSTRAP_WAIT
     }
 
-    /// The reason to replace a view that was sealed or never came to serve, whatever its links.
-    fn stop_reason(&self) -> Option<ViewChangeReason> {
+    /// The reason to replace a view that makes no progress, because it was sealed or has not started to serve
+    /// in time, regardless of its links.
+    fn no_progress_reason(&self) -> Option<ViewChangeReason> {
         if self.proposer.sealed_since.is_some_and(|since| self.now >= since + UNFINISHED_AFTER) {
             return Some(ViewChangeReason::UnfinishedProposal);
         }
-        // A process outside the chain may not hear from all of its replicas.
+        // A process outside the chain may not receive heartbeats from all replicas of the chain.
         let is_stalled = self.view.position(self.identity).is_some()
             && self.view.may_serve()
             && !self.state_transfer.is_serving
@@ -87,7 +90,7 @@
         is_stalled.then_some(ViewChangeReason::Stalled)
     }
 
-    /// Updates since when some member has promised a view that is not decided yet.
+    /// Updates the time since which a member has promised a view that is not decided yet.
     pub(super) fn refresh_sealed_since(&mut self) {
         let has_sealed = |member: &MemberId| {
             let heartbeat = self.peers.live_heartbeat(member.address, self.now);
@@ -110,14 +113,14 @@
         let faulty_replica = self.planner().faulty_replica();
         self.outbox.log(LogEvent::Proposing { view_number: instance, reason, faulty_replica });
         self.promise(instance, proposal);
-        // The number is sent once this process's own promise is on disk. After a restart it continues above that promise, so no
-        // number is ever used twice.
+        // The proposal number is sent only after this process's own promise is on disk. A restarted process
+        // continues above that promise, so no number is ever used twice.
         for member in self.view.members.clone() {
             self.send_after_sync(member.address, Message::Prepare { instance, proposal });
         }
     }
 
-    /// Leaves another proposer the time to finish.
+    /// Delays attempts of this process, so that another proposer can complete its own.
     pub(super) fn yield_to_other_proposer(&mut self) {
         self.proposer.backoff_until = self.proposer.backoff_until.max(self.now + UNFINISHED_AFTER);
     }
@@ -146,7 +149,8 @@
         }
     }
 
-    /// Proposes a view once a majority has promised and the remaining live members have, or were awaited long enough.
+    /// Starts phase 2 once a majority has promised and either all remaining live members have promised too or
+    /// `STRAGGLER_WAIT` has passed.
     fn begin_phase_two_if_ready(&mut self) {
         let Some(attempt) = &self.proposer.attempt else { return };
         let Phase::Preparing { promises, majority_since: Some(majority_since) } = &attempt.phase else {
@@ -168,8 +172,9 @@
         }
     }
 
-    /// The view to propose after these promises: the one accepted in the highest proposal, which may be decided already, or else
-    /// a new one. `None` if no admissible view has a replica with every acknowledged entry.
+    /// The view to propose after these promises: the accepted one with the highest proposal number, which may
+    /// already be decided, or else a new one. `None` if no admissible view has a replica that holds every
+    /// acknowledged entry.
     fn choose_view(&self, promises: &BTreeMap<SocketAddr, ReceivedPromise>) -> Option<View> {
         let accepted = promises.values().filter_map(|promise| promise.accepted.as_ref());
         if let Some(highest) = accepted.max_by_key(|accepted| accepted.number) {
@@ -178,8 +183,8 @@
         let planner = self.planner();
         let lineage = Lineage::after(&self.view, self.state_transfer.is_serving, promises);
         let min_view = lineage.min_source_view();
-        let holders = paxos::replicas_with_history(min_view, promises);
-        let plan = planner.plan(&holders).filter(|plan| planner.is_admissible(plan))?;
+        let up_to_date_members = paxos::replicas_with_history(min_view, promises);
+        let plan = planner.plan(&up_to_date_members).filter(|plan| planner.is_admissible(plan))?;
         let source = paxos::choose_source(min_view, &plan.chain, promises)?;
         Some(View {
             number: self.view.number + 1,
@@ -217,7 +222,7 @@
         }
     }
 
-    /// Announces a decided view to the members before and after it, and enters it.
+    /// Announces a decided view to the members of the old and the new view, and enters it.
     fn announce_decided(&mut self, view: View) {
         let old_members = self.view.members.clone();
         let addresses = old_members.iter().chain(&view.members).map(|member| member.address);
--- a/crates/chain/src/replica/read_only.rs
+++ b/crates/chain/src/replica/read_only.rs
@@ -1,8 +1,9 @@
-//! Linearizable reads at the tail, and the confirmation that a view is still in force.
+//! Linearizable reads at the tail, and the confirmation that a view is current.
 //!
-//! As read-index in Raft (Ongaro's thesis, section 6.4), without leases or clocks. A view is in force for all requests that
-//! arrived before a round of confirmation if, after the round began, a majority of its members says that it has promised no
-//! later view: a later view needs promises of a majority, and two majorities share a member.
+//! Reads work like read-index in Raft (Ongaro's thesis, section 6.4), without leases or clocks. A
+//! confirmation round proves that a view was current for all requests that arrived before the round began:
+//! after that, a majority of the members has stated that it has promised no later view. A later view needs
+//! promises of a majority, and any two majorities have a member in common.
 
 use super::Replica;
 use crate::message::Message;
@@ -11,21 +12,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A round that no majority has confirmed is repeated after this.
+/// A round that was not confirmed by a majority is repeated after this time.
 const REPEAT_AFTER: Duration = Duration::from_millis(150);
-/// The most pending reads; far more than the operators have in flight.
+/// The maximum number of pending reads, which is far more than operators have in flight.
 const MAX_PENDING_READS: usize = 64;
 
-/// A read that waits for a round of confirmation.
+/// A read that waits for a confirmation round.
 #[derive(Debug)]
 struct PendingRead {
-    /// The process that gets the outcome.
+    /// The process to which the outcome is sent.
     origin: SocketAddr,
     request_id: RequestId,
     round: u64,
 }
 
-/// The reads and the rounds of confirmation in the current view. At most one round is in progress.
+/// The pending reads and the confirmation rounds of the current view. At most one round is in progress.
 #[derive(Debug, Default)]
 pub struct ReadOnly {
     pending_reads: Vec<PendingRead>,
@@ -33,16 +34,17 @@
     last_round: u64,
     /// The newest round that a majority has confirmed.
     confirmed_round: u64,
-    /// The newest round that a request waits for. One above `last_round` if it came during a round in progress.
+    /// The newest round for which a request waits. Equal to `last_round + 1` if the request arrived during a
+    /// round in progress.
     requested_round: u64,
-    asked_at: Duration,
+    round_sent_at: Duration,
     /// The members that have confirmed the round in progress.
     confirmations: BTreeSet<SocketAddr>,
 }
 
 impl ReadOnly {
-    /// Drops the reads, as on entering a view: the processes that received them send them again. The count of rounds goes on,
-    /// so that a late confirmation is recognised.
+    /// Drops the pending reads when a view is entered. The processes that received them send them again.
+    /// Round numbers continue, so that late confirmations are recognised as stale.
     pub fn reset(&mut self) {
         self.pending_reads.clear();
         self.confirmations.clear();
@@ -57,17 +59,17 @@
 
 impl Replica {
     pub(super) fn on_read(&mut self, origin: SocketAddr, request_id: RequestId) {
-        let is_repeat = self.read_only.pending_reads.iter().any(|read| read.request_id == request_id);
+        let is_duplicate = self.read_only.pending_reads.iter().any(|read| read.request_id == request_id);
         let is_tail = self.view.tail() == Some(self.identity) && !self.is_sealed();
-        if !is_tail || is_repeat || self.read_only.pending_reads.len() >= MAX_PENDING_READS {
+        if !is_tail || is_duplicate || self.read_only.pending_reads.len() >= MAX_PENDING_READS {
             return;
         }
         let round = self.request_confirmation();
         self.read_only.pending_reads.push(PendingRead { origin, request_id, round });
-        self.answer_reads();
+        self.respond_to_confirmed_reads();
     }
 
-    /// Requests a round of confirmation that begins now or later. Returns the round.
+    /// Requests a confirmation round that begins now or later. Returns the number of the round.
     pub(super) fn request_confirmation(&mut self) -> u64 {
         self.read_only.requested_round = self.read_only.last_round + 1;
         let round = self.read_only.requested_round;
@@ -87,16 +89,16 @@
         }
         self.read_only.last_round += 1;
         self.read_only.confirmations.clear();
-        self.ask_for_confirmation();
+        self.send_confirmation_requests();
     }
 
     fn current_round_id(&self) -> RequestId {
         RequestId { incarnation: self.incarnation, sequence: self.read_only.last_round }
     }
 
-    /// Asks the members that have not confirmed the round in progress.
-    fn ask_for_confirmation(&mut self) {
-        self.read_only.asked_at = self.now;
+    /// Sends a request to the members that have not confirmed the round in progress.
+    fn send_confirmation_requests(&mut self) {
+        self.read_only.round_sent_at = self.now;
         let (view, request_id) = (self.view.number, self.current_round_id());
         for member in self.view.members.clone() {
             if !self.read_only.confirmations.contains(&member.address) {
@@ -106,9 +108,9 @@
     }
 
     pub(super) fn repeat_confirmation_if_due(&mut self) {
-        let is_due = self.now >= self.read_only.asked_at + REPEAT_AFTER;
+        let is_due = self.now >= self.read_only.round_sent_at + REPEAT_AFTER;
         if self.read_only.is_round_in_progress() && is_due {
-            self.ask_for_confirmation();
+            self.send_confirmation_requests();
         }
     }
 
@@ -132,12 +134,12 @@
         }
         self.read_only.confirmed_round = self.read_only.last_round;
         self.begin_round_if_requested();
-        self.answer_reads();
+        self.respond_to_confirmed_reads();
         self.decide_changes();
     }
 
-    /// Answers the reads whose round is confirmed.
-    pub(super) fn answer_reads(&mut self) {
+    /// Responds to the reads whose round is confirmed.
+    pub(super) fn respond_to_confirmed_reads(&mut self) {
         if !self.is_active_tail() || !self.state_transfer.is_serving {
             return;
         }
--- a/crates/chain/src/replica/recovery.rs
+++ b/crates/chain/src/replica/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of a replica from the records of its log, and the snapshot of its state for a rewrite of the log.
+//! Recovers a replica from the records of its log, and creates the snapshot for a rewrite of the log.
 
 use super::{
     Replica, change_queue::ChangeQueue, commit::NewestCommitted, forwarding::ForwardedRequests,
@@ -20,16 +20,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// With fewer seeds than this, the seeds are all the processes that there are.
+/// If there are fewer seeds, they are assumed to be all processes of the system.
 const MIN_PARTIAL_SEEDS: usize = 3;
 
-/// The identity that the first record of a log names.
+/// The identity from the first record of a log.
 struct RecoveredIdentity {
     disk: u64,
     bootstrap_seeds: Option<Vec<SocketAddr>>,
 }
 
-/// The state that the records of a log add up to.
+/// The state that results from the records of a log.
 #[derive(Default)]
 struct RecoveredState {
     identity: Option<RecoveredIdentity>,
@@ -91,19 +91,21 @@
     }
     let log_bytes = records.iter().map(Vec::len).sum();
     let is_new_disk = state.identity.is_none();
-    let mut replica = assemble(settings, state, log_bytes, now);
+    let mut replica = build_replica(settings, state, log_bytes, now);
     replica.start(is_new_disk);
     Ok(replica)
 }
 
-fn assemble(settings: ReplicaSettings, state: RecoveredState, log_bytes: usize, now: Duration) -> Replica {
-    // The address goes into the seed: processes that are given the same one must not back off in step.
+fn build_replica(
+    settings: ReplicaSettings, state: RecoveredState, log_bytes: usize, now: Duration,
+) -> Replica {
+    // The local address is mixed into the seed, so that processes with the same seed do not back off in step.
     let address_hash = Fnv::of(settings.local_address.to_string().as_bytes());
     let mut rng = fastrand::Rng::with_seed(settings.seed ^ address_hash.0);
     let incarnation = rng.u64(..);
     let RecoveredIdentity { disk, bootstrap_seeds } =
         state.identity.unwrap_or_else(|| new_identity(&settings, &mut rng));
-    let view = state.view.unwrap_or_else(|| view_zero(&settings, bootstrap_seeds.as_deref()));
+    let view = state.view.unwrap_or_else(|| initial_view(&settings, bootstrap_seeds.as_deref()));
     let last_index = state.history.last_index();
     Replica {
         identity: MemberId { address: settings.local_address, disk },
@@ -126,7 +128,7 @@
         history: state.history,
         state_transfer: StateTransfer::recover(state.installed_view),
         synced_index: last_index,
-        // Each entry but the last was committed before the next one was appended.
+        // Each entry except the last was committed before the next one was appended.
         commit_index: last_index.saturating_sub(1),
         newest_committed: NewestCommitted::default(),
         learner: Learner::default(),
@@ -153,8 +155,9 @@
     (settings.bootstrap && settings.counts_for_quorum && is_seed).then_some(seeds)
 }
 
-/// View 0: the seeds as the acceptors of view 1, or no acceptors for a process that may not bootstrap.
-fn view_zero(settings: &ReplicaSettings, bootstrap_seeds: Option<&[SocketAddr]>) -> View {
+/// View 0, whose members are the seeds as the acceptors of view 1. Without members if this process may not
+/// bootstrap.
+fn initial_view(settings: &ReplicaSettings, bootstrap_seeds: Option<&[SocketAddr]>) -> View {
     let seeds = bootstrap_seeds.unwrap_or_default();
     let member_count = 2 * settings.fault_tolerance + 1;
     let has_all_seeds = seeds.len() < MIN_PARTIAL_SEEDS;
@@ -192,7 +195,7 @@
         Record::Identity { disk: self.identity.disk, bootstrap_seeds: self.bootstrap_seeds.clone() }
     }
 
-    /// The encoded records that add up to the current state.
+    /// The encoded records that represent the current state.
     pub(super) fn snapshot(&self) -> Vec<Vec<u8>> {
         let mut records = vec![self.identity_record()];
         let installed_view = self.state_transfer.installed_view;
--- a/crates/chain/src/replica/replication.rs
+++ b/crates/chain/src/replica/replication.rs
@@ -1,8 +1,8 @@
-//! Replication of entries down the chain and acknowledgement back up (van Renesse and Schneider, "Chain Replication for
-//! Supporting High Throughput and Availability", OSDI 2004).
+//! Replication of entries down the chain, and acknowledgements in the opposite direction (van Renesse and
+//! Schneider, "Chain Replication for Supporting High Throughput and Availability", OSDI 2004).
 //!
-//! Each replica syncs an entry before it sends it to its successor, so the history of a replica is a prefix of its
-//! predecessor's. At most one entry is uncommitted, so only the last synced one is ever sent.
+//! Each replica syncs an entry before it sends the entry to its successor, so the history of a replica is a
+//! prefix of its predecessor's. At most one entry is uncommitted, so only the last synced one is ever sent.
 
 use super::Replica;
 use crate::entry::{Entry, EntryHeader};
@@ -13,13 +13,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An entry that the successor has not acknowledged is sent again after this: three syncs on a disk 25 times slower than usual.
+/// An entry that the successor has not acknowledged is sent again after this time, which covers three syncs
+/// on a disk that is 25 times slower than usual.
 const RETRANSMIT_AFTER: Duration = Duration::from_millis(400);
 
-/// What is known of the successor in the chain.
+/// The state of the successor in the chain.
 #[derive(Debug, Default)]
 pub struct Successor {
-    /// All entries up to this index are on its disk.
+    /// The index up to which all entries are on the successor's disk.
     synced_index: u64,
     last_sent: Option<SentEntry>,
 }
@@ -31,14 +32,14 @@
 }
 
 impl Successor {
-    /// Forgets everything: in a new view the successor is another one.
+    /// Resets the state when a view is entered, since the successor may be a different replica.
     pub fn reset(&mut self) {
         *self = Successor::default();
     }
 }
 
 impl Replica {
-    /// The replica at a distance along the chain, if this process takes part in the view.
+    /// The replica at a distance along the chain, if this process participates in the view.
     fn chain_neighbor(&self, distance: isize) -> Option<MemberId> {
         let position = self.active_position()?.checked_add_signed(distance)?;
         self.view.chain.get(position).copied()
@@ -52,7 +53,7 @@
         self.chain_neighbor(1)
     }
 
-    /// Appends an entry to the history, if it follows the last one.
+    /// Appends an entry to the history, if it directly follows the last one.
     pub(super) fn append_entry(&mut self, entry: Entry) {
         let header = entry.header;
         if self.history.append(entry.clone()) {
@@ -61,9 +62,9 @@
         }
     }
 
-    /// An entry that was appended in a view is on disk.
+    /// Handles the sync of an entry that was appended in a view.
     pub(super) fn on_entry_synced(&mut self, view: u64, header: EntryHeader) {
-        // Outside the chain a committed entry may have replaced it.
+        // Outside the chain, the entry may have been replaced by a committed one.
         if view != self.state_transfer.installed_view || !self.history.contains(&header) {
             return;
         }
@@ -76,7 +77,7 @@
         self.commit_if_tail();
     }
 
-    /// Reports the synced index to the predecessor.
+    /// Acknowledges the synced entries to the predecessor.
     fn acknowledge(&mut self) {
         if let Some(predecessor) = self.predecessor() {
             let message = Message::Replicated { view: self.view.number, index: self.synced_index };
@@ -84,13 +85,14 @@
         }
     }
 
-    /// Sends the last synced entry to the successor, unless it has it.
+    /// Sends the last synced entry to the successor, unless the successor already has it.
     fn replicate(&mut self) {
         let Some(successor) = self.successor() else { return };
         if !self.state_transfer.is_serving || self.successor.synced_index >= self.synced_index {
             return;
         }
-        // All entries before it were committed in this view, or held by the whole chain when it began to serve.
+        // The successor already has all earlier entries: they were committed in this view, or the whole chain
+        // held them when the view began to serve.
         let Some(entry) = self.history.entry(self.synced_index) else { return };
         self.successor.last_sent = Some(SentEntry { index: self.synced_index, sent_at: self.now });
         self.outbox.send(successor.address, Message::Replicate { view: self.view.number, entry });
@@ -123,8 +125,8 @@
         if entry.header.index <= self.synced_index {
             return self.acknowledge();
         }
-        if self.disk_healthy() && entry.header.digest.fits(&entry.bytes) {
-            // An entry that does not follow the last one is a repeat of one that is being synced.
+        if self.disk_healthy() && entry.header.digest.matches_bytes(&entry.bytes) {
+            // An entry that does not follow the last one is a duplicate of one that is being synced.
             self.append_entry(entry);
         }
     }
--- a/crates/chain/src/replica/state_transfer.rs
+++ b/crates/chain/src/replica/state_transfer.rs
@@ -1,7 +1,7 @@
-//! State transfer: fetching the history of a new view from its source, and when a view serves.
+//! State transfer: installs the history of a new view from its source, and determines when the view serves.
 //!
-//! A view serves once all replicas of its chain hold its history on disk. From then on every acknowledged entry is on the disks
-//! of the whole chain.
+//! A view serves once all replicas of its chain hold its history on disk. From then on every acknowledged
+//! entry is on the disks of the whole chain.
 
 use super::Replica;
 use crate::entry::HistorySuffix;
@@ -16,12 +16,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// An unanswered request for the history is repeated after this.
+/// An unanswered request for the history is sent again after this time.
 const RETRY_AFTER: Duration = Duration::from_millis(250);
-/// Chunks per request. With 256 KiB each they keep a link of 1 Gbit/s and 20 ms busy and leave room in its send queue.
+/// The number of chunks per request. With 256 KiB each, they saturate a link with 1 Gbit/s and 20 ms of
+/// latency and leave room in its send queue.
 const CHUNKS_PER_REQUEST: usize = 4;
 
-/// The state of fetching and sending the history of the current view.
+/// The state of the transfer of the current view's history.
 #[derive(Debug, Default)]
 pub struct StateTransfer {
     /// The newest view whose history this process holds.
@@ -32,24 +33,26 @@
     pub is_serving: bool,
     requested_at: Option<Duration>,
     assembly: Option<StreamAssembly>,
-    /// The streams of the current view's history, which does not change before all replicas of the chain hold it.
+    /// The streams of the current view's history, which does not change until all replicas of the chain hold
+    /// it.
     streams: StreamCache,
 }
 
 impl StateTransfer {
-    /// The state after a start with the history of this view on disk.
+    /// Restores the state after a restart with the history of this view on disk.
     pub fn recover(installed_view: u64) -> StateTransfer {
         StateTransfer { installed_view, synced_view: installed_view, ..StateTransfer::default() }
     }
 }
 
 impl Replica {
-    /// Starts to take part in a view that was just entered.
+    /// Starts the state transfer of a view that was just entered.
     pub(super) fn start_state_transfer(&mut self) {
         self.state_transfer.is_serving = false;
-        // The assembly stays: the source of this view resumes the stream if it holds the same history.
+        // The assembly is kept: the source of this view can resume the stream if it holds the same history.
         self.state_transfer.requested_at = None;
-        // The streams do not: the histories of two views may differ, even if a receiver has begun with the earlier one.
+        // The streams are dropped: the histories of two views may differ, even if a receiver has begun with
+        // the earlier one.
         self.state_transfer.streams = StreamCache::default();
         if self.view.source == Some(self.identity) {
             debug_assert!(self.state_transfer.installed_view >= self.view.last_known_served);
@@ -117,7 +120,7 @@
             AssemblyProgress::Incomplete if chunk.is_last_of_response => self.request_state(),
             AssemblyProgress::Ignored | AssemblyProgress::Incomplete => {}
             AssemblyProgress::Complete(suffix) => self.install_state(&suffix),
-            // Requested again from the start once the next request is due.
+            // The history is requested from the start once the next request is due.
             AssemblyProgress::Corrupt => self.state_transfer.assembly = None,
         }
     }
@@ -130,7 +133,10 @@
     fn install_state(&mut self, suffix: &HistorySuffix) {
         let last_before = self.history.last();
         if !self.history.install(suffix) {
-            debug_assert!(false, "a history that does not fit: {suffix:?} behind {last_before:?}");
+            debug_assert!(
+                false,
+                "cannot install a history that leaves a gap: {suffix:?} after {last_before:?}"
+            );
             return;
         }
         let view = self.view.number;
@@ -147,7 +153,7 @@
         self.commit_newest_if_held();
     }
 
-    /// The history of a view is on disk.
+    /// Handles the sync of a view's history.
     pub(super) fn on_state_installed(&mut self, view: u64, last_index: u64) {
         if view != self.state_transfer.installed_view {
             return;
@@ -165,7 +171,7 @@
         self.learner.streams.drop_idle(self.now);
     }
 
-    /// Checks whether all replicas of the chain hold the history on disk by now.
+    /// Marks the view as serving if all replicas of its chain hold the history on disk.
     pub(super) fn check_serving(&mut self) {
         if self.state_transfer.is_serving || self.view.number == 0 || !self.view.may_serve() {
             return;
@@ -184,7 +190,7 @@
             self.outbox.log(LogEvent::Serving { view_number: number, chain_length: self.view.chain.len() });
             self.commit_if_tail();
             self.decide_changes();
-            self.answer_reads();
+            self.respond_to_confirmed_reads();
             self.drive_pending_requests();
         }
     }
--- a/crates/chain/src/replica/tests/driver.rs
+++ b/crates/chain/src/replica/tests/driver.rs
@@ -1,5 +1,5 @@
-//! A driver of one replica for tests: the test advances the clock, sends messages, and decides when records are synced. What the
-//! replica sends is collected.
+//! A test driver for a single replica. The test advances the clock, delivers messages and decides when
+//! records are synced. The driver collects the messages that the replica sends.
 
 use crate::digest::{Digest, Fnv};
 use crate::entry::{Entry, EntryHeader};
@@ -15,7 +15,7 @@
 
 /// The time between two ticks.
 pub const TICK: Duration = Duration::from_millis(20);
-/// More ticks than a process without peers needs to propose a view.
+/// More ticks than a process needs to propose a view.
 const MAX_TICKS_TO_PROPOSE: u32 = 500;
 
 pub fn address(number: u8) -> SocketAddr {
@@ -26,7 +26,7 @@
     MemberId { address: address(number), disk: u64::from(number) }
 }
 
-/// A view of members 1 to `members`, all of them replicas of the chain in that order.
+/// A view with members 1 to `members`, all of which are in the chain, in that order.
 pub fn view(number: u64, members: u8) -> View {
     let members: Vec<MemberId> = (1..=members).map(member).collect();
     let required = members.len() as u32;
@@ -42,7 +42,7 @@
     }
 }
 
-/// Entry `index` of a history in which each version is the index.
+/// Entry `index` of a history in which the version of each entry is its index.
 pub fn entry(index: u64) -> Entry {
     let bytes: Vec<u8> = format!("configuration {index}").into_bytes();
     let header = EntryHeader { index, version: index, base: index - 1, digest: Digest::of(&bytes) };
@@ -60,10 +60,10 @@
     records.iter().map(Record::encode).collect()
 }
 
-/// A request of another process.
+/// The identity of a request of another process.
 pub const REQUEST_ID: RequestId = RequestId { incarnation: 5, sequence: 1 };
 
-/// A member of a view of three that serves, with links to the other two.
+/// Starts a member of a serving view of three, with links to the other two.
 pub fn serving(number: u8) -> Driver {
     let mut driver = Driver::start(number, disk_of(u64::from(number), 3), 3);
     let others: Vec<u8> = (1..=3).filter(|other| *other != number).collect();
@@ -73,7 +73,7 @@
     driver
 }
 
-/// A change for the head.
+/// A change to be submitted to the head.
 pub fn submit(version: u64, base: u64) -> Message {
     let bytes: Vec<u8> = format!("configuration {version}").into_bytes();
     Message::Submit {
@@ -91,7 +91,7 @@
     matches!(message, Message::Outcome { .. })
 }
 
-/// A replica with its clock, its disk and what it has sent.
+/// A replica with its clock, its disk and the messages that it has sent.
 pub struct Driver {
     pub replica: Replica,
     pub synced: Vec<Vec<u8>>,
@@ -104,7 +104,7 @@
 }
 
 impl Driver {
-    /// Starts member `number` from these records and lets one tick pass.
+    /// Starts member `number` from these records and handles one tick.
     pub fn start(number: u8, synced: Vec<Vec<u8>>, members: u8) -> Driver {
         let settings = ReplicaSettings::new(address(number), Vec::new(), false, 1, 7);
         let mut actions = Vec::new();
@@ -117,7 +117,7 @@
         driver
     }
 
-    /// Hands an event to the replica.
+    /// Passes an event to the replica.
     pub fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.replica.handle(self.now, event, &mut actions);
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Lets ticks pass, each with heartbeats of these processes.
+    /// Runs for some ticks, each preceded by heartbeats of the `live` processes.
     pub fn run(&mut self, ticks: u32, live: &[u8]) {
         for _ in 0..ticks {
             self.now += TICK;
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Lets ticks pass with heartbeats of all others but one, until records wait for the disk.
+    /// Runs with heartbeats of all other processes except `silent`, until records wait for the disk.
     pub fn run_until_proposal(&mut self, silent: u8) {
         let live: Vec<u8> =
             (1..=self.members).filter(|number| *number != self.number && *number != silent).collect();
@@ -164,7 +164,7 @@
         panic!("no proposal");
     }
 
-    /// The heartbeat of a process with bidirectional links to this one and to these.
+    /// The heartbeat of a process that has bidirectional links to the local process and to `linked`.
     pub fn heartbeat_of(&self, number: u8, linked: &[u8]) -> Heartbeat {
         let others = linked.iter().copied().chain([self.number]).filter(|other| *other != number);
         let links = others.map(|other| Link { peer: address(other), bidirectional: true }).collect();
@@ -195,7 +195,7 @@
         }
     }
 
-    /// The number of messages of a kind that were sent.
+    /// The number of sent messages that satisfy a predicate.
     pub fn count(&self, is_wanted: impl Fn(&Message) -> bool) -> usize {
         self.sent.iter().filter(|(_, message)| is_wanted(message)).count()
     }
--- a/crates/chain/src/replica/tests/learner.rs
+++ b/crates/chain/src/replica/tests/learner.rs
@@ -1,8 +1,8 @@
-//! The committed history at processes outside the chain.
+//! Tests of the committed history on processes outside the chain.
 
 use super::*;
 
-/// A learner gets no entry behind the commit index.
+/// A learner is sent no entry after the commit index.
 #[test]
 fn learner_gets_only_committed_history() {
     let mut driver = serving(2);
@@ -23,7 +23,7 @@
     assert_eq!(suffix.headers, [entry(1).header]);
 }
 
-/// A learner that is behind, and the history up to entry 2 that it has requested.
+/// A learner that is behind, and the response with the history up to entry 2 that it has requested.
 fn learner_behind() -> (Driver, Message) {
     let mut driver = Driver::start(9, disk_of(9, 3), 3);
     driver.run(3, &[1, 2, 3]);
@@ -41,7 +41,7 @@
     (driver, Message::HistoryChunk { chunk })
 }
 
-/// A learner reports an entry once it is on its disk.
+/// A learner reports an entry as durable only after the entry is synced.
 #[test]
 fn learner_reports_durable_commit_index_after_sync() {
     let (mut driver, history) = learner_behind();
@@ -50,15 +50,15 @@
     assert_eq!((status.committed_version, status.durable_commit_index), (Some(2), 0));
     driver.sync();
     assert_eq!(driver.replica.status().durable_commit_index, 2);
-    let again = Driver::start(9, driver.synced, 3);
+    let restarted = Driver::start(9, driver.synced, 3);
     assert_eq!(
-        again.replica.status().committed_version,
+        restarted.replica.status().committed_version,
         Some(1),
-        "its last entry may not be committed, as far as it knows"
+        "a restarted process does not know whether its last entry is committed"
     );
 }
 
-/// History from another process than the requested source is ignored.
+/// History from a process other than the requested source is ignored.
 #[test]
 fn learner_installs_history_only_from_the_requested_source() {
     let (mut driver, history) = learner_behind();
@@ -67,7 +67,7 @@
     assert_eq!(driver.replica.status().durable_commit_index, 0);
 }
 
-/// History that was requested as a learner is ignored once the process is in the chain.
+/// History that a process requested as a learner is ignored once the process is in the chain.
 #[test]
 fn replica_in_chain_ignores_history_requested_as_learner() {
     let (mut driver, history) = learner_behind();
@@ -81,7 +81,7 @@
     assert_eq!(driver.replica.status().committed_version, None);
 }
 
-/// An uncommitted entry is on the disk at the index of a committed one: it does not count as durable.
+/// An uncommitted entry is on disk at the index of a committed one, so that index does not count as durable.
 #[test]
 fn learner_does_not_count_a_superseded_entry_as_durable() {
     let mut other = entry(1);
@@ -117,7 +117,8 @@
     assert_eq!(driver.replica.status().durable_commit_index, 2);
 }
 
-/// A member outside the chain of view 2 that knows of the committed entry 2 from member 2 and has requested the history.
+/// Makes the replica a member outside the chain of view 2 that has learned from member 2 that entry 2 is
+/// committed, and has requested the history.
 fn behind(mut driver: Driver) -> Driver {
     let next = View { chain: vec![member(1), member(2)], ..view(2, 3) };
     driver.receive(1, Message::Decided { view: next });
@@ -135,7 +136,8 @@
     driver
 }
 
-/// An entry that is being synced was replaced by a committed one: its sync says nothing about the other.
+/// An entry was replaced by a committed one while it was being synced. The completion of that sync does not
+/// make the committed entry durable.
 #[test]
 fn sync_of_a_superseded_entry_does_not_advance_durable_commit_index() {
     let mut driver = serving(3);
@@ -154,14 +156,14 @@
     assert_eq!(driver.replica.status().durable_commit_index, 2);
 }
 
-/// After a timeout the next source is requested.
+/// After a timeout, the history is requested from the next source.
 #[test]
 fn learner_requests_history_from_another_source_after_timeout() {
     let mut driver = Driver::start(9, disk_of(9, 3), 3);
     for _ in 0..MANY_TICKS {
-        for holder in [1, 2] {
-            let ahead = Heartbeat { durable_commit_index: Some(2), ..driver.heartbeat_of(holder, &[1, 2]) };
-            driver.receive(holder, Message::Heartbeat(ahead));
+        for source in [1, 2] {
+            let ahead = Heartbeat { durable_commit_index: Some(2), ..driver.heartbeat_of(source, &[1, 2]) };
+            driver.receive(source, Message::Heartbeat(ahead));
         }
         driver.receive(2, Message::Committed { header: entry(2).header });
         driver.run(1, &[]);
--- a/crates/chain/src/replica/tests/mod.rs
+++ b/crates/chain/src/replica/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of one replica whose disk, clock and peers are in the hands of the test. `docs/design/guards-chain.md` lists which
-//! guard each of them watches.
+//! Tests of a single replica with a controlled disk, clock and set of peers. `docs/design/guards-chain.md`
+//! lists the guard that each test covers.
 
 mod driver;
 mod learner;
@@ -34,7 +34,7 @@
     address: std::net::SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::new(10, 0, 0, 3)), 7000),
     disk: 3,
 };
-/// More ticks than any timeout in the settings takes.
+/// More ticks than the longest timeout of the settings takes.
 const MANY_TICKS: u32 = 100;
 
 fn prepare() -> Message {
@@ -57,7 +57,7 @@
     matches!(message, Message::Replicated { .. })
 }
 
-/// A member of a view whose other replicas do not hold the history yet.
+/// Starts a member of a view whose other replicas do not hold the history yet.
 fn not_serving(number: u8) -> Driver {
     let mut driver = Driver::start(number, disk_of(u64::from(number), 3), 3);
     let others: Vec<u8> = (1..=3).filter(|other| *other != number).collect();
--- a/crates/chain/src/replica/tests/read_only.rs
+++ b/crates/chain/src/replica/tests/read_only.rs
@@ -1,4 +1,4 @@
-//! Reads at the tail wait for a confirmation of the view.
+//! Tests that reads at the tail wait for a confirmation of the view.
 
 use super::*;
 
@@ -15,7 +15,8 @@
     assert_eq!(driver.count(is_outcome), 0);
 }
 
-/// A tail answers a read after a majority has confirmed this view, in this incarnation and in a round for this read.
+/// The tail responds to a read only after a majority has confirmed the view, in the current view and
+/// incarnation and in the round of the read.
 #[rstest]
 #[case::this_round(0, 0, 1)]
 #[case::another_incarnation(1, 0, 0)]
--- a/crates/chain/src/replica/tests/replication.rs
+++ b/crates/chain/src/replica/tests/replication.rs
@@ -1,8 +1,8 @@
-//! Entries down the chain, and commits at the tail.
+//! Tests of replication along the chain, and of commits at the tail.
 
 use super::*;
 
-/// The tail commits what is on its own disk, and only once the view serves.
+/// The tail commits an entry only after the entry is on its own disk and the view serves.
 #[rstest]
 #[case::in_a_view_that_serves(true)]
 #[case::in_one_that_does_not(false)]
@@ -27,7 +27,7 @@
     assert!(driver.unsynced.is_empty());
 }
 
-/// An uncommitted change may still be lost: no other is refused because of it.
+/// An uncommitted change may still be lost, so no other change may be rejected because of it.
 #[test]
 fn change_is_not_refused_because_of_an_uncommitted_one() {
     let mut driver = serving(1);
@@ -47,25 +47,27 @@
     assert_eq!(driver.count(is_conflict), 1);
 }
 
-/// Entries of other processes or views are ignored.
+/// Entries from other processes or other views are ignored.
 #[rstest]
 #[case::its_predecessor(1, 1, true)]
 #[case::another_member(3, 1, false)]
 #[case::an_earlier_view(1, 0, false)]
 #[case::a_later_view(1, 2, false)]
 fn entry_is_appended_only_from_the_predecessor_in_the_current_view(
-    #[case] from: u8, #[case] number: u64, #[case] taken: bool,
+    #[case] from: u8, #[case] number: u64, #[case] is_appended: bool,
 ) {
     let mut driver = serving(2);
     driver.receive(from, Message::Replicate { view: number, entry: entry(1) });
-    assert_eq!(!driver.unsynced.is_empty(), taken);
+    assert_eq!(!driver.unsynced.is_empty(), is_appended);
 }
 
-/// An entry is sent again until the successor acknowledges it in this view.
+/// An entry is sent again until the successor acknowledges it in the current view.
 #[rstest]
 #[case::in_this_view(1, false)]
 #[case::in_another(2, true)]
-fn entry_is_retransmitted_until_acknowledged_in_the_current_view(#[case] number: u64, #[case] again: bool) {
+fn entry_is_retransmitted_until_acknowledged_in_the_current_view(
+    #[case] number: u64, #[case] is_retransmitted: bool,
+) {
     let mut driver = serving(1);
     driver.receive(2, submit(1, 0));
     driver.sync();
@@ -73,5 +75,5 @@
     let sent = driver.count(is_entry);
     driver.receive(2, Message::Replicated { view: number, index: 1 });
     driver.run(MANY_TICKS, &[2, 3]);
-    assert_eq!(driver.count(is_entry) > sent, again);
+    assert_eq!(driver.count(is_entry) > sent, is_retransmitted);
 }
--- a/crates/chain/src/replica/tests/requests.rs
+++ b/crates/chain/src/replica/tests/requests.rs
@@ -1,4 +1,4 @@
-//! The operator's requests: recognising a resent change, forwarding, outcomes.
+//! Tests of operator requests: recognition of resent changes, forwarding, and outcomes.
 
 use super::*;
 
@@ -12,7 +12,7 @@
     Message::Submit { request_id, base, version, digest, bytes, request_hash: request, forwarded: false }
 }
 
-/// The head of a view whose first two entries are committed, the first one from [`REQUEST`].
+/// The head of a view whose first two entries are committed, the first of them with the hash of [`REQUEST`].
 fn head() -> Driver {
     let mut driver = serving(1);
     for (sequence, version, request, bytes) in
@@ -37,7 +37,8 @@
     driver.sent.iter().filter_map(|(_, message)| outcome(message)).collect()
 }
 
-/// The base is no longer retained, so the bytes cannot be computed again.
+/// The base is no longer retained, so the bytes cannot be computed again. The change is identified by the
+/// hash of its request.
 #[rstest]
 #[case::that_request(4, 0, Some(REQUEST), RequestOutcome::Accepted)]
 #[case::another_request(4, 0, Some(OTHER), RequestOutcome::Conflict { current: 6 })]
@@ -51,7 +52,7 @@
     assert_eq!(outcomes(&driver), [outcome]);
 }
 
-/// The same bytes in a full configuration are the same change.
+/// A full configuration with the same bytes is the same change.
 #[test]
 fn change_is_recognised_by_bytes_as_well() {
     let mut driver = head();
@@ -70,7 +71,7 @@
     assert_eq!(driver.count(is_replicate), 0);
 }
 
-/// Headers of earlier versions have no request hash and are decoded; a header with one is decoded with it.
+/// A request hash is encoded only if there is one, since headers of earlier versions have none.
 #[rstest]
 #[case::whole(None)]
 #[case::from_a_request(Some(REQUEST))]
@@ -83,7 +84,7 @@
     assert_eq!(names_request, request.is_some());
 }
 
-/// An outcome counts only for a request of this incarnation.
+/// An outcome is only accepted for a request of this incarnation.
 #[rstest]
 #[case::own_request(0, 1, Some(OperatorResponse::Conflict { current: 7 }))]
 #[case::earlier_incarnation(1, 1, None)]
@@ -110,7 +111,8 @@
     assert_eq!(driver.responses.first().cloned(), response);
 }
 
-/// A request of another process is forwarded to the head or the tail once, and its outcome back to that process.
+/// A request of another process is forwarded once, to the head or the tail, and its outcome is returned to
+/// that process.
 #[rstest]
 #[case::change(submit(1, 0), 1)]
 #[case::read(Message::Read { request_id: REQUEST_ID, forwarded: false }, 3)]
@@ -122,7 +124,7 @@
         driver.sent.iter().filter(|(_, message)| is_request(message)).cloned().collect();
     let [(to, message)] = forwarded.as_slice() else { panic!("{forwarded:?}") };
     assert_eq!(*to, address(end));
-    // It is not forwarded again, so that no two processes send it to and fro.
+    // A forwarded request is not forwarded again, which could create a loop.
     driver.sent.clear();
     driver.receive(if end == 1 { 3 } else { 1 }, message.clone());
     assert_eq!(driver.count(is_request), 0);
@@ -130,12 +132,16 @@
     driver.receive(end, Message::Outcome { request_id: REQUEST_ID, outcome });
     let back = driver.sent.iter().find(|(_, message)| is_outcome(message)).map(|(to, _)| *to);
     assert_eq!(back, Some(origin));
-    // Nor is a second outcome.
+    // A second outcome is not forwarded.
     driver.sent.clear();
     driver.receive(end, Message::Outcome { request_id: REQUEST_ID, outcome });
     assert_eq!(driver.count(is_outcome), 0);
     driver.receive(end, request);
-    assert_eq!(driver.count(is_request), 0, "a request of an end of the chain is not forwarded back to it");
+    assert_eq!(
+        driver.count(is_request),
+        0,
+        "a request from an end of the chain is not forwarded back to that end"
+    );
 }
 
 fn is_request(message: &Message) -> bool {
--- a/crates/chain/src/replica/tests/sealing.rs
+++ b/crates/chain/src/replica/tests/sealing.rs
@@ -1,8 +1,8 @@
-//! A replica that has promised the next view takes no further part in the current one.
+//! Tests that a replica that has promised the next view no longer participates in the current one.
 
 use super::*;
 
-/// An entry that a sealed replica still appended might be in no history that the next view installs.
+/// An entry that is appended after the promise may be missing from the history that the next view installs.
 #[test]
 fn sealed_replica_stops_replicating() {
     let mut driver = serving(2);
@@ -18,7 +18,8 @@
     assert_eq!((driver.count(is_replicated), driver.synced.len()), (1, records));
 }
 
-/// An entry that was being synced when the replica promised the next view is not acknowledged in this one.
+/// An entry that was being synced when the replica promised the next view is not acknowledged in the current
+/// view.
 #[test]
 fn replica_sealed_during_sync_does_not_acknowledge() {
     let mut driver = serving(2);
@@ -40,7 +41,8 @@
     assert_eq!(driver.count(is_confirmed), 1, "also before the promise is on disk");
 }
 
-/// A head that has promised the next view decides no change and a tail answers no read, not even earlier ones.
+/// After its promise, a head decides no change and a tail responds to no read, even if the request arrived
+/// earlier.
 #[rstest]
 #[case::head(1, submit(1, 0))]
 #[case::tail(3, Message::Read { request_id: REQUEST_ID, forwarded: false })]
--- a/crates/chain/src/replica/tests/state_transfer.rs
+++ b/crates/chain/src/replica/tests/state_transfer.rs
@@ -1,8 +1,8 @@
-//! The history of a view: who sends it, who installs it, and when the view serves.
+//! Tests of state transfer: which history is sent and installed, and when the view serves.
 
 use super::*;
 
-/// A replica sends its history only for the view that it installed, and only to members.
+/// A replica sends its history only for the view that it has installed, and only to members of that view.
 #[rstest]
 #[case::member(3, 1, 1)]
 #[case::no_member(9, 1, 0)]
@@ -17,12 +17,12 @@
     assert_eq!(driver.count(is_state), answers);
 }
 
-/// A replica that waits for the history of a view ignores that of another view.
+/// A replica that waits for the history of a view ignores the history of other views.
 #[rstest]
 #[case::of_this_view(2, true)]
 #[case::of_the_view_before(1, false)]
 #[case::of_a_later_view(3, false)]
-fn state_is_installed_only_for_the_current_view(#[case] number: u64, #[case] taken: bool) {
+fn state_is_installed_only_for_the_current_view(#[case] number: u64, #[case] is_installed: bool) {
     let mut driver = serving(3);
     driver.receive(1, Message::Decided { view: view(2, 3) });
     driver.sync();
@@ -32,10 +32,11 @@
     driver.sync();
     driver.receive(1, Message::State { view: number, suffix: history() });
     driver.sync();
-    assert_eq!(driver.synced.len() > before, taken);
+    assert_eq!(driver.synced.len() > before, is_installed);
 }
 
-/// A view serves once its replicas hold the history; another disk at the address of one of them does not count.
+/// A view serves once its replicas hold the history. A process with a different disk at the address of a
+/// replica does not count.
 #[test]
 fn new_disk_at_replica_address_does_not_make_view_serve() {
     let mut driver = Driver::start(3, disk_of(3, 3), 3);
--- a/crates/chain/src/replica/tests/stored_entries.rs
+++ b/crates/chain/src/replica/tests/stored_entries.rs
@@ -1,4 +1,4 @@
-//! Which entries a replica persists, inside the chain and as a learner, and which history it sends.
+//! Tests which entries a replica persists, in the chain and as a learner, and which history it sends.
 
 use crate::digest::Digest;
 use crate::entry::{CommittedConfig, Entry, EntryHeader, HistorySuffix};
@@ -32,7 +32,7 @@
     }
 }
 
-/// Member 2 of three in view 1, whose history is empty.
+/// Member 2 of three in view 1, with an empty history.
 fn member_two(chain: &[u8]) -> Replica {
     let view = view(1, chain, 1);
     let records = [
@@ -48,7 +48,7 @@
     replica
 }
 
-/// The entries that the replica persists on a message from member 1.
+/// The entries that the replica persists when it receives a message from member 1.
 fn stored(replica: &mut Replica, message: Message) -> Vec<Entry> {
     let mut out = Vec::new();
     replica.handle(Duration::ZERO, Event::Message { from: member(1).address, message }, &mut out);
@@ -93,7 +93,8 @@
     Message::Config { config: CommittedConfig { version, base: 0, bytes: bytes.into() } }
 }
 
-/// A learner builds the newest entry from its commit and its configuration, whichever comes first.
+/// A learner assembles the newest entry from the commit announcement and the configuration, in either order
+/// of arrival.
 #[rstest]
 #[case::commit_first([Message::Committed { header: header() }, config(5, TEXT)], 1)]
 #[case::configuration_first([config(5, TEXT), Message::Committed { header: header() }], 1)]
@@ -110,7 +111,8 @@
     assert_eq!(replica.status().durable_commit_index, entries as u64);
 }
 
-/// A proposer relies on the position in a promise, so the history does not change until the next view.
+/// A proposer relies on the history position in a promise, so the history must not change until the next
+/// view.
 #[test]
 fn sealed_learner_appends_nothing() {
     let mut replica = member_two(&[1, 3]);
@@ -133,8 +135,8 @@
     chunks.last().expect("a chunk")
 }
 
-/// A replica that has begun to fetch the history of one view does not get the rest of it as the history of the next one,
-/// which has one entry more.
+/// A replica has fetched the first part of the history of one view. It must not receive the remaining part as
+/// the history of the next view, which has one more entry.
 #[test]
 fn state_of_an_earlier_view_is_not_resumed() {
     let mut replica = member_two(&[1, 2, 3]);
@@ -149,7 +151,8 @@
     assert_eq!(second.offset, 0);
 }
 
-/// The committed history that learners get may be shorter than the history of the view.
+/// The committed history that is sent to learners may be shorter than the history of the view, so the two
+/// streams are not interchangeable.
 #[test]
 fn learner_stream_is_not_resumed_as_state() {
     let mut replica = member_two(&[1, 2, 3]);
