--- a/crates/chain/src/replica/tests/voting.rs
+++ b/crates/chain/src/replica/tests/voting.rs
@@ -1,4 +1,5 @@
-//! Deciding the next view: who proposes, who votes, and what is on disk before it is sent.
+//! Tests of the decision on the next view: who proposes, who votes, and what must be synced before it is
+//! sent.
 
 use super::driver::TICK;
 use super::*;
@@ -37,9 +38,13 @@
 fn prepare_is_sent_after_own_promise_is_synced(#[case] members: u8) {
     let mut driver = Driver::start(1, disk_of(1, members), members);
     driver.run_until_proposal(2);
-    assert_eq!(proposal_numbers(&driver), Vec::new(), "before the own promise is on disk");
+    assert_eq!(proposal_numbers(&driver), Vec::new(), "before its own promise is on disk");
     driver.sync();
-    assert_eq!(proposal_numbers(&driver).len(), usize::from(members) - 1, "each other member is asked");
+    assert_eq!(
+        proposal_numbers(&driver).len(),
+        usize::from(members) - 1,
+        "one request for each other member"
+    );
 }
 
 #[rstest]
@@ -72,7 +77,7 @@
     assert_eq!(acceptor.compare_accepted(higher, &other), AcceptedComparison::Newer);
 }
 
-/// A second view under the number of an accepted proposal gets no reply and is not persisted.
+/// A second view under the number of an accepted proposal is neither acknowledged nor persisted.
 #[test]
 fn acceptor_ignores_a_second_view_under_one_proposal_number() {
     let mut driver = Driver::start(1, disk_of(1, 3), 3);
@@ -83,21 +88,21 @@
     let accepted = |driver: &Driver| driver.count(|message| matches!(message, Message::Accepted { .. }));
     assert_eq!(accepted(&driver), 1);
     let synced = driver.synced.len();
-    // Such a proposal is itself a violation of an invariant, which would stop the test.
-    let tolerance = lugwharf_invariants::suppress_panics();
+    // The proposal violates an invariant, which would otherwise fail the test.
+    let suppressed_panics = lugwharf_invariants::suppress_panics();
     let violations = || lugwharf_invariants::count(lugwharf_invariants::Invariant::OneValuePerBallot);
     let before = violations();
     driver.receive(2, accept(View { chain: vec![member(1), member(2)], ..view(2, 3) }));
-    drop(tolerance);
+    drop(suppressed_panics);
     assert!(violations() > before);
     driver.sync();
     assert_eq!((accepted(&driver), driver.synced.len()), (1, synced));
     driver.receive(2, accept(view(2, 3)));
     driver.sync();
-    assert_eq!(accepted(&driver), 2, "a repeat is answered again");
+    assert_eq!(accepted(&driver), 2, "a duplicate is acknowledged again");
 }
 
-/// A machine whose disk was lost is at the address of a member, but is not that member.
+/// A machine with a new disk has the address of a member, but is not that member.
 #[rstest]
 #[case::prepare(prepare(), is_promise)]
 #[case::confirm(Message::Confirm { view: 1, request_id: REQUEST_ID }, is_confirmed)]
@@ -112,7 +117,7 @@
     assert_eq!(driver.count(answers), 0);
 }
 
-/// A promise that such a machine sends all the same does not count.
+/// A promise from a machine with a new disk does not count.
 #[rstest]
 #[case::of_the_member(2, 1)]
 #[case::of_a_new_disk_at_its_address(77, 0)]
@@ -133,7 +138,7 @@
     assert_eq!(driver.count(is_accept).min(1), accepts);
 }
 
-/// What a loss of power can take back was never sent.
+/// A reply must not be sent before its record is synced, since a power loss could otherwise revoke it.
 #[rstest]
 #[case::promise(3, prepare(), is_promise)]
 #[case::acceptance(3, Message::Accept { proposal: PROPOSAL, view: view(2, 3) }, |message: &Message| matches!(message, Message::Accepted { .. }))]
@@ -150,7 +155,7 @@
     assert!(driver.count(answers) > 0);
 }
 
-/// A replica whose disk refuses batches could not persist its promise, so it goes on with the current view.
+/// A replica whose disk fails cannot persist a promise, so it makes none and stays in the current view.
 #[test]
 fn replica_with_unhealthy_disk_promises_nothing() {
     let mut driver = serving(2);
@@ -162,10 +167,11 @@
     assert_eq!(driver.count(is_confirmed), 1);
 }
 
-/// Drivers read the clock of a batch's failure before that of other events, so it may be the earlier one. The pause before the
-/// batch is written again counts from the latest time that the replica knows.
+/// A driver may read the clock for a failed batch before it reads it for other events, so the time of the
+/// failure may be earlier than the latest known time. The retry delay counts from the latest time that the
+/// replica knows.
 #[test]
-fn batch_that_failed_is_retried_after_the_pause_though_the_time_went_back() {
+fn failed_batch_is_retried_after_the_delay_despite_an_earlier_event_time() {
     const PAUSE: Duration = Duration::from_millis(400);
     let mut driver = serving(2);
     driver.run(40, &[1, 3]);
@@ -182,11 +188,11 @@
     assert_eq!(driver.unsynced.len(), 1, "the pause is over");
 }
 
-/// A view is decided by the acceptances of members alone.
+/// Only acceptances of members count for the decision on a view.
 #[rstest]
 #[case::member(2, true)]
 #[case::no_member(9, false)]
-fn only_acceptances_of_members_count(#[case] from: u8, #[case] agreed: bool) {
+fn only_acceptances_of_members_count(#[case] from: u8, #[case] is_decided: bool) {
     let mut driver = Driver::start(1, disk_of(1, 3), 3);
     driver.run_until_proposal(3);
     driver.sync();
@@ -201,10 +207,10 @@
     driver.run(10, &[2]);
     driver.sync();
     driver.receive(from, Message::Accepted { instance: 2, proposal });
-    assert_eq!(driver.replica.status().view_number == 2, agreed);
+    assert_eq!(driver.replica.status().view_number == 2, is_decided);
 }
 
-/// An instance other than the next one is neither promised nor accepted.
+/// Proposals for any instance other than the next one are neither promised nor accepted.
 #[rstest]
 #[case::current_view(1)]
 #[case::view_after_next(3)]
@@ -234,7 +240,7 @@
     assert_eq!(driver.count(|message| matches!(message, Message::Prepare { .. })), 0);
 }
 
-/// A heartbeat that names another address than the one it comes from is ignored.
+/// A heartbeat whose sender address differs from its source address is ignored.
 #[test]
 fn heartbeat_for_another_address_is_ignored() {
     let mut driver = serving(1);
--- a/crates/chain/src/replica/view_change.rs
+++ b/crates/chain/src/replica/view_change.rs
@@ -1,4 +1,4 @@
-//! Entering a view that was decided.
+//! Entry into a decided view.
 
 use super::Replica;
 use crate::action::Action;
@@ -19,8 +19,8 @@
         }
     }
 
-    /// Enters a decided view. All state that belongs to the view before is reset; operators' requests stay pending and are
-    /// sent again to the ends of the new chain.
+    /// Enters a decided view. State that belongs to the previous view is reset. Operators' requests stay
+    /// pending and are sent again to the ends of the new chain.
     pub(super) fn enter_view(&mut self, view: View) {
         for replica in self.view.chain.clone() {
             if !view.chain.contains(&replica) {
--- a/crates/chain/src/request.rs
+++ b/crates/chain/src/request.rs
@@ -8,35 +8,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperatorRequestId(pub u64);
 
-/// The identity of a request between replicas. The incarnation tells requests before a restart from those after it.
+/// The identity of a request between replicas. The incarnation distinguishes requests sent before a restart
+/// from those sent after it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
-    /// Drawn at random at the start of the process.
+    /// A random number, generated when the process started.
     pub incarnation: u64,
-    /// Counts the requests of that process.
+    /// The sequence number of the request within that process.
     #[serde(rename = "ticket")]
     pub sequence: u64,
 }
 
-/// The outcome of a request at the head or the tail. Encoded names are fixed; see docs/GLOSSARY.md.
+/// The outcome of a request at the head (changes) or the tail (reads). Encoded names are fixed; see
+/// docs/GLOSSARY.md.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RequestOutcome {
     /// The change is committed.
     Accepted,
-    /// The base of the change is not the current version.
+    /// The base version of the change is not the current version.
     Conflict {
         /// The current version.
         current: u64,
     },
-    /// The change builds on the current version, but its own version is not above it.
+    /// The change is based on the current version, but its own version is not higher.
     #[serde(rename = "Outdated")]
     StaleVersion {
         /// The current version.
         current: u64,
     },
-    /// The newest committed version, `None` if there is none.
+    /// The newest committed version, as the response to a read.
     Newest {
-        /// The version.
+        /// The version, or `None` if nothing was committed yet.
         version: Option<u64>,
     },
 }
--- a/crates/chain/src/view_planner/chain.rs
+++ b/crates/chain/src/view_planner/chain.rs
@@ -1,30 +1,30 @@
-//! The chain of the next view.
+//! Plans the chain of the next view.
 
 use super::ViewPlanner;
 use crate::heartbeat::Heartbeat;
 use crate::log_event::{FaultyReplica, ReplicaFault};
 use crate::member::MemberId;
 
-/// The rank of a chain. The fields are compared in this order, the most important one first.
+/// The rank of a chain. Fields are compared in this order, so the most important one comes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ChainRank {
-    /// Whether it contains a member that is known to hold every acknowledged entry.
-    has_holder: bool,
+    /// Whether the chain contains a member that is known to hold every acknowledged entry.
+    has_up_to_date_member: bool,
     length: usize,
-    /// The number of links that its replicas have to all processes.
+    /// The number of links between the replicas of the chain and all processes.
     links: usize,
-    /// The number of replicas that it has in common with the current chain.
+    /// The number of replicas that are also in the current chain.
     kept_replicas: usize,
 }
 
 impl ViewPlanner<'_> {
-    /// Whether a replica of the current chain is unusable, or two of its replicas do not reach each other.
+    /// Whether a replica of the current chain is unusable, or two of its replicas cannot reach each other.
     pub(super) fn is_chain_broken(&self) -> bool {
         self.faulty_of(&self.view.chain).is_some()
     }
 
-    /// The first replica of the current chain with which something is wrong, or the first such member outside of it; none before
-    /// the first view, whose members are known by their addresses alone.
+    /// The first faulty replica of the current chain, or else the first faulty member outside the chain.
+    /// `None` before the first view, whose members are known only by address.
     pub fn faulty_replica(&self) -> Option<FaultyReplica> {
         if self.view.number == 0 {
             return None;
@@ -34,30 +34,32 @@
         self.faulty_of(&self.view.chain).or_else(|| self.faulty_of(&outside))
     }
 
-    /// The first of these processes that is unusable, or does not reach another one of them.
+    /// The first of these processes that is unusable, or else one that cannot reach another one of them.
     fn faulty_of(&self, processes: &[MemberId]) -> Option<FaultyReplica> {
         let unusable = processes.iter().find_map(|process| {
             self.fault_of(*process).map(|fault| FaultyReplica { address: process.address, fault })
         });
         unusable.or_else(|| {
-            let severed = self.most_severed(processes)?;
+            let severed = self.process_with_most_severed_links(processes)?;
             Some(FaultyReplica { address: severed.address, fault: ReplicaFault::LinkSevered })
         })
     }
 
-    /// Of the processes that do not reach another one of them, the one that lacks the most links; another one than this process
-    /// if there is a choice, as it sees that its peer is silent and not why.
-    fn most_severed(&self, processes: &[MemberId]) -> Option<MemberId> {
+    /// Of the processes that cannot reach another one of them, the one that lacks the most links. This
+    /// process is chosen only if there is no alternative: it observes that a peer does not answer, but not
+    /// why.
+    fn process_with_most_severed_links(&self, processes: &[MemberId]) -> Option<MemberId> {
         let severed_links = |one: &MemberId| {
-            let is_severed = |other: &&MemberId| self.peers.is_severed(one.address, other.address, self.now);
-            processes.iter().filter(is_severed).count()
+            let is_link_severed =
+                |other: &&MemberId| self.peers.is_link_severed(one.address, other.address, self.now);
+            processes.iter().filter(is_link_severed).count()
         };
         let rank = |one: &MemberId| (severed_links(one), *one != self.local_member);
         let severed = processes.iter().rev().copied().filter(|one| severed_links(one) > 0);
         severed.max_by_key(rank)
     }
 
-    /// What makes a process unusable as a replica.
+    /// The fault that makes a process unusable as a replica, if there is one.
     fn fault_of(&self, replica: MemberId) -> Option<ReplicaFault> {
         if replica.address == self.local_member.address {
             if replica != self.local_member {
@@ -70,34 +72,39 @@
             Some(heartbeat) if !heartbeat.disk_healthy => Some(ReplicaFault::DiskFault),
             Some(heartbeat) if heartbeat.is_leaving => Some(ReplicaFault::Leaving),
             Some(_) => None,
-            None => (!self.peers.is_heard_by_others(replica.address, self.now))
+            None => (!self.peers.is_reachable_by_others(replica.address, self.now))
                 .then_some(ReplicaFault::Unreachable),
         }
     }
 
-    /// The chain of the next view: the largest set of members that all reach each other and include this process, with one of
-    /// `holders` if possible and with as many replicas of the current chain as possible, in the order of the current chain.
-    pub(super) fn next_chain(&self, members: &[MemberId], holders: &[MemberId]) -> Vec<MemberId> {
-        let mut candidates: Vec<MemberId> =
-            members.iter().copied().filter(|member| self.may_be_replica(*member, holders)).collect();
+    /// The chain of the next view: the largest set of members that can all reach each other and include this
+    /// process. The chain contains one of `up_to_date_members` if possible, and as many replicas of the
+    /// current chain as possible, in their current order.
+    pub(super) fn next_chain(&self, members: &[MemberId], up_to_date_members: &[MemberId]) -> Vec<MemberId> {
+        let mut candidates: Vec<MemberId> = members
+            .iter()
+            .copied()
+            .filter(|member| self.may_be_replica(*member, up_to_date_members))
+            .collect();
         candidates.sort_by_key(|member| (self.view.position(*member).unwrap_or(usize::MAX), member.address));
-        let mut best = self.largest_clique(&candidates, holders);
+        let mut best = self.largest_clique(&candidates, up_to_date_members);
         let max_length = self.max_chain_length(members.len());
         if best.len() > max_length {
             let surplus = best.split_off(max_length);
-            let holder = surplus.into_iter().find(|member| holders.contains(member));
-            let has_holder = best.iter().any(|member| holders.contains(member));
-            // A surplus replica is only needed for a history that no other holds.
-            if let Some(holder) = holder.filter(|_| !has_holder) {
+            let up_to_date_member = surplus.into_iter().find(|member| up_to_date_members.contains(member));
+            let has_up_to_date_member = best.iter().any(|member| up_to_date_members.contains(member));
+            // A replica beyond the maximum length is needed only if no other one holds the history.
+            if let Some(member) = up_to_date_member.filter(|_| !has_up_to_date_member) {
                 best.pop_if(|last| *last != self.local_member);
-                best.push(holder);
+                best.push(member);
             }
         }
         best
     }
 
-    /// The best clique of the link graph among the candidates. Tries all subsets: there are no more candidates than members.
-    fn largest_clique(&self, candidates: &[MemberId], holders: &[MemberId]) -> Vec<MemberId> {
+    /// The clique of the link graph with the highest rank among the candidates. Tries all subsets, which is
+    /// affordable since there are no more candidates than members.
+    fn largest_clique(&self, candidates: &[MemberId], up_to_date_members: &[MemberId]) -> Vec<MemberId> {
         let is_linked =
             |one: &MemberId, other: &MemberId| self.peers.is_linked(one.address, other.address, self.now);
         let is_clique =
@@ -108,7 +115,8 @@
         let mut best = Vec::new();
         for subset in 0..1_u32 << candidates.len() {
             let chosen = select(candidates, subset);
-            let is_better = self.chain_rank(&chosen, holders) > self.chain_rank(&best, holders);
+            let is_better =
+                self.chain_rank(&chosen, up_to_date_members) > self.chain_rank(&best, up_to_date_members);
             if is_better && chosen.contains(&self.local_member) && is_clique(&chosen) {
                 best = chosen;
             }
@@ -116,27 +124,27 @@
         best
     }
 
-    /// The length of the longest useful chain. More replicas make each change slower.
+    /// The maximum length of a chain. Each further replica adds latency to every change.
     fn max_chain_length(&self, member_count: usize) -> usize {
         (self.view.min_members as usize).max(member_count.div_ceil(2))
     }
 
-    fn chain_rank(&self, chain: &[MemberId], holders: &[MemberId]) -> ChainRank {
-        let has_holder = chain.iter().any(|member| holders.contains(member));
+    fn chain_rank(&self, chain: &[MemberId], up_to_date_members: &[MemberId]) -> ChainRank {
+        let has_up_to_date_member = chain.iter().any(|member| up_to_date_members.contains(member));
         let kept_replicas = chain.iter().filter(|member| self.view.position(**member).is_some()).count();
         let links = chain.iter().map(|member| self.link_count(*member)).sum();
-        ChainRank { has_holder, length: chain.len(), links, kept_replicas }
+        ChainRank { has_up_to_date_member, length: chain.len(), links, kept_replicas }
     }
 
-    /// The number of processes that a member has a link with. Operators send requests to any process, which forwards them to the
-    /// ends of the chain.
+    /// The number of processes to which a member has a link. Operators send requests to any process, which
+    /// forwards them to the ends of the chain.
     fn link_count(&self, member: MemberId) -> usize {
         let others = self.peers.live_addresses(self.now).into_iter();
         others.filter(|other| self.peers.is_linked(member.address, *other, self.now)).count()
     }
 
-    /// Whether a member may be a replica of the next chain, links aside.
-    fn may_be_replica(&self, member: MemberId, holders: &[MemberId]) -> bool {
+    /// Whether a member may be a replica of the next chain, apart from its links.
+    fn may_be_replica(&self, member: MemberId, up_to_date_members: &[MemberId]) -> bool {
         if member == self.local_member {
             return true;
         }
@@ -146,16 +154,16 @@
         else {
             return false;
         };
-        // One that leaves is only needed for a history that no other holds.
-        if heartbeat.is_leaving && holders != [member] {
+        // A leaving member is needed only if no other one holds the history.
+        if heartbeat.is_leaving && up_to_date_members != [member] {
             return false;
         }
         let is_in_chain = self.view.position(member).is_some();
         is_in_chain || self.view.number == 0 || self.may_join_chain(heartbeat)
     }
 
-    /// Whether a member outside the chain may join it. It fetches what it lacks while the view does not serve yet, so it must not
-    /// lack much, unless the current view cannot serve without it.
+    /// Whether a member outside the chain may join it. The view does not serve while the member fetches the
+    /// entries that it lacks, so it must lack only a few, unless the current view cannot serve without it.
     fn may_join_chain(&self, heartbeat: &Heartbeat) -> bool {
         let is_healthy =
             self.peers.is_healthy_for(heartbeat.sender.address, self.settings.rejoin_after, self.now);
--- a/crates/chain/src/view_planner/members.rs
+++ b/crates/chain/src/view_planner/members.rs
@@ -1,12 +1,12 @@
-//! The members of the next view.
+//! Plans the members of the next view.
 
 use super::ViewPlanner;
 use crate::heartbeat::Heartbeat;
 use crate::member::MemberId;
 use std::net::SocketAddr;
 
-/// A learner may lack this many of the newest entries and still counts as caught up. What a heartbeat reports is old by as many
-/// entries as operators submit between two of them.
+/// The maximum number of newest entries that a learner may lack and still count as caught up. A heartbeat is
+/// out of date by as many entries as operators submit during one heartbeat interval.
 const MAX_LEARNER_LAG: u64 = 32;
 
 impl ViewPlanner<'_> {
@@ -24,18 +24,18 @@
         seeds.filter(|address| may_bootstrap(*address)).filter_map(|address| self.identity(address)).collect()
     }
 
-    /// The members of the next view: vacancies are filled, or a surplus member is removed, or one member is replaced. Replacing
-    /// more than one at a time would leave too few members that know the history.
-    pub(super) fn next_members(&self, holders: &[MemberId]) -> Vec<MemberId> {
+    /// The members of the next view: either vacancies are filled, or a surplus member is removed, or one
+    /// member is replaced. Replacing several at once would leave too few members that hold the history.
+    pub(super) fn next_members(&self, up_to_date_members: &[MemberId]) -> Vec<MemberId> {
         let mut members = self.view.members.clone();
         let added = self.added_members();
         if !added.is_empty() {
             members.extend(added);
         } else if members.len() > self.view.target_member_count() {
-            if let Some(position) = self.surplus_position(holders) {
+            if let Some(position) = self.surplus_position(up_to_date_members) {
                 members.remove(position);
             }
-        } else if let Some((position, learner)) = self.replacement(holders) {
+        } else if let Some((position, learner)) = self.replacement(up_to_date_members) {
             members[position] = learner;
         }
         members
@@ -46,31 +46,32 @@
         let member_count = self.view.members.len();
         let mut added = self.ready_learners();
         added.truncate(self.view.target_member_count().saturating_sub(member_count));
-        // An even number of members bears no more losses than the odd number below it.
+        // An even number of members tolerates no more failures than the odd number below it.
         if self.view.may_serve() && (member_count + added.len()).is_multiple_of(2) {
             added.pop();
         }
         added
     }
 
-    /// The position of the member to remove if there are more than the target. Only a log of an earlier version names so many.
-    fn surplus_position(&self, holders: &[MemberId]) -> Option<usize> {
+    /// The position of the member to remove if there are more members than the target. Only logs of earlier
+    /// versions contain such views.
+    fn surplus_position(&self, up_to_date_members: &[MemberId]) -> Option<usize> {
         let members = &self.view.members;
         let priority = |member: &MemberId| {
             let is_in_chain = self.view.position(*member).is_some();
             (self.should_be_replaced(*member), !is_in_chain, *member != self.local_member)
         };
-        let is_dispensable = |position: &usize| self.is_dispensable(members[*position], holders);
-        (0..members.len()).filter(is_dispensable).max_by_key(|position| priority(&members[*position]))
+        let may_be_removed = |position: &usize| self.may_be_removed(members[*position], up_to_date_members);
+        (0..members.len()).filter(may_be_removed).max_by_key(|position| priority(&members[*position]))
     }
 
-    /// The position of a member to replace, and the learner that replaces it: the process at the same address with a new disk if
-    /// it is ready, else any.
-    fn replacement(&self, holders: &[MemberId]) -> Option<(usize, MemberId)> {
+    /// The position of a member to replace, and the learner that replaces it. The process at the same address
+    /// with a new disk is preferred if it is ready.
+    fn replacement(&self, up_to_date_members: &[MemberId]) -> Option<(usize, MemberId)> {
         let learners = self.ready_learners();
         let members = self.view.members.iter().enumerate();
         let replaceable = members.filter(|(_, member)| {
-            self.should_be_replaced(**member) && self.is_dispensable(**member, holders)
+            self.should_be_replaced(**member) && self.may_be_removed(**member, up_to_date_members)
         });
         let mut replacements = replaceable.filter_map(|(position, member)| {
             let returned = self.identity(member.address).filter(|identity| self.is_ready_learner(*identity));
@@ -79,18 +80,20 @@
         replacements.next()
     }
 
-    /// Whether the view can do without a member: its disk is lost, or enough other members hold the history. A process that is
-    /// no member is never asked for its history again.
-    fn is_dispensable(&self, member: MemberId, holders: &[MemberId]) -> bool {
-        let remains = |other: &&MemberId| **other != member && self.holds_history(**other, holders);
-        let holder_count = self.view.members.iter().filter(remains).count();
-        self.has_lost_disk(member) || holder_count > self.view.fault_tolerance as usize
+    /// Whether a member may be removed: its disk is lost, or enough other members hold the history. A process
+    /// that is not a member is never asked for its history.
+    fn may_be_removed(&self, member: MemberId, up_to_date_members: &[MemberId]) -> bool {
+        let remains =
+            |other: &&MemberId| **other != member && self.has_view_history(**other, up_to_date_members);
+        let up_to_date_count = self.view.members.iter().filter(remains).count();
+        self.has_lost_disk(member) || up_to_date_count > self.view.fault_tolerance as usize
     }
 
-    /// Whether a member holds the history: according to the promises, or to its heartbeat while there are none.
-    fn holds_history(&self, member: MemberId, holders: &[MemberId]) -> bool {
-        if !holders.is_empty() {
-            return holders.contains(&member);
+    /// Whether a member holds the history of the view: according to the promises or, while there are none, to
+    /// its heartbeat.
+    fn has_view_history(&self, member: MemberId, up_to_date_members: &[MemberId]) -> bool {
+        if !up_to_date_members.is_empty() {
+            return up_to_date_members.contains(&member);
         }
         if member == self.local_member {
             return self.installed_view == self.view.number;
@@ -101,12 +104,12 @@
         })
     }
 
-    /// Whether a process with another disk is alive at a member's address.
+    /// Whether a process with a different disk is alive at a member's address.
     fn has_lost_disk(&self, member: MemberId) -> bool {
         self.identity(member.address).is_some_and(|identity| identity != member)
     }
 
-    /// The learners that may replace any member.
+    /// The learners that are ready to replace a member.
     fn ready_learners(&self) -> Vec<MemberId> {
         let addresses = self.peers.live_addresses(self.now).into_iter();
         let learners = addresses.filter(|address| !self.view.has_member_at(*address));
@@ -114,13 +117,13 @@
         identities.filter(|identity| self.is_ready_learner(*identity)).collect()
     }
 
-    /// Whether some learner is ready to replace a member.
+    /// Whether a learner is ready to replace a member.
     pub fn has_ready_learner(&self) -> bool {
         !self.ready_learners().is_empty()
     }
 
-    /// Whether a process that is no member may become one: it counts for the quorum, is healthy, does not leave, and holds the
-    /// committed history.
+    /// Whether a process that is not a member may become one: it is eligible, healthy and not leaving, and
+    /// holds the committed history.
     fn is_ready_learner(&self, identity: MemberId) -> bool {
         let heartbeat = self.peers.live_heartbeat(identity.address, self.now);
         let is_eligible = heartbeat.is_some_and(|heartbeat| {
@@ -132,22 +135,23 @@
             && self.peers.is_healthy_for(identity.address, self.settings.rejoin_after, self.now)
     }
 
-    /// Whether a process holds the committed history but for the newest entries, which it gets once it is a member.
+    /// Whether a process holds the committed history except for the newest entries, which it receives once it
+    /// is a member.
     pub(super) fn is_caught_up(&self, heartbeat: &Heartbeat) -> bool {
         heartbeat.durable_commit_index.is_none_or(|index| index + MAX_LEARNER_LAG >= self.committed_index)
     }
 
-    /// Whether a member has lost its disk, is leaving or is gone.
+    /// Whether a member has lost its disk, is leaving or has failed.
     fn should_be_replaced(&self, member: MemberId) -> bool {
         let heartbeat = self.peers.live_heartbeat(member.address, self.now);
         let is_leaving = heartbeat.is_some_and(|heartbeat| heartbeat.is_leaving);
-        self.has_lost_disk(member) || is_leaving || self.is_gone(member)
+        self.has_lost_disk(member) || is_leaving || self.is_failed_for_all(member)
     }
 
-    /// Whether a member is lost to this process and to every other that is alive.
-    fn is_gone(&self, member: MemberId) -> bool {
+    /// Whether a member is presumed to have failed by this process and by every other live process.
+    fn is_failed_for_all(&self, member: MemberId) -> bool {
         let address = member.address;
-        self.peers.is_lost(address, self.settings.replace_after, self.now)
-            && !self.peers.is_heard_by_others(address, self.now)
+        self.peers.is_presumed_failed(address, self.settings.replace_after, self.now)
+            && !self.peers.is_reachable_by_others(address, self.now)
     }
 }
--- a/crates/chain/src/view_planner/mod.rs
+++ b/crates/chain/src/view_planner/mod.rs
@@ -1,8 +1,8 @@
 //! Plans the next view from the heartbeats of the peers.
 //!
-//! Members are replaced one at a time, so that enough members that know the history remain. The chain is the largest set of
-//! members that all reach each other, since a change passes through each of its replicas. A view that may serve is only replaced
-//! by one that may serve.
+//! Members are replaced one at a time, so that enough of the remaining members hold the history. The chain is
+//! the largest set of members that can all reach each other, since each change passes through all replicas of
+//! the chain. A view that may serve is only replaced by another view that may serve.
 
 mod chain;
 mod members;
@@ -22,51 +22,55 @@
 pub struct Plan {
     /// The members.
     pub members: Vec<MemberId>,
-    /// The chain, head first.
+    /// The replicas of the chain, head first.
     pub chain: Vec<MemberId>,
 }
 
-/// The inputs of a plan.
+/// The state from which a view is planned.
 pub struct ViewPlanner<'a> {
     /// The current view.
     pub view: &'a View,
     /// The identity of this process.
     pub local_member: MemberId,
-    /// Whether its disk accepts batches in time.
+    /// Whether the disk of this process completes batches in time.
     pub disk_healthy: bool,
-    /// Whether it may take part in bootstrapping the first view.
+    /// Whether this process may take part in bootstrapping the first view.
     pub may_bootstrap: bool,
-    /// Whether it is shutting down.
+    /// Whether this process is shutting down.
     pub is_leaving: bool,
-    /// The number of the newest view whose history it holds on disk.
+    /// The number of the newest view whose history this process holds on disk.
     pub installed_view: u64,
-    /// The index of the newest entry that it knows to be committed.
+    /// The index of the newest entry that this process knows to be committed.
     pub committed_index: u64,
-    /// The other processes.
+    /// The state of the other processes.
     pub peers: &'a Peers,
-    /// The settings.
+    /// The settings of the replica.
     pub settings: &'a ReplicaSettings,
-    /// The monotonic time.
+    /// The current monotonic time.
     pub now: Duration,
 }
 
 impl ViewPlanner<'_> {
-    /// Plans a view. Its chain contains one of `holders` if that is possible: the members that are known to hold every
-    /// acknowledged entry, none before there are promises. `None` if this process is not fit to propose.
-    pub fn plan(&self, holders: &[MemberId]) -> Option<Plan> {
+    /// Plans a view. The chain contains one of `up_to_date_members` if possible. These are the members known
+    /// to hold every acknowledged entry; the slice is empty while no promises were received. Returns `None`
+    /// if this process must not propose a view.
+    pub fn plan(&self, up_to_date_members: &[MemberId]) -> Option<Plan> {
         if !self.disk_healthy || self.is_leaving || !self.reaches_majority() {
             return None;
         }
-        let members =
-            if self.view.number == 0 { self.bootstrap_members() } else { self.next_members(holders) };
+        let members = if self.view.number == 0 {
+            self.bootstrap_members()
+        } else {
+            self.next_members(up_to_date_members)
+        };
         if !members.contains(&self.local_member) {
             return None;
         }
-        let chain = self.next_chain(&members, holders);
+        let chain = self.next_chain(&members, up_to_date_members);
         Some(Plan { members, chain })
     }
 
-    /// The reason for which this plan should replace the current view, if there is one.
+    /// The reason why this plan should replace the current view, if there is one.
     pub fn change_reason(&self, plan: &Plan) -> Option<ViewChangeReason> {
         if !self.is_admissible(plan) {
             return None;
@@ -83,7 +87,8 @@
         (plan.chain.len() > self.view.chain.len()).then_some(ViewChangeReason::ChainExtension)
     }
 
-    /// Whether the plan may follow the current view: a view that may serve is only replaced by one that may serve.
+    /// Whether the plan may follow the current view. A view that may serve is only replaced by another view
+    /// that may serve.
     pub fn is_admissible(&self, plan: &Plan) -> bool {
         if self.view.number == 0 {
             return plan.members.len() >= self.view.majority();
@@ -92,7 +97,7 @@
         is_sufficient || (!self.view.may_serve() && plan.members.len() >= self.view.members.len())
     }
 
-    /// Whether this process is at a member's address and has bidirectional links to a majority.
+    /// Whether this process has the address of a member and bidirectional links to a majority of the members.
     fn reaches_majority(&self) -> bool {
         let members = self.view.members.iter();
         let reached = members.filter(|member| {
--- a/crates/chain/src/view_planner/tests.rs
+++ b/crates/chain/src/view_planner/tests.rs
@@ -1,4 +1,4 @@
-//! Plans for views from the heartbeats of the peers.
+//! Tests of view plans that are made from the heartbeats of the peers.
 
 use crate::heartbeat::{Heartbeat, Link};
 use crate::log_event::{FaultyReplica, ReplicaFault, ViewChangeReason};
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 const STEP: Duration = Duration::from_millis(100);
-/// More steps than any timeout in the settings takes.
+/// More steps than the longest timeout of the settings takes.
 const MANY_STEPS: u32 = 60;
 /// The index of the newest committed entry.
 const COMMITTED_INDEX: u64 = 100;
@@ -38,7 +38,7 @@
     }
 }
 
-/// What one peer reports.
+/// The contents of the heartbeats of one peer.
 #[derive(Clone)]
 struct Report {
     peer: u8,
@@ -47,12 +47,12 @@
     disk_healthy: bool,
     counts_for_quorum: bool,
     durable_commit_index: u64,
-    /// Whether it holds the history of the view.
-    holds_history: bool,
+    /// Whether the peer holds the history of the view.
+    has_view_history: bool,
     is_leaving: bool,
 }
 
-fn reports(peer: u8, linked: &'static [u8]) -> Report {
+fn healthy_report(peer: u8, linked: &'static [u8]) -> Report {
     Report {
         peer,
         disk: u64::from(peer),
@@ -60,7 +60,7 @@
         disk_healthy: true,
         counts_for_quorum: true,
         durable_commit_index: COMMITTED_INDEX,
-        holds_history: true,
+        has_view_history: true,
         is_leaving: false,
     }
 }
@@ -69,42 +69,42 @@
     Report { is_leaving: true, ..report }
 }
 
-/// It has a new, empty disk.
+/// The same peer with a new, empty disk.
 fn wiped(report: Report) -> Report {
-    Report { disk: 77, durable_commit_index: 0, holds_history: false, ..report }
+    Report { disk: 77, durable_commit_index: 0, has_view_history: false, ..report }
 }
 
 fn behind(report: Report) -> Report {
-    Report { durable_commit_index: COMMITTED_INDEX / 2, holds_history: false, ..report }
+    Report { durable_commit_index: COMMITTED_INDEX / 2, has_view_history: false, ..report }
 }
 
-/// The plan of process 1 after the peers have reported this for a long time.
+/// The plan of process 1 after the peers have sent these heartbeats for a long time.
 fn plan(
-    view: &View, reports_of_peers: &[Report],
+    view: &View, peer_reports: &[Report],
 ) -> Option<(Vec<MemberId>, Vec<MemberId>, Option<ViewChangeReason>)> {
-    plan_with(view, reports_of_peers, &[])
+    plan_with(view, peer_reports, &[])
 }
 
-/// The same for a chain that needs one of these holders.
+/// The same plan with these members known to hold every acknowledged entry.
 fn plan_with(
-    view: &View, reports_of_peers: &[Report], holders: &[MemberId],
+    view: &View, peer_reports: &[Report], up_to_date_members: &[MemberId],
 ) -> Option<(Vec<MemberId>, Vec<MemberId>, Option<ViewChangeReason>)> {
-    with_planner(view, reports_of_peers, |planner| {
-        let plan = planner.plan(holders)?;
+    with_planner(view, peer_reports, |planner| {
+        let plan = planner.plan(up_to_date_members)?;
         let reason = planner.change_reason(&plan);
         Some((plan.members, plan.chain, reason))
     })
 }
 
-/// What the planner of process 1 finds after the peers have reported this for a long time.
-fn with_planner<T>(view: &View, reports_of_peers: &[Report], find: impl FnOnce(&ViewPlanner<'_>) -> T) -> T {
+/// Calls `find` with the planner of process 1 after the peers have sent these heartbeats for a long time.
+fn with_planner<T>(view: &View, peer_reports: &[Report], find: impl FnOnce(&ViewPlanner<'_>) -> T) -> T {
     let settings = ReplicaSettings::new(address(1), Vec::new(), false, 1, 1);
     let mut peers = Peers::new(address(1), settings.suspect_after);
     for member in &view.members {
         peers.add(member.address, Duration::ZERO);
     }
     for step in 0..MANY_STEPS {
-        for report in reports_of_peers {
+        for report in peer_reports {
             peers.record_heartbeat(address(report.peer), heartbeat(report), STEP * step);
         }
     }
@@ -131,7 +131,7 @@
         may_bootstrap: false,
         counts_for_quorum: report.counts_for_quorum,
         view: 4,
-        installed_view: if report.holds_history { 4 } else { 3 },
+        installed_view: if report.has_view_history { 4 } else { 3 },
         sealed: false,
         synced_index: 0,
         committed: None,
@@ -147,195 +147,206 @@
 }
 
 #[rstest]
-#[case::all_healthy(&[1, 2, 3], &[reports(2, &[1, 3]), reports(3, &[1, 2])], &[1, 2, 3], None)]
-#[case::one_silent(&[1, 2, 3], &[reports(2, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
-#[case::one_returns(&[1, 2], &[reports(2, &[1, 3]), reports(3, &[1, 2])], &[1, 2, 3], Some(ViewChangeReason::ChainExtension))]
-#[case::one_is_not_heard_by_another(&[1, 2, 3], &[reports(2, &[1]), reports(3, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
-#[case::chain_intact_for_others(&[2, 3], &[reports(2, &[1, 3])], &[1, 2], None)]
-fn chain_follows_the_links(
-    #[case] chain: &[u8], #[case] reports_of_peers: &[Report], #[case] planned: &[u8],
+#[case::all_healthy(&[1, 2, 3], &[healthy_report(2, &[1, 3]), healthy_report(3, &[1, 2])], &[1, 2, 3], None)]
+#[case::one_silent(&[1, 2, 3], &[healthy_report(2, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
+#[case::one_returns(&[1, 2], &[healthy_report(2, &[1, 3]), healthy_report(3, &[1, 2])], &[1, 2, 3], Some(ViewChangeReason::ChainExtension))]
+#[case::two_cannot_reach_each_other(&[1, 2, 3], &[healthy_report(2, &[1]), healthy_report(3, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
+#[case::chain_intact_for_others(&[2, 3], &[healthy_report(2, &[1, 3])], &[1, 2], None)]
+fn chain_contains_members_that_reach_each_other(
+    #[case] chain: &[u8], #[case] peer_reports: &[Report], #[case] planned: &[u8],
     #[case] reason: Option<ViewChangeReason>,
 ) {
     let mut planned = members(planned);
     let view = view(&[1, 2, 3], chain);
     planned.sort_by_key(|member| view.position(*member).unwrap_or(usize::MAX));
-    assert_eq!(plan(&view, reports_of_peers), Some((members(&[1, 2, 3]), planned, reason)));
+    assert_eq!(plan(&view, peer_reports), Some((members(&[1, 2, 3]), planned, reason)));
 }
 
 #[rstest]
-#[case::hears_but_is_not_heard(&[reports(2, &[3]), reports(3, &[2])])]
-#[case::hears_nobody(&[])]
-fn process_without_a_quorum_plans_nothing(#[case] reports_of_peers: &[Report]) {
-    assert_eq!(plan(&view(&[1, 2, 3], &[1, 2, 3]), reports_of_peers), None);
+#[case::receives_heartbeats_but_reaches_nobody(&[healthy_report(2, &[3]), healthy_report(3, &[2])])]
+#[case::receives_no_heartbeats(&[])]
+fn process_without_a_quorum_plans_nothing(#[case] peer_reports: &[Report]) {
+    assert_eq!(plan(&view(&[1, 2, 3], &[1, 2, 3]), peer_reports), None);
 }
 
 #[test]
 fn replica_with_unhealthy_disk_leaves_the_chain() {
-    let full = Report { disk_healthy: false, ..reports(3, &[1, 2]) };
-    let (_, chain, reason) = plan(&view(&[1, 2, 3], &[3, 2, 1]), &[reports(2, &[1, 3]), full]).unwrap();
+    let with_disk_fault = Report { disk_healthy: false, ..healthy_report(3, &[1, 2]) };
+    let (_, chain, reason) =
+        plan(&view(&[1, 2, 3], &[3, 2, 1]), &[healthy_report(2, &[1, 3]), with_disk_fault]).unwrap();
     assert_eq!((chain, reason), (members(&[2, 1]), Some(ViewChangeReason::ChainBroken)));
 }
 
 #[test]
 fn insufficient_chain_is_not_proposed() {
-    let full = Report { disk_healthy: false, ..reports(2, &[1]) };
-    let (_, _, reason) = plan(&view(&[1, 2, 3], &[1, 2, 3]), &[full]).unwrap();
+    let with_disk_fault = Report { disk_healthy: false, ..healthy_report(2, &[1]) };
+    let (_, _, reason) = plan(&view(&[1, 2, 3], &[1, 2, 3]), &[with_disk_fault]).unwrap();
     assert_eq!(reason, None);
 }
 
 #[test]
 fn new_disk_replaces_the_lost_one_at_its_address() {
-    let new = Report { disk: 77, ..reports(3, &[1, 2]) };
-    let (planned, _, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &[reports(2, &[1, 3]), new]).unwrap();
+    let new = Report { disk: 77, ..healthy_report(3, &[1, 2]) };
+    let (planned, _, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &[healthy_report(2, &[1, 3]), new]).unwrap();
     assert_eq!(planned, vec![member(1), member(2), MemberId { address: address(3), disk: 77 }]);
     assert_eq!(reason, Some(ViewChangeReason::MembershipChange));
 }
 
 #[rstest]
-#[case::for_one_that_is_gone(&[reports(2, &[1, 4]), reports(4, &[1, 2])], &[1, 2, 4])]
-#[case::for_none_while_all_are_alive(&[reports(2, &[1, 3, 4]), reports(3, &[1, 2, 4]), reports(4, &[1, 2, 3])], &[1, 2, 3])]
-#[case::for_one_that_leaves(&[reports(2, &[1, 3, 4]), leaving(reports(3, &[1, 2, 4])), reports(4, &[1, 2, 3])], &[1, 2, 4])]
-#[case::for_one_that_lost_its_disk(&[reports(2, &[1, 3, 4]), wiped(reports(3, &[1, 2, 4])), reports(4, &[1, 2, 3])], &[1, 2, 4])]
-#[case::not_while_it_leaves_itself(&[reports(2, &[1, 4]), leaving(reports(4, &[1, 2]))], &[1, 2, 3])]
-#[case::not_while_it_lacks_history(&[reports(2, &[1, 4]), behind(reports(4, &[1, 2]))], &[1, 2, 3])]
-#[case::one_at_a_time(&[leaving(reports(2, &[1, 3, 4, 5])), leaving(reports(3, &[1, 2, 4, 5])), reports(4, &[1, 2, 3, 5]), reports(5, &[1, 2, 3, 4])], &[1, 4, 3])]
-fn learner_replaces_at_most_one_member(#[case] reports_of_peers: &[Report], #[case] planned: &[u8]) {
-    let (planned_members, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), reports_of_peers).unwrap();
+#[case::for_a_failed_member(&[healthy_report(2, &[1, 4]), healthy_report(4, &[1, 2])], &[1, 2, 4])]
+#[case::not_while_all_are_alive(&[healthy_report(2, &[1, 3, 4]), healthy_report(3, &[1, 2, 4]), healthy_report(4, &[1, 2, 3])], &[1, 2, 3])]
+#[case::for_a_leaving_member(&[healthy_report(2, &[1, 3, 4]), leaving(healthy_report(3, &[1, 2, 4])), healthy_report(4, &[1, 2, 3])], &[1, 2, 4])]
+#[case::for_a_member_with_a_lost_disk(&[healthy_report(2, &[1, 3, 4]), wiped(healthy_report(3, &[1, 2, 4])), healthy_report(4, &[1, 2, 3])], &[1, 2, 4])]
+#[case::not_while_the_learner_is_leaving(&[healthy_report(2, &[1, 4]), leaving(healthy_report(4, &[1, 2]))], &[1, 2, 3])]
+#[case::not_while_the_learner_lacks_history(&[healthy_report(2, &[1, 4]), behind(healthy_report(4, &[1, 2]))], &[1, 2, 3])]
+#[case::one_at_a_time(&[leaving(healthy_report(2, &[1, 3, 4, 5])), leaving(healthy_report(3, &[1, 2, 4, 5])), healthy_report(4, &[1, 2, 3, 5]), healthy_report(5, &[1, 2, 3, 4])], &[1, 4, 3])]
+fn learner_replaces_at_most_one_member(#[case] peer_reports: &[Report], #[case] planned: &[u8]) {
+    let (planned_members, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), peer_reports).unwrap();
     assert_eq!(planned_members, members(planned));
 }
 
 #[test]
 fn process_that_does_not_count_for_quorum_is_not_added() {
-    let newcomer = Report { counts_for_quorum: false, ..reports(4, &[1, 2]) };
-    let (planned_members, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), &[reports(2, &[1, 4]), newcomer]).unwrap();
+    let newcomer = Report { counts_for_quorum: false, ..healthy_report(4, &[1, 2]) };
+    let (planned_members, _, _) =
+        plan(&view(&[1, 2, 3], &[1, 2]), &[healthy_report(2, &[1, 4]), newcomer]).unwrap();
     assert_eq!(planned_members, members(&[1, 2, 3]));
 }
 
-/// A leaving replica is removed from the chain while it still works.
+/// A leaving replica is removed from the chain while it is still running.
 #[test]
 fn leaving_replica_is_not_in_the_next_chain() {
-    let reports_of_peers = [reports(2, &[1, 3]), leaving(reports(3, &[1, 2]))];
-    let planned = plan(&view(&[1, 2, 3], &[1, 2, 3]), &reports_of_peers).unwrap();
+    let peer_reports = [healthy_report(2, &[1, 3]), leaving(healthy_report(3, &[1, 2]))];
+    let planned = plan(&view(&[1, 2, 3], &[1, 2, 3]), &peer_reports).unwrap();
     assert_eq!(planned, (members(&[1, 2, 3]), members(&[1, 2]), Some(ViewChangeReason::ChainBroken)));
 }
 
-/// Of two replicas that cannot be in one chain, the one with more links is chosen.
+/// Of two replicas that cannot be in the same chain, the one with more links is chosen.
 #[rstest]
-#[case::the_second(&[reports(2, &[1, 4]), reports(3, &[1]), reports(4, &[1, 2])], &[1, 2])]
-#[case::the_third(&[reports(2, &[1]), reports(3, &[1, 4]), reports(4, &[1, 3])], &[1, 3])]
-fn replica_with_more_links_is_preferred(#[case] reports_of_peers: &[Report], #[case] planned: &[u8]) {
-    let (_, chain, _) = plan(&view(&[1, 2, 3], &[1, 2, 3]), reports_of_peers).unwrap();
+#[case::the_second(&[healthy_report(2, &[1, 4]), healthy_report(3, &[1]), healthy_report(4, &[1, 2])], &[1, 2])]
+#[case::the_third(&[healthy_report(2, &[1]), healthy_report(3, &[1, 4]), healthy_report(4, &[1, 3])], &[1, 3])]
+fn replica_with_more_links_is_preferred(#[case] peer_reports: &[Report], #[case] planned: &[u8]) {
+    let (_, chain, _) = plan(&view(&[1, 2, 3], &[1, 2, 3]), peer_reports).unwrap();
     assert_eq!(chain, members(planned));
 }
 
-/// A history that a single replica holds is not lost.
+/// A replica that alone holds the history must not leave the chain, since the history would be lost.
 #[test]
-fn leaving_holder_stays_until_others_hold_the_history() {
-    let reports_of_peers = [reports(2, &[1, 3, 4]), leaving(reports(3, &[1, 2, 4])), reports(4, &[1, 2, 3])];
+fn leaving_member_stays_until_others_hold_the_history() {
+    let peer_reports = [
+        healthy_report(2, &[1, 3, 4]),
+        leaving(healthy_report(3, &[1, 2, 4])),
+        healthy_report(4, &[1, 2, 3]),
+    ];
     let (planned, chain, _) =
-        plan_with(&view(&[1, 2, 3], &[1, 2, 3]), &reports_of_peers, &members(&[3])).unwrap();
+        plan_with(&view(&[1, 2, 3], &[1, 2, 3]), &peer_reports, &members(&[3])).unwrap();
     assert_eq!((planned, chain), (members(&[1, 2, 3]), members(&[1, 2, 3])));
 }
 
-/// One of the two replicas that hold the view's history is gone: it is replaced once two remaining members hold it.
+/// One of the two replicas that hold the view's history has failed. It is replaced once two of the remaining
+/// members hold the history.
 #[rstest]
-#[case::not_yet(false, &[1, 2, 3])]
-#[case::now(true, &[1, 4, 3])]
+#[case::too_few_others(false, &[1, 2, 3])]
+#[case::enough_others(true, &[1, 4, 3])]
 fn member_is_replaced_once_enough_others_hold_the_history(
-    #[case] holds_history: bool, #[case] planned: &[u8],
+    #[case] has_view_history: bool, #[case] planned: &[u8],
 ) {
-    let reports_of_peers = [Report { holds_history, ..reports(3, &[1, 4]) }, reports(4, &[1, 3])];
-    let (planned_members, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &reports_of_peers).unwrap();
+    let peer_reports =
+        [Report { has_view_history, ..healthy_report(3, &[1, 4]) }, healthy_report(4, &[1, 3])];
+    let (planned_members, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &peer_reports).unwrap();
     assert_eq!((planned_members, reason), (members(planned), Some(ViewChangeReason::ChainBroken)));
     assert!(chain.len() >= 2 && !chain.contains(&member(2)), "{chain:?}");
 }
 
-/// A member that lacks much history would delay the view whose chain it joins.
+/// A member that lacks many entries would delay the view whose chain it joins.
 #[test]
 fn member_that_is_behind_stays_outside_the_chain() {
-    let reports_of_peers = [reports(2, &[1, 3]), behind(reports(3, &[1, 2]))];
-    let (_, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &reports_of_peers).unwrap();
+    let peer_reports = [healthy_report(2, &[1, 3]), behind(healthy_report(3, &[1, 2]))];
+    let (_, chain, reason) = plan(&view(&[1, 2, 3], &[1, 2]), &peer_reports).unwrap();
     assert_eq!((chain, reason), (members(&[1, 2]), None));
 }
 
-/// A new disk at the address of a member learns the history first.
+/// A process with a new disk at the address of a member must fetch the history before it becomes a member.
 #[test]
-fn new_disk_without_history_is_no_member() {
-    let reports_of_peers = [reports(2, &[1, 3]), wiped(reports(3, &[1, 2]))];
-    let (planned, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), &reports_of_peers).unwrap();
+fn new_disk_without_history_is_not_a_member() {
+    let peer_reports = [healthy_report(2, &[1, 3]), wiped(healthy_report(3, &[1, 2]))];
+    let (planned, _, _) = plan(&view(&[1, 2, 3], &[1, 2]), &peer_reports).unwrap();
     assert_eq!(planned, members(&[1, 2, 3]));
 }
 
-/// A log of an earlier version may name four members; a healthy one is removed as well.
+/// A log of an earlier version may contain a view with four members. A surplus member is removed even if all
+/// are healthy.
 #[test]
 fn surplus_member_is_removed_from_an_even_number() {
-    let all: Vec<Report> = (2..=4).map(|peer| reports(peer, &[1, 2, 3, 4])).collect();
+    let all: Vec<Report> = (2..=4).map(|peer| healthy_report(peer, &[1, 2, 3, 4])).collect();
     let (planned, _, reason) = plan(&view(&[1, 2, 3, 4], &[1, 2, 4]), &all).unwrap();
     assert_eq!((planned, reason), (members(&[1, 2, 4]), Some(ViewChangeReason::MembershipChange)));
 }
 
-/// A view that serves with one member gets none or two more.
+/// A view that serves with one member is extended by two members or not at all.
 #[rstest]
-#[case::one_learner(&[reports(2, &[1])], &[1])]
-#[case::two_learners(&[reports(2, &[1, 3]), reports(3, &[1, 2])], &[1, 2, 3])]
-fn vacancies_are_filled_to_an_odd_number(#[case] reports_of_peers: &[Report], #[case] planned: &[u8]) {
+#[case::one_learner(&[healthy_report(2, &[1])], &[1])]
+#[case::two_learners(&[healthy_report(2, &[1, 3]), healthy_report(3, &[1, 2])], &[1, 2, 3])]
+fn vacancies_are_filled_to_an_odd_number(#[case] peer_reports: &[Report], #[case] planned: &[u8]) {
     let single = View { fault_tolerance: 0, min_members: 1, ..view(&[1], &[1]) };
-    let (planned_members, _, _) = plan(&single, reports_of_peers).unwrap();
+    let (planned_members, _, _) = plan(&single, peer_reports).unwrap();
     assert_eq!(planned_members, members(planned));
 }
 
 #[test]
 fn surplus_member_that_is_gone_is_removed_first() {
-    let reports_of_peers = [reports(2, &[1, 3]), reports(3, &[1, 2])];
-    let (planned_members, chain, _) = plan(&view(&[1, 2, 3, 4], &[1, 2, 4]), &reports_of_peers).unwrap();
+    let peer_reports = [healthy_report(2, &[1, 3]), healthy_report(3, &[1, 2])];
+    let (planned_members, chain, _) = plan(&view(&[1, 2, 3, 4], &[1, 2, 4]), &peer_reports).unwrap();
     assert_eq!((planned_members, chain), (members(&[1, 2, 3]), members(&[1, 2, 3])));
 }
 
-/// A chain is no longer than needed, but contains a replica that alone holds the history.
+/// A chain is no longer than needed, but contains a replica that is the only one to hold the history.
 #[rstest]
-#[case::nobody_in_particular(&[], &[1, 2, 3])]
-#[case::one_at_the_end(&[5], &[1, 2, 5])]
-#[case::one_that_is_in_it_anyway(&[2, 4], &[1, 2, 3])]
-fn holder_is_in_the_chain(#[case] holders: &[u8], #[case] planned: &[u8]) {
+#[case::none_known(&[], &[1, 2, 3])]
+#[case::last_member(&[5], &[1, 2, 5])]
+#[case::one_in_the_chain(&[2, 4], &[1, 2, 3])]
+fn chain_contains_an_up_to_date_member(#[case] up_to_date_members: &[u8], #[case] planned: &[u8]) {
     let all = [1, 2, 3, 4, 5];
-    let reports_of_peers: Vec<Report> = (2..=5).map(|peer| reports(peer, &[1, 2, 3, 4, 5])).collect();
-    let (_, chain, _) = plan_with(&view(&all, &[1, 2, 3]), &reports_of_peers, &members(holders)).unwrap();
+    let peer_reports: Vec<Report> = (2..=5).map(|peer| healthy_report(peer, &[1, 2, 3, 4, 5])).collect();
+    let (_, chain, _) =
+        plan_with(&view(&all, &[1, 2, 3]), &peer_reports, &members(up_to_date_members)).unwrap();
     assert_eq!(chain, members(planned));
 }
 
-/// Process 1 has links to two members that have none to each other; the one that holds the history is preferred.
+/// Process 1 has links to two members that have no link with each other. The member that holds the history is
+/// preferred.
 #[test]
-fn clique_with_a_holder_is_preferred() {
-    let reports_of_peers = [reports(2, &[1]), reports(3, &[1])];
-    let (_, chain, _) = plan_with(&view(&[1, 2, 3], &[1, 2]), &reports_of_peers, &members(&[3])).unwrap();
+fn clique_with_an_up_to_date_member_is_preferred() {
+    let peer_reports = [healthy_report(2, &[1]), healthy_report(3, &[1])];
+    let (_, chain, _) = plan_with(&view(&[1, 2, 3], &[1, 2]), &peer_reports, &members(&[3])).unwrap();
     assert_eq!(chain, members(&[1, 3]));
 }
 
-/// Operators read which replica a view was proposed for, and what is wrong with it.
+/// The log states which replica caused a view to be proposed, and its fault.
 #[rstest]
-#[case::healthy(&[reports(2, &[1, 3]), reports(3, &[1, 2])], None)]
-#[case::silent(&[reports(2, &[1])], Some((3, ReplicaFault::Unreachable)))]
-#[case::silent_here_alone(&[reports(2, &[1, 3])], Some((3, ReplicaFault::LinkSevered)))]
-#[case::wiped(&[reports(2, &[1, 3]), wiped(reports(3, &[1, 2]))], Some((3, ReplicaFault::DiskLost)))]
-#[case::leaves(&[leaving(reports(2, &[1, 3])), reports(3, &[1, 2])], Some((2, ReplicaFault::Leaving)))]
+#[case::healthy(&[healthy_report(2, &[1, 3]), healthy_report(3, &[1, 2])], None)]
+#[case::silent(&[healthy_report(2, &[1])], Some((3, ReplicaFault::Unreachable)))]
+#[case::unreachable_only_from_this_process(&[healthy_report(2, &[1, 3])], Some((3, ReplicaFault::LinkSevered)))]
+#[case::wiped(&[healthy_report(2, &[1, 3]), wiped(healthy_report(3, &[1, 2]))], Some((3, ReplicaFault::DiskLost)))]
+#[case::leaves(&[leaving(healthy_report(2, &[1, 3])), healthy_report(3, &[1, 2])], Some((2, ReplicaFault::Leaving)))]
 #[case::disk(
-    &[Report { disk_healthy: false, ..reports(2, &[1, 3]) }, reports(3, &[1, 2])],
+    &[Report { disk_healthy: false, ..healthy_report(2, &[1, 3]) }, healthy_report(3, &[1, 2])],
     Some((2, ReplicaFault::DiskFault))
 )]
-#[case::link(&[reports(2, &[1]), reports(3, &[1])], Some((2, ReplicaFault::LinkSevered)))]
-fn faulty_replica_is_named_with_what_is_wrong(
-    #[case] reports_of_peers: &[Report], #[case] expected: Option<(u8, ReplicaFault)>,
+#[case::link(&[healthy_report(2, &[1]), healthy_report(3, &[1])], Some((2, ReplicaFault::LinkSevered)))]
+fn faulty_replica_is_reported_with_its_fault(
+    #[case] peer_reports: &[Report], #[case] expected: Option<(u8, ReplicaFault)>,
 ) {
     let view = view(&[1, 2, 3], &[1, 2, 3]);
-    let found = with_planner(&view, reports_of_peers, |planner| planner.faulty_replica());
+    let found = with_planner(&view, peer_reports, |planner| planner.faulty_replica());
     let expected = expected.map(|(number, fault)| FaultyReplica { address: address(number), fault });
     assert_eq!(found, expected);
 }
 
-/// Before the first view members are known by address alone, and no disk of theirs is lost.
+/// Before the first view, members are known only by address, so a different disk is not a fault.
 #[test]
-fn nothing_is_faulty_before_the_first_view() {
+fn no_replica_is_faulty_before_the_first_view() {
     let view = View { number: 0, ..view(&[1, 2, 3], &[]) };
-    let reports = [wiped(reports(2, &[1, 3])), reports(3, &[1, 2])];
+    let reports = [wiped(healthy_report(2, &[1, 3])), healthy_report(3, &[1, 2])];
     assert_eq!(with_planner(&view, &reports, |planner| planner.faulty_replica()), None);
 }
--- a/crates/chain/tests/simulation/cases/fault_cases.rs
+++ b/crates/chain/tests/simulation/cases/fault_cases.rs
@@ -1,4 +1,4 @@
-//! Crashes, lost power and disks, faulty disks, replaced machines, flapping links.
+//! Tests of crashes, power losses, lost and faulty disks, replaced machines and flapping links.
 
 use crate::cases::support::{
     SECOND, bootstrapped_cluster, commit_change, crash, lose_power, read_back, submit,
@@ -20,7 +20,7 @@
 fn nothing_is_acknowledged_before_there_are_enough_members() {
     let mut cluster =
         Cluster::new(3, Scenario { node_count: 3, fault_tolerance: 2, ..Scenario::three_nodes() });
-    let request = cluster.draw_valid_submission();
+    let request = cluster.generate_valid_submission();
     cluster.start_call(0, request, None);
     cluster.run_for(10 * SECOND).unwrap();
     assert_eq!(cluster.checker.acknowledged_count, 0);
@@ -32,8 +32,8 @@
     assert_eq!(cluster.checker.acknowledged_count, 1);
 }
 
-/// For each pattern of cut links among three machines: views are not changed without end, and where two machines still reach
-/// each other both ways, changes are acknowledged.
+/// For each pattern of cut links between three machines, the number of view changes is bounded, and changes
+/// are acknowledged if any two machines still reach each other in both directions.
 #[test]
 fn every_pattern_of_cut_links_leads_to_a_stable_view() {
     let links = [Link::both(0, 1), Link::both(0, 2), Link::both(1, 2)].concat();
@@ -49,7 +49,7 @@
             |pair: &[usize; 2]| Link::both(pair[0], pair[1]).iter().all(|link| !cut.contains(link));
         let pairs = [[0, 1], [0, 2], [1, 2]];
         let Some(pair) = pairs.into_iter().find(is_connected) else { continue };
-        let request = cluster.draw_valid_submission();
+        let request = cluster.generate_valid_submission();
         let end = cluster.now + 4 * SECOND;
         cluster.start_call_at(0, request, end, &pair);
         cluster.run_until(end).unwrap();
@@ -60,7 +60,8 @@
     }
 }
 
-/// As many disks as may be lost are lost right after an acknowledgement, while all other machines lose power.
+/// The maximum tolerated number of disks is lost right after an acknowledgement, while all machines lose
+/// power.
 #[rstest]
 #[case::one_of_three(Scenario::three_nodes())]
 #[case::two_of_five(Scenario::five_nodes())]
@@ -80,7 +81,7 @@
     }
 }
 
-/// One disk after the other is lost, each after the last one had its time to catch up.
+/// Disks are lost one after the other, each after the previous machine has had time to catch up.
 #[test]
 fn disks_lost_one_after_the_other_lose_no_change() {
     for seed in 0..10 {
@@ -95,26 +96,27 @@
     }
 }
 
-/// Machines that all lost their disks do not bootstrap a second cluster.
+/// Machines that have all lost their disks do not bootstrap a second cluster.
 #[test]
-fn machines_without_their_disks_bootstrap_nothing() {
+fn machines_with_lost_disks_do_not_bootstrap() {
     let mut cluster = bootstrapped_cluster(5, Scenario::three_nodes());
     let views = cluster.newest_view;
     lose_power(&mut cluster, &[0, 1, 2], &[0, 1, 2], SECOND);
     let acknowledged = cluster.checker.acknowledged_count;
-    let request = cluster.draw_valid_submission();
+    let request = cluster.generate_valid_submission();
     cluster.start_call(0, request, None);
     cluster.run_for(20 * SECOND).unwrap();
     assert_eq!(cluster.newest_view, views);
     assert_eq!(cluster.checker.acknowledged_count, acknowledged);
 }
 
-/// A machine whose disk is lost before a view was decided takes no part in bootstrapping; the others bootstrap the cluster.
+/// A machine whose disk is lost before a view was decided does not take part in bootstrapping. The other
+/// machines bootstrap the cluster.
 #[test]
 fn a_disk_lost_while_bootstrapping_does_not_prevent_it() {
     for seed in 0..50 {
         let mut cluster = Cluster::new(seed, Scenario::three_nodes());
-        let request = cluster.draw_valid_submission();
+        let request = cluster.generate_valid_submission();
         cluster.start_call(0, request, Some(10 * SECOND));
         let moment = Duration::from_millis(cluster.rng.u64(250..800));
         cluster.run_until(moment).unwrap();
@@ -125,12 +127,12 @@
     }
 }
 
-/// All processes die while they bootstrap the cluster; their disks and their settings stay.
+/// All processes crash during bootstrapping. Their disks and settings are preserved.
 #[test]
 fn bootstrapping_survives_a_crash_of_all_processes() {
     for seed in 0..50 {
         let mut cluster = Cluster::new(seed, Scenario::three_nodes());
-        let request = cluster.draw_valid_submission();
+        let request = cluster.generate_valid_submission();
         cluster.start_call(0, request, Some(10 * SECOND));
         let moment = Duration::from_millis(cluster.rng.u64(50..800));
         cluster.run_until(moment).unwrap();
@@ -161,9 +163,10 @@
     assert_eq!(cluster.newest_view, 1);
 }
 
-/// A replica with a full disk is left out of the chain, changes are acknowledged without it, and it is added again.
+/// A replica with a full disk is removed from the chain, changes are acknowledged without it, and it rejoins
+/// the chain when the disk has space again.
 #[rstest]
-fn a_full_disk_leaves_the_chain_and_rejoins(#[values(0, 1, 2)] node: usize) {
+fn a_replica_with_a_full_disk_leaves_the_chain_and_rejoins(#[values(0, 1, 2)] node: usize) {
     let mut cluster = bootstrapped_cluster(4, Scenario::three_nodes());
     cluster.inject(Fault::FillDisk { node, is_full: true });
     for _ in 0..3 {
@@ -179,7 +182,7 @@
 }
 
 #[rstest]
-fn changes_are_acknowledged_beside_a_hanging_disk(#[values(0, 1, 2)] node: usize) {
+fn changes_are_acknowledged_despite_a_hanging_disk(#[values(0, 1, 2)] node: usize) {
     let mut cluster = bootstrapped_cluster(4, Scenario::three_nodes());
     cluster.inject(Fault::HangDisk { node, time: 8 * SECOND });
     commit_change(&mut cluster);
@@ -189,7 +192,8 @@
     assert!(cluster.newest_view <= 3);
 }
 
-/// The machine that acknowledged a change dies right after; the change is acknowledged again by any other.
+/// The machine that acknowledged a change crashes right afterwards. A retry of the change is acknowledged by
+/// any other machine.
 #[test]
 fn a_retried_change_is_acknowledged_after_a_crash() {
     for seed in 0..20 {
@@ -203,7 +207,7 @@
     }
 }
 
-/// A machine is replaced by an empty one at another address, which is added before or after it is removed.
+/// A machine is replaced by an empty one at another address, which is added before or after the removal.
 #[rstest]
 fn a_replaced_machine_is_a_member(
     #[values(0, 1, 2)] node: usize, #[values(false, true)] is_added_first: bool,
@@ -228,7 +232,7 @@
     read_back(&mut cluster);
 }
 
-/// All three machines are replaced, one after the other, so that no seed address of the first start is left.
+/// All three machines are replaced one after the other, so that no initial seed address remains.
 #[test]
 fn replacing_all_machines_loses_no_change() {
     let mut cluster = bootstrapped_cluster(8, Scenario::three_nodes());
@@ -246,7 +250,7 @@
     commit_change(&mut cluster);
 }
 
-/// The log is rewritten again and again, and all machines recover from it.
+/// The log is rewritten repeatedly, and all machines recover from it.
 #[test]
 fn all_machines_recover_from_a_rewritten_log() {
     let mut cluster =
@@ -260,7 +264,7 @@
     assert!(cluster.nodes[0].process.as_ref().unwrap().log.len_bytes() < 60 * 200);
 }
 
-/// Changes are acknowledged again within three seconds after a replica has died.
+/// Changes are acknowledged again within three seconds after a replica has crashed.
 #[rstest]
 fn changes_are_acknowledged_soon_after_a_crash(#[values(0, 1, 2)] node: usize) {
     for seed in 0..10 {
@@ -273,7 +277,7 @@
     }
 }
 
-/// The flapping links of one machine do not keep the others from serving.
+/// The flapping links of one machine do not prevent the others from serving.
 #[test]
 fn flapping_links_do_not_keep_the_others_from_serving() {
     let mut cluster = bootstrapped_cluster(11, Scenario::three_nodes());
@@ -288,8 +292,9 @@
     assert!(cluster.newest_view < 14, "{} views", cluster.newest_view);
 }
 
-/// A quota of processor time: each process runs for 40 ms of each 100 ms, all of them out of step. That is no pause, no silence and
-/// no slow disk: the view stays, and each change is acknowledged.
+/// Guards against view changes under a CPU quota. Each process runs for 40 ms of every 100 ms, at different
+/// offsets. This must count neither as a pause of the process, nor as missing heartbeats, nor as a slow disk:
+/// the view does not change and each change is acknowledged.
 #[rstest]
 #[case::three(Scenario::three_nodes())]
 #[case::five(Scenario::five_nodes())]
@@ -310,7 +315,7 @@
                 cluster.inject(fault);
             }
             if step % 50 == 0 {
-                let request = cluster.draw_valid_submission();
+                let request = cluster.generate_valid_submission();
                 cluster.start_call(0, request, None);
             }
             cluster.run_for(STEP).unwrap();
--- a/crates/chain/tests/simulation/cases/membership_cases.rs
+++ b/crates/chain/tests/simulation/cases/membership_cases.rs
@@ -1,5 +1,5 @@
-//! Which machines are members at each step of a repair, and which further loss is tolerated then. `docs/design/membership.md`
-//! has the table.
+//! Tests which machines are members at each step of a repair, and which further failures are tolerated then.
+//! The table is in `docs/design/membership.md`.
 
 use crate::cases::support::{
     CATCH_UP_TIME, SECOND, bootstrapped_cluster, commit_change, lose_power, read_back,
@@ -11,14 +11,14 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A machine that is removed without notice is suspected, and replaced by a learner, within this.
+/// The time within which a machine that was removed without notice is suspected and replaced by a learner.
 const REPLACED_WITHIN: Duration = Duration::from_millis(1_500);
 
-/// A machine that is down for the rest of a run starts again after this.
+/// The restart delay of a machine that is to stay down for the rest of a run.
 const DOWN_TIME: Duration = Duration::from_secs(600);
 
-/// The cluster tolerates losses now: changes are acknowledged and read back while as many machines as may be lost, drawn from
-/// those that run, are down.
+/// Asserts that the cluster tolerates failures: changes are acknowledged and read back while the maximum
+/// number of machines, chosen at random, is down.
 fn assert_tolerates_losses(cluster: &mut Cluster) {
     let running = (0..cluster.nodes.len()).filter(|node| cluster.nodes[*node].is_up());
     let running: Vec<usize> = running.collect();
@@ -28,13 +28,14 @@
     read_back(cluster);
 }
 
-/// The machines that a process knows as members.
+/// The machines that a process considers members.
 fn members(cluster: &Cluster, node: usize) -> BTreeSet<usize> {
     let at = |address: std::net::SocketAddr| cluster.nodes.iter().position(|node| node.address == address);
     cluster.status(node).members.into_iter().filter_map(at).collect()
 }
 
-/// A machine is added, and an old one leaves gracefully; others are lost right after, or a little later.
+/// A machine is added and an existing one leaves gracefully. Other machines fail immediately afterwards or a
+/// little later.
 #[rstest]
 #[case::three(Scenario::three_nodes())]
 #[case::five(Scenario::five_nodes())]
@@ -55,7 +56,7 @@
     }
 }
 
-/// The old machine is removed without notice: once it is suspected, the learner replaces it.
+/// An existing machine is removed without notice and is replaced by the learner once it is suspected.
 #[rstest]
 #[case::three(Scenario::three_nodes())]
 #[case::five(Scenario::five_nodes())]
@@ -71,11 +72,12 @@
     }
 }
 
-/// The old machine is removed first, the new one is added a second later; once that one counts, others may be lost.
+/// A machine is removed first and a new one is added a second later. Other machines may fail once the new one
+/// has caught up.
 #[rstest]
 #[case::three(Scenario::three_nodes())]
 #[case::five(Scenario::five_nodes())]
-fn losses_once_a_replacement_counts_are_tolerated(#[case] scenario: Scenario) {
+fn losses_after_a_replacement_has_caught_up_are_tolerated(#[case] scenario: Scenario) {
     for seed in 0..10 {
         let mut cluster = bootstrapped_cluster(seed, scenario.clone());
         commit_change(&mut cluster);
@@ -87,7 +89,7 @@
     }
 }
 
-/// Machines with lost disks count again after their time to catch up; until then theirs is the loss that is tolerated.
+/// Machines with lost disks count again after their catch-up time. Until then, theirs is the tolerated loss.
 #[rstest]
 #[case::three(Scenario::three_nodes())]
 #[case::five(Scenario::five_nodes())]
@@ -110,7 +112,8 @@
     }
 }
 
-/// A replica with a full disk is left out of the chain; no learner replaces it, since the member votes again later.
+/// A replica with a full disk is removed from the chain. No learner replaces it, since the member can vote
+/// again later.
 #[rstest]
 #[case::three(Scenario::three_nodes())]
 #[case::five(Scenario::five_nodes())]
@@ -125,7 +128,7 @@
     }
 }
 
-/// All machines of the first start are replaced, one after the other; each leaves gracefully.
+/// All initial machines are replaced one after the other, and each of them leaves gracefully.
 #[rstest]
 #[case::three(Scenario::three_nodes())]
 #[case::five(Scenario::five_nodes())]
@@ -145,13 +148,13 @@
     assert_tolerates_losses(&mut cluster);
 }
 
-/// With more machines than members, the others are learners: they hold the committed history.
+/// If there are more machines than members, the others are learners that hold the committed history.
 #[rstest]
 #[case::four(4, 1, 3)]
 #[case::six(6, 1, 3)]
 #[case::six_that_tolerate_two(6, 2, 5)]
 #[case::eighteen(18, 1, 3)]
-fn further_machines_are_learners(
+fn additional_machines_are_learners(
     #[case] node_count: usize, #[case] fault_tolerance: usize, #[case] member_count: usize,
 ) {
     let mut cluster =
@@ -169,11 +172,12 @@
     }
 }
 
-/// A process that leaves gracefully is left out of the chain within 800 ms, and its end does not delay changes.
+/// A process that leaves gracefully is removed from the chain within 800 ms, and its subsequent termination
+/// does not delay changes.
 #[rstest]
 #[case::without_a_learner(3, LeaveState::OutOfChain)]
 #[case::with_a_learner(4, LeaveState::Left)]
-fn a_member_leaves_within_bounds(#[case] node_count: usize, #[case] state: LeaveState) {
+fn a_member_leaves_within_the_time_limit(#[case] node_count: usize, #[case] state: LeaveState) {
     for seed in 0..20 {
         let mut cluster = bootstrapped_cluster(seed, Scenario { node_count, ..Scenario::three_nodes() });
         commit_change(&mut cluster);
@@ -200,7 +204,7 @@
     }
 }
 
-/// Members restart gracefully one after the other; changes are acknowledged meanwhile.
+/// Members restart gracefully one after the other, and changes are acknowledged throughout.
 #[rstest]
 #[case::three(3, 1)]
 #[case::four(4, 1)]
@@ -223,21 +227,23 @@
     }
 }
 
-/// Runs in which a machine was cut off from all but one that was added later: a chain of these two received no requests of the
+/// Guards against a chain that the other processes cannot reach. In these runs a machine was cut off from all
+/// but one machine that had been added later, and the chain of these two received no requests from the
 /// others.
 #[rstest]
-fn a_chain_is_reachable_by_the_other_members(#[values(3_003_137, 4_002_966, 4_003_179)] seed: u64) {
-    assert_eq!(RunKind::GracefulLeaves.play_seed(seed), Ok(()));
+fn the_chain_is_reachable_by_the_other_members(#[values(3_003_137, 4_002_966, 4_003_179)] seed: u64) {
+    assert_eq!(RunKind::GracefulLeaves.run_seed(seed), Ok(()));
 }
 
-/// The head was cut off from all but one process, which was added after the cut: that one forwards the requests of the others.
+/// The head was cut off from all but one process, which was added after the cut. That process forwards the
+/// requests of the others.
 #[test]
-fn a_head_that_one_process_reaches_receives_the_requests_of_all() {
-    assert_eq!(RunKind::GracefulLeaves.play_seed(20_061_014), Ok(()));
+fn a_head_reachable_by_one_process_receives_all_requests() {
+    assert_eq!(RunKind::GracefulLeaves.run_seed(20_061_014), Ok(()));
 }
 
-/// Runs whose losses of power went on after the fault period.
+/// In these runs, power losses continued after the end of the fault period.
 #[rstest]
 fn a_power_loss_storm_ends_with_the_fault_period(#[values(4_001_684, 4_004_409)] seed: u64) {
-    assert_eq!(RunKind::GracefulLeaves.play_seed(seed), Ok(()));
+    assert_eq!(RunKind::GracefulLeaves.run_seed(seed), Ok(()));
 }
--- a/crates/chain/tests/simulation/cases/mod.rs
+++ b/crates/chain/tests/simulation/cases/mod.rs
@@ -1,4 +1,4 @@
-//! Single situations, each with the rule that it stands for.
+//! Test cases for single scenarios, each of which checks one rule.
 
 mod fault_cases;
 mod membership_cases;
--- a/crates/chain/tests/simulation/cases/partition_cases.rs
+++ b/crates/chain/tests/simulation/cases/partition_cases.rs
@@ -1,19 +1,21 @@
-//! A machine that is partitioned or paused for a long time, with an operator that calls it.
+//! Tests of a machine that is partitioned or paused for a long time while an operator sends requests to it.
 
 use crate::cases::support::{SECOND, bootstrapped_cluster, commit_change, read_back};
 use crate::harness::{ClientRequest, Cluster, CutMode, Fault, Link, Scenario, address};
 use rstest::rstest;
 use std::time::Duration;
 
-/// How long a machine stays partitioned, in seconds.
+/// The duration of a partition, in seconds.
 const CUT_SECONDS: u32 = 20;
-/// A partitioned machine knows within this that it has no quorum: the time until its peers are suspected (700 ms), for a cut of
-/// one direction the same at a peer and its next heartbeat (200 ms), and a tick (50 ms), with room for delays.
+/// The time within which a partitioned machine detects that it has no quorum. It consists of the timeout
+/// after which peers are suspected (700 ms), which applies to the peer if one direction is cut, followed by
+/// the next heartbeat of that peer (200 ms), and a tick (50 ms), plus a margin for delays.
 const QUORUM_LOST_WITHIN: Duration = Duration::from_millis(1_000);
-/// Once its links are healed, a machine knows within this what the others committed: a heartbeat, a request and a sync.
+/// The time within which a machine learns what the others have committed after its links are healed: a
+/// heartbeat, a request and a sync.
 const CAUGHT_UP_WITHIN: Duration = Duration::from_secs(2);
 
-/// The directions that are cut, seen from the partitioned machine.
+/// The directions that are cut, from the point of view of the partitioned machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Direction {
     Both,
@@ -21,7 +23,7 @@
     To,
 }
 
-/// The links of a machine to all others.
+/// The links between a machine and all others.
 fn links_of(node_count: usize, cut: usize, direction: Direction) -> Vec<Link> {
     let others = (0..node_count).filter(|other| *other != cut);
     others.flat_map(|other| links_between(cut, other, direction)).collect()
@@ -36,28 +38,28 @@
     }
 }
 
-/// A change on a version that is stale by now, a change on the newest one, and a read.
+/// A change based on a stale version, a change based on the newest version, and a read.
 fn stale_and_new_requests(cluster: &mut Cluster, stale_base: u64) -> [ClientRequest; 3] {
-    let stale = cluster.draw_change(stale_base);
-    let valid = cluster.draw_valid_submission();
+    let stale = cluster.generate_change(stale_base);
+    let valid = cluster.generate_valid_submission();
     let read = ClientRequest::Read { at_least: cluster.checker.acknowledged_version() };
     [ClientRequest::Submit { is_base_acknowledged: false, change: stale }, valid, read]
 }
 
-/// A partitioned machine answers no request within two seconds.
+/// Asserts that a partitioned machine responds to no request within two seconds.
 fn assert_no_response(cluster: &mut Cluster, cut: usize, stale_base: u64) {
     for request in stale_and_new_requests(cluster, stale_base) {
         let end = cluster.now + 60 * SECOND;
         cluster.start_call_at(1, request, end, &[cut]);
         cluster.run_for(2 * SECOND).unwrap();
-        assert!(cluster.clients[1].call.is_some(), "machine {cut} answered");
+        assert!(cluster.clients[1].call.is_some(), "machine {cut} responded");
     }
 }
 
 #[rstest]
 #[case::three(3, 1)]
 #[case::five(5, 2)]
-fn a_partitioned_machine_answers_nothing(
+fn a_partitioned_machine_does_not_respond(
     #[case] node_count: usize, #[case] fault_tolerance: usize, #[values(0, 1, 2)] cut: usize,
     #[values(Direction::Both, Direction::From, Direction::To)] direction: Direction,
     #[values(CutMode::Drop, CutMode::Delay)] mode: CutMode,
@@ -83,10 +85,12 @@
     read_back(&mut cluster);
 }
 
-/// A process that was paused handles the requests that arrived meanwhile before it learns anything new. What it answers must hold
-/// for the present state of the others, which the checker checks.
+/// A resumed process handles the requests that arrived during the pause before it receives anything newer.
+/// The checker verifies that its responses are valid for the current state of the other processes.
 #[rstest]
-fn a_paused_machine_answers_nothing_stale(#[values(0, 1, 2)] node: usize, #[values(3, 4)] node_count: usize) {
+fn a_resumed_machine_does_not_return_stale_responses(
+    #[values(0, 1, 2)] node: usize, #[values(3, 4)] node_count: usize,
+) {
     for seed in 0..10 {
         let mut cluster = bootstrapped_cluster(seed, Scenario { node_count, ..Scenario::three_nodes() });
         commit_change(&mut cluster);
@@ -97,7 +101,7 @@
             cluster.run_for(5 * SECOND).unwrap();
         }
         for request in stale_and_new_requests(&mut cluster, stale_base) {
-            // The request waits for the process until that is resumed.
+            // The request is queued until the process is resumed.
             cluster.start_call_at(1, request, cluster.now + 60 * SECOND, &[node]);
             cluster.run_for(Duration::from_millis(100)).unwrap();
             cluster.inject(Fault::Resume { node });
@@ -112,9 +116,10 @@
     }
 }
 
-/// The links of one machine to the head and to the tail are cut, while all others reach these and it reaches the others.
+/// The links between one machine and both ends of the chain are cut, while the other machines reach both the
+/// ends and that machine.
 #[rstest]
-fn a_machine_cut_off_from_the_ends_of_the_chain_answers_through_others(
+fn a_machine_cut_off_from_the_ends_of_the_chain_responds_through_forwarders(
     #[values(4, 5)] node_count: usize,
     #[values(Direction::Both, Direction::From, Direction::To)] direction: Direction,
     #[values(CutMode::Drop, CutMode::Delay)] mode: CutMode,
@@ -132,13 +137,13 @@
         cluster.run_for(QUORUM_LOST_WITHIN).unwrap();
         for _ in 0..3 {
             let read = ClientRequest::Read { at_least: cluster.checker.acknowledged_version() };
-            for request in [cluster.draw_valid_submission(), read] {
+            for request in [cluster.generate_valid_submission(), read] {
                 let end = cluster.now + 4 * SECOND;
                 cluster.start_call_at(1, request, end, &[learner]);
                 while cluster.clients[1].call.is_some() && cluster.now < end {
                     cluster.run_for(Duration::from_millis(50)).unwrap();
                 }
-                assert!(cluster.clients[1].call.is_none(), "seed {seed}: no answer at machine {learner}");
+                assert!(cluster.clients[1].call.is_none(), "seed {seed}: no response from machine {learner}");
             }
         }
     }
--- a/crates/chain/tests/simulation/cases/proposal_number_cases.rs
+++ b/crates/chain/tests/simulation/cases/proposal_number_cases.rs
@@ -1,4 +1,4 @@
-//! A proposal number is used for one proposal, also by a proposer that restarts.
+//! Tests that a proposal number is used for one proposal only, even if the proposer restarts.
 
 use crate::cases::support::bootstrapped_cluster;
 use crate::harness::{Fault, FaultSchedule, FaultTrigger, Scenario, ScheduledFault};
@@ -7,11 +7,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Losses of power in each run, each right after a process started to propose a view.
+/// The number of power losses in each run, each of which follows the start of a proposal.
 const LOSSES: usize = 12;
 
-/// All machines lose power again and again, at each moment between the start of a proposal and its end: before the proposer's own
-/// promise is on disk, before those of the others are, and while the view is accepted.
+/// All machines repeatedly lose power, at any moment between the start of a proposal and its end: before the
+/// proposer's own promise is on disk, before those of the others are, and while the view is accepted.
 #[rstest]
 #[case::three(3, 1)]
 #[case::five(5, 2)]
@@ -32,13 +32,14 @@
             faults.push(ScheduledFault { trigger: FaultTrigger::AfterProposal(after), fault });
         }
         faults.push(ScheduledFault::at(Duration::from_secs(9), Fault::Resume { node: 0 }));
-        let played = cluster.run_round(FaultSchedule { faults, ..FaultSchedule::default() });
-        assert_eq!(played, Ok(()), "seed {seed}");
+        let result = cluster.run_round(FaultSchedule { faults, ..FaultSchedule::default() });
+        assert_eq!(result, Ok(()), "seed {seed}");
     }
 }
 
-/// In this run a restarted proposer once used a proposal number again, and two views were decided under one number.
+/// Guards against the reuse of a proposal number: in this run, a restarted proposer once reused a number, and
+/// two views were decided under it.
 #[test]
 fn one_view_is_decided_under_one_number() {
-    assert_eq!(RunKind::Ordinary.play_seed(1_029_383), Ok(()));
+    assert_eq!(RunKind::Ordinary.run_seed(1_029_383), Ok(()));
 }
--- a/crates/chain/tests/simulation/cases/state_transfer_cases.rs
+++ b/crates/chain/tests/simulation/cases/state_transfer_cases.rs
@@ -1,4 +1,5 @@
-//! State transfer: machines that missed hundreds of changes come to hold the history, whatever faults happen meanwhile.
+//! Tests of state transfer: machines that have missed hundreds of changes obtain the history, whatever faults
+//! occur meanwhile.
 
 use crate::cases::support::{
     CATCH_UP_TIME, SECOND, bootstrapped_cluster, commit_change, commit_changes, crash, lose_power, read_back,
@@ -9,12 +10,12 @@
 use rstest::rstest;
 use std::time::Duration;
 
-/// A machine that catches up is looked at this often.
+/// The interval at which a machine that catches up is checked.
 const STEP: Duration = Duration::from_millis(5);
-/// Longer than any case.
+/// A restart delay longer than any test case.
 const DOWN_TIME: Duration = Duration::from_secs(100_000);
 
-/// A log that is rewritten all the time, and a history that is transferred in many chunks.
+/// A scenario in which the log is rewritten often and the history is transferred in many chunks.
 fn small_limits() -> Scenario {
     Scenario {
         history: HistoryLimits { max_headers: 100, max_bodies: 2 },
@@ -24,12 +25,12 @@
     }
 }
 
-/// Three replicas are in the chain, the other two machines are learners.
+/// A scenario with three replicas in the chain and two learners.
 fn with_learners() -> Scenario {
     Scenario { node_count: 5, ..small_limits() }
 }
 
-/// The newest committed index that a process knows.
+/// The highest committed index that any process knows.
 fn committed_index(cluster: &Cluster) -> u64 {
     let up = cluster.present_nodes().into_iter().filter(|node| cluster.nodes[*node].is_up());
     up.map(|node| cluster.status(node).committed_index).max().unwrap_or(0)
@@ -40,8 +41,8 @@
     cluster.nodes[node].is_up() && cluster.status(node).durable_commit_index == committed_index(cluster)
 }
 
-/// Starts a machine again and lets time pass until it holds the history. There are no changes meanwhile, so it must not be in the
-/// chain of a view that serves before. Returns how long it took.
+/// Restarts a machine and runs until it holds the history. Returns the time that this took. There are no
+/// changes meanwhile, so the machine must not be in the chain of a serving view before it holds the history.
 fn catch_up(cluster: &mut Cluster, node: usize) -> Duration {
     let started_at = cluster.now;
     cluster.boot(node);
@@ -59,7 +60,8 @@
     cluster.now - started_at
 }
 
-/// Changes are acknowledged, all machines hold them in the end, and the chain has three replicas again.
+/// Asserts that changes are acknowledged, that all machines hold them in the end, and that the chain has
+/// three replicas again.
 fn assert_recovers(cluster: &mut Cluster) {
     cluster.run_for(CATCH_UP_TIME).unwrap();
     commit_change(cluster);
@@ -72,7 +74,7 @@
     assert_eq!(cluster.checker.rejected_count, 0);
 }
 
-/// Learners get each change without asking for it.
+/// Learners receive each change without requesting it.
 #[test]
 fn learners_hold_the_committed_history() {
     let mut cluster = bootstrapped_cluster(1, with_learners());
@@ -87,7 +89,7 @@
     assert_eq!(cluster.chunks_sent, before, "chunks were requested without a fault");
 }
 
-/// The time to catch up after thousands of changes is bounded, and printed.
+/// The catch-up time after thousands of changes is bounded. The test also prints it.
 #[rstest]
 #[case::dropped_headers(small_limits(), 2, 3_000, Duration::from_millis(1_500))]
 #[case::all_headers(Scenario { history: HistoryLimits::default(), chunk_bytes: 16 << 10, ..small_limits() }, 2, 3_000, Duration::from_millis(1_500))]
@@ -149,10 +151,10 @@
         reached += usize::from(cluster.chunk_fault.take().is_none());
         assert_recovers(&mut cluster);
     }
-    assert!(reached >= 6, "the fault happened with {reached} chunks only");
+    assert!(reached >= 6, "the fault was injected at only {reached} chunks");
 }
 
-/// A machine loses its disk again and again while it receives the history.
+/// A machine repeatedly loses its disk while it receives the history.
 #[test]
 fn a_transfer_survives_lost_disks_of_the_receiver() {
     let mut cluster = bootstrapped_cluster(3, small_limits());
@@ -167,7 +169,8 @@
     }
 }
 
-/// A process dies in each step of a rewrite: creating the file, writing and syncing it, renaming it, syncing the directory.
+/// A process crashes in each step of a rewrite: creating the file, writing and syncing it, renaming it,
+/// syncing the directory.
 #[rstest]
 fn a_rewrite_of_the_log_survives_a_crash_in_each_step(#[values(0, 1, 2)] node: usize) {
     for steps in 0..12 {
@@ -185,8 +188,9 @@
     }
 }
 
-/// A replica that lacks few entries is added to the chain at once. On links so slow that it does not hold them before the view
-/// counts as stuck, the transfer continues in the next view where it was.
+/// A replica that lacks only a few entries is added to the chain at once. If the links are so slow that it
+/// does not obtain them before the view counts as stalled, the transfer resumes in the next view at the
+/// offset that it had reached.
 #[test]
 fn a_transfer_continues_in_the_next_view() {
     let max_delay = Duration::from_millis(150);
@@ -200,7 +204,7 @@
         cluster.boot(1);
         cluster.run_for(10 * SECOND).unwrap();
         let views = cluster.newest_view - before;
-        assert!(views >= 2, "seed {seed}: the view was never stuck");
+        assert!(views >= 2, "seed {seed}: the view never stalled");
         assert_recovers(&mut cluster);
     }
 }
--- a/crates/chain/tests/simulation/harness/checker.rs
+++ b/crates/chain/tests/simulation/harness/checker.rs
@@ -1,5 +1,5 @@
-//! The safety properties, checked at every step. A violation starts with the word of its rule: ACKS, CONFIG, DISK, MEMBERS or
-//! VIEWS.
+//! Checks the safety properties at every step. The message of a violation starts with the name of the
+//! violated rule: ACKS, CONFIG, DISK, MEMBERS or VIEWS.
 
 use lugwharf_chain::{CommittedConfig, MemberId, Message, ProposalNumber, View};
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,46 +9,46 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     pub version: u64,
-    /// The version that it builds on, 0 for the first.
+    /// The version on which the change is based, 0 for the first.
     pub base: u64,
     pub bytes: Arc<[u8]>,
 }
 
 impl Change {
-    /// Whether a committed configuration is this change.
+    /// Whether a committed configuration is identical to this change.
     pub fn matches(&self, config: &CommittedConfig) -> bool {
         (config.version, config.base) == (self.version, self.base) && config.bytes == self.bytes
     }
 }
 
-/// A proposal number together with the view that it was used for: number of the view, round, proposer.
+/// A proposal number together with the view for which it was used: number of the view, round, proposer.
 type ProposalKey = (u64, u64, MemberId);
 
-/// Sees every message, view, commit and response, and keeps the first violation.
+/// Observes every message, view, commit and response, and keeps the first violation.
 #[derive(Default)]
 pub struct SafetyChecker {
-    /// The first violation that was found.
+    /// The first violation, if there is one.
     pub violation: Option<String>,
-    /// Each configuration that a process reported as committed, oldest first.
+    /// The configurations that processes have reported as committed, oldest first.
     committed: Vec<Arc<CommittedConfig>>,
-    /// Each change that was rejected.
+    /// The changes that were rejected.
     rejected: Vec<Change>,
     /// The changes that were acknowledged, by version.
     acknowledged: BTreeMap<u64, Change>,
-    /// The views that a process has entered, by number.
+    /// The views that processes have entered, by number.
     views: BTreeMap<u64, Arc<View>>,
-    /// The machine and the incarnation of its process that used a proposal number.
+    /// The machine and process incarnation that used each proposal number.
     proposers: BTreeMap<ProposalKey, (usize, u64)>,
-    /// The view that was proposed under a proposal number.
+    /// The view that was proposed under each proposal number.
     proposals: BTreeMap<ProposalKey, View>,
-    /// How many acknowledgements clients have received.
+    /// The number of acknowledgements that clients have received.
     pub acknowledged_count: usize,
-    /// How many rejections clients have received.
+    /// The number of rejections that clients have received.
     pub rejected_count: usize,
 }
 
 impl SafetyChecker {
-    /// Records a violation, if it is the first.
+    /// Records a violation, unless there already is one.
     pub fn record_violation(&mut self, violation: String) {
         self.violation.get_or_insert(violation);
     }
@@ -63,7 +63,7 @@
         self.acknowledged.last_key_value().map_or(0, |(version, _)| *version)
     }
 
-    /// Whether a version was acknowledged. Version 0 stands for no configuration.
+    /// Whether a version was acknowledged. Version 0 represents the absence of a configuration.
     pub fn is_acknowledged(&self, version: u64) -> bool {
         version == 0 || self.acknowledged.contains_key(&version)
     }
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A proposal number is used by one process only, also after a restart.
+    /// Checks that a proposal number is used by one process only, even after a restart.
     fn check_prepare(&mut self, node: usize, incarnation: u64, instance: u64, proposal: ProposalNumber) {
         let key = (instance, proposal.round, proposal.proposer);
         let proposer = *self.proposers.entry(key).or_insert((node, incarnation));
@@ -94,17 +94,17 @@
         }
     }
 
-    /// One view is proposed under a proposal number.
+    /// Checks that only one view is proposed under a proposal number.
     fn check_accept(&mut self, proposal: ProposalNumber, view: &View) {
         let key = (view.number, proposal.round, proposal.proposer);
         let known = self.proposals.entry(key).or_insert_with(|| view.clone());
         if known != view {
             let both = format!("{known:?} and {view:?}");
-            self.record_violation(format!("VIEWS {proposal:?} stands for two views: {both}"));
+            self.record_violation(format!("VIEWS {proposal:?} was used for two views: {both}"));
         }
     }
 
-    /// Checks a view that a process enters: there is one view under a number.
+    /// Checks that each view number is used for one view only, when a process enters a view.
     pub fn check_view(&mut self, view: &Arc<View>) {
         self.check_membership(view);
         let known = self.views.entry(view.number).or_insert_with(|| view.clone());
@@ -114,14 +114,22 @@
         }
     }
 
-    /// The number of members does not shrink, and is odd; one member is replaced at a time.
+    /// Checks that the number of members is odd and does not decrease, and that at most one member is
+    /// replaced.
     fn check_membership(&mut self, view: &View) {
         if view.members.len() > view.target_member_count() {
-            self.record_violation(format!("MEMBERS {} in view {}", view.members.len(), view.number));
+            self.record_violation(format!(
+                "MEMBERS view {1} has {0} members, more than the target",
+                view.members.len(),
+                view.number
+            ));
         }
         let addresses: BTreeSet<_> = view.members.iter().map(|member| member.address).collect();
         if addresses.len() < view.members.len() {
-            self.record_violation(format!("MEMBERS two at one address in view {}", view.number));
+            self.record_violation(format!(
+                "MEMBERS two members with the same address in view {}",
+                view.number
+            ));
         }
         let previous = self.views.get(&(view.number - 1)).filter(|previous| previous.may_serve());
         let Some(previous) = previous else { return };
@@ -129,15 +137,19 @@
         let has_shrunk = view.members.len() < previous.members.len();
         if replaced > 1 || has_shrunk || view.members.len().is_multiple_of(2) {
             let both = format!("{:?} to {:?}", previous.members, view.members);
-            self.record_violation(format!("MEMBERS from view {} on: {both}", previous.number));
+            self.record_violation(format!(
+                "MEMBERS invalid change of members after view {}: {both}",
+                previous.number
+            ));
         }
     }
 
-    /// Checks a configuration that a process reports as committed; `previous` is the version that it reported before.
+    /// Checks a configuration that a process reports as committed. `previous` is the version that the process
+    /// reported before.
     pub fn check_commit(&mut self, node: usize, previous: Option<u64>, config: &Arc<CommittedConfig>) {
         if previous.is_some_and(|previous| config.version <= previous) {
             self.record_violation(format!(
-                "CONFIG regresses at {node}: {} after {previous:?}",
+                "CONFIG committed version of {node} decreased: {} after {previous:?}",
                 config.version
             ));
         }
@@ -151,7 +163,7 @@
         if config.base != self.committed_version() {
             let (current, version, base) = (self.committed_version(), config.version, config.base);
             self.record_violation(format!(
-                "CONFIG fork at {node}: {version} on {base}, but {current} is committed"
+                "CONFIG fork at {node}: committed {version} is based on {base}, but the newest is {current}"
             ));
         }
         if self.rejected.iter().any(|change| change.matches(config)) {
@@ -160,7 +172,7 @@
         self.committed.push(config.clone());
     }
 
-    /// Checks an acknowledgement: the change is committed, and no other one on its base is acknowledged.
+    /// Checks an acknowledgement: the change is committed, and no other change on its base is acknowledged.
     pub fn check_acknowledgement(&mut self, change: &Change) {
         self.acknowledged_count += 1;
         if !self.is_committed(change) {
@@ -172,24 +184,27 @@
         self.acknowledged.insert(change.version, change.clone());
     }
 
-    /// Checks a conflict: a change on the newest version is not rejected, if its base was acknowledged before the call
-    /// (`is_base_acknowledged`).
+    /// Checks a conflict: a change on the newest version must not be rejected, if its base was acknowledged
+    /// before the call started (`is_base_acknowledged`).
     pub fn check_conflict(&mut self, change: &Change, is_base_acknowledged: bool) {
         self.record_rejection(change);
         let current = self.committed_version();
         if is_base_acknowledged && change.base == current && change.version > current {
             self.record_violation(format!(
-                "CONFIG {} rejected though it builds on the newest",
+                "CONFIG {} rejected though it is based on the newest version",
                 change.version
             ));
         }
     }
 
-    /// Checks a rejection for a version that is not above the newest one.
+    /// Checks a rejection because the version is not higher than the newest one.
     pub fn check_stale_version(&mut self, change: &Change) {
         self.record_rejection(change);
         if change.version > self.committed_version() {
-            self.record_violation(format!("CONFIG {} called stale", change.version));
+            self.record_violation(format!(
+                "CONFIG {} rejected as stale though it is newer than the committed version",
+                change.version
+            ));
         }
     }
 
@@ -201,16 +216,17 @@
         self.rejected.push(change.clone());
     }
 
-    /// Checks the response to a read; `at_least` is the newest version that was acknowledged before the call.
+    /// Checks the response to a read. `at_least` is the newest version that was acknowledged before the call
+    /// started.
     pub fn check_read(&mut self, config: Option<&Arc<CommittedConfig>>, at_least: u64) {
         let version = config.map_or(0, |config| config.version);
         if version < at_least {
             self.record_violation(format!(
-                "CONFIG read back {version}, but {at_least} was acknowledged before"
+                "CONFIG read returned {version}, but {at_least} was acknowledged before"
             ));
         }
         if config.is_some_and(|config| !self.committed.contains(config)) {
-            self.record_violation(format!("CONFIG read back {version}, which was never committed"));
+            self.record_violation(format!("CONFIG read returned {version}, which was never committed"));
         }
     }
 }
--- a/crates/chain/tests/simulation/harness/client.rs
+++ b/crates/chain/tests/simulation/harness/client.rs
@@ -1,11 +1,11 @@
-//! Simulated operators: what they ask for, and the state of their calls.
+//! Simulated operators: their requests and the state of their calls.
 
 use super::checker::Change;
 use lugwharf_chain::OperatorRequestId;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug)]
 pub enum ClientRequest {
     Submit {
@@ -19,26 +19,26 @@
     },
 }
 
-/// A call in progress: one request, attempted at one machine after the other until it is answered.
+/// A call in progress: one request that is attempted at one machine after the other until it is answered.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub request: ClientRequest,
-    /// The attempt that waits for its response.
+    /// The identity of the attempt that waits for a response.
     pub attempt_id: Option<OperatorRequestId>,
     /// The machine of the last attempt.
     pub node: usize,
-    /// The machines that may be called; all present ones if empty.
+    /// The machines that may be called. All present machines if empty.
     pub allowed_nodes: Vec<usize>,
-    /// The machines that were called. Each is called once before any is called again.
+    /// The machines that were called. Each machine is called once before any is called again.
     pub attempted_nodes: BTreeSet<usize>,
     pub attempts: u32,
     pub started_at: Duration,
-    /// A call that is not answered by then is a violation.
+    /// The deadline for a response. A missed deadline is a violation.
     pub deadline: Option<Duration>,
 }
 
 impl Call {
-    /// A call that is attempted at any machine.
+    /// Creates a call that may be attempted at any machine.
     pub fn new(request: ClientRequest, started_at: Duration, deadline: Option<Duration>) -> Call {
         Call {
             request,
@@ -53,16 +53,16 @@
     }
 }
 
-/// One operator.
+/// A simulated operator.
 #[derive(Default)]
 pub struct OperatorClient {
     pub call: Option<Call>,
     pub last_acknowledged: Option<Change>,
-    /// Counts what the client was scheduled to do, so that timers of before are recognised and dropped.
+    /// The number of scheduled steps, by which outdated timers are recognised and ignored.
     pub generation: u64,
 }
 
-/// The exponential backoff before another attempt: 200 ms after the first, at most 800 ms.
+/// The exponential backoff before another attempt: 200 ms after the first attempt, at most 800 ms.
 pub fn retry_backoff(attempts: u32) -> Duration {
     Duration::from_millis(100 * (1 << attempts.min(3)))
 }
--- a/crates/chain/tests/simulation/harness/client_calls.rs
+++ b/crates/chain/tests/simulation/harness/client_calls.rs
@@ -1,4 +1,4 @@
-//! How simulated operators draw requests, call, retry and check responses.
+//! The behaviour of simulated operators: generating requests, calling, retrying and checking responses.
 
 use super::checker::Change;
 use super::client::{Call, ClientRequest, retry_backoff};
@@ -7,21 +7,21 @@
 use lugwharf_chain::{Event, OperatorRequestId, OperatorResponse};
 use std::time::Duration;
 
-/// An attempt without a response is given up after this.
+/// The timeout of an attempt.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(1);
 /// One response in this many is lost while clients are active.
 const RESPONSE_LOST_ONE_IN: u32 = 8;
-/// The delay of a response, in microseconds.
+/// The range of the delay of a response, in microseconds.
 const RESPONSE_DELAY_US: std::ops::Range<u64> = 100..3_000;
 
 impl Cluster {
-    /// Lets a client start a call now, in place of the one that is in progress.
+    /// Starts a call of a client now, replacing the call in progress.
     pub fn start_call(&mut self, client: usize, request: ClientRequest, deadline: Option<Duration>) {
         self.clients[client].call = Some(Call::new(request, self.now, deadline));
         self.schedule_attempt(client, Duration::ZERO);
     }
 
-    /// Lets a client start a call now, at some machines only, that must be answered by a deadline.
+    /// Starts a call of a client now, restricted to some machines. The call must be answered by the deadline.
     pub fn start_call_at(
         &mut self, client: usize, request: ClientRequest, deadline: Duration, nodes: &[usize],
     ) {
@@ -31,44 +31,45 @@
         }
     }
 
-    /// A change on a version, with distinct bytes.
-    pub fn draw_change(&mut self, base: u64) -> Change {
-        self.changes_drawn += 1;
+    /// Generates a change that is based on a version and has distinct bytes.
+    pub fn generate_change(&mut self, base: u64) -> Change {
+        self.generated_change_count += 1;
         let version = base + self.rng.u64(1..4);
         let length = self.rng.usize(8..400);
         let mut bytes = vec![b'x'; length];
-        bytes.extend(self.changes_drawn.to_le_bytes());
+        bytes.extend(self.generated_change_count.to_le_bytes());
         Change { version, base, bytes: bytes.into() }
     }
 
-    /// A valid change on the newest committed version.
-    pub fn draw_valid_submission(&mut self) -> ClientRequest {
+    /// Generates a valid change that is based on the newest committed version.
+    pub fn generate_valid_submission(&mut self) -> ClientRequest {
         let base = self.checker.committed_version();
-        let change = self.draw_change(base);
+        let change = self.generate_change(base);
         ClientRequest::Submit { is_base_acknowledged: self.checker.is_acknowledged(base), change }
     }
 
-    fn draw_request(&mut self, client: usize) -> ClientRequest {
+    fn generate_request(&mut self, client: usize) -> ClientRequest {
         let last = self.clients[client].last_acknowledged.clone();
         match self.rng.u32(..10) {
             0 => ClientRequest::Read { at_least: self.checker.acknowledged_version() },
             1 | 2 if last.is_some() => {
-                let change = last.unwrap_or_else(|| self.draw_change(0));
+                let change = last.unwrap_or_else(|| self.generate_change(0));
                 ClientRequest::Submit { is_base_acknowledged: false, change }
             }
             3 => {
-                // With a version that is not above the newest one, or on a base that is not the newest one.
-                let mut change = self.draw_change(self.checker.committed_version());
+                // A change whose version is not higher than the newest one, or whose base is not the newest
+                // one.
+                let mut change = self.generate_change(self.checker.committed_version());
                 change.version = self.checker.committed_version().saturating_sub(self.rng.u64(..3)).max(1);
                 change.base = change.base.saturating_sub(self.rng.u64(..2));
                 let is_base_acknowledged = self.checker.is_acknowledged(change.base);
                 ClientRequest::Submit { is_base_acknowledged, change }
             }
-            _ => self.draw_valid_submission(),
+            _ => self.generate_valid_submission(),
         }
     }
 
-    /// Wakes a client after a pause. Timers of before are void.
+    /// Schedules the next step of a client after a pause. Earlier timers are invalidated.
     fn schedule_attempt(&mut self, client: usize, pause: Duration) {
         self.clients[client].generation += 1;
         let generation = self.clients[client].generation;
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Lets a client attempt its call, or start another one.
+    /// Attempts the call of a client, or starts another call.
     pub fn on_client_wakeup(&mut self, client: usize, generation: u64) {
         if self.clients[client].generation != generation {
             return;
@@ -90,8 +91,8 @@
         if self.clients[client].call.is_some() {
             return self.attempt_call(client);
         }
-        if self.are_clients_active {
-            let request = self.draw_request(client);
+        if self.has_active_clients {
+            let request = self.generate_request(client);
             self.start_call(client, request, None);
         }
     }
@@ -99,7 +100,8 @@
     fn attempt_call(&mut self, client: usize) {
         let Some(mut call) = self.clients[client].call.take() else { return };
         if call.deadline.is_some_and(|deadline| self.now > deadline) {
-            let violation = format!("ACKS no answer to {:?} begun at {:?}", call.request, call.started_at);
+            let violation =
+                format!("ACKS no response to {:?}, started at {:?}", call.request, call.started_at);
             return self.checker.record_violation(violation);
         }
         let node = self.choose_node(&mut call);
@@ -119,7 +121,7 @@
         let attempts = call.attempts;
         self.clients[client].call = Some(call);
         if !self.nodes[node].is_up() {
-            // The connection is refused.
+            // The process is down, so the connection is refused.
             return self.schedule_attempt(client, retry_backoff(attempts));
         }
         self.request_clients.insert(id, client);
@@ -128,7 +130,7 @@
         self.handle_replica_event(node, incarnation, event);
     }
 
-    /// Draws the machine of the next attempt, from those that were not attempted yet if there are any.
+    /// Chooses the machine for the next attempt at random, preferably one that was not attempted yet.
     fn choose_node(&mut self, call: &mut Call) -> usize {
         let allowed =
             if call.allowed_nodes.is_empty() { self.present_nodes() } else { call.allowed_nodes.clone() };
@@ -142,7 +144,7 @@
         node
     }
 
-    /// Gives up an attempt, unless it was answered; half of the clients close the connection.
+    /// Ends an attempt that was not answered in time. Half of the clients close the connection.
     pub fn on_attempt_timeout(&mut self, client: usize, id: OperatorRequestId) {
         let call = self.clients[client].call.as_mut();
         let Some(call) = call.filter(|call| call.attempt_id == Some(id)) else { return };
@@ -155,18 +157,18 @@
         self.schedule_attempt(client, Duration::ZERO);
     }
 
-    /// Sends the response of a replica to the client that waits for it, if it isn't lost.
+    /// Sends the response of a replica to the waiting client, unless the response is lost.
     pub fn send_response(&mut self, id: OperatorRequestId, response: OperatorResponse) {
         let Some(client) = self.request_clients.remove(&id) else { return };
         self.trace(|| format!("{id:?} -> {response:?}"));
-        if self.are_clients_active && self.rng.u32(..RESPONSE_LOST_ONE_IN) == 0 {
+        if self.has_active_clients && self.rng.u32(..RESPONSE_LOST_ONE_IN) == 0 {
             return;
         }
         let delay = Duration::from_micros(self.rng.u64(RESPONSE_DELAY_US));
         self.schedule(delay, SimulationEvent::Response { client, id, response });
     }
 
-    /// A response arrives at its client, which checks it or attempts the call again.
+    /// Handles a response at its client: checks it, or schedules another attempt.
     pub fn on_response(&mut self, client: usize, id: OperatorRequestId, response: OperatorResponse) {
         let attempt_id = self.clients[client].call.as_ref().and_then(|call| call.attempt_id);
         if attempt_id != Some(id) {
@@ -203,7 +205,7 @@
                 self.checker.check_read(config.as_ref(), *at_least);
             }
             (request, response) => {
-                self.checker.record_violation(format!("{response:?} to {request:?}"));
+                self.checker.record_violation(format!("unexpected response {response:?} to {request:?}"));
             }
         }
     }
--- a/crates/chain/tests/simulation/harness/cluster.rs
+++ b/crates/chain/tests/simulation/harness/cluster.rs
@@ -1,4 +1,4 @@
-//! The simulated cluster: virtual time, machines, links and clients, all from one seed.
+//! The simulated cluster: virtual time, machines, links and clients, all determined by one seed.
 
 use super::checker::SafetyChecker;
 use super::client::OperatorClient;
@@ -13,13 +13,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How many seed addresses a process is started with.
+/// The number of seed addresses with which a process is started.
 pub const SEED_ADDRESS_COUNT: usize = 3;
 
-/// A simulated cluster. Machines are named by their index in `nodes`, clients by theirs in `clients`.
+/// A simulated cluster. Machines are identified by their index in `nodes`, clients by their index in
+/// `clients`.
 pub struct Cluster {
     pub scenario: Scenario,
-    /// The source of all randomness of the run.
+    /// The source of all randomness of the run. The order of draws is part of the meaning of a seed.
     pub rng: fastrand::Rng,
     /// Virtual time since the start of the run.
     pub now: Duration,
@@ -27,26 +28,26 @@
     pub network: Network,
     pub clients: Vec<OperatorClient>,
     pub checker: SafetyChecker,
-    /// Faults that wait for something to happen.
+    /// The faults that wait for a trigger.
     pub triggered_faults: TriggeredFaults,
-    /// What happens when this chunk of a history is sent, counted from 1.
+    /// The fault to inject when a certain history chunk is sent. Chunks are counted from 1.
     pub chunk_fault: Option<(usize, ChunkFault)>,
-    /// How many chunks were sent.
+    /// The number of history chunks sent so far.
     pub chunks_sent: usize,
-    /// What happens when the log of this machine begins to be rewritten.
+    /// The fault to inject when the log of a certain machine begins to be rewritten.
     pub rewrite_fault: Option<(usize, Fault)>,
-    /// The client that waits for the response to a request.
+    /// The client that waits for the response to each request.
     pub request_clients: BTreeMap<OperatorRequestId, usize>,
     pub last_request_id: u64,
-    /// How many changes were drawn; makes their bytes distinct.
-    pub changes_drawn: u64,
-    /// Whether clients go on with further requests.
-    pub are_clients_active: bool,
-    /// The number of the newest view that was entered.
+    /// The number of generated changes, which makes the bytes of each change distinct.
+    pub generated_change_count: u64,
+    /// Whether clients continue with further requests.
+    pub has_active_clients: bool,
+    /// The number of the newest view that any process has entered.
     pub newest_view: u64,
-    /// Records the run, for its digest.
+    /// The recorder for the digest of the run, if one is needed.
     pub transcript: Option<Transcript>,
-    /// Whether `CHAIN_TRACE` asks for each step to be printed.
+    /// Whether each step is printed (`CHAIN_TRACE`).
     is_traced: bool,
     events: EventQueue,
 }
@@ -56,7 +57,7 @@
     SocketAddr::from(([10, 0, 0, node as u8 + 1], 7000))
 }
 
-/// The machine at a peer address, for the trace.
+/// The machine at a peer address, for the trace output.
 pub fn node_at(address: SocketAddr) -> u8 {
     match address {
         SocketAddr::V4(address) => address.ip().octets()[3] - 1,
@@ -65,9 +66,9 @@
 }
 
 impl Cluster {
-    /// A cluster whose processes start within 300 ms.
+    /// Creates a cluster whose processes start within 300 ms.
     pub fn new(seed: u64, scenario: Scenario) -> Cluster {
-        // A violated invariant of the replica stops the run in release builds too.
+        // A violated invariant of the replica must fail the run in release builds as well.
         lugwharf_invariants::panic_on_violation();
         let mut rng = fastrand::Rng::with_seed(seed);
         let seeds: Vec<SocketAddr> = (0..scenario.node_count.min(SEED_ADDRESS_COUNT)).map(address).collect();
@@ -88,8 +89,8 @@
             rewrite_fault: None,
             request_clients: BTreeMap::new(),
             last_request_id: 0,
-            changes_drawn: 0,
-            are_clients_active: false,
+            generated_change_count: 0,
+            has_active_clients: false,
             newest_view: 0,
             transcript: None,
             is_traced: std::env::var_os("CHAIN_TRACE").is_some(),
@@ -101,7 +102,7 @@
         cluster
     }
 
-    /// Lets something happen after a time.
+    /// Schedules an event after a delay.
     pub fn schedule(&mut self, after: Duration, event: SimulationEvent) {
         self.events.push(self.now + after, event);
     }
@@ -113,7 +114,7 @@
         }
     }
 
-    /// Lets virtual time pass until `end`. The error is the first violation that the checker found.
+    /// Runs until the virtual time `end`. The error is the first violation that the checker found.
     pub fn run_until(&mut self, end: Duration) -> Result<(), String> {
         while let Some((at, event)) = self.events.pop_until(end) {
             self.now = at;
@@ -129,7 +130,7 @@
         Ok(())
     }
 
-    /// Lets virtual time pass.
+    /// Runs for a duration of virtual time.
     pub fn run_for(&mut self, time: Duration) -> Result<(), String> {
         self.run_until(self.now + time)
     }
@@ -146,8 +147,8 @@
                 self.finish_write(node, incarnation, batch);
             }
             SimulationEvent::Fault(fault) => self.inject(fault),
-            SimulationEvent::CheckDeparture { node, incarnation, deadline, restart_after } => {
-                self.check_departure(node, incarnation, deadline, restart_after);
+            SimulationEvent::CheckLeave { node, incarnation, deadline, restart_after } => {
+                self.check_leave(node, incarnation, deadline, restart_after);
             }
             SimulationEvent::WakeClient { client, generation } => self.on_client_wakeup(client, generation),
             SimulationEvent::AttemptTimeout { client, id } => self.on_attempt_timeout(client, id),
@@ -155,13 +156,13 @@
         }
     }
 
-    /// The machines that were not removed for good.
+    /// The machines that were not permanently removed.
     pub fn present_nodes(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|node| !self.nodes[*node].is_removed).collect()
     }
 
-    /// The status of the process that runs on a machine.
+    /// The status of the process on a machine. Panics if there is none.
     pub fn status(&self, node: usize) -> ReplicaStatus {
-        self.nodes[node].process.as_ref().expect("the process runs").replica.status()
+        self.nodes[node].process.as_ref().expect("no process is running on this machine").replica.status()
     }
 }
--- a/crates/chain/tests/simulation/harness/driver.rs
+++ b/crates/chain/tests/simulation/harness/driver.rs
@@ -1,8 +1,8 @@
-//! What a driver of a replica does: it passes events in, and executes the actions that come out.
+//! The driver of the simulated replicas: passes events to them and executes the resulting actions.
 
 use super::cluster::{Cluster, node_at};
 use super::event::SimulationEvent;
-use super::fault::{ChunkFault, Fault, WaitingFault};
+use super::fault::{ChunkFault, DelayedFault, Fault};
 use super::network::Envelope;
 use super::node::DiskWrite;
 use lugwharf_chain::{Action, BatchId, CommittedConfig, Event, LogEvent, Message, View};
@@ -10,15 +10,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A machine whose disk refuses to be read tries to start again after this.
+/// The delay before a machine whose disk cannot be read tries to start again.
 const BOOT_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// The time between two ticks, in milliseconds.
+/// The range of the time between two ticks, in milliseconds.
 const TICK_MS: std::ops::Range<u64> = 20..50;
-/// A process that dies with a chunk is started again after this.
+/// The delay before a process that was crashed by a chunk fault is restarted.
 const CHUNK_FAULT_RESTART_AFTER: Duration = Duration::from_millis(300);
 
 impl Cluster {
-    /// Starts a process on a machine, unless one runs or the machine is removed.
+    /// Starts a process on a machine, unless one is running or the machine is removed.
     pub fn boot(&mut self, node: usize) {
         if self.nodes[node].is_removed || self.nodes[node].is_up() {
             return;
@@ -37,12 +37,12 @@
         }
     }
 
-    /// Lets a process tick, and schedules its next tick.
+    /// Sends a tick to a process and schedules the next one.
     pub fn tick(&mut self, node: usize, incarnation: u64) {
         if self.nodes[node].incarnation != incarnation || !self.nodes[node].is_up() {
             return;
         }
-        // A paused process misses its ticks.
+        // A paused process misses its ticks instead of queueing them.
         if !self.nodes[node].is_paused {
             self.handle_replica_event(node, incarnation, Event::Tick);
         }
@@ -50,7 +50,7 @@
         self.schedule(next, SimulationEvent::Tick { node, incarnation });
     }
 
-    /// Passes an event to a process, if it still runs. A paused process gets it when it goes on.
+    /// Passes an event to a process, if it is still running. The event is queued while the process is paused.
     pub fn handle_replica_event(&mut self, node: usize, incarnation: u64, event: Event) {
         if self.nodes[node].incarnation != incarnation {
             return;
@@ -65,7 +65,7 @@
         self.execute_actions(node, actions);
     }
 
-    /// Tells a process that its connection to a peer broke.
+    /// Reports to a process that its connection to a peer was closed.
     pub fn report_link_down(&mut self, node: usize, incarnation: u64, peer: usize) {
         let peer = self.nodes[peer].address;
         self.handle_replica_event(node, incarnation, Event::LinkDown { peer });
@@ -100,7 +100,7 @@
         let Some(process) = self.nodes[node].process.as_mut() else { return };
         let previous = process.committed_version.replace(config.version);
         self.checker.check_commit(node, previous, config);
-        self.trace(|| format!("{node} knows {} on {}", config.version, config.base));
+        self.trace(|| format!("{node} committed {} on {}", config.version, config.base));
     }
 
     fn record_view(&mut self, node: usize, view: &Arc<View>) {
@@ -121,9 +121,9 @@
         self.trace(|| format!("{node} {event:?}"));
     }
 
-    /// Lets faults happen, each after its time.
-    pub fn schedule_faults(&mut self, faults: impl IntoIterator<Item = WaitingFault>) {
-        for WaitingFault { after, fault } in faults {
+    /// Schedules faults, each after its delay.
+    pub fn schedule_faults(&mut self, faults: impl IntoIterator<Item = DelayedFault>) {
+        for DelayedFault { after, fault } in faults {
             self.schedule(after, SimulationEvent::Fault(fault));
         }
     }
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Counts a chunk, and injects the fault that is due with it. Returns whether the chunk is lost.
+    /// Counts a chunk and injects the fault that is planned for it. Returns whether the chunk is lost.
     fn inject_chunk_fault(&mut self, from: usize, to: usize) -> bool {
         self.chunks_sent += 1;
         let count = self.chunks_sent;
@@ -165,7 +165,7 @@
         false
     }
 
-    /// Delivers a message to the process that it was sent to.
+    /// Delivers a message to the process incarnation to which it was sent.
     pub fn deliver(&mut self, envelope: Envelope) {
         let from = self.nodes[envelope.from].address;
         let event = Event::Message { from, message: envelope.message };
@@ -178,12 +178,12 @@
         let incarnation = self.nodes[node].incarnation;
         let Some(process) = self.nodes[node].process.as_mut() else { return };
         if process.write_in_progress.replace(write).is_some() {
-            self.checker.record_violation(format!("two batches at a time at {node}"));
+            self.checker.record_violation(format!("machine {node} writes two batches concurrently"));
         }
         self.schedule(time, SimulationEvent::WriteDone { node, incarnation, batch });
     }
 
-    /// Writes a batch to the disk, and reports to the replica whether it was persisted.
+    /// Writes a batch to the disk and reports the result to the replica.
     pub fn finish_write(&mut self, node: usize, incarnation: u64, batch: BatchId) {
         if self.nodes[node].incarnation != incarnation {
             return;
@@ -203,7 +203,7 @@
     }
 }
 
-/// The message as its receiver decodes it.
+/// Encodes and decodes a message, as on a real link.
 fn reencode(message: &Message) -> Message {
     let mut bytes = Vec::new();
     ciborium::into_writer(message, &mut bytes).expect("a message can be encoded");
--- a/crates/chain/tests/simulation/harness/event.rs
+++ b/crates/chain/tests/simulation/harness/event.rs
@@ -1,4 +1,4 @@
-//! What happens in a simulation, and the queue of it.
+//! The events of a simulation, and their queue.
 
 use super::fault::Fault;
 use super::network::Envelope;
@@ -7,9 +7,10 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Something that happens at a moment of virtual time.
+/// An event at a point in virtual time.
 ///
-/// An event for a process names its incarnation: it is dropped if the process has ended meanwhile.
+/// An event for a process names the incarnation of the process, and is dropped if that process has ended
+/// meanwhile.
 #[derive(Debug)]
 pub enum SimulationEvent {
     /// A process starts on a machine.
@@ -22,32 +23,33 @@
     },
     /// A message arrives.
     Deliver(Envelope),
-    /// A process learns that its connection to a peer broke.
+    /// A process is notified that its connection to a peer was closed.
     LinkDown {
         node: usize,
         incarnation: u64,
         peer: usize,
     },
-    /// A disk has finished a write.
+    /// A disk completes a write.
     WriteDone {
         node: usize,
         incarnation: u64,
         batch: BatchId,
     },
     Fault(Fault),
-    /// A process that leaves gracefully is looked at: it ends if it is left out of the view, or at the deadline.
-    CheckDeparture {
+    /// Checks a process that leaves gracefully. The process ends if it is no longer in the chain, or at the
+    /// deadline.
+    CheckLeave {
         node: usize,
         incarnation: u64,
         deadline: Duration,
         restart_after: Option<Duration>,
     },
-    /// A client starts a call, or attempts its call again.
+    /// A client starts a call, or attempts its current call again.
     WakeClient {
         client: usize,
         generation: u64,
     },
-    /// An attempt of a client was not answered in time.
+    /// An attempt of a client has timed out.
     AttemptTimeout {
         client: usize,
         id: OperatorRequestId,
@@ -60,7 +62,7 @@
     },
 }
 
-/// An event with its place in the order of events: by time, then by when it was scheduled.
+/// An event with its position in the order of events: by time, then by the order of scheduling.
 struct ScheduledEvent {
     at: Duration,
     sequence: u64,
@@ -93,7 +95,7 @@
     }
 }
 
-/// The events to come.
+/// The queue of future events.
 #[derive(Default)]
 pub struct EventQueue {
     events: BinaryHeap<Reverse<ScheduledEvent>>,
@@ -101,13 +103,13 @@
 }
 
 impl EventQueue {
-    /// Adds an event at a moment of virtual time.
+    /// Adds an event at a point in virtual time.
     pub fn push(&mut self, at: Duration, event: SimulationEvent) {
         self.last_sequence += 1;
         self.events.push(Reverse(ScheduledEvent { at, sequence: self.last_sequence, event }));
     }
 
-    /// Takes the next event and its time, if it happens at `end` or before.
+    /// Removes and returns the next event and its time, if the event happens no later than `end`.
     pub fn pop_until(&mut self, end: Duration) -> Option<(Duration, SimulationEvent)> {
         let Reverse(next) = self.events.peek()?;
         if next.at > end {
--- a/crates/chain/tests/simulation/harness/fault.rs
+++ b/crates/chain/tests/simulation/harness/fault.rs
@@ -1,46 +1,47 @@
-//! Faults, when they happen, and schedules of them.
+//! Faults, their triggers, and fault schedules.
 
 use super::network::{CutMode, Link};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// One fault, or the end of one.
+/// A fault, or the end of a fault.
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// Processes die, and start again, each after its time.
+    /// Processes crash, and each restarts after its delay.
     CrashProcesses { nodes: Vec<usize>, restart_after: Vec<Duration> },
-    /// Machines lose power and what was not synced, and start again, each after its time. Wiped ones lose their disks too.
+    /// Machines lose power and all unsynced data, and each restarts after its delay. The wiped ones also lose
+    /// their disks.
     LosePower { nodes: Vec<usize>, wiped: BTreeSet<usize>, restart_after: Vec<Duration> },
-    /// A process stops, as with `SIGSTOP`: it ticks no more, and what arrives waits for it.
+    /// A process is paused, as by `SIGSTOP`: it handles no ticks, and incoming events are queued.
     Pause { node: usize },
-    /// A paused process goes on.
+    /// A paused process is resumed.
     Resume { node: usize },
     /// Links are cut.
     CutLinks { links: Vec<Link>, mode: CutMode },
     /// All links are healed.
     HealLinks,
-    /// A disk refuses writes, or takes them again.
+    /// A disk rejects writes, or accepts them again.
     FillDisk { node: usize, is_full: bool },
-    /// A disk gets this many times slower than usual.
+    /// A disk becomes slower by this factor.
     SlowDisk { node: usize, factor: u32 },
-    /// A disk finishes no write for this long.
+    /// A disk completes no write for this long.
     HangDisk { node: usize, time: Duration },
-    /// A process leaves gracefully. It ends once it is left out of the view, or at a deadline all the same. It starts again after
-    /// a time, or its machine is removed for good.
+    /// A process leaves gracefully. It ends once it is removed from the chain, or at a deadline. It then
+    /// restarts after a delay, or its machine is permanently removed.
     LeaveGracefully { node: usize, restart_after: Option<Duration> },
-    /// A machine is removed for good, without notice.
+    /// A machine is permanently removed without notice.
     RemoveMachine { node: usize },
     /// An empty machine starts at a new address.
     AddMachine,
 }
 
 impl Fault {
-    /// Processes die and start again after a time.
+    /// Creates a crash of processes that restart after a delay.
     pub fn crash(nodes: &[usize], restart_after: Duration) -> Fault {
         Fault::CrashProcesses { nodes: nodes.to_vec(), restart_after: vec![restart_after; nodes.len()] }
     }
 
-    /// Machines lose power, some of them their disks too, and start again after a time.
+    /// Creates a power loss of machines that restart after a delay. The wiped ones also lose their disks.
     pub fn power_loss(nodes: &[usize], wiped: &[usize], restart_after: Duration) -> Fault {
         Fault::LosePower {
             nodes: nodes.to_vec(),
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Whether a disk is lost for good.
+    /// Whether the fault permanently destroys a disk.
     pub fn destroys_disk(&self) -> bool {
         match self {
             Fault::LosePower { wiped, .. } => !wiped.is_empty(),
@@ -59,7 +60,7 @@
     }
 }
 
-/// What happens to a chunk of a history that is sent, or to its ends.
+/// A fault that affects a history chunk in transit, its sender or its receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChunkFault {
     Lost,
@@ -69,39 +70,39 @@
     ReceiverLosesDisk,
 }
 
-/// When a fault happens.
+/// The trigger of a fault.
 #[derive(Clone, Debug)]
 pub enum FaultTrigger {
-    /// This long after the start of the schedule.
+    /// A delay after the start of the schedule.
     At(Duration),
-    /// This long after the next acknowledgement.
+    /// A delay after the next acknowledgement.
     AfterAcknowledgement(Duration),
-    /// This long after the next time a process proposes a view.
+    /// A delay after the next proposal of a view.
     AfterProposal(Duration),
-    /// This long after the next time a process enters a view.
+    /// A delay after the next time a process enters a view.
     AfterViewChange(Duration),
 }
 
-/// A fault that waits for something to happen.
-pub struct WaitingFault {
-    /// The time between what happens and the fault.
+/// A fault that is injected after a delay, once it is triggered.
+pub struct DelayedFault {
+    /// The delay between the trigger and the fault.
     pub after: Duration,
     pub fault: Fault,
 }
 
-/// Faults that wait for something to happen.
+/// The faults that wait for a trigger.
 #[derive(Default)]
 pub struct TriggeredFaults {
-    /// All of them follow the next acknowledgement.
-    pub after_acknowledgement: Vec<WaitingFault>,
-    /// One of them, the last, follows each proposal.
-    pub after_proposal: Vec<WaitingFault>,
-    /// One of them, the last, follows each time a process enters a view.
-    pub after_view_change: Vec<WaitingFault>,
+    /// Faults that are all triggered by the next acknowledgement.
+    pub after_acknowledgement: Vec<DelayedFault>,
+    /// Faults of which each proposal triggers the last one.
+    pub after_proposal: Vec<DelayedFault>,
+    /// Faults of which each entry into a view triggers the last one.
+    pub after_view_change: Vec<DelayedFault>,
 }
 
 impl TriggeredFaults {
-    /// Drops the faults that have not happened.
+    /// Drops the faults that were not triggered.
     pub fn clear(&mut self) {
         self.after_acknowledgement.clear();
         self.after_proposal.clear();
@@ -109,7 +110,7 @@
     }
 }
 
-/// A fault with what triggers it.
+/// A fault with its trigger.
 #[derive(Debug)]
 pub struct ScheduledFault {
     pub trigger: FaultTrigger,
@@ -117,7 +118,7 @@
 }
 
 impl ScheduledFault {
-    /// A fault at a time after the start of the schedule.
+    /// Creates a fault that happens at a time after the start of the schedule.
     pub fn at(at: Duration, fault: Fault) -> ScheduledFault {
         ScheduledFault { trigger: FaultTrigger::At(at), fault }
     }
@@ -127,16 +128,16 @@
 #[derive(Debug, Default)]
 pub struct FaultSchedule {
     pub faults: Vec<ScheduledFault>,
-    /// Machines that stay faulty while the cluster counts as stable.
+    /// The machines that stay faulty while the cluster counts as stable.
     pub faulty_minority: BTreeSet<usize>,
 }
 
-/// What a schedule may do.
+/// The limits on a generated schedule.
 pub struct FaultLimits<'a> {
-    /// The machines that are not removed.
+    /// The machines that were not removed.
     pub present: &'a [usize],
-    /// How many disks may be lost.
+    /// The number of disks that may be lost.
     pub max_lost_disks: usize,
-    /// How many times slower a disk may get.
+    /// The maximum factor by which a disk may be slowed down.
     pub max_disk_slowdown: u32,
 }
--- a/crates/chain/tests/simulation/harness/fault_draw.rs
+++ b/crates/chain/tests/simulation/harness/fault_generator.rs
@@ -1,4 +1,4 @@
-//! Random schedules of faults.
+//! Generates random fault schedules.
 
 use super::fault::{Fault, FaultLimits, FaultSchedule, FaultTrigger, ScheduledFault};
 use super::network::{CutMode, Link};
@@ -6,33 +6,34 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// A machine that is down in the stable period starts again after this, which is after that period.
+/// The restart delay of a machine that is down in the stable period. It restarts after that period.
 const DOWN_TIME: Duration = Duration::from_secs(60);
-/// A machine that was added counts from this on, in milliseconds; if another one is removed earlier, two are lost at once.
+/// The range of the time after which an added machine counts, in milliseconds. If another machine is removed
+/// earlier, two are lost at once.
 const CATCH_UP_MS: Range<u64> = 4_000..6_000;
 
-/// Draws a schedule of faults. The order of its draws is part of what a seed stands for.
-pub struct ScheduleDraw<'a> {
+/// Generates a schedule of faults. The order of its draws is part of the meaning of a seed.
+pub struct FaultScheduleGenerator<'a> {
     rng: &'a mut fastrand::Rng,
     limits: &'a FaultLimits<'a>,
-    /// How many disks may be lost yet.
+    /// The number of disks that may still be lost.
     remaining_disks: usize,
     schedule: FaultSchedule,
 }
 
-impl<'a> ScheduleDraw<'a> {
-    /// An empty schedule.
-    pub fn new(rng: &'a mut fastrand::Rng, limits: &'a FaultLimits<'a>) -> ScheduleDraw<'a> {
+impl<'a> FaultScheduleGenerator<'a> {
+    /// Creates a generator with an empty schedule.
+    pub fn new(rng: &'a mut fastrand::Rng, limits: &'a FaultLimits<'a>) -> FaultScheduleGenerator<'a> {
         let remaining_disks = limits.max_lost_disks;
-        ScheduleDraw { rng, limits, remaining_disks, schedule: FaultSchedule::default() }
+        FaultScheduleGenerator { rng, limits, remaining_disks, schedule: FaultSchedule::default() }
     }
 
-    /// The schedule that was drawn.
+    /// Returns the generated schedule.
     pub fn into_schedule(self) -> FaultSchedule {
         self.schedule
     }
 
-    /// Adds one to five faults of any kind, and at times a minority that stays faulty.
+    /// Adds one to five faults of any kind, and sometimes a minority that stays faulty.
     pub fn add_random_faults(&mut self) {
         let count = self.rng.u32(1..=5);
         for _ in 0..count {
@@ -59,8 +60,8 @@
         self.rng.choose_multiple(self.limits.present.iter().copied(), count)
     }
 
-    /// One to all of the machines.
-    fn choose_some_nodes(&mut self) -> Vec<usize> {
+    /// Chooses at least one of the machines.
+    fn choose_one_or_more_nodes(&mut self) -> Vec<usize> {
         let count = self.rng.usize(1..=self.limits.present.len());
         self.choose_nodes(count)
     }
@@ -69,13 +70,13 @@
         self.limits.present[self.rng.usize(..self.limits.present.len())]
     }
 
-    /// A time of 5 ms to `max_ms` for each machine.
+    /// Returns a restart delay of 5 ms to `max_ms` for each machine.
     fn restart_times(&mut self, nodes: &[usize], max_ms: u64) -> Vec<Duration> {
         nodes.iter().map(|_| self.millis(5..max_ms)).collect()
     }
 
     fn trigger(&mut self, at: Duration) -> FaultTrigger {
-        // Most of what can go wrong in agreeing on a view happens within a few syncs.
+        // Most races in the decision on a view happen within the time of a few syncs.
         let soon = Duration::from_micros(self.rng.u64(0..60_000));
         match self.rng.u32(..6) {
             0 => FaultTrigger::AfterAcknowledgement(self.millis(0..600)),
@@ -118,7 +119,7 @@
         self.add(trigger, Fault::LosePower { nodes, wiped: BTreeSet::new(), restart_after });
     }
 
-    /// Machines lose their disks, at times while all others lose power.
+    /// Some machines lose their disks, sometimes while all others lose power.
     fn add_disk_loss(&mut self, trigger: FaultTrigger) {
         let count = self.rng.usize(1..=self.remaining_disks);
         let wiped: BTreeSet<usize> = self.choose_nodes(count).into_iter().collect();
@@ -131,14 +132,15 @@
     }
 
     fn add_pauses(&mut self, at: Duration) {
-        for node in self.choose_some_nodes() {
+        for node in self.choose_one_or_more_nodes() {
             let end = at + self.millis(50..3_500);
             self.add_at(at, Fault::Pause { node });
             self.add_at(end, Fault::Resume { node });
         }
     }
 
-    /// Links to cut: all of a machine, those in one direction, those between two sides, some at random, or those of a pair.
+    /// Chooses the links to cut: all links of a machine, those in one direction, those between two groups,
+    /// random ones, or those of a pair.
     fn choose_links(&mut self) -> Vec<Link> {
         let present = self.limits.present;
         let pairs =
@@ -185,16 +187,16 @@
         }
     }
 
-    /// Machines lose power again and again, faster than views can be agreed.
+    /// Machines lose power repeatedly, faster than views can be decided.
     fn add_power_loss_storm(&mut self, mut at: Duration) {
         for _ in 0..self.rng.u32(5..40) {
-            let nodes = self.choose_some_nodes();
+            let nodes = self.choose_one_or_more_nodes();
             self.add_power_loss(FaultTrigger::At(at), nodes, 400);
             at += self.millis(20..600);
         }
     }
 
-    /// Whenever a view is proposed or entered, up to half of the machines lose power and are back at once.
+    /// Up to half of the machines lose power when a view is proposed or entered, and restart immediately.
     pub fn add_faults_on_view_changes(&mut self) {
         for _ in 0..self.rng.u32(4..20) {
             let after = Duration::from_micros(self.rng.u64(0..250_000));
@@ -207,7 +209,7 @@
             let nodes = self.choose_nodes(count);
             self.add_power_loss(trigger, nodes, 120);
         }
-        // A pause makes the others propose the first view.
+        // The pause causes the other processes to propose the first of these views.
         let node = self.choose_node();
         let (paused_at, resumed_at) = (self.millis(0..500), self.millis(1_500..6_000));
         self.add_at(paused_at, Fault::Pause { node });
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Disks that are full, slow or hang.
+    /// Adds disks that are full, slow or hanging.
     fn add_disk_faults(&mut self, at: Duration) {
         let count = self.rng.usize(1..=self.limits.present.len());
         let kind = self.rng.u32(..3);
@@ -246,7 +248,7 @@
         }
     }
 
-    /// A machine is replaced by an empty one, which comes before or after it.
+    /// A machine is replaced by an empty one, which is added before or after the removal.
     fn add_replacement(&mut self, at: Duration) {
         let node = self.choose_node();
         let is_added_first = self.rng.bool();
@@ -260,8 +262,8 @@
         self.add_at(removed_at, Fault::RemoveMachine { node });
     }
 
-    /// Processes leave gracefully, beside the other faults: all in turn, or one for good after another one was added; at times
-    /// there is one more machine than members.
+    /// Processes leave gracefully in addition to the other faults: either all in turn, or one permanently
+    /// after another one was added. Sometimes there is one more machine than members.
     pub fn add_graceful_leaves(&mut self) {
         for _ in 0..self.rng.u32(0..2) {
             self.add_at(Duration::ZERO, Fault::AddMachine);
@@ -282,7 +284,8 @@
         }
     }
 
-    /// Some machines, no more than may be lost, stay down, cut off, paused or with a full disk in the stable period.
+    /// Some machines, at most as many as may be lost, stay down, cut off, paused or with a full disk during
+    /// the stable period.
     fn add_faulty_minority(&mut self) {
         let present = self.limits.present;
         let count = self.limits.max_lost_disks.min((present.len() - 1) / 2);
--- a/crates/chain/tests/simulation/harness/fault_injection.rs
+++ b/crates/chain/tests/simulation/harness/fault_injection.rs
@@ -1,4 +1,4 @@
-//! How each fault is injected into a cluster.
+//! Injects faults into a cluster.
 
 use super::cluster::{Cluster, SEED_ADDRESS_COUNT, address};
 use super::event::SimulationEvent;
@@ -10,11 +10,11 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A process that leaves gracefully waits this long to be left out of the view.
+/// The time for which a process that leaves gracefully waits to be removed from the view.
 const LEAVE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A process that leaves gracefully is looked at this often.
-const DEPARTURE_CHECK_EVERY: Duration = Duration::from_millis(20);
-/// The peers of a process that died learn this long after it that their connections broke.
+/// The interval at which a process that leaves gracefully is checked.
+const LEAVE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The delay after which the peers of a crashed process are notified that their connections were closed.
 const LINK_DOWN_AFTER: Duration = Duration::from_millis(2);
 
 impl Cluster {
@@ -78,23 +78,24 @@
         let incarnation = self.nodes[node].incarnation;
         self.handle_replica_event(node, incarnation, Event::Leave);
         let deadline = self.now + LEAVE_TIMEOUT;
-        self.check_departure(node, incarnation, deadline, restart_after);
+        self.check_leave(node, incarnation, deadline, restart_after);
     }
 
-    /// Ends a process that leaves gracefully, if it is left out of the view or its deadline has passed; else checks again
-    /// later. Without `restart_after` its machine is removed.
-    pub fn check_departure(
+    /// Ends a process that leaves gracefully, if it has left the chain or its deadline has passed. Otherwise
+    /// schedules another check. Without `restart_after` the machine is removed.
+    pub fn check_leave(
         &mut self, node: usize, incarnation: u64, deadline: Duration, restart_after: Option<Duration>,
     ) {
         if self.nodes[node].incarnation != incarnation || !self.nodes[node].is_up() {
             return;
         }
-        let is_left_out = matches!(self.status(node).leave_state, LeaveState::Left | LeaveState::OutOfChain);
-        if !is_left_out && self.now < deadline {
-            let event = SimulationEvent::CheckDeparture { node, incarnation, deadline, restart_after };
-            return self.schedule(DEPARTURE_CHECK_EVERY, event);
+        let has_left_chain =
+            matches!(self.status(node).leave_state, LeaveState::Left | LeaveState::OutOfChain);
+        if !has_left_chain && self.now < deadline {
+            let event = SimulationEvent::CheckLeave { node, incarnation, deadline, restart_after };
+            return self.schedule(LEAVE_CHECK_INTERVAL, event);
         }
-        self.trace(|| format!("{node} ends, left out: {is_left_out}"));
+        self.trace(|| format!("{node} ends, has left the chain: {has_left_chain}"));
         self.crash_process(node);
         match restart_after {
             Some(after) => self.schedule(after, SimulationEvent::Boot { node }),
@@ -112,11 +113,11 @@
             self.nodes[node].may_bootstrap = false;
         }
         if self.rng.bool() {
-            self.nodes[node].seeds = self.draw_seeds();
+            self.nodes[node].seeds = self.choose_seeds();
         }
     }
 
-    /// Lets a paused process go on, with what arrived meanwhile.
+    /// Resumes a paused process and delivers the queued events.
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].is_paused = false;
         let incarnation = self.nodes[node].incarnation;
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Heals all links but those of some machines.
+    /// Heals all links except those of some machines.
     pub fn heal_links(&mut self, except: &BTreeSet<usize>) {
         for envelope in self.network.heal(except) {
             self.schedule(Duration::from_millis(1), SimulationEvent::Deliver(envelope));
@@ -141,14 +142,14 @@
         self.nodes[node].is_removed = true;
     }
 
-    fn draw_seeds(&mut self) -> Vec<SocketAddr> {
+    fn choose_seeds(&mut self) -> Vec<SocketAddr> {
         let present = self.present_nodes();
         let chosen = self.rng.choose_multiple(present, SEED_ADDRESS_COUNT);
         chosen.into_iter().map(address).collect()
     }
 
     fn add_machine(&mut self) {
-        let seeds = self.draw_seeds();
+        let seeds = self.choose_seeds();
         let node = self.nodes.len();
         self.nodes.push(Node::new(address(node), seeds, false, self.scenario.sync_time));
         self.boot(node);
--- a/crates/chain/tests/simulation/harness/mod.rs
+++ b/crates/chain/tests/simulation/harness/mod.rs
@@ -1,21 +1,23 @@
-//! The harness: a simulated cluster of replicas, its faults, its clients and the checker of what must hold.
+//! The simulation harness: a cluster of replicas, its faults, its clients and a checker of the safety
+//! properties.
 //!
-//! | module | concern |
+//! | Module | Responsibility |
 //! | --- | --- |
-//! | `scenario` | how a cluster is set up |
-//! | `cluster` | the cluster on virtual time; what happens next |
-//! | `event` | what happens in a simulation, in order of virtual time |
-//! | `driver` | what a driver of a replica does: events in, actions out |
-//! | `node` | a machine: its disk and its process |
-//! | `network` | links: delay, loss, cuts |
-//! | `fault`, `fault_draw`, `fault_injection` | faults, random schedules of them, and how they are injected |
+//! | `scenario` | configuration of a cluster |
+//! | `cluster` | the cluster and its event loop in virtual time |
+//! | `event` | simulation events and their queue, ordered by virtual time |
+//! | `driver` | the driver of the replicas: passes events in and executes actions |
+//! | `node` | a machine with its disk and process |
+//! | `network` | links: delays, losses and cuts |
+//! | `fault`, `fault_generator`, `fault_injection` | faults, random fault schedules, and fault injection |
 //! | `client`, `client_calls` | operators that submit, retry and read |
-//! | `checker` | the safety properties, checked at every step |
-//! | `rounds` | rounds of faults, and what must be answered between them |
-//! | `transcript` | a digest of all that a run shows |
+//! | `checker` | checks of the safety properties at every step |
+//! | `rounds` | rounds of faults, and the responses required between them |
+//! | `transcript` | the digest of a run |
 //!
-//! All randomness of a run comes from one generator, `Cluster::rng`, in the order in which events happen. A change of the
-//! number or order of draws is another run under the same seed: the seeds named in tests and incidents lose their meaning.
+//! All randomness of a run comes from one generator, `Cluster::rng`, in the order of the events. A change in
+//! the number or order of draws turns each seed into a different run, so the seeds recorded in tests and
+//! incident reports become meaningless.
 
 pub mod checker;
 pub mod client;
@@ -24,7 +26,7 @@
 mod driver;
 mod event;
 pub mod fault;
-pub mod fault_draw;
+pub mod fault_generator;
 mod fault_injection;
 pub mod network;
 mod node;
--- a/crates/chain/tests/simulation/harness/network.rs
+++ b/crates/chain/tests/simulation/harness/network.rs
@@ -1,15 +1,16 @@
-//! Links between simulated machines: messages arrive in order, delayed, or not at all; a link is cut in one direction or both.
+//! Links between simulated machines. Messages arrive in order, delayed, or not at all. A link can be cut in
+//! one or both directions.
 
 use lugwharf_chain::Message;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The shortest delay of a message, in microseconds.
+/// The minimum delay of a message, in microseconds.
 const MIN_DELAY_US: u64 = 100;
-/// The longest delay of a message is at least this, in microseconds.
+/// The lower bound on the maximum delay of a message, in microseconds.
 const MIN_MAX_DELAY_US: u64 = 200;
 
-/// A link between two machines, in one direction.
+/// A unidirectional link between two machines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
     pub from: usize,
@@ -17,23 +18,23 @@
 }
 
 impl Link {
-    /// The links of two machines, in both directions.
+    /// The links between two machines, in both directions.
     pub fn both(one: usize, other: usize) -> [Link; 2] {
         [Link { from: one, to: other }, Link { from: other, to: one }]
     }
 
-    /// Whether it begins or ends at a machine.
+    /// Whether the link begins or ends at a machine.
     pub fn touches(&self, node: usize) -> bool {
         self.from == node || self.to == node
     }
 }
 
-/// What happens to messages on a cut link.
+/// The treatment of messages on a cut link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutMode {
-    /// They are dropped.
+    /// Messages are dropped.
     Drop,
-    /// They arrive once the link is healed, as from a connection that has not broken.
+    /// Messages arrive once the link is healed, as on a connection that was not closed.
     Delay,
 }
 
@@ -42,32 +43,33 @@
 pub struct Envelope {
     pub from: usize,
     pub to: usize,
-    /// The process that it was sent to: one that is started later has other connections.
+    /// The incarnation of the receiving process. A process that is started later has other connections.
     pub to_incarnation: u64,
     pub message: Message,
 }
 
-/// The links of all machines.
+/// The links between all machines.
 #[derive(Default)]
 pub struct Network {
     cuts: BTreeMap<Link, CutMode>,
-    /// Messages on links that were cut with [`CutMode::Delay`].
+    /// The messages on links that are cut with [`CutMode::Delay`].
     delayed: BTreeMap<Link, Vec<Envelope>>,
-    /// When the last message of a link arrives; later ones do not overtake it.
+    /// The arrival time of the last message of each link. Later messages do not overtake it.
     last_arrival: BTreeMap<Link, Duration>,
-    /// One message in this many is lost; 0 for none.
+    /// One message in this many is lost. 0 for no losses.
     pub message_lost_one_in: u32,
-    /// The longest delay of a message, in microseconds.
+    /// The maximum delay of a message, in microseconds.
     max_delay_us: u64,
 }
 
 impl Network {
-    /// Links that are all up.
+    /// Creates a network in which all links are up.
     pub fn new(max_delay: Duration) -> Network {
         Network { max_delay_us: max_delay.as_micros() as u64, ..Network::default() }
     }
 
-    /// When a message arrives, with the message, unless it is lost or delayed by a cut.
+    /// Returns the arrival time of a message and the message, or `None` if the message is lost or delayed by
+    /// a cut.
     pub fn route(
         &mut self, now: Duration, envelope: Envelope, rng: &mut fastrand::Rng,
     ) -> Option<(Duration, Envelope)> {
@@ -100,7 +102,7 @@
         self.cuts.contains_key(&link)
     }
 
-    /// Heals all links but those of some machines. Returns the messages that were delayed.
+    /// Heals all links except those of some machines. Returns the delayed messages.
     pub fn heal(&mut self, except: &BTreeSet<usize>) -> Vec<Envelope> {
         let stays_cut = |link: &Link| except.contains(&link.from) || except.contains(&link.to);
         self.cuts.retain(|link, _| stays_cut(link));
@@ -108,7 +110,7 @@
         links.into_iter().filter_map(|link| self.delayed.remove(&link)).flatten().collect()
     }
 
-    /// Resets the connections of a machine: its delayed messages are lost.
+    /// Closes the connections of a machine. The delayed messages that it has sent are lost.
     pub fn reset_connections(&mut self, node: usize) {
         self.delayed.retain(|link, _| link.from != node);
     }
--- a/crates/chain/tests/simulation/harness/node.rs
+++ b/crates/chain/tests/simulation/harness/node.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: its disk, and the process on it.
+//! A simulated machine with its disk and process.
 
 use super::scenario::Scenario;
 use lugwharf_chain::{Action, BatchId, Event, Replica, ReplicaSettings};
@@ -7,7 +7,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A peer is suspected after this where proposers duel. Shorter than two heartbeats on a slow link.
+/// The timeout after which peers are suspected in runs with dueling proposers. Shorter than two heartbeat
+/// intervals on a slow link.
 const AGGRESSIVE_SUSPECT_AFTER: Duration = Duration::from_millis(270);
 
 /// A batch that is being written to the disk.
@@ -15,7 +16,7 @@
 pub struct DiskWrite {
     pub batch: BatchId,
     pub records: Vec<Vec<u8>>,
-    /// Whether the records replace the log; else they are appended.
+    /// Whether the records replace the log. Otherwise they are appended.
     pub replaces_log: bool,
 }
 
@@ -29,35 +30,36 @@
     pub started_at: Duration,
 }
 
-/// A machine.
+/// A simulated machine.
 pub struct Node {
     pub address: SocketAddr,
     pub disk: SimulatedDisk,
     pub process: Option<Process>,
-    /// How many processes were started here; the number of the present one.
+    /// The number of processes started on this machine, which identifies the current one.
     pub incarnation: u64,
     /// The seed addresses of the next process.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the next process may take part in the first start of the cluster.
+    /// Whether the next process may take part in bootstrapping.
     pub may_bootstrap: bool,
-    /// Whether the machine was removed for good.
+    /// Whether the machine was permanently removed.
     pub is_removed: bool,
     pub is_paused: bool,
-    /// What arrived while the process was paused.
+    /// The events that arrived while the process was paused.
     pub queued_events: Vec<Event>,
     pub is_disk_full: bool,
-    /// The usual time of a sync.
+    /// The normal duration of a sync.
     pub sync_time: Duration,
-    /// How many times slower the disk is than usual.
+    /// The factor by which the disk is slower than normal.
     pub disk_slowdown: u32,
-    /// How many steps of a rewrite are done when the process crashes in it; drawn if none.
+    /// The number of steps of a rewrite that are executed when the process crashes during the rewrite. Random
+    /// if `None`.
     pub rewrite_steps_before_crash: Option<usize>,
-    /// Writes end after this.
+    /// The time until which no write completes.
     pub disk_hangs_until: Duration,
 }
 
 impl Node {
-    /// A machine with an empty disk and no process.
+    /// Creates a machine with an empty disk and no process.
     pub fn new(
         address: SocketAddr, seeds: Vec<SocketAddr>, may_bootstrap: bool, sync_time: Duration,
     ) -> Node {
@@ -79,7 +81,8 @@
         }
     }
 
-    /// Starts a process on this machine. `Ok(false)` if the disk cannot be read now; the error is a violation.
+    /// Starts a process on this machine. Returns `Ok(false)` if the disk cannot be read at this time. An
+    /// error is a violation.
     pub fn boot(
         &mut self, scenario: &Scenario, now: Duration, seed: u64, actions: &mut Vec<Action>,
     ) -> Result<bool, String> {
@@ -106,14 +109,14 @@
         Ok(true)
     }
 
-    /// How long the disk takes for the next batch.
+    /// The time that the disk needs for the next batch.
     pub fn write_time(&self, now: Duration) -> Duration {
         let hang_time = self.disk_hangs_until.saturating_sub(now);
         hang_time + self.sync_time * self.disk_slowdown
     }
 
-    /// Ends the process. A batch that is being written may have reached the file without being synced, and a rewrite of the log
-    /// may be done in part.
+    /// Crashes the process. A batch that is being written may have reached the file without being synced, and
+    /// a rewrite of the log may be partially executed.
     pub fn crash(&mut self, rng: &mut fastrand::Rng) {
         self.is_paused = false;
         self.queued_events.clear();
@@ -123,7 +126,7 @@
             .take()
             .filter(|write| !write.replaces_log && !self.is_disk_full && rng.bool())
         {
-            // The write succeeds and the sync fails. The process is gone, so nobody reads the error.
+            // The write succeeds and the sync fails. The error is ignored since the process is gone.
             self.disk.fail_after(1);
             let _ = process.log.append(&write.records);
             self.disk.fail_after(usize::MAX);
@@ -138,13 +141,13 @@
         {
             let steps = self.rewrite_steps_before_crash.unwrap_or_else(|| rng.usize(..5));
             self.disk.fail_after(steps);
-            // As above: nobody reads the error.
+            // The error is ignored since the process is gone.
             let _ = process.log.rewrite(&write.records);
             self.disk.fail_after(usize::MAX);
         }
     }
 
-    /// Whether a process runs, paused or not.
+    /// Whether a process exists, running or paused.
     pub fn is_up(&self) -> bool {
         self.process.is_some()
     }
--- a/crates/chain/tests/simulation/harness/rounds.rs
+++ b/crates/chain/tests/simulation/harness/rounds.rs
@@ -1,49 +1,49 @@
-//! Rounds of faults, and what a cluster must answer in the stable period between them.
+//! Rounds of faults, and the requests that a cluster must answer in the stable period after each.
 
 use super::client::ClientRequest;
 use super::cluster::Cluster;
 use super::event::SimulationEvent;
-use super::fault::{Fault, FaultSchedule, FaultTrigger, ScheduledFault, WaitingFault};
+use super::fault::{DelayedFault, Fault, FaultSchedule, FaultTrigger, ScheduledFault};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// A cluster is started, and its first change acknowledged, within this.
+/// The time within which a cluster starts and acknowledges its first change.
 const BOOTSTRAP_TIME: Duration = Duration::from_secs(8);
-/// After this, a process that starts again takes no part in the first start of the cluster.
-const BOOTSTRAP_UNTIL: Duration = Duration::from_secs(1);
-/// The faults of a round begin and end within this.
+/// The time after which restarted processes no longer take part in bootstrapping.
+const BOOTSTRAP_ENABLED_UNTIL: Duration = Duration::from_secs(1);
+/// The period in which the faults of a round begin and end.
 const FAULT_PERIOD: Duration = Duration::from_secs(12);
-/// The time that a cluster gets to heal its connections, once faults have ended.
+/// The time for re-establishing connections once faults have ended.
 const SETTLING_TIME: Duration = Duration::from_millis(500);
-/// The cluster counts as stable this long after the last fault.
+/// The time after the last fault until the cluster counts as stable.
 const STABILIZATION_TIME: Duration = Duration::from_secs(3);
-/// A stable cluster answers a request within this.
+/// The time within which a stable cluster responds to a request.
 const MAX_RESPONSE_TIME: Duration = Duration::from_secs(4);
-/// A machine that is back counts as lost for this long.
+/// The time for which a restarted machine counts as lost.
 const CATCH_UP_TIME: Duration = Duration::from_secs(4);
-/// A machine that is down when faults end starts again after this.
+/// The delay before a machine that is down at the end of the faults is restarted.
 const REPAIR_TIME: Duration = Duration::from_millis(200);
 
 impl Cluster {
-    /// The first start of the cluster: the first change is acknowledged.
+    /// Runs the first start of the cluster, up to the acknowledgement of its first change.
     pub fn bootstrap(&mut self) -> Result<(), String> {
-        let request = self.draw_valid_submission();
+        let request = self.generate_valid_submission();
         self.start_call(0, request, Some(BOOTSTRAP_TIME));
-        self.run_until(BOOTSTRAP_UNTIL)?;
+        self.run_until(BOOTSTRAP_ENABLED_UNTIL)?;
         for node in &mut self.nodes {
             node.may_bootstrap = false;
         }
         self.run_until(BOOTSTRAP_TIME)?;
         if self.checker.acknowledged_count == 0 {
-            return Err("ACKS the first configuration is not acknowledged".to_owned());
+            return Err("ACKS first configuration not acknowledged".to_owned());
         }
         Ok(())
     }
 
-    /// Lets clients work while the faults of a schedule are injected.
+    /// Runs active clients while the faults of a schedule are injected.
     pub fn run_fault_period(&mut self, schedule: FaultSchedule) -> Result<(), String> {
         self.trace(|| format!("ROUND {schedule:?}"));
-        self.are_clients_active = true;
+        self.has_active_clients = true;
         for client in 0..self.clients.len() {
             self.wake_idle_client(client);
         }
@@ -53,20 +53,20 @@
                 FaultTrigger::At(after) if after >= FAULT_PERIOD => {}
                 FaultTrigger::At(after) => self.schedule(after, SimulationEvent::Fault(fault)),
                 FaultTrigger::AfterAcknowledgement(after) => {
-                    triggered.after_acknowledgement.push(WaitingFault { after, fault });
+                    triggered.after_acknowledgement.push(DelayedFault { after, fault });
                 }
                 FaultTrigger::AfterProposal(after) => {
-                    triggered.after_proposal.push(WaitingFault { after, fault });
+                    triggered.after_proposal.push(DelayedFault { after, fault });
                 }
                 FaultTrigger::AfterViewChange(after) => {
-                    triggered.after_view_change.push(WaitingFault { after, fault });
+                    triggered.after_view_change.push(DelayedFault { after, fault });
                 }
             }
         }
         self.run_for(FAULT_PERIOD)
     }
 
-    /// A period of faults, then a stable one in which changes and a read must be answered.
+    /// Runs a period of faults, then a stable period in which changes and a read must be answered.
     pub fn run_round(&mut self, schedule: FaultSchedule) -> Result<(), String> {
         let faulty_minority = schedule.faulty_minority.clone();
         self.run_fault_period(schedule)?;
@@ -81,10 +81,10 @@
         self.run_for(CATCH_UP_TIME + SETTLING_TIME)
     }
 
-    /// Ends all faults but those of a minority of the machines, and lets clients rest.
+    /// Ends all faults except those of a minority of the machines, and stops the clients.
     pub fn end_faults(&mut self, faulty_minority: &BTreeSet<usize>) {
-        self.trace(|| format!("CALM but for {faulty_minority:?}"));
-        self.are_clients_active = false;
+        self.trace(|| format!("STABLE except {faulty_minority:?}"));
+        self.has_active_clients = false;
         self.triggered_faults.clear();
         self.network.message_lost_one_in = 0;
         self.heal_links(faulty_minority);
@@ -104,21 +104,21 @@
         }
     }
 
-    /// A valid change must be acknowledged now, in time.
+    /// Requires that a valid change is acknowledged in time.
     pub fn expect_change_acknowledged(&mut self) -> Result<(), String> {
-        let request = self.draw_valid_submission();
+        let request = self.generate_valid_submission();
         self.expect_response(request)
     }
 
-    /// A read must be answered now, in time.
+    /// Requires that a read is answered in time.
     pub fn expect_read(&mut self) -> Result<(), String> {
         let request = ClientRequest::Read { at_least: self.checker.acknowledged_version() };
         self.expect_response(request)
     }
 
-    /// A request must be answered now, in time: a change is acknowledged or rejected.
+    /// Requires that a request is answered in time. A change must be acknowledged or rejected.
     pub fn expect_response(&mut self, request: ClientRequest) -> Result<(), String> {
-        // An earlier change may still be in flight. It may be committed, and then this one may be rejected.
+        // An earlier change may still be in flight. If it is committed, this change may be rejected.
         for client in &mut self.clients {
             client.call = None;
             client.generation += 1;
@@ -131,12 +131,12 @@
             self.run_for(Duration::from_millis(50))?;
         }
         if self.clients[0].call.is_some() {
-            return Err(format!("ACKS at {:?}: no answer in a calm time", self.now));
+            return Err(format!("ACKS at {:?}: no response in a stable period", self.now));
         }
         let is_unchanged =
             self.checker.acknowledged_count == acknowledged && self.checker.rejected_count == rejected;
         if is_submission && is_unchanged {
-            return Err(format!("ACKS at {:?}: not acknowledged in a calm time", self.now));
+            return Err(format!("ACKS at {:?}: change not acknowledged in a stable period", self.now));
         }
         Ok(())
     }
--- a/crates/chain/tests/simulation/harness/scenario.rs
+++ b/crates/chain/tests/simulation/harness/scenario.rs
@@ -1,32 +1,32 @@
-//! How a simulated cluster is set up.
+//! The configuration of a simulated cluster.
 
 use lugwharf_chain::HistoryLimits;
 use std::time::Duration;
 
-/// The set-up of a cluster.
+/// The configuration of a cluster.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub node_count: usize,
-    /// How many disks may be lost at once without losing an acknowledged change.
+    /// The number of disks that may be lost at the same time without losing an acknowledged change.
     pub fault_tolerance: usize,
     pub client_count: usize,
-    /// How long a disk takes to sync a batch.
+    /// The time that a disk needs to sync a batch.
     pub sync_time: Duration,
-    /// The slowest link takes this long.
+    /// The maximum delay of a message.
     pub max_delay: Duration,
-    /// A log above this size is rewritten.
+    /// The log size in bytes above which the log is rewritten.
     pub rewrite_threshold_bytes: usize,
     pub history: HistoryLimits,
-    /// The size of a chunk of a state transfer.
+    /// The maximum size of a chunk of a state transfer, in bytes.
     pub chunk_bytes: usize,
-    /// Whether messages are encoded and decoded on their way.
+    /// Whether messages are encoded and decoded in transit.
     pub encodes_messages: bool,
-    /// Whether peers are suspected so soon that processes propose views against each other all the time.
+    /// Whether peers are suspected so early that processes keep proposing competing views.
     pub has_dueling_proposers: bool,
 }
 
 impl Scenario {
-    /// Three machines, one of which may be lost.
+    /// Three machines, of which one may be lost.
     pub fn three_nodes() -> Scenario {
         Scenario {
             node_count: 3,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Five machines, two of which may be lost.
+    /// Five machines, of which two may be lost.
     pub fn five_nodes() -> Scenario {
         Scenario { node_count: 5, fault_tolerance: 2, ..Scenario::three_nodes() }
     }
--- a/crates/chain/tests/simulation/harness/transcript.rs
+++ b/crates/chain/tests/simulation/harness/transcript.rs
@@ -1,27 +1,28 @@
-//! A digest of everything that a simulated run shows: what happens when, each message, each record and each response.
+//! The digest of a simulated run: the events and their times, each message, each record and each response.
 //!
-//! Messages, records and views go in as their CBOR encoding and all else as numbers, never as `Debug` output. So a digest
-//! changes with behaviour, encoded names or the draws of the random number generator, and with nothing else.
+//! Messages, records and views are hashed in their CBOR encoding and everything else as numbers, never as
+//! `Debug` output. The digest therefore changes only with behaviour, encoded names or the draws of the random
+//! number generator. The tags below are part of the digest, so they are independent of the names in the code.
 
 use super::event::SimulationEvent;
 use lugwharf_chain::{Action, CommittedConfig, LogEvent, OperatorResponse};
 use std::time::Duration;
 
-/// Gathers the digest of a run.
+/// Accumulates the digest of a run.
 #[derive(Default)]
 pub struct Transcript {
     hasher: blake3::Hasher,
 }
 
 impl Transcript {
-    /// The first 64 bits of the digest of what was recorded so far.
+    /// The first 64 bits of the hash of the recorded data.
     pub fn digest(&self) -> u64 {
         let mut bytes = [0; size_of::<u64>()];
         self.hasher.finalize_xof().fill(&mut bytes);
         u64::from_be_bytes(bytes)
     }
 
-    /// Records numbers, with a tag that says what they are.
+    /// Records numbers under a tag that identifies their meaning.
     pub fn record_numbers(&mut self, tag: &str, numbers: &[u64]) {
         self.record_bytes(tag.as_bytes());
         self.record_length(numbers.len());
@@ -30,7 +31,7 @@
         }
     }
 
-    /// Records something that happens in virtual time.
+    /// Records an event and its virtual time.
     pub fn record_event(&mut self, now: Duration, event: &SimulationEvent) {
         self.hasher.update(&now.as_nanos().to_le_bytes());
         match event {
@@ -40,7 +41,7 @@
             }
             SimulationEvent::Deliver(envelope) => {
                 let (from, to) = (envelope.from as u64, envelope.to as u64);
-                // Its content was recorded when it was sent.
+                // The content of the message was recorded when it was sent.
                 self.record_numbers("deliver", &[from, to, envelope.to_incarnation]);
             }
             SimulationEvent::LinkDown { node, incarnation, peer } => {
@@ -50,7 +51,7 @@
                 self.record_numbers("disk done", &[*node as u64, *incarnation, batch.0]);
             }
             SimulationEvent::Fault(_) => self.record_numbers("fault", &[]),
-            SimulationEvent::CheckDeparture { node, incarnation, .. } => {
+            SimulationEvent::CheckLeave { node, incarnation, .. } => {
                 self.record_numbers("departure", &[*node as u64, *incarnation]);
             }
             SimulationEvent::WakeClient { client, generation } => {
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Records what the replica on a machine wants done.
+    /// Records an action of the replica on a machine.
     pub fn record_action(&mut self, node: usize, action: &Action) {
         let node = node as u64;
         match action {
--- a/crates/chain/tests/simulation/main.rs
+++ b/crates/chain/tests/simulation/main.rs
@@ -1,21 +1,24 @@
-//! Simulation of a cluster of replicas on virtual time, with faults, clients and a checker of the safety properties.
+//! Simulates a cluster of replicas in virtual time, with fault injection, clients and a checker of the safety
+//! properties.
 //!
-//! Each run comes from one seed, which a failure prints. To replay a seed, and to see each step of it:
+//! Each run is determined by a seed, which is printed on failure. To replay a seed, optionally with a trace
+//! of each step:
 //!
 //! ```text
 //! CHAIN_SEED=17 cargo test -p lugwharf-chain --test simulation replay -- --nocapture
 //! CHAIN_SEED=17 CHAIN_KIND=leaving CHAIN_TRACE=1 cargo test -p lugwharf-chain --test simulation replay -- --nocapture
 //! ```
 //!
-//! | variable | meaning |
+//! | Variable | Meaning |
 //! | --- | --- |
-//! | `CHAIN_SEED` | the seed that `replay` plays |
-//! | `CHAIN_KIND` | its kind of run: `dueling` (or `nervous`, its earlier name), `leaving`; else an ordinary run ([`runs::RunKind`]) |
+//! | `CHAIN_SEED` | the seed that `replay` runs |
+//! | `CHAIN_KIND` | `dueling` (formerly `nervous`) or `leaving`, otherwise an ordinary run ([`runs::RunKind`]) |
 //! | `CHAIN_TRACE` | if set, each step is printed with its virtual time in seconds |
-//! | `CHAIN_SEEDS` | `first..end`: the seeds of the tests of many seeds |
-//! | `CHAIN_THREADS` | how many seeds these play at a time |
+//! | `CHAIN_SEEDS` | `first..end`: the range of seeds for the `many_seeds` tests |
+//! | `CHAIN_THREADS` | the number of seeds that these tests run in parallel |
 //!
-//! [`harness`] is the simulation itself, [`cases`] are single situations, and `regression_digests` fixes what whole runs show.
+//! [`harness`] contains the simulation, [`cases`] contains single scenarios, and `regression_digests` fixes
+//! the digests of whole runs.
 
 mod cases;
 mod harness;
@@ -27,17 +30,17 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The seeds of ordinary runs that every run of the tests plays.
+/// The default seeds of ordinary runs.
 const SEEDS: Range<u64> = 0..2_000;
-/// The seeds of runs with dueling proposers.
+/// The default seeds of runs with dueling proposers.
 const DUELING_SEEDS: Range<u64> = 0..400;
-/// The seeds of runs with graceful leaves.
+/// The default seeds of runs with graceful leaves.
 const LEAVING_SEEDS: Range<u64> = 0..1_000;
-/// How many failed seeds are printed.
+/// The maximum number of failed seeds that are printed.
 const MAX_PRINTED_FAILURES: usize = 20;
 
-/// Plays all seeds of a range, on several threads.
-fn play_seeds(seeds: Range<u64>, kind: RunKind) {
+/// Runs all seeds of a range on several threads.
+fn run_seeds(seeds: Range<u64>, kind: RunKind) {
     let next = AtomicU64::new(seeds.start);
     let failures = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -48,8 +51,8 @@
                     if seed >= seeds.end {
                         return;
                     }
-                    let played = std::panic::catch_unwind(|| kind.play_seed(seed));
-                    if let Err(failure) = played.unwrap_or_else(|_| Err("a panic".to_owned())) {
+                    let result = std::panic::catch_unwind(|| kind.run_seed(seed));
+                    if let Err(failure) = result.unwrap_or_else(|_| Err("a panic".to_owned())) {
                         failures
                             .lock()
                             .expect("no thread panics while it adds a failure")
@@ -72,28 +75,28 @@
     chosen.unwrap_or_else(|| std::thread::available_parallelism().map_or(1, |count| count.get().min(8)))
 }
 
-/// The range of `CHAIN_SEEDS`, or else the usual one.
-fn seeds_or(usual: Range<u64>) -> Range<u64> {
+/// The range of `CHAIN_SEEDS`, or the default if the variable is not set.
+fn seeds_or(default: Range<u64>) -> Range<u64> {
     let chosen = std::env::var("CHAIN_SEEDS").ok().and_then(|range| {
         let (first, end) = range.split_once("..")?;
         Some(first.parse().ok()?..end.parse().ok()?)
     });
-    chosen.unwrap_or(usual)
+    chosen.unwrap_or(default)
 }
 
 #[test]
 fn many_seeds() {
-    play_seeds(seeds_or(SEEDS), RunKind::Ordinary);
+    run_seeds(seeds_or(SEEDS), RunKind::Ordinary);
 }
 
 #[test]
 fn many_seeds_with_dueling_proposers() {
-    play_seeds(seeds_or(DUELING_SEEDS), RunKind::DuelingProposers);
+    run_seeds(seeds_or(DUELING_SEEDS), RunKind::DuelingProposers);
 }
 
 #[test]
 fn many_seeds_with_graceful_leaves() {
-    play_seeds(seeds_or(LEAVING_SEEDS), RunKind::GracefulLeaves);
+    run_seeds(seeds_or(LEAVING_SEEDS), RunKind::GracefulLeaves);
 }
 
 #[test]
@@ -104,7 +107,7 @@
         Ok("leaving") => RunKind::GracefulLeaves,
         _ => RunKind::Ordinary,
     };
-    if let Err(failure) = kind.play_seed(seed) {
+    if let Err(failure) = kind.run_seed(seed) {
         panic!("seed {seed}: {failure}");
     }
 }
--- a/crates/chain/tests/simulation/regression_digests.rs
+++ b/crates/chain/tests/simulation/regression_digests.rs
@@ -1,17 +1,20 @@
-//! Digests of whole runs, captured from 1a8c4db before its names were changed. A change of names leaves them as they are. A
-//! change of behaviour that is wanted alters them: run with `--nocapture`, read why, and only then capture them anew.
+//! Regression test of the digests of whole runs. The expected digests were captured from commit 1a8c4db,
+//! before its names were changed, and are independent of names in the code. Only an intended change of
+//! behaviour may alter them. In that case run the test with `--nocapture`, find the reason for the
+//! difference, and only then capture them again.
 
 use crate::runs::RunKind;
 use rstest::rstest;
 
-/// The seeds of each kind of run, from 0.
+/// The number of seeds per kind of run, starting from 0.
 const SEEDS: usize = 12;
 
-/// Plays a seed and digests the run, with the next draw of its random number generator and how it ends.
+/// Runs a seed and returns the digest of the run, including its final counters and the next draw of its
+/// random number generator.
 fn digest_of(kind: RunKind, seed: u64) -> u64 {
     let mut cluster = kind.cluster(seed);
     cluster.transcript = Some(Default::default());
-    kind.play(&mut cluster).unwrap();
+    kind.run(&mut cluster).unwrap();
     let mut transcript = cluster.transcript.take().unwrap();
     let next_draw = cluster.rng.u64(..);
     let checker = &cluster.checker;
@@ -24,7 +27,7 @@
 #[case::ordinary(RunKind::Ordinary, ORDINARY)]
 #[case::dueling_proposers(RunKind::DuelingProposers, DUELING_PROPOSERS)]
 #[case::graceful_leaves(RunKind::GracefulLeaves, GRACEFUL_LEAVES)]
-fn runs_have_the_digests_captured(#[case] kind: RunKind, #[case] expected: [u64; SEEDS]) {
+fn runs_have_the_captured_digests(#[case] kind: RunKind, #[case] expected: [u64; SEEDS]) {
     let digests: Vec<u64> = (0..SEEDS as u64).map(|seed| digest_of(kind, seed)).collect();
     println!("{digests:#018x?}");
     assert_eq!(digests, expected);
--- a/crates/chain/tests/simulation/runs.rs
+++ b/crates/chain/tests/simulation/runs.rs
@@ -1,42 +1,42 @@
-//! Whole runs: a scenario and faults drawn from a seed.
+//! Whole runs, whose scenario and faults are generated from a seed.
 
 use crate::harness::fault::FaultLimits;
-use crate::harness::fault_draw::ScheduleDraw;
+use crate::harness::fault_generator::FaultScheduleGenerator;
 use crate::harness::{Cluster, FaultSchedule, Scenario};
 use lugwharf_chain::HistoryLimits;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The slowest sync of a disk, 25 times slower than one that takes 5 ms.
+/// The maximum duration of a sync, which is 25 times as long as a sync of 5 ms.
 const MAX_SYNC_TIME: Duration = Duration::from_millis(125);
-/// Rounds of faults of a run.
+/// The number of fault rounds of a run.
 const ROUNDS: usize = 2;
-/// Periods of faults of a run with dueling proposers.
+/// The number of fault periods of a run with dueling proposers.
 const DUELING_PERIODS: usize = 3;
-/// The slowest link where proposers duel.
+/// The maximum message delay in a run with dueling proposers.
 const DUELING_MAX_DELAY: Duration = Duration::from_millis(200);
 
 /// A kind of run.
 #[derive(Clone, Copy, Debug)]
 pub enum RunKind {
-    /// Rounds of random faults, each with a stable period in which changes must be acknowledged.
+    /// Rounds of random faults, each followed by a stable period in which changes must be acknowledged.
     Ordinary,
-    /// Links so slow and peers suspected so soon that views are proposed against each other all the time. Only safety is
-    /// checked, since such a cluster need not make progress.
+    /// Links are so slow, and peers are suspected so early, that processes keep proposing competing views.
+    /// Only safety is checked, since such a cluster need not make progress.
     DuelingProposers,
-    /// As ordinary ones, with processes that leave gracefully, for good or to start again.
+    /// Like an ordinary run, with processes that leave gracefully, either permanently or to restart.
     GracefulLeaves,
 }
 
 impl RunKind {
-    /// Plays a seed. The error is the first violation.
-    pub fn play_seed(self, seed: u64) -> Result<(), String> {
-        self.play(&mut self.cluster(seed))
+    /// Runs a seed. The error is the first violation.
+    pub fn run_seed(self, seed: u64) -> Result<(), String> {
+        self.run(&mut self.cluster(seed))
     }
 
-    /// The cluster of a seed, before anything has happened.
+    /// Creates the cluster of a seed, before any event.
     pub fn cluster(self, seed: u64) -> Cluster {
-        let scenario = draw_scenario(seed);
+        let scenario = generate_scenario(seed);
         match self {
             RunKind::Ordinary | RunKind::GracefulLeaves => Cluster::new(seed, scenario),
             RunKind::DuelingProposers => {
@@ -46,18 +46,18 @@
         }
     }
 
-    /// Plays a cluster.
-    pub fn play(self, cluster: &mut Cluster) -> Result<(), String> {
+    /// Runs a cluster. The error is the first violation.
+    pub fn run(self, cluster: &mut Cluster) -> Result<(), String> {
         match self {
-            RunKind::Ordinary => play_ordinary(cluster),
-            RunKind::DuelingProposers => play_dueling_proposers(cluster),
-            RunKind::GracefulLeaves => play_graceful_leaves(cluster),
+            RunKind::Ordinary => run_ordinary(cluster),
+            RunKind::DuelingProposers => run_dueling_proposers(cluster),
+            RunKind::GracefulLeaves => run_graceful_leaves(cluster),
         }
     }
 }
 
-fn draw_scenario(seed: u64) -> Scenario {
-    // Not the generator of the run, so that a scenario can be drawn without it.
+fn generate_scenario(seed: u64) -> Scenario {
+    // Uses a separate generator, so that a scenario can be generated independently of the run.
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let (node_count, fault_tolerance) =
         *rng.choice(&[(3, 1), (3, 1), (3, 1), (5, 2), (4, 1), (5, 1)]).expect("not empty");
@@ -83,7 +83,7 @@
     }
 }
 
-/// What the faults of a round may do to a cluster.
+/// The limits on the faults of a round.
 fn fault_limits<'a>(present: &'a [usize], scenario: &Scenario) -> FaultLimits<'a> {
     let max_slowdown = MAX_SYNC_TIME.as_micros() / scenario.sync_time.as_micros().max(1);
     FaultLimits {
@@ -93,7 +93,7 @@
     }
 }
 
-fn play_ordinary(cluster: &mut Cluster) -> Result<(), String> {
+fn run_ordinary(cluster: &mut Cluster) -> Result<(), String> {
     cluster.bootstrap()?;
     for _ in 0..ROUNDS {
         let present = cluster.present_nodes();
@@ -102,44 +102,44 @@
             cluster.network.message_lost_one_in = rng.u32(20..400);
         }
         let limits = fault_limits(&present, &cluster.scenario);
-        let mut draw = ScheduleDraw::new(&mut rng, &limits);
-        draw.add_random_faults();
-        cluster.run_round(draw.into_schedule())?;
+        let mut generator = FaultScheduleGenerator::new(&mut rng, &limits);
+        generator.add_random_faults();
+        cluster.run_round(generator.into_schedule())?;
     }
     Ok(())
 }
 
-fn play_graceful_leaves(cluster: &mut Cluster) -> Result<(), String> {
+fn run_graceful_leaves(cluster: &mut Cluster) -> Result<(), String> {
     cluster.bootstrap()?;
     for _ in 0..ROUNDS {
         let present = cluster.present_nodes();
         let mut rng = cluster.rng.fork();
         let limits = fault_limits(&present, &cluster.scenario);
         let has_only_leaves = rng.bool();
-        let mut draw = ScheduleDraw::new(&mut rng, &limits);
+        let mut generator = FaultScheduleGenerator::new(&mut rng, &limits);
         if !has_only_leaves {
-            draw.add_random_faults();
+            generator.add_random_faults();
         }
-        draw.add_graceful_leaves();
-        cluster.run_round(draw.into_schedule())?;
+        generator.add_graceful_leaves();
+        cluster.run_round(generator.into_schedule())?;
     }
     Ok(())
 }
 
-fn play_dueling_proposers(cluster: &mut Cluster) -> Result<(), String> {
-    cluster.are_clients_active = true;
-    let request = cluster.draw_valid_submission();
+fn run_dueling_proposers(cluster: &mut Cluster) -> Result<(), String> {
+    cluster.has_active_clients = true;
+    let request = cluster.generate_valid_submission();
     cluster.start_call(0, request, None);
     cluster.run_for(Duration::from_secs(2))?;
     for _ in 0..DUELING_PERIODS {
         let present = cluster.present_nodes();
         let mut rng = cluster.rng.fork();
         let limits = fault_limits(&present, &cluster.scenario);
-        let mut draw = ScheduleDraw::new(&mut rng, &limits);
-        draw.add_random_faults();
-        draw.add_faults_on_view_changes();
-        let FaultSchedule { mut faults, faulty_minority } = draw.into_schedule();
-        // Disks may be lost only after the last lost ones were replaced, which needs progress.
+        let mut generator = FaultScheduleGenerator::new(&mut rng, &limits);
+        generator.add_random_faults();
+        generator.add_faults_on_view_changes();
+        let FaultSchedule { mut faults, faulty_minority } = generator.into_schedule();
+        // A disk may be lost only after the previously lost disks were replaced, which requires progress.
         faults.retain(|scheduled| !scheduled.fault.destroys_disk());
         cluster.network.message_lost_one_in = rng.u32(8..100);
         cluster.run_fault_period(FaultSchedule { faults, faulty_minority })?;
