--- a/crates/chain/src/event.rs
+++ b/crates/chain/src/event.rs
@@ -10,7 +10,7 @@
 /// An input of a replica.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time has passed. Expected every 20 to 50 ms.
+    /// Time has passed. The driver should send a tick every 20 to 50 ms.
     Tick,
     /// A message has arrived.
     Message {
--- a/crates/chain/src/journal.rs
+++ b/crates/chain/src/journal.rs
@@ -21,14 +21,12 @@
     BecomeReady,
     /// Send a message to a peer.
     Send {
-        /// The peer.
+        /// The address of the peer.
         to: SocketAddr,
-        /// The message.
         message: Message,
     },
     /// The history of a view is on disk.
     StateInstalled {
-        /// The number of the view.
         view: u64,
         /// The index of the last entry of the history.
         last_index: u64,
--- a/crates/chain/src/log_event.rs
+++ b/crates/chain/src/log_event.rs
@@ -15,7 +15,7 @@
     MembershipChange,
     /// A replica returns to the chain.
     ChainExtension,
-    /// A proposal sealed the current view and was not finished.
+    /// A proposal has sealed the current view but was not completed.
     UnfinishedProposal,
     /// The chain has not obtained the history of the view in time.
     Stalled,
--- a/crates/chain/src/record.rs
+++ b/crates/chain/src/record.rs
@@ -90,7 +90,6 @@
         records
     }
 
-    /// Encodes the record.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
         // Encoding these types into a vector does not fail.
@@ -99,7 +98,6 @@
         bytes
     }
 
-    /// Decodes a record.
     pub fn decode(bytes: &[u8]) -> Result<Record, DecodeError> {
         ciborium::from_reader(bytes).map_err(|error| DecodeError(error.to_string()))
     }
--- a/crates/chain/src/replica/outbox.rs
+++ b/crates/chain/src/replica/outbox.rs
@@ -22,7 +22,6 @@
         Outbox { local_address, actions: Vec::new(), loopback: VecDeque::new() }
     }
 
-    /// Adds an action.
     pub fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
@@ -36,7 +35,6 @@
         }
     }
 
-    /// Responds to a request of the operator.
     pub fn respond(&mut self, id: OperatorRequestId, response: OperatorResponse) {
         self.actions.push(Action::Respond { id, response });
     }
--- a/crates/chain/src/replica/state_transfer.rs
+++ b/crates/chain/src/replica/state_transfer.rs
@@ -29,7 +29,8 @@
     pub installed_view: u64,
     /// The newest view whose history this process holds on disk.
     pub synced_view: u64,
-    /// Whether all replicas of the current view's chain hold its history on disk, as far as is known here.
+    /// Whether all replicas of the current view's chain hold its history on disk, as far as this process
+    /// knows.
     pub is_serving: bool,
     requested_at: Option<Duration>,
     assembly: Option<StreamAssembly>,
@@ -176,18 +177,17 @@
         if self.state_transfer.is_serving || self.view.number == 0 || !self.view.may_serve() {
             return;
         }
-        let number = self.view.number;
+        let view_number = self.view.number;
         let has_state = |replica: &MemberId| {
             if *replica == self.identity {
-                return self.state_transfer.synced_view == number;
+                return self.state_transfer.synced_view == view_number;
             }
-            let heartbeat = self.peers.last_heartbeat(replica.address);
-            heartbeat
-                .is_some_and(|heartbeat| heartbeat.sender == *replica && heartbeat.installed_view == number)
+            let latest = self.peers.last_heartbeat(replica.address);
+            latest.is_some_and(|latest| latest.sender == *replica && latest.installed_view == view_number)
         };
         if self.view.chain.iter().all(has_state) {
             self.state_transfer.is_serving = true;
-            self.outbox.log(LogEvent::Serving { view_number: number, chain_length: self.view.chain.len() });
+            self.outbox.log(LogEvent::Serving { view_number, chain_length: self.view.chain.len() });
             self.commit_if_tail();
             self.decide_changes();
             self.respond_to_confirmed_reads();
--- a/crates/chain/src/replica/tests/driver.rs
+++ b/crates/chain/src/replica/tests/driver.rs
@@ -151,10 +151,10 @@
         }
     }
 
-    /// Runs with heartbeats of all other processes except `silent`, until records wait for the disk.
-    pub fn run_until_proposal(&mut self, silent: u8) {
+    /// Runs with heartbeats of all other processes except `unreachable`, until records wait for the disk.
+    pub fn run_until_proposal(&mut self, unreachable: u8) {
         let live: Vec<u8> =
-            (1..=self.members).filter(|number| *number != self.number && *number != silent).collect();
+            (1..=self.members).filter(|number| *number != self.number && *number != unreachable).collect();
         for _ in 0..MAX_TICKS_TO_PROPOSE {
             if !self.unsynced.is_empty() {
                 return;
--- a/crates/chain/src/replica/tests/learner.rs
+++ b/crates/chain/src/replica/tests/learner.rs
@@ -169,7 +169,8 @@
         driver.run(1, &[]);
         driver.sync();
     }
-    let asked = driver.sent.iter().filter(|(_, message)| matches!(message, Message::HistoryRequest { .. }));
-    let asked: std::collections::BTreeSet<_> = asked.map(|(to, _)| *to).collect();
-    assert_eq!(asked, std::collections::BTreeSet::from([member(1).address, member(2).address]));
+    let requested_sources =
+        driver.sent.iter().filter(|(_, message)| matches!(message, Message::HistoryRequest { .. }));
+    let requested_sources: std::collections::BTreeSet<_> = requested_sources.map(|(to, _)| *to).collect();
+    assert_eq!(requested_sources, std::collections::BTreeSet::from([member(1).address, member(2).address]));
 }
--- a/crates/chain/src/replica/tests/read_only.rs
+++ b/crates/chain/src/replica/tests/read_only.rs
@@ -6,12 +6,14 @@
 fn tail_answers_no_read_before_view_serves() {
     let mut driver = not_serving(3);
     driver.receive(2, Message::Read { request_id: REQUEST_ID, forwarded: false });
-    let asked = driver.sent.iter().find_map(|(_, message)| match message {
+    let confirm_id = driver.sent.iter().find_map(|(_, message)| match message {
         Message::Confirm { request_id, .. } => Some(*request_id),
         _ => None,
     });
-    driver
-        .receive(1, Message::Confirmed { view: 1, request_id: asked.expect("a confirmation was requested") });
+    driver.receive(
+        1,
+        Message::Confirmed { view: 1, request_id: confirm_id.expect("a confirmation was requested") },
+    );
     assert_eq!(driver.count(is_outcome), 0);
 }
 
@@ -26,11 +28,11 @@
 ) {
     let mut driver = serving(3);
     driver.receive(2, Message::Read { request_id: REQUEST_ID, forwarded: false });
-    let asked = driver.sent.iter().find_map(|(_, message)| match message {
+    let confirm_id = driver.sent.iter().find_map(|(_, message)| match message {
         Message::Confirm { request_id, .. } => Some(*request_id),
         _ => None,
     });
-    let request_id = asked.expect("a confirmation was requested");
+    let request_id = confirm_id.expect("a confirmation was requested");
     let incarnation = request_id.incarnation.wrapping_add(incarnation_offset);
     let request_id = RequestId { incarnation, ..request_id };
     driver.receive(1, Message::Confirmed { view: 1 + view_offset, request_id });
--- a/crates/chain/src/replica/tests/replication.rs
+++ b/crates/chain/src/replica/tests/replication.rs
@@ -9,8 +9,8 @@
 fn tail_commits_synced_entry_if_view_serves(#[case] serves: bool) {
     let mut driver = if serves { serving(3) } else { Driver::start(3, disk_of(3, 3), 3) };
     if !serves {
-        let silent = crate::Heartbeat { installed_view: 0, ..driver.heartbeat_of(1, &[2]) };
-        driver.receive(1, Message::Heartbeat(silent));
+        let without_history = crate::Heartbeat { installed_view: 0, ..driver.heartbeat_of(1, &[2]) };
+        driver.receive(1, Message::Heartbeat(without_history));
         driver.run(1, &[2]);
     }
     let is_committed = |message: &Message| matches!(message, Message::Committed { .. });
--- a/crates/chain/src/replica/tests/stored_entries.rs
+++ b/crates/chain/src/replica/tests/stored_entries.rs
@@ -33,7 +33,7 @@
 }
 
 /// Member 2 of three in view 1, with an empty history.
-fn member_two(chain: &[u8]) -> Replica {
+fn start_member_two(chain: &[u8]) -> Replica {
     let view = view(1, chain, 1);
     let records = [
         Record::Identity { disk: 2, bootstrap_seeds: None },
@@ -49,7 +49,7 @@
 }
 
 /// The entries that the replica persists when it receives a message from member 1.
-fn stored(replica: &mut Replica, message: Message) -> Vec<Entry> {
+fn persisted_entries(replica: &mut Replica, message: Message) -> Vec<Entry> {
     let mut out = Vec::new();
     replica.handle(Duration::ZERO, Event::Message { from: member(1).address, message }, &mut out);
     let batches = out.into_iter().filter_map(|action| match action {
@@ -84,9 +84,9 @@
 fn replicated_entry_is_appended_if_its_digest_matches(
     #[case] header: EntryHeader, #[case] bytes: &[u8], #[case] entries: usize,
 ) {
-    let mut replica = member_two(&[1, 2, 3]);
+    let mut replica = start_member_two(&[1, 2, 3]);
     let entry = Entry { header, bytes: bytes.into() };
-    assert_eq!(stored(&mut replica, Message::Replicate { view: 1, entry }).len(), entries);
+    assert_eq!(persisted_entries(&mut replica, Message::Replicate { view: 1, entry }).len(), entries);
 }
 
 fn config(version: u64, bytes: &[u8]) -> Message {
@@ -104,8 +104,9 @@
 fn learner_appends_newest_entry_from_commit_and_config(
     #[case] messages: [Message; 2], #[case] entries: usize,
 ) {
-    let mut replica = member_two(&[1, 3]);
-    let all: Vec<Entry> = messages.into_iter().flat_map(|message| stored(&mut replica, message)).collect();
+    let mut replica = start_member_two(&[1, 3]);
+    let all: Vec<Entry> =
+        messages.into_iter().flat_map(|message| persisted_entries(&mut replica, message)).collect();
     assert_eq!(all.len(), entries);
     assert!(all.iter().all(|entry| entry.header == header() && entry.bytes.as_ref() == TEXT));
     assert_eq!(replica.status().durable_commit_index, entries as u64);
@@ -115,11 +116,11 @@
 /// view.
 #[test]
 fn sealed_learner_appends_nothing() {
-    let mut replica = member_two(&[1, 3]);
+    let mut replica = start_member_two(&[1, 3]);
     let proposal = ProposalNumber { round: 1, proposer: member(1) };
-    stored(&mut replica, Message::Prepare { instance: 2, proposal });
-    assert!(stored(&mut replica, Message::Committed { header: header() }).is_empty());
-    assert!(stored(&mut replica, config(5, TEXT)).is_empty());
+    persisted_entries(&mut replica, Message::Prepare { instance: 2, proposal });
+    assert!(persisted_entries(&mut replica, Message::Committed { header: header() }).is_empty());
+    assert!(persisted_entries(&mut replica, config(5, TEXT)).is_empty());
     assert_eq!(replica.status().durable_commit_index, 0);
 }
 
@@ -139,12 +140,12 @@
 /// the history of the next view, which has one more entry.
 #[test]
 fn state_of_an_earlier_view_is_not_resumed() {
-    let mut replica = member_two(&[1, 2, 3]);
+    let mut replica = start_member_two(&[1, 2, 3]);
     let begun = Some(ChunkRequest { stream: None, offset: 0 });
     let first = chunk(&mut replica, Message::StateRequest { view: 1, after: 0, chunk: begun });
     let entry = Entry { header: header(), bytes: TEXT.into() };
-    assert_eq!(stored(&mut replica, Message::Replicate { view: 1, entry }).len(), 1);
-    stored(&mut replica, Message::Decided { view: view(2, &[2, 3], 2) });
+    assert_eq!(persisted_entries(&mut replica, Message::Replicate { view: 1, entry }).len(), 1);
+    persisted_entries(&mut replica, Message::Decided { view: view(2, &[2, 3], 2) });
     let rest = Some(ChunkRequest { stream: Some(first.stream), offset: 1 });
     let second = chunk(&mut replica, Message::StateRequest { view: 2, after: 0, chunk: rest });
     assert_ne!(second.stream, first.stream);
@@ -155,12 +156,12 @@
 /// streams are not interchangeable.
 #[test]
 fn learner_stream_is_not_resumed_as_state() {
-    let mut replica = member_two(&[1, 2, 3]);
+    let mut replica = start_member_two(&[1, 2, 3]);
     let entry = Entry { header: header(), bytes: TEXT.into() };
-    stored(&mut replica, Message::Replicate { view: 1, entry: entry.clone() });
-    stored(&mut replica, Message::Committed { header: header() });
+    persisted_entries(&mut replica, Message::Replicate { view: 1, entry: entry.clone() });
+    persisted_entries(&mut replica, Message::Committed { header: header() });
     let next = EntryHeader { index: 2, version: 6, base: 5, ..header() };
-    stored(&mut replica, Message::Replicate { view: 1, entry: Entry { header: next, ..entry } });
+    persisted_entries(&mut replica, Message::Replicate { view: 1, entry: Entry { header: next, ..entry } });
     let begin = ChunkRequest { stream: None, offset: 0 };
     let mut out = Vec::new();
     let message = Message::HistoryRequest { after: 0, chunk: begin };
--- a/crates/chain/src/settings.rs
+++ b/crates/chain/src/settings.rs
@@ -81,7 +81,7 @@
 }
 
 impl ReplicaSettings {
-    /// Settings with the default timings and limits.
+    /// Creates settings with the default timings and limits.
     pub fn new(
         local_address: SocketAddr, seeds: Vec<SocketAddr>, bootstrap: bool, fault_tolerance: usize, seed: u64,
     ) -> ReplicaSettings {
--- a/crates/chain/src/status.rs
+++ b/crates/chain/src/status.rs
@@ -9,7 +9,7 @@
 pub struct ReplicaStatus {
     /// The identity of this replica.
     pub identity: MemberId,
-    /// The number of the newest view known here, 0 for none.
+    /// The number of the newest view that this replica knows, 0 for none.
     pub view_number: u64,
     /// The peer addresses of the members of that view.
     pub members: Vec<SocketAddr>,
@@ -19,7 +19,7 @@
     pub chain_position: Option<usize>,
     /// Whether this replica is a member of that view.
     pub is_member: bool,
-    /// The version of the newest committed configuration known here.
+    /// The version of the newest committed configuration that this replica knows.
     pub committed_version: Option<u64>,
     /// Whether that view serves, as far as this replica knows.
     pub is_serving: bool,
--- a/crates/chain/src/view_planner/members.rs
+++ b/crates/chain/src/view_planner/members.rs
@@ -74,8 +74,9 @@
             self.should_be_replaced(**member) && self.may_be_removed(**member, up_to_date_members)
         });
         let mut replacements = replaceable.filter_map(|(position, member)| {
-            let returned = self.identity(member.address).filter(|identity| self.is_ready_learner(*identity));
-            Some((position, returned.or_else(|| learners.first().copied())?))
+            let same_address =
+                self.identity(member.address).filter(|identity| self.is_ready_learner(*identity));
+            Some((position, same_address.or_else(|| learners.first().copied())?))
         });
         replacements.next()
     }
--- a/crates/chain/src/view_planner/tests.rs
+++ b/crates/chain/src/view_planner/tests.rs
@@ -148,7 +148,7 @@
 
 #[rstest]
 #[case::all_healthy(&[1, 2, 3], &[healthy_report(2, &[1, 3]), healthy_report(3, &[1, 2])], &[1, 2, 3], None)]
-#[case::one_silent(&[1, 2, 3], &[healthy_report(2, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
+#[case::one_unreachable(&[1, 2, 3], &[healthy_report(2, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
 #[case::one_returns(&[1, 2], &[healthy_report(2, &[1, 3]), healthy_report(3, &[1, 2])], &[1, 2, 3], Some(ViewChangeReason::ChainExtension))]
 #[case::two_cannot_reach_each_other(&[1, 2, 3], &[healthy_report(2, &[1]), healthy_report(3, &[1])], &[1, 2], Some(ViewChangeReason::ChainBroken))]
 #[case::chain_intact_for_others(&[2, 3], &[healthy_report(2, &[1, 3])], &[1, 2], None)]
@@ -325,7 +325,7 @@
 /// The log states which replica caused a view to be proposed, and its fault.
 #[rstest]
 #[case::healthy(&[healthy_report(2, &[1, 3]), healthy_report(3, &[1, 2])], None)]
-#[case::silent(&[healthy_report(2, &[1])], Some((3, ReplicaFault::Unreachable)))]
+#[case::unreachable(&[healthy_report(2, &[1])], Some((3, ReplicaFault::Unreachable)))]
 #[case::unreachable_only_from_this_process(&[healthy_report(2, &[1, 3])], Some((3, ReplicaFault::LinkSevered)))]
 #[case::wiped(&[healthy_report(2, &[1, 3]), wiped(healthy_report(3, &[1, 2]))], Some((3, ReplicaFault::DiskLost)))]
 #[case::leaves(&[leaving(healthy_report(2, &[1, 3])), healthy_report(3, &[1, 2])], Some((2, ReplicaFault::Leaving)))]
--- a/crates/chain/tests/simulation/harness/fault.rs
+++ b/crates/chain/tests/simulation/harness/fault.rs
@@ -8,29 +8,55 @@
 #[derive(Clone, Debug)]
 pub enum Fault {
     /// Processes crash, and each restarts after its delay.
-    CrashProcesses { nodes: Vec<usize>, restart_after: Vec<Duration> },
+    CrashProcesses {
+        nodes: Vec<usize>,
+        restart_after: Vec<Duration>,
+    },
     /// Machines lose power and all unsynced data, and each restarts after its delay. The wiped ones also lose
     /// their disks.
-    LosePower { nodes: Vec<usize>, wiped: BTreeSet<usize>, restart_after: Vec<Duration> },
+    LosePower {
+        nodes: Vec<usize>,
+        wiped: BTreeSet<usize>,
+        restart_after: Vec<Duration>,
+    },
     /// A process is paused, as by `SIGSTOP`: it handles no ticks, and incoming events are queued.
-    Pause { node: usize },
+    Pause {
+        node: usize,
+    },
     /// A paused process is resumed.
-    Resume { node: usize },
-    /// Links are cut.
-    CutLinks { links: Vec<Link>, mode: CutMode },
-    /// All links are healed.
+    Resume {
+        node: usize,
+    },
+    CutLinks {
+        links: Vec<Link>,
+        mode: CutMode,
+    },
     HealLinks,
     /// A disk rejects writes, or accepts them again.
-    FillDisk { node: usize, is_full: bool },
+    FillDisk {
+        node: usize,
+        is_full: bool,
+    },
     /// A disk becomes slower by this factor.
-    SlowDisk { node: usize, factor: u32 },
+    SlowDisk {
+        node: usize,
+        factor: u32,
+    },
     /// A disk completes no write for this long.
-    HangDisk { node: usize, time: Duration },
+    HangDisk {
+        node: usize,
+        time: Duration,
+    },
     /// A process leaves gracefully. It ends once it is removed from the chain, or at a deadline. It then
     /// restarts after a delay, or its machine is permanently removed.
-    LeaveGracefully { node: usize, restart_after: Option<Duration> },
+    LeaveGracefully {
+        node: usize,
+        restart_after: Option<Duration>,
+    },
     /// A machine is permanently removed without notice.
-    RemoveMachine { node: usize },
+    RemoveMachine {
+        node: usize,
+    },
     /// An empty machine starts at a new address.
     AddMachine,
 }
--- a/crates/chain/tests/simulation/harness/network.rs
+++ b/crates/chain/tests/simulation/harness/network.rs
@@ -92,12 +92,10 @@
         Some((at, envelope))
     }
 
-    /// Cuts a link.
     pub fn cut(&mut self, link: Link, mode: CutMode) {
         self.cuts.insert(link, mode);
     }
 
-    /// Whether a link is cut.
     pub fn is_cut(&self, link: Link) -> bool {
         self.cuts.contains_key(&link)
     }
