--- a/crates/lugwharf/src/roles.rs
+++ b/crates/lugwharf/src/roles.rs
@@ -53,7 +53,7 @@
     let metrics_port = metrics_port(matches)?;
     let tuning = TuningFile::from_options(matches)?.routing;
     let options = ProxyOptions { metrics_port, tuning, ..ProxyOptions::default() };
-    block_on(lugwharf_proxy::run_with(settings(matches)?, options))
+    block_on(lugwharf_proxy::run_with_options(settings(matches)?, options))
 }
 
 /// `lugwharf agent`
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -59,14 +59,14 @@
 /// # Errors
 /// As for [`run_until`].
 pub async fn run(settings: Settings) -> eyre::Result<()> {
-    run_with(settings, ProxyOptions::default()).await
+    run_with_options(settings, ProxyOptions::default()).await
 }
 
 /// Like [`run`], with options.
 ///
 /// # Errors
 /// As for [`run_until`].
-pub async fn run_with(settings: Settings, options: ProxyOptions) -> eyre::Result<()> {
+pub async fn run_with_options(settings: Settings, options: ProxyOptions) -> eyre::Result<()> {
     if let Some(level) = options.log_level {
         spdlog::default_logger().set_level_filter(level);
     }
@@ -77,7 +77,7 @@
     run_until(settings, options, terminated).await
 }
 
-/// Like [`run_with`], until `stop` completes instead of SIGTERM. Returns after the graceful shutdown.
+/// Like [`run_with_options`], until `stop` completes instead of SIGTERM. Returns after the graceful shutdown.
 ///
 /// # Errors
 /// A setting is missing, a port can't be listened on, or a signal can't be handled.
