--- a/crates/proxy/src/agent_feed.rs
+++ b/crates/proxy/src/agent_feed.rs
@@ -1,6 +1,6 @@
-//! The link to the agent on this machine, by which configuration and endpoint list arrive.
+//! The connection to the agent on this machine, which sends the configuration and the endpoint list.
 //!
-//! The proxy connects and reports the versions that it has; the agent sends what is newer.
+//! The proxy connects and reports the versions that it has. The agent sends the tables that are newer.
 
 use crate::state::ProxyState;
 use lugwharf_protocol::{FeedMessage, FrameError, ProxyReport, read_frame, write_frame};
@@ -12,21 +12,21 @@
 use tokio::sync::Notify;
 use tokio::time::sleep;
 
-/// The backoff between connects. Proxy and agent of a machine start together, and one of them may restart alone: the proxy has to
-/// be ready again within a second.
+/// The delay between attempts to connect. The proxy and the agent of a machine start together, and either may
+/// restart alone: the proxy has to be ready again within a second.
 const RECONNECT_BACKOFF: Duration = Duration::from_millis(50);
 
-/// How often the load is reported. The planner of stages uses it, whose changes take seconds.
+/// The interval of load reports. They are used to plan the stages of servers, whose changes take seconds.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Keeps the link up for as long as the process runs.
+/// Connects to the agent and reconnects after each failure, for as long as the process runs.
 pub async fn run(state: Rc<ProxyState>, agent: SocketAddr) {
-    let mut was_up = true;
+    let mut was_connected = true;
     loop {
         match run_session(&state, agent).await {
             Ok(()) => spdlog::warn!("feed outcome=closed"),
-            // Logged once, not for each backoff.
-            Err(error) if std::mem::replace(&mut was_up, false) => {
+            // Logged once per outage, not for each attempt to connect.
+            Err(error) if std::mem::replace(&mut was_connected, false) => {
                 spdlog::warn!("feed outcome=down error={error}")
             }
             Err(_) => {}
@@ -35,12 +35,12 @@
     }
 }
 
-/// One connection to the agent, until it closes.
+/// Runs one connection to the agent until it closes.
 async fn run_session(state: &ProxyState, agent: SocketAddr) -> Result<(), FrameError> {
-    let link = TcpStream::connect(agent).await?;
-    // Without the option updates are only slower.
-    drop(link.set_nodelay(true));
-    let (reader, writer) = link.into_split();
+    let stream = TcpStream::connect(agent).await?;
+    // The error is ignored: without `TCP_NODELAY` updates are only slower.
+    drop(stream.set_nodelay(true));
+    let (reader, writer) = stream.into_split();
     let applied = Notify::new();
     tokio::select! {
         read = read_updates(state, reader, &applied) => read,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Applies the updates of the agent until it closes the connection.
+/// Applies the agent's updates until the agent closes the connection.
 async fn read_updates(
     state: &ProxyState, mut reader: OwnedReadHalf, applied: &Notify,
 ) -> Result<(), FrameError> {
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Reports versions and load: at the start, after each update, and each second.
+/// Reports versions and load when the connection is established, after each update, and every second.
 async fn write_reports(
     state: &ProxyState, mut writer: OwnedWriteHalf, applied: &Notify,
 ) -> Result<(), FrameError> {
--- a/crates/proxy/src/agent_feed_tests.rs
+++ b/crates/proxy/src/agent_feed_tests.rs
@@ -1,7 +1,8 @@
-//! The link to the agent over its restarts: what was received on one connection never reaches the next one.
+//! The agent feed across reconnects: bytes received on one connection are never combined with those of the
+//! next.
 
 use crate::agent_feed::run;
-use crate::outbound::fixtures::{entry, listener, state};
+use crate::outbound::fixtures::{listener, server_entry, state};
 use crate::state::ProxyState;
 use lugwharf_protocol::{
     ConfigRecord, FeedMessage, ProxyReport, ServerDelta, TablePosition, Update, encode, read_frame,
@@ -19,7 +20,7 @@
     FeedMessage::Update(Update { config, ..Update::default() })
 }
 
-/// Accepts the proxy's next connection, and its first report.
+/// Accepts the proxy's next connection and reads its first report.
 async fn accept(agent: &TcpListener) -> (TcpStream, ProxyReport) {
     let mut connection = agent.accept().await.expect("the proxy").0;
     let report = read_frame(&mut connection).await.expect("a report").expect("a report");
@@ -35,13 +36,14 @@
     local.run_until(body(&agent, &state)).await;
 }
 
-/// A message that broke off with its connection is not joined with what the next one brings.
+/// A message that is truncated by the end of its connection is discarded, not completed with bytes of the
+/// next connection.
 #[rstest]
 #[case::in_the_length(2)]
 #[case::in_the_body(20)]
 #[case::all_but_the_last_byte(usize::MAX)]
 #[tokio::test]
-async fn partial_message_is_dropped_with_its_connection(#[case] end: usize) {
+async fn partial_message_is_discarded_with_its_connection(#[case] end: usize) {
     with_agent(async |agent, state| {
         let (mut old, report) = accept(agent).await;
         assert_eq!(report.have.config, 0);
@@ -50,7 +52,7 @@
         old.write_all(&bytes[..end]).await.expect("sent");
         drop(old);
         let (mut new, report) = accept(agent).await;
-        assert_eq!(report.have.config, 0, "nothing of it was applied");
+        assert_eq!(report.have.config, 0, "no part of the partial message was applied");
         write_frame(&mut new, &config(8)).await.expect("sent");
         let report: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
         assert_eq!((report.have.config, state.versions().config), (8, 8));
@@ -58,7 +60,7 @@
     .await;
 }
 
-/// An agent that has restarted knows less for a while: its older versions are ignored.
+/// A restarted agent may hold older versions for a while. The proxy ignores them.
 #[tokio::test]
 async fn older_versions_of_a_restarted_agent_are_ignored() {
     with_agent(async |agent, state| {
@@ -69,7 +71,7 @@
         drop(old);
         let (mut new, after) = accept(agent).await;
         assert_eq!((after.have.config, after.have.servers), (7, report.have.servers));
-        // Sent by an agent that knows an older list.
+        // The agent holds an older endpoint list.
         let position = TablePosition { epoch: 0, sequence: 9 };
         let servers = Some(ServerDelta { position, is_full: true, entries: Vec::new(), removed: Vec::new() });
         write_frame(&mut new, &FeedMessage::Update(Update { servers, ..Update::default() }))
@@ -85,16 +87,17 @@
     .await;
 }
 
-/// The same list again, on a new connection, changes nothing: connections to servers stay.
+/// The same endpoint list received again on a new connection leaves the servers, and so the connections to
+/// them, unchanged.
 #[tokio::test]
-async fn same_list_again_retains_the_servers() {
+async fn repeated_endpoint_list_keeps_the_servers() {
     with_agent(async |agent, state| {
         let (old, report) = accept(agent).await;
         let before: Vec<_> = state.balancer.borrow().server_keys().collect();
         drop(old);
         let (mut new, _) = accept(agent).await;
         let position = report.have.servers;
-        let entries = vec![entry(agent.local_addr().expect("an address"))];
+        let entries = vec![server_entry(agent.local_addr().expect("an address"))];
         let servers = Some(ServerDelta { position, is_full: true, entries, removed: Vec::new() });
         write_frame(&mut new, &FeedMessage::Update(Update { servers, ..Update::default() }))
             .await
--- a/crates/proxy/src/http/body_tests.rs
+++ b/crates/proxy/src/http/body_tests.rs
@@ -1,17 +1,18 @@
-//! Bodies, in all ways to split them into chunks of received bytes.
+//! The decoding of bodies that are received in pieces of every size.
 
 use crate::http::{BodyDecoder, Decoded, Framing};
 use bytes::BytesMut;
 use rstest::rstest;
 
-/// Decodes `text`, received in steps of `size` bytes: the body, and the bytes behind it; `None` if it is invalid or incomplete.
+/// Decodes `text`, received in pieces of `size` bytes. Returns the body and the bytes after it, or `None` if
+/// the body is invalid or incomplete.
 fn decode(framing: Framing, text: &str, size: usize) -> Option<(String, String)> {
     let (mut decoder, mut buffer, mut body) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     let mut steps = text.as_bytes().chunks(size);
     loop {
         match decoder.decode(&mut buffer).ok()? {
             Decoded::Data(data) => body.extend_from_slice(&data),
-            Decoded::More => buffer.extend_from_slice(steps.next()?),
+            Decoded::Pending => buffer.extend_from_slice(steps.next()?),
             Decoded::End => break,
         }
     }
@@ -33,17 +34,17 @@
 #[case::size_too_long(Framing::Chunked, "0000000000002\r\nab\r\n0\r\n\r\n", None)]
 #[case::bare_newline(Framing::Chunked, "2\nab\r\n0\r\n\r\n", None)]
 #[case::no_end_of_chunk(Framing::Chunked, "2\r\nabc\r\n0\r\n\r\n", None)]
-fn body_is_decoded_alike_however_it_is_received(
+fn body_is_decoded_independently_of_the_size_of_received_pieces(
     #[case] framing: Framing, #[case] text: &str, #[case] expected: Option<(&str, &str)>,
 ) {
     let expected = expected.map(|(body, rest)| (body.to_owned(), rest.to_owned()));
     for size in 1..=text.len() {
-        assert_eq!(decode(framing, text, size), expected, "in steps of {size}");
+        assert_eq!(decode(framing, text, size), expected, "in pieces of {size} bytes");
     }
 }
 
 #[test]
-fn endless_lines_are_rejected() {
+fn overlong_chunk_size_line_is_rejected() {
     let (mut decoder, mut buffer) = (BodyDecoder::new(Framing::Chunked), BytesMut::new());
     buffer.extend_from_slice(&[b'1'; 300]);
     assert!(decoder.decode(&mut buffer).is_err());
--- a/crates/proxy/src/http/framing.rs
+++ b/crates/proxy/src/http/framing.rs
@@ -1,30 +1,31 @@
-//! The framing of bodies (RFC 9112, section 6). Messages with ambiguous framing are rejected: a peer that reads them differently
-//! would see another request inside the body (request smuggling).
+//! The framing of message bodies (RFC 9112, section 6). Messages with ambiguous framing are rejected, since
+//! they allow request smuggling: a peer that interprets them differently would read part of a body as another
+//! request.
 
 use crate::http::head::{Headers, RequestHead, ResponseHead};
 
-/// The most digits of a `Content-Length`.
-const MAX_LENGTH_DIGITS: usize = 15;
+/// The maximum number of digits in a `Content-Length`.
+const MAX_CONTENT_LENGTH_DIGITS: usize = 15;
 
-/// How a body ends.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is no body.
+    /// The message has no body.
     Empty,
-    /// After this many bytes.
+    /// The body ends after this many bytes.
     Length(u64),
-    /// With an empty chunk.
+    /// The body is chunked and ends with an empty chunk.
     Chunked,
-    /// With the orderly close of the connection; responses only.
-    UntilEnd,
+    /// The body ends with the orderly close of the connection. Responses only.
+    CloseDelimited,
 }
 
 /// The framing is ambiguous or invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the length of the body is ambiguous")]
+#[error("the message framing is ambiguous or invalid")]
 pub struct FramingError;
 
-/// The framing of a request's body.
+/// Determines the framing of the body of a request.
 pub fn request_framing(head: &RequestHead) -> Result<Framing, FramingError> {
     match (is_chunked(&head.headers, head.is_http10)?, content_length(&head.headers)?) {
         (true, None) => Ok(Framing::Chunked),
@@ -34,8 +35,9 @@
     }
 }
 
-/// The framing of a response's body; `to_head` for the response to a `HEAD` request. Without a length the body ends with the
-/// connection: it is complete at an orderly close, and broken off at a reset.
+/// Determines the framing of the body of a response; `to_head` is set for the response to a `HEAD` request. A
+/// body without a length is delimited by the close of the connection: it is complete after an orderly close
+/// and truncated after a reset.
 pub fn response_framing(head: &ResponseHead, to_head: bool) -> Result<Framing, FramingError> {
     let (chunked, length) = (is_chunked(&head.headers, head.is_http10)?, content_length(&head.headers)?);
     if to_head || matches!(head.status, 204 | 304) {
@@ -45,7 +47,7 @@
         (true, None) => Ok(Framing::Chunked),
         (false, Some(0)) => Ok(Framing::Empty),
         (false, Some(length)) => Ok(Framing::Length(length)),
-        (false, None) => Ok(Framing::UntilEnd),
+        (false, None) => Ok(Framing::CloseDelimited),
         (true, Some(_)) => Err(FramingError),
     }
 }
@@ -66,7 +68,7 @@
     let Some(value) = values.next() else { return Ok(None) };
     let value = value.trim_ascii();
     let is_number =
-        !value.is_empty() && value.len() <= MAX_LENGTH_DIGITS && value.iter().all(u8::is_ascii_digit);
+        !value.is_empty() && value.len() <= MAX_CONTENT_LENGTH_DIGITS && value.iter().all(u8::is_ascii_digit);
     if values.next().is_some() || !is_number {
         return Err(FramingError);
     }
--- a/crates/proxy/src/http/head.rs
+++ b/crates/proxy/src/http/head.rs
@@ -1,34 +1,34 @@
-//! Heads of requests and responses: the raw bytes, and the spans of their fields.
+//! The heads of requests and responses, stored as raw bytes and the spans of their fields.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most fields of a head.
+/// The maximum number of header fields in a head.
 const MAX_FIELDS: usize = 96;
 
 /// Why a head was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HeadError {
-    /// The bytes are no head of HTTP/1.
-    #[error("not a head of HTTP/1")]
+    /// The bytes are not a head of an HTTP/1 message.
+    #[error("not a valid HTTP/1 message head")]
     Malformed,
-    /// It has more than 96 fields.
-    #[error("too many fields")]
+    /// The head has more than 96 header fields.
+    #[error("more than {MAX_FIELDS} header fields")]
     TooManyFields,
 }
 
-/// A range of the raw bytes.
+/// A range in the raw bytes of a head.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Span {
     start: u32,
     end: u32,
 }
 
-/// The fields of a head, in order.
+/// The header fields of a head, in order.
 #[derive(Clone, Debug, Default)]
 pub struct Headers {
-    /// The bytes of the complete head.
+    /// The raw bytes of the complete head.
     raw: Bytes,
-    /// Name and value of each field.
+    /// The name and the value of each field.
     fields: Vec<(Span, Span)>,
 }
 
@@ -37,7 +37,7 @@
         self.raw.get(span.start as usize..span.end as usize).unwrap_or_default()
     }
 
-    /// The size of the complete head, in bytes.
+    /// Returns the size of the complete head, in bytes.
     pub fn size(&self) -> usize {
         self.raw.len()
     }
@@ -46,32 +46,34 @@
         std::str::from_utf8(self.bytes(span)).unwrap_or_default()
     }
 
-    /// Name and value of all fields.
+    /// Iterates over the names and values of all fields.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         self.fields.iter().map(|(name, value)| (self.text(*name), self.bytes(*value)))
     }
 
-    /// The values of all fields with a name, in order.
+    /// Iterates over the values of all fields with a name, in order.
     pub fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a [u8]> + 'a {
         self.iter().filter(move |(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// The value of the first field with a name.
+    /// Returns the value of the first field with a name.
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         self.iter().find(|(other, _)| other.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// The trimmed value of the first field with a name; `None` if it is no UTF-8.
+    /// Returns the trimmed value of the first field with a name, or `None` if there is no such field or its
+    /// value is not valid UTF-8.
     pub fn get_text(&self, name: &str) -> Option<&str> {
         self.get(name).and_then(|value| std::str::from_utf8(value).ok()).map(str::trim)
     }
 
-    /// Whether there is a field with a name.
+    /// Returns whether there is a field with a name.
     pub fn has(&self, name: &str) -> bool {
         self.get(name).is_some()
     }
 
-    /// Whether one of the comma-separated items of the fields with a name is `token`, in any case.
+    /// Returns whether one of the comma-separated items of the fields with a name equals `token`, ignoring
+    /// case.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).any(|value| {
             value
@@ -84,26 +86,26 @@
 /// The head of a request.
 #[derive(Clone, Debug, Default)]
 pub struct RequestHead {
-    /// The fields.
+    /// The header fields.
     pub headers: Headers,
     method: Span,
     target: Span,
-    /// Whether it is HTTP/1.0.
+    /// Whether the message is HTTP/1.0.
     pub is_http10: bool,
 }
 
 impl RequestHead {
-    /// The method.
+    /// Returns the method.
     pub fn method(&self) -> &str {
         self.headers.text(self.method)
     }
 
-    /// The path with its query, as it was sent.
+    /// Returns the path with its query, as it was sent.
     pub fn target(&self) -> &str {
         self.headers.text(self.target)
     }
 
-    /// Whether the connection is to be closed behind the response.
+    /// Returns whether the client wants the connection to be closed after the response.
     pub fn wants_close(&self) -> bool {
         self.is_http10 || self.headers.has_token("connection", "close")
     }
@@ -112,33 +114,34 @@
 /// The head of a response.
 #[derive(Clone, Debug, Default)]
 pub struct ResponseHead {
-    /// The fields.
+    /// The header fields.
     pub headers: Headers,
-    /// The status.
+    /// The status code.
     pub status: u16,
     reason: Span,
-    /// Whether it is HTTP/1.0.
+    /// Whether the message is HTTP/1.0.
     pub is_http10: bool,
 }
 
 impl ResponseHead {
-    /// The reason phrase.
+    /// Returns the reason phrase.
     pub fn reason(&self) -> &str {
         self.headers.text(self.reason)
     }
 
-    /// Whether the server closes the connection behind it.
-    pub fn says_close(&self) -> bool {
+    /// Returns whether the server closes the connection after this response.
+    pub fn closes_connection_after(&self) -> bool {
         self.is_http10 || self.headers.has_token("connection", "close")
     }
 
-    /// Whether the status is 2xx.
+    /// Returns whether the status code is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 }
 
-/// Takes the head of a request off the front of `buffer`; `None` while it is incomplete.
+/// Parses the head of a request and removes it from the front of `buffer`. Returns `None` while the head is
+/// incomplete.
 pub fn parse_request(buffer: &mut BytesMut) -> Result<Option<RequestHead>, HeadError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
@@ -157,7 +160,8 @@
     Ok(Some(RequestHead { headers, method, target, is_http10 }))
 }
 
-/// Takes the head of a response off the front of `buffer`; `None` while it is incomplete.
+/// Parses the head of a response and removes it from the front of `buffer`. Returns `None` while the head is
+/// incomplete.
 pub fn parse_response(buffer: &mut BytesMut) -> Result<Option<ResponseHead>, HeadError> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_FIELDS];
     let mut response = httparse::Response::new(&mut fields);
@@ -179,12 +183,14 @@
     }
 }
 
-/// Whether a line ends with LF alone. Peers disagree on those, which allows request smuggling.
+/// Returns whether a line ends with LF alone. Peers interpret such lines differently, which allows request
+/// smuggling.
 fn has_bare_newline(head: &[u8]) -> bool {
     head.windows(2).any(|pair| pair[1] == b'\n' && pair[0] != b'\r') || head.first() == Some(&b'\n')
 }
 
-/// The span of a part of the buffer that starts at `base`. Empty parts need not lie in the buffer.
+/// Returns the span of `part` in the buffer that starts at address `base`. An empty part gets an empty span,
+/// since it need not lie in the buffer.
 fn span(base: usize, part: &[u8]) -> Span {
     if part.is_empty() {
         return Span::default();
--- a/crates/proxy/src/http/mod.rs
+++ b/crates/proxy/src/http/mod.rs
@@ -1,8 +1,9 @@
 //! HTTP/1.1 (RFC 9112), for both sides of the proxy.
 //!
-//! Heads are parsed by `httparse`; framing, bodies and writing are here rather than in an HTTP library, for three needs: an idle
-//! connection holds no buffer, every byte behind a message is noticed, and the writer knows whether the last byte of a request
-//! was sent, without which it must not be retried.
+//! Heads are parsed by `httparse`. Framing, bodies and writing are implemented here instead of by an HTTP
+//! library, for three requirements: an idle connection holds no buffer, every byte received after a message
+//! is detected, and the writer knows whether the last byte of a request has been sent, which decides whether
+//! the request may be retried.
 
 mod body;
 #[cfg(test)]
@@ -15,5 +16,9 @@
 pub use body::{BodyDecoder, BodyError, Decoded};
 pub use framing::{Framing, FramingError, request_framing, response_framing};
 pub use head::{HeadError, RequestHead, ResponseHead, parse_request, parse_response};
-pub use socket::{Fill, fill, is_ended, is_quiet, prepare, read_now};
-pub use write::{chunk, field, is_hop_by_hop, last_chunk, length_field, number};
+pub use socket::{
+    Fill, fill, has_nothing_to_read, is_closed_by_peer, read_without_runtime, set_server_socket_options,
+};
+pub use write::{
+    append_chunk, append_content_length, append_field, append_last_chunk, append_number, is_hop_by_hop,
+};
--- a/crates/proxy/src/http/socket.rs
+++ b/crates/proxy/src/http/socket.rs
@@ -1,4 +1,5 @@
-//! Reads into buffers that exist only while bytes are received, checks of sockets, and their options.
+//! Operations on sockets: reading into buffers that exist only while a message is received, checks for
+//! pending input, and socket options.
 
 use bytes::BytesMut;
 use socket2::{SockRef, TcpKeepalive};
@@ -8,39 +9,40 @@
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::net::TcpStream;
 
-/// The free space that a read gets, in bytes.
+/// The free space that is reserved in the buffer for a read, in bytes.
 const READ_CAPACITY: usize = 2 * 1024;
-/// A connection with unacknowledged bytes breaks after this time. By default a machine without power would hold it for minutes.
+/// The TCP user timeout: the connection fails if sent bytes remain unacknowledged for this long. With the
+/// system's default, a connection to a machine that has lost power would stay open for minutes.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
-/// TCP keep-alive probes start after this idle time.
+/// The idle time after which TCP keep-alive probes start.
 const KEEP_ALIVE_AFTER: Duration = Duration::from_secs(2);
 
 /// The result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fill {
     /// Bytes were received.
-    Bytes,
-    /// The end of the stream.
-    End,
+    Received,
+    /// The peer closed its sending side.
+    Eof,
 }
 
-/// Reads once into `buffer`.
+/// Waits for input and reads once into `buffer`.
 pub async fn fill(stream: &mut (impl AsyncRead + Unpin), buffer: &mut BytesMut) -> io::Result<Fill> {
     if buffer.capacity() - buffer.len() < READ_CAPACITY / 4 {
         buffer.reserve(READ_CAPACITY);
     }
     let read = stream.read_buf(buffer).await?;
-    Ok(if read == 0 { Fill::End } else { Fill::Bytes })
+    Ok(if read == 0 { Fill::Eof } else { Fill::Received })
 }
 
-/// Whether there is nothing to read, not even the end of the connection.
-pub fn is_quiet(socket: &TcpStream) -> bool {
+/// Returns whether there is nothing to read, neither bytes nor the end of the stream or a reset.
+pub fn has_nothing_to_read(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit(); 1];
     SockRef::from(socket).peek(&mut byte).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
 }
 
-/// Whether the end of the connection, or a reset, is next to read.
-pub fn is_ended(socket: &TcpStream) -> bool {
+/// Returns whether the next read would return the end of the stream or a reset.
+pub fn is_closed_by_peer(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit(); 1];
     match SockRef::from(socket).peek(&mut byte) {
         Ok(length) => length == 0,
@@ -48,14 +50,15 @@
     }
 }
 
-/// Reads what was received, without asking the runtime, which may not have polled the socket yet.
-pub fn read_now(socket: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
+/// Reads available bytes directly from the socket. The runtime may not have polled the socket yet, and would
+/// then report nothing to read.
+pub fn read_without_runtime(socket: &TcpStream, bytes: &mut [u8]) -> io::Result<usize> {
     (&*SockRef::from(socket)).read(bytes)
 }
 
-/// Sets the options of a connection to a server. Errors are ignored: without an option responses are slower, or unresponsive peers
-/// are detected later.
-pub fn prepare(socket: &TcpStream) {
+/// Sets the socket options of a connection to a server. Errors are ignored: without one of the options,
+/// responses are slower or unresponsive peers are detected later.
+pub fn set_server_socket_options(socket: &TcpStream) {
     drop(socket.set_nodelay(true));
     let socket = SockRef::from(socket);
     drop(socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT)));
--- a/crates/proxy/src/http/write.rs
+++ b/crates/proxy/src/http/write.rs
@@ -1,8 +1,8 @@
-//! Encodes parts of messages into a buffer.
+//! Functions that append the parts of an HTTP message to a buffer.
 
 use std::io::Write;
 
-/// Fields that concern one connection only, and are never forwarded (RFC 9110, section 7.6.1).
+/// Hop-by-hop header fields, which apply to one connection and are never forwarded (RFC 9110, section 7.6.1).
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -15,44 +15,44 @@
     "upgrade",
 ];
 
-/// Whether a field concerns one connection only.
+/// Returns whether a header field is hop-by-hop.
 pub fn is_hop_by_hop(name: &str) -> bool {
     HOP_BY_HOP.iter().any(|other| other.eq_ignore_ascii_case(name))
 }
 
-/// Appends a field.
-pub fn field(out: &mut Vec<u8>, name: &str, value: &[u8]) {
+/// Appends a header field.
+pub fn append_field(out: &mut Vec<u8>, name: &str, value: &[u8]) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
     out.extend_from_slice(value);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a number in decimal.
-pub fn number(out: &mut Vec<u8>, number: u64) {
-    // Writing to a vector does not fail.
+/// Appends a number in decimal notation.
+pub fn append_number(out: &mut Vec<u8>, number: u64) {
+    // Writing to a vector cannot fail.
     drop(write!(out, "{number}"));
 }
 
-/// Appends `Content-Length`.
-pub fn length_field(out: &mut Vec<u8>, length: u64) {
+/// Appends a `Content-Length` field.
+pub fn append_content_length(out: &mut Vec<u8>, length: u64) {
     out.extend_from_slice(b"Content-Length: ");
-    number(out, length);
+    append_number(out, length);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends a chunk. An empty one would end the body, and is omitted.
-pub fn chunk(out: &mut Vec<u8>, data: &[u8]) {
+/// Appends a chunk of a chunked body. An empty chunk would end the body and is omitted.
+pub fn append_chunk(out: &mut Vec<u8>, data: &[u8]) {
     if data.is_empty() {
         return;
     }
-    // Writing to a vector does not fail.
+    // Writing to a vector cannot fail.
     drop(write!(out, "{:x}\r\n", data.len()));
     out.extend_from_slice(data);
     out.extend_from_slice(b"\r\n");
 }
 
-/// Appends the end of a chunked body.
-pub fn last_chunk(out: &mut Vec<u8>) {
+/// Appends the last chunk, which ends a chunked body.
+pub fn append_last_chunk(out: &mut Vec<u8>) {
     out.extend_from_slice(b"0\r\n\r\n");
 }
--- a/crates/proxy/src/inbound/connection.rs
+++ b/crates/proxy/src/inbound/connection.rs
@@ -1,9 +1,9 @@
-//! One connection of a client: its requests, one after the other.
+//! A client connection, which serves its requests one after the other.
 
 use crate::http::{self, Fill};
 use crate::inbound::connections::ConnectionSlot;
 use crate::inbound::request::ClientRequest;
-use crate::inbound::request_reader::{BodyReservation, ReadEnd, RequestReader};
+use crate::inbound::request_reader::{BodyReservation, ReadFailure, RequestReader};
 use crate::inbound::response_writer::{ResponseEnd, ResponseWriter};
 use crate::stack::service;
 use crate::state::ProxyState;
@@ -17,25 +17,27 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::time::{Instant, timeout_at};
 
-/// After a response that closes the connection, what the client still sends is read and discarded for this long and up to this
-/// many bytes (a lingering close). Closing with unread bytes would reset the connection, and the client could lose the response.
+/// The maximum duration of a lingering close: after a response that closes the connection, bytes that the
+/// client still sends are read and discarded. Closing the socket with unread bytes would reset the
+/// connection, and the client could lose the response.
 const LINGER_TIME: Duration = Duration::from_millis(500);
-const LINGER_BYTES: usize = 256 * 1024;
+/// The maximum number of bytes that a lingering close discards.
+const MAX_LINGER_BYTES: usize = 256 * 1024;
 
-/// Serves the connection until it closes.
+/// Serves a connection until it closes.
 pub async fn serve(state: &Rc<ProxyState>, mut stream: TcpStream, slot: &ConnectionSlot) {
     let (read, mut write) = stream.split();
     let mut reader = RequestReader::new(read);
     loop {
         slot.idle_since.set(Some(Instant::now()));
-        // Boxed, so that an idle connection doesn't hold the large future of a request.
+        // Boxed, so that a connection between requests does not hold the large future of a request.
         let served = Box::pin(serve_request(state, &mut reader, &mut write, slot)).await;
         match served {
             Ok(ResponseEnd::Complete) => {}
             Ok(ResponseEnd::Incomplete) => return,
             Ok(ResponseEnd::CompleteAndClose) => return linger(reader.into_read_half(), &mut write).await,
-            Err(ReadEnd::Disconnected) => return,
-            Err(ReadEnd::Error(error)) => {
+            Err(ReadFailure::Disconnected) => return,
+            Err(ReadFailure::Rejected(error)) => {
                 state.metrics.record_request(RequestOutcome::Rejected(error));
                 spdlog::debug!("request outcome={}", error.name());
                 ResponseWriter::closing(&mut write, state).write_error(error).await;
@@ -45,10 +47,10 @@
     }
 }
 
-/// Reads one request and serves it, until its client disconnects.
+/// Reads one request and serves it. The request is cancelled if its client disconnects.
 async fn serve_request(
     state: &Rc<ProxyState>, reader: &mut RequestReader<'_>, write: &mut WriteHalf<'_>, slot: &ConnectionSlot,
-) -> Result<ResponseEnd, ReadEnd> {
+) -> Result<ResponseEnd, ReadFailure> {
     let limits = state.limits();
     let arrived = reader.wait_for_request(&limits, slot).await?;
     slot.idle_since.set(None);
@@ -60,13 +62,14 @@
     let request = ClientRequest { head, body: body.unwrap_or_default(), has_body, arrived };
     let trace = RequestTrace::default();
     let _guard = TraceGuard::new(&trace, state, &request);
-    // The client's close may have come with the request, as if this process was busy or paused.
+    // The client may have closed the connection right after the request, while this process was busy or
+    // paused.
     if reader.is_disconnected() {
         trace.finish(state, &request, RequestOutcome::ClientDisconnected);
-        return Err(ReadEnd::Disconnected);
+        return Err(ReadFailure::Disconnected);
     }
     let mut writer = ResponseWriter::new(write, state, &request.head, &trace);
-    if slot.is_closing() {
+    if slot.is_close_requested() {
         writer.announce_close();
     }
     tokio::select! {
@@ -77,23 +80,24 @@
             }
             Ok(end)
         }
-        () = reader.disconnected() => {
+        () = reader.wait_for_disconnect() => {
             trace.finish(state, &request, RequestOutcome::ClientDisconnected);
-            Err(ReadEnd::Disconnected)
+            Err(ReadFailure::Disconnected)
         }
     }
 }
 
-/// Shuts the writing side down, and discards what is still received.
+/// Closes the connection after its last response: shuts down the writing side, and discards what the client
+/// still sends.
 async fn linger(mut read: ReadHalf<'_>, write: &mut WriteHalf<'_>) {
     if write.shutdown().await.is_err() {
         return;
     }
     let deadline = Instant::now() + LINGER_TIME;
     let (mut buffer, mut discarded) = (BytesMut::new(), 0);
-    while discarded < LINGER_BYTES {
+    while discarded < MAX_LINGER_BYTES {
         match timeout_at(deadline, http::fill(&mut read, &mut buffer)).await {
-            Ok(Ok(Fill::Bytes)) => {
+            Ok(Ok(Fill::Received)) => {
                 discarded += buffer.len();
                 buffer.clear();
             }
--- a/crates/proxy/src/inbound/connections_tests.rs
+++ b/crates/proxy/src/inbound/connections_tests.rs
@@ -1,4 +1,4 @@
-//! Which connections of clients are asked to close, and what becomes of a request that crosses this.
+//! Which client connections are asked to close, and how a request is served that arrives at the same time.
 
 use crate::inbound::connection;
 use crate::inbound::connections::ClientConnections;
@@ -11,7 +11,7 @@
 const MIN_IDLE: Duration = Duration::from_secs(5);
 
 #[tokio::test(start_paused = true)]
-async fn connections_that_were_idle_for_the_least_time_are_asked_to_close() {
+async fn connections_idle_for_the_minimum_time_are_asked_to_close() {
     let connections = ClientConnections::new(0);
     let (_, first) = connections.register();
     let (_, busy) = connections.register();
@@ -19,31 +19,31 @@
     advance(MIN_IDLE - Duration::from_millis(1)).await;
     let (_, fresh) = connections.register();
     connections.close_idle(MIN_IDLE);
-    assert!(!first.is_closing(), "a millisecond too soon");
+    assert!(!first.is_close_requested(), "one millisecond too early");
     advance(Duration::from_millis(1)).await;
     connections.close_idle(MIN_IDLE);
-    assert!(first.is_closing());
+    assert!(first.is_close_requested());
     advance(Duration::from_millis(1)).await;
-    assert!(!busy.is_closing() && !fresh.is_closing());
+    assert!(!busy.is_close_requested() && !fresh.is_close_requested());
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_idle_connection_is_evicted_once_the_idlest_first() {
+async fn idle_connections_are_evicted_once_each_longest_idle_first() {
     let connections = ClientConnections::new(0);
     let (_, first) = connections.register();
     advance(Duration::from_millis(1)).await;
     let (_, second) = connections.register();
-    assert!(connections.evict_idlest());
-    assert!(first.is_closing() && !second.is_closing());
-    assert!(connections.evict_idlest());
-    assert!(second.is_closing());
-    assert!(!connections.evict_idlest(), "nobody else is idle");
+    assert!(connections.evict_longest_idle());
+    assert!(first.is_close_requested() && !second.is_close_requested());
+    assert!(connections.evict_longest_idle());
+    assert!(second.is_close_requested());
+    assert!(!connections.evict_longest_idle(), "no other connection is idle");
 }
 
-/// The request is in the buffer of the socket when its connection is evicted. It is served, and its client learns that it must
-/// not send another one: that would meet the close.
+/// The request is already in the socket's receive buffer when its connection is evicted. It must be served,
+/// and the response must announce the close, since a further request on this connection would fail.
 #[tokio::test]
-async fn request_that_crosses_an_eviction_is_answered_with_the_close() {
+async fn request_received_during_eviction_is_served_and_its_response_announces_the_close() {
     let listener = listener().await;
     let address = listener.local_addr().expect("an address");
     let mut client = TcpStream::connect(address).await.expect("a connection");
@@ -52,7 +52,7 @@
     let (_, slot) = connections.register();
     client.write_all(b"GET /ping HTTP/1.1\r\nHost: x\r\nRequest-Id: r1\r\n\r\n").await.expect("a write");
     stream.readable().await.expect("the request");
-    assert!(connections.evict_idlest());
+    assert!(connections.evict_longest_idle());
     let state = state(address);
     let mut received = String::new();
     let (_, read) =
--- a/crates/proxy/src/inbound/error_response.rs
+++ b/crates/proxy/src/inbound/error_response.rs
@@ -1,48 +1,50 @@
-//! Errors of requests, and the responses that the proxy itself gives for them.
+//! The errors for which the proxy itself responds to a request, and their responses.
 
-use crate::http::{field, length_field, number};
+use crate::http::{append_content_length, append_field, append_number};
 use std::time::Duration;
 
 #[cfg(test)]
 #[path = "error_response_tests.rs"]
 mod error_response_tests;
 
-/// `Retry-After` where nothing is available: the process has just started, or the service has no servers. The endpoint list and
-/// the configuration arrive within a second or two, also after the complete system has restarted; a client that comes back too
-/// soon has one retry less.
-const RETRY_WHEN_ABSENT: Duration = Duration::from_millis(1_200);
-/// `Retry-After` where all servers are saturated.
-const RETRY_WHEN_SATURATED: Duration = Duration::from_millis(150);
-/// `Retry-After` where the deadline has passed: the client has hardly any time left.
-const RETRY_AT_ONCE: Duration = Duration::from_millis(50);
+/// `Retry-After` if there is no configuration or no available server, as just after the start of the process.
+/// The endpoint list and the configuration arrive within one or two seconds, even after a restart of the
+/// whole system. A client that retries earlier wastes one of its retries.
+const RETRY_AFTER_UNAVAILABLE: Duration = Duration::from_millis(1_200);
+/// `Retry-After` if all servers are saturated.
+const RETRY_AFTER_SATURATED: Duration = Duration::from_millis(150);
+/// `Retry-After` if the deadline has passed: the client has hardly any time left.
+const RETRY_AFTER_DEADLINE: Duration = Duration::from_millis(50);
 
-/// Why the proxy answers a request itself.
+/// Why the proxy itself responds to a request.
 ///
-/// The statuses 408 and 503 promise the client that no server has executed the request, so that it may retry any request.
+/// The status codes 408 and 503 guarantee to the client that no server has executed the request, so that it
+/// may retry any request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The bytes are no request, or the length of its body is ambiguous.
+    /// The received bytes are not a valid request, or its framing is ambiguous.
     #[error("malformed request")]
     Malformed,
-    /// The head is larger than the configuration allows.
+    /// The head is larger than the configuration allows, or has too many header fields.
     #[error("request head too large")]
     HeadTooLarge,
     /// The body is larger than the configuration allows.
     #[error("request body too large")]
     BodyTooLarge,
-    /// The request was not received completely in time.
+    /// The client took too long to send the complete request.
     #[error("request was received too slowly")]
     RequestTimeout,
-    /// No route matches.
+    /// No route matches the request.
     #[error("no route")]
     NoRoute,
-    /// There is no configuration yet.
+    /// No configuration has been received yet.
     #[error("no configuration")]
     NotReady,
     /// No server is available. The request was not executed.
     #[error("no server available")]
     Unavailable,
-    /// The servers, this proxy's memory, or the retry budget are exhausted. The request was not executed.
+    /// The servers, this proxy's memory for bodies, or the retry budget are exhausted. The request was not
+    /// executed.
     #[error("saturated")]
     Saturated,
     /// The deadline has passed. The request was not executed.
@@ -56,16 +58,17 @@
     BadGateway,
 }
 
-/// The response to an error.
+/// The response for an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ErrorResponse {
-    /// The status.
+    /// The status code.
     pub status: u16,
     /// The reason phrase.
     pub reason: &'static str,
-    /// When the client may retry.
+    /// The delay after which the client may retry, sent as `Retry-After`.
     pub retry_after: Option<Duration>,
-    /// Whether the connection is closed behind the response, since what follows on it can't be parsed.
+    /// Whether the connection is closed after the response, since the bytes that follow on it can't be
+    /// parsed.
     pub closes_connection: bool,
 }
 
@@ -99,7 +102,7 @@
         RequestError::BadGateway,
     ];
 
-    /// The response to this error.
+    /// Returns the response for this error.
     pub fn response(self) -> ErrorResponse {
         match self {
             RequestError::Malformed => ErrorResponse::closing(400, "Bad Request"),
@@ -108,16 +111,17 @@
             RequestError::RequestTimeout => ErrorResponse::closing(408, "Request Timeout"),
             RequestError::NoRoute => ErrorResponse::new(404, "Not Found"),
             RequestError::NotReady | RequestError::Unavailable => {
-                ErrorResponse::unavailable(RETRY_WHEN_ABSENT)
+                ErrorResponse::unavailable(RETRY_AFTER_UNAVAILABLE)
             }
-            RequestError::Saturated => ErrorResponse::unavailable(RETRY_WHEN_SATURATED),
-            RequestError::DeadlineBeforeExecution => ErrorResponse::unavailable(RETRY_AT_ONCE),
+            RequestError::Saturated => ErrorResponse::unavailable(RETRY_AFTER_SATURATED),
+            RequestError::DeadlineBeforeExecution => ErrorResponse::unavailable(RETRY_AFTER_DEADLINE),
             RequestError::DeadlineExceeded => ErrorResponse::new(504, "Gateway Timeout"),
             RequestError::BadGateway => ErrorResponse::new(502, "Bad Gateway"),
         }
     }
 
-    /// The name in metrics and logs. The names are fixed: alarms use them.
+    /// Returns the name in metrics and logs. The names must not change, since operators' alarms depend on
+    /// them.
     pub fn name(self) -> &'static str {
         match self {
             RequestError::Malformed => "malformed",
@@ -134,25 +138,26 @@
         }
     }
 
-    /// Writes the complete response. `jitter`, from 0 to 1, scales `Retry-After` to 0.5 to 1.5 times its value, lest clients that
-    /// were rejected together come back together.
+    /// Appends the complete response to `out`. `jitter`, from 0 to 1, scales `Retry-After` to 0.5 to 1.5
+    /// times its value, so that clients that were rejected at the same time do not all retry at the same
+    /// time.
     pub fn write(self, out: &mut Vec<u8>, request_id: Option<&[u8]>, close: bool, jitter: f64) {
         let response = self.response();
         out.extend_from_slice(b"HTTP/1.1 ");
-        number(out, response.status.into());
+        append_number(out, response.status.into());
         out.extend_from_slice(b" ");
         out.extend_from_slice(response.reason.as_bytes());
         out.extend_from_slice(b"\r\n");
         if let Some(after) = response.retry_after {
             let seconds = after.as_secs_f64() * (0.5 + jitter);
-            field(out, "Retry-After", format!("{seconds:.3}").as_bytes());
+            append_field(out, "Retry-After", format!("{seconds:.3}").as_bytes());
         }
         if let Some(id) = request_id {
-            field(out, "Request-Id", id);
+            append_field(out, "Request-Id", id);
         }
-        length_field(out, 0);
+        append_content_length(out, 0);
         if close {
-            field(out, "Connection", b"close");
+            append_field(out, "Connection", b"close");
         }
         out.extend_from_slice(b"\r\n");
     }
--- a/crates/proxy/src/inbound/error_response_tests.rs
+++ b/crates/proxy/src/inbound/error_response_tests.rs
@@ -1,12 +1,13 @@
-//! The response to each error.
+//! The response for each error.
 
 use super::RequestError;
 use rstest::rstest;
 
-/// The statuses that promise that the request was not executed and never will be.
+/// The status codes that guarantee that the request was not executed and never will be.
 const UNEXECUTED_STATUSES: [u16; 4] = [408, 421, 429, 503];
 
-/// Each error, with whether the request may have been executed.
+/// Each error has its status code; the last argument of a case is whether the request may have been executed.
+/// If so, the status must not guarantee the opposite.
 #[rstest]
 #[case(RequestError::Malformed, 400, false)]
 #[case(RequestError::HeadTooLarge, 431, false)]
@@ -25,11 +26,15 @@
     let response = error.response();
     assert_eq!(response.status, status);
     assert!(!(may_be_executed && UNEXECUTED_STATUSES.contains(&status)));
-    assert_eq!(response.retry_after.is_some(), status == 503, "a client that may retry is told when");
+    assert_eq!(
+        response.retry_after.is_some(),
+        status == 503,
+        "exactly the 503 responses state when the client may retry"
+    );
     assert_eq!(
         response.closes_connection,
         matches!(status, 400 | 408 | 413 | 431),
-        "what follows can't be read"
+        "the bytes that follow can't be parsed"
     );
 }
 
@@ -39,7 +44,8 @@
     String::from_utf8(out).expect("text")
 }
 
-/// The complete response to each error, byte for byte, with and without a request's id and a close, and the error's name in logs.
+/// The complete response for each error, byte for byte, with and without a request id and `Connection:
+/// close`, and the error's name in logs.
 #[rstest]
 #[case(RequestError::Malformed, "malformed", "400 Bad Request\r\n")]
 #[case(RequestError::HeadTooLarge, "head_too_large", "431 Request Header Fields Too Large\r\n")]
@@ -68,7 +74,7 @@
 #[case(0.0, "0.075")]
 #[case(0.25, "0.112")]
 #[case(0.999, "0.225")]
-fn retry_after_is_spread_by_the_jitter(#[case] jitter: f64, #[case] seconds: &str) {
+fn retry_after_is_scaled_by_the_jitter(#[case] jitter: f64, #[case] seconds: &str) {
     let expected =
         format!("HTTP/1.1 503 Service Unavailable\r\nRetry-After: {seconds}\r\nContent-Length: 0\r\n\r\n");
     assert_eq!(written(RequestError::Saturated, None, false, jitter), expected);
--- a/crates/proxy/src/inbound/listener.rs
+++ b/crates/proxy/src/inbound/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of clients.
+//! Accepts client connections.
 
 use crate::inbound::connection;
 use crate::inbound::connections::ClientConnections;
@@ -8,10 +8,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// The backoff after a failed accept, as when the process has no descriptors left.
+/// The delay after a failed accept, for example when the process has no file descriptors left.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Accepts connections for as long as it is polled.
+/// Accepts and admits connections. Never returns.
 pub async fn listen(state: &Rc<ProxyState>, connections: &Rc<ClientConnections>, listener: &TcpListener) {
     let mut is_failing = false;
     loop {
@@ -22,18 +22,19 @@
                 admit(state, connections, stream);
             }
             Err(error) => {
-                // Logged once, not for each backoff.
+                // Logged once per series of failures, not for each of them.
                 if !std::mem::replace(&mut is_failing, true) {
                     spdlog::warn!("accept outcome=failed error={error}");
                 }
-                connections.evict_idlest();
+                connections.evict_longest_idle();
                 sleep(ACCEPT_BACKOFF).await;
             }
         }
     }
 }
 
-/// Serves the connections that the kernel has accepted by now, also those that the runtime has not polled yet.
+/// Admits the connections that the kernel has already accepted, including those that the runtime has not seen
+/// yet, and closes the listener.
 pub fn admit_accepted(state: &Rc<ProxyState>, connections: &Rc<ClientConnections>, listener: TcpListener) {
     let Ok(listener) = listener.into_std() else { return };
     while connections.has_capacity()
@@ -47,8 +48,9 @@
     }
 }
 
+/// Registers a connection and spawns the task that serves it.
 fn admit(state: &Rc<ProxyState>, connections: &Rc<ClientConnections>, stream: TcpStream) {
-    // Without the option responses are only slower.
+    // The error is ignored: without `TCP_NODELAY` responses are only slower.
     drop(stream.set_nodelay(true));
     state.record_admission();
     let (id, slot) = connections.register();
--- a/crates/proxy/src/inbound/mod.rs
+++ b/crates/proxy/src/inbound/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side: connections, requests, and responses to them.
+//! The client side: connections, requests, and responses.
 
 pub mod connection;
 pub mod connections;
--- a/crates/proxy/src/inbound/request.rs
+++ b/crates/proxy/src/inbound/request.rs
@@ -1,4 +1,4 @@
-//! A client's request.
+//! A complete request of a client.
 
 use crate::http::RequestHead;
 use bytes::Bytes;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The bound on a client's own timeout, in seconds: a day.
+/// The maximum timeout that a client may set, in seconds: one day.
 const MAX_CLIENT_TIMEOUT_SECONDS: f64 = 86_400.0;
 
-/// A request that was received completely.
+/// A request that has been received completely.
 #[derive(Debug)]
 pub struct ClientRequest {
     /// The head.
@@ -23,12 +23,13 @@
 }
 
 impl ClientRequest {
-    /// The `Request-Id`, for logs; `-` without one.
+    /// Returns the `Request-Id` for logs, or `-` if there is none.
     pub fn id(&self) -> &str {
         self.head.headers.get_text("request-id").unwrap_or("-")
     }
 
-    /// How long the client waits for a response, by `Deadline-Ms`; `None` if that is absent or invalid.
+    /// Returns how long the client waits for a response, as stated by `Deadline-Ms`. Returns `None` if the
+    /// header is absent or invalid.
     pub fn client_timeout(&self) -> Option<Duration> {
         let value = self.head.headers.get_text("deadline-ms")?;
         let ms: f64 = value.parse().ok()?;
@@ -36,7 +37,7 @@
         is_valid.then(|| Duration::from_secs_f64((ms / 1e3).min(MAX_CLIENT_TIMEOUT_SECONDS)))
     }
 
-    /// What the request says about its prompt.
+    /// Returns the description of the prompt in the headers of the request.
     pub fn prompt(&self) -> Prompt {
         let headers = &self.head.headers;
         Prompt::parse(headers.get_text("prompt-prefix"), headers.get_text("token-counts"))
--- a/crates/proxy/src/inbound/request_reader.rs
+++ b/crates/proxy/src/inbound/request_reader.rs
@@ -1,4 +1,4 @@
-//! The reading side of a client's connection: requests, and whether the client is still connected.
+//! The reading side of a client connection: reads requests, and detects that the client disconnects.
 
 use crate::http::{self, BodyDecoder, Decoded, Fill, Framing, HeadError, RequestHead, request_framing};
 use crate::inbound::connections::ConnectionSlot;
@@ -11,46 +11,50 @@
 use tokio::net::tcp::{ReadHalf, WriteHalf};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// A connection may be idle this much longer than its limit: clients reuse theirs near the limit.
+/// A connection is closed only after it has been idle for this much longer than the configured timeout, since
+/// clients may still reuse it close to the timeout.
 const IDLE_GRACE: Duration = Duration::from_secs(5);
-/// The least idle timeout, whatever the configuration says.
+/// The minimum idle timeout, which applies if the configured one is shorter.
 const MIN_IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The bytes that are read ahead during a request, to detect whether its client disconnects.
-const MAX_READ_AHEAD: usize = 8 * 1024;
-/// How often a connection is checked for a disconnect whose client has sent more than is read ahead.
+/// The maximum number of bytes that are read ahead while a request is served, to detect that its client
+/// disconnects.
+const MAX_READ_AHEAD_BYTES: usize = 8 * 1024;
+/// The interval of checks for a disconnect if the client has sent more bytes than are read ahead.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The longest time for a complete body, however steadily it comes.
+/// The maximum time to receive a complete body, even if it arrives without long pauses.
 const MAX_BODY_TIME: Duration = Duration::from_secs(60);
-/// The least pause that is allowed inside a head or a body, whatever the configuration says.
+/// The minimum read timeout, in milliseconds, which applies if the configured one is shorter.
 const MIN_READ_TIMEOUT_MS: u64 = 100;
 
 /// Why no further request is read from a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ReadEnd {
-    /// The client disconnected, was idle for too long, or its idle connection was asked to close.
-    #[error("the client disconnected")]
+pub enum ReadFailure {
+    /// The client disconnected, its connection was idle for too long, or its idle connection was asked to
+    /// close.
+    #[error("the client disconnected, or its idle connection was closed")]
     Disconnected,
-    /// What was received can't be served.
+    /// The received request can't be served.
     #[error("{0}")]
-    Error(#[source] RequestError),
+    Rejected(#[source] RequestError),
 }
 
-/// The memory that a request's body takes of what the process allows for bodies. Released by its drop.
+/// A reservation in the process's memory for request bodies. Dropping it releases the memory.
 pub struct BodyReservation<'a> {
     state: &'a ProxyState,
     bytes: u64,
 }
 
 impl<'a> BodyReservation<'a> {
-    /// A reservation of no bytes.
+    /// Creates a reservation of zero bytes.
     pub fn new(state: &'a ProxyState) -> BodyReservation<'a> {
         BodyReservation { state, bytes: 0 }
     }
 
-    /// Reserves more bytes.
-    fn extend(&mut self, bytes: usize) -> Result<(), ReadEnd> {
+    /// Reserves more bytes, or fails with [`RequestError::Saturated`] if they are not available.
+    fn extend(&mut self, bytes: usize) -> Result<(), ReadFailure> {
         let free = self.state.free_body_bytes.get();
-        let remaining = free.checked_sub(bytes as u64).ok_or(ReadEnd::Error(RequestError::Saturated))?;
+        let remaining =
+            free.checked_sub(bytes as u64).ok_or(ReadFailure::Rejected(RequestError::Saturated))?;
         self.state.free_body_bytes.set(remaining);
         self.bytes += bytes as u64;
         Ok(())
@@ -63,184 +67,197 @@
     }
 }
 
-/// Reads the requests of one client.
+/// Reads the requests of one client connection.
 pub struct RequestReader<'a> {
     read: ReadHalf<'a>,
     buffer: BytesMut,
-    /// When the first bytes behind the request in progress were received: the time of the next request runs from then.
+    /// When the first bytes after the request in progress were received. They belong to the next request,
+    /// which counts as arrived at that time.
     read_ahead_since: Option<Instant>,
 }
 
 impl<'a> RequestReader<'a> {
-    /// A reader for one connection.
+    /// Creates a reader for one connection.
     pub fn new(read: ReadHalf<'a>) -> RequestReader<'a> {
         RequestReader { read, buffer: BytesMut::new(), read_ahead_since: None }
     }
 
-    /// The reading side of the connection, without what was read ahead.
+    /// Returns the reading side of the connection. Bytes that were read ahead are dropped.
     pub fn into_read_half(self) -> ReadHalf<'a> {
         self.read
     }
 
-    /// Waits for a request. Returns when its first bytes were received.
+    /// Waits for a request, and returns the time at which its first bytes were received.
     pub async fn wait_for_request(
         &mut self, limits: &Limits, slot: &ConnectionSlot,
-    ) -> Result<Instant, ReadEnd> {
+    ) -> Result<Instant, ReadFailure> {
         if self.buffer.is_empty() {
-            // An idle connection holds no buffer.
+            // Frees the buffer while the connection is idle.
             self.buffer = BytesMut::new();
             self.wait_readable(limits, slot).await?;
         }
         Ok(self.read_ahead_since.take().unwrap_or_else(Instant::now))
     }
 
-    /// Waits for the first byte of a request.
-    async fn wait_readable(&mut self, limits: &Limits, slot: &ConnectionSlot) -> Result<(), ReadEnd> {
+    /// Waits for the first byte of a request, until the idle timeout or a request to close.
+    async fn wait_readable(&mut self, limits: &Limits, slot: &ConnectionSlot) -> Result<(), ReadFailure> {
         let timeout = Duration::from_millis(limits.idle_timeout_ms).max(MIN_IDLE_TIMEOUT) + IDLE_GRACE;
         let deadline = Instant::now() + timeout;
         tokio::select! {
             biased;
-            ready = self.read.readable() => ready.map_err(|_| ReadEnd::Disconnected),
-            () = slot.wait_for_close_request() => self.close_if_quiet(),
-            () = sleep_until(deadline) => self.close_if_quiet(),
+            ready = self.read.readable() => ready.map_err(|_| ReadFailure::Disconnected),
+            () = slot.wait_for_close_request() => self.close_unless_readable(),
+            () = sleep_until(deadline) => self.close_unless_readable(),
         }
     }
 
-    /// Closes the connection, unless a request has just arrived, which is served first.
-    fn close_if_quiet(&self) -> Result<(), ReadEnd> {
-        if http::is_quiet(self.read.as_ref()) { Err(ReadEnd::Disconnected) } else { Ok(()) }
+    /// Ends the connection unless a request has just arrived, which is served first.
+    fn close_unless_readable(&self) -> Result<(), ReadFailure> {
+        if http::has_nothing_to_read(self.read.as_ref()) { Err(ReadFailure::Disconnected) } else { Ok(()) }
     }
 
     /// Reads the head of a request.
     ///
     /// # Errors
-    /// The head is malformed, too large or too slow, or the client disconnected.
-    pub async fn read_head(&mut self, limits: &Limits) -> Result<RequestHead, ReadEnd> {
+    /// The head is malformed or too large, was not received in time, or the client disconnected.
+    pub async fn read_head(&mut self, limits: &Limits) -> Result<RequestHead, ReadFailure> {
         let deadline = Instant::now() + read_timeout(limits);
         let max = limits.max_header_bytes;
         loop {
             if !self.buffer.is_empty() {
                 match http::parse_request(&mut self.buffer) {
                     Ok(Some(head)) if head.headers.size() > max => {
-                        return Err(ReadEnd::Error(RequestError::HeadTooLarge));
+                        return Err(ReadFailure::Rejected(RequestError::HeadTooLarge));
                     }
                     Ok(Some(head)) => return Ok(head),
                     Ok(None) if self.buffer.len() > max => {
-                        return Err(ReadEnd::Error(RequestError::HeadTooLarge));
+                        return Err(ReadFailure::Rejected(RequestError::HeadTooLarge));
                     }
                     Ok(None) => {}
-                    Err(HeadError::TooManyFields) => return Err(ReadEnd::Error(RequestError::HeadTooLarge)),
-                    Err(HeadError::Malformed) => return Err(ReadEnd::Error(RequestError::Malformed)),
+                    Err(HeadError::TooManyFields) => {
+                        return Err(ReadFailure::Rejected(RequestError::HeadTooLarge));
+                    }
+                    Err(HeadError::Malformed) => return Err(ReadFailure::Rejected(RequestError::Malformed)),
                 }
             }
             let has_begun = !self.buffer.is_empty();
-            let on_timeout =
-                if has_begun { ReadEnd::Error(RequestError::RequestTimeout) } else { ReadEnd::Disconnected };
+            let on_timeout = if has_begun {
+                ReadFailure::Rejected(RequestError::RequestTimeout)
+            } else {
+                ReadFailure::Disconnected
+            };
             self.read_more(deadline, on_timeout).await?;
         }
     }
 
-    /// Reads the complete body of a request, until `deadline`; `None` if none was announced. Its bytes are added to the
-    /// reservation.
+    /// Reads the complete body of a request, until `deadline`. Returns `None` if no body was announced. The
+    /// bytes of the body are added to the reservation.
     ///
     /// # Errors
-    /// The body is malformed, too large or too slow, the memory for bodies is used up, or the client disconnected.
+    /// The body is malformed or too large, was not received in time, exceeds the available memory for bodies,
+    /// or the client disconnected.
     pub async fn read_body(
         &mut self, write: &mut WriteHalf<'_>, head: &RequestHead, limits: &Limits, deadline: Option<Instant>,
         reservation: &mut BodyReservation<'_>,
-    ) -> Result<Option<Bytes>, ReadEnd> {
-        let framing = request_framing(head).map_err(|_| ReadEnd::Error(RequestError::Malformed))?;
+    ) -> Result<Option<Bytes>, ReadFailure> {
+        let framing = request_framing(head).map_err(|_| ReadFailure::Rejected(RequestError::Malformed))?;
         match framing {
             Framing::Empty if !head.headers.has("content-length") => return Ok(None),
             Framing::Length(length) if length > limits.max_body_bytes as u64 => {
-                return Err(ReadEnd::Error(RequestError::BodyTooLarge));
+                return Err(ReadFailure::Rejected(RequestError::BodyTooLarge));
             }
             _ => {}
         }
         let decoder = BodyDecoder::new(framing);
         if self.buffer.is_empty() && !decoder.is_done() && head.headers.has_token("expect", "100-continue") {
             let written = write.write_all(b"HTTP/1.1 100 Continue\r\n\r\n").await;
-            written.map_err(|_| ReadEnd::Disconnected)?;
+            written.map_err(|_| ReadFailure::Disconnected)?;
         }
         self.receive_body(decoder, limits, deadline, reservation).await.map(Some)
     }
 
+    /// Receives and decodes the complete body.
     async fn receive_body(
         &mut self, mut decoder: BodyDecoder, limits: &Limits, deadline: Option<Instant>,
         reservation: &mut BodyReservation<'_>,
-    ) -> Result<Bytes, ReadEnd> {
-        let latest = Instant::now() + MAX_BODY_TIME;
-        let latest = deadline.map_or(latest, |deadline| latest.min(deadline));
+    ) -> Result<Bytes, ReadFailure> {
+        let max_deadline = Instant::now() + MAX_BODY_TIME;
+        let max_deadline = deadline.map_or(max_deadline, |deadline| max_deadline.min(deadline));
         let mut body = BytesMut::new();
         loop {
             let decoded = decoder.decode(&mut self.buffer);
-            match decoded.map_err(|_| ReadEnd::Error(RequestError::Malformed))? {
+            match decoded.map_err(|_| ReadFailure::Rejected(RequestError::Malformed))? {
                 Decoded::End => return Ok(body.freeze()),
                 Decoded::Data(data) => {
                     if body.len() + data.len() > limits.max_body_bytes {
-                        return Err(ReadEnd::Error(RequestError::BodyTooLarge));
+                        return Err(ReadFailure::Rejected(RequestError::BodyTooLarge));
                     }
                     reservation.extend(data.len())?;
                     if body.is_empty() && decoder.is_done() {
-                        // The body came at once; it is not copied.
+                        // The complete body was received in one piece and need not be copied.
                         return Ok(data);
                     }
                     body.extend_from_slice(&data);
                 }
-                Decoded::More => {
-                    let deadline = (Instant::now() + read_timeout(limits)).min(latest);
-                    self.read_more(deadline, ReadEnd::Error(RequestError::RequestTimeout)).await?;
+                Decoded::Pending => {
+                    let deadline = (Instant::now() + read_timeout(limits)).min(max_deadline);
+                    self.read_more(deadline, ReadFailure::Rejected(RequestError::RequestTimeout)).await?;
                 }
             }
         }
     }
 
-    /// Reads once, until `deadline`; fails with `on_timeout` if nothing comes.
-    async fn read_more(&mut self, deadline: Instant, on_timeout: ReadEnd) -> Result<(), ReadEnd> {
+    /// Reads once into the buffer. Fails with `on_timeout` if nothing is received until `deadline`.
+    async fn read_more(&mut self, deadline: Instant, on_timeout: ReadFailure) -> Result<(), ReadFailure> {
         match timeout_at(deadline, http::fill(&mut self.read, &mut self.buffer)).await {
-            Ok(Ok(Fill::Bytes)) => Ok(()),
-            Ok(Ok(Fill::End) | Err(_)) => Err(ReadEnd::Disconnected),
+            Ok(Ok(Fill::Received)) => Ok(()),
+            Ok(Ok(Fill::Eof) | Err(_)) => Err(ReadFailure::Disconnected),
             Err(_) => Err(on_timeout),
         }
     }
 
-    /// Whether the client has closed the connection, asked of the socket: the runtime may not have polled it yet. A close behind
-    /// other bytes is not seen here, but by [`RequestReader::disconnected`].
+    /// Returns whether the client has closed the connection. The socket is checked directly, since the
+    /// runtime may not have polled it yet. A close that follows unread bytes is not detected here, but by
+    /// [`RequestReader::wait_for_disconnect`].
     pub fn is_disconnected(&self) -> bool {
-        http::is_ended(self.read.as_ref())
+        http::is_closed_by_peer(self.read.as_ref())
     }
 
-    /// Waits until the client disconnects. What it sends meanwhile is retained for the next request, up to 8 KiB.
-    pub async fn disconnected(&mut self) {
+    /// Waits until the client disconnects. Bytes that it sends in the meantime are kept for the next request,
+    /// up to 8 KiB.
+    pub async fn wait_for_disconnect(&mut self) {
         loop {
             if !self.buffer.is_empty() {
                 self.read_ahead_since.get_or_insert_with(Instant::now);
             }
-            if self.buffer.len() >= MAX_READ_AHEAD {
-                return self.closed_without_read().await;
+            if self.buffer.len() >= MAX_READ_AHEAD_BYTES {
+                return self.wait_for_close_without_reading().await;
             }
             match http::fill(&mut self.read, &mut self.buffer).await {
-                Ok(Fill::Bytes) => {}
-                Ok(Fill::End) | Err(_) => return,
+                Ok(Fill::Received) => {}
+                Ok(Fill::Eof) | Err(_) => return,
             }
         }
     }
 
-    /// Waits until the client disconnects, without reading: the close is behind bytes that are not read yet.
-    async fn closed_without_read(&self) {
+    /// Waits until the client disconnects, without reading, since the close follows bytes that are not read
+    /// yet.
+    async fn wait_for_close_without_reading(&self) {
         while self.read.ready(Interest::READABLE).await.is_ok_and(|ready| !ready.is_read_closed()) {
             sleep(DISCONNECT_CHECK_INTERVAL).await;
         }
     }
 
-    /// Has the close reset the connection: an incomplete HTTP/1.0 response would look complete at an orderly close.
+    /// Makes the close of the socket reset the connection. After an orderly close, an incomplete HTTP/1.0
+    /// response would look complete.
     pub fn reset_on_close(&self) {
-        // Without the option the client can't tell, which is no worse than not trying.
+        // The error is ignored: without the option the client can't detect the truncation, which is no worse
+        // than without the attempt.
         drop(socket2::SockRef::from(self.read.as_ref()).set_linger(Some(Duration::ZERO)));
     }
 }
 
-/// The longest pause inside a head or a body.
+/// Returns the time limit for a head, and for a pause within a body.
 fn read_timeout(limits: &Limits) -> Duration {
     Duration::from_millis(limits.header_timeout_ms.max(MIN_READ_TIMEOUT_MS))
 }
--- a/crates/proxy/src/inbound/response_writer.rs
+++ b/crates/proxy/src/inbound/response_writer.rs
@@ -1,6 +1,9 @@
-//! Writes responses to a client.
+//! The writing side of a client connection.
 
-use crate::http::{RequestHead, ResponseHead, chunk, field, is_hop_by_hop, last_chunk, length_field, number};
+use crate::http::{
+    RequestHead, ResponseHead, append_chunk, append_content_length, append_field, append_last_chunk,
+    append_number, is_hop_by_hop,
+};
 use crate::inbound::error_response::RequestError;
 use crate::state::ProxyState;
 use crate::telemetry::request_trace::RequestTrace;
@@ -11,30 +14,32 @@
 use tokio::net::tcp::WriteHalf;
 use tokio::time::{Instant, timeout_at};
 
-/// How long a client may leave a response unread beyond the deadline of its request.
-const UNREAD_GRACE: Duration = Duration::from_millis(200);
-/// The least time to write an error, or a complete response that is late anyway.
+/// How long after the deadline of its request a client may take to read a complete response.
+const CLIENT_READ_GRACE: Duration = Duration::from_millis(200);
+/// The minimum time to write an error response or a complete response, even if the deadline is near or has
+/// passed.
 const MIN_WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How a response ended.
+/// Whether a response was completed, and whether its connection can be used further.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseEnd {
     /// The response is complete, and the connection may carry another request.
     Complete,
-    /// The response is complete, and the connection closes behind it.
+    /// The response is complete, and the connection must be closed.
     CompleteAndClose,
     /// The response is not complete.
     Incomplete,
 }
 
-/// How a body is framed to the client.
+/// The framing of a body that is sent to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyEncoding {
-    /// `Content-Length`. A response to `HEAD` announces it without a body.
+    /// `Content-Length`. A response to `HEAD` announces the length without having a body.
     Length(u64),
-    /// `Transfer-Encoding: chunked`; for HTTP/1.0 the body ends with the connection.
+    /// `Transfer-Encoding: chunked`. For an HTTP/1.0 client, the body is delimited by the close of the
+    /// connection.
     Chunked,
-    /// No body, and no length either.
+    /// No body and no `Content-Length`.
     Empty,
 }
 
@@ -44,20 +49,20 @@
     state: &'a ProxyState,
     wants_close: bool,
     is_http10: bool,
-    /// The id of the request, which each response of a server carries.
+    /// The id of the request, which the response of a server must carry.
     request_id: Option<&'a [u8]>,
-    /// Whether a head was started; then no error can be written any more.
+    /// Whether a response has been started. After that, no error response can be written.
     has_started: bool,
-    /// The heads that were written; only one is allowed.
-    heads: u32,
-    /// Where the status is recorded.
+    /// The number of heads that have been written. Only one is allowed.
+    head_count: u32,
+    /// The trace in which the status is recorded.
     trace: Option<&'a RequestTrace>,
-    /// Bytes that are written at the next flush.
+    /// Bytes that are written by the next flush.
     buffer: Vec<u8>,
 }
 
 impl<'a, 'b> ResponseWriter<'a, 'b> {
-    /// A writer for the response to one request.
+    /// Creates a writer for the response to one request.
     pub fn new(
         write: &'a mut WriteHalf<'b>, state: &'a ProxyState, head: &'a RequestHead, trace: &'a RequestTrace,
     ) -> Self {
@@ -70,7 +75,8 @@
         }
     }
 
-    /// A writer for the response to bytes that are no request: the connection closes behind it.
+    /// Creates a writer for the response to bytes that are not a valid request. The connection closes after
+    /// it.
     pub fn closing(write: &'a mut WriteHalf<'b>, state: &'a ProxyState) -> Self {
         ResponseWriter {
             write,
@@ -79,60 +85,61 @@
             is_http10: false,
             request_id: None,
             has_started: false,
-            heads: 0,
+            head_count: 0,
             trace: None,
             buffer: Vec::new(),
         }
     }
 
-    /// Has the response announce that the connection closes behind it.
+    /// Makes the response announce that the connection closes after it.
     pub fn announce_close(&mut self) {
         self.wants_close = true;
     }
 
-    /// Records that a head is written, and checks that it is the only one.
+    /// Records that a head is written, and checks that it is the only one for this request.
     fn record_head(&mut self, status: u16) {
         if let Some(trace) = self.trace {
             trace.record_status(status);
         }
-        self.heads += 1;
-        let heads = self.heads;
-        check(Invariant::OneFinalAnswer, heads == 1, || {
-            format!("{heads} heads to {:?}", self.request_text())
+        self.head_count += 1;
+        let head_count = self.head_count;
+        check(Invariant::OneFinalAnswer, head_count == 1, || {
+            format!("{head_count} heads to {:?}", self.request_text())
         });
     }
 
+    /// Returns the id of the request for messages about violated invariants.
     fn request_text(&self) -> String {
         String::from_utf8_lossy(self.request_id.unwrap_or(b"-")).into_owned()
     }
 
-    /// Whether the connection closes behind the response: as the client wants, since it was asked to close, or since the process
-    /// is draining.
-    fn closes(&self) -> bool {
+    /// Returns whether the connection closes after the response: because the client wants it, because the
+    /// connection was asked to close, or because the process is draining.
+    fn closes_connection(&self) -> bool {
         self.wants_close || self.state.is_draining()
     }
 
-    /// The end of a response whose last bytes were written with this result.
-    fn end_of(&self, written: io::Result<()>) -> ResponseEnd {
+    /// Returns how a response ended whose last bytes were written with this result.
+    fn response_end(&self, written: io::Result<()>) -> ResponseEnd {
         match written {
-            Ok(()) if self.closes() => ResponseEnd::CompleteAndClose,
+            Ok(()) if self.closes_connection() => ResponseEnd::CompleteAndClose,
             Ok(()) => ResponseEnd::Complete,
             Err(_) => ResponseEnd::Incomplete,
         }
     }
 
-    /// Writes the proxy's own response to an error. A response that was started already stays incomplete.
+    /// Writes the proxy's response for an error. If a response has already been started, it stays incomplete.
     pub async fn write_error(&mut self, error: RequestError) -> ResponseEnd {
         if self.has_started {
             return ResponseEnd::Incomplete;
         }
         self.wants_close |= error.response().closes_connection;
-        let (close, jitter) = (self.closes(), self.state.random_fraction());
+        let (close, jitter) = (self.closes_connection(), self.state.random_fraction());
         let mut out = std::mem::take(&mut self.buffer);
         self.record_head(error.response().status);
         error.write(&mut out, self.request_id, close, jitter);
         let written = self.write(&out, Instant::now() + MIN_WRITE_TIMEOUT).await;
-        self.end_of(written)
+        self.response_end(written)
     }
 
     /// Writes a complete response.
@@ -142,12 +149,13 @@
         let mut out = std::mem::take(&mut self.buffer);
         self.encode_head(&mut out, head, encoding);
         out.extend_from_slice(body);
-        let deadline = (deadline + UNREAD_GRACE).max(Instant::now() + MIN_WRITE_TIMEOUT);
+        let deadline = (deadline + CLIENT_READ_GRACE).max(Instant::now() + MIN_WRITE_TIMEOUT);
         let written = self.write(&out, deadline).await;
-        self.end_of(written)
+        self.response_end(written)
     }
 
-    /// Starts a response whose body follows in chunks. The head is written with the first chunk, or by [`ResponseWriter::flush`].
+    /// Starts a response whose body is written in pieces. The head is buffered, and written with the first
+    /// piece or by [`ResponseWriter::flush`].
     pub fn start(&mut self, head: &ResponseHead, encoding: BodyEncoding) {
         let mut out = std::mem::take(&mut self.buffer);
         self.encode_head(&mut out, head, encoding);
@@ -155,7 +163,7 @@
         self.has_started = true;
     }
 
-    /// Writes what is buffered.
+    /// Writes the buffered bytes.
     pub async fn flush(&mut self, deadline: Instant) -> io::Result<()> {
         if self.buffer.is_empty() {
             return Ok(());
@@ -167,16 +175,16 @@
         written
     }
 
-    /// Buffers a chunk of the body until the next flush.
+    /// Buffers a piece of the body until the next flush.
     pub fn buffer_chunk(&mut self, encoding: BodyEncoding, data: &[u8]) {
         if self.is_chunked(encoding) {
-            chunk(&mut self.buffer, data);
+            append_chunk(&mut self.buffer, data);
         } else {
             self.buffer.extend_from_slice(data);
         }
     }
 
-    /// Writes a chunk of the body.
+    /// Writes a piece of the body.
     pub async fn write_chunk(
         &mut self, encoding: BodyEncoding, data: &[u8], deadline: Instant,
     ) -> io::Result<()> {
@@ -184,20 +192,22 @@
         self.flush(deadline).await
     }
 
-    /// Ends the body.
+    /// Writes the end of the body.
     pub async fn finish(&mut self, encoding: BodyEncoding, deadline: Instant) -> ResponseEnd {
         if self.is_chunked(encoding) {
-            last_chunk(&mut self.buffer);
+            append_last_chunk(&mut self.buffer);
         }
         let written = self.flush(deadline).await;
-        self.end_of(written)
+        self.response_end(written)
     }
 
-    /// HTTP/1.0 has no chunks: there the body ends with the connection.
+    /// Returns whether the body is written in chunks. HTTP/1.0 has no chunked encoding: there the close of
+    /// the connection delimits the body.
     fn is_chunked(&self, encoding: BodyEncoding) -> bool {
         encoding == BodyEncoding::Chunked && !self.is_http10
     }
 
+    /// Appends the head of a server's response, with the framing of `encoding`.
     fn encode_head(&mut self, out: &mut Vec<u8>, head: &ResponseHead, encoding: BodyEncoding) {
         if encoding == BodyEncoding::Chunked && self.is_http10 {
             self.wants_close = true;
@@ -206,25 +216,26 @@
         let is_own = self.request_id.is_none_or(|id| head.headers.get("request-id") == Some(id));
         check(Invariant::AnswerOfItsRequest, is_own, || format!("a response to {:?}", self.request_text()));
         out.extend_from_slice(b"HTTP/1.1 ");
-        number(out, head.status.into());
+        append_number(out, head.status.into());
         out.extend_from_slice(b" ");
         out.extend_from_slice(head.reason().as_bytes());
         out.extend_from_slice(b"\r\n");
         for (name, value) in head.headers.iter().filter(|(name, _)| is_forwarded(head, name)) {
-            field(out, name, value);
+            append_field(out, name, value);
         }
         match encoding {
-            BodyEncoding::Length(length) => length_field(out, length),
-            BodyEncoding::Chunked if !self.is_http10 => field(out, "Transfer-Encoding", b"chunked"),
+            BodyEncoding::Length(length) => append_content_length(out, length),
+            BodyEncoding::Chunked if !self.is_http10 => append_field(out, "Transfer-Encoding", b"chunked"),
             BodyEncoding::Chunked | BodyEncoding::Empty => {}
         }
-        if self.closes() {
+        if self.closes_connection() {
             self.wants_close = true;
-            field(out, "Connection", b"close");
+            append_field(out, "Connection", b"close");
         }
         out.extend_from_slice(b"\r\n");
     }
 
+    /// Writes `bytes` to the connection, until `deadline`.
     async fn write(&mut self, bytes: &[u8], deadline: Instant) -> io::Result<()> {
         self.has_started = true;
         let written = timeout_at(deadline, self.write.write_all(bytes)).await;
@@ -232,7 +243,8 @@
     }
 }
 
-/// Whether a field of a server's response goes to the client. The length is written anew.
+/// Returns whether a header field of a server's response is forwarded to the client. The `Content-Length` is
+/// written separately.
 fn is_forwarded(head: &ResponseHead, name: &str) -> bool {
     let is_length = name.eq_ignore_ascii_case("content-length");
     !is_length && !is_hop_by_hop(name) && !head.headers.has_token("connection", name)
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,16 +1,18 @@
-//! The data plane: an HTTP/1.1 proxy that accepts clients' requests, selects servers, and forwards their responses.
+//! The data plane of a front-end node: an HTTP/1.1 proxy that accepts clients' requests, selects a server for
+//! each, and streams the responses back.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `inbound` | clients' connections: reading requests, writing responses, errors |
-//! | `stack` | one request: route, retries, prefill and decode, forwarding of the response |
-//! | `outbound` | servers' connections: pool, one exchange |
-//! | `http` | HTTP/1.1: heads, framing, bodies |
-//! | `state`, `routes`, `agent_feed` | configuration and endpoint list, and the agent's updates of them |
-//! | `telemetry` | metrics, and the trace of each request |
-//! | `readiness`, `shutdown` | readiness checks, graceful shutdown |
+//! | `inbound` | client connections: reads requests, writes responses and error responses |
+//! | `stack` | one request: routing, retries, prefill and decode, forwarding of the response |
+//! | `outbound` | server connections: the connection pool, one exchange with one server |
+//! | `http` | HTTP/1.1: message heads, framing, bodies |
+//! | `state`, `routes`, `agent_feed` | the configuration and endpoint list in force, and their updates |
+//! | `telemetry` | metrics, and a trace of each request for the log |
+//! | `readiness`, `shutdown` | the platform's readiness checks, graceful shutdown |
 //!
-//! All tasks run on one thread. Routing decisions are made by `lugwharf_routing`.
+//! All tasks run on one thread, so that state is shared without locks. `lugwharf_routing` makes the routing
+//! decisions.
 #![forbid(unsafe_code)]
 
 mod agent_feed;
@@ -40,21 +42,21 @@
 use tokio::task::LocalSet;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// How often expired connections to servers are closed.
-const EXPIRY_INTERVAL: Duration = Duration::from_secs(1);
+/// The interval at which expired idle connections to servers are closed.
+const EXPIRY_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the command line sets.
+/// The options of the proxy that are set on the command line.
 #[derive(Clone, Debug, Default)]
 pub struct ProxyOptions {
-    /// The constants of the routing decisions.
+    /// The tunable constants of the routing decisions.
     pub tuning: Tuning,
-    /// The least level that is logged. The logger's own if absent.
+    /// The minimum level of log messages. If absent, the logger keeps its own level.
     pub log_level: Option<spdlog::LevelFilter>,
-    /// The port of `GET /metrics`; not served if absent.
+    /// The port that serves `GET /metrics`. If absent, metrics are not served.
     pub metrics_port: Option<u16>,
 }
 
-/// Runs the data plane until SIGTERM, with default options. Needs a current-thread runtime.
+/// Runs the data plane with default options until SIGTERM. Must be called on a current-thread runtime.
 ///
 /// # Errors
 /// As for [`run_until`].
@@ -62,7 +64,7 @@
     run_with_options(settings, ProxyOptions::default()).await
 }
 
-/// Like [`run`], with options.
+/// Runs the data plane with `options` until SIGTERM. Must be called on a current-thread runtime.
 ///
 /// # Errors
 /// As for [`run_until`].
@@ -70,17 +72,18 @@
     if let Some(level) = options.log_level {
         spdlog::default_logger().set_level_filter(level);
     }
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
+    let mut sigterm = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
     let terminated = async move {
-        terminate.recv().await;
+        sigterm.recv().await;
     };
     run_until(settings, options, terminated).await
 }
 
-/// Like [`run_with_options`], until `stop` completes instead of SIGTERM. Returns after the graceful shutdown.
+/// Runs the data plane until `stop` completes, then shuts down gracefully and returns.
 ///
 /// # Errors
-/// A setting is missing, a port can't be listened on, or a signal can't be handled.
+/// `Listen.Front` or `Listen.Ready` is missing, one of their ports can't be bound, or the handler of SIGHUP
+/// or SIGTERM can't be installed.
 pub async fn run_until(
     settings: Settings, options: ProxyOptions, stop: impl Future<Output = ()>,
 ) -> eyre::Result<()> {
@@ -88,19 +91,19 @@
     let ready = settings.listen.ready.ok_or_eyre("Listen.Ready is missing")?;
     let front = TcpListener::bind(front).await.wrap_err_with(|| format!("Listen.Front {front}"))?;
     let ready = TcpListener::bind(ready).await.wrap_err_with(|| format!("Listen.Ready {ready}"))?;
-    let hangup = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
-    let state = ProxyState::new(&settings, options.tuning, seed(&settings));
+    let sighup = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
+    let state = ProxyState::new(&settings, options.tuning, random_seed(&settings));
     let connections = ClientConnections::new(settings.limits.max_fds);
     let grace = Duration::from_secs_f64(settings.bounds.grace_s.min(3_600.0));
     let local = LocalSet::new();
     local.spawn_local(agent_feed::run(state.clone(), settings.feed_address()));
     local.spawn_local(readiness::listen(state.clone(), ready));
-    local.spawn_local(close_expired(state.clone()));
+    local.spawn_local(close_expired_connections(state.clone()));
     let endpoint = MetricsEndpoint::listen_if_enabled(settings.listen_ip(), options.metrics_port).await;
     if let Some(endpoint) = endpoint {
         local.spawn_local(telemetry::metrics_endpoint::serve(state.clone(), connections.clone(), endpoint));
     }
-    local.spawn_local(reload_at_hangup(state.clone(), hangup, settings));
+    local.spawn_local(reload_on_sighup(state.clone(), sighup, settings));
     let serving = async move {
         tokio::select! {
             () = stop => {}
@@ -113,14 +116,15 @@
     Ok(())
 }
 
-/// A seed that differs by machine and by start, lest all proxies draw the same servers.
-fn seed(settings: &Settings) -> u64 {
+/// Returns a random seed mixed with the node name, so that proxies do not all draw the same servers.
+fn random_seed(settings: &Settings) -> u64 {
     let mut rng = fastrand::Rng::new();
     settings.node.bytes().fold(rng.u64(..), |seed, byte| seed.rotate_left(7) ^ u64::from(byte))
 }
 
-async fn close_expired(state: Rc<ProxyState>) {
-    let mut ticks = interval(EXPIRY_INTERVAL);
+/// Closes expired idle connections to servers at a fixed interval.
+async fn close_expired_connections(state: Rc<ProxyState>) {
+    let mut ticks = interval(EXPIRY_CHECK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -128,9 +132,9 @@
     }
 }
 
-/// Reads the settings file again at each SIGHUP. An invalid file changes nothing.
-async fn reload_at_hangup(state: Rc<ProxyState>, mut hangup: Signal, settings: Settings) {
-    while hangup.recv().await.is_some() {
+/// Rereads the settings file at each SIGHUP. If the file is invalid, the settings in force are kept.
+async fn reload_on_sighup(state: Rc<ProxyState>, mut sighup: Signal, settings: Settings) {
+    while sighup.recv().await.is_some() {
         match settings.reload() {
             Ok(settings) => {
                 state.reload(&settings);
--- a/crates/proxy/src/outbound/connection.rs
+++ b/crates/proxy/src/outbound/connection.rs
@@ -1,7 +1,7 @@
-//! One connection to a server. It holds a read buffer only while a response is read.
+//! A connection to a server. It holds a read buffer only while a response is being read.
 //!
-//! A connection may carry another request only if late responses to earlier ones can be told from the response to that one; see
-//! [`Connection::must_close`] and [`ConnectionId`].
+//! A connection may carry another request only if the response to that request can be distinguished from late
+//! responses to earlier ones; see [`Connection::must_close`] and [`ConnectionId`].
 
 use crate::http::{self, BodyDecoder, BodyError, Decoded, Fill, FramingError, HeadError, ResponseHead};
 use bytes::{Bytes, BytesMut};
@@ -13,10 +13,10 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The largest head of a response, in bytes.
+/// The maximum size of the head of a response, in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
 
-/// The least free space in the buffer for a read, in bytes.
+/// The minimum free space in the buffer for a read, in bytes.
 const MIN_READ_CAPACITY: usize = 2 * 1024;
 
 /// Whether more bytes may be received.
@@ -31,26 +31,26 @@
 /// Why a response could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum ReadError {
-    /// The connection broke.
-    #[error("the connection broke: {0}")]
+    /// A read from the connection failed.
+    #[error("reading the response failed: {0}")]
     Io(#[from] io::Error),
-    /// The connection was closed inside a response.
-    #[error("the connection was closed inside a response")]
+    /// The server closed the connection before the response was complete.
+    #[error("the server closed the connection before the response was complete")]
     UnexpectedEof,
-    /// What was received is no head of a response.
-    #[error("invalid head of a response")]
+    /// The received bytes are not a head of a response.
+    #[error("invalid response head: {0}")]
     Head(#[from] HeadError),
-    /// The end of the body can't be determined.
-    #[error("invalid framing of a response")]
+    /// The end of the body can't be determined from the head.
+    #[error("invalid response framing: {0}")]
     Framing(#[from] FramingError),
-    /// The body does not follow its framing.
-    #[error("invalid body of a response")]
+    /// The body violates its framing.
+    #[error("invalid response body: {0}")]
     Body(#[from] BodyError),
-    /// The head is larger than 32 KiB, or stray responses are larger than allowed.
-    #[error("a response is too large")]
+    /// The head is larger than 32 KiB, or the discarded responses to other requests are larger than allowed.
+    #[error("the head of the response, or a response to another request, is too large")]
     TooLarge,
-    /// The response is a 101 or belongs to another request.
-    #[error("an unexpected response")]
+    /// The response has status 101, or belongs to another request.
+    #[error("the response has status 101 or belongs to another request")]
     Unexpected,
 }
 
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionId(pub u64);
 
-/// The reservation of one open connection; it ends with its drop.
+/// The permit for one open connection to a server. Dropping it releases the reservation.
 #[derive(Debug)]
 pub struct ConnectionPermit {
     id: ConnectionId,
@@ -66,7 +66,7 @@
 }
 
 impl ConnectionPermit {
-    /// Counts one more open connection in `count`.
+    /// Adds one open connection to `count`, and removes it when the permit is dropped.
     pub fn new(id: ConnectionId, count: &Rc<Cell<u32>>) -> ConnectionPermit {
         count.set(count.get() + 1);
         ConnectionPermit { id, count: count.clone() }
@@ -84,60 +84,64 @@
 pub struct Connection {
     stream: TcpStream,
     buffer: BytesMut,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request before.
     pub is_reused: bool,
-    /// When it became idle.
+    /// When the connection became idle.
     pub idle_since: Instant,
-    /// Since when the server may have closed it: when the head of the last response was received. The rest of the response may
-    /// have waited for a slow client while the server was done.
-    pub maybe_closed_since: Instant,
-    /// When the server closes it, as announced by `Keep-Alive`.
+    /// When the connection may have become idle at the server: when the head of the last response was
+    /// received. The server may have sent the rest long before the proxy forwarded it to a slow client, and
+    /// may have closed the connection since then.
+    pub server_idle_since: Instant,
+    /// When the server closes the idle connection, as announced by `Keep-Alive`.
     pub server_closes_at: Option<Instant>,
-    /// Whether it carries no further request: the last one was not sent completely, or a response that is still to come could be
-    /// taken for another request's.
+    /// Whether the connection must not carry a further request: the last request was not sent completely, or
+    /// its response could be taken for the response to another request.
     pub must_close: bool,
     permit: ConnectionPermit,
 }
 
 impl Connection {
-    /// Establishes a connection.
+    /// Establishes a connection to the server at `address`.
     pub async fn open(address: SocketAddr, permit: ConnectionPermit) -> io::Result<Connection> {
         let stream = TcpStream::connect(address).await?;
-        http::prepare(&stream);
+        http::set_server_socket_options(&stream);
         let (buffer, idle_since) = (BytesMut::new(), Instant::now());
         Ok(Connection {
             stream,
             buffer,
             is_reused: false,
             idle_since,
-            maybe_closed_since: idle_since,
+            server_idle_since: idle_since,
             server_closes_at: None,
             must_close: false,
             permit,
         })
     }
 
-    /// Identifies the connection.
+    /// Returns the id of the connection.
     pub fn id(&self) -> ConnectionId {
         self.permit.id
     }
 
-    /// Whether nothing was received beyond the last response, not even the end of the connection.
+    /// Returns whether nothing was received after the last response, neither bytes nor the end of the
+    /// connection.
     pub fn is_clean(&self) -> bool {
-        self.buffer.is_empty() && http::is_quiet(&self.stream)
+        self.buffer.is_empty() && http::has_nothing_to_read(&self.stream)
     }
 
-    /// Whether it may carry another request: nothing was received beyond the last response.
+    /// Returns whether the connection may carry another request, and no unread bytes follow the last
+    /// response.
     fn can_be_reused(&self) -> bool {
         !self.must_close && self.buffer.is_empty()
     }
 
-    /// Whether bytes were received that no response has consumed.
+    /// Returns whether bytes were received that are not yet part of a parsed response.
     pub fn has_unread_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Makes the connection idle and frees its buffer; `None` if it may not carry another request.
+    /// Makes the connection idle and frees its buffer. Returns `None`, which closes the connection, if it
+    /// must not carry another request.
     pub fn into_idle(mut self) -> Option<Connection> {
         if !self.can_be_reused() {
             return None;
@@ -148,12 +152,12 @@
         Some(self)
     }
 
-    /// Writes all of `bytes`, whatever is received meanwhile. After an error the last byte was not sent.
+    /// Writes all of `bytes`, without checking for input. After an error, the last byte has not been sent.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes).await
     }
 
-    /// Reads the head of the next final response; interim ones (1xx) are skipped.
+    /// Reads the head of the next final response. Interim responses (1xx) are skipped.
     pub async fn read_head(&mut self) -> Result<ResponseHead, ReadError> {
         loop {
             if !self.buffer.is_empty()
@@ -172,18 +176,18 @@
         }
     }
 
-    /// Reads the next bytes of a body; `None` at its end.
+    /// Reads the next bytes of a body. Returns `None` at its end.
     pub async fn read_body(&mut self, decoder: &mut BodyDecoder) -> Result<Option<Bytes>, ReadError> {
         loop {
             match self.decode(decoder)? {
                 Decoded::Data(data) => return Ok(Some(data)),
                 Decoded::End => return Ok(None),
-                Decoded::More => self.fill_body(decoder).await?,
+                Decoded::Pending => self.fill_body(decoder).await?,
             }
         }
     }
 
-    /// Waits for more bytes of a body, or for the orderly end of the connection if that ends the body.
+    /// Waits for more bytes of a body, or for the orderly close of the connection if that delimits the body.
     pub async fn fill_body(&mut self, decoder: &mut BodyDecoder) -> Result<(), ReadError> {
         match self.fill().await {
             Err(ReadError::UnexpectedEof) if decoder.end_of_stream() => Ok(()),
@@ -191,41 +195,42 @@
         }
     }
 
-    /// Decodes the bytes of a body that were received already.
+    /// Decodes bytes of a body that have already been received.
     pub fn decode(&mut self, decoder: &mut BodyDecoder) -> Result<Decoded, ReadError> {
         Ok(decoder.decode(&mut self.buffer)?)
     }
 
-    /// Reads all that was received, without waiting. The runtime may not have polled the socket since, so that the socket is read
-    /// directly as well.
+    /// Reads all available input without waiting. When the runtime reports no more input, the socket is also
+    /// read directly, since the runtime may not have polled it since the last bytes arrived.
     pub fn read_available(&mut self) -> StreamState {
-        let mut asks_socket = false;
+        let mut bypasses_runtime = false;
         while self.buffer.len() <= MAX_HEAD_BYTES {
-            let read = if asks_socket { self.read_socket() } else { self.read_ready() };
+            let read = if bypasses_runtime { self.read_directly() } else { self.read_if_ready() };
             match read {
                 Ok(0) => return StreamState::Closed,
                 Ok(_) => {}
                 Err(error) if error.kind() != io::ErrorKind::WouldBlock => return StreamState::Closed,
-                Err(_) if asks_socket => return StreamState::Open,
-                Err(_) => asks_socket = true,
+                Err(_) if bypasses_runtime => return StreamState::Open,
+                Err(_) => bypasses_runtime = true,
             }
         }
         StreamState::Open
     }
 
-    fn read_ready(&mut self) -> io::Result<usize> {
+    fn read_if_ready(&mut self) -> io::Result<usize> {
         self.buffer.reserve(MIN_READ_CAPACITY);
         self.stream.try_read_buf(&mut self.buffer)
     }
 
-    fn read_socket(&mut self) -> io::Result<usize> {
+    fn read_directly(&mut self) -> io::Result<usize> {
         let mut bytes = [0; MIN_READ_CAPACITY];
-        let length = http::read_now(&self.stream, &mut bytes)?;
+        let length = http::read_without_runtime(&self.stream, &mut bytes)?;
         self.buffer.extend_from_slice(bytes.get(..length).unwrap_or_default());
         Ok(length)
     }
 
-    /// The head of the response that was received, without consuming it; `None` while it is incomplete.
+    /// Parses the head of the next final response without consuming it. Returns `None` while the head is
+    /// incomplete.
     pub fn peek_head(&self) -> Result<Option<ResponseHead>, ReadError> {
         let mut copy = self.buffer.clone();
         while !copy.is_empty() {
@@ -239,18 +244,18 @@
         Ok(None)
     }
 
-    /// Waits until bytes can be written, or if `or_readable` until some were received.
+    /// Waits until bytes can be written or, if `or_readable` is set, until there is input.
     pub async fn ready(&self, or_readable: bool) -> io::Result<tokio::io::Ready> {
         let interest = if or_readable { Interest::READABLE | Interest::WRITABLE } else { Interest::WRITABLE };
         self.stream.ready(interest).await
     }
 
-    /// Waits until something was received, even if only the end of the connection.
+    /// Waits until there is input, which includes the end of the connection.
     pub async fn readable(&self) -> io::Result<()> {
         self.stream.readable().await
     }
 
-    /// Writes what can be written without waiting; returns the number of bytes.
+    /// Writes as many bytes as possible without waiting, and returns their number.
     pub fn try_write(&self, bytes: &[u8]) -> io::Result<usize> {
         match self.stream.try_write(bytes) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => Ok(0),
@@ -258,11 +263,11 @@
         }
     }
 
-    /// Waits for more bytes.
+    /// Waits for more bytes, and adds them to the buffer.
     async fn fill(&mut self) -> Result<(), ReadError> {
         match http::fill(&mut self.stream, &mut self.buffer).await? {
-            Fill::Bytes => Ok(()),
-            Fill::End => Err(ReadError::UnexpectedEof),
+            Fill::Received => Ok(()),
+            Fill::Eof => Err(ReadError::UnexpectedEof),
         }
     }
 }
--- a/crates/proxy/src/outbound/exchange.rs
+++ b/crates/proxy/src/outbound/exchange.rs
@@ -1,6 +1,7 @@
-//! One exchange with one server: sends a request and waits for the head of the response.
+//! One exchange with one server: sends a request and reads the head of the response.
 //!
-//! The error tells whether the server may have executed the request; see [`request_writer`](crate::outbound::request_writer).
+//! The error indicates whether the server may have executed the request; see
+//! [`request_writer`](crate::outbound::request_writer).
 
 use crate::http::{BodyDecoder, response_framing};
 use crate::outbound::connection::Connection;
@@ -13,45 +14,51 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The connect timeout is the latency objective within these bounds, but at most a third of the time left. Beyond that another
-/// server responds sooner.
+/// The connect timeout is the latency objective, clamped to these bounds, but at most a third of the time
+/// left. After that another server would probably respond sooner.
 const MIN_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// See [`MIN_CONNECT_TIMEOUT`].
 const MAX_CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// The divisor of the time left that gives the upper limit of the connect timeout.
 const CONNECT_TIMEOUT_DIVISOR: u32 = 3;
-/// Reused connections that one exchange may find dead.
-const MAX_DEAD_CONNECTIONS: usize = 4;
-/// The server is told a deadline that is earlier by this much: its response has to travel back.
+/// The maximum number of stale reused connections that one exchange tries.
+const MAX_STALE_CONNECTIONS: usize = 4;
+/// The deadline sent to the server is earlier than the request's by this margin, which allows for the time
+/// that the response takes to arrive.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
-/// With less time left nothing is sent.
+/// The minimum time left to send a request.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
-/// How long the last byte of a request is withheld on a connection that may be dead. A reset by a server that is saturated, or
-/// has closed or lost the connection, arrives meanwhile.
+/// How long the last byte of a request is delayed on a connection that may be reset. If the server is
+/// saturated, or has closed or lost the connection, its reset arrives within this time.
 const LAST_BYTE_DELAY: Duration = Duration::from_millis(2);
-/// A reused connection may be dead once it has been idle for this long: servers may drop it silently after some 300 ms.
-const MAYBE_CLOSED_AFTER: Duration = Duration::from_millis(250);
+/// The idle time after which a reused connection may be stale: servers may drop a connection silently after
+/// about 300 ms.
+const STALE_AFTER_IDLE: Duration = Duration::from_millis(250);
+
 /// The terms of one exchange.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeTerms {
-    /// What the server is to do.
+    /// The phase that is requested of the server.
     pub phase: Phase,
-    /// Until when the head of the response is waited for.
+    /// The deadline for the head of the response.
     pub deadline: Instant,
     /// The latency objective of the request.
     pub objective: Duration,
     /// Whether servers may execute the request more than once.
     pub is_idempotent: bool,
-    /// The connections that the server accepts from all proxies; no limit if absent.
+    /// The maximum number of connections that the server accepts from all proxies together. No limit if
+    /// absent.
     pub max_connections: Option<u32>,
 }
 
-/// Sends the request to the selected server and waits for the head of its response.
+/// Sends the request to the selected server and reads the head of its response.
 ///
-/// A reused connection that turns out to be dead before the last byte was sent is replaced by another one.
+/// If a reused connection fails before the last byte was sent, it was stale, and another connection is tried.
 pub async fn exchange(
     state: &ProxyState, server: &Selection, request: &mut OutboundRequest, headers: &AttemptHeaders,
     terms: ExchangeTerms,
 ) -> Result<ServerResponse, ExchangeError> {
-    for _ in 0..MAX_DEAD_CONNECTIONS {
+    for _ in 0..MAX_STALE_CONNECTIONS {
         let connection = connect(state, server, request, terms).await?;
         let mut connection = check_eligible(state, server, connection, terms.phase)?;
         let time_left = terms.deadline.saturating_duration_since(Instant::now());
@@ -59,20 +66,20 @@
             return Err(ExchangeError::TooLate);
         }
         let head = request.encode(&server.id, time_left - DEADLINE_MARGIN, headers);
-        let idle = connection.maybe_closed_since.elapsed();
-        let last_byte_delay = last_byte_delay(&terms, connection.is_reused, idle);
+        let idle_time = connection.server_idle_since.elapsed();
+        let last_byte_delay = last_byte_delay(&terms, connection.is_reused, idle_time);
         request.used_connections.push(connection.id());
         connection.must_close = !request.may_share_connections();
         let sent_at = Instant::now();
         let mut writer = RequestWriter::new(&mut connection, request);
         match timeout_at(terms.deadline, writer.write(head, last_byte_delay)).await {
             Ok(Ok(WriteOutcome::Complete | WriteOutcome::EarlyResponse)) => {
-                return receive(state, server.key, connection, request, terms, sent_at).await;
+                return receive_head(state, server.key, connection, request, terms, sent_at).await;
             }
-            // The connection was found dead before the last byte was sent.
+            // The reused connection was stale. The last byte was not sent.
             Ok(Err(_)) if connection.is_reused => {}
             Ok(Err(_)) => return Err(ExchangeError::Connect),
-            // A server that has begun to respond may have begun to execute.
+            // A server that has begun to respond may have executed the request.
             Err(_) => {
                 connection.read_available();
                 let has_begun = connection.has_unread_bytes();
@@ -83,8 +90,8 @@
     Err(ExchangeError::Aborted)
 }
 
-/// Checks that the server may still be sent the request: the endpoint list may have changed since it was selected. Otherwise the
-/// connection, if it was reused, returns to the pool.
+/// Checks that the server is still eligible, since the endpoint list may have changed after the selection. If
+/// it is not, a reused connection is returned to the pool and a new one is closed.
 fn check_eligible(
     state: &ProxyState, server: &Selection, connection: Connection, phase: Phase,
 ) -> Result<Connection, ExchangeError> {
@@ -97,7 +104,7 @@
     Err(ExchangeError::Aborted)
 }
 
-/// A connection to the server, from the pool or a new one.
+/// Takes a connection to the server from the pool, or establishes a new one.
 async fn connect(
     state: &ProxyState, server: &Selection, request: &OutboundRequest, terms: ExchangeTerms,
 ) -> Result<Connection, ExchangeError> {
@@ -124,25 +131,28 @@
     }
 }
 
-/// How long the last byte of a request is withheld; `None` if the connection is not suspected to be dead.
+/// Returns how long the last byte of a request is delayed, or `None` if no reset of the connection is
+/// expected.
 ///
-/// On a reused connection that was `idle` for long it is withheld even if the request may be retried: each break uses up one of
-/// its executions. A new connection is rarely reset, which costs such a request less than the delay.
-pub fn last_byte_delay(terms: &ExchangeTerms, is_reused: bool, idle: Duration) -> Option<Duration> {
+/// On a reused connection that may be stale, the last byte is delayed even if the request may be retried,
+/// since each broken connection uses up one of its executions. A new connection is delayed only if the
+/// request must not be retried: resets of new connections are rare, so that for other requests an occasional
+/// retry costs less than the delay.
+pub fn last_byte_delay(terms: &ExchangeTerms, is_reused: bool, idle_time: Duration) -> Option<Duration> {
     let may_retry = terms.is_idempotent || terms.phase == Phase::Prefill;
-    let may_be_dead = if is_reused { idle >= MAYBE_CLOSED_AFTER } else { !may_retry };
-    may_be_dead.then_some(LAST_BYTE_DELAY)
+    let may_be_reset = if is_reused { idle_time >= STALE_AFTER_IDLE } else { !may_retry };
+    may_be_reset.then_some(LAST_BYTE_DELAY)
 }
 
-/// Waits for the head of the response, and reports the load that it carries.
-async fn receive(
+/// Reads the head of the response, and records the load report in it.
+async fn receive_head(
     state: &ProxyState, key: ServerKey, mut connection: Connection, request: &OutboundRequest,
     terms: ExchangeTerms, sent_at: Instant,
 ) -> Result<ServerResponse, ExchangeError> {
     let read = read_response_head(&mut connection, request);
     let head = timeout_at(terms.deadline, read).await.map_err(|_| ExchangeError::Timeout)?;
     let head = head.map_err(|_| ExchangeError::ConnectionBroken)?;
-    connection.maybe_closed_since = Instant::now();
+    connection.server_idle_since = Instant::now();
     let framing = response_framing(&head, request.is_head).map_err(|_| ExchangeError::ConnectionBroken)?;
     let report = head.headers.get_text("load-report");
     if let Some(report) = report.and_then(|text| LoadReport::parse(text, state.now())) {
--- a/crates/proxy/src/outbound/exchange_tests.rs
+++ b/crates/proxy/src/outbound/exchange_tests.rs
@@ -1,9 +1,12 @@
-//! Exchanges with a scripted server: what their errors say about execution, and which connections they use.
+//! Exchanges with a scripted server: what their errors say about the execution of the request, and which
+//! connections they use.
 
 use crate::outbound::connection::Connection;
 use crate::outbound::error::ExchangeError;
 use crate::outbound::exchange::{ExchangeTerms, exchange, last_byte_delay};
-use crate::outbound::fixtures::{connected, entry, key, list, outbound, selection, server_and_state};
+use crate::outbound::fixtures::{
+    apply_server_list, open_connection, outbound, selection, server_and_state, server_entry, server_key,
+};
 use crate::outbound::request::{AttemptHeaders, OutboundRequest};
 use crate::outbound::response::ServerResponse;
 use crate::state::ProxyState;
@@ -14,7 +17,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-const LONG: usize = 32 << 20;
+const LONG_BODY_BYTES: usize = 32 << 20;
 const RESPONSE: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n";
 
 fn terms(is_idempotent: bool, phase: Phase) -> ExchangeTerms {
@@ -46,8 +49,8 @@
     }
 }
 
-/// The last byte is withheld where the connection may be dead: of reused ones if idle for 250 ms, of new ones if the request must
-/// not be retried.
+/// The last byte is withheld if the connection may be reset: on a reused connection if it has been idle for
+/// 250 ms, on a new one if the request must not be retried.
 #[rstest]
 #[case::new(false, Phase::Full, false, 0, true)]
 #[case::new_decode(false, Phase::Decode, false, 0, true)]
@@ -59,7 +62,7 @@
 #[case::prefill(false, Phase::Prefill, false, 0, false)]
 #[case::prefill_idle(false, Phase::Prefill, true, 250, true)]
 #[tokio::test]
-async fn last_byte_is_withheld_where_the_connection_may_be_dead(
+async fn last_byte_is_withheld_if_the_connection_may_be_reset(
     #[case] is_idempotent: bool, #[case] phase: Phase, #[case] is_reused: bool, #[case] idle_ms: u64,
     #[case] is_withheld: bool,
 ) {
@@ -67,14 +70,15 @@
     assert_eq!(last_byte_delay(&terms(is_idempotent, phase), is_reused, idle).is_some(), is_withheld);
 }
 
-/// The deadline passes while the body is being sent: a server that has begun to respond may have begun to execute.
+/// The deadline passes while the body is being sent. If the server has begun to respond, it may have executed
+/// the request.
 #[rstest]
 #[case::silent("", ExchangeError::TooLate)]
 #[case::begun("HTTP/1.1 2", ExchangeError::Timeout)]
 #[tokio::test]
 async fn deadline_before_the_last_byte(#[case] received: &str, #[case] expected: ExchangeError) {
     let (state, listener) = server_and_state().await;
-    let mut outbound = request(LONG);
+    let mut outbound = request(LONG_BODY_BYTES);
     let server = async {
         let mut peer = listener.accept().await.expect("a connection").0;
         read(&mut peer, b"\r\n\r\n").await;
@@ -98,8 +102,8 @@
     tokio::time::pause();
     let mut pooled = None;
     if is_reused {
-        let (connection, peer) = connected(&state, &listener).await;
-        state.pool.checkin(key(&state), connection.into_idle().expect("clean"));
+        let (connection, peer) = open_connection(&state, &listener).await;
+        state.pool.checkin(server_key(&state), connection.into_idle().expect("clean"));
         pooled = Some(peer);
     }
     let mut outbound = request(4);
@@ -113,10 +117,10 @@
 }
 
 #[tokio::test]
-async fn server_removed_since_its_selection_is_sent_nothing() {
+async fn nothing_is_sent_to_a_server_removed_after_its_selection() {
     let (state, listener) = server_and_state().await;
     let selection = selection(&state, listener.local_addr().expect("an address"));
-    list(&state, 2, Vec::new());
+    apply_server_list(&state, 2, Vec::new());
     let mut outbound = request(4);
     let result =
         exchange(&state, &selection, &mut outbound, &AttemptHeaders::default(), terms(true, Phase::Full))
@@ -125,50 +129,51 @@
 }
 
 #[tokio::test]
-async fn pooled_connection_that_was_not_used_keeps_its_idle_time() {
+async fn pooled_connection_returned_unused_keeps_its_idle_time() {
     let (state, listener) = server_and_state().await;
     tokio::time::pause();
-    let (connection, _peer) = connected(&state, &listener).await;
+    let (connection, _peer) = open_connection(&state, &listener).await;
     let connection = connection.into_idle().expect("clean");
     let (id, since) = (connection.id(), connection.idle_since);
-    state.pool.checkin(key(&state), connection);
+    state.pool.checkin(server_key(&state), connection);
     tokio::time::advance(Duration::from_millis(900)).await;
-    let mut draining = entry(listener.local_addr().expect("an address"));
+    let mut draining = server_entry(listener.local_addr().expect("an address"));
     draining.state = lugwharf_protocol::ServerState::Draining;
-    list(&state, 2, vec![draining]);
+    apply_server_list(&state, 2, vec![draining]);
     let mut outbound = request(4);
     let result = send(&state, &listener, &mut outbound, terms(true, Phase::Full)).await;
     assert_eq!(result.err(), Some(ExchangeError::Aborted));
-    let connection = state.pool.checkout(key(&state), true, &[]).expect("pooled");
+    let connection = state.pool.checkout(server_key(&state), true, &[]).expect("pooled");
     assert_eq!((connection.id(), connection.idle_since), (id, since));
 }
 
-/// Reused connections that turn out dead are replaced, one after the other, by a new one in the end.
+/// Stale reused connections are replaced one after the other, and at last by a new connection.
 #[rstest]
 #[case::some(3, true)]
 #[case::too_many(4, false)]
 #[tokio::test]
-async fn dead_connections_are_replaced(
-    #[case] dead: usize, #[case] is_sent: bool,
+async fn stale_connections_are_replaced(
+    #[case] stale: usize, #[case] is_sent: bool,
     #[values(idle_for_long, slowly_forwarded)] age: fn(Connection) -> Connection,
 ) {
     let (state, listener) = server_and_state().await;
     let mut peers = Vec::new();
-    for _ in 0..dead {
-        let (connection, peer) = connected(&state, &listener).await;
-        state.pool.checkin(key(&state), age(connection));
+    for _ in 0..stale {
+        let (connection, peer) = open_connection(&state, &listener).await;
+        state.pool.checkin(server_key(&state), age(connection));
         peers.push(peer);
     }
     let mut outbound = request(4);
     let server = async {
-        // Each one closes while the last byte is withheld: no time passes until the next connection is used.
-        let ends = async {
+        // Each connection closes while the last byte is withheld. No time passes until the next connection is
+        // used.
+        let closes = async {
             for mut peer in peers.into_iter().rev() {
                 read(&mut peer, b"\r\n\r\nxxx").await;
             }
             listener.accept().await.expect("a connection").0
         };
-        let mut peer = frozen(ends).await;
+        let mut peer = with_stopped_clock(closes).await;
         read(&mut peer, b"\r\n\r\nxxxx").await;
         peer.write_all(RESPONSE.as_bytes()).await.expect("sent");
         peer
@@ -176,16 +181,16 @@
     let sending = send(&state, &listener, &mut outbound, terms(false, Phase::Full));
     let result = tokio::select! {
         result = sending => result,
-        _ = async { server.await; std::future::pending::<()>().await } => unreachable!("it never ends"),
+        _ = async { server.await; std::future::pending::<()>().await } => unreachable!("never completes"),
     };
     assert_eq!(result.err(), (!is_sent).then_some(ExchangeError::Aborted));
-    assert_eq!(outbound.used_connections.len(), if is_sent { dead + 1 } else { dead });
+    assert_eq!(outbound.used_connections.len(), if is_sent { stale + 1 } else { stale });
 }
 
-/// Runs `body` while no time passes.
-async fn frozen<T>(body: impl Future<Output = T>) -> T {
+/// Runs `body` with the clock stopped.
+async fn with_stopped_clock<T>(body: impl Future<Output = T>) -> T {
     tokio::time::pause();
-    // A paused clock jumps ahead when nothing is left to do.
+    // A paused clock advances by itself when all tasks are idle, so one task is kept busy.
     let busy = async {
         loop {
             tokio::task::yield_now().await;
@@ -194,28 +199,29 @@
     let done = tokio::select! {
         biased;
         done = body => done,
-        () = busy => unreachable!("it never ends"),
+        () = busy => unreachable!("never completes"),
     };
     tokio::time::resume();
     done
 }
 
-/// A connection that was idle for long enough to be suspected dead.
+/// Makes the connection idle for long enough that it may be stale.
 fn idle_for_long(connection: Connection) -> Connection {
     let mut connection = connection.into_idle().expect("clean");
     connection.idle_since -= Duration::from_millis(600);
-    connection.maybe_closed_since -= Duration::from_millis(600);
+    connection.server_idle_since -= Duration::from_millis(600);
     connection
 }
 
-/// A connection whose last response was forwarded to a slow client: the server may have been done with it all the while.
+/// Makes the connection idle after its last response was forwarded to a slow client: the connection may have
+/// been idle at the server during all that time.
 fn slowly_forwarded(connection: Connection) -> Connection {
     let mut connection = connection.into_idle().expect("clean");
-    connection.maybe_closed_since -= Duration::from_millis(600);
+    connection.server_idle_since -= Duration::from_millis(600);
     connection
 }
 
-/// A connection that has carried the request is not used for it again.
+/// A request is not sent again on a connection that it has already been sent on.
 #[tokio::test]
 async fn request_is_sent_once_per_connection() {
     let (state, listener) = server_and_state().await;
@@ -229,15 +235,16 @@
         };
         let sending = send(&state, &listener, &mut outbound, terms(true, Phase::Full));
         let (result, peer) = tokio::join!(sending, server);
-        result.expect("a response").finish(&state);
+        result.expect("a response").release_connection(&state);
         assert_eq!(outbound.used_connections.len(), attempt + 1);
         peers.push(peer);
     }
-    assert!(state.pool.checkout(key(&state), true, &outbound.used_connections).is_none());
-    assert!(state.pool.checkout(key(&state), true, &[]).is_some());
+    assert!(state.pool.checkout(server_key(&state), true, &outbound.used_connections).is_none());
+    assert!(state.pool.checkout(server_key(&state), true, &[]).is_some());
 }
 
-/// A connection that ended with its response is not pooled: it would use up the limit on open ones.
+/// A connection whose close delimits the response is not pooled, since it would count towards the limit on
+/// open connections.
 #[rstest]
 #[case::with_a_length(RESPONSE, true)]
 #[case::until_the_close("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n\r\nall", false)]
@@ -257,10 +264,10 @@
         let mut response =
             send(&state, &listener, &mut outbound, terms(true, Phase::Full)).await.expect("a response");
         response.collect(100, Instant::now() + Duration::from_secs(3)).await.expect("a body");
-        response.finish(&state);
+        response.release_connection(&state);
     };
     let ((), _peer) = tokio::join!(sending, server);
-    let open = std::iter::from_fn(|| state.pool.try_reserve(key(&state), Some(6), 1));
+    let open = std::iter::from_fn(|| state.pool.try_reserve(server_key(&state), Some(6), 1));
     assert_eq!(open.take(7).collect::<Vec<_>>().len(), if is_pooled { 5 } else { 6 });
 }
 
@@ -284,7 +291,7 @@
     assert_eq!(body.ok(), is_accepted.then(|| b"all".to_vec()));
 }
 
-/// Responses to other requests are discarded up to 64 KiB, and only on reused connections.
+/// Responses to other requests are discarded only on reused connections, and only up to 64 KiB.
 #[rstest]
 #[case::small(10, true, true)]
 #[case::large(70_000, true, false)]
@@ -297,8 +304,8 @@
     let mut outbound = request(4);
     let mut pooled = None;
     if is_reused {
-        let (connection, peer) = connected(&state, &listener).await;
-        state.pool.checkin(key(&state), connection.into_idle().expect("clean"));
+        let (connection, peer) = open_connection(&state, &listener).await;
+        state.pool.checkin(server_key(&state), connection.into_idle().expect("clean"));
         pooled = Some(peer);
     }
     let server = async {
@@ -309,7 +316,7 @@
         read(&mut peer, b"\r\n\r\nxxxx").await;
         let body = "x".repeat(length);
         let other = format!("HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nContent-Length: {length}\r\n\r\n{body}");
-        // The proxy may close before all is written.
+        // The proxy may close the connection before everything is written.
         drop(peer.write_all(format!("{other}{RESPONSE}").as_bytes()).await);
         peer
     };
@@ -328,6 +335,8 @@
 #[case::timed_out(110, ExchangeError::Connect)]
 #[case::refused(111, ExchangeError::Connect)]
 #[case::no_route(113, ExchangeError::Connect)]
-fn shortage_on_this_machine_is_no_failure_of_the_server(#[case] errno: i32, #[case] expected: ExchangeError) {
+fn resource_exhaustion_on_this_machine_is_not_a_server_failure(
+    #[case] errno: i32, #[case] expected: ExchangeError,
+) {
     assert_eq!(ExchangeError::from_connect_error(&std::io::Error::from_raw_os_error(errno)), expected);
 }
--- a/crates/proxy/src/outbound/fixtures.rs
+++ b/crates/proxy/src/outbound/fixtures.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the tests: a proxy that knows one server, and requests to it.
+//! Test fixtures: the state of a proxy with one server, and requests to that server.
 
 use crate::http::parse_request;
 use crate::inbound::request::ClientRequest;
@@ -15,18 +15,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-/// The listener of a scripted server.
+/// Returns the listener of a scripted server.
 pub async fn listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").await.expect("a port")
 }
 
-/// A scripted server, and the state of a proxy that knows it.
+/// Returns the state of a proxy that knows a scripted server, and the server's listener.
 pub async fn server_and_state() -> (Rc<ProxyState>, TcpListener) {
     let listener = listener().await;
     (state(listener.local_addr().expect("an address")), listener)
 }
 
-/// The state of a proxy that knows the server at `address`.
+/// Returns the state of a proxy that knows the server at `address`.
 pub fn state(address: SocketAddr) -> Rc<ProxyState> {
     let text = r#"
         Node = "front-1"
@@ -36,18 +36,19 @@
     "#;
     let settings = Settings::parse(text).expect("settings");
     let state = ProxyState::new(&settings, Tuning::default(), 1);
-    list(&state, 1, vec![entry(address)]);
+    apply_server_list(&state, 1, vec![server_entry(address)]);
     state
 }
 
-/// Applies an endpoint list.
-pub fn list(state: &ProxyState, sequence: u64, entries: Vec<ServerEntry>) {
+/// Applies an endpoint list with these entries.
+pub fn apply_server_list(state: &ProxyState, sequence: u64, entries: Vec<ServerEntry>) {
     let position = TablePosition { epoch: 1, sequence };
     let servers = Some(ServerDelta { position, is_full: true, entries, removed: Vec::new() });
     state.apply(&Update { servers, ..Update::default() });
 }
 
-pub fn entry(address: SocketAddr) -> ServerEntry {
+/// Returns the endpoint list entry of the server at `address`.
+pub fn server_entry(address: SocketAddr) -> ServerEntry {
     ServerEntry {
         id: "i-a".to_owned(),
         service: "s".to_owned(),
@@ -61,15 +62,15 @@
     }
 }
 
-/// The key of the only server.
-pub fn key(state: &ProxyState) -> ServerKey {
+/// Returns the key of the only server.
+pub fn server_key(state: &ProxyState) -> ServerKey {
     state.balancer.borrow().server_keys().next().expect("a server")
 }
 
-/// The selection of the only server.
+/// Returns the selection of the only server.
 pub fn selection(state: &ProxyState, address: SocketAddr) -> Selection {
     Selection {
-        key: key(state),
+        key: server_key(state),
         id: "i-a".into(),
         address,
         zone: "home".into(),
@@ -79,15 +80,15 @@
     }
 }
 
-/// A connection of the proxy to the server, and the server's side of it.
-pub async fn connected(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
+/// Opens a connection from the proxy to the server. Returns both ends.
+pub async fn open_connection(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
     let address = listener.local_addr().expect("an address");
-    let permit = state.pool.try_reserve(key(state), None, 1).expect("capacity");
+    let permit = state.pool.try_reserve(server_key(state), None, 1).expect("capacity");
     let (connection, accepted) = tokio::join!(Connection::open(address, permit), listener.accept());
     (connection.expect("a connection"), accepted.expect("a connection").0)
 }
 
-/// A request with further lines in its head.
+/// Returns a request whose head has the further lines `more`.
 pub fn outbound(method: &str, more: &str, body: Vec<u8>) -> OutboundRequest {
     let text = format!("{method} /r/x HTTP/1.1\r\nHost: h\r\n{more}\r\n");
     let head = parse_request(&mut BytesMut::from(text.as_str())).expect("a head").expect("a complete head");
--- a/crates/proxy/src/outbound/mod.rs
+++ b/crates/proxy/src/outbound/mod.rs
@@ -1,4 +1,4 @@
-//! The servers' side: connections, their pool, and one exchange of a request for a response.
+//! The server side: connections, the connection pool, and the exchange of one request for a response.
 
 mod connection;
 mod error;
@@ -23,4 +23,4 @@
 pub use exchange::{ExchangeTerms, exchange};
 pub use pool::ConnectionPool;
 pub use request::{AttemptHeaders, MAX_PRIORITY, OutboundRequest};
-pub use response::{MAX_STRAY_BYTES, ServerResponse, discard_response};
+pub use response::{MAX_UNMATCHED_BYTES, ServerResponse, discard_response};
--- a/crates/proxy/src/outbound/pool_tests.rs
+++ b/crates/proxy/src/outbound/pool_tests.rs
@@ -1,7 +1,9 @@
-//! Which connections are pooled and checked out, and how many may be open.
+//! Which connections the pool keeps and hands out, and how many may be open.
 
 use crate::outbound::connection::Connection;
-use crate::outbound::fixtures::{connected, entry, key, list, server_and_state};
+use crate::outbound::fixtures::{
+    apply_server_list, open_connection, server_and_state, server_entry, server_key,
+};
 use crate::state::ProxyState;
 use rstest::rstest;
 use std::time::Duration;
@@ -10,55 +12,55 @@
 use tokio::time::Instant;
 
 async fn idle(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
-    let (connection, peer) = connected(state, listener).await;
+    let (connection, peer) = open_connection(state, listener).await;
     (connection.into_idle().expect("clean"), peer)
 }
 
 #[tokio::test]
-async fn checkout_takes_the_connection_used_last() {
+async fn checkout_takes_the_most_recently_used_connection() {
     let (state, listener) = server_and_state().await;
     let (mut ids, mut peers) = (Vec::new(), Vec::new());
     for _ in 0..3 {
         let (connection, peer) = idle(&state, &listener).await;
         ids.push(connection.id());
-        state.pool.checkin(key(&state), connection);
+        state.pool.checkin(server_key(&state), connection);
         peers.push(peer);
     }
     assert!(ids[0] != ids[1] && ids[1] != ids[2]);
-    let taken = state.pool.checkout(key(&state), true, &[ids[2]]).expect("one");
+    let taken = state.pool.checkout(server_key(&state), true, &[ids[2]]).expect("one");
     assert_eq!(taken.id(), ids[1]);
-    // Excluded ones stay in the pool.
-    let taken = state.pool.checkout(key(&state), true, &[]).expect("one");
+    // Excluded connections stay in the pool.
+    let taken = state.pool.checkout(server_key(&state), true, &[]).expect("one");
     assert_eq!(taken.id(), ids[2]);
-    assert!(state.pool.checkout(key(&state), true, &ids).is_none());
+    assert!(state.pool.checkout(server_key(&state), true, &ids).is_none());
 }
 
 #[rstest]
-#[case::stray_bytes(false)]
+#[case::unexpected_bytes(false)]
 #[case::closed(true)]
 #[tokio::test]
-async fn connection_on_which_anything_was_received_is_not_checked_out(#[case] closes: bool) {
+async fn idle_connection_with_pending_input_is_not_checked_out(#[case] closes: bool) {
     let (state, listener) = server_and_state().await;
     let (connection, mut peer) = idle(&state, &listener).await;
-    state.pool.checkin(key(&state), connection);
+    state.pool.checkin(server_key(&state), connection);
     if closes {
         drop(peer);
     } else {
         peer.write_all(b"surplus").await.expect("sent");
     }
-    assert!(state.pool.checkout(key(&state), true, &[]).is_none());
+    assert!(state.pool.checkout(server_key(&state), true, &[]).is_none());
 }
 
 #[tokio::test]
 async fn connection_that_must_close_does_not_become_idle() {
     let (state, listener) = server_and_state().await;
-    let (mut connection, _peer) = connected(&state, &listener).await;
+    let (mut connection, _peer) = open_connection(&state, &listener).await;
     connection.must_close = true;
     assert!(connection.into_idle().is_none());
 }
 
-/// The idle time in ms at which a connection is not checked out any more, by whether the request is idempotent and by the
-/// server's announcement.
+/// The idle time in milliseconds from which a connection is no longer checked out, for idempotent and other
+/// requests, and depending on the `Keep-Alive` timeout of the server.
 #[rstest]
 #[case::idempotent(true, None, 3_999, true)]
 #[case::idempotent_expired(true, None, 4_000, false)]
@@ -75,9 +77,9 @@
     tokio::time::pause();
     let (mut connection, _peer) = idle(&state, &listener).await;
     connection.server_closes_at = closes_ms.map(|ms| Instant::now() + Duration::from_millis(ms));
-    state.pool.checkin(key(&state), connection);
+    state.pool.checkin(server_key(&state), connection);
     tokio::time::advance(Duration::from_millis(idle_ms)).await;
-    assert_eq!(state.pool.checkout(key(&state), is_idempotent, &[]).is_some(), is_checked_out);
+    assert_eq!(state.pool.checkout(server_key(&state), is_idempotent, &[]).is_some(), is_checked_out);
 }
 
 #[tokio::test]
@@ -85,31 +87,32 @@
     let (state, listener) = server_and_state().await;
     tokio::time::pause();
     let (connection, peer) = idle(&state, &listener).await;
-    state.pool.checkin(key(&state), connection);
+    state.pool.checkin(server_key(&state), connection);
     state.pool.close_expired();
-    assert!(peer.try_read(&mut [0]).is_err(), "it is open");
+    assert!(peer.try_read(&mut [0]).is_err(), "the connection is open");
     tokio::time::advance(Duration::from_secs(4)).await;
     state.pool.close_expired();
     peer.readable().await.expect("its end");
     assert_eq!(peer.try_read(&mut [0]).expect("its end"), 0);
 }
 
-/// A server that is listed again at the same address doesn't inherit connections, also not one that is checked in late.
+/// A server that is listed again at the same address does not inherit connections, not even one that is
+/// returned to the pool after the new listing.
 #[tokio::test]
 async fn connections_to_a_removed_server_are_closed() {
     let (state, listener) = server_and_state().await;
-    let removed = key(&state);
+    let removed = server_key(&state);
     let (connection, peer) = idle(&state, &listener).await;
     let (late, _late_peer) = idle(&state, &listener).await;
     state.pool.checkin(removed, connection);
-    list(&state, 2, Vec::new());
+    apply_server_list(&state, 2, Vec::new());
     peer.readable().await.expect("its end");
     assert_eq!(peer.try_read(&mut [0]).expect("its end"), 0);
     state.pool.checkin(removed, late);
-    list(&state, 3, vec![entry(listener.local_addr().expect("an address"))]);
-    assert_ne!(key(&state), removed, "the same id, listed again");
+    apply_server_list(&state, 3, vec![server_entry(listener.local_addr().expect("an address"))]);
+    assert_ne!(server_key(&state), removed, "the same id, listed again");
     assert!(state.pool.checkout(removed, true, &[]).is_none());
-    assert!(state.pool.checkout(key(&state), true, &[]).is_none());
+    assert!(state.pool.checkout(server_key(&state), true, &[]).is_none());
 }
 
 #[tokio::test]
@@ -118,14 +121,14 @@
     let mut peers = Vec::new();
     for _ in 0..17 {
         let (connection, peer) = idle(&state, &listener).await;
-        state.pool.checkin(key(&state), connection);
+        state.pool.checkin(server_key(&state), connection);
         peers.push(peer);
     }
-    let taken = (0..17).filter_map(|_| state.pool.checkout(key(&state), true, &[])).count();
+    let taken = (0..17).filter_map(|_| state.pool.checkout(server_key(&state), true, &[])).count();
     assert_eq!(taken, 16);
 }
 
-/// All proxies share the connections that a server accepts, with a minimum for each.
+/// The connections that a server accepts are divided among all proxies, with a minimum for each proxy.
 #[rstest]
 #[case::share(Some(100), 10, 10)]
 #[case::minimum(Some(30), 10, 6)]
@@ -136,18 +139,19 @@
 ) {
     let (state, _listener) = server_and_state().await;
     let mut open = Vec::new();
-    while let Some(permit) = state.pool.try_reserve(key(&state), max, proxies) {
+    while let Some(permit) = state.pool.try_reserve(server_key(&state), max, proxies) {
         open.push(permit);
         assert!(open.len() <= expected);
     }
     assert_eq!(open.len(), expected);
     open.pop();
-    assert!(state.pool.try_reserve(key(&state), max, proxies).is_some(), "one was closed");
+    assert!(state.pool.try_reserve(server_key(&state), max, proxies).is_some(), "one was closed");
 }
 
 #[tokio::test]
-async fn without_a_limit_all_connections_may_be_open() {
+async fn open_connections_are_unlimited_without_a_limit() {
     let (state, _listener) = server_and_state().await;
-    let open: Vec<_> = (0..500).filter_map(|_| state.pool.try_reserve(key(&state), None, 300)).collect();
+    let open: Vec<_> =
+        (0..500).filter_map(|_| state.pool.try_reserve(server_key(&state), None, 300)).collect();
     assert_eq!(open.len(), 500);
 }
--- a/crates/proxy/src/outbound/request_tests.rs
+++ b/crates/proxy/src/outbound/request_tests.rs
@@ -8,18 +8,20 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a client sends: fields that go along, fields of the connection, and fields that only this program may set.
+/// A request of a client with header fields that are forwarded, hop-by-hop fields, and fields that only the
+/// proxy may set.
 const CLIENT: &str = "POST /v1/x?y=1 HTTP/1.1\r\nHost: app.example\r\nRequest-Id: r1\r\nX-Own: a  b\r\n\
     Connection: keep-alive, X-Hop\r\nX-Hop: 1\r\nKeep-Alive: timeout=5\r\nProxy-Authenticate: a\r\n\
     Proxy-Authorization: b\r\nProxy-Connection: c\r\nTE: trailers\r\nTrailer: X-T\r\nTransfer-Encoding: chunked\r\n\
     Upgrade: h2c\r\nContent-Length: 77\r\nExpect: 100-continue\r\nDeadline-Ms: 9000\r\nExpect-Instance: forged\r\n\
     Serving-Stage: prefill\r\nKv-From: forged\r\nLast-Event-Id: 4\r\nPriority: 3\r\nExpect-Version: 2\r\n\
     Prompt-Prefix: aa:1\r\nModel: m\r\n\r\n";
-const ALONG: &str = "POST /v1/x?y=1 HTTP/1.1\r\nHost: app.example\r\nRequest-Id: r1\r\nX-Own: a  b\r\n\
+/// The part of the head that is forwarded unchanged.
+const FORWARDED: &str = "POST /v1/x?y=1 HTTP/1.1\r\nHost: app.example\r\nRequest-Id: r1\r\nX-Own: a  b\r\n\
     Expect-Version: 2\r\nPrompt-Prefix: aa:1\r\nModel: m\r\n";
 
 fn outbound(head: &str, body: Option<&'static str>) -> OutboundRequest {
-    let head = parse_request(&mut BytesMut::from(head)).expect("a head").expect("a whole head");
+    let head = parse_request(&mut BytesMut::from(head)).expect("a head").expect("a complete head");
     let has_body = body.is_some();
     let body = Bytes::from_static(body.unwrap_or_default().as_bytes());
     OutboundRequest::new(&ClientRequest { head, body, has_body, arrived: Instant::now() })
@@ -65,13 +67,13 @@
 )]
 fn head_of_a_request_with_a_body(#[case] extra: AttemptHeaders, #[case] added: &str) {
     let head = outbound(CLIENT, Some("hello")).encode("i-1", Duration::from_micros(250_900), &extra);
-    assert_eq!(String::from_utf8(head).expect("text"), format!("{ALONG}Content-Length: 5\r\n{added}"));
+    assert_eq!(String::from_utf8(head).expect("text"), format!("{FORWARDED}Content-Length: 5\r\n{added}"));
 }
 
 #[rstest]
 #[case::none_announced(None, "")]
 #[case::empty(Some(""), "Content-Length: 0\r\n")]
-fn head_of_a_request_without_bytes_of_a_body(#[case] body: Option<&'static str>, #[case] length: &str) {
+fn head_of_a_request_with_an_empty_or_no_body(#[case] body: Option<&'static str>, #[case] length: &str) {
     let outbound = outbound("GET / HTTP/1.0\r\nhost: h\r\n\r\n", body);
     let head = outbound.encode("i-1", Duration::ZERO, &AttemptHeaders::default());
     let expected =
--- a/crates/proxy/src/outbound/request_writer.rs
+++ b/crates/proxy/src/outbound/request_writer.rs
@@ -1,22 +1,24 @@
-//! Writes a request, and knows whether the server can have executed it if that fails.
+//! Writes a request to a connection. If that fails, the result indicates whether the server may have executed
+//! the request.
 //!
-//! A server starts to execute with the last byte of a request, except one that responds before it has read a long body. So a
-//! request that broke off before its last byte was not executed only if no byte of a response has come. The reading side of the
-//! connection is watched until then.
+//! A server starts to execute a request when it has received the last byte, except for a server that responds
+//! before it has read the complete body. So a request whose last byte was not sent is known to be unexecuted
+//! only if no byte of a response has been received. Until the last byte is sent, the writer therefore also
+//! watches for input on the connection.
 
 use crate::outbound::connection::{Connection, StreamState};
-use crate::outbound::request::{INLINE_BODY, OutboundRequest};
+use crate::outbound::request::{MAX_INLINE_BODY_BYTES, OutboundRequest};
 use std::io;
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// How the writing of a request ended.
+/// The outcome of writing a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// The complete request was sent.
     Complete,
-    /// The server has begun to respond, or what came can't be told from a response. The rest was not sent, and the connection is
-    /// not reused.
+    /// The server has begun to respond, or has sent bytes that can't be distinguished from a response. The
+    /// rest of the request was not sent, and the connection must not be reused.
     EarlyResponse,
 }
 
@@ -24,41 +26,43 @@
 pub struct RequestWriter<'a> {
     connection: &'a mut Connection,
     request: &'a OutboundRequest,
-    /// Whether bytes that come are looked at. Not after a response to another request: it is discarded later.
-    is_watching: bool,
+    /// Whether the writer watches for input. It stops after a response to another request, which is discarded
+    /// later.
+    watches_for_response: bool,
 }
 
 impl<'a> RequestWriter<'a> {
-    /// For one exchange.
+    /// Creates the writer for one exchange.
     pub fn new(connection: &'a mut Connection, request: &'a OutboundRequest) -> RequestWriter<'a> {
-        RequestWriter { connection, request, is_watching: true }
+        RequestWriter { connection, request, watches_for_response: true }
     }
 
-    /// Writes head and body; the very last byte only after `last_byte_delay`.
+    /// Writes the head and the body, the last byte only after `last_byte_delay`.
     ///
     /// # Errors
-    /// The server has not received the complete request and has not begun to respond, and never will: the caller closes the
-    /// connection.
+    /// The connection failed before the complete request was sent, and the server has not begun to respond.
+    /// The request was not executed and never will be, provided that the caller closes the connection.
     pub async fn write(
         &mut self, mut head: Vec<u8>, last_byte_delay: Option<Duration>,
     ) -> io::Result<WriteOutcome> {
         let body = &self.request.body;
-        let (first, second) = if body.len() <= INLINE_BODY {
+        let (first, second) = if body.len() <= MAX_INLINE_BODY_BYTES {
             head.extend_from_slice(body);
             (head, &[][..])
         } else {
             (head, &body[..])
         };
         if second.is_empty() {
-            return self.write_last(&first, last_byte_delay).await;
+            return self.write_with_last_byte_delayed(&first, last_byte_delay).await;
         }
         match self.write_part(&first).await? {
-            WriteOutcome::Complete => self.write_last(second, last_byte_delay).await,
+            WriteOutcome::Complete => self.write_with_last_byte_delayed(second, last_byte_delay).await,
             WriteOutcome::EarlyResponse => Ok(WriteOutcome::EarlyResponse),
         }
     }
 
-    async fn write_last(
+    /// Writes `bytes`, the last of them only after `last_byte_delay`, if there is one.
+    async fn write_with_last_byte_delayed(
         &mut self, bytes: &[u8], last_byte_delay: Option<Duration>,
     ) -> io::Result<WriteOutcome> {
         let Some((delay, (last, others))) = last_byte_delay.zip(bytes.split_last()) else {
@@ -67,32 +71,33 @@
         if self.write_part(others).await? == WriteOutcome::EarlyResponse
             || self.responds_within(delay).await?
         {
-            return self.end_early();
+            return self.stop_for_early_response();
         }
         self.write_part(&[*last]).await
     }
 
+    /// Writes `bytes`, and stops if the server begins to respond.
     async fn write_part(&mut self, mut bytes: &[u8]) -> io::Result<WriteOutcome> {
         while !bytes.is_empty() {
-            let ready = self.connection.ready(self.is_watching).await?;
-            if self.is_watching && ready.is_readable() && self.has_response_begun()? {
-                return self.end_early();
+            let ready = self.connection.ready(self.watches_for_response).await?;
+            if self.watches_for_response && ready.is_readable() && self.has_response_begun()? {
+                return self.stop_for_early_response();
             }
             if !ready.is_writable() {
                 continue;
             }
             match self.connection.try_write(bytes) {
                 Ok(written) => bytes = bytes.get(written..).unwrap_or_default(),
-                Err(error) => return self.end_broken(error),
+                Err(error) => return self.handle_write_error(error),
             }
         }
         Ok(WriteOutcome::Complete)
     }
 
-    /// Whether the server begins to respond within that time.
+    /// Returns whether the server begins to respond within `time`.
     async fn responds_within(&mut self, time: Duration) -> io::Result<bool> {
         let watch = async {
-            while self.is_watching {
+            while self.watches_for_response {
                 self.connection.readable().await?;
                 if self.has_response_begun()? {
                     return Ok(true);
@@ -100,11 +105,12 @@
             }
             std::future::pending().await
         };
-        // The runtime polls the socket before its timers, so that bytes that came in time are seen.
+        // The runtime polls the socket before its timers, so that input that arrived in time is detected.
         timeout(time, watch).await.unwrap_or(Ok(false))
     }
 
-    /// Whether a response to this request has begun, as far as can be told.
+    /// Reads the available input. Returns whether it is, or may be, the beginning of a response to this
+    /// request.
     fn has_response_begun(&mut self) -> io::Result<bool> {
         if self.connection.read_available() == StreamState::Closed {
             return if self.connection.has_unread_bytes() {
@@ -115,21 +121,22 @@
         }
         match self.connection.peek_head() {
             Ok(None) => Ok(false),
-            Ok(Some(head)) if self.connection.is_reused && !self.request.is_response_to_this(&head) => {
-                self.is_watching = false;
+            Ok(Some(head)) if self.connection.is_reused && !self.request.matches_response(&head) => {
+                self.watches_for_response = false;
                 Ok(false)
             }
             Ok(Some(_)) | Err(_) => Ok(true),
         }
     }
 
-    /// The write failed; a response may have come before the connection broke.
-    fn end_broken(&mut self, error: io::Error) -> io::Result<WriteOutcome> {
+    /// Handles a failed write: the server may have responded before the connection broke.
+    fn handle_write_error(&mut self, error: io::Error) -> io::Result<WriteOutcome> {
         self.connection.read_available();
-        if self.connection.has_unread_bytes() { self.end_early() } else { Err(error) }
+        if self.connection.has_unread_bytes() { self.stop_for_early_response() } else { Err(error) }
     }
 
-    fn end_early(&mut self) -> io::Result<WriteOutcome> {
+    /// Stops writing. The connection can't be reused, since the rest of the request is missing on it.
+    fn stop_for_early_response(&mut self) -> io::Result<WriteOutcome> {
         self.connection.must_close = true;
         Ok(WriteOutcome::EarlyResponse)
     }
--- a/crates/proxy/src/outbound/response.rs
+++ b/crates/proxy/src/outbound/response.rs
@@ -1,4 +1,4 @@
-//! Responses of servers: the one that belongs to a request, and stray ones that don't.
+//! Responses of servers: the response to a request, and unmatched responses, which belong to other requests.
 
 use crate::http::{BodyDecoder, Decoded, Framing, ResponseHead, response_framing};
 use crate::outbound::connection::{Connection, ReadError};
@@ -9,31 +9,34 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// The bytes of responses to other requests that are read and discarded before one's own.
-pub const MAX_STRAY_BYTES: usize = 64 * 1024;
+/// The maximum number of bytes of unmatched responses that are discarded before the expected response.
+pub const MAX_UNMATCHED_BYTES: usize = 64 * 1024;
 
-/// A response whose head was received. Its body is still to be read.
+/// A response whose head has been received, and whose body has not been read yet.
 #[derive(Debug)]
 pub struct ServerResponse {
     /// The head.
     pub head: ResponseHead,
-    /// How the body ends.
+    /// The framing of the body.
     pub framing: Framing,
     /// The decoder of the body.
     pub decoder: BodyDecoder,
-    /// The connection that the body comes on.
+    /// The connection on which the response is received.
     pub connection: Connection,
-    /// The server.
+    /// The key of the server.
     pub key: ServerKey,
     /// When the request was sent.
     pub sent_at: Instant,
 }
 
 impl ServerResponse {
-    /// Returns the connection to the pool, if the body was read completely and the server keeps the connection open; else closes
-    /// it.
-    pub fn finish(mut self, state: &ProxyState) {
-        if !self.decoder.is_done() || self.head.says_close() || self.framing == Framing::UntilEnd {
+    /// Returns the connection to the pool if the body was read completely and the server keeps the connection
+    /// open. Closes the connection otherwise.
+    pub fn release_connection(mut self, state: &ProxyState) {
+        if !self.decoder.is_done()
+            || self.head.closes_connection_after()
+            || self.framing == Framing::CloseDelimited
+        {
             return;
         }
         let timeout = keep_alive_timeout(&self.head);
@@ -43,10 +46,11 @@
         }
     }
 
-    /// Like [`ServerResponse::finish`], without use for the body: the connection is returned if the body has arrived already.
-    pub fn discard(mut self, state: &ProxyState) {
+    /// Discards the part of the body that has been received, and releases the connection. It is reused only
+    /// if the body is complete.
+    pub fn discard_body(mut self, state: &ProxyState) {
         while let Ok(Decoded::Data(_)) = self.connection.decode(&mut self.decoder) {}
-        self.finish(state);
+        self.release_connection(state);
     }
 
     /// Waits for more bytes of the body.
@@ -54,10 +58,11 @@
         self.connection.fill_body(&mut self.decoder).await
     }
 
-    /// Reads the complete body until `deadline`.
+    /// Reads the complete body.
     ///
     /// # Errors
-    /// The connection broke, the deadline passed, or the body is larger than `max` bytes.
+    /// [`ExchangeError::Timeout`] if `deadline` passed; [`ExchangeError::ConnectionBroken`] if the connection
+    /// broke or the body is larger than `max` bytes.
     pub async fn collect(&mut self, max: usize, deadline: Instant) -> Result<Vec<u8>, ExchangeError> {
         let mut body = Vec::new();
         loop {
@@ -72,22 +77,22 @@
     }
 }
 
-/// The `timeout` of a `Keep-Alive` field: how long the server keeps the idle connection open.
+/// Returns the `timeout` of the `Keep-Alive` field: how long the server keeps the idle connection open.
 fn keep_alive_timeout(head: &ResponseHead) -> Option<Duration> {
     let value = head.headers.get_text("keep-alive")?;
     let timeout = value.split(',').find_map(|item| item.trim().strip_prefix("timeout="))?;
     timeout.trim().parse().ok().map(Duration::from_secs)
 }
 
-/// Reads the head of the response to `request`, recognised by its id. On a reused connection responses to other requests are
-/// discarded: a server may send a response twice, the second one late.
+/// Reads the head of the response to `request`, recognised by its id. On a reused connection, unmatched
+/// responses are discarded: a server may send a duplicate of an earlier response, which arrives late.
 pub(super) async fn read_response_head(
     connection: &mut Connection, request: &OutboundRequest,
 ) -> Result<ResponseHead, ReadError> {
-    let mut remaining = MAX_STRAY_BYTES;
+    let mut remaining = MAX_UNMATCHED_BYTES;
     loop {
         let head = connection.read_head().await?;
-        if request.is_response_to_this(&head) {
+        if request.matches_response(&head) {
             return Ok(head);
         }
         if !connection.is_reused {
@@ -97,10 +102,11 @@
     }
 }
 
-/// Reads and discards the body of a response to another request. Its size, with the head, is taken off `remaining`.
+/// Reads and discards the body of an unmatched response. The size of its head and body is subtracted from
+/// `remaining`.
 ///
 /// # Errors
-/// The connection broke, the end of the body can't be determined, or nothing remains.
+/// The connection broke, the end of the body can't be determined, or the response is larger than `remaining`.
 pub async fn discard_response(
     connection: &mut Connection, head: &ResponseHead, remaining: &mut usize,
 ) -> Result<(), ReadError> {
--- a/crates/proxy/src/readiness.rs
+++ b/crates/proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The platform's readiness checks: `GET /ready` on a port of its own.
+//! Serves the platform's readiness checks: `GET /ready` on a separate port.
 
 use crate::http::{self, Fill};
 use crate::state::ProxyState;
@@ -9,14 +9,14 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::{sleep, timeout};
 
-/// The idle timeout of a connection. Checks come once a second.
+/// The idle timeout of a connection. The platform checks once a second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The largest head of a check, in bytes.
+/// The maximum size of the head of a check, in bytes.
 const MAX_HEAD_BYTES: usize = 4 * 1024;
-/// The backoff after a failed accept.
+/// The delay after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// Answers checks for as long as the process runs.
+/// Accepts connections and answers their checks for as long as the process runs.
 pub async fn listen(state: Rc<ProxyState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -29,8 +29,9 @@
     }
 }
 
+/// Answers the checks of one connection until it closes.
 async fn serve(state: &ProxyState, mut stream: TcpStream) {
-    // Without the option responses are only slower.
+    // The error is ignored: without `TCP_NODELAY` responses are only slower.
     drop(stream.set_nodelay(true));
     let mut buffer = BytesMut::new();
     loop {
@@ -38,7 +39,7 @@
             Ok(Some(head)) => head,
             Ok(None) if buffer.len() < MAX_HEAD_BYTES => {
                 match timeout(IDLE_TIMEOUT, http::fill(&mut stream, &mut buffer)).await {
-                    Ok(Ok(Fill::Bytes)) => continue,
+                    Ok(Ok(Fill::Received)) => continue,
                     _ => return,
                 }
             }
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -1,5 +1,6 @@
-//! Graceful shutdown, in four steps: the process reports not ready; it goes on accepting connections until the platform has
-//! noticed; it stops accepting; requests in progress complete. All of it ends before the platform kills the process.
+//! Graceful shutdown in four steps: the process fails its readiness checks; it continues to accept
+//! connections until the platform has detected that; it stops accepting; requests in progress complete. The
+//! last step ends before the platform kills the process, even if requests are still in progress.
 
 use crate::inbound::connections::ClientConnections;
 use crate::inbound::listener::{admit_accepted, listen};
@@ -9,34 +10,36 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout_at};
 
-/// How long the platform takes to stop sending clients: it checks once a second, and does so after two failed checks.
-const PLATFORM_NOTICE: Duration = Duration::from_millis(2_300);
-/// The process ends this much before it would be killed.
+/// The time until the platform routes no more clients to this process. It checks readiness once a second, and
+/// stops after two failed checks.
+const PLATFORM_DETECTION_TIME: Duration = Duration::from_millis(2_300);
+/// The shutdown ends this long before the platform would kill the process.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
-/// The least idle time of connections that are closed: a client that has just connected, or received a response, may have a
-/// request on its way.
-const MIN_IDLE: Duration = Duration::from_millis(250);
-/// How often idle connections are asked to close.
-const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Only connections that have been idle for this long are closed: a client that has just connected, or has
+/// just received a response, may already have sent its next request.
+const MIN_IDLE_TIME: Duration = Duration::from_millis(250);
+/// The interval at which idle connections are asked to close.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Shuts down. Returns once no connection is open, or shortly before the end of `grace`.
+/// Shuts down gracefully. Returns once no client connection is open, at the latest [`KILL_MARGIN`] before the
+/// end of `grace`.
 pub async fn drain(
     state: &Rc<ProxyState>, connections: &Rc<ClientConnections>, listener: TcpListener, grace: Duration,
 ) {
     let started = Instant::now();
-    state.drain();
-    let end = started + grace.saturating_sub(KILL_MARGIN);
-    let noticed = (started + PLATFORM_NOTICE).min(end);
-    // Runs into its deadline: it never ends by itself.
-    let _ = timeout_at(noticed, listen(state, connections, &listener)).await;
+    state.start_draining();
+    let shutdown_deadline = started + grace.saturating_sub(KILL_MARGIN);
+    let accept_until = (started + PLATFORM_DETECTION_TIME).min(shutdown_deadline);
+    // Always times out, since `listen` never returns.
+    let _ = timeout_at(accept_until, listen(state, connections, &listener)).await;
     admit_accepted(state, connections, listener);
-    state.close();
-    connections.close_idle(MIN_IDLE);
-    while connections.count() > 0 && Instant::now() < end {
-        let next = (Instant::now() + CHECK_INTERVAL).min(end);
-        // Either a connection has closed or it is time for the next check.
-        let _ = timeout_at(next, connections.wait_for_close()).await;
-        connections.close_idle(MIN_IDLE);
+    state.stop_admission();
+    connections.close_idle(MIN_IDLE_TIME);
+    while connections.count() > 0 && Instant::now() < shutdown_deadline {
+        let next_check = (Instant::now() + IDLE_CHECK_INTERVAL).min(shutdown_deadline);
+        // Whether a connection has closed or the interval has passed makes no difference.
+        let _ = timeout_at(next_check, connections.wait_for_close()).await;
+        connections.close_idle(MIN_IDLE_TIME);
     }
     let elapsed_ms = started.elapsed().as_millis();
     spdlog::info!(
--- a/crates/proxy/src/stack/attempt.rs
+++ b/crates/proxy/src/stack/attempt.rs
@@ -11,31 +11,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How an attempt ended.
+/// The outcome of an attempt, which decides what may be done next.
 pub enum AttemptOutcome {
-    /// A response came; its body is still to be read.
+    /// The head of a response was received. Its body has not been read yet.
     Response(Box<ServerResponse>, InFlightAttempt),
-    /// Nothing was sent; another server may be tried.
+    /// The complete request was not sent, so the server did not execute it. Another server may be tried.
     NotSent,
-    /// The deadline passed before anything was sent.
+    /// The deadline passed before the complete request was sent.
     TooLate,
-    /// The connection broke; the server may have executed the request.
+    /// The connection broke, or an invalid response was received. The server may have executed the request.
     ConnectionBroken,
-    /// The attempt's deadline passed; the server may have executed the request.
+    /// The deadline of the attempt passed. The server may have executed the request.
     TimedOut,
 }
 
-/// The circumstances in which an attempt started, for the trace.
+/// The state at the start of an attempt, for the trace.
 struct AttemptStart {
-    /// Since the request arrived.
+    /// The time since the arrival of the request.
     started_at: Duration,
+    /// The time left until the deadline of the request.
     time_left: Duration,
-    /// The connections that earlier attempts have used.
+    /// The number of connections that earlier attempts have used.
     used_connections: usize,
 }
 
 impl RequestExecution<'_> {
-    /// Sends the request to the selected server and waits for the head of a response until `deadline`.
+    /// Sends the request to the selected server, and reads the head of the response until `deadline`.
     pub async fn attempt(
         &mut self, selection: &Selection, phase: Phase, headers: &AttemptHeaders, deadline: Instant,
     ) -> AttemptOutcome {
@@ -58,10 +59,10 @@
         };
         let result = exchange(self.state, selection, &mut self.outbound, headers, terms).await;
         self.record_result(selection, phase, &start, &result);
-        self.settle(result, in_flight)
+        self.report_result(result, in_flight)
     }
 
-    /// Counts the attempt and adds it to the trace.
+    /// Counts the attempt in the metrics and adds it to the trace.
     fn record_result(
         &self, selection: &Selection, phase: Phase, start: &AttemptStart,
         result: &Result<ServerResponse, ExchangeError>,
@@ -81,14 +82,15 @@
             started_at: start.started_at,
             elapsed: self.request.arrived.elapsed().saturating_sub(start.started_at),
             time_left: start.time_left,
-            is_paid: self.budget.is_next_paid(),
+            is_budgeted: self.budget.has_unused_withdrawal(),
             label,
             body: None,
         });
     }
 
-    /// Reports the result to the balancer, and counts the delivery if the request may have been sent completely.
-    fn settle(
+    /// Reports the result to the balancer, and records the delivery if the complete request was sent or may
+    /// have been.
+    fn report_result(
         &mut self, result: Result<ServerResponse, ExchangeError>, mut in_flight: InFlightAttempt,
     ) -> AttemptOutcome {
         match result {
@@ -98,12 +100,12 @@
             }
             Err(ExchangeError::Connect) => {
                 in_flight.record_failure(FailureKind::Connect);
-                self.history.unsent += 1;
+                self.history.unsent_attempts += 1;
                 AttemptOutcome::NotSent
             }
             Err(ExchangeError::Aborted) => {
                 in_flight.record_inconclusive();
-                self.history.unsent += 1;
+                self.history.unsent_attempts += 1;
                 AttemptOutcome::NotSent
             }
             Err(ExchangeError::TooLate) => {
--- a/crates/proxy/src/stack/delivery_budget.rs
+++ b/crates/proxy/src/stack/delivery_budget.rs
@@ -1,31 +1,34 @@
-//! What one request has withdrawn from the retry budget of its service.
+//! The withdrawals of one request from the retry budget of its service.
 
-/// Withdrawals for the deliveries of one request. A withdrawal that no delivery used pays for the next one.
+/// The withdrawals for the deliveries of one request. A withdrawal that no delivery has used is kept for the
+/// next delivery.
 #[derive(Debug, Default)]
 pub struct DeliveryBudget {
-    is_next_paid: bool,
-    was_last_paid: bool,
+    has_unused_withdrawal: bool,
+    did_last_use_withdrawal: bool,
 }
 
 impl DeliveryBudget {
-    /// Whether the next delivery is already paid for.
-    pub fn is_next_paid(&self) -> bool {
-        self.is_next_paid
+    /// Returns whether there is a withdrawal for the next delivery.
+    pub fn has_unused_withdrawal(&self) -> bool {
+        self.has_unused_withdrawal
     }
 
-    /// Pays for the next delivery by `withdraw`, unless that is done. Returns whether it is paid for.
-    pub fn try_pay(&mut self, withdraw: impl FnOnce() -> bool) -> bool {
-        self.is_next_paid = self.is_next_paid || withdraw();
-        self.is_next_paid
+    /// Withdraws for the next delivery by calling `withdraw`, unless there is an unused withdrawal. Returns
+    /// whether the next delivery is covered.
+    pub fn try_withdraw(&mut self, withdraw: impl FnOnce() -> bool) -> bool {
+        self.has_unused_withdrawal = self.has_unused_withdrawal || withdraw();
+        self.has_unused_withdrawal
     }
 
-    /// A delivery has used the payment, if there was one.
+    /// Records a delivery, which uses the withdrawal if there is one.
     pub fn record_delivery(&mut self) {
-        self.was_last_paid = std::mem::replace(&mut self.is_next_paid, false);
+        self.did_last_use_withdrawal = std::mem::replace(&mut self.has_unused_withdrawal, false);
     }
 
-    /// The last delivery was a prefill that is free, if `is_free`: what was paid for it pays for the next delivery.
+    /// Records that the last delivery was a prefill. If the prefill is free, its withdrawal becomes available
+    /// for the next delivery.
     pub fn record_prefill(&mut self, is_free: bool) {
-        self.is_next_paid = is_free && self.was_last_paid;
+        self.has_unused_withdrawal = is_free && self.did_last_use_withdrawal;
     }
 }
--- a/crates/proxy/src/stack/disaggregated.rs
+++ b/crates/proxy/src/stack/disaggregated.rs
@@ -1,8 +1,8 @@
-//! Disaggregated serving: a prefill server computes the KV cache of the prompt, and a decode server fetches it and generates the
-//! tokens.
+//! Disaggregated serving: a prefill server computes the KV cache of the prompt, and a decode server fetches
+//! the KV cache and generates the tokens.
 //!
-//! The decode server is selected after the prefill, by what is known then. Where no prefill server can be used, a decode server
-//! prefills the prompt itself.
+//! The decode server is selected after the prefill, so that the selection uses current load information. If
+//! no prefill server can be used, a decode server prefills the prompt itself.
 
 use crate::inbound::error_response::RequestError;
 use crate::outbound::{AttemptHeaders, MAX_PRIORITY, ServerResponse};
@@ -19,40 +19,42 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The largest response to a prefill, in bytes.
+/// The maximum size of the body of a prefill response, in bytes.
 const MAX_PREFILL_RESPONSE_BYTES: usize = 16 * 1024;
-/// A prefill may take this multiple of its estimate, and at least this multiple of the latency objective, before another server
-/// is tried: a prefill that is abandoned has been computed for nothing.
-const PREFILL_TIMEOUT_ESTIMATES: u32 = 6;
-const PREFILL_TIMEOUT_OBJECTIVES: u32 = 3;
-/// Prefill servers that are tried for one request.
+/// A prefill may take this multiple of its estimated latency before another server is tried. The timeout is
+/// generous since the work of an abandoned prefill is wasted.
+const PREFILL_TIMEOUT_ESTIMATE_FACTOR: u32 = 6;
+/// A prefill may take at least this multiple of the latency objective.
+const PREFILL_TIMEOUT_OBJECTIVE_FACTOR: u32 = 3;
+/// The maximum number of prefill servers that are tried in one prefill phase.
 const MAX_PREFILL_ATTEMPTS: usize = 3;
-/// Each doubling of this many tokens lowers the priority of a prefill by one.
-const PRIORITY_TOKENS: u32 = 1_024;
-/// Decode servers that are tried with one KV handle.
+/// The unit of the prompt length in the priority of a prefill. Each doubling of this many tokens lowers the
+/// priority by one.
+const PRIORITY_STEP_TOKENS: u32 = 1_024;
+/// The maximum number of decode servers that are tried with one KV handle.
 const MAX_DECODE_ATTEMPTS: u32 = 2;
-/// The longest KV handle, in bytes.
+/// The maximum length of a KV handle, in bytes.
 const MAX_HANDLE_BYTES: usize = 256;
 
-/// The body of a response to a prefill.
+/// The body of a prefill response.
 #[derive(Deserialize)]
 struct PrefillResponse {
     #[serde(rename = "KvHandle")]
     handle: String,
 }
 
-/// How the prefill of a prompt ended.
+/// The outcome of the prefill phase.
 enum Prefill {
-    /// The KV cache waits at a prefill server.
+    /// A prefill server holds the KV cache of the prompt.
     Completed(KvHandle),
-    /// No prefill server is used: a decode server has to prefill the prompt.
+    /// No prefill server is used. A decode server has to prefill the prompt.
     Skipped,
 }
 
-/// Executes the request, with retries, until a decode server gives a response for the client.
+/// Executes the request, with retries, until a decode server returns a response for the client.
 ///
 /// # Errors
-/// No server may be attempted any more.
+/// No further attempt is allowed or possible.
 pub async fn execute(
     execution: &mut RequestExecution<'_>, headers: &AttemptHeaders,
 ) -> Result<AcceptedResponse, RequestError> {
@@ -61,11 +63,12 @@
     let mut may_transfer = execution.state.balancer.borrow_mut().try_kv_transfer(now, service);
     loop {
         if !execution.attempts.may_execute() {
-            return Err(execution.saturated(SaturationCause::NoAttemptsLeft));
+            return Err(execution.saturation_error(SaturationCause::NoAttemptsLeft));
         }
         let needs_prefill_server = may_transfer || !may_prefill_on_decode_after_failure(execution);
         let handle = if needs_prefill_server { prefill(execution, headers).await? } else { None };
-        // Whatever becomes of this handle: a second prefill would cost one more delivery.
+        // Whatever the outcome of this handle, a prefill server is used again only if a decode server must
+        // not prefill the prompt, since a second prefill would cost one more delivery.
         may_transfer = false;
         if let Some(accepted) = decode(execution, headers, handle).await? {
             return Ok(accepted);
@@ -73,7 +76,7 @@
     }
 }
 
-/// Has the prompt prefilled; `None` if a decode server has to do it.
+/// Runs the prefill phase. Returns `None` if a decode server has to prefill the prompt.
 async fn prefill(
     execution: &mut RequestExecution<'_>, headers: &AttemptHeaders,
 ) -> Result<Option<KvHandle>, RequestError> {
@@ -87,7 +90,7 @@
     }
 }
 
-/// One attempt of a prefill; `None` if another server may be tried.
+/// Attempts the prefill at one server. Returns `None` if another server may be tried.
 async fn attempt_prefill(
     execution: &mut RequestExecution<'_>, headers: &AttemptHeaders, attempted: &mut Vec<ServerKey>,
 ) -> Result<Option<Prefill>, RequestError> {
@@ -100,10 +103,10 @@
         Ok(selection) => selection,
         Err(SelectionError::NoServer) if attempted.is_empty() => return Ok(Some(Prefill::Skipped)),
         Err(SelectionError::NoServer) => return prefill_on_decode(execution).map(Some),
-        Err(SelectionError::Saturated) => return Err(execution.saturated(SaturationCause::NoCapacity)),
+        Err(SelectionError::Saturated) => return Err(execution.saturation_error(SaturationCause::NoCapacity)),
     };
-    execution.shed_if_hopeless(&selection)?;
-    if !execution.try_pay_delivery() {
+    execution.shed_if_late(&selection)?;
+    if !execution.try_withdraw_delivery() {
         return prefill_on_decode(execution).map(Some);
     }
     attempted.push(selection.key);
@@ -123,20 +126,22 @@
     }
 }
 
-/// No other prefill server may be tried: a decode server prefills the prompt if it is short.
+/// Decides what happens if no other prefill server may be tried: a decode server prefills the prompt if the
+/// prompt is short, otherwise the request is rejected.
 ///
-/// It would prefill between the decode steps of other requests. A long prefill would pause all streams there for longer than
-/// clients accept, for a request that is late already. Only a request that was executed, as a stream that is resumed, can't be
-/// rejected: its client has received a part of the response.
+/// A decode server runs a prefill between the decode steps of other requests. A long prefill would pause all
+/// its streams for longer than clients accept, for a request that is already late. A request that may have
+/// been executed, such as a stream that is resumed, is not rejected, since its client may have received a
+/// part of the response.
 fn prefill_on_decode(execution: &RequestExecution<'_>) -> Result<Prefill, RequestError> {
     let max_tokens = execution.state.balancer.borrow().tuning().max_decode_prefill_tokens;
     if execution.terms.prompt.input_tokens > max_tokens && execution.attempts.is_unexecuted() {
-        return Err(execution.saturated(SaturationCause::NoPrefill));
+        return Err(execution.saturation_error(SaturationCause::NoPrefill));
     }
     Ok(Prefill::Skipped)
 }
 
-/// Whether a decode server prefills the prompt itself after KV cache transfers have failed.
+/// Returns whether a decode server may prefill the prompt itself after KV cache transfers have failed.
 fn may_prefill_on_decode_after_failure(execution: &RequestExecution<'_>) -> bool {
     let balancer = execution.state.balancer.borrow();
     let tuning = balancer.tuning();
@@ -144,21 +149,22 @@
     tuning.decode_prefills_after_failures || is_short || !execution.attempts.is_unexecuted()
 }
 
-/// The priority of a prefill by its length, 0 for the shortest. A long prefill takes hundreds of milliseconds, in which short
-/// ones that are queued behind it would become late.
+/// Returns the priority of a prefill by its length, 0 for the shortest. A long prefill takes hundreds of
+/// milliseconds, which would make short ones late that are queued behind it.
 fn prefill_priority(tokens: u32) -> u8 {
-    let doublings = (1 + tokens / PRIORITY_TOKENS).ilog2();
+    let doublings = (1 + tokens / PRIORITY_STEP_TOKENS).ilog2();
     doublings.min(u32::from(MAX_PRIORITY)) as u8
 }
 
-/// How long a prefill may take before another server is tried; never more than half of the time left.
+/// Returns how long a prefill may take before another server is tried, which is never more than half of the
+/// time left.
 fn prefill_timeout(execution: &RequestExecution<'_>, selection: &Selection) -> Duration {
-    let by_estimate = selection.estimate.saturating_mul(PREFILL_TIMEOUT_ESTIMATES);
-    let by_objective = execution.terms.objective * PREFILL_TIMEOUT_OBJECTIVES;
+    let by_estimate = selection.estimate.saturating_mul(PREFILL_TIMEOUT_ESTIMATE_FACTOR);
+    let by_objective = execution.terms.objective * PREFILL_TIMEOUT_OBJECTIVE_FACTOR;
     by_estimate.max(by_objective).min(execution.time_left() / 2)
 }
 
-/// Reads the KV handle from the response to a prefill; `None` if another server may be tried.
+/// Reads the KV handle from a prefill response. Returns `None` if another server may be tried.
 async fn read_prefill_response(
     execution: &mut RequestExecution<'_>, selection: &Selection, mut response: Box<ServerResponse>,
     mut in_flight: InFlightAttempt, deadline: Instant,
@@ -168,16 +174,16 @@
             execution.attempts.record_rejection();
             execution.record_misdirected(selection);
             in_flight.record_inconclusive();
-            response.discard(execution.state);
+            response.discard_body(execution.state);
             return None;
         }
         ResponseClass::Rejected => {
             execution.attempts.record_rejection();
             in_flight.record_rejection();
-            response.discard(execution.state);
+            response.discard_body(execution.state);
             return None;
         }
-        // This response does not go to the client, and carries no stamp.
+        // A prefill response is not forwarded to the client, and carries no `Server-Stamp`.
         _ if response.head.status == 200 => {}
         ResponseClass::Success
         | ResponseClass::Failure
@@ -196,14 +202,14 @@
     };
     execution.record_prefill();
     in_flight.record_success(response.sent_at.elapsed());
-    response.finish(execution.state);
+    response.release_connection(execution.state);
     let now = execution.state.now();
     execution.state.balancer.borrow_mut().record_prefill(now, selection.key, &execution.terms.prompt);
     Some(Prefill::Completed(KvHandle::new(execution.state, selection.clone(), handle)))
 }
 
-/// The KV handle of a response to a prefill. It is used in a path and in a header, so that only unreserved characters are
-/// accepted.
+/// Parses the KV handle in the body of a prefill response. The handle is used in a path and in a header, so
+/// only unreserved characters (RFC 3986) are accepted.
 fn parse_handle(body: &[u8]) -> Option<String> {
     let PrefillResponse { handle } = serde_json::from_slice(body).ok()?;
     let is_unreserved = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.' | b'~');
@@ -212,12 +218,13 @@
     is_valid.then_some(handle)
 }
 
-/// Has a decode server fetch the KV cache of the handle, or prefill the prompt itself without one. `None` if the prompt has to be
-/// prefilled again. A handle that no server has used is freed at once, by its drop.
+/// Executes the request on a decode server, which fetches the KV cache of `handle`, or prefills the prompt
+/// itself if there is no handle. Returns `None` if the prompt has to be prefilled again. Dropping a handle
+/// that was not consumed frees its KV cache.
 async fn decode(
     execution: &mut RequestExecution<'_>, headers: &AttemptHeaders, handle: Option<KvHandle>,
 ) -> Result<Option<AcceptedResponse>, RequestError> {
-    // A transfer within the zone of the prefill server is faster.
+    // Prefers the zone of the prefill server, since a transfer within a zone is faster.
     let zone = handle.as_ref().map(|handle| handle.zone().to_string());
     let zone = zone.as_deref().unwrap_or(&execution.state.zone);
     let phase = if handle.is_some() { Phase::Decode } else { Phase::Full };
@@ -241,23 +248,23 @@
             }
             return Ok(Some(accepted));
         }
-        // The request may have been executed, which uses the handle up.
+        // The request may have been executed, which consumes the handle.
         if execution.attempts.executions() != executions_before {
             return Ok(None);
         }
         rejections += u32::from(was_delivered);
-        if handle.is_some() && was_delivered && abandons_handle(execution, rejections) {
+        if handle.is_some() && was_delivered && must_abandon_handle(execution, rejections) {
             return Ok(None);
         }
     }
 }
 
-/// Selects a server that executes the request. `None` if there is no other one and `may_drop_handle`: servers that rejected the
-/// handle may accept the request without one.
+/// Selects a server that executes the request. Returns `None` if there is none and `may_drop_handle` is set:
+/// servers that rejected the request with its handle may accept it without one.
 fn select_decode(
     execution: &mut RequestExecution<'_>, phase: Phase, zone: &str, may_drop_handle: bool,
 ) -> Result<Option<Selection>, RequestError> {
-    execution.may_execute()?;
+    execution.check_may_execute()?;
     let query = ServerQuery { phase, zone, excluded: &execution.history.attempted_servers };
     let selection = match execution.select(&query) {
         Ok(selection) => selection,
@@ -268,18 +275,19 @@
     Ok(Some(selection))
 }
 
-/// Whether a handle is abandoned after a rejection. A server that was not saturated could not fetch the KV cache, and no other
-/// one will.
-fn abandons_handle(execution: &RequestExecution<'_>, rejections: u32) -> bool {
+/// Returns whether a handle must be abandoned after a rejection. If the server was not saturated, it could
+/// not fetch the KV cache, and other servers could not either. A failed transfer is recorded.
+fn must_abandon_handle(execution: &RequestExecution<'_>, rejections: u32) -> bool {
     let was_saturated = execution.history.was_saturated;
     let is_abandoned = was_saturated == Some(false) || rejections >= MAX_DECODE_ATTEMPTS;
-    // A rejection by a saturated server says nothing about transfers.
+    // A rejection by a saturated server says nothing about KV cache transfers.
     if is_abandoned && was_saturated != Some(true) {
         record_kv_transfer(execution, false);
     }
     is_abandoned
 }
 
+/// Reports to the balancer whether a KV cache transfer succeeded.
 fn record_kv_transfer(execution: &RequestExecution<'_>, succeeded: bool) {
     let now = execution.state.now();
     execution.state.balancer.borrow_mut().record_kv_transfer(now, execution.terms.service, succeeded);
--- a/crates/proxy/src/stack/execution.rs
+++ b/crates/proxy/src/stack/execution.rs
@@ -1,4 +1,4 @@
-//! The execution of one request: its terms, its attempts so far, and what may still be attempted.
+//! The execution of one request: its terms, its past attempts, and the rules for further attempts.
 
 use crate::inbound::error_response::RequestError;
 use crate::inbound::request::ClientRequest;
@@ -13,42 +13,43 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Attempts of one request that may end before anything is sent, since no connection was established or the server has just
-/// been removed from the endpoint list.
+/// The maximum number of attempts of one request that end before the complete request is sent, for example
+/// because no connection can be established or the server has just been removed from the endpoint list.
 const MAX_UNSENT_ATTEMPTS: u32 = 5;
 
-/// One request with all that its attempts need.
+/// One request, with everything that its attempts need.
 pub struct RequestExecution<'a> {
     /// The state shared by all tasks.
     pub state: &'a Rc<ProxyState>,
     /// The request.
     pub request: &'a ClientRequest,
-    /// Records what happens, for the log line of a failure.
+    /// The trace that is logged if the request fails.
     pub trace: &'a RequestTrace,
     /// The terms of the request.
     pub terms: RequestTerms<'a>,
-    /// What may still be sent.
+    /// The attempts made so far, and their limits.
     pub attempts: Attempts,
-    /// What earlier attempts showed.
+    /// The results of earlier attempts that influence later ones.
     pub history: AttemptHistory,
     pub(super) budget: DeliveryBudget,
     pub(super) outbound: OutboundRequest,
 }
 
-/// What the attempts of one request showed so far.
+/// The results of the attempts of one request so far.
 #[derive(Debug, Default)]
 pub struct AttemptHistory {
-    /// Servers that are not sent the request again.
+    /// Servers to which the request is not sent again.
     pub attempted_servers: Vec<ServerKey>,
-    /// Whether the last server that rejected the request reported that it was saturated; `None` if it reported no load.
+    /// Whether the last server that rejected the request reported that it was saturated; `None` if it
+    /// reported no load.
     pub was_saturated: Option<bool>,
-    /// Attempts that ended before anything was sent.
-    pub(super) unsent: u32,
+    /// The number of attempts that ended before the complete request was sent.
+    pub(super) unsent_attempts: u32,
 }
 
 /// The part of a [`SelectionQuery`] that differs between the attempts of one request.
 pub struct ServerQuery<'a> {
-    /// What the server is to do.
+    /// The phase that is requested of the server.
     pub phase: Phase,
     /// The zone whose servers are preferred.
     pub zone: &'a str,
@@ -57,16 +58,17 @@
 }
 
 impl<'a> RequestExecution<'a> {
-    /// Starts the execution of a request: matches its route, picks a service, and deposits into its retry budget.
+    /// Starts the execution of a request: matches its route, selects a service, and makes a deposit into the
+    /// retry budget of the service.
     ///
     /// # Errors
-    /// The request is malformed, no route matches it, or its route has no service.
+    /// The request is malformed, no route matches it, or its route has no service with a weight above 0.
     pub fn new(
         state: &'a Rc<ProxyState>, request: &'a ClientRequest, routes: &'a Rc<Routes>,
         trace: &'a RequestTrace,
     ) -> Result<RequestExecution<'a>, RequestError> {
         let route = routes.match_request(&request.head)?;
-        let service = routes.target(route).ok_or(RequestError::Unavailable)?;
+        let service = routes.select_service(route).ok_or(RequestError::Unavailable)?;
         let terms = RequestTerms::new(request, routes, route, service);
         let now = state.now();
         trace.record_route(state, routes, &terms);
@@ -85,12 +87,12 @@
         })
     }
 
-    /// Whether the service runs generations on pairs of a prefill and a decode server.
+    /// Returns whether the service runs each generation on a prefill and a decode server.
     pub fn is_disaggregated(&self) -> bool {
         self.terms.is_model_service && self.state.balancer.borrow().is_disaggregated(self.terms.service)
     }
 
-    /// The headers that each attempt adds to the client's.
+    /// Returns the headers that each attempt adds to those of the client.
     pub fn attempt_headers(&self) -> AttemptHeaders {
         let forwards_priority =
             self.terms.is_model_service && self.state.balancer.borrow().tuning().forwards_priority;
@@ -113,70 +115,78 @@
         self.state.balancer.borrow_mut().select(self.state.now(), &query)
     }
 
-    /// Whether a server may be selected that executes the request.
-    pub fn may_execute(&self) -> Result<(), RequestError> {
+    /// Checks that a further attempt may execute the request.
+    pub fn check_may_execute(&self) -> Result<(), RequestError> {
         if self.attempts.may_execute() && self.may_attempt() {
             Ok(())
         } else {
-            Err(self.saturated(SaturationCause::NoAttemptsLeft))
+            Err(self.saturation_error(SaturationCause::NoAttemptsLeft))
         }
     }
 
-    /// The error of a request that gets no further attempt.
-    pub fn saturated(&self, cause: SaturationCause) -> RequestError {
+    /// Records `cause` and returns the error of a request that is not attempted again because of saturation.
+    pub fn saturation_error(&self, cause: SaturationCause) -> RequestError {
         self.trace.record_saturation(cause);
         self.final_error(RequestError::Saturated)
     }
 
-    /// The error of a request for which no server could be selected.
+    /// Returns the error of a request for which no server could be selected.
     pub fn selection_error(&self, error: SelectionError) -> RequestError {
         match error {
             SelectionError::NoServer => self.final_error(RequestError::Unavailable),
-            SelectionError::Saturated => self.saturated(SaturationCause::NoCapacity),
+            SelectionError::Saturated => self.saturation_error(SaturationCause::NoCapacity),
         }
     }
 
-    /// Whether the request may be sent to the selected server: sheds it if it can't be answered in time, and pays for its
-    /// delivery.
+    /// Admits an attempt at the selected server: sheds the request if the response would come too late, and
+    /// withdraws from the retry budget if necessary.
     pub fn admit(&mut self, selection: &Selection) -> Result<(), RequestError> {
-        self.shed_if_hopeless(selection)?;
-        if self.try_pay_delivery() { Ok(()) } else { Err(self.saturated(SaturationCause::NoBudget)) }
+        self.shed_if_late(selection)?;
+        if self.try_withdraw_delivery() {
+            Ok(())
+        } else {
+            Err(self.saturation_error(SaturationCause::NoBudget))
+        }
     }
 
-    /// Load shedding: rejects a request that no server has executed, if the selected server is busy by its own report and the
-    /// estimate exceeds the time left. It would use up a slot for a response that comes too late.
-    pub fn shed_if_hopeless(&self, selection: &Selection) -> Result<(), RequestError> {
+    /// Load shedding: rejects a request that no server has executed if the selected server reports that it is
+    /// busy and the latency estimate exceeds the time left. The request would use up a slot for a response
+    /// that comes too late.
+    pub fn shed_if_late(&self, selection: &Selection) -> Result<(), RequestError> {
         let may_shed = self.state.balancer.borrow().tuning().sheds_late_requests;
-        let is_hopeless = may_shed && selection.is_busy && selection.estimate > self.terms.time_left();
-        if is_hopeless && self.attempts.is_unexecuted() {
-            self.trace.record_saturation(SaturationCause::Hopeless);
+        let is_late = may_shed && selection.is_busy && selection.estimate > self.terms.time_left();
+        if is_late && self.attempts.is_unexecuted() {
+            self.trace.record_saturation(SaturationCause::LateEstimate);
             Err(RequestError::Saturated)
         } else {
             Ok(())
         }
     }
 
-    /// Pays for the next delivery from the retry budget, if it is not the first. Returns whether it may be sent.
-    pub fn try_pay_delivery(&mut self) -> bool {
+    /// Withdraws the next delivery from the retry budget, unless it is the first. Returns whether the request
+    /// may be sent.
+    pub fn try_withdraw_delivery(&mut self) -> bool {
         if !self.attempts.needs_retry_budget() {
             return true;
         }
         let (state, service) = (self.state, self.terms.service);
-        let is_paid =
-            self.budget.try_pay(|| state.balancer.borrow_mut().try_withdraw_retry(state.now(), service));
-        if !is_paid {
+        let is_withdrawn =
+            self.budget.try_withdraw(|| state.balancer.borrow_mut().try_withdraw_retry(state.now(), service));
+        if !is_withdrawn {
             self.trace.record_budget_denial(&state.metrics);
         }
-        is_paid
+        is_withdrawn
     }
 
-    /// Whether another attempt may end before anything is sent.
+    /// Returns whether the limit on attempts that end before the complete request is sent has not been
+    /// reached.
     pub fn may_attempt(&self) -> bool {
-        self.history.unsent < MAX_UNSENT_ATTEMPTS
+        self.history.unsent_attempts < MAX_UNSENT_ATTEMPTS
     }
 
-    /// A server answered 421: it is another incarnation, or does not serve the stage, the model or its version. It is not
-    /// selected for a while, unless the client itself asked for a version, which says nothing about other requests.
+    /// Records that a server responded with 421: it is another incarnation, or does not serve the stage, the
+    /// model or its version. The server is excluded from selection for a while, unless the client itself
+    /// expected a version, since that says nothing about other requests.
     pub fn record_misdirected(&self, selection: &Selection) {
         if self.request.head.headers.has("expect-version") {
             return;
@@ -184,33 +194,35 @@
         self.state.balancer.borrow_mut().record_misdirected(self.state.now(), selection.key);
     }
 
-    /// A prefill was executed. If it was the free one, what was paid for it pays for the next delivery: an earlier prefill that
-    /// was rejected may have made it a retry.
+    /// Records a successful prefill. If it was the free one, its withdrawal is kept for the next delivery:
+    /// there may be one if an earlier prefill was rejected, which made this one a retry.
     pub fn record_prefill(&mut self) {
         self.budget.record_prefill(self.attempts.has_free_prefill());
         self.attempts.record_prefill();
     }
 
-    /// The complete request was sent.
+    /// Records that the complete request was sent or may have been, and checks that a retry was withdrawn
+    /// from the retry budget.
     pub(super) fn record_delivery(&mut self) {
-        let is_paid = self.budget.is_next_paid() || !self.attempts.needs_retry_budget();
-        check(Invariant::RetriesPaid, is_paid, || format!("request {}", self.request.id()));
+        let is_withdrawn = self.budget.has_unused_withdrawal() || !self.attempts.needs_retry_budget();
+        check(Invariant::RetriesPaid, is_withdrawn, || format!("request {}", self.request.id()));
         self.budget.record_delivery();
         self.attempts.record_delivery();
     }
 
-    /// The error of a request that is not attempted again. `if_unexecuted` is used if no server has executed it and there is
-    /// time left: it promises the client that a retry is safe.
-    pub fn final_error(&self, if_unexecuted: RequestError) -> RequestError {
+    /// Returns the error of a request that is not attempted again. This is `error_if_unexecuted` if no server
+    /// has executed the request and there is time left; that error must guarantee to the client that a retry
+    /// is safe.
+    pub fn final_error(&self, error_if_unexecuted: RequestError) -> RequestError {
         match (self.attempts.is_unexecuted(), self.terms.time_left().is_zero()) {
             (true, true) => RequestError::DeadlineBeforeExecution,
-            (true, false) => if_unexecuted,
+            (true, false) => error_if_unexecuted,
             (false, true) => RequestError::DeadlineExceeded,
             (false, false) => RequestError::BadGateway,
         }
     }
 
-    /// The time left until the deadline.
+    /// Returns the time left until the deadline.
     pub fn time_left(&self) -> Duration {
         self.terms.time_left()
     }
