--- a/crates/proxy/src/stack/forward.rs
+++ b/crates/proxy/src/stack/forward.rs
@@ -1,4 +1,4 @@
-//! Forwards a request to one server after the other, until one gives a response for the client.
+//! Forwards a request to one server after another, until one returns a response for the client.
 
 use crate::inbound::error_response::RequestError;
 use crate::outbound::{AttemptHeaders, ServerResponse};
@@ -10,20 +10,21 @@
 use lugwharf_routing::{FailureKind, LoadReport, Phase, Selection};
 use std::time::Duration;
 
-/// A response that goes to the client. Its head was received, its body is still to be read.
+/// A response that is to be forwarded to the client. Its head has been received, its body has not been read
+/// yet.
 pub struct AcceptedResponse {
     /// The response.
     pub response: Box<ServerResponse>,
-    /// The attempt that it belongs to.
+    /// The attempt that the response belongs to.
     pub in_flight: InFlightAttempt,
-    /// Its class.
+    /// The class of the response.
     pub class: ResponseClass,
 }
 
-/// Forwards the request, with retries, until a server gives a response for the client.
+/// Forwards the request, with retries, until a server returns a response for the client.
 ///
 /// # Errors
-/// No server may be attempted any more.
+/// No further attempt is allowed or possible.
 pub async fn execute(
     execution: &mut RequestExecution<'_>, headers: &AttemptHeaders,
 ) -> Result<AcceptedResponse, RequestError> {
@@ -37,14 +38,15 @@
     }
 }
 
+/// Selects a server for the next attempt and admits the attempt.
 fn select(execution: &mut RequestExecution<'_>) -> Result<Selection, RequestError> {
-    execution.may_execute()?;
+    execution.check_may_execute()?;
     let excluded = &execution.history.attempted_servers;
     let query = ServerQuery { phase: Phase::Full, zone: &execution.state.zone, excluded };
     let selection = execution.select(&query).map_err(|error| {
-        // If there were servers and all of them rejected the request, they are saturated.
+        // If there were servers, but all of them rejected the request, they count as saturated.
         if execution.attempts.was_attempted() {
-            execution.saturated(SaturationCause::NoServerLeft)
+            execution.saturation_error(SaturationCause::NoServerLeft)
         } else {
             execution.selection_error(error)
         }
@@ -53,7 +55,8 @@
     Ok(selection)
 }
 
-/// What an attempt that may execute the request has brought: a response for the client, or `None` if the request may be retried.
+/// Evaluates an attempt that may have executed the request. Returns a response for the client, or `None` if
+/// the request may be retried.
 ///
 /// # Errors
 /// The request must not be attempted again.
@@ -77,7 +80,7 @@
     }
 }
 
-/// Reports a response by its class; returns it if it goes to the client.
+/// Reports a response according to its class. Returns the response if it is to be forwarded to the client.
 fn accept_response(
     execution: &mut RequestExecution<'_>, selection: &Selection, response: Box<ServerResponse>,
     mut in_flight: InFlightAttempt,
@@ -88,14 +91,14 @@
         ResponseClass::InvalidRequest => in_flight.record_inconclusive(),
         ResponseClass::Failure => {
             execution.attempts.record_execution();
-            // What the request itself brought about, below 500, would only come again.
+            // A status below 500 is caused by the request itself, so a retry would fail as well.
             let is_server_error = response.head.status >= 500;
             if is_server_error {
                 in_flight.record_failure(FailureKind::ServerError);
             } else {
                 in_flight.record_inconclusive();
             }
-            if is_server_error && execution.attempts.may_execute() && execution.try_pay_delivery() {
+            if is_server_error && execution.attempts.may_execute() && execution.try_withdraw_delivery() {
                 return None;
             }
         }
@@ -103,14 +106,14 @@
             execution.attempts.record_rejection();
             execution.history.was_saturated = reported_saturation(&response);
             in_flight.record_rejection();
-            response.discard(execution.state);
+            response.discard_body(execution.state);
             return None;
         }
         ResponseClass::Misdirected => {
             execution.attempts.record_rejection();
             in_flight.record_inconclusive();
             execution.record_misdirected(selection);
-            response.discard(execution.state);
+            response.discard_body(execution.state);
             return None;
         }
         ResponseClass::Unusable => {
@@ -122,7 +125,7 @@
     Some(AcceptedResponse { response, in_flight, class })
 }
 
-/// Whether the server reports that it is saturated; `None` without a report.
+/// Returns whether the server reports that it is saturated, or `None` if there is no valid load report.
 fn reported_saturation(response: &ServerResponse) -> Option<bool> {
     let report = response.head.headers.get_text("load-report")?;
     LoadReport::parse(report, Duration::ZERO).map(|report| report.is_saturated())
--- a/crates/proxy/src/stack/in_flight.rs
+++ b/crates/proxy/src/stack/in_flight.rs
@@ -1,4 +1,4 @@
-//! An attempt in flight, as the balancer counts it.
+//! The accounting of attempts in flight at the balancer.
 
 use crate::state::ProxyState;
 use lugwharf_routing::{FailureKind, Observation, Phase, Selection, ServerKey, WorkSize};
@@ -6,11 +6,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An attempt that is cancelled without an observation after this time, since its client has disconnected, counts as timed out:
-/// clients disconnect from an unresponsive server before the deadline passes.
+/// If an attempt is cancelled without an observation after this time, because its client has disconnected, it
+/// counts as timed out. Clients often give up on an unresponsive server before the deadline passes.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_000);
 
-/// Counts an attempt as in flight while it exists, and reports to the balancer what it showed.
+/// Counts an attempt as in flight until it is dropped, and reports the observations about the server to the
+/// balancer.
 pub struct InFlightAttempt {
     state: Rc<ProxyState>,
     key: ServerKey,
@@ -22,7 +23,7 @@
 }
 
 impl InFlightAttempt {
-    /// An attempt at the selected server starts, and has until `deadline`.
+    /// Records the start of an attempt at the selected server, which has time until `deadline`.
     pub fn new(
         state: &Rc<ProxyState>, selection: &Selection, phase: Phase, deadline: Instant,
     ) -> InFlightAttempt {
@@ -39,23 +40,23 @@
         }
     }
 
-    /// The server did its work, `elapsed` after the request was sent.
+    /// Records that the server succeeded, `elapsed` after the request was sent.
     pub fn record_success(&mut self, elapsed: Duration) {
         self.record(Observation::Success { elapsed, work: self.work });
     }
 
-    /// The server failed.
+    /// Records that the server failed.
     pub fn record_failure(&mut self, kind: FailureKind) {
         let (elapsed, timeout, work) = (self.started_at.elapsed(), self.timeout, self.work);
         self.record(Observation::Failure { kind, elapsed, timeout, work });
     }
 
-    /// Nothing was sent, or the response says nothing about the server.
+    /// Records that nothing was sent, or that the response says nothing about the server's health.
     pub fn record_inconclusive(&mut self) {
         self.record(Observation::Inconclusive);
     }
 
-    /// The server rejected the request since it is saturated.
+    /// Records that the server rejected the request because it is saturated.
     pub fn record_rejection(&mut self) {
         self.record(Observation::Rejected);
     }
--- a/crates/proxy/src/stack/kv_handle.rs
+++ b/crates/proxy/src/stack/kv_handle.rs
@@ -1,7 +1,7 @@
-//! Handles of KV caches that wait at prefill servers.
+//! Handles of KV caches that prefill servers hold for decode servers.
 
-use crate::http::field;
-use crate::outbound::{Connection, MAX_STRAY_BYTES, discard_response};
+use crate::http::append_field;
+use crate::outbound::{Connection, MAX_UNMATCHED_BYTES, discard_response};
 use crate::state::ProxyState;
 use crate::telemetry::metrics::increment;
 use lugwharf_routing::{Phase, Selection};
@@ -13,11 +13,12 @@
 #[path = "kv_handle_tests.rs"]
 mod kv_handle_tests;
 
-/// How long the call that frees a handle may take. After that the handle expires by itself at the server.
+/// The timeout of the request that frees a KV cache. After that, the KV cache is left to expire at the
+/// prefill server.
 const FREE_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// The KV cache of one request's prompt at its prefill server. It is never used for another request; dropping the handle without
-/// [`KvHandle::consume`] frees the KV cache in the background.
+/// The handle of the KV cache of one request's prompt at its prefill server. The KV cache is never used for
+/// another request. Dropping the handle without [`KvHandle::consume`] frees the KV cache in the background.
 pub struct KvHandle {
     state: Rc<ProxyState>,
     server: Selection,
@@ -26,22 +27,22 @@
 }
 
 impl KvHandle {
-    /// The handle `id` of a KV cache at `server`.
+    /// Creates the handle with the given `id` of a KV cache at `server`.
     pub fn new(state: &Rc<ProxyState>, server: Selection, id: String) -> KvHandle {
         KvHandle { state: state.clone(), server, id, is_consumed: false }
     }
 
-    /// The value of `Kv-From`: `ADDRESS/ID`.
+    /// Returns the value of `Kv-From`: `ADDRESS/ID`.
     pub fn source(&self) -> String {
         format!("{}/{}", self.server.address, self.id)
     }
 
-    /// The zone of the prefill server.
+    /// Returns the zone of the prefill server.
     pub fn zone(&self) -> &str {
         &self.server.zone
     }
 
-    /// A decode server has fetched the KV cache.
+    /// Records that a decode server has fetched the KV cache, so that it need not be freed.
     pub fn consume(mut self) {
         self.is_consumed = true;
     }
@@ -54,21 +55,23 @@
         }
         let (state, server, id) = (self.state.clone(), self.server.clone(), std::mem::take(&mut self.id));
         tokio::task::spawn_local(async move {
-            let freed = timeout(FREE_TIMEOUT, free(&state, &server, &id)).await;
-            let is_freed = freed.is_ok_and(|freed| freed == Some(true));
+            let confirmed = timeout(FREE_TIMEOUT, request_free(&state, &server, &id)).await;
+            let is_freed = confirmed.is_ok_and(|confirmed| confirmed == Some(true));
             let metrics = &state.metrics;
-            increment(if is_freed { &metrics.handles_freed } else { &metrics.handles_left });
+            increment(if is_freed { &metrics.handles_freed } else { &metrics.handles_not_freed });
             let outcome = if is_freed { "freed" } else { "left" };
             spdlog::debug!("server={} handle={id} outcome={outcome}", server.id);
         });
     }
 }
 
-/// Calls `DELETE /kv-handle/ID` at the prefill server; returns whether the server confirmed it.
+/// Sends `DELETE /kv-handle/ID` to the prefill server. Returns whether the server confirmed it, or `None` if
+/// the request could not be sent or got no response.
 ///
-/// The call has no id that its response could carry: a late copy of another request's response may come in place of its own. So
-/// the connection is not reused.
-async fn free(state: &ProxyState, server: &Selection, id: &str) -> Option<bool> {
+/// The request has no id that its response could carry, and a late duplicate of the response to another
+/// request may arrive in its place. Responses with an id are therefore skipped, and the connection is not
+/// reused.
+async fn request_free(state: &ProxyState, server: &Selection, id: &str) -> Option<bool> {
     if !state.balancer.borrow().is_eligible(state.now(), server.key, Phase::Prefill) {
         return None;
     }
@@ -80,8 +83,8 @@
             Connection::open(server.address, permit).await.ok()?
         }
     };
-    connection.write(&request(server, id)).await.ok()?;
-    let mut remaining = MAX_STRAY_BYTES;
+    connection.write(&free_request(server, id)).await.ok()?;
+    let mut remaining = MAX_UNMATCHED_BYTES;
     loop {
         let head = connection.read_head().await.ok()?;
         if !head.headers.has("request-id") {
@@ -91,13 +94,14 @@
     }
 }
 
-fn request(server: &Selection, id: &str) -> Vec<u8> {
+/// Encodes the request that frees the KV cache with handle `id`.
+fn free_request(server: &Selection, id: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(160);
     out.extend_from_slice(b"DELETE /kv-handle/");
     out.extend_from_slice(id.as_bytes());
     out.extend_from_slice(b" HTTP/1.1\r\n");
-    field(&mut out, "Host", server.address.to_string().as_bytes());
-    field(&mut out, "Expect-Instance", server.id.as_bytes());
+    append_field(&mut out, "Host", server.address.to_string().as_bytes());
+    append_field(&mut out, "Expect-Instance", server.id.as_bytes());
     out.extend_from_slice(b"\r\n");
     out
 }
--- a/crates/proxy/src/stack/kv_handle_tests.rs
+++ b/crates/proxy/src/stack/kv_handle_tests.rs
@@ -1,6 +1,6 @@
-//! The call that frees a KV handle, byte for byte, and which response is taken for its own.
+//! The request that frees a KV cache, byte for byte, and which response is taken for its response.
 
-use super::{free, request};
+use super::{free_request, request_free};
 use crate::outbound::fixtures::{selection, server_and_state, state};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -11,32 +11,33 @@
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let server = runtime.block_on(async { selection(&state(address), address) });
     let expected = "DELETE /kv-handle/k-1 HTTP/1.1\r\nHost: 127.0.0.1:9\r\nExpect-Instance: i-a\r\n\r\n";
-    assert_eq!(String::from_utf8(request(&server, "k-1")).expect("text"), expected);
+    assert_eq!(String::from_utf8(free_request(&server, "k-1")).expect("text"), expected);
 }
 
-/// The call has no id, so a response that carries one is a late copy of another request's.
+/// The request has no id, so a response that carries one is a late duplicate of the response to another
+/// request.
 #[rstest]
-#[case::stray_success_before_a_failure("200 OK", "404 Not Found", Some(false))]
-#[case::stray_failure_before_a_success("503 Unavailable", "200 OK", Some(true))]
+#[case::unmatched_success_before_a_failure("200 OK", "404 Not Found", Some(false))]
+#[case::unmatched_failure_before_a_success("503 Unavailable", "200 OK", Some(true))]
 #[tokio::test]
-async fn response_to_another_request_is_not_taken_for_that_to_the_delete(
-    #[case] stray: &str, #[case] own: &str, #[case] expected: Option<bool>,
+async fn response_to_another_request_is_not_taken_for_the_response_to_delete(
+    #[case] unmatched: &str, #[case] own: &str, #[case] expected: Option<bool>,
 ) {
     let (state, listener) = server_and_state().await;
     let server = selection(&state, listener.local_addr().expect("an address"));
     let responses = format!(
-        "HTTP/1.1 {stray}\r\nRequest-Id: r0\r\nContent-Length: 2\r\n\r\nok\
+        "HTTP/1.1 {unmatched}\r\nRequest-Id: r0\r\nContent-Length: 2\r\n\r\nok\
          HTTP/1.1 {own}\r\nContent-Length: 0\r\n\r\n"
     );
     let answer = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"\r\n\r\n") {
-            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "it ends early");
+            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the connection ended early");
         }
         stream.write_all(responses.as_bytes()).await.expect("a write");
         stream
     };
-    let (freed, _stream) = tokio::join!(free(&state, &server, "k-1"), answer);
-    assert_eq!(freed, expected);
+    let (confirmed, _stream) = tokio::join!(request_free(&state, &server, "k-1"), answer);
+    assert_eq!(confirmed, expected);
 }
--- a/crates/proxy/src/stack/mod.rs
+++ b/crates/proxy/src/stack/mod.rs
@@ -1,14 +1,14 @@
-//! The stack that serves one request, from its route to the end of its response.
+//! The layers that serve one request, from the choice of its route to the end of its response.
 //!
 //! | module | layer |
 //! | --- | --- |
-//! | `service` | dispatch by the kind of the route; resumption of streams |
-//! | `forward`, `disaggregated` | retries until a server, or a pair of a prefill and a decode server, gives a response |
-//! | `execution`, `terms`, `delivery_budget` | the state of one request: terms, attempts so far, retry budget |
-//! | `attempt`, `in_flight` | one attempt at one server, and what the balancer learns from it |
-//! | `response_class` | what a response of a server means for retries |
-//! | `relay`, `sse` | the response's way to the client |
-//! | `kv_handle` | a KV cache that waits at a prefill server |
+//! | `service` | dispatch by the kind of the route, resumption of streams |
+//! | `forward`, `disaggregated` | retries on single servers, or on pairs of a prefill and a decode server |
+//! | `execution`, `terms`, `delivery_budget` | the state of one request: terms, attempts, retry budget |
+//! | `attempt`, `in_flight` | one attempt at one server, and its observations for the balancer |
+//! | `response_class` | the classification of responses, which decides about retries |
+//! | `relay`, `sse` | forwarding of responses to the client, parsing of server-sent events |
+//! | `kv_handle` | the handle of a KV cache that a prefill server holds |
 
 pub mod attempt;
 pub mod delivery_budget;
--- a/crates/proxy/src/stack/relay.rs
+++ b/crates/proxy/src/stack/relay.rs
@@ -6,36 +6,36 @@
 use crate::stack::execution::RequestExecution;
 use crate::stack::forward::AcceptedResponse;
 use crate::stack::sse::EventBuffer;
-use crate::telemetry::outcome::BodyOutcome;
+use crate::telemetry::outcome::BodyFailure;
 use bytes::Bytes;
 use lugwharf_config::RouteKind;
 use lugwharf_routing::FailureKind;
 use tokio::time::timeout_at;
 
-/// Bodies up to this size, in bytes, are buffered before they are forwarded, so that a request whose response breaks off can
-/// still be retried.
-const MAX_BUFFERED_BODY: u64 = 64 * 1024;
+/// Bodies up to this size, in bytes, are buffered completely before they are forwarded, so that the request
+/// can still be retried if the response is truncated.
+const MAX_BUFFERED_BODY_BYTES: u64 = 64 * 1024;
 
-/// How the forwarding of a response ended.
+/// The outcome of forwarding a response.
 pub enum RelayOutcome {
-    /// It was forwarded as far as possible.
+    /// The response was forwarded, completely or in part.
     Ended(ResponseEnd),
-    /// It broke off before any of it was forwarded.
+    /// The body failed before any part of the response was forwarded.
     NotStarted,
 }
 
-/// How the forwarding of a stream of events ended.
+/// How the forwarding of an event stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
     /// The stream is complete.
     Complete,
-    /// The server broke it off; it may be resumed.
+    /// The connection to the server broke. The stream may be resumed.
     Interrupted,
     /// The client disconnected, the deadline passed, or the server sent events that must not be forwarded.
     Terminated,
 }
 
-/// Forwards a response that is no stream of events.
+/// Forwards a response that is not an event stream.
 pub async fn forward_response(
     execution: &RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>, accepted: AcceptedResponse,
 ) -> RelayOutcome {
@@ -44,21 +44,26 @@
             let encoding = empty_encoding(execution, &accepted.response.head);
             forward_complete(execution, writer, accepted, encoding, &[]).await
         }
-        Framing::Length(length) if length > MAX_BUFFERED_BODY => {
+        Framing::Length(length) if length > MAX_BUFFERED_BODY_BYTES => {
             writer.start(&accepted.response.head, BodyEncoding::Length(length));
             forward_chunks(execution, writer, accepted, BodyEncoding::Length(length)).await
         }
         Framing::Length(length) => forward_buffered(execution, writer, accepted, Some(length)).await,
-        // On a streaming route each chunk is forwarded at once.
-        Framing::Chunked | Framing::UntilEnd if execution.terms.route.route_kind == RouteKind::Streaming => {
+        // On a streaming route, each chunk is forwarded as it arrives.
+        Framing::Chunked | Framing::CloseDelimited
+            if execution.terms.route.route_kind == RouteKind::Streaming =>
+        {
             writer.start(&accepted.response.head, BodyEncoding::Chunked);
             forward_chunks(execution, writer, accepted, BodyEncoding::Chunked).await
         }
-        Framing::Chunked | Framing::UntilEnd => forward_buffered(execution, writer, accepted, None).await,
+        Framing::Chunked | Framing::CloseDelimited => {
+            forward_buffered(execution, writer, accepted, None).await
+        }
     }
 }
 
-/// The length that a response without a body announces: that of the body which `GET` would have for `HEAD`.
+/// Returns the framing of a response without a body. The response to `HEAD` announces the length that the
+/// body would have for `GET`.
 fn empty_encoding(execution: &RequestExecution<'_>, head: &ResponseHead) -> BodyEncoding {
     let announced = head.headers.get_text("content-length").and_then(|length| length.parse().ok());
     match (head.status, announced) {
@@ -68,8 +73,8 @@
     }
 }
 
-/// Buffers the body, then forwards the complete response. A body without a length that grows beyond [`MAX_BUFFERED_BODY`] is
-/// forwarded in chunks from there on.
+/// Buffers the body, then forwards the complete response. If a body without a length grows beyond
+/// [`MAX_BUFFERED_BODY_BYTES`], the rest is forwarded chunk by chunk.
 async fn forward_buffered(
     execution: &RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>, mut accepted: AcceptedResponse,
     length: Option<u64>,
@@ -89,16 +94,16 @@
                 };
             }
             Err(error) => {
-                if error == BodyOutcome::Timeout {
+                if error == BodyFailure::Timeout {
                     accepted.in_flight.record_failure(FailureKind::Timeout);
                 }
                 return RelayOutcome::NotStarted;
             }
         }
-        if body.len() as u64 > MAX_BUFFERED_BODY {
+        if body.len() as u64 > MAX_BUFFERED_BODY_BYTES {
             writer.start(&accepted.response.head, BodyEncoding::Chunked);
             if writer.write_chunk(BodyEncoding::Chunked, &body, deadline).await.is_err() {
-                execution.trace.record_body_failure(BodyOutcome::Unread);
+                execution.trace.record_body_failure(BodyFailure::Unread);
                 return RelayOutcome::Ended(ResponseEnd::Incomplete);
             }
             return forward_chunks(execution, writer, accepted, BodyEncoding::Chunked).await;
@@ -106,31 +111,32 @@
     }
 }
 
-/// Forwards a response whose body was received completely.
+/// Forwards a response whose body has been received completely.
 async fn forward_complete(
     execution: &RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>, mut accepted: AcceptedResponse,
     encoding: BodyEncoding, body: &[u8],
 ) -> RelayOutcome {
-    record_complete(&mut accepted);
+    record_completion(&mut accepted);
     let end = writer.write_complete(&accepted.response.head, encoding, body, execution.terms.deadline).await;
-    accepted.response.finish(execution.state);
+    accepted.response.release_connection(execution.state);
     RelayOutcome::Ended(end)
 }
 
-/// Forwards a response whose chunked body was received completely. It stays chunked.
+/// Forwards a response without a length whose body has been received completely. The body is sent as a
+/// chunked body.
 async fn forward_complete_chunked(
     execution: &RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>, mut accepted: AcceptedResponse,
     body: &[u8],
 ) -> RelayOutcome {
-    record_complete(&mut accepted);
+    record_completion(&mut accepted);
     writer.start(&accepted.response.head, BodyEncoding::Chunked);
     writer.buffer_chunk(BodyEncoding::Chunked, body);
     let end = writer.finish(BodyEncoding::Chunked, execution.terms.deadline).await;
-    accepted.response.finish(execution.state);
+    accepted.response.release_connection(execution.state);
     RelayOutcome::Ended(end)
 }
 
-/// Forwards the rest of a body chunk by chunk. The head has been written.
+/// Forwards the rest of a body chunk by chunk. The response has already been started.
 async fn forward_chunks(
     execution: &RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>, mut accepted: AcceptedResponse,
     encoding: BodyEncoding,
@@ -140,14 +146,14 @@
         match read_chunk(execution, &mut accepted).await {
             Ok(Some(data)) => {
                 if writer.write_chunk(encoding, &data, deadline).await.is_err() {
-                    execution.trace.record_body_failure(BodyOutcome::Unread);
+                    execution.trace.record_body_failure(BodyFailure::Unread);
                     return RelayOutcome::Ended(ResponseEnd::Incomplete);
                 }
             }
             Ok(None) => {
-                record_complete(&mut accepted);
+                record_completion(&mut accepted);
                 let end = writer.finish(encoding, deadline).await;
-                accepted.response.finish(execution.state);
+                accepted.response.release_connection(execution.state);
                 return RelayOutcome::Ended(end);
             }
             Err(_) => return RelayOutcome::Ended(ResponseEnd::Incomplete),
@@ -155,40 +161,42 @@
     }
 }
 
-/// The server has sent a complete response: its latency counts if it is a success.
-fn record_complete(accepted: &mut AcceptedResponse) {
+/// Records that the complete response has been received. Its latency is reported to the balancer if it is a
+/// success.
+fn record_completion(accepted: &mut AcceptedResponse) {
     if accepted.response.head.is_success() {
         accepted.in_flight.record_success(accepted.response.sent_at.elapsed());
     }
 }
 
-/// Reads the next bytes of the body, until the deadline; `None` at its end. Errors are added to the trace; a broken connection
-/// counts as a failure of the server.
+/// Reads the next bytes of the body, until the deadline. Returns `None` at the end of the body. Failures are
+/// added to the trace, and a broken connection is reported to the balancer as a failure of the server.
 async fn read_chunk(
     execution: &RequestExecution<'_>, accepted: &mut AcceptedResponse,
-) -> Result<Option<Bytes>, BodyOutcome> {
+) -> Result<Option<Bytes>, BodyFailure> {
     let response = &mut accepted.response;
     let read = response.connection.read_body(&mut response.decoder);
     match timeout_at(execution.terms.deadline, read).await {
         Ok(Ok(data)) => Ok(data),
         Ok(Err(_)) => {
-            record_broken(execution, accepted);
-            Err(BodyOutcome::Broken)
+            record_broken_body(execution, accepted);
+            Err(BodyFailure::Broken)
         }
         Err(_) => {
-            execution.trace.record_body_failure(BodyOutcome::Timeout);
-            Err(BodyOutcome::Timeout)
+            execution.trace.record_body_failure(BodyFailure::Timeout);
+            Err(BodyFailure::Timeout)
         }
     }
 }
 
-/// The server broke off its response.
-fn record_broken(execution: &RequestExecution<'_>, accepted: &mut AcceptedResponse) {
-    execution.trace.record_body_failure(BodyOutcome::Broken);
+/// Records that the body of the response was truncated or violated its framing.
+fn record_broken_body(execution: &RequestExecution<'_>, accepted: &mut AcceptedResponse) {
+    execution.trace.record_body_failure(BodyFailure::Broken);
     accepted.in_flight.record_failure(FailureKind::ConnectionBroken);
 }
 
-/// Forwards the events of one server, each as soon as it is complete. The latency of the server is that of its first event.
+/// Forwards the events of one server, each as soon as it is complete. The latency that is reported to the
+/// balancer is that of the first event.
 pub async fn forward_events(
     execution: &RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>, accepted: &mut AcceptedResponse,
     events: &mut EventBuffer,
@@ -196,7 +204,7 @@
     let mut is_first = true;
     loop {
         let decoded = decode_received(&mut accepted.response, events);
-        if is_first && !events.complete().is_empty() {
+        if is_first && !events.complete_events().is_empty() {
             is_first = false;
             accepted.in_flight.record_success(accepted.response.sent_at.elapsed());
         }
@@ -206,14 +214,14 @@
         match decoded {
             DecodeOutcome::End => return StreamEnd::Complete,
             DecodeOutcome::Interrupted => {
-                record_broken(execution, accepted);
+                record_broken_body(execution, accepted);
                 return StreamEnd::Interrupted;
             }
             DecodeOutcome::Invalid => {
-                execution.trace.record_body_failure(BodyOutcome::Invalid);
+                execution.trace.record_body_failure(BodyFailure::Invalid);
                 return StreamEnd::Terminated;
             }
-            DecodeOutcome::More => {}
+            DecodeOutcome::Pending => {}
         }
         if let Err(end) = receive_more(execution, writer, accepted).await {
             return end;
@@ -221,20 +229,20 @@
     }
 }
 
-/// Writes the complete events and drops them from the buffer.
+/// Writes the complete events and removes them from the buffer.
 async fn write_complete_events(
     execution: &RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>, events: &mut EventBuffer,
 ) -> Result<(), StreamEnd> {
-    let complete = events.complete();
+    let complete = events.complete_events();
     if !complete.is_empty() {
         let written = writer.write_chunk(BodyEncoding::Chunked, complete, execution.terms.deadline).await;
         written.map_err(|_| client_stopped_reading(execution))?;
     }
-    events.drop_complete();
+    events.drop_complete_events();
     Ok(())
 }
 
-/// Flushes the head, if no event came with it, and waits for more of the stream.
+/// Flushes the head if it has not been written with an event, and waits for more bytes of the stream.
 async fn receive_more(
     execution: &RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>, accepted: &mut AcceptedResponse,
 ) -> Result<(), StreamEnd> {
@@ -243,34 +251,35 @@
     match timeout_at(deadline, accepted.response.fill()).await {
         Ok(Ok(())) => Ok(()),
         Ok(Err(_)) => {
-            record_broken(execution, accepted);
+            record_broken_body(execution, accepted);
             Err(StreamEnd::Interrupted)
         }
         Err(_) => {
-            execution.trace.record_body_failure(BodyOutcome::Timeout);
+            execution.trace.record_body_failure(BodyFailure::Timeout);
             Err(StreamEnd::Terminated)
         }
     }
 }
 
+/// Records that the client stopped reading.
 fn client_stopped_reading(execution: &RequestExecution<'_>) -> StreamEnd {
-    execution.trace.record_body_failure(BodyOutcome::Unread);
+    execution.trace.record_body_failure(BodyFailure::Unread);
     StreamEnd::Terminated
 }
 
-/// How the decoding of the bytes received so far ended.
+/// The result of decoding the bytes received so far.
 enum DecodeOutcome {
-    /// The stream goes on.
-    More,
+    /// More bytes have to be received.
+    Pending,
     /// The stream is complete.
     End,
-    /// The server broke it off.
+    /// The stream was truncated or violated its framing.
     Interrupted,
-    /// What came must not be forwarded.
+    /// The received events must not be forwarded.
     Invalid,
 }
 
-/// Decodes all that was received into the event buffer, without waiting.
+/// Decodes all received bytes into the event buffer, without waiting.
 fn decode_received(response: &mut ServerResponse, events: &mut EventBuffer) -> DecodeOutcome {
     loop {
         match response.connection.decode(&mut response.decoder) {
@@ -279,9 +288,9 @@
                     return DecodeOutcome::Invalid;
                 }
             }
-            Ok(Decoded::More) => return DecodeOutcome::More,
-            // Without a length only this tells a complete event from a partial one.
-            Ok(Decoded::End) if response.framing == Framing::UntilEnd && events.has_partial_event() => {
+            Ok(Decoded::Pending) => return DecodeOutcome::Pending,
+            // A close-delimited stream that ends within an event is truncated.
+            Ok(Decoded::End) if response.framing == Framing::CloseDelimited && events.has_partial_event() => {
                 return DecodeOutcome::Interrupted;
             }
             Ok(Decoded::End) => {
--- a/crates/proxy/src/stack/response_class_tests.rs
+++ b/crates/proxy/src/stack/response_class_tests.rs
@@ -1,4 +1,4 @@
-//! Response classes by status and headers.
+//! The classification of responses by status and headers.
 
 use crate::http::parse_response;
 use crate::stack::response_class::{ResponseClass, classify};
@@ -9,7 +9,8 @@
 const NOT_EXECUTED: &str = "Not-Executed: 1\r\n";
 const BOTH: &str = "Server-Stamp: s\r\nNot-Executed: 1\r\n";
 
-/// A request counts as not executed only by `Not-Executed` with a status that goes with it, or by a 421.
+/// A request counts as unexecuted only if the response has `Not-Executed` and a matching status, or if the
+/// status is 421.
 #[rstest]
 #[case(200, STAMP, ResponseClass::Success)]
 #[case(299, STAMP, ResponseClass::Success)]
--- a/crates/proxy/src/stack/service.rs
+++ b/crates/proxy/src/stack/service.rs
@@ -1,4 +1,4 @@
-//! Serves one request, from its route to the end of its response.
+//! Serves one request, from the choice of its route to the end of its response.
 
 use crate::http::RequestHead;
 use crate::inbound::error_response::RequestError;
@@ -18,13 +18,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The timeout of the route of a request, if it has a route.
+/// Returns the timeout of the route that a request matches, if any.
 pub fn route_timeout(state: &ProxyState, head: &RequestHead) -> Option<Duration> {
     let routes = state.routes()?;
     routes.match_request(head).ok().map(terms::route_timeout)
 }
 
-/// Serves a request, and finishes its trace.
+/// Serves a request and finishes its trace.
 pub async fn serve(
     state: &Rc<ProxyState>, request: &ClientRequest, writer: &mut ResponseWriter<'_, '_>,
     trace: &RequestTrace,
@@ -37,7 +37,7 @@
     end
 }
 
-/// The outcome of a request whose response came from a server.
+/// Returns the outcome of a request whose response came from a server.
 fn forwarded_outcome(end: ResponseEnd, trace: &RequestTrace) -> RequestOutcome {
     let is_success = trace.status().is_some_and(|status| status < 400);
     match end {
@@ -50,7 +50,7 @@
 /// Forwards the request and its response.
 ///
 /// # Errors
-/// No server has given a response; the proxy has to answer itself.
+/// No server has returned a response to forward: the proxy must send the error response itself.
 async fn respond(
     state: &Rc<ProxyState>, request: &ClientRequest, writer: &mut ResponseWriter<'_, '_>,
     trace: &RequestTrace,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A request with one complete response.
+/// Serves a request whose response is not an event stream.
 async fn unary(
     execution: &mut RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>,
 ) -> Result<ResponseEnd, RequestError> {
@@ -76,12 +76,12 @@
         if let RelayOutcome::Ended(end) = relay::forward_response(execution, writer, accepted).await {
             return Ok(end);
         }
-        check_may_retry_body(execution)?;
+        check_may_retry(execution)?;
     }
 }
 
-/// Whether a request whose response broke off before any of it was forwarded may be retried.
-fn check_may_retry_body(execution: &RequestExecution<'_>) -> Result<(), RequestError> {
+/// Checks that a request may be retried whose response body failed before any of it was forwarded.
+fn check_may_retry(execution: &RequestExecution<'_>) -> Result<(), RequestError> {
     if execution.attempts.may_execute() && !execution.time_left().is_zero() {
         Ok(())
     } else {
@@ -89,6 +89,8 @@
     }
 }
 
+/// Executes a request on a streaming route, on a pair of a prefill and a decode server if its service is
+/// disaggregated.
 async fn execute(
     execution: &mut RequestExecution<'_>, headers: &AttemptHeaders,
 ) -> Result<AcceptedResponse, RequestError> {
@@ -99,7 +101,8 @@
     }
 }
 
-/// A request whose response is a stream of events, resumed at other servers if it breaks off.
+/// Serves a request whose response may be an event stream, which is resumed at other servers if it is
+/// interrupted.
 async fn stream(
     execution: &mut RequestExecution<'_>, writer: &mut ResponseWriter<'_, '_>,
 ) -> Result<ResponseEnd, RequestError> {
@@ -112,7 +115,7 @@
         if let RelayOutcome::Ended(end) = relay::forward_response(execution, writer, accepted).await {
             return Ok(end);
         }
-        check_may_retry_body(execution)?;
+        check_may_retry(execution)?;
     };
     writer.start(&accepted.response.head, BodyEncoding::Chunked);
     let mut events = EventBuffer::default();
@@ -120,13 +123,13 @@
         match relay::forward_events(execution, writer, &mut accepted, &mut events).await {
             StreamEnd::Complete => {
                 let end = writer.finish(BodyEncoding::Chunked, execution.terms.deadline).await;
-                accepted.response.finish(execution.state);
+                accepted.response.release_connection(execution.state);
                 return Ok(end);
             }
             StreamEnd::Terminated => return Ok(ResponseEnd::Incomplete),
             StreamEnd::Interrupted => {}
         }
-        // The attempt must not count as in flight while the next server is selected.
+        // Ends the attempt, so that it does not count as in flight while the next server is selected.
         drop(accepted);
         let Some(resumed) = resume(execution, &mut events, &mut headers).await else {
             return Ok(ResponseEnd::Incomplete);
@@ -135,8 +138,9 @@
     }
 }
 
-/// Resumes a stream that broke off at another server, behind the last event that was forwarded; `None` if that is not possible.
-/// The client has received the head of the first response already.
+/// Resumes an interrupted stream at another server, after the last event that was forwarded. Returns `None`
+/// if that is not possible. The client has already received the head of the first response, so the head of
+/// the resumed one is not forwarded.
 async fn resume(
     execution: &mut RequestExecution<'_>, events: &mut EventBuffer, headers: &mut AttemptHeaders,
 ) -> Option<AcceptedResponse> {
@@ -151,6 +155,7 @@
     is_event_stream(&accepted).then_some(accepted)
 }
 
+/// Returns whether the response is a successful stream of server-sent events.
 fn is_event_stream(accepted: &AcceptedResponse) -> bool {
     let content_type = accepted.response.head.headers.get_text("content-type").unwrap_or_default();
     accepted.class == ResponseClass::Success && content_type.starts_with("text/event-stream")
--- a/crates/proxy/src/stack/sse_tests.rs
+++ b/crates/proxy/src/stack/sse_tests.rs
@@ -1,15 +1,15 @@
-//! Server-sent events, in all ways to split a stream into received bytes.
+//! The parsing of server-sent events that are received in pieces of every size.
 
 use crate::stack::sse::{EventBuffer, EventError};
 use rstest::rstest;
 
-/// What is forwarded of `text`, received in steps of `size` bytes, and the buffer with the rest.
+/// Returns what is forwarded of `text`, received in pieces of `size` bytes, and the buffer with the rest.
 fn forward(text: &str, size: usize) -> (String, EventBuffer) {
     let (mut events, mut out) = (EventBuffer::default(), Vec::new());
     for step in text.as_bytes().chunks(size) {
         events.push(step).expect("events");
-        out.extend_from_slice(events.complete());
-        events.drop_complete();
+        out.extend_from_slice(events.complete_events());
+        events.drop_complete_events();
     }
     (String::from_utf8(out).expect("text"), events)
 }
@@ -25,21 +25,21 @@
     "versions: 3\nid:7\ndata: id: 9\n\n",
     Some("7")
 )]
-fn only_complete_events_are_forwarded_however_they_are_received(
+fn only_complete_events_are_forwarded_for_every_size_of_received_pieces(
     #[case] text: &str, #[case] expected: &str, #[case] last: Option<&str>,
 ) {
     for size in 1..=text.len() {
         let (out, events) = forward(text, size);
-        assert_eq!(out, expected, "in steps of {size}");
-        assert_eq!(events.last_event_id(), last.map(str::as_bytes), "in steps of {size}");
+        assert_eq!(out, expected, "in pieces of {size} bytes");
+        assert_eq!(events.last_event_id(), last.map(str::as_bytes), "in pieces of {size} bytes");
     }
 }
 
 #[test]
-fn end_of_the_stream_completes_the_rest() {
+fn remaining_bytes_count_as_complete_at_the_end_of_the_stream() {
     let (_, mut events) = forward("id: 1\n\nrest", 3);
     events.finish();
-    assert_eq!(events.complete(), b"rest");
+    assert_eq!(events.complete_events(), b"rest");
 }
 
 #[rstest]
@@ -47,7 +47,7 @@
 #[case("10", true)]
 #[case("4", false)]
 #[case("3", false)]
-fn resumed_stream_must_continue_behind_the_last_event(#[case] next: &str, #[case] follows: bool) {
+fn resumed_stream_must_continue_after_the_last_event(#[case] next: &str, #[case] follows: bool) {
     let (_, mut events) = forward("id: 4\ndata: a\n\nid: 5\nda", 4);
     events.prepare_resumption();
     let pushed = events.push(format!("id: {next}\ndata: b\n\n").as_bytes());
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn endless_event_is_rejected() {
+fn oversized_event_is_rejected() {
     let mut events = EventBuffer::default();
     let step = [b'x'; 64 * 1024];
     let ended = (0..8).map(|_| events.push(&step)).find(Result::is_err);
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,7 +1,8 @@
-//! The state shared by all tasks: the configuration, the balancer, the connection pool, and the phase of shutdown.
+//! The state shared by all tasks: the configuration, the balancer, the connection pool, and whether the
+//! process is shutting down.
 //!
-//! All tasks run on one thread. The agent feed's task is the only one that applies updates; tasks of requests take a snapshot of
-//! the routes, and borrow the balancer for the length of one decision.
+//! All tasks run on one thread. Only the agent feed's task applies updates. The task of a request takes a
+//! snapshot of the routes, and borrows the balancer for one decision at a time.
 
 use crate::outbound::ConnectionPool;
 use crate::routes::Routes;
@@ -16,42 +17,42 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The process's memory over the memory for request bodies: a quarter is for bodies.
+/// The divisor that gives the memory for request bodies: a quarter of the process's memory.
 const BODY_MEMORY_DIVISOR: u64 = 4;
-/// The least memory that is assumed, in MiB.
+/// The minimum assumed for the process's memory, in MiB.
 const MIN_MEMORY_MB: u64 = 16;
 
 /// The state shared by all tasks.
 pub struct ProxyState {
-    /// The zone of this machine.
+    /// The zone of this node.
     pub zone: String,
-    /// The balancer. Borrowed for one decision at a time, never across an await.
+    /// The balancer. It must be borrowed for one decision at a time, never across an await point.
     pub balancer: RefCell<Balancer>,
-    /// The connections to servers.
+    /// The pool of connections to servers.
     pub pool: ConnectionPool,
-    /// Bytes of request bodies that may still be read into memory.
+    /// The memory that is still available for request bodies, in bytes.
     pub free_body_bytes: Cell<u64>,
-    /// The counters.
+    /// The counters for `GET /metrics`.
     pub metrics: Metrics,
     routes: RefCell<Option<Rc<Routes>>>,
     limits: RefCell<Limits>,
     is_draining: Cell<bool>,
-    /// Whether no further connection is admitted.
-    is_closed: Cell<bool>,
+    /// Whether client connections are no longer admitted.
+    is_admission_stopped: Cell<bool>,
     max_body_bytes: u64,
     started: Instant,
     rng: RefCell<fastrand::Rng>,
 }
 
 impl ProxyState {
-    /// The state of a process that has no configuration and no endpoint list yet.
+    /// Creates the state of a process that has no configuration and no endpoint list yet.
     pub fn new(settings: &Settings, tuning: Tuning, seed: u64) -> Rc<ProxyState> {
         let pool = if tuning.reuses_connections {
             ConnectionPool::default()
         } else {
             ConnectionPool::without_reuse()
         };
-        let balancer = Balancer::new(tuning, retry_budget(&settings.bounds), seed);
+        let balancer = Balancer::new(tuning, retry_budget_config(&settings.bounds), seed);
         let memory = settings.limits.memory_mb.max(MIN_MEMORY_MB) * 1024 * 1024;
         let max_body_bytes = memory / BODY_MEMORY_DIVISOR;
         Rc::new(ProxyState {
@@ -64,86 +65,88 @@
             routes: RefCell::default(),
             limits: RefCell::default(),
             is_draining: Cell::new(false),
-            is_closed: Cell::new(false),
+            is_admission_stopped: Cell::new(false),
             started: Instant::now(),
-            // The balancer's draws must not depend on how often others draw.
+            // A generator of its own: other random draws must not influence those of the balancer.
             rng: RefCell::new(fastrand::Rng::with_seed(seed ^ u64::MAX)),
         })
     }
 
-    /// The time since the start of the process, as the balancer counts it.
+    /// Returns the time since the start of the process, which is the balancer's clock.
     pub fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// The routes in force; `None` without a configuration.
+    /// Returns the routes in force, or `None` if no configuration has been received.
     pub fn routes(&self) -> Option<Rc<Routes>> {
         self.routes.borrow().clone()
     }
 
-    /// The limits on what clients may send.
+    /// Returns the configured limits on what clients may send.
     pub fn limits(&self) -> Limits {
         self.limits.borrow().clone()
     }
 
-    /// Whether the process is ready: it has a configuration and servers, and is not draining.
+    /// Returns whether the process is ready: it has a configuration and at least one server, and is not
+    /// draining.
     pub fn is_ready(&self) -> bool {
         let has_tables = self.routes.borrow().is_some() && self.balancer.borrow().has_servers();
         has_tables && !self.is_draining()
     }
 
-    /// Whether the process is draining.
+    /// Returns whether the process is draining.
     pub fn is_draining(&self) -> bool {
         self.is_draining.get()
     }
 
-    /// The process starts to drain: it is not ready any more, and connections close behind their responses.
-    pub fn drain(&self) {
+    /// Starts draining: the process is no longer ready, and client connections close after their current
+    /// response.
+    pub fn start_draining(&self) {
         self.is_draining.set(true);
     }
 
-    /// No connection is admitted from now on.
-    pub fn close(&self) {
-        self.is_closed.set(true);
+    /// Records that no client connection may be admitted from now on.
+    pub fn stop_admission(&self) {
+        self.is_admission_stopped.set(true);
     }
 
-    /// A connection was admitted.
+    /// Records the admission of a client connection, and checks that admission has not been stopped.
     pub fn record_admission(&self) {
-        check(Invariant::NothingNewAfterDrain, !self.is_closed.get(), || {
+        check(Invariant::NothingNewAfterDrain, !self.is_admission_stopped.get(), || {
             "a connection was admitted".to_owned()
         });
     }
 
-    /// Bytes of request bodies in memory.
+    /// Returns the memory reserved for request bodies, in bytes.
     pub fn body_bytes(&self) -> u64 {
         self.max_body_bytes.saturating_sub(self.free_body_bytes.get())
     }
 
-    /// Releases the memory of a request's body.
+    /// Releases `bytes` that were reserved for the body of a request.
     pub fn release_body_bytes(&self, bytes: u64) {
         let (free, max) = (self.free_body_bytes.get() + bytes, self.max_body_bytes);
         check(Invariant::BodyBytesBounded, free <= max, || format!("{free} bytes free of {max}"));
         self.free_body_bytes.set(free);
     }
 
-    /// A random number in `0.0..1.0`.
+    /// Returns a random number in `0.0..1.0`.
     pub fn random_fraction(&self) -> f64 {
         self.rng.borrow_mut().f64()
     }
 
-    /// Applies those settings that may change while the process runs: the retry budget.
+    /// Applies the settings that may change while the process runs, which is the retry budget.
     pub fn reload(&self, settings: &Settings) {
-        self.balancer.borrow_mut().set_retry_budget(retry_budget(&settings.bounds));
+        self.balancer.borrow_mut().set_retry_budget(retry_budget_config(&settings.bounds));
     }
 
-    /// The versions of the tables in force; zeros for what is missing.
+    /// Returns the versions of the tables in force, with zeros for those that have not been received.
     pub fn versions(&self) -> VersionVector {
         let balancer = self.balancer.borrow();
         let config = self.routes.borrow().as_ref().map_or(0, |routes| routes.version());
         VersionVector { config, servers: balancer.position(), live_proxies: balancer.reported_proxy_count() }
     }
 
-    /// Applies an update of the agent. Older versions than those in force are ignored.
+    /// Applies an update from the agent. Tables that are older than those in force are ignored.
     pub fn apply(&self, update: &Update) {
         if let Some(fleet) = update.fleet {
             self.balancer.borrow_mut().set_live_proxies(fleet.live_proxies);
@@ -183,8 +186,8 @@
     }
 }
 
-/// The fleet's retry budget by the settings. The balancer sets this proxy's share.
-fn retry_budget(bounds: &Bounds) -> RetryBudgetConfig {
+/// Returns the retry budget of the whole fleet from the settings. The balancer sets this proxy's share of it.
+fn retry_budget_config(bounds: &Bounds) -> RetryBudgetConfig {
     RetryBudgetConfig {
         ratio: bounds.retry_budget,
         reserve: bounds.budget_slack,
--- a/crates/proxy/src/telemetry/metrics_endpoint.rs
+++ b/crates/proxy/src/telemetry/metrics_endpoint.rs
@@ -5,19 +5,19 @@
 use lugwharf_telemetry::{Exposition, MetricsEndpoint};
 use std::rc::Rc;
 
-/// The prefix of all names.
+/// The prefix of the names of all metrics.
 const PREFIX: &str = "lugwharf_proxy";
 
-/// Answers requests for the metrics, until the endpoint closes.
+/// Answers requests for the metrics until the endpoint closes.
 pub async fn serve(state: Rc<ProxyState>, clients: Rc<ClientConnections>, endpoint: MetricsEndpoint) {
     let MetricsEndpoint { mut requests } = endpoint;
     while let Some(reply) = requests.recv().await {
-        // A closed channel means that the client has disconnected, so that nobody waits for the text.
+        // The error is ignored: a closed channel means that the client has disconnected.
         let _ = reply.send(render(&state, &clients));
     }
 }
 
-/// The current values as text.
+/// Renders the current values as text.
 pub fn render(state: &ProxyState, clients: &ClientConnections) -> String {
     let mut exposition = Exposition::new(PREFIX);
     state.metrics.expose(&mut exposition);
--- a/crates/proxy/src/telemetry/metrics_tests.rs
+++ b/crates/proxy/src/telemetry/metrics_tests.rs
@@ -1,4 +1,5 @@
-//! The names of the metrics, with their types and labels: alarms of operators name them. Those of invariants are `telemetry`'s.
+//! The names, types and labels of all metrics, which operators' alarms depend on. The metrics of invariant
+//! violations are tested in the `telemetry` crate.
 
 use crate::inbound::connections::ClientConnections;
 use crate::inbound::error_response::RequestError;
@@ -66,11 +67,11 @@
     "lugwharf_proxy_uptime_seconds 0",
 ];
 
-/// The lines with types and values, sorted: those of one metric come in any order.
+/// Returns the lines with types and values, sorted, since the values of one metric may come in any order.
 fn sorted(text: &str) -> Vec<&str> {
-    let is_left_out =
+    let is_ignored =
         |line: &str| line.starts_with("# HELP") || line.contains("invariant_violations") || line == "# EOF";
-    let mut lines: Vec<&str> = text.lines().filter(|line| !is_left_out(line)).collect();
+    let mut lines: Vec<&str> = text.lines().filter(|line| !is_ignored(line)).collect();
     lines.sort_unstable();
     lines
 }
@@ -106,10 +107,10 @@
     }
     increment(&state.metrics.budget_denials);
     (0..2).for_each(|_| increment(&state.metrics.handles_freed));
-    (0..3).for_each(|_| increment(&state.metrics.handles_left));
-    // A burst of five lines is written, and two are left out.
+    (0..3).for_each(|_| increment(&state.metrics.handles_not_freed));
+    // A burst of five lines is logged, and two more are omitted.
     let outcome = RequestOutcome::Rejected(RequestError::Saturated);
-    let logged = (0..7).filter(|_| state.metrics.try_log_request(state.now(), outcome).is_some());
+    let logged = (0..7).filter(|_| state.metrics.try_acquire_log_permit(state.now(), outcome).is_some());
     assert_eq!(logged.count(), 5);
     assert_eq!(sorted(&render(&state, &clients)), EXPECTED);
 }
--- a/crates/proxy/src/telemetry/mod.rs
+++ b/crates/proxy/src/telemetry/mod.rs
@@ -1,4 +1,5 @@
-//! How requests and attempts end, and what records it: metrics, and the trace of each request.
+//! The outcomes of requests and attempts, and where they are recorded: the metrics, and a trace of each
+//! request.
 
 pub mod metrics;
 pub mod metrics_endpoint;
--- a/crates/proxy/src/telemetry/outcome.rs
+++ b/crates/proxy/src/telemetry/outcome.rs
@@ -1,26 +1,27 @@
-//! How requests and attempts end, by the names that metrics and logs use.
+//! The outcomes of requests and attempts, with the names that metrics and logs use for them.
 //!
-//! The names are the operators' and fixed, since alarms use them. Some are older than the terms of the code, and differ from
-//! the variants: `cut` ([`RequestOutcome::Interrupted`]), `left` ([`RequestOutcome::ClientDisconnected`]), `spoilt`
-//! ([`ResponseClass::Unusable`]), `moot` ([`ExchangeError::Aborted`]) and `late` ([`ExchangeError::TooLate`]).
+//! The names must not change, since operators' alarms depend on them. Some of them differ from the variants:
+//! `cut` ([`RequestOutcome::Interrupted`]), `left` ([`RequestOutcome::ClientDisconnected`]), `spoilt`
+//! ([`ResponseClass::Unusable`]), `moot` ([`ExchangeError::Aborted`]) and `late`
+//! ([`ExchangeError::TooLate`]).
 
 use crate::inbound::error_response::RequestError;
 use crate::outbound::ExchangeError;
 use crate::stack::response_class::ResponseClass;
 
-/// How a client's request ended.
+/// The outcome of a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// A server's success was forwarded completely.
+    /// A successful response of a server was forwarded completely.
     Success,
-    /// A server's failure was forwarded completely.
+    /// An error response of a server was forwarded completely.
     ServerFailure,
-    /// The response was started and not completed.
+    /// A response was started but not completed.
     Interrupted,
     /// The client disconnected before its response was complete.
     ClientDisconnected,
-    /// The proxy answered itself, with the response to this error. Not only before any attempt: also after the attempts
-    /// failed or the deadline passed.
+    /// The proxy itself sent the response for this error, either without any attempt, or after the attempts
+    /// had failed or the deadline had passed.
     Rejected(RequestError),
 }
 
@@ -28,13 +29,13 @@
     /// The number of outcomes.
     pub const COUNT: usize = 4 + RequestError::ALL.len();
 
-    /// All outcomes, in the order of [`RequestOutcome::index`].
+    /// Returns all outcomes, in the order of [`RequestOutcome::index`].
     pub fn all() -> impl Iterator<Item = RequestOutcome> {
         let others = [Self::Success, Self::ServerFailure, Self::Interrupted, Self::ClientDisconnected];
         others.into_iter().chain(RequestError::ALL.into_iter().map(Self::Rejected))
     }
 
-    /// The index among all outcomes.
+    /// Returns the index of the outcome among all outcomes.
     pub fn index(self) -> usize {
         match self {
             Self::Success => 0,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// The name in metrics and logs.
+    /// Returns the name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Success => "success",
@@ -57,18 +58,19 @@
     }
 }
 
-/// How an attempt ended, as metrics and logs tell attempts apart. What the stack does next is
-/// [`AttemptOutcome`](crate::stack::attempt::AttemptOutcome).
+/// The outcome of an attempt as metrics and logs report it.
+/// [`AttemptOutcome`](crate::stack::attempt::AttemptOutcome) is the outcome that decides what the stack does
+/// next.
 ///
-/// A response counts when its head has been received, so a success may still fail in its body. That shows in the attempt's
-/// [`BodyOutcome`] in the log, and in the [`RequestOutcome`].
+/// A response is counted once its head has been received, so the body of a success may still fail. The log
+/// reports that as the attempt's [`BodyFailure`], and it also determines the [`RequestOutcome`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptLabel {
     /// The head of a response was received.
     Response {
-        /// Its status.
+        /// The status code.
         status: u16,
-        /// Its class.
+        /// The class of the response.
         class: ResponseClass,
     },
     /// No response was received.
@@ -76,7 +78,7 @@
 }
 
 impl AttemptLabel {
-    /// The names of all labels, by [`AttemptLabel::index`]. A test holds the two together.
+    /// The names of all labels, by [`AttemptLabel::index`]. A test checks that names and indexes correspond.
     pub const NAMES: [&'static str; 11] = [
         "success",
         "failure",
@@ -91,7 +93,7 @@
         "timeout",
     ];
 
-    /// The index in [`AttemptLabel::NAMES`].
+    /// Returns the index in [`AttemptLabel::NAMES`].
     pub fn index(self) -> usize {
         match self {
             Self::Response { class, .. } => match class {
@@ -112,27 +114,27 @@
         }
     }
 
-    /// The name in metrics and logs.
+    /// Returns the name in metrics and logs.
     pub fn name(self) -> &'static str {
         Self::NAMES[self.index()]
     }
 }
 
-/// How the body of a response failed whose head was received.
+/// How the body of a response failed after its head had been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum BodyOutcome {
-    /// The server broke it off.
+pub enum BodyFailure {
+    /// The server closed or reset the connection, or violated the framing, before the body was complete.
     Broken,
-    /// It was not complete at the deadline.
+    /// The body was not complete at the deadline.
     Timeout,
-    /// The client stopped reading it.
+    /// The client stopped reading.
     Unread,
-    /// It must not be forwarded.
+    /// The server sent events that must not be forwarded.
     Invalid,
 }
 
-impl BodyOutcome {
-    /// The name in logs.
+impl BodyFailure {
+    /// Returns the name in logs.
     pub fn name(self) -> &'static str {
         match self {
             Self::Broken => "body_broken",
--- a/crates/proxy/src/telemetry/request_trace_tests.rs
+++ b/crates/proxy/src/telemetry/request_trace_tests.rs
@@ -1,9 +1,9 @@
-//! The attempts in the log line of a failed request.
+//! The format of attempts in the log line of a failed request, and the indexes and names of outcomes.
 
 use crate::inbound::error_response::RequestError;
 use crate::outbound::ExchangeError;
 use crate::stack::response_class::ResponseClass;
-use crate::telemetry::outcome::{AttemptLabel, BodyOutcome, RequestOutcome};
+use crate::telemetry::outcome::{AttemptLabel, BodyFailure, RequestOutcome};
 use crate::telemetry::request_trace::AttemptTrace;
 use lugwharf_routing::Phase;
 use std::collections::BTreeSet;
@@ -17,7 +17,7 @@
         started_at: Duration::from_millis(3),
         elapsed: Duration::from_millis(20),
         time_left: Duration::from_millis(480),
-        is_paid: false,
+        is_budgeted: false,
         label,
         body: None,
     }
@@ -29,8 +29,8 @@
     assert_eq!(broken.to_string(), "i-1/decode connection:7 at_ms:3 took_ms:20 left_ms:480 broken");
     let class = ResponseClass::Success;
     let answered = AttemptTrace {
-        is_paid: true,
-        body: Some(BodyOutcome::Timeout),
+        is_budgeted: true,
+        body: Some(BodyFailure::Timeout),
         ..attempt(AttemptLabel::Response { status: 200, class })
     };
     let text = "i-1/decode connection:7 at_ms:3 took_ms:20 left_ms:480 budgeted success:200 body_timeout";
