--- a/crates/proxy/tests/agent_updates.rs
+++ b/crates/proxy/tests/agent_updates.rs
@@ -1,4 +1,4 @@
-//! Configurations and server lists as the agent sends them.
+//! Updates of the configuration and of the endpoint list by the agent.
 
 mod support;
 
@@ -28,7 +28,7 @@
         assert!(response.header("retry-after").is_some());
         let route = Route::new("safe").timeout_ms(1).without_slo();
         proxy.configure(3, &[route]).await;
-        assert_eq!(proxy.readiness_status().await, 503, "no server list yet");
+        assert_eq!(proxy.readiness_status().await, 503, "no endpoint list has been received yet");
         proxy.list_all().await;
         assert_eq!(proxy.readiness_status().await, 200);
     })
@@ -52,7 +52,11 @@
     with_proxy(Scenario::new("safe"), async |proxy| {
         let have = proxy.reconnect_agent().await;
         assert_eq!((have.config, have.servers.sequence), (1, 1));
-        assert_eq!(proxy.readiness_status().await, 200, "the applied versions stay in force meanwhile");
+        assert_eq!(
+            proxy.readiness_status().await,
+            200,
+            "the applied versions stay in force during the reconnect"
+        );
     })
     .await;
 }
--- a/crates/proxy/tests/at_most_once.rs
+++ b/crates/proxy/tests/at_most_once.rs
@@ -1,8 +1,9 @@
 //! At-most-once execution of requests that are not idempotent.
 //!
-//! A request that a server may have executed is sent again only if its route allows it (`safe`, or a resumable stream), whatever
-//! happens while it is in flight: a new configuration, an agent's restart, a shutdown, a broken or foreign response. Attempts
-//! that certainly did not execute are bounded too.
+//! A request that a server may have executed is sent again only if its route allows that (`safe`, or a
+//! resumable stream), whatever happens while the request is in flight: a new configuration, a restart of the
+//! agent, a shutdown, a truncated response or one to another request. The number of attempts that provably
+//! did not execute the request is limited as well.
 
 mod support;
 
@@ -11,14 +12,14 @@
 use support::clock::with_frozen_clock;
 use support::*;
 
-/// More servers than one request may try.
+/// More servers than one request may be sent to.
 const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
 
 fn route(kind: &'static str, attempts: u32) -> Route {
     Route::new(kind).max_attempts(attempts)
 }
 
-/// The route as it was when the request arrived governs it to its end.
+/// A request is served according to the route that was in force when it arrived, until it ends.
 #[rstest]
 #[case::kind(route("unsafe", 3), vec![route("safe", 3)])]
 #[case::attempts(route("safe", 1), vec![route("safe", 5)])]
@@ -52,7 +53,7 @@
     .await;
 }
 
-/// The restarted agent sends a relaxed configuration and the server list again.
+/// The restarted agent sends a configuration that allows retries, and the endpoint list again.
 #[tokio::test]
 async fn unsafe_request_is_not_retried_after_agent_restart() {
     with_proxy(Scenario::new("unsafe").max_attempts(3).retry_budget(10.0), async |proxy| {
@@ -66,7 +67,8 @@
     .await;
 }
 
-/// Servers keep their identities across the restart: one that rejected the request is not tried again.
+/// Servers keep their identities across a restart of the agent, so a server that rejected the request is not
+/// tried again.
 #[tokio::test]
 async fn attempted_servers_are_excluded_after_agent_restart() {
     with_proxy(Scenario::new("unsafe").max_attempts(3).retry_budget(10.0), async |proxy| {
@@ -96,9 +98,9 @@
     .await;
 }
 
-/// Nothing was sent, so the response may promise that nothing was executed.
+/// Nothing was sent, so the response may guarantee that the request was not executed.
 #[tokio::test]
-async fn request_whose_deadline_passes_during_connect_is_refused() {
+async fn request_whose_deadline_passes_during_connect_is_rejected() {
     with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
         let mut client = proxy.send_request("r1", "Deadline-Ms: 30\r\n").await;
         let response = client.read_response().await;
@@ -107,7 +109,7 @@
     .await;
 }
 
-/// Attempts and retry budget are left: only the possible execution forbids a retry.
+/// Further attempts and the retry budget would allow a retry. Only the possible execution forbids it.
 #[rstest]
 #[case::reset("", 502)]
 #[case::response_to_another_request(
@@ -154,14 +156,14 @@
         drop(server);
         let response = tokio::select! {
             response = client.read_message() => response.expect("a response"),
-            _ = proxy.accept_any(&PLAIN_SERVERS) => panic!("retried"),
+            _ = proxy.accept_any(&PLAIN_SERVERS) => panic!("the request was retried"),
         };
         assert_eq!(response.status(), status);
     })
     .await;
 }
 
-/// `MaxAttempts` is 2: one retry, on another server.
+/// `MaxAttempts` is 2, which allows one retry, on another server.
 #[rstest]
 #[case::reset("")]
 #[case::without_server_stamp("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 2\r\n\r\nno")]
@@ -178,7 +180,7 @@
         let mut attempted = Vec::new();
         for _ in 0..2 {
             let (mut server, _, name) = proxy.receive_any(&NAMES).await;
-            assert!(!attempted.contains(&name), "each server once");
+            assert!(!attempted.contains(&name), "each server is tried once");
             attempted.push(name);
             server.send(reply).await;
         }
@@ -191,7 +193,7 @@
     .await;
 }
 
-/// A failure that the request itself causes would recur on any server.
+/// An error that is caused by the request itself would recur on any server.
 #[tokio::test]
 async fn client_error_response_is_final() {
     with_proxy(Scenario::new("safe").max_attempts(3).retry_budget(10.0), async |proxy| {
@@ -202,9 +204,10 @@
     .await;
 }
 
-/// A rejected attempt did not execute and is no retry, but attempts are bounded all the same: 4 servers.
+/// A rejected attempt did not execute the request, so `MaxAttempts` does not limit it. Rejections are limited
+/// separately, to 4 servers.
 #[tokio::test]
-async fn rejected_attempts_of_an_unsafe_request_are_bounded() {
+async fn rejected_attempts_of_an_unsafe_request_are_limited() {
     let scenario = Scenario::new("unsafe").servers(&NAMES).max_attempts(1).retry_budget(100.0);
     with_proxy(scenario, async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
@@ -223,11 +226,12 @@
     .await;
 }
 
-/// The only server reports a full load and has been slower than the deadline allows: the client is refused at once.
+/// The only server reports that all its slots are in use, and its latency exceeds the time left: the request
+/// is rejected at once.
 #[tokio::test]
-async fn request_that_cannot_meet_its_deadline_is_refused_unsent() {
+async fn request_that_cannot_meet_its_deadline_is_rejected_without_being_sent() {
     with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.send_request("r1", "").await;
         let (mut idle, _) = proxy.receive("a").await;
         let reply = with_headers(&ok_response("r1", "slow"), "Load-Report: 8,4,8\r\n");
@@ -241,7 +245,7 @@
                 received = idle.read_until(ALL_BUT_LAST_BYTE) => panic!("sent: {received:?}"),
             };
             assert_eq!(response.status(), 503);
-            // With more time it is sent.
+            // With more time left, the request is sent.
             client.send(&request("r3", "", "body")).await;
             assert!(idle.read_until(ALL_BUT_LAST_BYTE).await.is_some());
         })
@@ -251,7 +255,7 @@
 }
 
 #[tokio::test]
-async fn refused_connections_are_bounded() {
+async fn attempts_with_refused_connections_are_limited() {
     let scenario = Scenario::new("unsafe").servers(&NAMES).max_attempts(1).retry_budget(10.0);
     with_proxy(scenario, async |proxy| {
         NAMES.iter().for_each(|name| proxy.stop_server(name));
@@ -262,9 +266,10 @@
     .await;
 }
 
-/// Nothing was executed, but each attempt may have taken capacity of a full server: 5 attempts.
+/// Nothing was executed, but each attempt may have used capacity of a saturated server. Such attempts are
+/// limited to 5.
 #[tokio::test]
-async fn attempts_reset_before_the_last_byte_are_bounded() {
+async fn attempts_reset_before_the_last_byte_are_limited() {
     let scenario = Scenario::new("unsafe").servers(&NAMES).max_attempts(1).retry_budget(10.0);
     with_proxy(scenario, async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
@@ -286,11 +291,12 @@
     .await;
 }
 
-/// Its first attempt may have executed; a 503 would promise that it has not.
+/// The first attempt may have executed the request, and a 503 would guarantee that it was not executed. So
+/// the retry is sent although it will probably be late.
 #[tokio::test]
 async fn retry_that_cannot_meet_its_deadline_is_still_sent() {
     with_proxy(Scenario::new("safe").max_attempts(2).retry_budget(10.0), async |proxy| {
-        proxy.list_all_but(&["a"]).await;
+        proxy.list_all_except(&["a"]).await;
         let mut client = proxy.send_request("r1", "").await;
         let (mut slow, _) = proxy.receive("b").await;
         proxy.list_all().await;
@@ -311,7 +317,8 @@
     .await;
 }
 
-/// A deadline that passes in the head or in the body of a response leaves the retry budget to other requests.
+/// If the deadline passes within the head or the body of a response, nothing is withdrawn from the retry
+/// budget.
 #[rstest]
 #[case::silent("")]
 #[case::truncated_body(
@@ -321,7 +328,8 @@
 async fn deadline_exceeded_withdraws_nothing_from_the_retry_budget(#[case] reply: &str) {
     let scenario = Scenario::new("safe").max_attempts(2).retry_budget(1.0);
     with_proxy(scenario, async |proxy| {
-        // Each request deposits half a retry: the first two one retry, all three one and a half.
+        // This proxy may use half a retry per request: one retry after two requests, one and a half after
+        // three.
         let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
         server.send(&closing(&ok_response("r1", "ok"))).await;
         client.read_response().await;
@@ -334,7 +342,7 @@
         server.reset();
         let (mut server, _) = tokio::select! {
             accepted = proxy.accept_any(&PLAIN_SERVERS) => accepted,
-            response = client.read_message() => panic!("no retry budget was left: {response:?}"),
+            response = client.read_message() => panic!("the retry budget was exhausted: {response:?}"),
         };
         server.read_request().await;
     })
--- a/crates/proxy/tests/client_disconnect.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -1,4 +1,5 @@
-//! Client disconnect: wherever its request waits, nothing more is sent for it, and every attempt is cancelled within 500 ms.
+//! Client disconnects: whatever the state of the request, nothing more is sent for it, and every attempt is
+//! cancelled within 500 ms.
 
 mod support;
 
@@ -8,8 +9,8 @@
 use support::*;
 use tokio::time::{Instant, timeout};
 
-/// Attempts are cancelled within this time after the disconnect.
-const CANCELLED_WITHIN: Duration = Duration::from_millis(500);
+/// The maximum time between the disconnect and the cancellation of attempts.
+const MAX_CANCELLATION_TIME: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Disconnect {
@@ -24,27 +25,28 @@
     }
 }
 
-/// Disconnects; from now on time passes as soon as all tasks are idle, so that a wait for a timer shows.
+/// Disconnects the client with the clock paused, and returns the time. A paused clock advances when all tasks
+/// are idle, so that waiting for a timer becomes visible as elapsed time.
 fn disconnect_and_pause(client: Connection, how: Disconnect) -> Instant {
     tokio::time::pause();
     disconnect(client, how);
     Instant::now()
 }
 
-/// Lets all tasks handle what has arrived while the paused clock stands still.
-async fn settle() {
+/// Lets all tasks process pending input without advancing the paused clock.
+async fn process_pending_input() {
     for _ in 0..64 {
         tokio::task::yield_now().await;
     }
 }
 
-/// The attempt at this server is cancelled in time.
+/// Checks that the attempt at this server is cancelled in time.
 async fn expect_cancelled(server: &mut Connection, since: Instant) {
     assert!(server.is_closed().await, "nothing more is sent");
-    assert!(since.elapsed() < CANCELLED_WITHIN, "{:?}", since.elapsed());
+    assert!(since.elapsed() < MAX_CANCELLATION_TIME, "{:?}", since.elapsed());
 }
 
-/// No further connection to these servers within 10 s.
+/// Checks that no further connection to these servers is opened within 10 s.
 async fn expect_no_attempt(proxy: &TestProxy, servers: &[&'static str]) {
     assert!(timeout(Duration::from_secs(10), proxy.accept_any(servers)).await.is_err());
 }
@@ -106,7 +108,7 @@
         let since = disconnect_and_pause(client, how);
         expect_cancelled(&mut server, since).await;
         serve_release(&mut prefill_server).await;
-        assert!(since.elapsed() < CANCELLED_WITHIN, "{:?}", since.elapsed());
+        assert!(since.elapsed() < MAX_CANCELLATION_TIME, "{:?}", since.elapsed());
         expect_no_attempt(proxy, &["p", "d"]).await;
     })
     .await;
@@ -148,7 +150,8 @@
     .await;
 }
 
-/// The last byte of an unsafe request on a new connection is withheld for a moment, and then never sent.
+/// The last byte of an unsafe request on a new connection is withheld for a short time. After the disconnect,
+/// it is never sent.
 #[rstest]
 #[tokio::test]
 async fn disconnect_while_the_last_byte_is_withheld_never_sends_it(
@@ -161,14 +164,14 @@
         assert!(server.read_until(ALL_BUT_LAST_BYTE).await.is_some());
         let since = Instant::now();
         disconnect(client, how);
-        settle().await;
+        process_pending_input().await;
         expect_cancelled(&mut server, since).await;
         expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
     .await;
 }
 
-/// The server has received a part of a long body and reads no more.
+/// The server has received a part of a long body and reads no further.
 #[rstest]
 #[tokio::test]
 async fn disconnect_while_the_body_is_being_sent_stops_it(
@@ -183,13 +186,13 @@
         let since = disconnect_and_pause(client, how);
         assert_eq!(proxy.readiness_status().await, 200);
         assert!(server.read_to_end().await.len() < LONG, "the rest is never sent");
-        assert!(since.elapsed() < CANCELLED_WITHIN, "{:?}", since.elapsed());
+        assert!(since.elapsed() < MAX_CANCELLATION_TIME, "{:?}", since.elapsed());
         expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
     .await;
 }
 
-/// The end of the connection stands behind more pipelined bytes than the proxy reads ahead.
+/// The end of the connection follows more pipelined bytes than the proxy reads ahead.
 #[rstest]
 #[tokio::test]
 async fn disconnect_behind_pipelined_requests_cancels_the_current_one(
@@ -200,7 +203,7 @@
         for _ in 0..8 {
             client.send(&request("r2", &format!("X: {}\r\n", "x".repeat(3_000)), "body")).await;
         }
-        assert_eq!(proxy.readiness_status().await, 200, "the proxy has read ahead as far as it does");
+        assert_eq!(proxy.readiness_status().await, 200, "the proxy has read ahead up to its limit");
         let since = disconnect_and_pause(client, how);
         expect_cancelled(&mut server, since).await;
         expect_no_attempt(proxy, &PLAIN_SERVERS).await;
@@ -208,7 +211,7 @@
     .await;
 }
 
-/// The client was gone before its connection was accepted, as where the proxy was busy or paused.
+/// The client disconnects before its connection is accepted, as when the proxy is busy or paused.
 #[rstest]
 #[tokio::test]
 async fn disconnect_before_the_request_is_read_sends_nothing(
@@ -216,7 +219,8 @@
 ) {
     use std::io::Write;
     with_proxy(Scenario::new(kind).max_attempts(3).retry_budget(10.0), async |proxy| {
-        // Without an await in between, so that the proxy sees connection, request and end at once.
+        // There is no await in between, so that the proxy sees the connection, the request and the close at
+        // the same time.
         let mut client = std::net::TcpStream::connect(proxy.front_address).expect("a connection");
         client.write_all(request("r1", "", "body").as_bytes()).expect("a write");
         drop(client);
--- a/crates/proxy/tests/close_delimited.rs
+++ b/crates/proxy/tests/close_delimited.rs
@@ -1,4 +1,5 @@
-//! Responses without a length: complete when the server closes the connection, truncated when it resets it.
+//! Responses without a length, which are complete if the server closes the connection, and truncated if it
+//! resets the connection.
 
 mod support;
 
@@ -70,7 +71,7 @@
     .await;
 }
 
-/// A stream is complete if its connection is closed between two events; otherwise it is truncated.
+/// A stream is complete if its connection is closed after a complete event. Otherwise it is truncated.
 #[rstest]
 #[case::complete("", false, true)]
 #[case::partial_event("id: 2\ndata: to", false, false)]
@@ -94,7 +95,8 @@
     .await;
 }
 
-/// Also without a length and without the type of an event stream.
+/// A streaming route forwards data without buffering, even if the response has no length and is not an event
+/// stream.
 #[tokio::test]
 async fn streaming_route_forwards_data_as_it_arrives() {
     with_proxy(Scenario::new("streaming"), async |proxy| {
--- a/crates/proxy/tests/connection_reuse.rs
+++ b/crates/proxy/tests/connection_reuse.rs
@@ -1,8 +1,8 @@
 //! Reuse of connections to servers.
 //!
-//! A response that is still outstanding on a connection is never taken for that of another request: responses are matched by
-//! their request id, connections with an outstanding response or surplus bytes are closed, and idle ones that their server may
-//! be closing just now are not used.
+//! An outstanding response on a connection is never taken for the response to another request: responses are
+//! matched by their request id, connections with an outstanding response or surplus bytes are closed, and
+//! idle connections that their server may be about to close are not used.
 
 mod support;
 
@@ -12,7 +12,8 @@
 use support::prefill::{expect_release, prefill_response};
 use support::*;
 
-/// A resumed stream is prefilled again, with the same id on the same server, whose first response is repeated.
+/// For a resumed stream, the prompt is prefilled again with the same request id on the same server, which
+/// also sends a duplicate of its first response.
 #[tokio::test]
 async fn second_prefill_ignores_a_duplicate_of_the_first_prefill_response() {
     let scenario =
@@ -61,7 +62,7 @@
     .await;
 }
 
-/// Its response could not be told from a duplicate of an earlier one.
+/// The response to such a request can't be distinguished from a duplicate of an earlier response.
 #[rstest]
 #[case::without_request_id(format!("POST /r/x HTTP/1.1\r\nHost: {HOST}\r\nContent-Length: 4\r\n\r\nbody"))]
 #[case::head_request(format!("HEAD /r/x HTTP/1.1\r\nHost: {HOST}\r\nRequest-Id: r2\r\n\r\n"))]
@@ -71,7 +72,7 @@
         let (mut client, mut idle) = proxy.idle_connections().await;
         client.send(&second).await;
         let mut own = tokio::select! {
-            received = idle.read_message() => panic!("on the idle connection: {received:?}"),
+            received = idle.read_message() => panic!("received on the idle connection: {received:?}"),
             accepted = proxy.accept("a") => accepted,
         };
         assert!(own.read_head().await.is_some());
@@ -82,15 +83,15 @@
         if second.starts_with("POST") {
             assert_eq!(own.read_until("body").await.as_deref(), Some("body"));
         }
-        assert!(own.is_closed().await, "it is not reused");
-        // The idle connection is still reusable.
+        assert!(own.is_closed().await, "the connection is not reused");
+        // The idle connection can still be reused.
         client.send(&request("r3", "", "body")).await;
         assert_eq!(idle.read_request().await.header("request-id"), Some("r3"));
     })
     .await;
 }
 
-/// The response to `DELETE` carries no request id: a duplicate of another response could pass for it.
+/// The response to `DELETE` carries no request id, so a duplicate of another response could be taken for it.
 #[tokio::test]
 async fn connection_that_released_a_handle_is_not_reused() {
     with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
@@ -103,7 +104,7 @@
         assert_eq!(
             release.header("expect-instance"),
             Some("i-p"),
-            "the address may belong to another instance by now"
+            "the address may belong to another instance"
         );
         prefill_server.send(&prefill_response("r1", "one")).await;
         let _other = proxy.send_request("r2", "").await;
@@ -118,7 +119,8 @@
     .await;
 }
 
-/// Nothing is sent to the address of a server that was removed from the list: it may belong to another one by now.
+/// Nothing is sent to the address of a server that was removed from the endpoint list, since the address may
+/// belong to another server.
 #[tokio::test]
 async fn handle_of_a_removed_server_is_not_released() {
     with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
@@ -126,8 +128,8 @@
         let (mut prefill_server, _) = proxy.receive("p").await;
         prefill_server.send(&prefill_response("r1", "one")).await;
         let (mut server, _) = proxy.receive("d").await;
-        proxy.list_all_but(&["p"]).await;
-        assert!(prefill_server.is_closed().await, "closed with its incarnation");
+        proxy.list_all_except(&["p"]).await;
+        assert!(prefill_server.is_closed().await, "the connection is closed when its incarnation is removed");
         drop(client);
         assert!(server.is_closed().await);
         let _other = proxy.send_request("r2", "").await;
@@ -146,7 +148,7 @@
 #[tokio::test]
 async fn connection_with_an_outstanding_response_is_not_reused(#[case] is_late: bool) {
     with_proxy(Scenario::new("safe"), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.send_request("r1", "Deadline-Ms: 900\r\n").await;
         let (mut server, _) = proxy.receive("a").await;
         if is_late {
@@ -167,7 +169,7 @@
 #[tokio::test]
 async fn connection_of_a_cancelled_stream_is_not_reused() {
     with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
-        proxy.list_all_but(&["p"]).await;
+        proxy.list_all_except(&["p"]).await;
         let mut client = proxy.send_request("r1", "").await;
         let (mut server, _) = proxy.receive("d").await;
         server.start_stream("r1", 1).await;
@@ -181,7 +183,7 @@
     .await;
 }
 
-/// Its missing rest would be taken for the start of the next response.
+/// The rest of the rejection, if it arrived, would be taken for the start of the next response.
 #[tokio::test]
 async fn incomplete_rejection_closes_its_connection() {
     with_proxy(Scenario::new("unsafe").retry_budget(10.0), async |proxy| {
@@ -201,7 +203,7 @@
 #[tokio::test]
 async fn connection_close_header_is_honoured() {
     with_proxy(Scenario::new("safe"), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.send_request("r1", "").await;
         let (mut server, _) = proxy.receive("a").await;
         let reply = closing(&ok_response("r1", "ok"));
@@ -221,7 +223,7 @@
 #[tokio::test]
 async fn surplus_bytes_after_a_response_close_the_connection_at_once(#[case] surplus: String) {
     with_proxy(Scenario::new("safe"), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.send_request("r1", "").await;
         let (mut server, _) = proxy.receive("a").await;
         with_frozen_clock(async {
@@ -234,8 +236,8 @@
     .await;
 }
 
-/// Servers close idle connections: one near its `Keep-Alive` timeout, or idle for long, may be closing just now. Safe requests
-/// take a higher risk, since they may be retried.
+/// Servers close idle connections, so a connection that is near its `Keep-Alive` timeout, or has been idle
+/// for long, may be about to close. A higher risk is accepted for safe requests, since they may be retried.
 #[rstest]
 #[case::near_keep_alive_timeout("unsafe", "Keep-Alive: timeout=1\r\n", 700, false)]
 #[case::before_keep_alive_timeout("unsafe", "Keep-Alive: timeout=1\r\n", 300, true)]
@@ -247,7 +249,7 @@
     #[case] kind: &'static str, #[case] headers: &str, #[case] idle_ms: u64, #[case] expected: bool,
 ) {
     with_proxy(Scenario::new(kind), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.send_request("r1", "").await;
         let (mut idle, _) = proxy.receive("a").await;
         idle.send(&with_headers(&ok_response("r1", "ok"), headers)).await;
@@ -267,7 +269,8 @@
     .await;
 }
 
-/// An incarnation's connections end with it, also where the same address is listed for the next one.
+/// The connections to an incarnation of a server are closed when it is removed, even if the next incarnation
+/// has the same address.
 #[tokio::test]
 async fn connections_are_not_inherited_by_the_next_incarnation_at_an_address() {
     with_proxy(Scenario::new("safe").servers(&["a"]), async |proxy| {
@@ -275,7 +278,7 @@
         let (mut idle, _) = proxy.receive("a").await;
         idle.send(&ok_response("r1", "ok")).await;
         client.read_response().await;
-        proxy.list_all_but(&["a"]).await;
+        proxy.list_all_except(&["a"]).await;
         assert!(idle.is_closed().await);
         proxy.list_all().await;
         client.send(&request("r2", "", "body")).await;
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -1,5 +1,5 @@
-//! Deadline propagation: every attempt carries the remaining time, and the final response comes within 500 ms of the route's
-//! timeout, whatever the servers do.
+//! Deadline propagation: every attempt carries the remaining time, and the final response is sent at most 500
+//! ms after the timeout of the route, whatever the servers do.
 
 mod support;
 
@@ -12,9 +12,9 @@
 
 /// `TimeoutMs` of the route.
 const TIMEOUT: Duration = Duration::from_millis(5_000);
-/// The final response comes at most so long after the timeout.
+/// The maximum delay of the final response after the timeout.
 const GRACE: Duration = Duration::from_millis(500);
-/// How long a server takes before it responds.
+/// The time that a server takes to respond.
 const SERVER_DELAY: Duration = Duration::from_millis(1_000);
 
 fn deadline(received: &Message) -> Duration {
@@ -75,7 +75,8 @@
     .await;
 }
 
-/// The deadline counts from the request's arrival, also while an earlier request on its connection is served.
+/// The deadline is relative to the arrival of the request, even if an earlier request on its connection is
+/// still being served.
 #[rstest]
 #[case::sent_with_the_first(true)]
 #[case::sent_during_the_first(false)]
@@ -83,14 +84,14 @@
 async fn deadline_of_a_pipelined_request_includes_its_wait(#[case] is_sent_together: bool) {
     let next = request("r2", "Deadline-Ms: 3000\r\n", "body");
     with_proxy(Scenario::new("safe"), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.connect().await;
         let first = request("r1", "", "body");
         client.send(&if is_sent_together { first + next.as_str() } else { first }).await;
         let (mut server, _) = proxy.receive("a").await;
         if !is_sent_together {
             client.send(&next).await;
-            // Received once a later connection has been served.
+            // The request has been received once a later connection has been served.
             assert_eq!(proxy.readiness_status().await, 200);
         }
         advance_clock(SERVER_DELAY).await;
@@ -106,17 +107,17 @@
     .await;
 }
 
-/// Cases: what the server sends before it falls silent.
+/// The cases give what the server sends before it stops responding.
 #[rstest]
 #[case::nothing_to_a_safe_request("safe", "", Some(504))]
 #[case::nothing_to_an_unsafe_request("unsafe", "", Some(504))]
-#[case::head_and_half_a_body(
+#[case::head_and_partial_body(
     "unsafe",
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\nhalf",
     Some(504)
 )]
-#[case::half_a_head("unsafe", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n", Some(504))]
-#[case::long_body_in_forwarding(
+#[case::partial_head("unsafe", "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\n", Some(504))]
+#[case::long_body_being_forwarded(
     "unsafe",
     "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 99999\r\n\r\nhalf",
     None
@@ -132,8 +133,8 @@
         tokio::time::pause();
         let response = client.read_message().await;
         assert_eq!(response.map(|response| response.status()), status);
-        let took = since.elapsed();
-        assert!(took > TIMEOUT / 2 && took < TIMEOUT + GRACE, "{took:?}");
+        let elapsed = since.elapsed();
+        assert!(elapsed > TIMEOUT / 2 && elapsed < TIMEOUT + GRACE, "{elapsed:?}");
         assert!(server.is_closed().await, "the attempt is cancelled");
         assert!(since.elapsed() < TIMEOUT + GRACE);
     })
@@ -154,15 +155,15 @@
     .await;
 }
 
-/// A body that arrives slowly but steadily does not extend the deadline.
+/// A body that arrives slowly, but without long pauses, does not extend the deadline.
 #[tokio::test]
 async fn request_with_an_incomplete_body_gets_408_in_time() {
     let step = Duration::from_millis(200);
     with_proxy(Scenario::new("unsafe"), async |proxy| {
         let since = Instant::now();
         let mut client = proxy.connect().await;
-        let whole = request("r1", "", &"x".repeat(100));
-        client.send(&whole[..whole.len() - 100]).await;
+        let complete = request("r1", "", &"x".repeat(100));
+        client.send(&complete[..complete.len() - 100]).await;
         while since.elapsed() < TIMEOUT + step {
             client.send("x").await;
             assert_eq!(proxy.readiness_status().await, 200);
@@ -193,7 +194,7 @@
     .await;
 }
 
-/// Whichever part of the response the pause falls into.
+/// A pause within the deadline does not matter, whichever part of the response it interrupts.
 #[rstest]
 #[case::before_the_head(
     "",
--- a/crates/proxy/tests/early_responses.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -1,11 +1,11 @@
-//! Responses that arrive before their request was sent completely: they are forwarded, and the unsent rest of the request never
-//! lands where another request is due.
+//! Responses that arrive before their request has been sent completely: they are forwarded, and their
+//! connections are not reused, since another request would be read as the rest of the first.
 
 mod support;
 
 use support::*;
 
-/// More than the socket buffers of both ends hold.
+/// The length of a body that exceeds the socket buffers of both ends.
 const LONG: usize = 16 * 1024 * 1024;
 
 fn long_bodies(kind: &'static str) -> Scenario {
@@ -19,7 +19,7 @@
 #[tokio::test]
 async fn early_response_is_forwarded_and_its_connection_is_not_reused() {
     with_proxy(long_bodies("unsafe"), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.connect().await;
         client.send(&request("r1", "", &"x".repeat(LONG))).await;
         let mut early = proxy.accept("a").await;
@@ -70,11 +70,12 @@
     .await;
 }
 
-/// The last byte of an unsafe request is withheld for a moment; a response that arrives then belongs to this request.
+/// The last byte of an unsafe request is withheld for a short time. A response that arrives during that time
+/// belongs to this request.
 #[tokio::test]
 async fn response_before_the_last_byte_is_forwarded_and_the_request_is_not_retried() {
     with_proxy(Scenario::new("unsafe").retry_budget(10.0), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         tokio::time::pause();
         let mut client = proxy.send_request("r1", "").await;
         let mut early = proxy.accept("a").await;
@@ -89,7 +90,7 @@
 #[tokio::test]
 async fn early_response_followed_by_a_close_is_forwarded() {
     with_proxy(long_bodies("unsafe"), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.connect().await;
         client.send(&request("r1", "", &"x".repeat(LONG))).await;
         let mut early = proxy.accept("a").await;
--- a/crates/proxy/tests/expect_version.rs
+++ b/crates/proxy/tests/expect_version.rs
@@ -1,14 +1,15 @@
 //! Misdirected requests (421) and versions of a model's weights.
 //!
-//! A server answers 421 to an `Expect-Instance` of the proxy or an `Expect-Version` of the client that it doesn't match. Each 421 is
-//! one arrival paid from the retry budget, and no execution. Version lines of streams are forwarded unchanged.
+//! A server responds with 421 if it does not match the `Expect-Instance` of the proxy or the `Expect-Version`
+//! of the client. A request that got a 421 counts as delivered but not executed, and the next attempt is
+//! withdrawn from the retry budget. Version lines of streams are forwarded unchanged.
 
 mod support;
 
 use rstest::rstest;
 use support::*;
 
-/// A client's demand for certain weights.
+/// A client's requirement for a version of the weights.
 const EXPECT_VERSION: &str = "Expect-Version: 2\r\n";
 
 #[rstest]
@@ -57,7 +58,7 @@
     .await;
 }
 
-/// Other weights than one client expects say nothing about requests of others.
+/// A version mismatch for one client says nothing about the requests of other clients.
 #[tokio::test]
 async fn version_mismatch_of_one_client_does_not_exclude_the_server_for_others() {
     with_proxy(Scenario::new("unsafe").retry_budget(10.0), async |proxy| {
--- a/crates/proxy/tests/forwarded_headers.rs
+++ b/crates/proxy/tests/forwarded_headers.rs
@@ -1,4 +1,5 @@
-//! Request headers: those of the client that reach every attempt unchanged, and those that only the proxy may set.
+//! Request headers: which headers of the client are forwarded unchanged in every attempt, and which headers
+//! only the proxy may set.
 
 mod support;
 
@@ -6,10 +7,10 @@
 use support::prefill::*;
 use support::*;
 
-/// Unusual on purpose: names in any case, a repeated name, a space in a value.
+/// Intentionally unusual headers: names in mixed case, a repeated name, a space in a value.
 const PROMPT: &str = "mODEL: m one\r\nToken-Counts: 1460,80\r\nPrompt-Prefix: 5c1e07a2:800,91bd3f06:410\r\nprompt-prefix: e4402b7d:250\r\n";
 
-/// The headers that describe the prompt, as received.
+/// Returns the headers that describe the prompt, as they were received.
 fn prompt_headers(received: &Message) -> String {
     let is_prompt_header = |line: &&str| {
         let name = line.split(':').next().unwrap_or_default().to_ascii_lowercase();
@@ -31,9 +32,10 @@
         assert_eq!(prompt_headers(&received), PROMPT, "the decode");
         server.start_stream("r1", 1).await;
         server.reset();
-        // The same id is not sent twice on one connection: a duplicate of the first rejection would pass for the second one.
+        // The same request id is not sent twice on one connection, since a duplicate of the first rejection
+        // could be taken for the second.
         let (mut second_prefill_server, received) = tokio::select! {
-            received = prefill_server.read_message() => panic!("on the connection of the first prefill: {received:?}"),
+            received = prefill_server.read_message() => panic!("received on the connection of the first prefill: {received:?}"),
             offered = proxy.receive("p") => offered,
         };
         assert_eq!(prompt_headers(&received), PROMPT, "the prefill for the resumption");
@@ -130,7 +132,7 @@
 #[case::of_the_client_is_replaced(Some(3), "Priority: 0\r\n", "3")]
 #[case::above_the_maximum(Some(12), "", "9")]
 #[tokio::test]
-async fn priority_at_a_model_server_is_the_routes(
+async fn model_server_receives_the_priority_of_the_route(
     #[case] of_route: Option<u32>, #[case] headers: &str, #[case] expected: &str,
 ) {
     let scenario = Scenario::prefill_decode(&["p"], &["d"]);
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -1,5 +1,5 @@
-//! Forwarding of plain requests and responses: what is passed through unchanged, which responses are replaced by an error, and
-//! which connections are reused afterwards.
+//! Forwarding of requests and responses of services without stages: what is forwarded unchanged, which
+//! responses are replaced by an error response, and which connections are reused afterwards.
 
 mod support;
 
@@ -33,7 +33,7 @@
 #[tokio::test]
 async fn client_and_server_connections_are_reused() {
     with_proxy(Scenario::new("safe"), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.send_request("r1", "").await;
         let mut server = proxy.accept("a").await;
         for round in 1..4 {
@@ -64,7 +64,8 @@
     .await;
 }
 
-/// The client gets an error that neither promises that nothing was executed nor carries a server's stamp.
+/// The client gets an error response that does not guarantee that the request was not executed, and has no
+/// `Server-Stamp`.
 #[rstest]
 #[case::of_another_request(
     "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nServer-Stamp: s\r\nContent-Length: 2\r\n\r\nno"
@@ -85,7 +86,7 @@
         server.send(reply).await;
         let response = client.read_response().await;
         assert_eq!((response.status(), response.header("server-stamp")), (502, None));
-        assert!(server.is_closed().await, "its connection is not reused");
+        assert!(server.is_closed().await, "the connection is not reused");
     })
     .await;
 }
@@ -134,7 +135,7 @@
 #[tokio::test]
 async fn surplus_bytes_after_a_response_end_connection_reuse() {
     with_proxy(Scenario::new("safe"), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.send_request("r1", "").await;
         let (mut server, _) = proxy.receive("a").await;
         server.send(&format!("{}surplus", ok_response("r1", "ok"))).await;
@@ -162,7 +163,7 @@
 #[tokio::test]
 async fn connection_closed_by_the_server_is_not_reused() {
     with_proxy(Scenario::new("unsafe"), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.send_request("r1", "").await;
         for round in 1..5 {
             let (mut server, _) = proxy.receive("a").await;
@@ -180,7 +181,7 @@
     with_proxy(Scenario::new("unsafe"), async |proxy| {
         let (mut client, mut server, _) = proxy.dispatch("r1", "Deadline-Ms: 900\r\n").await;
         tokio::time::pause();
-        assert_eq!(client.read_response().await.status(), 504, "it may have executed");
+        assert_eq!(client.read_response().await.status(), 504, "the request may have been executed");
         assert!(server.is_closed().await);
     })
     .await;
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: readiness fails at once, in-flight requests are finished, and the process ends within the grace period.
+//! Graceful shutdown: readiness checks fail at once, requests in flight are completed, and the process exits
+//! within the grace period.
 
 mod support;
 
@@ -13,11 +14,12 @@
         let (mut server, _, _) = proxy.receive_any(&PLAIN_SERVERS).await;
         server.send(&closing(&ok_response("r0", "before"))).await;
         assert_eq!(idle.read_response().await.header("connection"), None);
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         assert_eq!(proxy.readiness_status().await, 200);
         proxy.begin_shutdown();
         assert_eq!(proxy.readiness_status().await, 503);
-        // An idle connection and a late one are served; `Connection: close` tells both that it was the last time.
+        // A request on an idle connection and one on a new connection are served. `Connection: close`
+        // announces that these are the last requests on both.
         idle.send(&request("r1", "", "body")).await;
         let mut late = proxy.send_request("r2", "").await;
         for _ in 0..2 {
@@ -51,18 +53,18 @@
 }
 
 #[tokio::test]
-async fn shutdown_cuts_remaining_requests_before_the_grace_period_ends() {
+async fn shutdown_aborts_remaining_requests_before_the_grace_period_ends() {
     let scenario = Scenario::new("unsafe").route(Route::new("unsafe").timeout_ms(60_000));
-    let mut begun = Instant::now();
+    let mut begun_at = Instant::now();
     with_proxy_until_shutdown(scenario, async |proxy| {
         let (mut client, mut server, _) = proxy.dispatch("r1", "").await;
         tokio::time::pause();
-        begun = Instant::now();
+        begun_at = Instant::now();
         proxy.begin_shutdown();
-        assert!(client.read_message().await.is_none(), "truncated at the end");
+        assert!(client.read_message().await.is_none(), "the response is truncated");
         assert!(server.is_closed().await);
     })
     .await;
-    let took = begun.elapsed();
-    assert!(took >= Duration::from_secs(7) && took < Duration::from_secs(8), "{took:?}");
+    let elapsed = begun_at.elapsed();
+    assert!(elapsed >= Duration::from_secs(7) && elapsed < Duration::from_secs(8), "{elapsed:?}");
 }
--- a/crates/proxy/tests/kv_handles.rs
+++ b/crates/proxy/tests/kv_handles.rs
@@ -1,7 +1,8 @@
 //! KV handles between prefill and decode servers.
 //!
-//! A handle names the KV cache of a prefilled prompt. It is used by one execution at most, or released, and none outlives the
-//! attempt that it was made for. Prefill and decode attempts are bounded and paid from the retry budget.
+//! A handle identifies the KV cache of a prefilled prompt. It is used by at most one execution, or released,
+//! and never outlives the request that it was created for. Prefill and decode attempts are limited, and
+//! withdrawn from the retry budget.
 
 mod support;
 
@@ -11,17 +12,17 @@
 
 const STAMPED: &str = "Request-Id: r1\r\nServer-Stamp: s\r\n";
 
-/// Prefill and decode servers with an ample retry budget.
+/// Returns a scenario with prefill and decode servers and a large retry budget.
 fn generation(prefill: &[&'static str], decode: &[&'static str]) -> Scenario {
     Scenario::prefill_decode(prefill, decode).retry_budget(10.0)
 }
 
-/// The response to the prefill of request `r1`, by a server that doesn't name the type of the body.
+/// Returns the response to the prefill of request `r1`, without a `Content-Type`.
 fn prefilled(handle: &str) -> String {
     prefill_response("r1", handle).replace("Content-Type: application/json\r\n", "")
 }
 
-/// Serves the next prefill request at a server with that reply.
+/// Receives the next prefill request at a server and responds with `reply`. Returns the connection.
 async fn serve_prefill(proxy: &TestProxy, name: &str, reply: &str) -> Connection {
     let (mut server, received) = proxy.receive(name).await;
     assert_eq!(received.header("serving-stage"), Some("prefill"));
@@ -29,7 +30,8 @@
     server
 }
 
-/// The prefill failed; the one attempt that is left runs both phases on a decode server.
+/// A prefill with an invalid handle has failed. The only attempt that is left runs both phases on a decode
+/// server.
 #[rstest]
 #[case::path(prefilled("../x"))]
 #[case::line_break(prefilled("a\\r\\nX: 1"))]
@@ -43,7 +45,7 @@
 #[tokio::test]
 async fn invalid_handle_is_not_forwarded(#[case] reply: String) {
     with_proxy(generation(&["p", "q"], &["d"]).max_attempts(1), async |proxy| {
-        proxy.list_all_but(&["q"]).await;
+        proxy.list_all_except(&["q"]).await;
         let _client = proxy.send_request("r1", "").await;
         let mut server = serve_prefill(proxy, "p", &reply).await;
         let mut decode_server = proxy.accept("d").await;
@@ -73,7 +75,7 @@
     .await;
 }
 
-/// Whatever became of the first execution: the second one does without the handle.
+/// Whatever the result of the first execution, the second execution must not use the handle.
 #[rstest]
 #[case::reset("")]
 #[case::without_server_stamp("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n")]
@@ -81,7 +83,7 @@
 #[tokio::test]
 async fn handle_is_not_reused_by_a_second_execution(#[case] reply: &str, #[values(2, 4)] attempts: u32) {
     with_proxy(generation(&["p", "q"], &["d", "e"]).resumable().max_attempts(attempts), async |proxy| {
-        proxy.list_all_but(&["q"]).await;
+        proxy.list_all_except(&["q"]).await;
         let _client = proxy.send_request("r1", "").await;
         let mut prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
         let (mut server, first) = proxy.accept_any(&["d", "e"]).await;
@@ -112,7 +114,7 @@
     .await;
 }
 
-/// The handle is offered to two decode servers; the third one runs both phases.
+/// The handle is offered to two decode servers. The third runs both phases.
 #[tokio::test]
 async fn handle_rejected_by_two_servers_is_released() {
     with_proxy(generation(&["p"], &["d", "e", "f"]), async |proxy| {
@@ -131,7 +133,7 @@
     .await;
 }
 
-/// A broken prefill may have been executed and counts as an attempt.
+/// An interrupted prefill may have been executed and counts as an attempt.
 #[rstest]
 #[case::one(1, false)]
 #[case::two(2, true)]
@@ -148,7 +150,7 @@
     .await;
 }
 
-/// The connection is closed with the attempt: a late handle reaches nobody.
+/// The connection is closed with the attempt, so that a late handle is not received.
 #[tokio::test]
 async fn prefill_timeout_closes_its_connection_and_is_retried() {
     with_proxy(generation(&["p", "q"], &["d"]).max_attempts(2), async |proxy| {
@@ -167,7 +169,7 @@
     .await;
 }
 
-/// Then a decode server runs both phases.
+/// After three rejected prefill attempts, a decode server runs both phases.
 #[tokio::test]
 async fn rejected_prefill_attempts_are_limited_to_three() {
     with_proxy(generation(&["p", "q", "s", "t"], &["d"]), async |proxy| {
@@ -188,15 +190,17 @@
     .await;
 }
 
-/// Headers of a prompt whose prefill on a decode server would stall the streams of others for too long.
-const LONG: &str = "Token-Counts: 9000,10\r\n";
-/// Headers of a prompt that a decode server prefills in one chunk.
-const SHORT: &str = "Token-Counts: 900,10\r\n";
+/// The headers of a prompt whose prefill on a decode server would delay the streams of other requests for too
+/// long.
+const LONG_PROMPT: &str = "Token-Counts: 9000,10\r\n";
+/// The headers of a prompt that a decode server prefills in one chunk.
+const SHORT_PROMPT: &str = "Token-Counts: 900,10\r\n";
 
-/// No further prefill attempt is allowed: a long prompt is refused with `Retry-After`, unexecuted.
+/// No further prefill attempt is allowed. A long prompt is rejected with `Retry-After`, without having been
+/// executed.
 #[rstest]
-#[case::short(SHORT, true)]
-#[case::long(LONG, false)]
+#[case::short(SHORT_PROMPT, true)]
+#[case::long(LONG_PROMPT, false)]
 #[tokio::test]
 async fn after_a_failed_prefill_only_short_prompts_run_on_a_decode_server(
     #[case] prompt: &str, #[case] is_executed: bool,
@@ -205,12 +209,12 @@
         let mut client = proxy.send_request("r1", prompt).await;
         let (server, _, _) = proxy.receive_any(&["p", "q"]).await;
         server.reset();
-        let refused = tokio::select! {
+        let rejected = tokio::select! {
             _ = proxy.accept("d") => None,
             response = client.read_message() => response,
         };
-        assert_eq!(refused.is_none(), is_executed);
-        if let Some(response) = refused {
+        assert_eq!(rejected.is_none(), is_executed);
+        if let Some(response) = rejected {
             assert_eq!(response.status(), 503);
             assert!(response.header("retry-after").is_some());
         }
@@ -218,11 +222,11 @@
     .await;
 }
 
-/// The retry budget does not pay for another prefill attempt.
+/// The retry budget does not allow another prefill attempt.
 #[tokio::test]
-async fn without_retry_budget_a_rejected_long_prompt_is_refused() {
+async fn without_retry_budget_a_long_prompt_is_rejected_after_a_rejected_prefill() {
     with_proxy(generation(&["p", "q"], &["d"]).retry_budget(0.0), async |proxy| {
-        let mut client = proxy.send_request("r1", LONG).await;
+        let mut client = proxy.send_request("r1", LONG_PROMPT).await;
         let (mut server, _, _) = proxy.receive_any(&["p", "q"]).await;
         server.send(&rejection("r1", 503)).await;
         let response = tokio::select! {
@@ -234,16 +238,17 @@
     .await;
 }
 
-/// Two decode servers rejected the handle: a prefill server prefills once more, if `MaxAttempts` allows it.
+/// After two decode servers have rejected the handle, the prompt is prefilled again if `MaxAttempts` allows
+/// it.
 #[rstest]
 #[case::one(1, false)]
 #[case::three(3, true)]
 #[tokio::test]
-async fn long_prompt_with_a_rejected_handle_is_prefilled_again_or_refused(
+async fn long_prompt_with_a_rejected_handle_is_prefilled_again_or_rejected(
     #[case] attempts: u32, #[case] is_prefilled: bool,
 ) {
     with_proxy(generation(&["p", "q"], &["d", "e", "f"]).max_attempts(attempts), async |proxy| {
-        let mut client = proxy.send_request("r1", LONG).await;
+        let mut client = proxy.send_request("r1", LONG_PROMPT).await;
         let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
         prefill_server.send(&prefilled("one")).await;
         for _ in 0..2 {
@@ -271,14 +276,14 @@
 #[tokio::test]
 async fn without_prefill_servers_a_decode_server_prefills_long_prompts() {
     with_proxy(generation(&[], &["d"]), async |proxy| {
-        let _client = proxy.send_request("r1", LONG).await;
+        let _client = proxy.send_request("r1", LONG_PROMPT).await;
         let mut decode_server = proxy.accept("d").await;
         assert_eq!(decode_server.read_request().await.header("serving-stage"), None);
     })
     .await;
 }
 
-/// The decode server is silent to the end: the client gets 504, and no other server gets the request.
+/// The decode server does not respond. The client gets 504, and the request is not sent to another server.
 #[tokio::test]
 async fn unsafe_stream_that_exceeds_its_deadline_is_not_retried() {
     with_proxy(generation(&["p"], &["d", "e"]).max_attempts(3), async |proxy| {
@@ -288,7 +293,7 @@
         tokio::time::pause();
         let response = tokio::select! {
             response = client.read_message() => response.expect("a response"),
-            _ = proxy.accept_any(&["d", "e"]) => panic!("retried"),
+            _ = proxy.accept_any(&["d", "e"]) => panic!("the request was retried"),
         };
         tokio::time::resume();
         assert_eq!(response.status(), 504);
@@ -297,7 +302,7 @@
     .await;
 }
 
-/// Without an event id no server could tell where to resume.
+/// Without an event id, a server can't determine where to resume the stream.
 #[tokio::test]
 async fn stream_whose_last_event_has_no_id_is_not_resumed() {
     with_proxy(generation(&["p"], &["d", "e"]).resumable().max_attempts(3), async |proxy| {
@@ -311,16 +316,16 @@
         server.reset();
         let (rest, is_complete) = tokio::select! {
             rest = client.read_stream() => rest,
-            _ = proxy.accept_any(&["d", "e"]) => panic!("resumed"),
+            _ = proxy.accept_any(&["d", "e"]) => panic!("the stream was resumed"),
         };
         assert_eq!((rest.as_str(), is_complete), ("", false));
     })
     .await;
 }
 
-/// With a handle and without: 4 decode servers.
+/// A request is sent to at most 4 decode servers, with and without a handle.
 #[tokio::test]
-async fn rejected_attempts_of_a_stream_are_bounded() {
+async fn rejected_attempts_of_a_stream_are_limited() {
     const NAMES: [&str; 8] = ["d", "e", "f", "g", "h", "i", "j", "k"];
     with_proxy(generation(&["p"], &NAMES).retry_budget(100.0), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
@@ -340,7 +345,7 @@
     .await;
 }
 
-/// The second decode attempt would be paid from the retry budget.
+/// The second decode attempt would have to be withdrawn from the retry budget.
 #[tokio::test]
 async fn without_retry_budget_a_stream_tries_one_decode_server() {
     with_proxy(generation(&["p"], &["d", "e"]).retry_budget(0.0), async |proxy| {
@@ -357,11 +362,11 @@
     .await;
 }
 
-/// The broken second execution may have used the second handle: the third one gets none.
+/// The interrupted second execution may have used the second handle, so the third execution gets none.
 #[tokio::test]
 async fn handle_of_a_resumed_stream_is_used_by_one_execution() {
-    // A violated invariant would end the request's task and leave the test waiting.
-    let _tolerance = lugwharf_invariants::suppress_panics();
+    // A violated invariant would otherwise panic, which ends the request's task and leaves the test waiting.
+    let _suppression = lugwharf_invariants::suppress_panics();
     with_proxy(generation(&["p"], &["d", "e", "f", "g"]).resumable().max_attempts(6), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let _first_prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
--- a/crates/proxy/tests/prefill_budget.rs
+++ b/crates/proxy/tests/prefill_budget.rs
@@ -1,14 +1,15 @@
-//! The share of prefill attempts in the retry budget: the first accepted one is free; rejected and further ones are arrivals like
-//! others.
+//! Prefill attempts and the retry budget: the first accepted prefill is free. Rejected and further prefills
+//! count as deliveries like others.
 
 mod support;
 
 use support::prefill::*;
 use support::*;
 
-/// Retry budgets that allow no further attempt, or one, for a proxy's first request: a proxy spends at most half of what it earned.
-const NO_EXTRA: f64 = 0.0;
-const ONE_EXTRA: f64 = 2.0;
+/// Retry budgets that allow no retry and one retry for the first request of a proxy, which may use at most
+/// half of what its requests add to the budget.
+const NO_RETRY_BUDGET: f64 = 0.0;
+const ONE_RETRY_BUDGET: f64 = 2.0;
 
 /// Two prefill and two decode servers.
 fn generation(retry_budget: f64) -> Scenario {
@@ -17,7 +18,7 @@
 
 #[tokio::test]
 async fn first_prefill_withdraws_nothing() {
-    with_proxy(generation(NO_EXTRA), async |proxy| {
+    with_proxy(generation(NO_RETRY_BUDGET), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
         prefill_server.send(&prefill_response("r1", HANDLE)).await;
@@ -30,8 +31,8 @@
 }
 
 #[tokio::test]
-async fn rejected_prefill_counts_as_an_arrival() {
-    with_proxy(generation(NO_EXTRA), async |proxy| {
+async fn rejected_prefill_counts_as_a_delivery() {
+    with_proxy(generation(NO_RETRY_BUDGET), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
         prefill_server.send(&rejection("r1", 503)).await;
@@ -42,10 +43,11 @@
     .await;
 }
 
-/// The rejected prefill is the first arrival, the decode the second; the accepted prefill between them is free.
+/// The rejected prefill is the first delivery and the decode is the second. The accepted prefill between them
+/// is free.
 #[tokio::test]
 async fn first_accepted_prefill_is_free_after_a_rejected_one() {
-    with_proxy(generation(ONE_EXTRA), async |proxy| {
+    with_proxy(generation(ONE_RETRY_BUDGET), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let (mut prefill_server, _, first) = proxy.receive_any(&["p", "q"]).await;
         prefill_server.send(&rejection("r1", 503)).await;
@@ -54,7 +56,7 @@
         prefill_server.send(&prefill_response("r1", HANDLE)).await;
         let (mut server, received, _) = tokio::select! {
             offered = receive_decode(proxy) => offered,
-            response = client.read_message() => panic!("refused: {response:?}"),
+            response = client.read_message() => panic!("rejected: {response:?}"),
         };
         assert!(received.header("kv-from").is_some());
         server.send(&complete_stream("r1", 1)).await;
@@ -63,10 +65,11 @@
     .await;
 }
 
-/// A broken decode and the prefill for its resumption: a budget of one further attempt doesn't pay for the resumption itself.
+/// After an interrupted decode, the prefill for the resumption uses up the budget of one retry, so the
+/// resumption itself is not sent.
 #[tokio::test]
-async fn second_prefill_counts_as_an_arrival() {
-    with_proxy(generation(ONE_EXTRA).resumable().max_attempts(3), async |proxy| {
+async fn second_prefill_counts_as_a_delivery() {
+    with_proxy(generation(ONE_RETRY_BUDGET).resumable().max_attempts(3), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
         prefill_server.send(&prefill_response("r1", HANDLE)).await;
--- a/crates/proxy/tests/prefill_decode.rs
+++ b/crates/proxy/tests/prefill_decode.rs
@@ -1,5 +1,5 @@
-//! Streams through a prefill and a decode server: events, resumption on another server, and what becomes of the KV handle when
-//! servers reject, break or are missing.
+//! Streams that are served by a prefill and a decode server: forwarding of events, resumption at another
+//! server, and the handling of the KV handle if servers reject the request, fail or are missing.
 
 mod support;
 
@@ -23,7 +23,7 @@
         }
         server.send(LAST_CHUNK).await;
         assert_eq!(client.read_chunk().await, Some(None));
-        // Both connections are reusable.
+        // Both connections can be reused.
         client.send(&request("r2", "", "body")).await;
         assert!(prefill_server.read_message().await.is_some());
     })
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn rejected_decode_attempt_leaves_the_handle_to_another_server() {
+async fn handle_is_offered_to_another_server_after_a_rejected_decode_attempt() {
     with_proxy(Scenario::prefill_decode(&["p"], &["d", "e"]).retry_budget(10.0), async |proxy| {
         let (mut client, _prefill_server) = send_and_prefill(proxy, "r1").await;
         let (mut server, first) = proxy.accept_any(&["d", "e"]).await;
@@ -149,7 +149,7 @@
 #[tokio::test]
 async fn without_prefill_servers_a_decode_server_runs_both_phases() {
     with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
-        proxy.list_all_but(&["p"]).await;
+        proxy.list_all_except(&["p"]).await;
         let mut client = proxy.send_request("r1", "").await;
         let (mut server, received) = proxy.receive("d").await;
         assert_eq!((received.header("kv-from"), received.header("serving-stage")), (None, None));
@@ -173,9 +173,9 @@
 }
 
 #[tokio::test]
-async fn without_decode_servers_the_request_is_refused_and_its_handle_released() {
+async fn without_decode_servers_the_request_is_rejected_and_its_handle_released() {
     with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
-        proxy.list_all_but(&["d"]).await;
+        proxy.list_all_except(&["d"]).await;
         let (mut client, mut prefill_server) = send_and_prefill(proxy, "r1").await;
         assert_eq!(client.read_response().await.status(), 503);
         serve_release(&mut prefill_server).await;
@@ -268,7 +268,7 @@
     .await;
 }
 
-/// Long prompts rank lower, so that they don't delay short ones queued behind them.
+/// Prefills of long prompts have a lower priority, so that they do not delay short ones.
 #[rstest]
 #[case(500, "0")]
 #[case(1_800, "1")]
@@ -276,17 +276,17 @@
 #[case(54_600, "5")]
 #[case(4_000_000_000, "9")]
 #[tokio::test]
-async fn prefill_priority_follows_prompt_length(#[case] tokens: u32, #[case] rank: &str) {
+async fn prefill_priority_follows_prompt_length(#[case] tokens: u32, #[case] priority: &str) {
     with_proxy(Scenario::prefill_decode(&["p"], &["d"]), async |proxy| {
         let mut client = proxy.send_request("r1", &format!("Token-Counts: {tokens},20\r\n")).await;
         let (mut server, received) = proxy.receive("p").await;
-        assert_eq!(received.header("priority"), Some(rank));
+        assert_eq!(received.header("priority"), Some(priority));
         server.send(&prefill_response("r1", HANDLE)).await;
         let (server, received) = proxy.receive("d").await;
         assert_eq!(received.header("priority"), Some("0"), "the priority of the route");
         server.reset();
         let answer = client.read_response().await;
-        assert_eq!(answer.status(), 502, "it may have executed");
+        assert_eq!(answer.status(), 502, "the request may have been executed");
     })
     .await;
 }
--- a/crates/proxy/tests/request_parsing.rs
+++ b/crates/proxy/tests/request_parsing.rs
@@ -36,7 +36,8 @@
         let response = client.read_response().await;
         assert_eq!(response.status(), status);
         assert_eq!(response.header("server-stamp"), None);
-        // A request without a route is answered on an open connection; one that can't be parsed closes it.
+        // A duplicate `Host` is detected when the route is matched, and keeps the connection open. A request
+        // that can't be parsed closes it.
         if rest.starts_with("Host") {
             return;
         }
@@ -68,7 +69,7 @@
         in_head.send("POST /r/x HT").await;
         let mut in_body = proxy.connect().await;
         in_body.send(&request("r1", "", "body")[..request("r1", "", "body").len() - 1]).await;
-        // Both have been received once a later request has been answered.
+        // Both requests have been received once a later request has been answered.
         let mut other = proxy.connect().await;
         other.send("GET /none/ HTTP/1.1\r\nHost: x\r\n\r\n").await;
         assert_eq!(other.read_response().await.status(), 404);
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -1,5 +1,5 @@
-//! Retries of plain requests: on another server, paid from the retry budget, and only where the request certainly was not executed
-//! or its route is `safe`.
+//! Retries of requests to services without stages. A request is retried on another server, within the retry
+//! budget, and only if it was provably not executed or its route is `safe`.
 
 mod support;
 
@@ -12,7 +12,7 @@
         let (mut client, server, _) = proxy.dispatch("r1", "").await;
         server.reset();
         let response = client.read_response().await;
-        assert_eq!(response.status(), 502, "it may have executed");
+        assert_eq!(response.status(), 502, "the request may have been executed");
         assert_eq!(response.header("server-stamp"), None);
     })
     .await;
@@ -55,7 +55,7 @@
         server.send(&ok_response("r1", "there")).await;
         assert_eq!(client.read_response().await.body, "there");
         if status == 421 {
-            // The server whose address now belongs to another instance is excluded from then on.
+            // The server whose address now belongs to another instance is excluded afterwards.
             for round in 2..6 {
                 client.send(&request(&format!("r{round}"), "", "body")).await;
                 server.read_request().await;
--- a/crates/proxy/tests/route_availability.rs
+++ b/crates/proxy/tests/route_availability.rs
@@ -1,12 +1,12 @@
-//! 404 or 503: a request without a route gets 404 only under a configuration. Without one, or if the route has no server, it gets
-//! 503 with `Retry-After`.
+//! Responses with 404 and 503: a request without a matching route gets 404 only if a configuration is in
+//! force. If there is none, or if the route has no server, the request gets 503 with `Retry-After`.
 
 mod support;
 
 use rstest::rstest;
 use support::*;
 
-/// The status of a request, and whether it has `Retry-After`.
+/// Sends a request. Returns the status of the response, and whether the response has `Retry-After`.
 async fn status(proxy: &TestProxy, host: &str, path: &str) -> (u16, bool) {
     let mut client = proxy.connect().await;
     client.send(&format!("GET {path} HTTP/1.1\r\nHost: {host}\r\nRequest-Id: r1\r\n\r\n")).await;
@@ -25,7 +25,7 @@
     with_proxy(Scenario::new("safe").unconfigured(), async |proxy| {
         assert_eq!(status(proxy, host, path).await, (503, true));
         proxy.list_all().await;
-        assert_eq!(status(proxy, host, path).await, (503, true), "a server list is no configuration");
+        assert_eq!(status(proxy, host, path).await, (503, true), "an endpoint list without a configuration");
         proxy.configure(1, &[]).await;
         assert_eq!(status(proxy, host, path).await, (404, false));
     })
@@ -47,7 +47,7 @@
 #[tokio::test]
 async fn route_without_servers_gets_503_not_404() {
     with_proxy(Scenario::new("safe"), async |proxy| {
-        proxy.list_all_but(&["a", "b"]).await;
+        proxy.list_all_except(&["a", "b"]).await;
         assert_eq!(status(proxy, HOST, "/r/x").await, (503, true));
     })
     .await;
--- a/crates/proxy/tests/sighup.rs
+++ b/crates/proxy/tests/sighup.rs
@@ -1,4 +1,5 @@
-//! SIGHUP while a request is in flight. Alone in its binary, since the signal reaches the whole process.
+//! SIGHUP while a request is in flight. This test has a binary of its own, since the signal affects the whole
+//! process.
 
 mod support;
 
@@ -15,7 +16,7 @@
         server.reset();
         let response = tokio::select! {
             response = client.read_message() => response.expect("a response"),
-            _ = proxy.accept_any(&PLAIN_SERVERS) => panic!("retried"),
+            _ = proxy.accept_any(&PLAIN_SERVERS) => panic!("the request was retried"),
         };
         assert_eq!(response.status(), 502);
     })
--- a/crates/proxy/tests/support/clock.rs
+++ b/crates/proxy/tests/support/clock.rs
@@ -1,31 +1,36 @@
-//! A clock that a test stops or lets jump.
+//! Control of the test's clock: stopping it, and advancing it at once.
 
 use std::time::{Duration, Instant};
 
-/// In real time: what a script under a frozen clock awaits for longer will never come.
-const STUCK_AFTER: Duration = Duration::from_secs(10);
+/// The maximum real time for a script under a frozen clock. A script that takes longer waits for something
+/// that never happens.
+const MAX_SCRIPT_TIME: Duration = Duration::from_secs(10);
 
-/// Runs `script` while no time passes: no timer of the proxy fires before the peers have done what the test forces.
+/// Runs `script` with the clock stopped, so that no timer of the proxy fires before the peers have completed
+/// the script.
 pub async fn with_frozen_clock<T>(script: impl Future<Output = T>) -> T {
     tokio::time::pause();
-    // A paused clock jumps ahead when every task is idle: this one never is.
+    // A paused clock advances by itself when all tasks are idle, so this task is always busy.
     let started = Instant::now();
     let busy = async {
         loop {
-            assert!(started.elapsed() < STUCK_AFTER, "what the test waits for needs time to pass");
+            assert!(
+                started.elapsed() < MAX_SCRIPT_TIME,
+                "the script waits for something that needs the clock to advance"
+            );
             tokio::task::yield_now().await;
         }
     };
     let done = tokio::select! {
         biased;
         done = script => done,
-        () = busy => unreachable!("it never ends"),
+        () = busy => unreachable!("never completes"),
     };
     tokio::time::resume();
     done
 }
 
-/// Lets that much time pass at once, for the proxy and its peers.
+/// Advances the clock of the proxy and its peers by `time`.
 pub async fn advance_clock(time: Duration) {
     tokio::time::pause();
     tokio::time::advance(time).await;
--- a/crates/proxy/tests/support/connection.rs
+++ b/crates/proxy/tests/support/connection.rs
@@ -12,12 +12,12 @@
 }
 
 impl Message {
-    /// The status of a response.
+    /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
         self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
     }
 
-    /// The first value of a header, by its name in any case.
+    /// Returns the first value of a header. Case is ignored in its name.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
             let (other, value) = line.split_once(':')?;
@@ -29,23 +29,23 @@
 /// One end of a connection.
 pub struct Connection {
     pub stream: TcpStream,
-    /// Bytes that were received and not yet consumed.
+    /// Bytes that have been received but not consumed yet.
     buffer: Vec<u8>,
 }
 
 impl Connection {
-    /// Takes a stream over.
+    /// Wraps a stream.
     pub fn new(stream: TcpStream) -> Connection {
         drop(stream.set_nodelay(true));
         Connection { stream, buffer: Vec::new() }
     }
 
-    /// Writes the text.
+    /// Sends the text.
     pub async fn send(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).await.expect("written");
     }
 
-    /// Sends the head of a stream and its first `count` events, each in a chunk.
+    /// Sends the head of an event stream and its first `count` events, each in a chunk of its own.
     pub async fn start_stream(&mut self, id: &str, count: u32) {
         self.send(&stream_head(id)).await;
         for id in 1..=count {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Receives more; `false` at the end, also after a reset.
+    /// Receives more bytes. Returns `false` at the end of the connection and after a reset.
     async fn fill(&mut self) -> bool {
         let mut bytes = [0; 4_096];
         match self.stream.read(&mut bytes).await {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Reads up to `end` inclusively; `None` if the connection ends before.
+    /// Reads up to and including `end`. Returns `None` if the connection ends before that.
     pub async fn read_until(&mut self, end: &str) -> Option<String> {
         loop {
             if let Some(at) = find(&self.buffer, end.as_bytes()) {
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Reads a head with its empty line; `None` if the connection ends before.
+    /// Reads a message head with its final empty line. Returns `None` if the connection ends before that.
     pub async fn read_head(&mut self) -> Option<String> {
         self.read_until("\r\n\r\n").await
     }
 
-    /// The next message; `None` if the connection ends before it is complete.
+    /// Reads the next message. Returns `None` if the connection ends before it is complete.
     pub async fn read_message(&mut self) -> Option<Message> {
         let head = self.read_head().await?;
         let mut message = Message { head, body: String::new() };
@@ -98,17 +98,18 @@
         Some(message)
     }
 
-    /// The next message, which must be complete.
+    /// Reads the next request, which must be complete.
     pub async fn read_request(&mut self) -> Message {
         self.read_message().await.expect("a request")
     }
 
-    /// The next message, which must be complete.
+    /// Reads the next response, which must be complete.
     pub async fn read_response(&mut self) -> Message {
         self.read_message().await.expect("a response")
     }
 
-    /// The next chunk: `Some(None)` for the last one, `None` if the connection ends before it.
+    /// Reads the next chunk. Returns `Some(None)` for the last chunk, and `None` if the connection ends
+    /// before the chunk is complete.
     pub async fn read_chunk(&mut self) -> Option<Option<String>> {
         let size = self.read_until("\r\n").await?;
         let size = usize::from_str_radix(size.trim(), 16).expect("a size");
@@ -121,7 +122,7 @@
         Some((size > 0).then(|| String::from_utf8(data).expect("text")))
     }
 
-    /// All chunks until the stream ends, and whether its last chunk came.
+    /// Reads chunks until the stream ends. Returns their data, and whether the last chunk was received.
     pub async fn read_stream(&mut self) -> (String, bool) {
         let mut text = String::new();
         loop {
@@ -133,7 +134,7 @@
         }
     }
 
-    /// The next `length` bytes, `None` if the connection ends before them.
+    /// Reads the next `length` bytes. Returns `None` if the connection ends before that.
     pub async fn read_exactly(&mut self, length: usize) -> Option<String> {
         while self.buffer.len() < length {
             if !self.fill().await {
@@ -143,23 +144,23 @@
         String::from_utf8(self.buffer.drain(..length).collect()).ok()
     }
 
-    /// All bytes until the connection ends.
+    /// Reads all bytes until the connection ends.
     pub async fn read_to_end(&mut self) -> Vec<u8> {
         while self.fill().await {}
         std::mem::take(&mut self.buffer)
     }
 
-    /// Closes the sending direction; the other one stays open.
+    /// Closes the sending direction. The receiving direction stays open.
     pub async fn shutdown_write(&mut self) {
         self.stream.shutdown().await.expect("shut down");
     }
 
-    /// Waits for more: whether the other end closes without a further byte.
+    /// Waits for input. Returns whether the peer closes the connection without sending another byte.
     pub async fn is_closed(&mut self) -> bool {
         self.buffer.is_empty() && !self.fill().await
     }
 
-    /// Closes with a reset.
+    /// Closes the connection with a reset.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.stream);
         socket.set_linger(Some(std::time::Duration::ZERO)).expect("set");
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -1,4 +1,4 @@
-//! The running proxy with its agent, servers and clients.
+//! A running proxy, with an agent, servers and clients that the test controls.
 
 use super::connection::{Connection, Message};
 use super::messages::{ok_response, request};
@@ -20,14 +20,14 @@
 const FRONT_PORT: u16 = 8_161;
 const READY_PORT: u16 = 8_167;
 
-/// What a proxy and its peers need of each other before they run.
+/// Everything that is prepared before a proxy and its peers start.
 pub(super) struct ProcessSetup {
     pub settings: Settings,
     pub peers: PeerSetup,
     pub stop_signal: oneshot::Receiver<()>,
 }
 
-/// What the test's side of a proxy is made from.
+/// The parts from which [`TestProxy`] is created.
 pub(super) struct PeerSetup {
     agent_listener: TcpListener,
     addresses: ListenAddresses,
@@ -45,14 +45,15 @@
     }
 }
 
-/// Where a proxy listens.
+/// The addresses on which a proxy listens.
 struct ListenAddresses {
     front: SocketAddr,
     ready: SocketAddr,
 }
 
 impl ListenAddresses {
-    /// On a loopback address of this proxy's own: a port that was free a moment ago may have gone to another test's connection.
+    /// Returns addresses on a loopback IP that no other proxy uses. Looking for a free port instead would be
+    /// a race: another test's connection may take it in the meantime.
     fn unique() -> ListenAddresses {
         static STARTED: AtomicU8 = AtomicU8::new(0);
         let [high, low] = (std::process::id() as u16).to_be_bytes();
@@ -62,7 +63,8 @@
     }
 }
 
-/// A front-end node's settings: a grace period of 8 s, and a retry budget without slack.
+/// Returns the settings of a front-end node with a grace period of 8 s and a retry budget without a reserve
+/// (`BudgetSlack`).
 fn settings(agent_port: u16, addresses: &ListenAddresses, retry_budget: f64) -> Settings {
     let ListenAddresses { front, ready } = addresses;
     let (first, last) = (agent_port - 2, agent_port.saturating_add(1));
@@ -84,9 +86,10 @@
     Settings::parse(&text).expect("settings")
 }
 
-/// A running proxy, its agent and its servers. A server is called by its name; its incarnation is `i-NAME`.
+/// A running proxy, its agent and its servers. Tests refer to a server by its name; its instance id is
+/// `i-NAME`.
 pub struct TestProxy {
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub front_address: SocketAddr,
     ready_address: SocketAddr,
     listeners: BTreeMap<&'static str, TcpListener>,
@@ -100,7 +103,8 @@
 }
 
 impl TestProxy {
-    /// Takes the proxy's connection to its agent, and sends it the scenario's configuration and servers.
+    /// Accepts the proxy's connection to its agent, and sends the configuration and the servers of the
+    /// scenario.
     pub(super) async fn start(peers: PeerSetup, scenario: &Scenario) -> TestProxy {
         let PeerSetup { agent_listener, addresses, stop } = peers;
         let mut agent = agent_listener.accept().await.expect("the proxy").0;
@@ -145,16 +149,17 @@
     }
 }
 
-/// The agent.
+/// The agent's side.
 impl TestProxy {
-    /// Breaks the agent's connection and takes the proxy's next one; returns the versions that the proxy reports.
+    /// Closes the agent's connection and accepts the next one. Returns the versions that the proxy reports on
+    /// it.
     pub async fn reconnect_agent(&mut self) -> VersionVector {
         self.agent.shutdown().await.expect("closed");
         self.agent = self.agent_listener.accept().await.expect("the proxy").0;
         read_report(&mut self.agent).await
     }
 
-    /// Sends a configuration with these routes; returns the versions that the proxy reports then.
+    /// Sends a configuration with these routes. Returns the versions that the proxy reports afterwards.
     pub async fn configure(&mut self, version: u64, routes: &[Route]) -> VersionVector {
         let engine = if self.is_model { r#","Engine":{"Slots":8}"# } else { "" };
         let routes: Vec<String> = routes.iter().map(Route::to_json).collect();
@@ -167,19 +172,19 @@
         self.update(Update { config, ..Update::default() }).await
     }
 
-    /// Lists all servers.
+    /// Sends an endpoint list with all servers.
     pub async fn list_all(&mut self) {
         self.list_entries(self.entries.clone()).await;
     }
 
-    /// Lists all servers but those.
-    pub async fn list_all_but(&mut self, omitted: &[&str]) {
+    /// Sends an endpoint list with all servers except `omitted`.
+    pub async fn list_all_except(&mut self, omitted: &[&str]) {
         let is_listed = |entry: &&ServerEntry| !is_named(entry, omitted);
         let entries: Vec<ServerEntry> = self.entries.iter().filter(is_listed).cloned().collect();
         self.list_entries(entries).await;
     }
 
-    /// Lists all servers, those as draining.
+    /// Sends an endpoint list with all servers, in which `draining` are draining.
     pub async fn list_draining(&mut self, draining: &[&str]) {
         let mut entries = self.entries.clone();
         for entry in entries.iter_mut().filter(|entry| is_named(entry, draining)) {
@@ -203,20 +208,20 @@
     }
 }
 
-/// The servers.
+/// The servers' side.
 impl TestProxy {
-    /// Where a server listens.
+    /// Returns the address on which a server listens.
     pub fn address(&self, name: &str) -> SocketAddr {
         let entry = self.entries.iter().find(|entry| is_named(entry, &[name]));
         entry.expect("a server of that name").address
     }
 
-    /// The next connection to a server.
+    /// Accepts the next connection to a server.
     pub async fn accept(&self, name: &str) -> Connection {
         Connection::new(self.listeners[name].accept().await.expect("a connection").0)
     }
 
-    /// The next connection to one of the servers, and its name.
+    /// Accepts the next connection to one of the servers. Returns it with the server's name.
     pub async fn accept_any(&self, names: &[&'static str]) -> (Connection, &'static str) {
         let (stream, name) = poll_fn(|context| {
             let ready = names.iter().find_map(|name| match self.listeners[name].poll_accept(context) {
@@ -229,51 +234,53 @@
         (Connection::new(stream), name)
     }
 
-    /// The next request on a new connection to a server.
+    /// Accepts the next connection to a server and reads a request from it.
     pub async fn receive(&self, name: &str) -> (Connection, Message) {
         let mut server = self.accept(name).await;
         let request = server.read_request().await;
         (server, request)
     }
 
-    /// The next request on a new connection to one of the servers, with the server's name.
+    /// Accepts the next connection to one of the servers and reads a request from it. Returns them with the
+    /// server's name.
     pub async fn receive_any(&self, names: &[&'static str]) -> (Connection, Message, &'static str) {
         let (mut server, name) = self.accept_any(names).await;
         let request = server.read_request().await;
         (server, request, name)
     }
 
-    /// Stops a server: connections to it are refused from now on.
+    /// Stops a server, so that connections to it are refused.
     pub fn stop_server(&mut self, name: &str) {
         self.listeners.remove(name);
     }
 }
 
-/// The clients, and the process.
+/// The clients' side, and the process.
 impl TestProxy {
-    /// A new client.
+    /// Opens a client connection.
     pub async fn connect(&self) -> Connection {
         Connection::new(TcpStream::connect(self.front_address).await.expect("accepted"))
     }
 
-    /// A new client that sends a request to `/r/x`; `headers` are complete lines.
+    /// Opens a client connection and sends a request to `/r/x`. `headers` are complete lines.
     pub async fn send_request(&self, id: &str, headers: &str) -> Connection {
         let mut client = self.connect().await;
         client.send(&request(id, headers, "body")).await;
         client
     }
 
-    /// A new client whose request has arrived at server a or b: both connections, and the server's name.
+    /// Sends a request on a new client connection and receives it at server a or b. Returns both connections
+    /// and the server's name.
     pub async fn dispatch(&self, id: &str, headers: &str) -> (Connection, Connection, &'static str) {
         let client = self.send_request(id, headers).await;
         let (server, _, name) = self.receive_any(&PLAIN_SERVERS).await;
         (client, server, name)
     }
 
-    /// A client and server a after a first exchange, request `r1`: both connections are idle and reusable. Leaves a as the only
-    /// one listed of the two plain servers.
+    /// Returns a client connection and a connection to server a that are idle and reusable after a first
+    /// exchange (request `r1`). Afterwards, a is the only one of the two plain servers that is listed.
     pub async fn idle_connections(&mut self) -> (Connection, Connection) {
-        self.list_all_but(&["b"]).await;
+        self.list_all_except(&["b"]).await;
         let mut client = self.send_request("r1", "").await;
         let (mut server, _) = self.receive("a").await;
         server.send(&ok_response("r1", "first")).await;
@@ -281,14 +288,14 @@
         (client, server)
     }
 
-    /// The status that readiness checks get.
+    /// Returns the status of the response to a readiness check.
     pub async fn readiness_status(&self) -> u16 {
         let mut check = Connection::new(TcpStream::connect(self.ready_address).await.expect("accepted"));
         check.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").await;
         check.read_response().await.status()
     }
 
-    /// What SIGTERM does.
+    /// Begins a graceful shutdown, as SIGTERM does.
     pub fn begin_shutdown(&mut self) {
         drop(self.stop.take());
     }
--- a/crates/proxy/tests/support/messages.rs
+++ b/crates/proxy/tests/support/messages.rs
@@ -1,8 +1,8 @@
-//! Requests and responses as text. Header arguments are complete lines, each with its CRLF.
+//! The text of requests and responses. Header arguments are complete lines, each ending with CRLF.
 
 use super::scenario::HOST;
 
-/// A `POST` to `/r/x`.
+/// Returns a `POST` request to `/r/x`.
 pub fn request(id: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -10,10 +10,10 @@
     )
 }
 
-/// All of `request(id, headers, "body")` but its last byte ends so.
+/// The end of `request(id, headers, "body")` without its last byte.
 pub const ALL_BUT_LAST_BYTE: &str = "\r\n\r\nbod";
 
-/// A successful response that its server has stamped.
+/// Returns a successful response with a `Server-Stamp`.
 pub fn ok_response(id: &str, body: &str) -> String {
     let length = body.len();
     format!(
@@ -21,29 +21,29 @@
     )
 }
 
-/// A response of a server that did not execute the request and never will.
+/// Returns the response of a server that did not execute the request and never will.
 pub fn rejection(id: &str, status: u16) -> String {
     format!("HTTP/1.1 {status} No\r\nRequest-Id: {id}\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 }
 
-/// The response with further headers behind its status line.
+/// Inserts further headers after the status line of a response.
 pub fn with_headers(response: &str, headers: &str) -> String {
     response.replacen("\r\n", &format!("\r\n{headers}"), 1)
 }
 
-/// The response of a server that closes the connection after it.
+/// Adds `Connection: close` to a response.
 pub fn closing(response: &str) -> String {
     with_headers(response, "Connection: close\r\n")
 }
 
-/// The head of a stream of server-sent events in chunks.
+/// Returns the head of a chunked stream of server-sent events.
 pub fn stream_head(id: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nServer-Stamp: stamp-{id}\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
     )
 }
 
-/// One chunk of a chunked body.
+/// Returns one chunk of a chunked body.
 pub fn chunk(data: &str) -> String {
     format!("{:x}\r\n{data}\r\n", data.len())
 }
@@ -51,17 +51,17 @@
 /// The chunk that ends a chunked body.
 pub const LAST_CHUNK: &str = "0\r\n\r\n";
 
-/// A server-sent event.
+/// Returns a server-sent event.
 pub fn event(id: u32) -> String {
     format!("id: {id}\ndata: {id}\n\n")
 }
 
-/// The first `count` events as text.
+/// Returns the text of the first `count` events.
 pub fn events(count: u32) -> String {
     (1..=count).map(event).collect()
 }
 
-/// A complete stream of the first `count` events.
+/// Returns a complete stream of the first `count` events.
 pub fn complete_stream(id: &str, count: u32) -> String {
     let chunks: String = (1..=count).map(|id| chunk(&event(id))).collect();
     stream_head(id) + chunks.as_str() + LAST_CHUNK
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -1,13 +1,13 @@
-//! A proxy on loopback whose agent, servers and clients are played by the test, byte by byte.
+//! A proxy on the loopback interface. The test controls its agent, servers and clients, down to single bytes.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `scenario` | what a test starts with: one route, its servers, limits and budgets |
-//! | `harness` | the running proxy with its agent, servers and clients |
-//! | `connection` | one end of a connection, read and written by the test |
-//! | `messages` | requests and responses as text |
-//! | `prefill` | the prefill phase of a generation and its KV handle |
-//! | `clock` | a paused clock while two events race, and time that passes at once |
+//! | `scenario` | the initial state of a test: one route, its servers, limits and budgets |
+//! | `harness` | a running proxy with its agent, servers and clients |
+//! | `connection` | one end of a connection |
+//! | `messages` | the text of requests and responses |
+//! | `prefill` | the prefill phase of a generation, and KV handles |
+//! | `clock` | stopping and advancing the clock |
 #![allow(dead_code, unused_imports, reason = "each test binary uses a part of it")]
 
 pub mod clock;
--- a/crates/proxy/tests/support/prefill.rs
+++ b/crates/proxy/tests/support/prefill.rs
@@ -1,11 +1,12 @@
-//! The prefill phase of a generation and its KV handle. In these scenarios server p prefills; d and e decode.
+//! The prefill phase of a generation, and KV handles. In these scenarios p is a prefill server, and d and e
+//! are decode servers.
 
 use super::{Connection, Message, TestProxy};
 
-/// The KV handle that server p gives.
+/// The KV handle that server p returns.
 pub const HANDLE: &str = "3fa09c41b7d5";
 
-/// The response of a server that has prefilled the prompt of request `id`.
+/// Returns the response of a server that has prefilled the prompt of request `id`.
 pub fn prefill_response(id: &str, handle: &str) -> String {
     let body = format!(r#"{{"KvHandle":"{handle}","Tokens":1460,"Version":1}}"#);
     let length = body.len();
@@ -14,7 +15,7 @@
     )
 }
 
-/// Serves the prefill request `id` at server p; returns the connection.
+/// Receives the prefill of request `id` at server p and responds to it. Returns the connection.
 pub async fn serve_prefill(proxy: &TestProxy, id: &str) -> Connection {
     let (mut server, request) = proxy.receive("p").await;
     assert_eq!(request.header("serving-stage"), Some("prefill"));
@@ -23,19 +24,21 @@
     server
 }
 
-/// A new client with request `id`, whose prompt server p has prefilled, and the connection to p.
+/// Sends request `id` on a new client connection, and prefills its prompt at server p. Returns the client
+/// connection and the connection to p.
 pub async fn send_and_prefill(proxy: &TestProxy, id: &str) -> (Connection, Connection) {
     let client = proxy.send_request(id, "").await;
     let prefill_server = serve_prefill(proxy, id).await;
     (client, prefill_server)
 }
 
-/// The next request at decode server d or e.
+/// Receives the next request at decode server d or e.
 pub async fn receive_decode(proxy: &TestProxy) -> (Connection, Message, &'static str) {
     proxy.receive_any(&["d", "e"]).await
 }
 
-/// The next request on the connection to a prefill server releases the handle.
+/// Checks that the next request on the connection to a prefill server releases `handle`, and returns the
+/// request.
 pub async fn expect_release(server: &mut Connection, handle: &str) -> Message {
     let request = server.read_request().await;
     let expected = format!("DELETE /kv-handle/{handle} HTTP/1.1\r\n");
@@ -43,7 +46,7 @@
     request
 }
 
-/// The next request on the connection to server p releases [`HANDLE`]; it is confirmed.
+/// Checks that the next request on the connection to server p releases [`HANDLE`], and confirms it.
 pub async fn serve_release(server: &mut Connection) {
     expect_release(server, HANDLE).await;
     server.send("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").await;
--- a/crates/proxy/tests/withheld_last_byte.rs
+++ b/crates/proxy/tests/withheld_last_byte.rs
@@ -1,8 +1,8 @@
 //! The withheld last byte of a request.
 //!
-//! A server that is full, or has closed an idle connection, resets it. The proxy withholds the last byte of an unsafe request for
-//! a moment on a connection that may be dead: a reset before it is sent proves that nothing was executed, so the request may go
-//! elsewhere.
+//! A server that is saturated, or has closed an idle connection, resets the connection. On a connection that
+//! may be reset, the proxy withholds the last byte of an unsafe request for a short time: a reset before the
+//! last byte is sent proves that the request was not executed, so that it may be sent to another server.
 
 mod support;
 
@@ -11,7 +11,8 @@
 use support::clock::with_frozen_clock;
 use support::*;
 
-/// A full server may reset the new connection: while the last byte is withheld, nothing was executed.
+/// A saturated server may reset the new connection. While the last byte is withheld, the request can't have
+/// been executed.
 #[tokio::test]
 async fn last_byte_of_an_unsafe_request_is_withheld_on_a_new_connection() {
     with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
@@ -51,17 +52,20 @@
     .await;
 }
 
-/// Withholding costs time: safe requests, and those on a connection that was used just now, are sent at once.
+/// Withholding costs time, so safe requests, and requests on a connection that has just been used, are sent
+/// at once.
 #[rstest]
 #[case::safe("safe", false)]
 #[case::just_used("unsafe", true)]
 #[tokio::test]
-async fn last_byte_is_not_withheld_without_need(#[case] kind: &'static str, #[case] is_kept: bool) {
+async fn last_byte_is_not_withheld_if_a_retry_is_safe_or_the_connection_is_fresh(
+    #[case] kind: &'static str, #[case] is_reused: bool,
+) {
     with_proxy(Scenario::new(kind).max_attempts(1).retry_budget(10.0), async |proxy| {
-        proxy.list_all_but(&["b"]).await;
+        proxy.list_all_except(&["b"]).await;
         let mut client = proxy.connect().await;
         let mut idle = None;
-        if is_kept {
+        if is_reused {
             client.send(&request("r1", "", "body")).await;
             let (mut server, _) = proxy.receive("a").await;
             server.send(&ok_response("r1", "ok")).await;
@@ -81,7 +85,7 @@
     .await;
 }
 
-/// A server may respond before it has read the complete body: then it may have executed the request.
+/// A server may respond before it has read the complete body. It may then have executed the request.
 #[rstest]
 #[case::complete(ok_response("r1", "early"), 200)]
 #[case::truncated_head("HTTP/1.1 200 OK\r\nRequest-".to_owned(), 502)]
@@ -100,7 +104,7 @@
         if status == 502 {
             server.reset();
         } else {
-            // The rest of the body is due on this connection: nothing else may be sent there.
+            // The rest of the body was not sent on this connection, so nothing else may be sent on it.
             let rest = server.read_head().await;
             assert_eq!(rest, None);
         }
@@ -132,7 +136,7 @@
 
 /// On a reused connection a duplicate of an earlier response may arrive while the last byte is withheld.
 #[tokio::test]
-async fn duplicate_response_does_not_end_the_send() {
+async fn duplicate_response_does_not_stop_the_request() {
     with_proxy(Scenario::new("unsafe").max_attempts(1).retry_budget(10.0), async |proxy| {
         let (mut client, mut idle) = proxy.idle_connections().await;
         with_frozen_clock(async {
