--- a/crates/proxy/src/agent_feed_tests.rs
+++ b/crates/proxy/src/agent_feed_tests.rs
@@ -22,7 +22,7 @@
 
 /// Accepts the proxy's next connection and reads its first report.
 async fn accept(agent: &TcpListener) -> (TcpStream, ProxyReport) {
-    let mut connection = agent.accept().await.expect("the proxy").0;
+    let mut connection = agent.accept().await.expect("a connection of the proxy").0;
     let report = read_frame(&mut connection).await.expect("a report").expect("a report");
     (connection, report)
 }
--- a/crates/proxy/src/outbound/exchange_tests.rs
+++ b/crates/proxy/src/outbound/exchange_tests.rs
@@ -103,7 +103,7 @@
     let mut pooled = None;
     if is_reused {
         let (connection, peer) = open_connection(&state, &listener).await;
-        state.pool.checkin(server_key(&state), connection.into_idle().expect("clean"));
+        state.pool.checkin(server_key(&state), connection.into_idle().expect("a reusable connection"));
         pooled = Some(peer);
     }
     let mut outbound = request(4);
@@ -133,7 +133,7 @@
     let (state, listener) = server_and_state().await;
     tokio::time::pause();
     let (connection, _peer) = open_connection(&state, &listener).await;
-    let connection = connection.into_idle().expect("clean");
+    let connection = connection.into_idle().expect("a reusable connection");
     let (id, since) = (connection.id(), connection.idle_since);
     state.pool.checkin(server_key(&state), connection);
     tokio::time::advance(Duration::from_millis(900)).await;
@@ -207,7 +207,7 @@
 
 /// Makes the connection idle for long enough that it may be stale.
 fn idle_for_long(connection: Connection) -> Connection {
-    let mut connection = connection.into_idle().expect("clean");
+    let mut connection = connection.into_idle().expect("a reusable connection");
     connection.idle_since -= Duration::from_millis(600);
     connection.server_idle_since -= Duration::from_millis(600);
     connection
@@ -216,7 +216,7 @@
 /// Makes the connection idle after its last response was forwarded to a slow client: the connection may have
 /// been idle at the server during all that time.
 fn slowly_forwarded(connection: Connection) -> Connection {
-    let mut connection = connection.into_idle().expect("clean");
+    let mut connection = connection.into_idle().expect("a reusable connection");
     connection.server_idle_since -= Duration::from_millis(600);
     connection
 }
@@ -305,7 +305,7 @@
     let mut pooled = None;
     if is_reused {
         let (connection, peer) = open_connection(&state, &listener).await;
-        state.pool.checkin(server_key(&state), connection.into_idle().expect("clean"));
+        state.pool.checkin(server_key(&state), connection.into_idle().expect("a reusable connection"));
         pooled = Some(peer);
     }
     let server = async {
--- a/crates/proxy/src/outbound/pool_tests.rs
+++ b/crates/proxy/src/outbound/pool_tests.rs
@@ -13,7 +13,7 @@
 
 async fn idle(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
     let (connection, peer) = open_connection(state, listener).await;
-    (connection.into_idle().expect("clean"), peer)
+    (connection.into_idle().expect("a reusable connection"), peer)
 }
 
 #[tokio::test]
@@ -27,10 +27,10 @@
         peers.push(peer);
     }
     assert!(ids[0] != ids[1] && ids[1] != ids[2]);
-    let taken = state.pool.checkout(server_key(&state), true, &[ids[2]]).expect("one");
+    let taken = state.pool.checkout(server_key(&state), true, &[ids[2]]).expect("an idle connection");
     assert_eq!(taken.id(), ids[1]);
     // Excluded connections stay in the pool.
-    let taken = state.pool.checkout(server_key(&state), true, &[]).expect("one");
+    let taken = state.pool.checkout(server_key(&state), true, &[]).expect("an idle connection");
     assert_eq!(taken.id(), ids[2]);
     assert!(state.pool.checkout(server_key(&state), true, &ids).is_none());
 }
@@ -92,8 +92,8 @@
     assert!(peer.try_read(&mut [0]).is_err(), "the connection is open");
     tokio::time::advance(Duration::from_secs(4)).await;
     state.pool.close_expired();
-    peer.readable().await.expect("its end");
-    assert_eq!(peer.try_read(&mut [0]).expect("its end"), 0);
+    peer.readable().await.expect("the end of the connection");
+    assert_eq!(peer.try_read(&mut [0]).expect("the end of the connection"), 0);
 }
 
 /// A server that is listed again at the same address does not inherit connections, not even one that is
@@ -106,8 +106,8 @@
     let (late, _late_peer) = idle(&state, &listener).await;
     state.pool.checkin(removed, connection);
     apply_server_list(&state, 2, Vec::new());
-    peer.readable().await.expect("its end");
-    assert_eq!(peer.try_read(&mut [0]).expect("its end"), 0);
+    peer.readable().await.expect("the end of the connection");
+    assert_eq!(peer.try_read(&mut [0]).expect("the end of the connection"), 0);
     state.pool.checkin(removed, late);
     apply_server_list(&state, 3, vec![server_entry(listener.local_addr().expect("an address"))]);
     assert_ne!(server_key(&state), removed, "the same id, listed again");
--- a/crates/proxy/src/outbound/request_writer_tests.rs
+++ b/crates/proxy/src/outbound/request_writer_tests.rs
@@ -95,7 +95,7 @@
         act(&mut peer, HEAD.len() + 3, received).await;
         act(&mut peer, length - 3, "").await;
         let mut more = [0];
-        assert!(peer.try_read(&mut more).is_err(), "no byte twice");
+        assert!(peer.try_read(&mut more).is_err(), "no byte is sent twice");
         peer
     };
     let mut writer = RequestWriter::new(&mut connection, &request);
@@ -145,9 +145,9 @@
     let (mut connection, peer) = pair(false).await;
     // The runtime considers the socket writable, and does not poll it again before the peer has finished.
     let mut peer = peer.into_std().expect("a socket");
-    peer.set_nonblocking(false).expect("set");
+    peer.set_nonblocking(false).expect("the option is set");
     std::io::Write::write_all(&mut peer, received.as_bytes()).expect("sent");
-    socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).expect("set");
+    socket2::SockRef::from(&peer).set_linger(Some(Duration::ZERO)).expect("the option is set");
     drop(peer);
     let request = request(4);
     let written = RequestWriter::new(&mut connection, &request).write(HEAD.to_vec(), None).await;
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -37,7 +37,7 @@
     connections.close_idle(MIN_IDLE_TIME);
     while connections.count() > 0 && Instant::now() < shutdown_deadline {
         let next_check = (Instant::now() + IDLE_CHECK_INTERVAL).min(shutdown_deadline);
-        // Whether a connection has closed or the interval has passed makes no difference.
+        // The result is ignored: the loop continues in the same way after a close and after the interval.
         let _ = timeout_at(next_check, connections.wait_for_close()).await;
         connections.close_idle(MIN_IDLE_TIME);
     }
--- a/crates/proxy/src/stack/disaggregated.rs
+++ b/crates/proxy/src/stack/disaggregated.rs
@@ -67,8 +67,8 @@
         }
         let needs_prefill_server = may_transfer || !may_prefill_on_decode_after_failure(execution);
         let handle = if needs_prefill_server { prefill(execution, headers).await? } else { None };
-        // Whatever the outcome of this handle, a prefill server is used again only if a decode server must
-        // not prefill the prompt, since a second prefill would cost one more delivery.
+        // Whether or not this handle can be used, a second prefill would cost one more delivery. So from now
+        // on a prefill server is used only if a decode server must not prefill the prompt.
         may_transfer = false;
         if let Some(accepted) = decode(execution, headers, handle).await? {
             return Ok(accepted);
--- a/crates/proxy/src/stack/kv_handle_tests.rs
+++ b/crates/proxy/src/stack/kv_handle_tests.rs
@@ -29,7 +29,7 @@
         "HTTP/1.1 {unmatched}\r\nRequest-Id: r0\r\nContent-Length: 2\r\n\r\nok\
          HTTP/1.1 {own}\r\nContent-Length: 0\r\n\r\n"
     );
-    let answer = async {
+    let server_task = async {
         let (mut stream, _) = listener.accept().await.expect("a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"\r\n\r\n") {
@@ -38,6 +38,6 @@
         stream.write_all(responses.as_bytes()).await.expect("a write");
         stream
     };
-    let (confirmed, _stream) = tokio::join!(request_free(&state, &server, "k-1"), answer);
+    let (confirmed, _stream) = tokio::join!(request_free(&state, &server, "k-1"), server_task);
     assert_eq!(confirmed, expected);
 }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -67,7 +67,8 @@
             is_draining: Cell::new(false),
             is_admission_stopped: Cell::new(false),
             started: Instant::now(),
-            // A generator of its own: other random draws must not influence those of the balancer.
+            // A separate generator, so that the balancer's random draws do not depend on how often other code
+            // draws.
             rng: RefCell::new(fastrand::Rng::with_seed(seed ^ u64::MAX)),
         })
     }
--- a/crates/proxy/src/telemetry/metrics_tests.rs
+++ b/crates/proxy/src/telemetry/metrics_tests.rs
@@ -93,7 +93,7 @@
         ResponseClass::Misdirected,
         ResponseClass::Unusable,
     ];
-    let answered = classes.map(|class| AttemptLabel::Response { status: 200, class });
+    let responses = classes.map(|class| AttemptLabel::Response { status: 200, class });
     let errors = [
         ExchangeError::Connect,
         ExchangeError::Aborted,
@@ -101,8 +101,8 @@
         ExchangeError::ConnectionBroken,
         ExchangeError::Timeout,
     ];
-    let ends = answered.into_iter().chain(errors.map(AttemptLabel::Failed));
-    for (times, outcome) in ends.enumerate() {
+    let labels = responses.into_iter().chain(errors.map(AttemptLabel::Failed));
+    for (times, outcome) in labels.enumerate() {
         (0..=times).for_each(|_| state.metrics.record_attempt(outcome));
     }
     increment(&state.metrics.budget_denials);
--- a/crates/proxy/src/telemetry/request_trace_tests.rs
+++ b/crates/proxy/src/telemetry/request_trace_tests.rs
@@ -28,13 +28,13 @@
     let broken = attempt(AttemptLabel::Failed(ExchangeError::ConnectionBroken));
     assert_eq!(broken.to_string(), "i-1/decode connection:7 at_ms:3 took_ms:20 left_ms:480 broken");
     let class = ResponseClass::Success;
-    let answered = AttemptTrace {
+    let body_timeout = AttemptTrace {
         is_budgeted: true,
         body: Some(BodyFailure::Timeout),
         ..attempt(AttemptLabel::Response { status: 200, class })
     };
     let text = "i-1/decode connection:7 at_ms:3 took_ms:20 left_ms:480 budgeted success:200 body_timeout";
-    assert_eq!(answered.to_string(), text);
+    assert_eq!(body_timeout.to_string(), text);
     let not_sent = AttemptTrace { connection: None, ..attempt(AttemptLabel::Failed(ExchangeError::Connect)) };
     assert_eq!(not_sent.to_string(), "i-1/decode at_ms:3 took_ms:20 left_ms:480 connect");
 }
--- a/crates/proxy/tests/expect_version.rs
+++ b/crates/proxy/tests/expect_version.rs
@@ -69,14 +69,14 @@
         }
         assert_eq!(client.read_response().await.status(), 503);
         let mut other = proxy.send_request("r2", "").await;
-        let answered = async {
+        let served = async {
             let (mut server, _, _) = proxy.receive_any(&PLAIN_SERVERS).await;
             server.send(&ok_response("r2", "ok")).await;
             std::future::pending::<()>().await;
         };
         tokio::select! {
             response = other.read_message() => assert_eq!(response.expect("a response").body, "ok"),
-            () = answered => {}
+            () = served => {}
         }
     })
     .await;
--- a/crates/proxy/tests/prefill_decode.rs
+++ b/crates/proxy/tests/prefill_decode.rs
@@ -285,8 +285,8 @@
         let (server, received) = proxy.receive("d").await;
         assert_eq!(received.header("priority"), Some("0"), "the priority of the route");
         server.reset();
-        let answer = client.read_response().await;
-        assert_eq!(answer.status(), 502, "the request may have been executed");
+        let response = client.read_response().await;
+        assert_eq!(response.status(), 502, "the request may have been executed");
     })
     .await;
 }
--- a/crates/proxy/tests/request_parsing.rs
+++ b/crates/proxy/tests/request_parsing.rs
@@ -36,8 +36,8 @@
         let response = client.read_response().await;
         assert_eq!(response.status(), status);
         assert_eq!(response.header("server-stamp"), None);
-        // A duplicate `Host` is detected when the route is matched, and keeps the connection open. A request
-        // that can't be parsed closes it.
+        // A duplicate `Host` is detected only when the route is matched. The checks below are for requests
+        // that can't be parsed, which close the connection.
         if rest.starts_with("Host") {
             return;
         }
--- a/crates/proxy/tests/support/connection.rs
+++ b/crates/proxy/tests/support/connection.rs
@@ -45,7 +45,7 @@
         self.stream.write_all(text.as_bytes()).await.expect("written");
     }
 
-    /// Sends the head of an event stream and its first `count` events, each in a chunk of its own.
+    /// Sends the head of an event stream and its first `count` events, each in a separate chunk.
     pub async fn start_stream(&mut self, id: &str, count: u32) {
         self.send(&stream_head(id)).await;
         for id in 1..=count {
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -107,7 +107,7 @@
     /// scenario.
     pub(super) async fn start(peers: PeerSetup, scenario: &Scenario) -> TestProxy {
         let PeerSetup { agent_listener, addresses, stop } = peers;
-        let mut agent = agent_listener.accept().await.expect("the proxy").0;
+        let mut agent = agent_listener.accept().await.expect("a connection of the proxy").0;
         assert_eq!(read_report(&mut agent).await, VersionVector::default());
         let mut proxy = TestProxy {
             front_address: addresses.front,
@@ -155,7 +155,7 @@
     /// it.
     pub async fn reconnect_agent(&mut self) -> VersionVector {
         self.agent.shutdown().await.expect("closed");
-        self.agent = self.agent_listener.accept().await.expect("the proxy").0;
+        self.agent = self.agent_listener.accept().await.expect("a connection of the proxy").0;
         read_report(&mut self.agent).await
     }
 
