--- a/crates/proxy/src/outbound/request_writer_tests.rs
+++ b/crates/proxy/src/outbound/request_writer_tests.rs
@@ -33,7 +33,7 @@
 
 /// Reads `reads` bytes as the peer, then sends `sends`. Dropping the peer resets the connection if it has
 /// unread bytes.
-async fn act(peer: &mut TcpStream, reads: usize, sends: &str) {
+async fn read_then_send(peer: &mut TcpStream, reads: usize, sends: &str) {
     let mut bytes = vec![0; reads];
     peer.read_exact(&mut bytes).await.expect("enough bytes");
     peer.write_all(sends.as_bytes()).await.expect("sent");
@@ -68,7 +68,7 @@
     let (mut connection, mut peer) = pair(is_reused).await;
     let request = request(length);
     let server = async {
-        act(&mut peer, HEAD.len() + 3, received).await;
+        read_then_send(&mut peer, HEAD.len() + 3, received).await;
         (!closes).then_some(peer)
     };
     let mut writer = RequestWriter::new(&mut connection, &request);
@@ -92,8 +92,8 @@
     let (mut connection, mut peer) = pair(is_reused).await;
     let request = request(length);
     let server = async {
-        act(&mut peer, HEAD.len() + 3, received).await;
-        act(&mut peer, length - 3, "").await;
+        read_then_send(&mut peer, HEAD.len() + 3, received).await;
+        read_then_send(&mut peer, length - 3, "").await;
         let mut more = [0];
         assert!(peer.try_read(&mut more).is_err(), "no byte is sent twice");
         peer
@@ -110,7 +110,7 @@
     let request = request(4);
     let mut writer = RequestWriter::new(&mut connection, &request);
     let server = async {
-        act(&mut peer, HEAD.len() + 3, "").await;
+        read_then_send(&mut peer, HEAD.len() + 3, "").await;
         for _ in 0..100 {
             tokio::task::yield_now().await;
         }
@@ -127,7 +127,7 @@
     let request = request(0);
     let mut writer = RequestWriter::new(&mut connection, &request);
     let server = async {
-        act(&mut peer, HEAD.len() - 1, "").await;
+        read_then_send(&mut peer, HEAD.len() - 1, "").await;
         drop(peer);
     };
     let (written, ()) = tokio::join!(writer.write(HEAD.to_vec(), UNLIMITED_DELAY), server);
--- a/crates/proxy/src/stack/kv_handle.rs
+++ b/crates/proxy/src/stack/kv_handle.rs
@@ -55,7 +55,7 @@
         }
         let (state, server, id) = (self.state.clone(), self.server.clone(), std::mem::take(&mut self.id));
         tokio::task::spawn_local(async move {
-            let confirmed = timeout(FREE_TIMEOUT, request_free(&state, &server, &id)).await;
+            let confirmed = timeout(FREE_TIMEOUT, send_free_request(&state, &server, &id)).await;
             let is_freed = confirmed.is_ok_and(|confirmed| confirmed == Some(true));
             let metrics = &state.metrics;
             increment(if is_freed { &metrics.handles_freed } else { &metrics.handles_not_freed });
@@ -71,7 +71,7 @@
 /// The request has no id that its response could carry, and a late duplicate of the response to another
 /// request may arrive in its place. Responses with an id are therefore skipped, and the connection is not
 /// reused.
-async fn request_free(state: &ProxyState, server: &Selection, id: &str) -> Option<bool> {
+async fn send_free_request(state: &ProxyState, server: &Selection, id: &str) -> Option<bool> {
     if !state.balancer.borrow().is_eligible(state.now(), server.key, Phase::Prefill) {
         return None;
     }
@@ -83,7 +83,7 @@
             Connection::open(server.address, permit).await.ok()?
         }
     };
-    connection.write(&free_request(server, id)).await.ok()?;
+    connection.write(&encode_free_request(server, id)).await.ok()?;
     let mut remaining = MAX_UNMATCHED_BYTES;
     loop {
         let head = connection.read_head().await.ok()?;
@@ -95,7 +95,7 @@
 }
 
 /// Encodes the request that frees the KV cache with handle `id`.
-fn free_request(server: &Selection, id: &str) -> Vec<u8> {
+fn encode_free_request(server: &Selection, id: &str) -> Vec<u8> {
     let mut out = Vec::with_capacity(160);
     out.extend_from_slice(b"DELETE /kv-handle/");
     out.extend_from_slice(id.as_bytes());
--- a/crates/proxy/src/stack/kv_handle_tests.rs
+++ b/crates/proxy/src/stack/kv_handle_tests.rs
@@ -1,6 +1,6 @@
 //! The request that frees a KV cache, byte for byte, and which response is taken for its response.
 
-use super::{free_request, request_free};
+use super::{encode_free_request, send_free_request};
 use crate::outbound::fixtures::{selection, server_and_state, state};
 use rstest::rstest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -11,7 +11,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread().build().expect("a runtime");
     let server = runtime.block_on(async { selection(&state(address), address) });
     let expected = "DELETE /kv-handle/k-1 HTTP/1.1\r\nHost: 127.0.0.1:9\r\nExpect-Instance: i-a\r\n\r\n";
-    assert_eq!(String::from_utf8(free_request(&server, "k-1")).expect("text"), expected);
+    assert_eq!(String::from_utf8(encode_free_request(&server, "k-1")).expect("text"), expected);
 }
 
 /// The request has no id, so a response that carries one is a late duplicate of the response to another
@@ -38,6 +38,6 @@
         stream.write_all(responses.as_bytes()).await.expect("a write");
         stream
     };
-    let (confirmed, _stream) = tokio::join!(request_free(&state, &server, "k-1"), server_task);
+    let (confirmed, _stream) = tokio::join!(send_free_request(&state, &server, "k-1"), server_task);
     assert_eq!(confirmed, expected);
 }
