--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,5 @@
-//! Validation of a configuration that an operator sent: first against the schema, then what a schema can't express.
+//! Validation of a configuration from the operator: first against the schema, then against the rules that a
+//! schema cannot express.
 
 use crate::{Configuration, Route, SCHEMA};
 use jsonschema::Validator;
@@ -6,7 +7,7 @@
 use std::collections::HashSet;
 use std::sync::OnceLock;
 
-/// What is wrong with a configuration or a patch.
+/// The kind of error in a configuration or a patch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigErrorKind {
     /// The bytes are not JSON.
@@ -17,15 +18,15 @@
     UnknownService,
     /// Two routes have the same host and prefix.
     DuplicateRoute,
-    /// The weights of a route add up to 0.
+    /// The weights of a route do not add up to a finite number above 0.
     ZeroWeight,
-    /// The timeout of a route is 0.
+    /// The timeout of a route is not a finite number above 0.
     ZeroTimeout,
     /// A path prefix does not begin and end with a slash.
     InvalidPrefix,
-    /// A name is used twice.
+    /// Two services have the same name, or a patch names an item twice.
     DuplicateName,
-    /// An item that is to be removed does not exist.
+    /// A patch removes an item that does not exist.
     UnknownName,
 }
 
@@ -35,9 +36,9 @@
 pub struct ConfigError {
     /// The kind of error.
     pub kind: ConfigErrorKind,
-    /// The place, as a JSON pointer (RFC 6901); empty for the complete text.
+    /// The location of the error, as a JSON pointer (RFC 6901); empty for the complete text.
     pub field: String,
-    /// What is wrong there, for people.
+    /// The description of the error, for the operator.
     pub reason: String,
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// A JSON schema that is compiled once, at its first use.
+/// A JSON schema that is compiled once, on first use.
 pub(crate) struct LazySchema {
     schema: &'static str,
     validator: OnceLock<Option<Validator>>,
@@ -66,7 +67,8 @@
         self.validator.get_or_init(compile).as_ref()
     }
 
-    /// Parses JSON text and validates it against the schema; the error names the first place that does not match.
+    /// Parses JSON text and validates it against the schema. The error names the first location that does not
+    /// match.
     pub(crate) fn parse(&self, bytes: &[u8]) -> Result<Value, ConfigError> {
         let value: Value = serde_json::from_slice(bytes)
             .map_err(|error| ConfigError::new(ConfigErrorKind::NotJson, "", error.to_string()))?;
@@ -88,11 +90,12 @@
     pub fn parse(bytes: &[u8]) -> Result<Configuration, ConfigError> {
         let value = CONFIGURATION_SCHEMA.parse(bytes)?;
         let configuration: Configuration = serde_json::from_value(value)
-            .map_err(|e| ConfigError::new(ConfigErrorKind::Schema, "", e.to_string()))?;
+            .map_err(|error| ConfigError::new(ConfigErrorKind::Schema, "", error.to_string()))?;
         configuration.validate()?;
         Ok(configuration)
     }
 
+    /// Checks the rules that the schema cannot express.
     fn validate(&self) -> Result<(), ConfigError> {
         let mut services = HashSet::new();
         for (index, service) in self.services.iter().enumerate() {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,9 @@
 //! The operator's configuration: routes, services and limits under one version.
 //!
-//! [`Configuration::parse`] validates the body of a `PUT /config` against the schema and against all that a schema can't
-//! express. [`Configuration::parse_unchecked`] parses text that was validated before. [`ConfigurationPatch`] derives a
-//! configuration from another one (`PATCH /config`). [`RouteTable`] finds the route of a request.
+//! [`Configuration::parse`] validates the body of a `PUT /config` request against the schema and against the
+//! rules that a schema cannot express. [`Configuration::parse_unchecked`] parses text that was validated
+//! before. [`ConfigurationPatch`] derives a configuration from another one (`PATCH /config`). [`RouteTable`]
+//! finds the route of a request.
 #![forbid(unsafe_code)]
 
 mod check;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,23 +1,26 @@
-//! The types of a configuration. They spell the fields of the operator's JSON; unknown fields are ignored.
+//! The types of a configuration. The encoded names are those of the operator's JSON. Unknown fields are
+//! ignored.
 
 use serde::Deserialize;
 
-/// The version of a configuration. Versions increase, not always by 1; 0 means that there is none yet.
+/// The version of a configuration. Versions increase, but not always by 1. 0 means that there is no
+/// configuration yet.
 pub type VersionNumber = u64;
 
 /// Whether the requests of a route may be executed more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// Idempotent: may be executed more than once.
+    /// The request is idempotent: it may be executed more than once.
     Safe,
-    /// Executed at most once for each attempt of the client.
+    /// The request must be executed at most once for each attempt of the client.
     Unsafe,
-    /// The response is a stream of events; like `Unsafe` unless the route is resumable.
+    /// The response is a stream of events. The request is treated like an `Unsafe` one unless the route is
+    /// resumable.
     Streaming,
 }
 
-/// One target of a route that is split by weight.
+/// One service of a route whose requests are split by weight.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct WeightedService {
@@ -27,7 +30,7 @@
     pub weight: f64,
 }
 
-/// A service that requests of a route go to, borrowed from the configuration.
+/// A service that the requests of a route are sent to, borrowed from the configuration.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RouteTarget<'a> {
     /// The name of the service.
@@ -36,43 +39,44 @@
     pub weight: f64,
 }
 
-/// A route: which requests it matches, where they go and by which limits.
+/// A route: which requests it matches, which services they are sent to, and their limits.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct Route {
-    /// Its name, for patches. Default empty.
+    /// The name of the route, which patches refer to. Default empty.
     #[serde(default)]
     pub name: String,
-    /// The `Host` that it matches, in any case.
+    /// The `Host` that the route matches, compared case-insensitively.
     pub host: String,
-    /// The prefix of the paths that it matches; begins and ends with a slash.
+    /// The prefix of the paths that the route matches. It begins and ends with a slash.
     pub path_prefix: String,
-    /// Whether its requests may be executed more than once.
+    /// Whether the requests of the route may be executed more than once.
     pub route_kind: RouteKind,
-    /// The time limit of a client's attempt, in ms; above 0.
+    /// The timeout of one attempt of a client, in ms; above 0.
     pub timeout_ms: f64,
-    /// The latency objective: a response within this has its full value, in ms. Default 0, none.
+    /// The latency objective (SLO), in ms: a response within this time has its full value. Default 0, which
+    /// means none.
     #[serde(default)]
     pub slo_ms: f64,
-    /// Its priority; 0 (the default) is the highest.
+    /// The priority of the requests. 0, the default, is the highest.
     #[serde(default)]
     pub priority: u8,
-    /// The service that its requests go to, unless it is split.
+    /// The service that the requests are sent to, unless the route is split.
     #[serde(default)]
     pub service: Option<String>,
-    /// The services that its requests are split between; empty if it is not split.
+    /// The services that the requests are split between; empty if the route is not split.
     #[serde(default)]
     pub traffic_split: Vec<WeightedService>,
     /// The maximum number of servers that one attempt of a client may be sent to. Default 1.
     #[serde(default = "default_max_attempts")]
     pub max_attempts: u32,
-    /// Whether its requests share prefixes of their prompts, so that affinity to a server pays. Default false.
+    /// Whether the requests share prompt prefixes, so that affinity to a server pays. Default false.
     #[serde(default)]
     pub sticky: bool,
-    /// Whether an interrupted stream may be resumed at another server. Default false.
+    /// Whether an interrupted stream may be resumed on another server. Default false.
     #[serde(default)]
     pub resumable: bool,
-    /// The objective for the time between two events of a stream, in ms. Default 0, none.
+    /// The target for the time between two events of a stream, in ms. Default 0, which means none.
     #[serde(rename = "gap_aim_ms", default)]
     pub event_gap_target_ms: f64,
 }
@@ -82,7 +86,8 @@
 }
 
 impl Route {
-    /// The services that its requests go to, with their weights; weight 1 if it is not split.
+    /// The services that the requests are sent to, with their weights. The weight is 1 if the route is not
+    /// split.
     pub fn targets(&self) -> impl Iterator<Item = RouteTarget<'_>> {
         let single = self.service.iter().map(|service| RouteTarget { service, weight: 1.0 });
         let split = self.traffic_split.iter();
@@ -95,11 +100,11 @@
     }
 }
 
-/// What the operator states of the model servers of a service. Values that are left out are 0.
+/// What the operator states about the model servers of a service. Absent values are 0.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct Engine {
-    /// Requests in a batch.
+    /// The maximum number of requests in a batch.
     #[serde(default)]
     pub slots: u32,
     /// The capacity of a server's KV cache, in tokens.
@@ -111,42 +116,42 @@
     /// The bandwidth of a link between servers, in Mbit/s.
     #[serde(default)]
     pub link_mbps: f64,
-    /// How long a server keeps a prefilled KV cache for its decode server, in s.
+    /// How long a server keeps a prefilled KV cache for the decode server to fetch, in s.
     #[serde(rename = "KvHoldS", default)]
     pub kv_handle_ttl_s: f64,
-    /// How long a server takes to change its stage, in s.
+    /// How long a stage change of a server takes, in s.
     #[serde(default)]
     pub switch_s: f64,
 }
 
-/// A service: a set of servers that are alike.
+/// A service: a set of equivalent servers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
-    /// The path of the health check of its servers. Default empty.
+    /// The path of the health check of the servers. Default empty.
     #[serde(default)]
     pub health_path: String,
-    /// The maximum number of connections of each of its servers, from all callers together; unlimited if absent.
+    /// The maximum number of connections to each server, from all callers together; unlimited if absent.
     #[serde(default)]
     pub max_conns: Option<u32>,
-    /// Present if its servers are model servers.
+    /// The properties of the model servers; absent for a plain service.
     #[serde(default)]
     pub engine: Option<Engine>,
 }
 
-/// Limits on the requests and the connections of clients.
+/// The limits on requests and connections of clients.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Limits {
-    /// The maximum size of a request's head, in bytes. Default 16 KiB.
+    /// The maximum size of a request head, in bytes. Default 16 KiB.
     pub max_header_bytes: usize,
-    /// The maximum size of a request's body, in bytes. Default 4 MiB.
+    /// The maximum size of a request body, in bytes. Default 4 MiB.
     pub max_body_bytes: usize,
-    /// The time limit for a request's head, in ms. Default 3,000.
+    /// The timeout for receiving a request head, in ms. Default 3,000.
     pub header_timeout_ms: u64,
-    /// How long a connection may be idle between two requests, in ms. Default 15,000.
+    /// The timeout of a connection that is idle between requests, in ms. Default 15,000.
     pub idle_timeout_ms: u64,
 }
 
@@ -165,13 +170,13 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct Configuration {
-    /// Its version, above 0.
+    /// The version of the configuration, above 0.
     pub version: VersionNumber,
-    /// The routes; at most one for each host and prefix.
+    /// The routes. There is at most one for each host and prefix.
     pub routes: Vec<Route>,
-    /// The services; names are unique.
+    /// The services. Their names are unique.
     pub services: Vec<Service>,
-    /// Limits on clients.
+    /// The limits on requests and connections of clients.
     #[serde(default)]
     pub limits: Limits,
 }
@@ -182,7 +187,7 @@
         serde_json::from_slice(bytes)
     }
 
-    /// The service with this name.
+    /// The service with this name, if there is one.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -1,7 +1,7 @@
 //! A patch of named items (`PATCH /config`): routes and services are added, replaced or removed by name.
 //!
-//! Applying it is deterministic: the same patch on the same base gives the same bytes in every process, so a change that two
-//! processes compute is one change.
+//! Applying a patch is deterministic: the same patch on the same base gives the same bytes in every process.
+//! A change that two processes compute independently is therefore a single change.
 
 use crate::check::{ConfigError, ConfigErrorKind, LazySchema};
 use crate::{Configuration, PATCH_SCHEMA, VersionNumber};
@@ -9,31 +9,32 @@
 use serde_json::{Map, Value};
 use std::collections::HashSet;
 
-static PATCH_SCHEMA_CHECK: LazySchema = LazySchema::new(PATCH_SCHEMA);
+static COMPILED_PATCH_SCHEMA: LazySchema = LazySchema::new(PATCH_SCHEMA);
 
-/// The lists of a configuration whose items have names.
+/// The lists of a configuration that a patch can change. Their items have names.
 const LISTS: [&str; 2] = ["Routes", "Services"];
-/// The field that names an item.
+/// The field that contains the name of an item.
 const NAME: &str = "Name";
 
-/// A valid patch. Whether it fits its base is known once it is applied.
+/// A valid patch. Whether it can be applied to a base is checked by [`ConfigurationPatch::apply`].
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct ConfigurationPatch {
     /// The version of the resulting configuration.
     pub version: VersionNumber,
-    /// By list: items to add, or to replace by name.
+    /// For each list: the items to add, or to replace by name.
     #[serde(default)]
     upsert: Map<String, Value>,
-    /// By list: the names of items to remove.
+    /// For each list: the names of the items to remove.
     #[serde(default)]
     remove: Map<String, Value>,
 }
 
 impl ConfigurationPatch {
-    /// Parses and validates the JSON text of a patch. Whether the names to remove exist is checked when it is applied.
+    /// Parses and validates the JSON text of a patch. Whether the names to remove exist is checked when the
+    /// patch is applied.
     pub fn parse(bytes: &[u8]) -> Result<ConfigurationPatch, ConfigError> {
-        let value = PATCH_SCHEMA_CHECK.parse(bytes)?;
+        let value = COMPILED_PATCH_SCHEMA.parse(bytes)?;
         let patch: ConfigurationPatch = serde_json::from_value(value)
             .map_err(|error| ConfigError::new(ConfigErrorKind::Schema, "", error.to_string()))?;
         for list in LISTS {
@@ -42,7 +43,8 @@
         Ok(patch)
     }
 
-    /// The JSON text of the configuration that results from `base`, a valid configuration. The result is validated.
+    /// Applies the patch to `base`, the JSON text of a valid configuration. Returns the JSON text of the
+    /// resulting configuration, which is validated.
     pub fn apply(&self, base: &[u8]) -> Result<Vec<u8>, ConfigError> {
         let mut configuration: Map<String, Value> = serde_json::from_slice(base)
             .map_err(|error| ConfigError::new(ConfigErrorKind::NotJson, "", error.to_string()))?;
@@ -59,7 +61,7 @@
         Ok(bytes)
     }
 
-    /// Checks that no item of a list is named twice, for insertion or removal.
+    /// Checks that the patch names no item of a list twice, among upserts and removals together.
     fn check_names(&self, list: &str) -> Result<(), ConfigError> {
         let mut seen = HashSet::new();
         let upserts = self.upserts(list).iter().map(|item| ("Upsert", name_of(item)));
@@ -77,10 +79,12 @@
         Ok(())
     }
 
+    /// The items of a list to add or replace.
     fn upserts(&self, list: &str) -> &[Value] {
         self.upsert.get(list).and_then(Value::as_array).map_or(&[], Vec::as_slice)
     }
 
+    /// The names of the items of a list to remove.
     fn removals(&self, list: &str) -> &[Value] {
         self.remove.get(list).and_then(Value::as_array).map_or(&[], Vec::as_slice)
     }
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -1,12 +1,12 @@
-//! The lookup of the route of a request, by host and longest path prefix.
+//! Lookup of the route of a request, by host and longest path prefix.
 
 use crate::{Configuration, Route};
 use std::collections::HashMap;
 
-/// An index over the routes of one configuration.
+/// An index of the routes of one configuration.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
-    /// Indices of routes by host in lower case, the longest prefix first.
+    /// The indices of the routes of each host, the longest prefix first. Hosts are in lower case.
     by_host: HashMap<String, Vec<usize>>,
 }
 
@@ -23,8 +23,8 @@
         RouteTable { by_host }
     }
 
-    /// The index of the route for `host`, as in the `Host` header, and `path`, which may have a query. `configuration` is the one
-    /// that the table was built for.
+    /// The index of the route for `host`, the value of the `Host` header, and `path`, which may have a query.
+    /// `configuration` must be the one that the table was built for.
     pub fn find(&self, configuration: &Configuration, host: &str, path: &str) -> Option<usize> {
         let host = host_name(host);
         let indices = match self.by_host.get(host) {
@@ -37,7 +37,7 @@
     }
 }
 
-/// The host without its port.
+/// The host without the port.
 fn host_name(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Validation of configurations and the lookup of routes.
+//! Tests of the validation of configurations and of the route lookup.
 
 use lugwharf_config::{ConfigErrorKind, Configuration, RouteKind, RouteTable, RouteTarget};
 use rstest::rstest;
--- a/crates/config/tests/patch.rs
+++ b/crates/config/tests/patch.rs
@@ -1,4 +1,4 @@
-//! The result of applying a patch, and the errors of patches that can't be applied.
+//! Tests of applying patches, and of the errors of patches that cannot be applied.
 
 use lugwharf_config::{ConfigErrorKind, Configuration, ConfigurationPatch};
 use rstest::rstest;
@@ -20,9 +20,9 @@
 }
 
 fn apply(patch: &Value) -> Result<Value, (ConfigErrorKind, String)> {
-    let place = |error: lugwharf_config::ConfigError| (error.kind, error.field);
-    let patch = ConfigurationPatch::parse(patch.to_string().as_bytes()).map_err(place)?;
-    let bytes = patch.apply(base().to_string().as_bytes()).map_err(place)?;
+    let kind_and_field = |error: lugwharf_config::ConfigError| (error.kind, error.field);
+    let patch = ConfigurationPatch::parse(patch.to_string().as_bytes()).map_err(kind_and_field)?;
+    let bytes = patch.apply(base().to_string().as_bytes()).map_err(kind_and_field)?;
     Configuration::parse(&bytes).expect("a valid result");
     Ok(serde_json::from_slice(&bytes).expect("JSON"))
 }
@@ -37,7 +37,7 @@
     json!({"Version": 9, "Upsert": {"Routes": [route("r-3", "/z/", 300)]}}),
     json!({"Routes": [route("r-1", "/x/", 100), route("r-2", "/y/", 200), route("r-3", "/z/", 300)]})
 )]
-#[case::one_goes_and_another_takes_its_place(
+#[case::a_route_is_removed_and_another_gets_its_prefix(
     json!({"Version": 9, "Upsert": {"Routes": [route("r-3", "/x/", 300)]}, "Remove": {"Routes": ["r-1"]}}),
     json!({"Routes": [route("r-2", "/y/", 200), route("r-3", "/x/", 300)]})
 )]
@@ -45,20 +45,20 @@
     json!({"Version": 9, "Upsert": {"Services": [{"Name": "s-2", "MaxConns": 6}]}}),
     json!({"Services": [{"Name": "s-1"}, {"Name": "s-2", "MaxConns": 6}]})
 )]
-#[case::a_service_goes(json!({"Version": 9, "Remove": {"Services": ["s-2"]}}), json!({"Services": [{"Name": "s-1"}]}))]
-fn a_patch_changes_only_the_named_items(#[case] patch: Value, #[case] altered: Value) {
-    let mut wanted = base();
-    wanted["Version"] = json!(9);
-    for (field, value) in altered.as_object().expect("fields") {
-        wanted[field] = value.clone();
+#[case::a_service_is_removed(json!({"Version": 9, "Remove": {"Services": ["s-2"]}}), json!({"Services": [{"Name": "s-1"}]}))]
+fn a_patch_changes_only_the_named_items(#[case] patch: Value, #[case] changed_fields: Value) {
+    let mut expected = base();
+    expected["Version"] = json!(9);
+    for (field, value) in changed_fields.as_object().expect("fields") {
+        expected[field] = value.clone();
     }
-    assert_eq!(apply(&patch), Ok(wanted));
+    assert_eq!(apply(&patch), Ok(expected));
 }
 
 #[rstest]
 #[case::no_version(json!({}), ConfigErrorKind::Schema, "")]
 #[case::version_zero(json!({"Version": 0}), ConfigErrorKind::Schema, "/Version")]
-#[case::an_unknown_part(json!({"Version": 9, "Drop": {}}), ConfigErrorKind::Schema, "")]
+#[case::an_unknown_field(json!({"Version": 9, "Drop": {}}), ConfigErrorKind::Schema, "")]
 #[case::an_unknown_list(json!({"Version": 9, "Upsert": {"Limits": []}}), ConfigErrorKind::Schema, "/Upsert")]
 #[case::an_item_without_a_name(json!({"Version": 9, "Upsert": {"Routes": [{}]}}), ConfigErrorKind::Schema, "/Upsert/Routes/0")]
 #[case::no_list(json!({"Version": 9, "Remove": {"Routes": "r-1"}}), ConfigErrorKind::Schema, "/Remove/Routes")]
@@ -71,14 +71,14 @@
     ConfigErrorKind::DuplicateName, "/Remove/Routes"
 )]
 #[case::an_unknown_name(json!({"Version": 9, "Remove": {"Routes": ["r-2", "r-9"]}}), ConfigErrorKind::UnknownName, "/Remove/Routes/1")]
-#[case::a_service_in_use_goes(json!({"Version": 9, "Remove": {"Services": ["s-1"]}}), ConfigErrorKind::UnknownService, "/Routes/0/Service")]
-#[case::a_place_that_is_taken(
+#[case::a_service_in_use_is_removed(json!({"Version": 9, "Remove": {"Services": ["s-1"]}}), ConfigErrorKind::UnknownService, "/Routes/0/Service")]
+#[case::a_prefix_that_is_in_use(
     json!({"Version": 9, "Upsert": {"Routes": [route("r-3", "/y/", 1)]}}), ConfigErrorKind::DuplicateRoute, "/Routes/2/PathPrefix"
 )]
 #[case::a_route_that_breaks_the_schema(
     json!({"Version": 9, "Upsert": {"Routes": [{"Name": "r-3"}]}}), ConfigErrorKind::Schema, "/Routes/2"
 )]
-#[case::a_route_without_time(
+#[case::a_route_with_a_zero_timeout(
     json!({"Version": 9, "Upsert": {"Routes": [route("r-3", "/z/", 0)]}}), ConfigErrorKind::ZeroTimeout, "/Routes/2/TimeoutMs"
 )]
 fn the_error_of_a_patch_names_the_place(
@@ -93,12 +93,12 @@
     assert_eq!(error.kind, ConfigErrorKind::NotJson);
 }
 
-/// Two processes that apply the same patch must arrive at the same bytes.
+/// Two processes that apply the same patch must produce the same bytes.
 #[test]
 fn the_result_does_not_depend_on_the_whitespace_of_the_base() {
     let patch = json!({"Version": 9, "Upsert": {"Routes": [route("r-1", "/z/", 300)]}}).to_string();
     let patch = ConfigurationPatch::parse(patch.as_bytes()).expect("a patch");
-    let spaced = serde_json::to_vec_pretty(&base()).expect("text");
-    let dense = base().to_string().into_bytes();
-    assert_eq!(patch.apply(&spaced), patch.apply(&dense));
+    let pretty = serde_json::to_vec_pretty(&base()).expect("text");
+    let compact = base().to_string().into_bytes();
+    assert_eq!(patch.apply(&pretty), patch.apply(&compact));
 }
--- a/crates/emulator/tests/digest.rs
+++ b/crates/emulator/tests/digest.rs
@@ -1,5 +1,5 @@
-//! The outputs of the emulated servers on a seeded sequence of events, folded to one digest: a change of
-//! shape must not change a response, a time or the order of actions.
+//! Fixes digests of the outputs of the emulated servers on seeded sequences of events. A refactoring must not
+//! change a response, a time or the order of actions.
 
 mod support;
 
@@ -10,15 +10,15 @@
 use lugwharf_emulator::wire::Request;
 use rstest::rstest;
 use std::time::Duration;
-use support::{Driven, generation, model, ms, order, parameters, prefill, with};
+use support::{VirtualTimeServer, generation, model, ms, order, parameters, prefill, with};
 
 const STEPS: u64 = 3_000;
 
-/// The SplitMix64 generator of the test's sequence.
-struct Draws(u64);
+/// The SplitMix64 random number generator, which rng the sequence of events.
+struct Rng(u64);
 
-impl Draws {
-    /// A number below `bound`.
+impl Rng {
+    /// A random number below `bound`.
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mixed = (self.0 ^ (self.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -27,9 +27,9 @@
     }
 }
 
-/// The bytes of an action: a tag, the call and what it carries.
+/// The bytes of an action for the digest: a tag, the call and the contents.
 fn encode(action: &Action) -> Vec<u8> {
-    let (tag, call, carried): (u8, &CallId, Vec<u8>) = match action {
+    let (tag, call, contents): (u8, &CallId, Vec<u8>) = match action {
         Action::Respond { call, response } => (1, call, response.encode()),
         Action::Head { call, head } => (2, call, head.encode_chunked_head()),
         Action::Event { call, bytes } => (3, call, bytes.clone()),
@@ -45,13 +45,13 @@
     };
     let mut bytes = vec![tag];
     bytes.extend_from_slice(&call.0.to_be_bytes());
-    bytes.extend_from_slice(&carried);
+    bytes.extend_from_slice(&contents);
     bytes
 }
 
-/// All that a server did, with its times, and when it next wants to be woken.
-fn digest_of<C: ServerCore>(server: &Driven<C>, so_far: u64) -> u64 {
-    let mut digest = so_far;
+/// Extends `initial_digest` by all actions of a server with their times, and by its next wake-up.
+fn digest_of<C: ServerCore>(server: &VirtualTimeServer<C>, initial_digest: u64) -> u64 {
+    let mut digest = initial_digest;
     for (at, action) in &server.actions {
         let at = at.as_nanos().to_be_bytes();
         digest = content::hash_all(&[&digest.to_be_bytes(), &at, &encode(action)]);
@@ -60,8 +60,8 @@
     content::hash_all(&[&digest.to_be_bytes(), &wake.to_be_bytes()])
 }
 
-/// The last handle that a prefill server gave, if any.
-fn last_handle(server: &Driven<impl ServerCore>) -> Option<String> {
+/// The last handle that a prefill server returned, if any.
+fn last_handle(server: &VirtualTimeServer<impl ServerCore>) -> Option<String> {
     server.actions.iter().rev().find_map(|(_, action)| match action {
         Action::Respond { response, .. } => {
             let body: serde_json::Value = serde_json::from_slice(&response.body).ok()?;
@@ -71,20 +71,20 @@
     })
 }
 
-/// A generation whose size, prefix, rank and deadline are drawn.
-fn drawn_generation(draws: &mut Draws, step: u64, is_prefill: bool) -> Request {
+/// A generation with random size, prefix, priority and deadline.
+fn random_generation(rng: &mut Rng, step: u64, is_prefill: bool) -> Request {
     let prefixes: [&[(u64, u64)]; 4] = [&[], &[(0xa1, 300)], &[(0xa1, 300), (0xb2, 200)], &[(0xc3, 640)]];
-    let prefix = prefixes[draws.below(4) as usize];
-    let tokens = (500 + draws.below(1_200), 1 + draws.below(40));
+    let prefix = prefixes[rng.below(4) as usize];
+    let tokens = (500 + rng.below(1_200), 1 + rng.below(40));
     let id = format!("r{step}");
     let mut request = if is_prefill { prefill(&id, tokens, prefix) } else { generation(&id, tokens, prefix) };
-    if draws.below(3) == 0 {
-        request = with(request, "Priority", &draws.below(10).to_string());
+    if rng.below(3) == 0 {
+        request = with(request, "Priority", &rng.below(10).to_string());
     }
-    if draws.below(8) == 0 {
-        request = with(request, "Deadline-Ms", &(5 + draws.below(60)).to_string());
+    if rng.below(8) == 0 {
+        request = with(request, "Deadline-Ms", &(5 + rng.below(60)).to_string());
     }
-    match draws.below(24) {
+    match rng.below(24) {
         0 => with(request, "Expect-Instance", "i-other"),
         1 => with(request, "Expect-Version", "2"),
         2 => with(request, "Model", "other"),
@@ -94,18 +94,19 @@
     }
 }
 
-/// Events that need no generation: cancels, drains, faults, orders, reports and health checks.
-fn drawn_disturbance<C: ServerCore>(server: &mut Driven<C>, draws: &mut Draws, sent: u64) {
-    match draws.below(12) {
+/// Sends a random event other than a generation: a cancellation, a failure, an order, a load report or a
+/// health check.
+fn send_random_event<C: ServerCore>(server: &mut VirtualTimeServer<C>, rng: &mut Rng, sent: u64) {
+    match rng.below(12) {
         0..=3 => {
-            let call = CallId(1 + draws.below(sent.max(1)));
+            let call = CallId(1 + rng.below(sent.max(1)));
             server.send_event(ServerEvent::Cancelled { call });
         }
         4 => server.send_event(ServerEvent::SetFailing(true)),
         5 | 6 => server.send_event(ServerEvent::SetFailing(false)),
         7 => {
-            let stage = if draws.below(2) == 0 { "prefill" } else { "decode" };
-            let fence = draws.below(9);
+            let stage = if rng.below(2) == 0 { "prefill" } else { "decode" };
+            let fence = rng.below(9);
             server
                 .send(order(&format!(r#"{{"Op":"Stage","Holder":"h","Fence":{fence},"Stage":"{stage}"}}"#)));
         }
@@ -118,7 +119,7 @@
     }
 }
 
-/// A small server, so that queue, slots and memory run out.
+/// Parameters of a small server, so that queue, slots and memory run out.
 fn small(stage: Stage) -> ModelParameters {
     ModelParameters {
         slots: 3,
@@ -138,36 +139,37 @@
 #[case::seed_2(2, 0xa54e0feeaf9738ae)]
 #[case::seed_3(3, 0x31aa2856668d185b)]
 fn outputs_of_a_prefill_and_a_decode_server_keep_their_digest(#[case] seed: u64, #[case] expected: u64) {
-    let mut draws = Draws(seed);
+    let mut rng = Rng(seed);
     let mut prefill_server = model("i-1", small(Stage::Prefill));
     let mut decode_server = model("i-2", small(Stage::Decode));
     let mut transfers = 0;
     for step in 0..STEPS {
-        match draws.below(8) {
+        match rng.below(8) {
             0..=2 => {
-                prefill_server.send(drawn_generation(&mut draws, step, true));
+                prefill_server.send(random_generation(&mut rng, step, true));
             }
             3..=5 => {
-                let mut request = drawn_generation(&mut draws, step, false);
-                if let Some(handle) = last_handle(&prefill_server).filter(|_| draws.below(2) == 0) {
+                let mut request = random_generation(&mut rng, step, false);
+                if let Some(handle) = last_handle(&prefill_server).filter(|_| rng.below(2) == 0) {
                     request = with(request, "Kv-From", &format!("127.0.0.1:9/{handle}"));
                 }
-                let known = decode_server.actions.len();
+                let earlier_actions = decode_server.actions.len();
                 let call = decode_server.send(request);
-                let wanted = decode_server.actions[known..].iter().find_map(|(_, action)| match action {
-                    Action::FetchHandle { handle, .. } => Some(handle.clone()),
-                    _ => None,
-                });
-                if let Some(handle) = wanted {
+                let requested_handle =
+                    decode_server.actions[earlier_actions..].iter().find_map(|(_, action)| match action {
+                        Action::FetchHandle { handle, .. } => Some(handle.clone()),
+                        _ => None,
+                    });
+                if let Some(handle) = requested_handle {
                     let contents = prefill_server.core.take_handle(&handle, prefill_server.now);
                     transfers += u64::from(contents.is_some());
                     decode_server.send_event(ServerEvent::HandleFetched { call, contents });
                 }
             }
-            6 => drawn_disturbance(&mut prefill_server, &mut draws, step / 3),
-            _ => drawn_disturbance(&mut decode_server, &mut draws, step / 3),
+            6 => send_random_event(&mut prefill_server, &mut rng, step / 3),
+            _ => send_random_event(&mut decode_server, &mut rng, step / 3),
         }
-        let pause = Duration::from_micros(draws.below(12_000));
+        let pause = Duration::from_micros(rng.below(12_000));
         prefill_server.run_for(pause);
         decode_server.run_for(pause);
     }
@@ -175,7 +177,7 @@
         server.send_event(ServerEvent::Drain);
         server.run_for(ms(1_000));
     }
-    assert!(transfers > 0, "the sequence moves memory");
+    assert!(transfers > 0, "the sequence must contain a KV transfer");
     let mut digest = digest_of(&decode_server, digest_of(&prefill_server, seed));
     for server in [&prefill_server, &decode_server] {
         let statistics = server.core.statistics();
@@ -196,17 +198,17 @@
 #[case::seed_1(1, 0x8323e04e2b3d5d0b)]
 #[case::seed_2(2, 0xaf967ee0de096766)]
 fn outputs_of_a_plain_server_keep_their_digest(#[case] seed: u64, #[case] expected: u64) {
-    let mut draws = Draws(seed);
+    let mut rng = Rng(seed);
     let parameters = PlainParameters { slots: 2, queue_capacity: 3, service_time: ms(8), response_bytes: 40 };
-    let mut server = Driven::new(PlainServer::new(Identity::new("i-3", "plain"), parameters));
+    let mut server = VirtualTimeServer::new(PlainServer::new(Identity::new("i-3", "plain"), parameters));
     for step in 0..STEPS {
-        match draws.below(6) {
+        match rng.below(6) {
             0..=4 => {
-                server.send(drawn_generation(&mut draws, step, false));
+                server.send(random_generation(&mut rng, step, false));
             }
-            _ => drawn_disturbance(&mut server, &mut draws, step),
+            _ => send_random_event(&mut server, &mut rng, step),
         }
-        server.run_for(Duration::from_micros(draws.below(9_000)));
+        server.run_for(Duration::from_micros(rng.below(9_000)));
     }
     server.send_event(ServerEvent::Drain);
     server.run_for(ms(1_000));
--- a/crates/emulator/tests/host.rs
+++ b/crates/emulator/tests/host.rs
@@ -1,4 +1,4 @@
-//! Emulated servers on real sockets: responses, planned faults, and the checks of a client.
+//! Tests of emulated servers on real sockets: responses, planned faults, and the checks of a client.
 
 use lugwharf_emulator::client::{AttemptEnd, Client, ClientRequest, FailedCheck, RequestKind};
 use lugwharf_emulator::fault::{Fault, Reachability, RequestMatcher};
@@ -121,7 +121,7 @@
     let mut client = Client::new(server.address());
     client.send(&post("r1")).await;
     let outcome = client.send(&post("r2")).await;
-    // The surplus response arrives before the next request, or is taken for its response.
+    // The surplus response either arrives before the next request or is read as its response.
     let is_found = outcome.failed_checks.contains(&FailedCheck::SurplusBytes)
         || outcome.failed_checks.contains(&FailedCheck::RequestIdMismatch);
     assert!(is_found, "{outcome:?}");
@@ -201,12 +201,12 @@
 async fn request_log_finds_broken_promises() {
     let environment = Environment::new();
     let server = plain(&environment, ServerOptions::default()).await;
-    let twice = post("r1");
-    let first = Client::new(server.address()).send(&twice).await;
-    Client::new(server.address()).send(&twice).await;
+    let sent_twice = post("r1");
+    let first = Client::new(server.address()).send(&sent_twice).await;
+    Client::new(server.address()).send(&sent_twice).await;
     Client::new(server.address()).send(&post("r2")).await;
-    let elsewhere = |_: &_| BTreeSet::from(["llm".to_owned()]);
-    let found = environment.request_log().violations(&[first], elsewhere);
+    let other_service = |_: &_| BTreeSet::from(["llm".to_owned()]);
+    let found = environment.request_log().violations(&[first], other_service);
     assert!(found.contains(&Violation::ExecutedTwice { request_id: "r1".to_owned(), runs: 2 }));
     assert!(found.contains(&Violation::UnknownRequest { request_id: "r2".to_owned() }));
     assert!(
--- a/crates/emulator/tests/model_server.rs
+++ b/crates/emulator/tests/model_server.rs
@@ -1,4 +1,4 @@
-//! The model server's state machine on virtual time.
+//! Tests of the model server's state machine on virtual time.
 
 mod support;
 
@@ -19,10 +19,11 @@
     assert_eq!(body["Tokens"], 1_500);
     assert_eq!(body["Version"], 1);
     assert_eq!(body["KvHandle"].as_str().map(str::len), Some(12));
-    // 10 ms before, two chunks of 1,000 and 500 tokens at 100 a ms, and two steps.
+    // A startup delay of 10 ms, two chunks of 1,000 and 500 tokens at 100 tokens per ms, and two steps of 1
+    // ms.
     let at = server.times(|action| matches!(action, Action::Respond { .. }));
     assert_eq!(at, [ms(10 + 10 + 5 + 2)]);
-    assert_eq!(server.executions(call), 0, "a prefill is no execution");
+    assert_eq!(server.executions(call), 0, "a prefill does not count as an execution");
     assert_eq!(server.core.handle_count(), 1);
 }
 
@@ -33,7 +34,7 @@
     server.run_for(ms(100));
     let handle =
         json(server.response(call).expect("a response"))["KvHandle"].as_str().expect("a handle").to_owned();
-    let contents = server.core.take_handle(&handle, server.now).expect("the memory");
+    let contents = server.core.take_handle(&handle, server.now).expect("the KV cache");
     assert_eq!((contents.tokens, contents.request_id.as_str()), (1_200, "r1"));
     assert_eq!(server.core.take_handle(&handle, server.now), None);
 }
@@ -88,8 +89,12 @@
     decode_server.send_event(ServerEvent::HandleFetched { call, contents });
     decode_server.run_for(ms(1_000));
     let heads = decode_server.times(|action| matches!(action, Action::Head { .. }));
-    assert_eq!(heads, [ms(101)], "the transfer, and one step");
-    assert_eq!(decode_server.events_of(call).len(), 3, "the first token, and two events of four");
+    assert_eq!(heads, [ms(101)], "the transfer takes 100 ms, one step 1 ms");
+    assert_eq!(
+        decode_server.events_of(call).len(),
+        3,
+        "one event of one token and two events of four tokens"
+    );
     assert_eq!(decode_server.ended_at(call), Some(ms(109)));
     assert_eq!(decode_server.core.statistics().prefilled_tokens, 0);
     let kv_owner = decode_server.actions.iter().find_map(|(_, action)| match action {
@@ -123,7 +128,7 @@
         decode_server.send_event(ServerEvent::HandleFetched { call, contents: Some(contents(&id)) });
         statuses.push(decode_server.status(call));
     }
-    // Each takes a second: the third waits two, the fourth would wait three.
+    // Each transfer takes 1 s. The third waits for 2 s; the fourth would wait for 3 s.
     assert_eq!(statuses, [None, None, None, Some(503)]);
 }
 
@@ -144,7 +149,8 @@
     let mut server = model("i-1", parameters(Stage::Decode));
     let call = server.send(generation("r1", (500, 1), &[]));
     server.run_for(ms(1_000));
-    // 10 ms before, two chunks of 250 tokens at 50 a ms with a step each, and the step of the first token.
+    // A startup delay of 10 ms, two chunks of 250 tokens at 50 tokens per ms with a step each, and the step
+    // of the first token.
     assert_eq!(server.ended_at(call), Some(ms(10 + 2 * (5 + 1) + 1)));
 }
 
@@ -156,7 +162,7 @@
     server.send(prefill("r2", (1_350, 1), &SEGMENTS));
     server.run_for(ms(100));
     assert_eq!(server.core.statistics().prefilled_tokens, 1_300 + 150);
-    // The same segment behind another prefix is another segment.
+    // The same segment after another prefix counts as a different segment.
     server.send(prefill("r3", (400, 1), &SEGMENTS[1..]));
     server.run_for(ms(100));
     assert_eq!(server.core.statistics().prefilled_tokens, 1_300 + 150 + 400);
@@ -170,7 +176,8 @@
         server.send(generation(id, (800, 1), &[(segment, 800)]));
         server.run_for(ms(1_000));
     }
-    // Segments 1, 2 and 3 are prefilled once; 3 evicts 2, which is prefilled again for r6.
+    // Segments 1, 2 and 3 are prefilled once each. Segment 3 evicts segment 2, which is prefilled again for
+    // r6.
     assert_eq!(server.core.statistics().prefilled_tokens, 4 * 800);
 }
 
@@ -184,8 +191,8 @@
     assert!(server.core.statistics().preempted >= 1);
     let ends = (server.ended_at(urgent), server.ended_at(other));
     assert!(ends.0.is_some() && ends.0 < ends.1, "{ends:?}");
-    let ids: Vec<String> = server.events_of(other);
-    assert_eq!(ids.len(), 51, "each event once, although it was prefilled again");
+    let events: Vec<String> = server.events_of(other);
+    assert_eq!(events.len(), 51, "each event is sent once, although the request was prefilled twice");
     assert_eq!(server.executions(other), 1);
 }
 
@@ -248,8 +255,8 @@
     let waiting = server.send(with(generation("r2", (100, 5), &[]), "Deadline-Ms", "100"));
     server.run_for(ms(1_000));
     assert_eq!(server.status(waiting), Some(503));
-    let cuts = server.times(|action| matches!(action, Action::Truncate { call } if *call == running));
-    assert_eq!(cuts, [ms(200)]);
+    let truncated_at = server.times(|action| matches!(action, Action::Truncate { call } if *call == running));
+    assert_eq!(truncated_at, [ms(200)]);
 }
 
 #[test]
@@ -267,13 +274,13 @@
 #[test]
 fn resumed_stream_continues_after_the_last_event() {
     let mut server = model("i-1", parameters(Stage::Decode));
-    let whole = server.send(generation("r1", (100, 9), &[]));
+    let complete = server.send(generation("r1", (100, 9), &[]));
     server.run_for(ms(500));
-    let rest = server.send(with(generation("r1", (100, 9), &[]), "Last-Event-Id", "1"));
+    let resumed = server.send(with(generation("r1", (100, 9), &[]), "Last-Event-Id", "1"));
     server.run_for(ms(500));
-    let events = server.events_of(whole);
+    let events = server.events_of(complete);
     assert_eq!(events.len(), 3);
-    assert_eq!(server.events_of(rest), events[1..]);
+    assert_eq!(server.events_of(resumed), events[1..]);
 }
 
 #[test]
@@ -282,7 +289,7 @@
     server.run_to(ms(1_000));
     server.send(generation("r1", (100, 5_000), &[]));
     server.run_for(ms(50));
-    let report = |server: &mut support::Driven<_>| {
+    let report = |server: &mut support::VirtualTimeServer<_>| {
         let call = server.send(lugwharf_emulator::wire::Request::new("GET", "/report"));
         json(server.response(call).expect("a report"))
     };
@@ -315,11 +322,11 @@
     let mut server = model("i-1", parameters(Stage::Decode));
     let running = server.send(generation("r1", (100, 50), &[]));
     server.run_for(ms(20));
-    let taken = server.send(order(r#"{"Op":"Stage","Stage":"prefill","Holder":"a","Fence":1}"#));
+    let accepted = server.send(order(r#"{"Op":"Stage","Stage":"prefill","Holder":"a","Fence":1}"#));
     let second = server.send(order(r#"{"Op":"Stage","Stage":"decode","Holder":"a","Fence":1}"#));
     let late = server.send(generation("r2", (100, 50), &[]));
     assert_eq!(
-        (server.status(taken), server.status(second), server.status(late)),
+        (server.status(accepted), server.status(second), server.status(late)),
         (Some(202), Some(409), Some(503))
     );
     server.run_for(ms(500));
@@ -345,8 +352,8 @@
 #[test]
 fn step_length_grows_with_the_batch() {
     let time = |requests: usize| {
-        let grown = ModelParameters { step_ms_per_running: 0.5, ..parameters(Stage::Decode) };
-        let mut server = model("i-1", grown);
+        let growing_steps = ModelParameters { step_ms_per_running: 0.5, ..parameters(Stage::Decode) };
+        let mut server = model("i-1", growing_steps);
         let calls: Vec<_> =
             (0..requests).map(|index| server.send(generation(&format!("r{index}"), (10, 40), &[]))).collect();
         server.run_for(ms(5_000));
--- a/crates/emulator/tests/operator.rs
+++ b/crates/emulator/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator against scripted control addresses.
+//! Tests of the operator against scripted control addresses.
 
 use lugwharf_emulator::operator::{CallOutcome, Operator};
 use lugwharf_emulator::wire::{Connection, Request, Response};
@@ -7,7 +7,7 @@
 use std::sync::{Arc, Mutex};
 use tokio::net::TcpListener;
 
-/// What a control address does with one connection.
+/// What a scripted control address does with one connection.
 #[derive(Clone)]
 enum Step {
     Response(Response),
--- a/crates/emulator/tests/plain_server.rs
+++ b/crates/emulator/tests/plain_server.rs
@@ -1,4 +1,4 @@
-//! The plain server's state machine, on virtual time.
+//! Tests of the plain server's state machine on virtual time.
 
 mod support;
 
@@ -7,11 +7,11 @@
 use lugwharf_emulator::server_core::{Identity, ServerEvent};
 use lugwharf_emulator::wire::Request;
 use rstest::rstest;
-use support::{Driven, ms, with};
+use support::{VirtualTimeServer, ms, with};
 
-fn server(slots: usize, queue_capacity: usize) -> Driven<PlainServer> {
+fn server(slots: usize, queue_capacity: usize) -> VirtualTimeServer<PlainServer> {
     let parameters = PlainParameters { slots, queue_capacity, service_time: ms(10), response_bytes: 100 };
-    Driven::new(PlainServer::new(Identity::new("i-1", "plain"), parameters))
+    VirtualTimeServer::new(PlainServer::new(Identity::new("i-1", "plain"), parameters))
 }
 
 fn request(id: &str) -> Request {
@@ -65,9 +65,9 @@
 #[test]
 fn request_without_id_is_rejected_with_400() {
     let mut server = server(1, 4);
-    let mut nameless = request("r1");
-    nameless.headers.remove("Request-Id");
-    let call = server.send(nameless);
+    let mut without_id = request("r1");
+    without_id.headers.remove("Request-Id");
+    let call = server.send(without_id);
     let response = server.response(call).expect("a response");
     assert_eq!(response.status, 400);
     assert!(response.headers.get("Not-Executed").is_some());
--- a/crates/emulator/tests/platform.rs
+++ b/crates/emulator/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: pages, zones, lag and rate limit.
+//! Tests of the platform: pages, zones, lag and rate limit.
 
 use lugwharf_emulator::platform::{InstanceEntry, InstanceState, Platform, PlatformParameters};
 use lugwharf_emulator::wire::{Request, Response};
--- a/crates/emulator/tests/settings_and_configurations.rs
+++ b/crates/emulator/tests/settings_and_configurations.rs
@@ -1,4 +1,5 @@
-//! Settings files and configurations of the emulator are read back by the crates that parse them.
+//! Tests that the settings files and configurations of the emulator are parsed by the crates that define
+//! them, and that their encoded forms do not change.
 
 use lugwharf_config::Configuration;
 use lugwharf_emulator::cluster::{SettingsSpec, Subnet, machine_class, ports};
@@ -61,7 +62,7 @@
     assert_eq!(read.services[0].engine.as_ref().map(|engine| engine.kv_tokens), Some(100_000));
 }
 
-/// A configuration with every optional field, as it was encoded at the start of the renames.
+/// A configuration with every optional field keeps its encoded form when Rust fields are renamed.
 #[test]
 fn configuration_keeps_its_encoded_form() {
     let engine = EngineSpec::from(&ModelParameters::small_and_fast(Stage::Decode));
@@ -78,7 +79,7 @@
     assert_eq!(String::from_utf8_lossy(&spec.to_bytes()), ENCODED_CONFIGURATION);
 }
 
-/// Entries of the platform's list, as they were encoded at the start of the renames.
+/// Entries of the platform's list keep their encoded form when Rust fields are renamed.
 #[test]
 fn listed_instances_keep_their_encoded_form() {
     let address = ([10, 0, 0, 1], 8_080).into();
@@ -90,7 +91,7 @@
     assert_eq!(encoded, ENCODED_INSTANCES);
 }
 
-/// A settings file with every optional key, and one without any.
+/// The settings file with every optional key and the one without any keep their text.
 #[test]
 fn settings_files_keep_their_text() {
     let full = SettingsSpec {
--- a/crates/emulator/tests/support/mod.rs
+++ b/crates/emulator/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Drives server cores on virtual time.
+//! Runs server cores on virtual time.
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
 use lugwharf_emulator::client::ClientRequest;
@@ -8,26 +8,26 @@
 use std::time::Duration;
 
 /// A server core with its virtual clock and all its actions.
-pub struct Driven<C> {
+pub struct VirtualTimeServer<C> {
     pub core: C,
     pub now: Duration,
     pub actions: Vec<(Duration, Action)>,
     calls: u64,
 }
 
-impl<C: ServerCore> Driven<C> {
+impl<C: ServerCore> VirtualTimeServer<C> {
     pub fn new(core: C) -> Self {
-        Driven { core, now: Duration::ZERO, actions: Vec::new(), calls: 0 }
+        VirtualTimeServer { core, now: Duration::ZERO, actions: Vec::new(), calls: 0 }
     }
 
-    /// Hands the core an event now.
+    /// Passes an event to the core at the current time.
     pub fn send_event(&mut self, event: ServerEvent) {
         let mut actions = Vec::new();
         self.core.handle(event, self.now, &mut actions);
         self.actions.extend(actions.into_iter().map(|action| (self.now, action)));
     }
 
-    /// Sends a request now; returns its call.
+    /// Sends a request at the current time. Returns its call.
     pub fn send(&mut self, request: Request) -> CallId {
         self.calls += 1;
         let call = CallId(self.calls);
@@ -35,7 +35,7 @@
         call
     }
 
-    /// Advances to that time, through all wake-ups.
+    /// Advances the clock to `until`, with all wake-ups that are due.
     pub fn run_to(&mut self, until: Duration) {
         while let Some(at) = self.core.next_wake().filter(|at| *at <= until) {
             self.now = self.now.max(at);
@@ -44,9 +44,9 @@
         self.now = self.now.max(until);
     }
 
-    /// Advances by that time.
-    pub fn run_for(&mut self, time: Duration) {
-        self.run_to(self.now + time);
+    /// Advances the clock by `duration`, with all wake-ups that are due.
+    pub fn run_for(&mut self, duration: Duration) {
+        self.run_to(self.now + duration);
     }
 
     /// The complete response to a call, if any.
@@ -62,15 +62,15 @@
         self.response(call).map(|response| response.status)
     }
 
-    /// When the matching actions came.
-    pub fn times(&self, wanted: impl Fn(&Action) -> bool) -> Vec<Duration> {
-        self.actions.iter().filter(|(_, action)| wanted(action)).map(|(at, _)| *at).collect()
+    /// The times of the actions that `matches` selects.
+    pub fn times(&self, matches: impl Fn(&Action) -> bool) -> Vec<Duration> {
+        self.actions.iter().filter(|(_, action)| matches(action)).map(|(at, _)| *at).collect()
     }
 
     /// The events of a stream so far.
-    pub fn events_of(&self, wanted: CallId) -> Vec<String> {
+    pub fn events_of(&self, expected: CallId) -> Vec<String> {
         let event = |action: &Action| match action {
-            Action::Event { call, bytes } if *call == wanted => {
+            Action::Event { call, bytes } if *call == expected => {
                 Some(String::from_utf8_lossy(bytes).into_owned())
             }
             _ => None,
@@ -78,18 +78,19 @@
         self.actions.iter().filter_map(|(_, action)| event(action)).collect()
     }
 
-    /// When a stream ended as complete.
-    pub fn ended_at(&self, wanted: CallId) -> Option<Duration> {
-        self.times(|action| matches!(action, Action::End { call } if *call == wanted)).first().copied()
+    /// When a stream ended as complete, if it has.
+    pub fn ended_at(&self, expected: CallId) -> Option<Duration> {
+        self.times(|action| matches!(action, Action::End { call } if *call == expected)).first().copied()
     }
 
-    /// How often a call was executed.
-    pub fn executions(&self, wanted: CallId) -> usize {
-        self.times(|action| matches!(action, Action::Started { call, .. } if *call == wanted)).len()
+    /// The number of executions of a call.
+    pub fn executions(&self, expected: CallId) -> usize {
+        self.times(|action| matches!(action, Action::Started { call, .. } if *call == expected)).len()
     }
 }
 
-/// A server with round figures: 10 ms before a prompt, 100 tokens a ms in chunks of 1,000, steps of 1 ms.
+/// Parameters with round numbers: a startup delay of 10 ms, a prefill speed of 100 tokens per ms in chunks of
+/// 1,000 tokens, and steps of 1 ms.
 pub fn parameters(stage: Stage) -> ModelParameters {
     ModelParameters {
         step_ms: 1.0,
@@ -102,18 +103,18 @@
 }
 
 /// An idle model server at time zero.
-pub fn model(instance: &str, parameters: ModelParameters) -> Driven<ModelServer> {
-    Driven::new(ModelServer::new(Identity::new(instance, "llm"), parameters))
+pub fn model(instance: &str, parameters: ModelParameters) -> VirtualTimeServer<ModelServer> {
+    VirtualTimeServer::new(ModelServer::new(Identity::new(instance, "llm"), parameters))
 }
 
-/// A generation: tokens of the prompt and of the output, and the named segments of the prompt.
+/// A generation with `tokens` in the prompt and in the output, and the named segments of the prompt.
 pub fn generation(id: &str, tokens: (u64, u64), segments: &[(u64, u64)]) -> Request {
     let mut request = ClientRequest::generation(id, "host.example", "/gen/1", tokens, segments);
     request.deadline_ms = 60_000;
     request.to_wire()
 }
 
-/// The prefill phase of a generation.
+/// The prefill request of a generation.
 pub fn prefill(id: &str, tokens: (u64, u64), segments: &[(u64, u64)]) -> Request {
     with(generation(id, tokens, segments), "Serving-Stage", "prefill")
 }
--- a/crates/emulator/tests/wire.rs
+++ b/crates/emulator/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Messages parsed from bytes, complete and broken; events and stamps.
+//! Tests of parsing complete and invalid messages, events and stamps.
 
 use lugwharf_emulator::events::EventParser;
 use lugwharf_emulator::stamp::{ExpectedBody, Stamp};
@@ -7,7 +7,7 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A connection on which these bytes arrive, and then its end.
+/// A connection that receives these bytes and is then closed by the sender.
 async fn incoming(bytes: &[u8]) -> Connection {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a socket");
     let address = listener.local_addr().expect("an address");
@@ -73,12 +73,12 @@
 
 #[test]
 fn events_are_parsed_incrementally() {
-    let mut reader = EventParser::default();
-    assert_eq!(reader.push(b"id: 1\nda"), []);
-    let events = reader.push(b"ta: a\n\nversions: 4\nid: 2\ndata: b\ndata: c\n\nid: 3");
+    let mut parser = EventParser::default();
+    assert_eq!(parser.push(b"id: 1\nda"), []);
+    let events = parser.push(b"ta: a\n\nversions: 4\nid: 2\ndata: b\ndata: c\n\nid: 3");
     assert_eq!(events.iter().map(|event| event.id).collect::<Vec<_>>(), [Some(1), Some(2)]);
     assert_eq!((events[1].data.as_str(), events[1].versions), ("b\nc", Some(4)));
-    assert!(reader.has_partial_event());
+    assert!(parser.has_partial_event());
 }
 
 #[rstest]
--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -1,47 +1,49 @@
-//! The time limits and quotas that the deployment states, by which its guarantees are judged.
+//! The time limits and quotas that the deployment states. The guarantees of the system are judged by them.
 
 use crate::SettingsError;
 use serde::Deserialize;
 
-/// Time limits and quotas within which the system has to act. Fields that a deployment leaves out take the defaults.
+/// The time limits and quotas that the system must keep. Absent fields have their defaults.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Bounds {
-    /// How far the operator's list of seeds may be out of date, in s. Default 3.
+    /// How far the list of seeds may be out of date, in s. Default 3.
     pub seed_lag_s: f64,
-    /// The address of a server that has ended may belong to another service after this, in s. Default 2.
+    /// The time after which the address of an ended server may be reused by another service, in s. Default 2.
     pub reuse_after_s: f64,
-    /// A machine counts as connected once it had no fault for so long, in ms. Default 3,000.
+    /// How long a machine must have been without a fault to count as connected, in ms. Default 3,000.
     pub contact_ms: u64,
-    /// A change must be acknowledged to the operator within this, in ms. Default 4,000.
+    /// The time within which a change must be acknowledged to the operator, in ms. Default 4,000.
     pub ack_ms: u64,
-    /// A machine that has come back counts as lost for so long, in s. Default 4.
+    /// How long a machine still counts as lost after it has come back, in s. Default 4.
     pub catch_up_s: f64,
-    /// No request may reach a server later than this after the list showed it as draining, in ms. Default 3,000.
+    /// No request may reach a server later than this after the server is listed as draining, in ms. Default
+    /// 3,000.
     pub drain_ms: u64,
     /// The time between SIGTERM and SIGKILL, in s. Default 8.
     pub grace_s: f64,
-    /// A shutdown may lose a request only if it was received within this before its end, in ms. Default 200.
+    /// A shutdown may lose only requests that were received within this time before the end of the shutdown,
+    /// in ms. Default 200.
     pub loss_slack_ms: u64,
-    /// An acknowledged configuration must be in force at every proxy within this, in ms. Default 2,000.
+    /// The time within which every proxy must apply an acknowledged configuration, in ms. Default 2,000.
     pub config_ms: u64,
     /// The maximum clock skew between machines, in ms. Default 5,000.
     pub max_skew_ms: u64,
-    /// The retries that a service may get, as a share of its requests. Default 0.2.
+    /// The maximum number of retries at a service, as a share of its requests. Default 0.2.
     pub retry_budget: f64,
     /// The window in which retries are counted, in s. Default 10.
     pub budget_window_s: f64,
-    /// The retries that are allowed in a window beyond that share. Default 20.
+    /// The number of retries that are allowed in a window in addition to that share. Default 20.
     pub budget_slack: f64,
-    /// The maximum time of a stream's event through the system, in ms. Default 120.
+    /// The maximum time that an event of a stream takes through the system, in ms. Default 120.
     pub transit_ms: u64,
-    /// A shared prefix of prompts counts as reusable if it is used again within this, in s. Default 8. The key in the file is
-    /// lower case, unlike the others.
+    /// The time within which a shared prompt prefix must be used again to count as reusable, in s. Default 8.
+    /// Unlike the other keys of the file, this one is in lower case.
     #[serde(rename = "again_s")]
     pub prefix_reuse_s: f64,
-    /// Whether servers reject orders with a lower fencing token than they have seen. Default true.
+    /// Whether servers reject orders with a fencing token lower than the highest one seen. Default true.
     pub fenced: bool,
-    /// Two holders of one singleton role must not alternate within this, in ms. Default 3,000.
+    /// The time within which a singleton role must not alternate between two holders, in ms. Default 3,000.
     pub lease_ms: u64,
 }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,8 +1,9 @@
-//! The settings file of a process: where it runs, which addresses it listens on, its resource limits and the time limits of the
-//! deployment.
+//! The settings file of a process: the machine, the addresses to listen on, resource limits, and the time
+//! limits of the deployment.
 //!
-//! The file is TOML; the environment variable [`PATH_VARIABLE`] names it. Unknown keys are ignored, since deployments may add
-//! some at any time. Every error names the key. `tests/outside_form.rs` fixes all keys, defaults and error texts.
+//! The file is in TOML. The environment variable [`PATH_VARIABLE`] contains the path of the file. Unknown
+//! keys are ignored, because deployments may add keys at any time. Every error names the key.
+//! `tests/outside_form.rs` fixes all keys, defaults and error texts.
 #![forbid(unsafe_code)]
 
 mod bounds;
@@ -18,34 +19,36 @@
 
 /// The environment variable that contains the path of the settings file.
 pub const PATH_VARIABLE: &str = "LUGWHARF_BOOT";
-/// The path that is used when the variable is not set.
+/// The path of the settings file if the variable is not set.
 pub const DEFAULT_PATH: &str = "/etc/lugwharf/settings.toml";
 
-/// Why a settings file can't be used.
+/// Why a settings file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("{path}: {cause}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The error of the file system. It is a part of the text and no source, or reports of the chain would say it twice.
+        /// The I/O error. It is part of the message and not the `source` of this error, because a report of
+        /// the error chain would otherwise contain it twice.
         cause: std::io::Error,
     },
-    /// The text is not TOML, or a key has the wrong type or is missing. The message of the parser, on one line.
+    /// The text is not valid TOML, or a key is missing or has the wrong type. Contains the message of the
+    /// parser on one line.
     #[error("{0}")]
     Malformed(String),
-    /// A key has a value that no process can work with.
+    /// The value of a key is out of range or unusable.
     #[error("{field}: {reason}")]
     Invalid {
-        /// The key as the file spells it, with its table.
+        /// The key as it is spelled in the file, with its table.
         field: &'static str,
         /// What is wrong with its value.
         reason: &'static str,
     },
 }
 
-/// The addresses that a process listens on, by what it serves there.
+/// The addresses that a process listens on, by the kind of request.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Listen {
@@ -61,11 +64,12 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Limits {
-    /// Memory, in MB; a process above it is killed. Default 256.
+    /// The memory limit, in MB. A process above the limit is killed. Default 256.
     pub memory_mb: u64,
-    /// File descriptors, of which 200 are reserved for files outside the data directory. Default 1,024.
+    /// The maximum number of file descriptors, of which 200 are reserved for files outside the data
+    /// directory. Default 1,024.
     pub max_fds: usize,
-    /// The maximum size of `DataDir`, in MB; 0 (the default) where there is no disk.
+    /// The maximum size of `DataDir`, in MB. Default 0, for a machine without a disk.
     pub disk_mb: u64,
 }
 
@@ -75,21 +79,21 @@
     }
 }
 
-/// The faults that the deployment tolerates with every guarantee intact.
+/// The faults that the deployment must tolerate without a violation of any guarantee.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct FaultTolerance {
-    /// f: how many machines that count for the quorum may be lost at once. Default 0.
+    /// The number f of machines that count for the quorum and may be lost at once. Default 0.
     pub machines: usize,
 }
 
-/// The service of the platform that lists the servers.
+/// The platform API that lists the servers.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct Cloud {
-    /// The address that it serves.
+    /// The address of the platform API.
     pub address: SocketAddr,
-    /// The requests a second that it accepts from the whole fleet. Default 10.
+    /// The rate limit for the whole fleet, in requests per second. Default 10.
     #[serde(default = "default_rate_per_s")]
     pub rate_per_s: f64,
     /// How far the list may be out of date, in ms. Default 0.
@@ -108,11 +112,11 @@
 /// How the agent of a machine serves the API of the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ControlPlacement {
-    /// Not at all.
+    /// The agent does not serve the API.
     None,
-    /// It listens on this address and redirects callers to a control process.
+    /// The agent listens on this address and redirects callers to a control process.
     Gateway(SocketAddr),
-    /// It hosts a replica of the control plane.
+    /// The agent hosts a replica of the control plane.
     Replica,
 }
 
@@ -122,13 +126,14 @@
 pub struct Settings {
     /// The name of the machine.
     pub node: String,
-    /// The role of the process, as the deploy file names it. Only `lugwharf check-settings` prints it. Default empty.
+    /// The role of the process, as the deploy file names it. It is used only in the output of
+    /// `lugwharf check-settings`. Default empty.
     #[serde(default)]
     pub role: String,
     /// The address of the machine.
     pub ip: IpAddr,
-    /// The address that this process listens on and connects from instead of [`Settings::ip`], where other machines reach it
-    /// under an address that is not its own, as behind network address translation.
+    /// The address that this process listens on and connects from, if it differs from [`Settings::ip`], under
+    /// which other machines reach the process. An example is network address translation.
     #[serde(default)]
     pub bind: Option<IpAddr>,
     /// The zone of the machine. Default empty.
@@ -137,19 +142,19 @@
     /// The region of the machine. Default empty.
     #[serde(default)]
     pub region: String,
-    /// The ports that are free for internal traffic.
+    /// The range of ports for internal traffic.
     pub port_range: PortRange,
-    /// The operator API addresses of some machines that serve it, to join the control plane by.
+    /// The operator API addresses of some machines, used to join the control plane.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Whether this is the first start of the whole system, with empty disks. Default false.
+    /// Whether this is the first start of the entire fleet, with empty disks. Default false.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether the loss of this machine counts for [`FaultTolerance`]. Only such machines become members of a view. Default
-    /// true.
+    /// Whether the machine counts for the quorum, and its loss for [`FaultTolerance`]. Only such machines
+    /// become members of a view. Default true.
     #[serde(default = "default_true")]
     pub counts_for_quorum: bool,
-    /// The directory for durable files, if the machine has a disk.
+    /// The directory for durable files; absent on a machine without a disk.
     #[serde(default)]
     pub data_dir: Option<PathBuf>,
     /// The region of each zone.
@@ -161,33 +166,35 @@
     /// The resource limits.
     #[serde(default)]
     pub limits: Limits,
-    /// The tolerated faults.
+    /// The faults that must be tolerated.
     #[serde(default)]
     pub fault_tolerance: FaultTolerance,
     /// The time limits and quotas.
     #[serde(default)]
     pub bounds: Bounds,
-    /// The list service of the platform, where the deployment has one.
+    /// The platform API that lists the servers; absent if the deployment has none.
     #[serde(default)]
     pub cloud: Option<Cloud>,
-    /// The address on which the agent feeds the proxy of its machine, if not its port on 127.0.0.1. Needed where several
-    /// machines share one loopback interface.
+    /// The address on which the agent feeds the proxy of its machine. Default: the feed port on 127.0.0.1.
+    /// The key is needed where several machines share one loopback interface.
     #[serde(default)]
     pub feed_address: Option<SocketAddr>,
-    /// The file that these settings were read from; `None` for a text. No key of the file.
+    /// The file that the settings were read from; `None` if they were parsed from a string. Not a key of the
+    /// file.
     #[serde(skip)]
     pub source: Option<PathBuf>,
 }
 
 impl Settings {
-    /// Parses and checks settings in TOML.
+    /// Parses and validates settings in TOML.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-        let settings: Settings = toml::from_str(text).map_err(|e| SettingsError::Malformed(one_line(&e)))?;
+        let settings: Settings =
+            toml::from_str(text).map_err(|error| SettingsError::Malformed(one_line(&error)))?;
         settings.validate()?;
         Ok(settings)
     }
 
-    /// Reads, parses and checks the file at `path`.
+    /// Reads, parses and validates the file at `path`.
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path)
             .map_err(|cause| SettingsError::Unreadable { path: path.to_owned(), cause })?;
@@ -195,10 +202,12 @@
         Ok(Settings { source: Some(path.to_owned()), ..settings })
     }
 
-    /// Reads the same file again, as at SIGHUP; the one at [`Settings::path`] where these settings come from a text.
+    /// Reads the same file again, as on SIGHUP. Settings that were parsed from a string are read from
+    /// [`Settings::path`].
     ///
     /// # Errors
-    /// As [`Settings::read`].
+    ///
+    /// The same as those of [`Settings::read`].
     pub fn reload(&self) -> Result<Settings, SettingsError> {
         match &self.source {
             Some(path) => Settings::read(path),
@@ -206,7 +215,7 @@
         }
     }
 
-    /// The path of the settings file of this process: from the environment, or the default.
+    /// The path of the settings file of this process: the value of [`PATH_VARIABLE`], or [`DEFAULT_PATH`].
     pub fn path() -> PathBuf {
         std::env::var_os(PATH_VARIABLE).map_or_else(|| PathBuf::from(DEFAULT_PATH), PathBuf::from)
     }
@@ -221,8 +230,12 @@
         InternalPorts::in_range(self.port_range)
     }
 
-    /// How an agent serves the API of the operator. A machine that counts for the quorum hosts a replica, wherever the
-    /// deployment puts it; any other machine that serves the API redirects callers. An error if a replica would have no disk.
+    /// How the agent serves the API of the operator. On a machine that counts for the quorum, the agent hosts
+    /// a replica. On any other machine that serves the API, it redirects callers.
+    ///
+    /// # Errors
+    ///
+    /// [`SettingsError::Invalid`] if a replica would have no data directory.
     pub fn control_placement(&self) -> Result<ControlPlacement, SettingsError> {
         let Some(address) = self.listen.control else { return Ok(ControlPlacement::None) };
         if !self.counts_for_quorum {
@@ -259,7 +272,7 @@
     }
 }
 
-/// The message of the parser on one line, for the log.
+/// The message of the parser on one line, so that it fits into a log line.
 fn one_line(error: &toml::de::Error) -> String {
     let message = error.to_string();
     let lines: Vec<&str> = message.lines().map(str::trim).filter(|line| !line.is_empty()).collect();
--- a/crates/settings/src/ports.rs
+++ b/crates/settings/src/ports.rs
@@ -1,8 +1,8 @@
-//! The ports of the internal protocols. They are alike on all machines of a deployment.
+//! The ports of the internal protocols. They are the same on all machines of a deployment.
 
 use serde::Deserialize;
 
-/// A range of ports. In the file it is an array of two: `[first, last]`.
+/// A range of ports. In the file it is an array of two numbers, `[first, last]`.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(from = "(u16, u16)")]
 pub struct PortRange {
@@ -21,19 +21,20 @@
 /// The ports of the internal protocols.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InternalPorts {
-    /// Between control processes.
+    /// The port for connections between control processes.
     pub peer: u16,
-    /// From agents to control processes.
+    /// The port for connections from agents to control processes.
     pub agent: u16,
-    /// On front-end nodes, loopback only: the agent's feed to its proxy.
+    /// The port of the connection between an agent and its proxy, on the loopback interface of a front-end
+    /// node.
     pub feed: u16,
 }
 
 impl InternalPorts {
-    /// The number of ports that are used, from the start of the range.
+    /// The number of ports that are used. They are the first ones of the range.
     pub const COUNT: u16 = 3;
 
-    /// The first ports of a range.
+    /// The internal ports: the first ports of `range`.
     pub fn in_range(range: PortRange) -> InternalPorts {
         let first = range.first;
         InternalPorts { peer: first, agent: first.saturating_add(1), feed: first.saturating_add(2) }
--- a/crates/settings/tests/outside_form.rs
+++ b/crates/settings/tests/outside_form.rs
@@ -1,4 +1,4 @@
-//! The settings file as deployments write it: every key, every default and every error text, literally.
+//! Fixes the format of the settings file for deployments: every key, default and error text, as literals.
 
 use lugwharf_settings::{
     Bounds, Cloud, DEFAULT_PATH, FaultTolerance, Limits, Listen, PATH_VARIABLE, PortRange, Settings,
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Every key, each with a value that is not its default.
+/// A file with every key, each with a value that is not the default.
 const EVERY_KEY: &str = r#"
 Node = "n"
 Role = "my-front"
@@ -58,12 +58,14 @@
 LeaseMs = 16
 "#;
 
-const NEEDED_KEYS: &str = "Node = \"n\"\nIp = \"10.1.0.13\"\nPortRange = [7720, 7735]\n";
+/// A file with only the required keys.
+const REQUIRED_KEYS: &str = "Node = \"n\"\nIp = \"10.1.0.13\"\nPortRange = [7720, 7735]\n";
 
 fn address(text: &str) -> SocketAddr {
     text.parse().expect("an address")
 }
 
+/// The settings that [`EVERY_KEY`] contains.
 fn every_value() -> Settings {
     Settings {
         node: "n".to_owned(),
@@ -110,6 +112,7 @@
     }
 }
 
+/// The settings that [`REQUIRED_KEYS`] contains, with the defaults of all other keys.
 fn every_default() -> Settings {
     Settings {
         node: "n".to_owned(),
@@ -159,15 +162,15 @@
 
 #[test]
 fn every_key_that_is_left_out_has_its_default() {
-    assert_eq!(Settings::parse(NEEDED_KEYS).expect("settings"), every_default());
+    assert_eq!(Settings::parse(REQUIRED_KEYS).expect("settings"), every_default());
     for table in ["[Listen]\n", "[Limits]\n", "[FaultTolerance]\n", "[Bounds]\n", "[Zones]\n"] {
-        assert_eq!(Settings::parse(&format!("{NEEDED_KEYS}{table}")).expect("settings"), every_default());
+        assert_eq!(Settings::parse(&format!("{REQUIRED_KEYS}{table}")).expect("settings"), every_default());
     }
 }
 
 #[test]
 fn a_cloud_needs_its_address_alone() {
-    let text = format!("{NEEDED_KEYS}[Cloud]\nAddress = \"10.200.0.79:8169\"\n");
+    let text = format!("{REQUIRED_KEYS}[Cloud]\nAddress = \"10.200.0.79:8169\"\n");
     let cloud = Cloud { address: address("10.200.0.79:8169"), rate_per_s: 10.0, lag_ms: 0 };
     assert_eq!(Settings::parse(&text).expect("settings").cloud, Some(cloud));
 }
@@ -273,14 +276,14 @@
     assert_eq!(error.to_string(), "DataDir: is missing on a machine that counts and serves control");
 }
 
-/// SIGHUP: the file that a process was started with is read again, whatever the environment names.
+/// On SIGHUP a process must read the file that it was started with, not the one that the environment names.
 #[test]
 fn settings_are_read_again_from_the_file_that_they_came_from() {
     let path = std::env::temp_dir().join(format!("lugwharf-settings-{}.toml", std::process::id()));
-    std::fs::write(&path, NEEDED_KEYS).expect("a file");
+    std::fs::write(&path, REQUIRED_KEYS).expect("a file");
     let settings = Settings::read(&path).expect("settings");
     assert_eq!(settings, Settings { source: Some(path.clone()), ..every_default() });
-    std::fs::write(&path, format!("{NEEDED_KEYS}Seeds = [\"10.1.0.16:8166\"]\n")).expect("a file");
+    std::fs::write(&path, format!("{REQUIRED_KEYS}Seeds = [\"10.1.0.16:8166\"]\n")).expect("a file");
     let again = settings.reload().expect("settings");
     assert_eq!((again.seeds, again.source), (vec![address("10.1.0.16:8166")], Some(path.clone())));
     std::fs::remove_file(&path).expect("a file");
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Parsing of settings files, their errors, and where control runs.
+//! Tests of parsing settings files, of their errors, and of the control placement.
 
 use lugwharf_settings::{ControlPlacement, InternalPorts, Settings, SettingsError};
 use rstest::rstest;
@@ -92,9 +92,9 @@
 #[case::a_disk_alone_does_not_count(&[SERVES, DOES_NOT_COUNT, HAS_A_DISK], ControlPlacement::Gateway(ADDRESS.parse().expect("an address")))]
 #[case::it_counts(&[SERVES, COUNTS, HAS_A_DISK], ControlPlacement::Replica)]
 fn control_placement_follows_from_the_settings(
-    #[case] changes: &[(&str, &str)], #[case] wanted: ControlPlacement,
+    #[case] changes: &[(&str, &str)], #[case] expected: ControlPlacement,
 ) {
-    assert_eq!(placement(changes).expect("a placement"), wanted);
+    assert_eq!(placement(changes).expect("a placement"), expected);
 }
 
 #[test]
--- a/crates/telemetry/src/endpoint.rs
+++ b/crates/telemetry/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! `GET /metrics` on a port of its own.
+//! Serves `GET /metrics` on a separate port.
 
 use crate::exposition::CONTENT_TYPE;
 use spdlog::prelude::*;
@@ -9,32 +9,35 @@
 use tokio::time::timeout;
 use trillium::{Conn, KnownHeaderName, Method, Status};
 
-/// Connections at once; a collector opens one or two.
+/// The maximum number of concurrent connections. A metrics collector opens one or two.
 const MAX_CONNECTIONS: usize = 16;
-/// Requests that may be queued for the owner of the metrics.
-const QUEUE: usize = 4;
-/// How long the owner of the metrics may take to write the text. A busy owner answers far sooner; after this the request gets
-/// a 503.
+/// The maximum number of requests that are queued for the owner of the metrics.
+const QUEUE_CAPACITY: usize = 4;
+/// The timeout for the owner of the metrics to write the text. Even a busy owner replies far sooner. After
+/// the timeout the request gets status 503.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A request for the text of the metrics in the OpenMetrics format; the text is sent through it.
+/// A request for the metrics in the OpenMetrics text format. The owner of the metrics sends the text through
+/// it.
 pub type MetricsRequest = oneshot::Sender<String>;
 
-/// The metrics endpoint of one process. It forwards each request to the owner of the metrics, which writes the text.
+/// The metrics endpoint of a process. It forwards each request to the owner of the metrics, which writes the
+/// text.
 #[derive(Debug)]
 pub struct MetricsEndpoint {
-    /// Requests for the text, for the owner of the metrics.
+    /// The requests that the owner of the metrics must reply to.
     pub requests: mpsc::Receiver<MetricsRequest>,
 }
 
 impl MetricsEndpoint {
-    /// Listens on `ip` and `port` if the command line gave a port; `None` otherwise, or if the port can't be used.
+    /// Listens on `ip` and `port`. `None` if the command line specifies no port, or if the port cannot be
+    /// used.
     pub async fn listen_if_enabled(ip: IpAddr, port: Option<u16>) -> Option<MetricsEndpoint> {
         MetricsEndpoint::listen(SocketAddr::new(ip, port?)).await
     }
 
-    /// Listens on `address` until the process ends. `None` if the port can't be used: this is logged and the process goes on
-    /// without the endpoint, since service is worth more than metrics.
+    /// Listens on `address` until the process ends. `None` if the port cannot be used: the error is logged
+    /// and the process continues without the endpoint, because serving requests matters more than metrics.
     pub async fn listen(address: SocketAddr) -> Option<MetricsEndpoint> {
         match TcpListener::bind(address).await {
             Ok(listener) => Some(MetricsEndpoint::serve(listener)),
@@ -46,7 +49,7 @@
     }
 
     fn serve(listener: TcpListener) -> MetricsEndpoint {
-        let (sender, requests) = mpsc::channel(QUEUE);
+        let (sender, requests) = mpsc::channel(QUEUE_CAPACITY);
         let config = trillium_tokio::config()
             .without_signals()
             .with_nodelay()
@@ -78,7 +81,7 @@
     }
 }
 
-/// The text from the owner of the metrics; `None` if the owner has ended.
+/// Requests the text from the owner of the metrics; `None` if the owner has ended.
 async fn request_text(owner: mpsc::Sender<MetricsRequest>) -> Option<String> {
     let (reply, text) = oneshot::channel();
     owner.send(reply).await.ok()?;
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,10 +1,10 @@
-//! What every process of the fleet reports of itself: metrics, rate-limited log lines, violated invariants.
+//! Telemetry of the processes of the fleet: metrics, rate-limited log lines and violated invariants.
 //!
-//! | module | job |
+//! | module | concern |
 //! | --- | --- |
-//! | `endpoint` | serves `GET /metrics` on a port of its own |
-//! | `exposition` | writes metrics in the OpenMetrics text format, violated invariants among them |
-//! | `log_rate_limiter` | bounds the rate of log lines and counts the suppressed ones |
+//! | `endpoint` | serves `GET /metrics` on a separate port |
+//! | `exposition` | writes metrics, including the counts of violated invariants, in the OpenMetrics text format |
+//! | `log_rate_limiter` | limits the rate of log lines and counts the suppressed ones |
 //! | `violations` | writes violated invariants to the log |
 #![forbid(unsafe_code)]
 
--- a/crates/telemetry/src/log_rate_limiter.rs
+++ b/crates/telemetry/src/log_rate_limiter.rs
@@ -1,26 +1,28 @@
-//! A token bucket for log lines that counts the lines it suppresses. It has no clock of its own: the caller passes the time.
+//! A token bucket for log lines, which counts the lines that it suppresses. The caller passes the current
+//! time.
 
 use std::time::Duration;
 
-/// Admits log lines at a steady rate with bursts, and counts the others.
+/// Admits log lines at a limited rate, with bursts, and counts the suppressed lines.
 ///
-/// It is a token bucket in the form of the generic cell rate algorithm: the state is one time, up to which the lines admitted
-/// so far have used the rate up.
+/// The limiter is a token bucket, implemented as the generic cell rate algorithm (GCRA). Its state is the
+/// time until which the admitted lines have used up the rate.
 #[derive(Clone, Debug)]
 pub struct LogRateLimiter {
-    /// The time in which the bucket gains one line.
+    /// The time in which the bucket gains one token, which admits one line.
     interval: Duration,
-    /// Lines that may be written at once after a quiet time; at least 1.
+    /// The maximum number of lines that are admitted at once after a quiet period; at least 1.
     burst: u32,
-    /// Until when the lines admitted so far use the rate up; in the past if the bucket is full.
+    /// The time until which the admitted lines have used up the rate; in the past if the bucket is full.
     used_until: Duration,
+    /// The number of lines suppressed since the last admitted one.
     omitted: u64,
 }
 
 /// The permission to write one log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPermit {
-    /// Lines suppressed since the last one that was admitted; for the log line itself.
+    /// The number of lines suppressed since the last admitted one, to be written in this line.
     pub omitted: u64,
 }
 
@@ -30,7 +32,7 @@
         LogRateLimiter { interval, burst: burst.max(1), used_until: Duration::ZERO, omitted: 0 }
     }
 
-    /// Takes one line from the bucket at `now`, a time of a steady clock; `None` if the bucket is empty.
+    /// Takes a token from the bucket; `None` if the bucket is empty. `now` is the time of a monotonic clock.
     pub fn try_acquire(&mut self, now: Duration) -> Option<LogPermit> {
         let used_until = self.used_until.max(now);
         if used_until - now > self.interval * (self.burst - 1) {
@@ -41,7 +43,7 @@
         Some(LogPermit { omitted: std::mem::take(&mut self.omitted) })
     }
 
-    /// Lines suppressed since the last one that was admitted.
+    /// The number of lines suppressed since the last admitted one.
     pub fn omitted(&self) -> u64 {
         self.omitted
     }
--- a/crates/telemetry/src/log_rate_limiter_tests.rs
+++ b/crates/telemetry/src/log_rate_limiter_tests.rs
@@ -1,4 +1,4 @@
-//! Lines through the limiter at chosen times.
+//! Tests of the log rate limiter at chosen times.
 
 use super::{LogPermit, LogRateLimiter};
 use std::time::Duration;
--- a/crates/telemetry/src/violations.rs
+++ b/crates/telemetry/src/violations.rs
@@ -1,9 +1,9 @@
-//! Log lines for violated invariants.
+//! Logs violated invariants.
 
 use lugwharf_invariants::{Violation, set_reporter};
 use spdlog::prelude::*;
 
-/// Writes the first violations of each invariant to the log of this process from now on.
+/// Installs a reporter that writes the first violations of each invariant to the log of this process.
 pub fn install_violation_logger() {
     set_reporter(log_violation);
 }
