--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -26,7 +26,7 @@
 pub struct WeightedService {
     /// The name of the service.
     pub service: String,
-    /// Its share of the requests, relative to the other weights.
+    /// The share of the requests that the service gets, relative to the other weights.
     pub weight: f64,
 }
 
@@ -35,7 +35,7 @@
 pub struct RouteTarget<'a> {
     /// The name of the service.
     pub service: &'a str,
-    /// Its share of the requests, relative to the other weights.
+    /// The share of the requests that the service gets, relative to the other weights.
     pub weight: f64,
 }
 
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -60,7 +60,7 @@
     #[case] pointer: &str, #[case] value: Value, #[case] kind: ConfigErrorKind, #[case] field: &str,
 ) {
     let mut configuration = valid();
-    *configuration.pointer_mut(pointer).expect("there") = value;
+    *configuration.pointer_mut(pointer).expect("the pointer matches") = value;
     let error = parse(&configuration).expect_err("invalid");
     assert_eq!((error.kind, error.field.as_str()), (kind, field), "{error}");
 }
@@ -81,7 +81,7 @@
 fn a_truncated_configuration_is_invalid_at_every_length() {
     let text = valid().to_string();
     for length in 0..text.len() {
-        let error = Configuration::parse(&text.as_bytes()[..length]).expect_err("cut short");
+        let error = Configuration::parse(&text.as_bytes()[..length]).expect_err("a truncated text");
         assert_eq!(error.kind, ConfigErrorKind::NotJson, "{length}");
     }
 }
--- a/crates/emulator/src/client/retry.rs
+++ b/crates/emulator/src/client/retry.rs
@@ -8,7 +8,8 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The maximum wait before a retry, whatever `Retry-After` says, as a share of the remaining time.
+/// The maximum wait before a retry, as a share of the remaining time. It limits the wait that `Retry-After`
+/// asks for.
 const MAX_WAIT_SHARE: f64 = 1.0 / 3.0;
 
 /// The retry policy of a client.
@@ -21,17 +22,17 @@
 impl RetryPolicy {
     /// Sends the request to the front-end nodes in turn until a response is final. Returns the outcomes of
     /// all attempts. Each attempt has a different request id.
-    pub async fn send(&self, fronts: &[SocketAddr], request: &ClientRequest) -> Vec<AttemptOutcome> {
+    pub async fn send(&self, front_ends: &[SocketAddr], request: &ClientRequest) -> Vec<AttemptOutcome> {
         let deadline = Instant::now() + duration_from_ms(request.deadline_ms as f64);
         let mut outcomes = Vec::new();
-        for (index, front) in fronts.iter().cycle().take(1 + self.retries as usize).enumerate() {
+        for (index, front_end) in front_ends.iter().cycle().take(1 + self.retries as usize).enumerate() {
             let remaining = deadline.saturating_duration_since(Instant::now());
             let mut attempt = request.clone();
             attempt.deadline_ms = remaining.as_millis() as u64;
             if index > 0 {
                 attempt.request_id = format!("{}-{index}", request.request_id);
             }
-            let outcome = Client::new(*front).send(&attempt).await;
+            let outcome = Client::new(*front_end).send(&attempt).await;
             let pause = is_retryable(&outcome).then(|| retry_after_ms(&outcome));
             outcomes.push(outcome);
             let Some(pause) = pause else {
--- a/crates/emulator/src/cluster/addresses.rs
+++ b/crates/emulator/src/cluster/addresses.rs
@@ -9,7 +9,7 @@
 /// The distance from the public address of a machine to its address behind the relay. With relays, this is
 /// also the maximum number of machines of one kind.
 const RELAY_OFFSET: u8 = 50;
-/// The maximum number of servers in a block. The next address is the one that claims the block.
+/// The maximum number of servers in a block. Their addresses end below the one that claims the block.
 const MAX_SERVERS: usize = 50;
 /// The maximum number of blocks that are tried.
 const MAX_CLAIM_ATTEMPTS: u16 = 2_000;
--- a/crates/emulator/src/cluster/options.rs
+++ b/crates/emulator/src/cluster/options.rs
@@ -20,8 +20,8 @@
     pub front_ends: usize,
     /// The number of control machines.
     pub control_machines: usize,
-    /// Where the control processes run. [`ControlPlacement::FrontEndNodes`]
-    /// needs at least as many front-end nodes as control machines.
+    /// Where the control processes run. [`ControlPlacement::FrontEndNodes`] needs at least as many front-end
+    /// nodes as control machines.
     pub placement: ControlPlacement,
     /// The number of voting control machines that may be lost at once (`[FaultTolerance]`).
     pub fault_tolerance: usize,
--- a/crates/emulator/src/model_server/kv_memory.rs
+++ b/crates/emulator/src/model_server/kv_memory.rs
@@ -97,14 +97,16 @@
         let fits = self.evict_for(missing + private_blocks);
         self.reservations += 1;
         for (depth, (key, tokens)) in prefix.iter().enumerate() {
-            let last_used = (self.reservations, u64::MAX - depth as u64);
+            let last_use = (self.reservations, u64::MAX - depth as u64);
             match self.segments.get_mut(key) {
-                Some(segment) if fits => segment.last_used = last_used,
+                Some(segment) if fits => segment.last_used = last_use,
                 Some(segment) => segment.pin_count -= 1,
                 None if fits => {
                     let blocks = self.blocks(*tokens);
-                    self.segments
-                        .insert(*key, CachedSegment { blocks, pin_count: 1, is_filled: false, last_used });
+                    self.segments.insert(
+                        *key,
+                        CachedSegment { blocks, pin_count: 1, is_filled: false, last_used: last_use },
+                    );
                 }
                 None => {}
             }
--- a/crates/emulator/src/platform/host.rs
+++ b/crates/emulator/src/platform/host.rs
@@ -39,7 +39,7 @@
 }
 
 impl Shared {
-    /// Updates the stage_sources of the tracked servers, and stops tracking servers that have ended.
+    /// Updates the listed stages of the tracked servers, and stops tracking servers that have ended.
     fn refresh_stages(&self) {
         let now = self.environment.now();
         let mut platform = lock(&self.platform);
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -34,7 +34,7 @@
 
 #[test]
 fn a_complete_file_is_parsed_and_unknown_keys_are_ignored() {
-    let settings = Settings::parse(TEXT).expect("readable");
+    let settings = Settings::parse(TEXT).expect("valid settings");
     assert_eq!(settings.node, "front-a-1");
     assert_eq!(settings.seeds.len(), 2);
     assert!(settings.bootstrap);
@@ -42,7 +42,7 @@
     assert_eq!(settings.bounds.budget_slack, 58.0);
     assert_eq!(settings.internal_ports(), InternalPorts { peer: 7720, agent: 7721, feed: 7722 });
     assert_eq!(settings.feed_address(), "127.0.0.1:7722".parse().expect("an address"));
-    assert_eq!(settings.cloud.expect("there").lag_ms, 0);
+    assert_eq!(settings.cloud.expect("a cloud table").lag_ms, 0);
 }
 
 #[rstest]
@@ -78,7 +78,7 @@
 /// The control placement of a machine with these changes to its settings.
 fn placement(changes: &[(&str, &str)]) -> Result<ControlPlacement, SettingsError> {
     let text = changes.iter().fold(TEXT.to_owned(), |text, (from, to)| text.replace(from, to));
-    Settings::parse(&text).expect("readable").control_placement()
+    Settings::parse(&text).expect("valid settings").control_placement()
 }
 
 const SERVES: (&str, &str) = ("[Listen]", "[Listen]\nControl = \"10.1.0.13:8166\"");
