--- a/crates/model/src/chain/acceptor.rs
+++ b/crates/model/src/chain/acceptor.rs
@@ -1,4 +1,4 @@
-//! Acceptors: phases 1b and 2b of Paxos for the next view.
+//! The acceptor role: phases 1b and 2b of Paxos for the next view.
 
 use super::ChainModel;
 use super::guards::Guard;
@@ -9,7 +9,7 @@
 use super::view::{ProposalNumber, View};
 
 impl ChainModel {
-    /// Phase 1b: an acceptor promises a proposal.
+    /// Phase 1b: an acceptor promises to accept no proposal below `proposal`.
     pub(super) fn promise_proposal(
         &self, machine: usize, instance: u8, proposal: ProposalNumber, steps: &mut Steps<'_>,
     ) {
@@ -18,14 +18,14 @@
         if !node.is_member() || records.view.number + 1 != instance || !self.may_accept(&records, proposal) {
             return;
         }
-        // A second `Prepare` under one number comes from a proposer that has forgotten the first.
+        // Only a proposer that lost its records in a restart sends a second `Prepare` under one number.
         if records.promised == Some(proposal) && self.guards.proposals_are_unique() {
             return;
         }
         steps.add(Step::Promise { machine, proposal }, |state| self.record_promise(state, machine, proposal));
     }
 
-    /// Writes a promise, and sends it once it is synced.
+    /// Records a promise, and sends it once the record is synced.
     pub(super) fn record_promise(&self, state: &mut State, machine: usize, proposal: ProposalNumber) {
         let node = &mut state.nodes[machine];
         node.seal(proposal);
@@ -35,7 +35,7 @@
         self.send_after_sync(state, machine, promise, Guard::PromiseAfterSync);
     }
 
-    /// Phase 2b: an acceptor accepts a view.
+    /// Phase 2b: an acceptor accepts `view` under `proposal`.
     pub(super) fn accept_view(
         &self, machine: usize, proposal: ProposalNumber, view: View, steps: &mut Steps<'_>,
     ) {
@@ -45,14 +45,14 @@
         if !node.is_member() || records.view.number + 1 != instance || !self.may_accept(&records, proposal) {
             return;
         }
-        let known = records.accepted.filter(|(accepted, _)| *accepted == proposal);
-        let is_same = known.is_some_and(|(_, accepted)| accepted == view);
-        if is_same || (known.is_some() && self.guards.has(Guard::OneViewPerProposal)) {
+        let previous = records.accepted.filter(|(accepted, _)| *accepted == proposal);
+        let is_same_view = previous.is_some_and(|(_, accepted)| accepted == view);
+        if is_same_view || (previous.is_some() && self.guards.has(Guard::OneViewPerProposal)) {
             return;
         }
         let sender = node.identity;
         steps.add(Step::Accept { machine, proposal, view }, |state| {
-            if known.is_none() {
+            if previous.is_none() {
                 state.nodes[machine].seal(proposal);
                 state.nodes[machine].records.accepted = Some((proposal, view));
             }
@@ -61,13 +61,13 @@
         });
     }
 
-    /// Whether an acceptor may promise or accept a proposal.
+    /// Whether an acceptor with these records may promise or accept `proposal`.
     fn may_accept(&self, records: &Records, proposal: ProposalNumber) -> bool {
         !self.guards.has(Guard::LowerProposalsRejected)
             || records.promised.is_none_or(|promised| proposal >= promised)
     }
 
-    /// Sends a message once the records are synced, or at once without the guard.
+    /// Sends `message` once the records of the machine are synced, or immediately if `guard` is disabled.
     pub(super) fn send_after_sync(&self, state: &mut State, machine: usize, message: Message, guard: Guard) {
         if self.guards.has(guard) {
             state.send_synced(machine, message);
--- a/crates/model/src/chain/agreement.rs
+++ b/crates/model/src/chain/agreement.rs
@@ -1,11 +1,11 @@
-//! All steps of agreeing on the next view (Lamport, Paxos Made Simple, section 2.2) and of entering it.
+//! All steps that decide the next view (Lamport, Paxos Made Simple, section 2.2) and enter it.
 
 use super::ChainModel;
 use super::message::Message;
 use super::step::Steps;
 
 impl ChainModel {
-    /// The steps of a machine as a proposer and as an acceptor, and those of entering a view.
+    /// Adds the steps of a machine as proposer and as acceptor, and those that enter a decided view.
     pub(super) fn agreement_steps(&self, machine: usize, steps: &mut Steps<'_>) {
         self.begin_proposal(machine, steps);
         let state = steps.from;
--- a/crates/model/src/chain/faults.rs
+++ b/crates/model/src/chain/faults.rs
@@ -1,4 +1,4 @@
-//! Syncs, restarts, lost disks, and members that leave.
+//! Disk syncs, and faults: restarts, lost disks, and members that leave.
 
 use super::ChainModel;
 use super::guards::Guard;
@@ -8,7 +8,7 @@
 use super::step::{Step, Steps};
 
 impl ChainModel {
-    /// The syncs and the faults of a machine.
+    /// Adds the sync step and the faults of a machine.
     pub(super) fn fault_steps(&self, machine: usize, steps: &mut Steps<'_>) {
         self.sync_records(machine, steps);
         self.restart(machine, steps);
@@ -29,7 +29,7 @@
         });
     }
 
-    /// A restart loses what was not synced. There is one restart in a run.
+    /// A restart loses the unsynced records and messages. A run has at most one restart.
     fn restart(&self, machine: usize, steps: &mut Steps<'_>) {
         if !steps.from.has_sync_step(machine) {
             return;
@@ -48,14 +48,14 @@
         });
     }
 
-    /// A machine loses its disk and starts with an empty one.
+    /// A machine loses its disk and restarts with an empty one.
     fn lose_disk(&self, machine: usize, steps: &mut Steps<'_>) {
         let Node { identity, .. } = steps.from.nodes[machine];
-        if !steps.from.may_wipe || (identity == super::NEWCOMER && !self.bounds.may_add_newcomer) {
+        if !steps.from.may_lose_disk || (identity == super::INITIAL_LEARNER && !self.bounds.may_add_learner) {
             return;
         }
         steps.add(Step::LoseDisk { machine }, |state| {
-            state.may_wipe = false;
+            state.may_lose_disk = false;
             let new_identity =
                 if self.guards.has(Guard::NewDiskNewIdentity) { next_identity(identity) } else { identity };
             state.nodes[machine] = Node { identity: new_identity, ..Node::default() };
@@ -65,19 +65,19 @@
         });
     }
 
-    /// A member leaves for good and takes its disk with it.
+    /// A member leaves permanently, and its disk is no longer available.
     fn leave_for_good(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
-        let is_replaced = (0..MACHINE_COUNT - 1).any(|place| {
-            let view = state.decided_views[place];
+        let is_replaced = (0..MACHINE_COUNT - 1).any(|view_index| {
+            let view = state.decided_views[view_index];
             view.number > 0
                 && !view.members.contains(node.identity)
-                && view.chain.set().is_subset_of(state.installed_members[place])
+                && view.chain.set().is_subset_of(state.installed_members[view_index])
         });
-        let is_founder = usize::from(node.identity) < super::FOUNDER_COUNT;
+        let is_initial_member = usize::from(node.identity) < super::INITIAL_MEMBER_COUNT;
         let is_too_early = !is_replaced && self.guards.has(Guard::LeaveAfterNextView);
-        if !state.may_leave || !is_founder || is_too_early {
+        if !state.may_leave || !is_initial_member || is_too_early {
             return;
         }
         steps.add(Step::Leave { machine }, |state| {
@@ -91,7 +91,8 @@
     }
 }
 
-/// There is no other restart: from now on all machines sync at once.
+/// Ends the modelling of syncs as separate steps. No other restart is possible, so all machines now sync
+/// immediately.
 fn end_sync_steps(state: &mut State) {
     state.crashing_machine = None;
     state.synced_records = Records::default();
--- a/crates/model/src/chain/guards.rs
+++ b/crates/model/src/chain/guards.rs
@@ -1,51 +1,52 @@
-//! The rules that keep the chain safe. Each can be left out of a search, to show what it prevents.
+//! The safety rules of the chain. A search can disable each of them to show which violation it prevents.
 
 use crate::guards::{GuardRule, GuardSet};
 
-/// A rule of the protocol.
+/// A safety rule of the chain protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// A proposer sends `Prepare` once its own promise is synced.
+    /// A proposer sends `Prepare` only once its own promise is synced.
     PrepareAfterSync,
-    /// A restarted proposer uses a higher round than that of the proposal that it has promised.
+    /// A restarted proposer uses a higher round than that of the proposal that it last promised.
     RoundRecoveredOnRestart,
-    /// An acceptor accepts no second view under one proposal number.
+    /// An acceptor accepts at most one view per proposal number.
     OneViewPerProposal,
-    /// A promise is sent once it is synced.
+    /// A promise is sent only once it is synced.
     PromiseAfterSync,
-    /// An acceptance is sent once it is synced.
+    /// An acceptance is sent only once it is synced.
     AcceptedAfterSync,
-    /// An entry is forwarded to the successor, or committed by the tail, once it is synced.
+    /// An entry is forwarded to the successor, or committed by the tail, only once it is synced.
     ReplicateAfterSync,
-    /// A sealed replica neither writes, replicates nor commits.
+    /// A sealed replica neither accepts writes, replicates nor commits.
     SealStopsReplication,
-    /// A sealed replica does not install the history of its present view.
-    SealStopsTakeover,
-    /// A sealed member does not confirm its present view.
+    /// A sealed replica does not install the history of its current view.
+    SealStopsInstall,
+    /// A sealed member does not confirm its current view.
     SealStopsConfirmation,
     /// A machine with a new disk has a new identity.
     NewDiskNewIdentity,
-    /// A read is answered once a majority of the members has confirmed the view.
+    /// A read is answered only once a majority of the members has confirmed the view.
     ReadsConfirmed,
-    /// A change on an unknown base is rejected once a majority of the members has confirmed the view.
+    /// A change on an unknown base is rejected only once a majority of the members has confirmed the view.
     RejectionsConfirmed,
-    /// A chain has at least `f + 1` replicas, for `f` disks that may be lost.
+    /// A chain has at least `f + 1` replicas, where `f` is the number of disks that may be lost.
     MinChainLength,
     /// The source of a view holds the history of the newest view that may have served.
     SourceHoldsNewestHistory,
-    /// A view serves once all replicas of its chain hold the history on disk.
+    /// A view serves only once all replicas of its chain hold the history on disk.
     ServeAfterInstall,
-    /// A change that is in the history already is acknowledged again, not judged again.
+    /// A retried change that is already in the history is acknowledged again instead of being evaluated
+    /// again.
     RetriesDeduplicated,
-    /// No change is judged while another one is in flight along the chain.
+    /// The head evaluates no change while another change is uncommitted.
     OneChangeInFlight,
-    /// A proposer proposes the view accepted under the highest proposal that its promises name, if any.
+    /// A proposer proposes the view that its promises report as accepted under the highest proposal, if any.
     AcceptedViewAdopted,
-    /// An acceptor neither promises nor accepts a proposal below the one that it has promised.
+    /// An acceptor neither promises nor accepts a proposal below the highest one that it has promised.
     LowerProposalsRejected,
-    /// A member with a healthy disk is replaced only if `f + 1` others hold the history.
+    /// A member with a healthy disk is replaced only if `f + 1` other members hold the history.
     ReplaceOnlyWithSpareReplicas,
-    /// A member that leaves gracefully ends once the chain of a view without it holds the history.
+    /// A member that leaves gracefully exits only once the chain of a view without it holds the history.
     LeaveAfterNextView,
 }
 
@@ -55,11 +56,11 @@
     }
 }
 
-/// The rules that are in force.
+/// The set of enabled rules.
 pub type Guards = GuardSet<Guard>;
 
 impl Guards {
-    /// Whether a proposal number is used for one proposal only.
+    /// Whether the enabled rules ensure that each proposal number is used for one proposal only.
     pub fn proposals_are_unique(self) -> bool {
         self.has(Guard::PrepareAfterSync) && self.has(Guard::RoundRecoveredOnRestart)
     }
--- a/crates/model/src/chain/proposer.rs
+++ b/crates/model/src/chain/proposer.rs
@@ -1,4 +1,4 @@
-//! Proposers: phases 1a and 2a of Paxos for the next view, and the decision.
+//! The proposer role: phases 1a and 2a of Paxos for the next view, and the decision.
 
 use super::ChainModel;
 use super::collections::SmallSet;
@@ -11,7 +11,7 @@
 use super::view_planning::ReceivedPromise;
 
 impl ChainModel {
-    /// Phase 1a: a member starts a proposal for the view after its own.
+    /// Phase 1a: a member starts a proposal for the view after its current one.
     pub(super) fn begin_proposal(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
@@ -21,7 +21,7 @@
             return;
         }
         let own = node.highest_round;
-        // A rejected proposer learns the highest round that was promised.
+        // A proposer whose proposal is rejected learns the highest round that was promised.
         let promised = state.nodes.iter().map(|other| self.promised_round(&other.records)).max();
         self.begin_round(machine, own + 1, steps);
         if let Some(promised) = promised.filter(|round| *round > own) {
@@ -51,7 +51,7 @@
         });
     }
 
-    /// Phase 2a: a proposer with promises of a majority proposes a view.
+    /// Phase 2a: a proposer that has the promises of a majority proposes a view.
     pub(super) fn choose_view(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
@@ -90,7 +90,7 @@
         });
     }
 
-    /// A proposer with acceptances of a majority decides the view and enters it.
+    /// A proposer whose view a majority has accepted decides the view and enters it.
     pub(super) fn decide_view(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
@@ -121,7 +121,7 @@
     }
 }
 
-/// The promise in a message, if it is one for this proposal by a member of the current view.
+/// The promise in `message`, if it is a promise of a member of the current view for the proposal `proposed`.
 fn promise_for(message: &Message, current: &View, proposed: ProposalNumber) -> Option<ReceivedPromise> {
     match *message {
         Message::Promise { instance, proposal, sender, accepted, installed, last_index }
--- a/crates/model/src/chain/pruning.rs
+++ b/crates/model/src/chain/pruning.rs
@@ -1,4 +1,4 @@
-//! Dropping messages without a receiver that would act on them, which keeps the number of states small.
+//! Removes messages that no receiver would act on, which reduces the number of states.
 
 use super::guards::{Guard, Guards};
 use super::identity::{Identity, machine_of};
@@ -7,27 +7,28 @@
 use super::state::State;
 
 impl State {
-    /// Drops messages that no machine will act on.
+    /// Removes the messages in flight that no machine would act on.
     pub fn prune(&mut self, guards: Guards) {
-        // Without these guards a late message may count for a new proposal, or for a member that has forgotten it.
+        // Without these guards a delayed message may be taken as part of a new proposal, or be addressed to a
+        // member that lost its disk and with it the record that it had acted on the message.
         if !guards.proposals_are_unique() || !guards.has(Guard::NewDiskNewIdentity) {
             return;
         }
         let mut in_flight = std::mem::take(&mut self.in_flight);
-        in_flight.retain(|message| self.concerns_any(message));
+        in_flight.retain(|message| self.has_receiver(message));
         self.in_flight = in_flight;
     }
 
-    fn concerns_any(&self, message: &Message) -> bool {
+    fn has_receiver(&self, message: &Message) -> bool {
         let is_in_progress = |proposal| {
             let mut attempts = self.nodes.iter().filter_map(|node| node.attempt);
             attempts.any(|attempt| attempt.proposal == proposal)
         };
         match *message {
-            Message::Prepare { instance, proposal } => self.concerns_acceptor(instance, |records| {
+            Message::Prepare { instance, proposal } => self.has_receiving_acceptor(instance, |records| {
                 records.promised.is_none_or(|promised| proposal > promised)
             }),
-            Message::Accept { proposal, view } => self.concerns_acceptor(view.number, |records| {
+            Message::Accept { proposal, view } => self.has_receiving_acceptor(view.number, |records| {
                 records.promised.is_none_or(|promised| proposal >= promised)
                     && records.accepted.is_none_or(|accepted| accepted.0 != proposal)
             }),
@@ -37,19 +38,19 @@
             Message::State { view, .. } => {
                 let chain = self.decided_views[usize::from(view) - 1].chain;
                 let lacks = |records: &Records| records.installed < view;
-                chain.items().iter().any(|replica| self.concerns_replica(*replica, view, lacks))
+                chain.items().iter().any(|replica| self.has_receiving_replica(*replica, view, lacks))
             }
             Message::Replicate { view, sender, index, .. } => {
                 let successor = self.decided_views[usize::from(view) - 1].successor(sender);
                 let lacks = |records: &Records| {
                     records.installed < view || records.history.len() < usize::from(index)
                 };
-                successor.is_some_and(|replica| self.concerns_replica(replica, view, lacks))
+                successor.is_some_and(|replica| self.has_receiving_replica(replica, view, lacks))
             }
         }
     }
 
-    /// What an identity has written and what it has synced, unless it is gone.
+    /// The written and the synced records of an identity; none if it has left or its disk was lost.
     fn records_of(&self, identity: Identity) -> impl Iterator<Item = &Records> {
         let machine = machine_of(identity);
         let node = &self.nodes[machine];
@@ -57,8 +58,9 @@
         [&node.records, self.synced_records_of(machine)].into_iter().filter(move |_| is_present)
     }
 
-    /// Whether a member that votes on view `instance`, now or once it knows the view before, would act.
-    fn concerns_acceptor(&self, instance: u8, acts: impl Fn(&Records) -> bool) -> bool {
+    /// Whether a member that votes on view `instance`, now or once it has entered the previous view, would
+    /// act.
+    fn has_receiving_acceptor(&self, instance: u8, acts: impl Fn(&Records) -> bool) -> bool {
         let members = self.decided_views[usize::from(instance) - 2].members;
         members.iter().any(|member| {
             self.records_of(member).any(|records| {
@@ -68,8 +70,8 @@
         })
     }
 
-    /// Whether a replica that is in a view, or may enter it yet, lacks something.
-    fn concerns_replica(&self, replica: Identity, view: u8, lacks: impl Fn(&Records) -> bool) -> bool {
+    /// Whether `replica` is in `view`, or may still enter it, with records for which `lacks` returns true.
+    fn has_receiving_replica(&self, replica: Identity, view: u8, lacks: impl Fn(&Records) -> bool) -> bool {
         self.records_of(replica)
             .any(|records| records.view.number < view || (records.view.number == view && lacks(records)))
     }
--- a/crates/model/src/chain/replication.rs
+++ b/crates/model/src/chain/replication.rs
@@ -1,4 +1,5 @@
-//! Replication along the chain (van Renesse and Schneider, Chain Replication, OSDI 2004), and commits at the tail.
+//! Replication along the chain (van Renesse and Schneider, Chain Replication, OSDI 2004), and commit at the
+//! tail.
 
 use super::ChainModel;
 use super::guards::Guard;
@@ -9,14 +10,14 @@
 use super::step::{Step, Steps};
 
 impl ChainModel {
-    /// Whether a machine replicates in the chain of its view.
+    /// Whether a machine participates in the replication of its current view.
     pub(super) fn is_active(&self, node: &Node) -> bool {
         let view = &node.records.view;
         let is_sealed = node.is_sealed() && self.guards.has(Guard::SealStopsReplication);
-        view.has_in_chain(node.identity) && node.records.installed == view.number && !is_sealed
+        view.is_in_chain(node.identity) && node.records.installed == view.number && !is_sealed
     }
 
-    /// A replica appends the next entry that its predecessor has sent.
+    /// A replica appends the next entry of the history, sent by its predecessor.
     pub(super) fn receive_entry(&self, machine: usize, message: &Message, steps: &mut Steps<'_>) {
         let Message::Replicate { view, sender, index, change } = *message else { return };
         let node = &steps.from.nodes[machine];
@@ -32,8 +33,9 @@
         }
     }
 
-    /// What follows from the records that a machine has synced: it announces which history it has installed, forwards the last
-    /// entry to its successor, and commits it if it is the tail.
+    /// Performs the actions that follow from the synced records of a machine. It announces which history it
+    /// has installed; a serving replica then forwards its last uncommitted entry to its successor, and the
+    /// tail commits it.
     pub(super) fn act_on_synced_records(&self, state: &mut State, machine: usize) {
         let synced = *state.synced_records_of(machine);
         let node = state.nodes[machine];
@@ -64,11 +66,11 @@
         }
     }
 
-    /// The tail commits the entries of its history up to an index.
+    /// The tail commits the entries of its history up to `last_index`.
     fn commit_up_to(&self, state: &mut State, machine: usize, last_index: usize) {
         let Records { history, view, .. } = state.nodes[machine].records;
-        for (place, change) in history.items()[..last_index].iter().enumerate() {
-            match state.committed.items().get(place) {
+        for (position, change) in history.items()[..last_index].iter().enumerate() {
+            match state.committed.items().get(position) {
                 Some(known) if known == change => {}
                 Some(_) => state.record_violation(ONE_CHANGE_PER_BASE),
                 None => self.commit_change(state, *change, view.number),
@@ -76,7 +78,7 @@
         }
     }
 
-    /// Commits a change, which is acknowledged at once.
+    /// Commits a change. The model acknowledges it in the same step.
     fn commit_change(&self, state: &mut State, change: u8, view: u8) {
         let current = self.version_of(state.committed.items());
         if self.bounds.changes[usize::from(change)].base != current {
@@ -89,7 +91,7 @@
         state.committed.push(change);
     }
 
-    /// The version of the last of these changes, 0 for none.
+    /// The version of the last change in `history`; 0 if there is none.
     pub(super) fn version_of(&self, history: &[u8]) -> u8 {
         history.last().map_or(0, |change| self.bounds.changes[usize::from(*change)].version)
     }
--- a/crates/model/src/chain/requests.rs
+++ b/crates/model/src/chain/requests.rs
@@ -1,4 +1,5 @@
-//! Requests of the operators: changes at the head, reads at the tail, and the confirmation of the view behind both.
+//! Operator requests: changes at the head, reads at the tail, and the confirmation of the view that both rely
+//! on.
 
 use super::ChainModel;
 use super::collections::SmallSet;
@@ -18,11 +19,12 @@
         node.is_serving && self.is_active(node) && node.records.view.tail() == Some(node.identity)
     }
 
-    /// The head appends a change, rejects it, or asks for a confirmation before it rejects it.
+    /// The head appends a change, rejects it, or requests a confirmation of the view before it rejects the
+    /// change.
     pub(super) fn submit_change(&self, machine: usize, change: u8, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
-        if !self.is_serving_head(node) || !self.was_sent(state, change) {
+        if !self.is_serving_head(node) || !self.may_have_been_sent(state, change) {
             return;
         }
         let history = node.records.history;
@@ -34,30 +36,31 @@
             return;
         }
         let current = self.version_of(history.items());
-        let wanted = self.bounds.changes[usize::from(change)];
-        if wanted.base > current && self.guards.has(Guard::RejectionsConfirmed) {
+        let submitted = self.bounds.changes[usize::from(change)];
+        if submitted.base > current && self.guards.has(Guard::RejectionsConfirmed) {
             return self.request_confirmation(machine, Some(change), Step::Submit { machine, change }, steps);
         }
         steps.add(Step::Submit { machine, change }, |state| {
-            if wanted.base == current && wanted.version > current && history.len() < CHANGE_COUNT {
+            if submitted.base == current && submitted.version > current && history.len() < CHANGE_COUNT {
                 state.nodes[machine].records.history.push(change);
                 self.act_on_synced_records(state, machine);
             } else {
-                let is_base_unknown = wanted.base > current;
+                let is_base_unknown = submitted.base > current;
                 self.reject_change(state, change, is_base_unknown, state.acknowledged());
             }
         });
     }
 
-    /// Whether an operator may have sent the change: its base was acknowledged.
-    fn was_sent(&self, state: &State, change: u8) -> bool {
+    /// Whether an operator may have submitted the change: its base has been acknowledged.
+    fn may_have_been_sent(&self, state: &State, change: u8) -> bool {
         let base = self.bounds.changes[usize::from(change)].base;
         let is_base = |other: &u8| self.bounds.changes[usize::from(*other)].version == base;
         base == 0 || state.committed.items().iter().any(is_base)
     }
 
-    /// Rejects a change. `is_base_unknown`: because the replica does not know its base. `acknowledged_before`: what was
-    /// acknowledged before the request.
+    /// Rejects a change. `is_base_unknown` tells whether the reason is that the replica does not know the
+    /// base of the change; `acknowledged_before` is the set of changes that were acknowledged before the
+    /// request.
     fn reject_change(
         &self, state: &mut State, change: u8, is_base_unknown: bool, acknowledged_before: SmallSet,
     ) {
@@ -72,7 +75,7 @@
         state.rejected = state.rejected.with(change);
     }
 
-    /// The tail starts a read.
+    /// The tail starts a read, which waits for the confirmation of the view.
     pub(super) fn start_read(&self, machine: usize, steps: &mut Steps<'_>) {
         let node = &steps.from.nodes[machine];
         if node.records.view.tail() == Some(node.identity) && !node.is_sealed() {
@@ -80,7 +83,7 @@
         }
     }
 
-    /// Lets a read or a rejection wait until a majority has confirmed the view.
+    /// Makes a read or a rejection wait until a majority has confirmed the view.
     fn request_confirmation(&self, machine: usize, rejection: Option<u8>, step: Step, steps: &mut Steps<'_>) {
         let state = steps.from;
         if state.remaining_confirmations == 0 || state.nodes[machine].pending_confirmation.is_some() {
@@ -97,7 +100,7 @@
         });
     }
 
-    /// A member that has promised no later view confirms the view of a machine that asks.
+    /// A member that has not promised a later view confirms the current view to a machine that asks.
     pub(super) fn confirm_view(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
@@ -119,7 +122,7 @@
         }
     }
 
-    /// Answers what a majority has confirmed.
+    /// Answers the pending read or rejection of a machine once a majority has confirmed the view.
     pub(super) fn answer_confirmed(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
--- a/crates/model/src/chain/service.rs
+++ b/crates/model/src/chain/service.rs
@@ -1,11 +1,11 @@
-//! All steps of a view in service.
+//! All steps of operation within a view.
 
 use super::ChainModel;
 use super::message::Message;
 use super::step::Steps;
 
 impl ChainModel {
-    /// The steps of a machine as a replica of its view, and those of its requests.
+    /// Adds the steps of a machine as a replica of its view, and those of operator requests at the machine.
     pub(super) fn service_steps(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         for message in &state.in_flight {
--- a/crates/model/src/chain/state_transfer.rs
+++ b/crates/model/src/chain/state_transfer.rs
@@ -1,4 +1,5 @@
-//! State transfer: installing the history of a view, and when a view starts to serve.
+//! State transfer: a replica installs the history of its view, and starts to serve once all replicas have
+//! done so.
 
 use super::ChainModel;
 use super::collections::SmallSet;
@@ -7,13 +8,13 @@
 use super::view::History;
 
 impl ChainModel {
-    /// A replica installs the history that the source of its view offers.
+    /// A replica installs the history that the source of its view has sent.
     pub(super) fn install_history(&self, machine: usize, view: u8, history: History, steps: &mut Steps<'_>) {
         let node = &steps.from.nodes[machine];
         let records = &node.records;
-        let in_chain = records.view.has_in_chain(node.identity);
-        let is_sealed = node.is_sealed() && self.guards.has(Guard::SealStopsTakeover);
-        if records.view.number != view || !in_chain || is_sealed || records.installed >= view {
+        let is_in_chain = records.view.is_in_chain(node.identity);
+        let is_sealed = node.is_sealed() && self.guards.has(Guard::SealStopsInstall);
+        if records.view.number != view || !is_in_chain || is_sealed || records.installed >= view {
             return;
         }
         steps.add(Step::Install { machine, view }, |state| {
@@ -24,20 +25,20 @@
         });
     }
 
-    /// A replica learns that all replicas of its chain have installed the history, and serves.
+    /// A replica learns that all replicas of its chain have installed the history, and starts to serve.
     pub(super) fn start_serving(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
         let view = node.records.view;
-        let in_chain = view.has_in_chain(node.identity);
-        if node.is_serving || !in_chain || !self.may_serve(&view) {
+        let is_in_chain = view.is_in_chain(node.identity);
+        if node.is_serving || !is_in_chain || !self.may_serve(&view) {
             return;
         }
-        let mut awaited = view.chain.set();
+        let mut required = view.chain.set();
         if !self.guards.has(Guard::ServeAfterInstall) {
-            awaited = SmallSet::of(&[node.identity]);
+            required = SmallSet::of(&[node.identity]);
         }
-        if awaited.is_subset_of(state.installed_members[usize::from(view.number) - 1]) {
+        if required.is_subset_of(state.installed_members[usize::from(view.number) - 1]) {
             steps.add(Step::StartServing { machine, view: view.number }, |state| {
                 state.nodes[machine].is_serving = true;
                 self.act_on_synced_records(state, machine);
@@ -45,13 +46,13 @@
         }
     }
 
-    /// A machine outside the chain, member or not, learns what was committed. The view whose history it has installed stays the
-    /// same.
+    /// A machine outside the chain, member or not, learns the committed history. Its `installed` view number
+    /// does not change.
     pub(super) fn learn_committed(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
-        let is_outside = !node.records.view.has_in_chain(node.identity);
-        if is_outside && state.committed_prefix_len(&node.records.history) < state.committed.len() {
+        let is_outside_chain = !node.records.view.is_in_chain(node.identity);
+        if is_outside_chain && state.committed_prefix_len(&node.records.history) < state.committed.len() {
             steps.add(Step::LearnCommitted { machine }, |state| {
                 state.nodes[machine].records.history = state.committed;
                 self.act_on_synced_records(state, machine);
--- a/crates/model/src/chain/step.rs
+++ b/crates/model/src/chain/step.rs
@@ -1,63 +1,63 @@
-//! The steps between states.
+//! The steps between the states of the model.
 
 use super::collections::SmallSet;
 use super::guards::Guards;
 use super::state::State;
 use super::view::{ProposalNumber, View};
 
-/// What one machine does, for the trace of a counterexample.
+/// A step of one machine. The `Debug` form is a line in the trace of a counterexample.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
     /// A member starts a proposal (phase 1a of Paxos).
     Prepare { machine: usize, proposal: ProposalNumber },
     /// An acceptor promises a proposal (phase 1b).
     Promise { machine: usize, proposal: ProposalNumber },
-    /// A proposer has promises of a majority and proposes a view (phase 2a).
+    /// A proposer has received promises from a majority and proposes a view (phase 2a).
     Propose { machine: usize, proposal: ProposalNumber, promisers: SmallSet, view: View },
     /// An acceptor accepts a view (phase 2b).
     Accept { machine: usize, proposal: ProposalNumber, view: View },
-    /// A proposer has acceptances of a majority.
+    /// A proposer has received acceptances from a majority.
     Decide { machine: usize, view: View },
     /// A machine enters a decided view.
     Adopt { machine: usize, view: u8 },
     /// A replica installs the history of its view.
     Install { machine: usize, view: u8 },
-    /// A machine outside the chain learns what was committed.
+    /// A machine outside the chain learns the committed history.
     LearnCommitted { machine: usize },
     /// A replica learns that all replicas of its chain hold the history.
     StartServing { machine: usize, view: u8 },
-    /// The head judges a change.
+    /// The head evaluates a change.
     Submit { machine: usize, change: u8 },
     /// A replica receives an entry from its predecessor.
     Replicate { machine: usize, view: u8, index: u8, change: u8 },
     /// The tail starts a read.
     Read { machine: usize },
-    /// A member confirms the view of the machine that asks.
+    /// A member confirms the view to the machine that asks.
     Confirm { machine: usize, asker: usize },
-    /// The head or tail answers what a majority has confirmed.
+    /// The head or tail answers a request after a majority has confirmed the view.
     Answer { machine: usize },
-    /// A machine has synced its records.
+    /// A machine syncs its records.
     Sync { machine: usize },
     /// A machine restarts.
     Crash { machine: usize },
     /// A machine loses its disk and restarts.
     LoseDisk { machine: usize },
-    /// A machine leaves for good.
+    /// A machine leaves permanently.
     Leave { machine: usize },
 }
 
-/// The steps from one state, as they are gathered.
+/// Collects the steps that are possible in one state.
 pub struct Steps<'a> {
-    /// The state before them.
+    /// The state before each step.
     pub from: &'a State,
-    /// The rules that are in force.
+    /// The enabled rules.
     pub guards: Guards,
-    /// Each step with the state after it.
+    /// The collected steps, each with the state after it.
     pub found: &'a mut Vec<(Step, State)>,
 }
 
 impl Steps<'_> {
-    /// Adds a step that changes the state so.
+    /// Adds a step; `change` turns the state before it into the state after it.
     pub fn add(&mut self, step: Step, change: impl FnOnce(&mut State)) {
         let mut state = self.from.clone();
         change(&mut state);
--- a/crates/model/src/chain/view.rs
+++ b/crates/model/src/chain/view.rs
@@ -1,25 +1,25 @@
 //! Views, histories and proposal numbers.
 
 use super::collections::{Sequence, SmallSet};
-use super::identity::{FOUNDER_COUNT, Identity};
+use super::identity::{INITIAL_MEMBER_COUNT, Identity};
 use std::fmt::{Debug, Formatter, Result as FormatResult};
 
-/// Distinct changes that the operators send.
+/// The number of distinct changes that operators submit.
 pub const CHANGE_COUNT: usize = 2;
-/// Views that a search may reach, the first included.
+/// The maximum number of views that a search may reach, including the first.
 pub const MAX_VIEWS: usize = 3;
 
-/// The replicas of a view, head first.
-pub type Chain = Sequence<FOUNDER_COUNT>;
-/// Changes, oldest first; the index of the first is 1.
+/// The replicas of a view, from head to tail.
+pub type Chain = Sequence<INITIAL_MEMBER_COUNT>;
+/// Configuration changes, oldest first. The index of the first one is 1.
 pub type History = Sequence<CHANGE_COUNT>;
 
-/// The number of a proposal: round first, then proposer (Lamport, Paxos Made Simple, section 2.2).
+/// The number of a proposal, ordered by round, then by proposer (Lamport, Paxos Made Simple, section 2.2).
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalNumber {
-    /// Counts attempts from 1.
+    /// The round, counted from 1.
     pub round: u8,
-    /// Who proposes.
+    /// The identity of the proposer.
     pub proposer: Identity,
 }
 
@@ -29,44 +29,44 @@
     }
 }
 
-/// A view that may have served.
+/// An earlier view that may have served.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Ancestor {
-    /// Its number, 0 for none.
+    /// The number of the view; 0 for none.
     pub number: u8,
-    /// Its chain.
+    /// The replicas of its chain.
     pub chain: SmallSet,
 }
 
 /// A configuration of the replication group.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct View {
-    /// Counts views from 1; 0 at a machine that knows none.
+    /// The number of the view, counted from 1; 0 at a machine that knows no view.
     pub number: u8,
-    /// The acceptors of the next view.
+    /// The members, which are the acceptors of the next view.
     pub members: SmallSet,
-    /// The replicas.
+    /// The replicas, from head to tail.
     pub chain: Chain,
-    /// The replica whose history the others install.
+    /// The replica whose history the other replicas install.
     pub source: Identity,
-    /// The earlier views that may have been the last to serve, newest first.
+    /// The earlier views that may have been the last view to serve, newest first.
     pub lineage: [Ancestor; MAX_VIEWS - 1],
-    /// The last view before those that may have served.
+    /// The newest view before those of `lineage` that may have served.
     pub base: u8,
 }
 
 impl View {
-    /// How many members are a majority.
+    /// The number of members that form a majority.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// Whether an identity is a replica of the chain.
-    pub fn has_in_chain(&self, identity: Identity) -> bool {
+    /// Whether `identity` is a replica of the chain.
+    pub fn is_in_chain(&self, identity: Identity) -> bool {
         self.chain.position(identity).is_some()
     }
 
-    /// The replica that takes writes.
+    /// The replica that accepts writes.
     pub fn head(&self) -> Option<Identity> {
         self.chain.items().first().copied()
     }
@@ -76,7 +76,7 @@
         self.chain.items().last().copied()
     }
 
-    /// The replica after this one in the chain.
+    /// The replica after `replica` in the chain.
     pub fn successor(&self, replica: Identity) -> Option<Identity> {
         let position = self.chain.position(replica)?;
         self.chain.items().get(position + 1).copied()
--- a/crates/model/src/chain/view_change.rs
+++ b/crates/model/src/chain/view_change.rs
@@ -1,4 +1,4 @@
-//! Entering a decided view.
+//! Steps with which a machine enters a decided view.
 
 use super::ChainModel;
 use super::guards::Guard;
@@ -14,7 +14,8 @@
     pub(super) fn adopt_view(&self, machine: usize, steps: &mut Steps<'_>) {
         let node = &steps.from.nodes[machine];
         for view in steps.from.decided_views {
-            if view.number > node.records.view.number && self.adoption_matters(steps.from, node, &view) {
+            if view.number > node.records.view.number && self.is_adoption_observable(steps.from, node, &view)
+            {
                 steps.add(Step::Adopt { machine, view: view.number }, |state| {
                     self.enter_view(state, machine, view);
                     self.act_on_synced_records(state, machine);
@@ -23,17 +24,17 @@
         }
     }
 
-    /// Whether it makes a difference that a machine enters a view. A machine that does not vote, replicate or confirm there may
-    /// as well stay silent.
-    fn adoption_matters(&self, state: &State, node: &Node, view: &View) -> bool {
+    /// Whether the rest of the run can depend on a machine entering a view. A machine that does not vote,
+    /// replicate or confirm in the view has the same effect as one that never enters it.
+    fn is_adoption_observable(&self, state: &State, node: &Node, view: &View) -> bool {
         let has_vote =
             state.remaining_proposals.get(usize::from(view.number) - 1).is_some_and(|left| *left > 0);
-        let in_chain = view.has_in_chain(node.identity);
+        let is_in_chain = view.is_in_chain(node.identity);
         let is_asked = has_vote || self.bounds.max_confirmations > 0;
-        in_chain || (is_asked && view.members.contains(node.identity))
+        is_in_chain || (is_asked && view.members.contains(node.identity))
     }
 
-    /// A machine enters a view. The source of the view offers its history as it is at that moment.
+    /// A machine enters a view. The source of the view sends its history as of this moment.
     pub(super) fn enter_view(&self, state: &mut State, machine: usize, view: View) {
         let node = &mut state.nodes[machine];
         node.records.view = view;
--- a/crates/model/src/chain/view_planning.rs
+++ b/crates/model/src/chain/view_planning.rs
@@ -1,19 +1,19 @@
 //! The views that a proposer may propose: members, chain, source and lineage.
 //!
-//! The planner of `lugwharf-chain` decides for one of them; here each is tried.
+//! The planner of `lugwharf-chain` chooses one of them; the search tries each.
 
 use super::ChainModel;
 use super::collections::SmallSet;
 use super::guards::Guard;
-use super::identity::{FOUNDER_COUNT, Identity, NEWCOMER, machine_of, next_identity};
+use super::identity::{INITIAL_LEARNER, INITIAL_MEMBER_COUNT, Identity, machine_of, next_identity};
 use super::node::Node;
 use super::state::State;
 use super::view::{Ancestor, Chain, MAX_VIEWS, ProposalNumber, View};
 
-/// How many disks may be lost at once without losing an acknowledged change, `f`.
+/// The number of disks that may be lost at the same time without the loss of an acknowledged change, `f`.
 const FAULT_TOLERANCE: usize = 1;
 
-/// A promise as its proposer has received it.
+/// A promise that the proposer has received.
 #[derive(Clone, Copy)]
 pub(super) struct ReceivedPromise {
     pub(super) member: Identity,
@@ -23,7 +23,7 @@
 }
 
 impl ChainModel {
-    /// The views that may be proposed after these promises.
+    /// The views that a proposer may propose after it received `promises`.
     pub(super) fn possible_views(
         &self, state: &State, proposer: &Node, promises: &[ReceivedPromise],
     ) -> Vec<View> {
@@ -33,18 +33,19 @@
             return vec![view];
         }
         let current = proposer.records.view;
-        let in_chain = current.has_in_chain(proposer.identity);
+        let is_in_chain = current.is_in_chain(proposer.identity);
         let chain_is_installed =
             current.chain.set().is_subset_of(state.installed_members[usize::from(current.number) - 1]);
         let mut views = self.views_with_lineage(state, proposer, proposer.is_serving, promises);
-        // A member outside the chain may know that the view serves.
-        if chain_is_installed && !in_chain {
+        // A member outside the chain may have learned that the view serves.
+        if chain_is_installed && !is_in_chain {
             views.extend(self.views_with_lineage(state, proposer, true, promises));
         }
         views
     }
 
-    /// The views with the lineage that follows from whether the proposer knows that its view has served.
+    /// The possible views, with the lineage for a proposer that knows (`has_served`) or does not know that
+    /// its current view has served.
     fn views_with_lineage(
         &self, state: &State, proposer: &Node, has_served: bool, promises: &[ReceivedPromise],
     ) -> Vec<View> {
@@ -66,8 +67,10 @@
         views
     }
 
-    /// The views that may have been the last to serve, newest first, and the last view before those. A view whose chain has
-    /// a promised replica without its history has not served and, since that replica is sealed, never will.
+    /// The lineage and the base of the view after `view`: the views that may have been the last view to
+    /// serve, newest first, and the newest view before those. A view whose chain includes a replica that has
+    /// promised but not installed the history of the view has not served and, since that replica is sealed,
+    /// never will.
     fn lineage_after(
         &self, view: &View, has_served: bool, promises: &[ReceivedPromise],
     ) -> ([Ancestor; MAX_VIEWS - 1], u8) {
@@ -83,22 +86,22 @@
             replicas.any(|promise| promise.installed < ancestor.number)
         };
         let all = current.into_iter().chain(before).filter(|ancestor| !never_served(ancestor));
-        for (place, ancestor) in all.enumerate() {
-            lineage[place] = ancestor;
+        for (position, ancestor) in all.enumerate() {
+            lineage[position] = ancestor;
         }
         (lineage, view.base)
     }
 
-    /// Whether a view may serve once its chain holds the history.
+    /// Whether a view has enough members and replicas to serve once its chain holds the history.
     pub(super) fn may_serve(&self, view: &View) -> bool {
-        view.members.len() >= FOUNDER_COUNT && view.chain.len() >= self.min_chain_length()
+        view.members.len() >= INITIAL_MEMBER_COUNT && view.chain.len() >= self.min_chain_length()
     }
 
     fn min_chain_length(&self) -> usize {
         if self.guards.has(Guard::MinChainLength) { FAULT_TOLERANCE + 1 } else { 1 }
     }
 
-    /// The current members, and each set with one of them replaced.
+    /// The current members, and each set in which one of them is replaced.
     fn possible_memberships(&self, state: &State, proposer: &Node, holders: SmallSet) -> Vec<SmallSet> {
         let current = proposer.records.view.members;
         let mut memberships = vec![current];
@@ -112,15 +115,15 @@
             let may_replace = lost_disk
                 || other_holders > FAULT_TOLERANCE
                 || !self.guards.has(Guard::ReplaceOnlyWithSpareReplicas);
-            if may_replace && self.bounds.may_add_newcomer && state.may_admit_newcomer(&proposer.records.view)
-            {
-                memberships.push(others.with(NEWCOMER));
+            if may_replace && self.bounds.may_add_learner && state.may_admit_learner(&proposer.records.view) {
+                memberships.push(others.with(INITIAL_LEARNER));
             }
         }
         memberships
     }
 
-    /// The chains that the proposer may choose: itself and others, in the order of the current chain.
+    /// The chains that the proposer may choose. They include the proposer, and keep the order of the current
+    /// chain.
     fn possible_chains(&self, current: &View, proposer: Identity, members: SmallSet) -> Vec<Chain> {
         let mut candidates: Vec<Identity> = members.iter().collect();
         candidates.sort_by_key(|member| {
--- a/crates/model/src/election/elector.rs
+++ b/crates/model/src/election/elector.rs
@@ -1,4 +1,4 @@
-//! Electors: campaigning for the lease, holding, renewing and releasing it.
+//! The elector role: campaigns for the lease, and holds, renews and releases it.
 
 use super::guards::Guard;
 use super::message::Message;
@@ -9,7 +9,7 @@
 use super::{ElectionModel, TOKENS_INCREASE};
 
 impl ElectionModel {
-    /// The steps of a machine as an elector.
+    /// Adds the steps of a machine as an elector.
     pub(super) fn elector_steps(&self, machine: usize, steps: &mut Steps<'_>) {
         let elector = steps.from.nodes[machine].elector;
         match elector {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// A member that would vote for itself asks the others.
+    /// A member that would vote for itself starts a pre-vote.
     fn start_pre_vote(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let members = members(state.nodes[machine].view);
@@ -57,7 +57,7 @@
         });
     }
 
-    /// Another member would vote for this one; of three members the two are a majority.
+    /// Another member would vote for this one. The two of them are a majority of three members.
     fn collect_pre_vote(&self, machine: usize, started_at: u8, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The machine requests votes under a new token, and votes for itself if it may.
+    /// The machine requests votes under a new token, and votes for itself if it is allowed to.
     fn request_votes(&self, machine: usize, highest: Token, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
@@ -83,21 +83,22 @@
             Token(highest.0 + 1)
         };
         let from = machine as u8;
-        let is_open = !node.is_sealed() || !self.guards.has(Guard::SealStopsVotes);
-        let is_free = granted_lease.is_none_or(|lease| lease.holder == from);
+        let may_vote = !node.is_sealed() || !self.guards.has(Guard::SealStopsVotes);
+        let has_no_other_lease = granted_lease.is_none_or(|lease| lease.holder == from);
         steps.add(Step::RequestVotes(machine, token), |state| {
             state.remaining_campaigns -= u8::from(!self.guards.has(Guard::PreVoteFirst));
             let sent_at = state.now;
             state.nodes[machine].elector = ElectorState::Candidate { token, started_at: sent_at };
             state.send(Message::RequestVote { view, from, token, sent_at });
-            if is_open && is_free && token > highest_token {
+            if may_vote && has_no_other_lease && token > highest_token {
                 let request = VoteRequest { view, from, token, sent_at, is_renewal: false };
                 grant_lease(state, machine, &request, false);
             }
         });
     }
 
-    /// Whether a majority of the machine's view has granted what the machine requested at that time.
+    /// Whether a majority of the members of the machine's view has granted the request that the machine sent
+    /// at `requested_at` under the token `requested`.
     fn has_majority(&self, state: &State, machine: usize, requested: Token, requested_at: u8) -> bool {
         let current_view = state.nodes[machine].view;
         let votes = state.in_flight.iter().filter(|message| match **message {
@@ -162,7 +163,8 @@
         }
     }
 
-    /// Ends a campaign or a lease; on the machine itself at once, on the others with the message.
+    /// Ends a campaign or a lease: immediately on the machine itself, and on the others when they receive the
+    /// message.
     pub(super) fn release_lease(&self, state: &mut State, machine: usize) {
         let node = &mut state.nodes[machine];
         let (token, was_holder) = match node.elector {
--- a/crates/model/src/election/faults.rs
+++ b/crates/model/src/election/faults.rs
@@ -1,4 +1,4 @@
-//! The change of view, and restarts of voters.
+//! The view change, and restarts of voters.
 
 use super::ElectionModel;
 use super::guards::Guard;
@@ -6,7 +6,7 @@
 use super::state::{State, Step, Steps};
 
 impl ElectionModel {
-    /// The changes of view and the restarts of a machine.
+    /// Adds the view change and the restarts of a machine.
     pub(super) fn fault_steps(&self, machine: usize, steps: &mut Steps<'_>) {
         self.change_view(machine, steps);
         self.restart(machine, steps);
@@ -21,9 +21,10 @@
         if node.view == 1 && node.sealed == 0 {
             steps.add(Step::AcceptView(machine), |state| state.nodes[machine].sealed = 1);
         }
-        // A machine that is neither member nor holder stops; a machine that is silent shows the same.
-        let matters = members(2).contains(&machine) || node.elector.is_lease_holder();
-        if node.view < 2 && matters && state.has_second_view() {
+        // A machine that is neither a member nor a holder would only stop, which has the same effect as
+        // sending nothing.
+        let is_observable = members(2).contains(&machine) || node.elector.is_lease_holder();
+        if node.view < 2 && is_observable && state.has_second_view() {
             steps.add(Step::EnterView(machine), |state| self.enter_second_view(state, machine));
         }
     }
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Restarts a machine that finds this vote on its disk.
+    /// Restarts a machine that finds `synced_vote` on its disk.
     fn restart_with(&self, state: &mut State, machine: usize, synced_vote: Option<SyncedVote>) {
         state.remaining_crashes -= 1;
         let lease_end = state.now + LEASE_TICKS;
--- a/crates/model/src/election/guards.rs
+++ b/crates/model/src/election/guards.rs
@@ -1,40 +1,40 @@
-//! The rules that keep one lease holder at a time. Each can be left out of a search.
+//! The rules that ensure at most one lease holder at a time. A search can disable each of them.
 
 use crate::guards::{GuardRule, GuardSet};
 
-/// A rule of the election.
+/// A rule of the election protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Guard {
-    /// The upper bits of a token are the number of the view.
+    /// The upper bits of a token contain the view number.
     TokenIncludesView,
-    /// A voter votes only for tokens above the highest that it knows.
+    /// A voter votes only for tokens above the highest token that it knows.
     TokensIncrease,
-    /// A voter that has granted a lease grants no other process one until it expires.
+    /// A voter that has granted a lease grants no lease to another process until the first one expires.
     OneLeaseAtATime,
-    /// A majority of the members makes a holder.
+    /// A process becomes the holder only with the votes of a majority of the members.
     MajorityElects,
-    /// A vote is sent once it is synced.
+    /// A vote is sent only once it is synced.
     VoteAfterSync,
-    /// A restarted voter counts its last vote as a lease granted anew.
+    /// A restarted voter restarts the lease of its last synced vote.
     RegrantAfterRestart,
-    /// A restarted voter without a vote on disk grants nothing for the length of a lease.
+    /// A restarted voter without a vote on disk grants nothing for one lease duration.
     QuarantineWithoutRecord,
-    /// A restarted voter votes for no new token for the length of a lease.
+    /// A restarted voter votes for no new token for one lease duration.
     NoVotesAfterRestart,
-    /// A voter that has accepted a later view grants nothing in its present one.
+    /// A voter that has accepted a later view grants nothing in its current one.
     SealStopsVotes,
-    /// A voter votes for no new token for the length of a lease after it entered a view.
+    /// A voter votes for no new token for one lease duration after it entered a view.
     NoVotesAfterViewChange,
-    /// A process requests votes only after a majority, itself included, granted it a pre-vote.
+    /// A process requests votes only after a majority, including itself, has granted it a pre-vote.
     PreVoteFirst,
-    /// A pre-vote and a candidacy last for a part of a lease only.
+    /// A pre-vote and a candidacy time out after a fraction of the lease duration.
     CampaignsTimeOut,
-    /// A holder counts its lease from before it sent the request.
+    /// The lease of a holder starts when it sent the request, not when it received the votes.
     LeaseStartsAtRequest,
-    /// A renewal that is received after the release of its token grants nothing.
-    ReleasedStaysReleased,
-    /// A renewal needs a running lease, or that no later token is known to be held.
-    RenewalsCurrent,
+    /// A renewal that is received after its token was released is denied.
+    ReleasedTokensNotRenewed,
+    /// A renewal without an unexpired lease is denied if a later token is known to have been held.
+    OutdatedRenewalsDenied,
 }
 
 impl GuardRule for Guard {
@@ -43,5 +43,5 @@
     }
 }
 
-/// The rules that are in force.
+/// The set of enabled rules.
 pub type Guards = GuardSet<Guard>;
--- a/crates/model/src/election/message.rs
+++ b/crates/model/src/election/message.rs
@@ -2,12 +2,12 @@
 
 use super::token::Token;
 
-/// A message in flight, for all members of the view. It may arrive late, again or never.
+/// A message in flight, readable by all members of the view. It may be delayed, duplicated or lost.
 ///
-/// `sent_at` tells one request of a machine from another; a vote carries that of its request.
+/// `sent_at` distinguishes the requests of a machine; a vote carries the `sent_at` of its request.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum Message {
-    /// Asks for a vote under a new token.
+    /// Requests a vote under a new token.
     RequestVote {
         /// The sender's view.
         view: u8,
@@ -18,7 +18,7 @@
         /// When it was sent.
         sent_at: u8,
     },
-    /// Asks to extend a granted lease.
+    /// Requests the extension of a granted lease.
     RenewLease {
         /// The sender's view.
         view: u8,
@@ -33,24 +33,24 @@
     VoteGranted {
         /// The voter's view.
         view: u8,
-        /// Who votes.
+        /// The voter.
         voter: u8,
-        /// For whom.
+        /// The machine that requested the vote.
         to: u8,
-        /// Under which token.
+        /// The token of the request.
         token: Token,
         /// When the request was sent.
         sent_at: u8,
     },
-    /// The sender needs the leases that were granted to it no more.
+    /// Releases the leases that were granted to the sender.
     ReleaseLease {
         /// The sender's view.
         view: u8,
-        /// Who releases.
+        /// The sender.
         from: u8,
-        /// Under which token.
+        /// The released token.
         token: Token,
-        /// Whether it held the lease of a majority; else it was a candidate.
+        /// Whether the sender held the lease; otherwise it was a candidate.
         was_holder: bool,
     },
 }
--- a/crates/model/src/election/mod.rs
+++ b/crates/model/src/election/mod.rs
@@ -1,19 +1,20 @@
-//! A model of the election of one singleton role: leases (Gray and Cheriton, SOSP 1989), fencing tokens, votes, restarts of
-//! voters, and one change of view in which a member is replaced by a newcomer.
+//! A model of the election for one singleton role: leases (Gray and Cheriton, SOSP 1989), fencing tokens,
+//! votes, restarts of voters, and one view change that replaces a member by a new machine.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `state` | a state of the model, the steps between states |
+//! | `state` | a state of the model, and the steps between states |
 //! | `node` | the state of one machine |
 //! | `message`, `token` | messages and fencing tokens |
-//! | `guards` | the rules, each of which can be left out |
-//! | `voter` | granting leases, as `lugwharf-election` does it |
-//! | `elector` | pre-vote, candidacy, holding, renewing and releasing |
-//! | `faults` | changes of view, restarts of voters |
+//! | `guards` | the safety rules, each of which can be disabled |
+//! | `voter` | granting leases, as `lugwharf-election` does |
+//! | `elector` | pre-vote, candidacy, holding, renewing and releasing the lease |
+//! | `faults` | the view change, restarts of voters |
 //!
-//! All machines share one clock of a few ticks, and messages take any time. When to start a campaign, to renew or to
-//! release is left open; requests and votes that are older than a lease are dropped, since they make no holder. A voter's
-//! write and its vote are one step; without [`Guard::VoteAfterSync`] a restart may find the vote unwritten.
+//! All machines share one clock of a few ticks, and messages may be delayed by any time. When a machine
+//! starts a campaign, renews or releases is nondeterministic. Requests and votes older than a lease duration
+//! are dropped, since they cannot make a machine the holder. A voter syncs and sends its vote in one step;
+//! without [`Guard::VoteAfterSync`] a restart may find that the vote was not written.
 
 mod elector;
 mod faults;
@@ -33,36 +34,36 @@
 use node::MACHINE_COUNT;
 use state::Steps;
 
-/// Violated when two machines hold the lease at one time.
+/// Violated when two machines hold the lease at the same time.
 pub const ONE_HOLDER: &str = "one holder at a time";
-/// Violated when two holders have one token, or a later holder has a lower one.
+/// Violated when two holders have the same token, or a later holder has a lower token.
 pub const TOKENS_INCREASE: &str = "one holder to a token, and tokens increase";
 
-/// How far a search goes.
+/// Limits the states that a search visits.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Bounds {
-    /// Ticks of the clock. A lease takes two.
+    /// The maximum time, in ticks of the clock. A lease lasts two ticks.
     pub max_ticks: u8,
     /// The machines that may campaign.
     pub candidates: &'static [usize],
-    /// Campaigns of all machines.
+    /// The maximum number of campaigns, in total.
     pub max_campaigns: u8,
-    /// Requests to renew the lease.
+    /// The maximum number of requests to renew the lease, in total.
     pub max_renewals: u8,
-    /// Releases by candidates and holders.
+    /// The maximum number of releases by candidates and holders, in total.
     pub max_releases: u8,
-    /// Restarts.
+    /// The maximum number of restarts, in total.
     pub max_crashes: u8,
-    /// Whether a second view may be agreed.
+    /// Whether a second view may be decided.
     pub may_change_view: bool,
 }
 
-/// The election within bounds, with some of its guards.
+/// The model of the election within given bounds, with a given set of guards.
 #[derive(Clone, Copy, Debug)]
 pub struct ElectionModel {
-    /// How far the search goes.
+    /// The bounds of the search.
     pub bounds: Bounds,
-    /// The rules that are in force.
+    /// The enabled rules.
     pub guards: Guards,
 }
 
--- a/crates/model/src/election/node.rs
+++ b/crates/model/src/election/node.rs
@@ -2,23 +2,24 @@
 
 use super::token::Token;
 
-/// The machines: the members of the first view, and a newcomer.
+/// The number of machines: the members of the first view, and one machine that joins in the second.
 pub const MACHINE_COUNT: usize = 4;
 /// The members of the first view.
-pub const FIRST_VIEW: [usize; 3] = [0, 1, 2];
-/// The members of the second view: machine 0 is replaced by the newcomer.
-pub const SECOND_VIEW: [usize; 3] = [1, 2, 3];
-/// How long a lease lasts, for the voter and for the holder, in ticks. Clocks run at one rate here; the margin for drift
-/// only makes the holder's part shorter.
+pub const FIRST_VIEW_MEMBERS: [usize; 3] = [0, 1, 2];
+/// The members of the second view: machine 3 replaces machine 0.
+pub const SECOND_VIEW_MEMBERS: [usize; 3] = [1, 2, 3];
+/// The duration of a lease, for the voter and for the holder, in ticks. All clocks of the model run at the
+/// same rate; the margin for clock drift in `lugwharf-election` only shortens the lease of the holder.
 pub const LEASE_TICKS: u8 = 2;
-/// How long a pre-vote, and then a candidacy, lasts at most, in ticks; a quarter of the lease in `lugwharf-election`.
+/// The timeout of a pre-vote, and of the candidacy after it, in ticks. It is a quarter of the lease duration
+/// in `lugwharf-election`.
 pub const CAMPAIGN_TICKS: u8 = 1;
 
 /// The members of a view.
 pub fn members(view: u8) -> &'static [usize] {
     match view {
-        1 => &FIRST_VIEW,
-        2 => &SECOND_VIEW,
+        1 => &FIRST_VIEW_MEMBERS,
+        2 => &SECOND_VIEW_MEMBERS,
         _ => &[],
     }
 }
@@ -26,37 +27,37 @@
 /// A lease that a voter has granted.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct GrantedLease {
-    /// To whom.
+    /// The machine that the lease was granted to.
     pub holder: u8,
-    /// Under which token.
+    /// The token of the grant.
     pub token: Token,
-    /// When it ends for the voter.
+    /// When the lease ends for the voter.
     pub expires_at: u8,
 }
 
-/// What a machine does to hold the lease.
+/// The state of a machine as an elector.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub enum ElectorState {
-    /// Nothing.
+    /// The machine neither campaigns nor holds the lease.
     #[default]
     Follower,
-    /// It asks whether a majority would vote for it (pre-vote: Ongaro's thesis, section 9.6).
+    /// The machine asks whether a majority would vote for it (pre-vote: Ongaro's thesis, section 9.6).
     PreVote {
-        /// Before it asked.
+        /// When the pre-vote started.
         started_at: u8,
-        /// The highest token known to a majority that grants the pre-vote, once there is one.
+        /// The highest token known to the majority that granted the pre-vote; `None` until a majority has.
         highest_token: Option<Token>,
     },
-    /// It has requested votes.
+    /// The machine has requested votes.
     Candidate {
-        /// Its token.
+        /// The token of the candidacy.
         token: Token,
-        /// Before it requested them.
+        /// When the votes were requested.
         started_at: u8,
     },
-    /// It holds the lease.
+    /// The machine holds the lease.
     LeaseHolder {
-        /// Its token.
+        /// The token of the lease.
         token: Token,
         /// When the lease ends for the holder.
         expires_at: u8,
@@ -64,7 +65,7 @@
 }
 
 impl ElectorState {
-    /// Whether it holds the lease, as far as it knows.
+    /// Whether the machine holds the lease, as far as it knows.
     pub fn is_lease_holder(&self) -> bool {
         matches!(self, ElectorState::LeaseHolder { .. })
     }
@@ -73,34 +74,35 @@
 /// The last vote that a voter has synced.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct SyncedVote {
-    /// Under which token.
+    /// The token of the vote.
     pub token: Token,
-    /// For whom.
+    /// The machine that the vote is for.
     pub holder: u8,
 }
 
-/// One machine.
+/// The state of one machine.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Default)]
 pub struct Node {
-    /// The newest view that it knows.
+    /// The newest view that the machine knows.
     pub view: u8,
-    /// The newest view that is sealed here: it has accepted the one after it and votes in this one no more. 0 for none.
+    /// The newest view that the machine has sealed by accepting the view after it; 0 for none. The machine no
+    /// longer votes in a sealed view.
     pub sealed: u8,
     /// The last vote on disk.
     pub synced_vote: Option<SyncedVote>,
-    /// The highest token that it knows.
+    /// The highest token that the machine knows.
     pub highest_token: Token,
     /// The highest token that each machine has released.
     pub released_tokens: [Token; MACHINE_COUNT],
-    /// The highest token under which a lease was held, as far as it knows.
+    /// The highest token under which the lease was held, as far as the machine knows.
     pub highest_held_token: Token,
-    /// The lease that it has granted and that may run yet.
+    /// The lease that the machine has granted and that may be unexpired.
     pub granted_lease: Option<GrantedLease>,
-    /// Before this it grants nothing, renewals included.
+    /// Until this time the machine grants nothing, not even renewals.
     pub quarantined_until: u8,
-    /// Before this it votes for no new token.
+    /// Until this time the machine votes for no new token.
     pub votes_from: u8,
-    /// Its own part as an elector.
+    /// The state of the machine as an elector.
     pub elector: ElectorState,
 }
 
@@ -117,7 +119,7 @@
         }
     }
 
-    /// Whether it has accepted the view after its own and so votes no more.
+    /// Whether the machine has accepted the view after its current one and so no longer votes.
     pub fn is_sealed(&self) -> bool {
         self.view <= self.sealed
     }
--- a/crates/model/src/election/voter.rs
+++ b/crates/model/src/election/voter.rs
@@ -1,4 +1,4 @@
-//! Voters: granting leases, extending and ending them.
+//! The voter role: grants, extends and ends leases.
 
 use super::ElectionModel;
 use super::guards::Guard;
@@ -7,7 +7,7 @@
 use super::state::{State, Step, Steps};
 use super::token::Token;
 
-/// A request for a vote, or for the renewal of a lease, as a voter receives it.
+/// A request for a vote, or for the renewal of a lease, that a voter has received.
 pub(super) struct VoteRequest {
     pub(super) view: u8,
     pub(super) from: u8,
@@ -17,7 +17,7 @@
 }
 
 impl ElectionModel {
-    /// The steps of a machine as a voter.
+    /// Adds the steps of a machine as a voter.
     pub(super) fn voter_steps(&self, machine: usize, steps: &mut Steps<'_>) {
         for message in &steps.from.in_flight {
             let request = match *message {
@@ -40,7 +40,7 @@
     fn handle_vote_request(
         &self, machine: usize, request: &VoteRequest, message: &Message, steps: &mut Steps<'_>,
     ) {
-        // A candidate votes for itself when it requests votes, and then not again.
+        // A candidate already votes for itself when it requests votes.
         if !request.is_renewal && usize::from(request.from) == machine {
             return;
         }
@@ -54,48 +54,53 @@
         if !is_current || is_sealed || state.now < node.quarantined_until {
             return;
         }
-        let running = node.granted_lease.filter(|lease| lease.expires_at > state.now);
-        let is_same =
-            running.is_some_and(|lease| lease.holder == request.from && lease.token == request.token);
-        if !is_same && !self.may_grant(state, node, request) {
+        let unexpired = node.granted_lease.filter(|lease| lease.expires_at > state.now);
+        let is_extension =
+            unexpired.is_some_and(|lease| lease.holder == request.from && lease.token == request.token);
+        if !is_extension && !self.may_grant(state, node, request) {
             return;
         }
-        steps.add(Step::Receive(machine, *message), |state| grant_lease(state, machine, request, is_same));
+        steps.add(Step::Receive(machine, *message), |state| {
+            grant_lease(state, machine, request, is_extension)
+        });
     }
 
-    /// The answer of a voter to a pre-vote: whether it would vote for a machine, itself included.
+    /// The response of a voter to a pre-vote: whether it would vote for `candidate`, which may be the voter
+    /// itself.
     pub(super) fn would_vote_for(&self, state: &State, voter: usize, candidate: usize) -> bool {
         let node = &state.nodes[voter];
-        let is_free = node.granted_lease.is_none_or(|lease| usize::from(lease.holder) == candidate);
+        let has_no_other_lease =
+            node.granted_lease.is_none_or(|lease| usize::from(lease.holder) == candidate);
         let is_sealed = node.is_sealed() && self.guards.has(Guard::SealStopsVotes);
         let must_wait = node.quarantined_until.max(node.votes_from) > state.now;
-        is_free && !is_sealed && !must_wait && !node.elector.is_lease_holder()
+        has_no_other_lease && !is_sealed && !must_wait && !node.elector.is_lease_holder()
     }
 
     fn may_grant(&self, state: &State, node: &Node, request: &VoteRequest) -> bool {
-        let is_free = node
+        let has_no_other_lease = node
             .granted_lease
             .is_none_or(|lease| lease.expires_at <= state.now || lease.holder == request.from);
-        let is_free = is_free || !self.guards.has(Guard::OneLeaseAtATime);
+        let has_no_conflict = has_no_other_lease || !self.guards.has(Guard::OneLeaseAtATime);
         let is_allowed = if request.is_renewal {
             self.is_current_renewal(node, request)
         } else {
             let is_higher = request.token > node.highest_token || !self.guards.has(Guard::TokensIncrease);
-            let is_of_view =
+            let is_token_of_view =
                 request.token.view() == request.view || !self.guards.has(Guard::TokenIncludesView);
-            state.now >= node.votes_from && is_higher && is_of_view
+            state.now >= node.votes_from && is_higher && is_token_of_view
         };
-        is_free && is_allowed
+        has_no_conflict && is_allowed
     }
 
     fn is_current_renewal(&self, node: &Node, request: &VoteRequest) -> bool {
-        if !self.guards.has(Guard::RenewalsCurrent) {
+        if !self.guards.has(Guard::OutdatedRenewalsDenied) {
             return true;
         }
-        let is_released =
-            node.has_released(request.token, request.from) && self.guards.has(Guard::ReleasedStaysReleased);
-        let is_of_view = request.token.view() <= request.view || !self.guards.has(Guard::TokenIncludesView);
-        request.token >= node.highest_held_token && !is_released && is_of_view
+        let is_released = node.has_released(request.token, request.from)
+            && self.guards.has(Guard::ReleasedTokensNotRenewed);
+        let is_token_of_view =
+            request.token.view() <= request.view || !self.guards.has(Guard::TokenIncludesView);
+        request.token >= node.highest_held_token && !is_released && is_token_of_view
     }
 
     fn handle_release(&self, machine: usize, message: &Message, steps: &mut Steps<'_>) {
@@ -112,7 +117,7 @@
             node.granted_lease.take_if(|lease| lease.holder == from && lease.token == token);
             if was_holder {
                 node.highest_held_token = node.highest_held_token.max(token);
-                // The lease that the voter waits for has ended.
+                // The lease that may have prevented a vote for a new token has ended.
                 if node.votes_from > now {
                     node.votes_from = 0;
                 }
@@ -121,8 +126,8 @@
     }
 }
 
-/// Grants a lease, or extends it: `is_same` says that it runs already. The vote is synced in the same step.
-pub(super) fn grant_lease(state: &mut State, machine: usize, request: &VoteRequest, is_same: bool) {
+/// Grants a lease, or extends an unexpired one (`is_extension`). The vote is synced in the same step.
+pub(super) fn grant_lease(state: &mut State, machine: usize, request: &VoteRequest, is_extension: bool) {
     let VoteRequest { view, from, token, sent_at, is_renewal } = *request;
     let expires_at = state.now + LEASE_TICKS;
     let node = &mut state.nodes[machine];
@@ -130,8 +135,8 @@
     if is_renewal {
         node.highest_held_token = node.highest_held_token.max(token);
     }
-    // The vote on disk stays that of the highest token.
-    if !is_same && token >= node.highest_token {
+    // The synced vote is always that of the highest token.
+    if !is_extension && token >= node.highest_token {
         node.synced_vote = Some(SyncedVote { token, holder: from });
         node.highest_token = token;
     }
--- a/crates/model/src/explorer/fingerprint.rs
+++ b/crates/model/src/explorer/fingerprint.rs
@@ -1,20 +1,21 @@
-//! 64-bit fingerprints of states: states with equal fingerprints count as one.
+//! 64-bit fingerprints of states. The search treats states with equal fingerprints as the same state.
 //!
-//! Among 10 million states two share a fingerprint with a probability of 3 in a million; the search then misses what only
-//! one of them leads to.
+//! The probability that two of 10 million states share a fingerprint is 3 in a million. The search then
+//! misses the states that can be reached only from one of the two.
 
 use std::hash::{Hash, Hasher};
 
-/// The fractional part of the golden ratio.
+/// The initial value: the fractional part of the golden ratio.
 const SEED: u64 = 0x9e37_79b9_7f4a_7c15;
 /// An odd number with evenly spread bits, from wyhash.
 const FACTOR: u64 = 0xa076_1d64_78bd_642f;
 
-/// A hasher that gathers bytes into words and folds each word in by a multiplication to 128 bits, as wyhash does.
+/// A hasher that collects bytes into 64-bit words and mixes each word in with a multiplication to 128 bits,
+/// as wyhash does.
 struct FoldingHasher {
     folded: u64,
     word: u64,
-    /// Bits of `word` that are filled.
+    /// The number of bits of `word` that are in use.
     filled_bits: u32,
 }
 
@@ -42,12 +43,12 @@
         }
     }
 
-    /// Lengths; those in a model are below 256.
+    /// Hashes a length. Lengths in a model are below 256.
     fn write_usize(&mut self, length: usize) {
         self.write_u8(length as u8);
     }
 
-    /// Discriminants of enums; those in a model are below 256.
+    /// Hashes the discriminant of an enum. Discriminants in a model are below 256.
     fn write_isize(&mut self, variant: isize) {
         self.write_u8(variant as u8);
     }
--- a/crates/model/src/explorer/frontier.rs
+++ b/crates/model/src/explorer/frontier.rs
@@ -1,21 +1,21 @@
-//! The states of one depth of a breadth-first search.
+//! The frontier of a breadth-first search: the states of one depth.
 
-/// States of a frontier that a thread takes at a time.
+/// The number of states that a thread takes from the frontier at a time.
 const STATES_PER_CHUNK: usize = 256;
 
 /// States with their fingerprints.
 pub type FrontierChunk<State> = Vec<(u64, State)>;
 
-/// The states of one depth, and what is violated in one of them.
+/// The states of one depth, and the violation found among them, if any.
 pub struct Frontier<State> {
-    /// The states, in chunks that threads take.
+    /// The states, in chunks that are distributed to the threads.
     pub chunks: Vec<FrontierChunk<State>>,
     /// A violated property, with the fingerprint of a state that violates it.
     pub violation: Option<(&'static str, u64)>,
 }
 
 impl<State> Frontier<State> {
-    /// No states.
+    /// An empty frontier.
     pub fn new() -> Self {
         Frontier { chunks: Vec::new(), violation: None }
     }
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Records a violation. Of several the first by name, then by fingerprint, is kept: which thread found it first does
-    /// not matter, so that searches repeat themselves.
+    /// Records a violation. Of several violations the first by property name, then by fingerprint, is kept,
+    /// so that the result of a search does not depend on the timing of its threads.
     pub fn record_violation(&mut self, violation: Option<(&'static str, u64)>) {
         self.violation = self.violation.into_iter().chain(violation).min();
     }
--- a/crates/model/src/explorer/mod.rs
+++ b/crates/model/src/explorer/mod.rs
@@ -1,8 +1,9 @@
-//! An explicit-state model checker: breadth-first search through all reachable states of a model, on several threads.
+//! An explicit-state model checker: a multi-threaded breadth-first search of all reachable states of a model.
 //!
-//! A visited state is kept as its fingerprint together with the fingerprint of its predecessor, 16 bytes; full states are
-//! kept for the frontier and the next one only. A counterexample is therefore found again by walking from an initial state
-//! along the fingerprints. Since the search is breadth-first, it is as short as can be.
+//! For each visited state the search keeps 16 bytes: the fingerprint of the state and that of its
+//! predecessor. Full states are kept only for the current and the next frontier. The steps of a
+//! counterexample are therefore reconstructed by following the fingerprints from an initial state. Since the
+//! search is breadth-first, the counterexample is the shortest one.
 //!
 //! The number of states, the depth and the counterexample do not depend on the number of threads.
 
@@ -21,34 +22,34 @@
 use std::time::Instant;
 use visited::VisitedStates;
 
-/// Threads of a search.
+/// The number of threads of a search.
 const SEARCH_THREADS: usize = 3;
 
-/// A system of states and steps.
+/// A state machine: initial states, and the steps that are possible in each state.
 pub trait Model: Sync {
-    /// Everything that later steps depend on.
+    /// A state. It includes everything that later steps depend on.
     type State: Clone + Hash + Send + Sync;
-    /// What leads from one state to the next, for the trace of a counterexample.
+    /// A step from one state to the next. Its `Debug` form is a line in the trace of a counterexample.
     type Step: Debug;
 
-    /// The states to begin with.
+    /// The initial states.
     fn initial_states(&self) -> Vec<Self::State>;
 
-    /// Appends each step that is possible in a state, with the state after it.
+    /// Appends to `found` each step that is possible in `state`, with the state after the step.
     fn successors(&self, state: &Self::State, found: &mut Vec<(Self::Step, Self::State)>);
 
-    /// The property that does not hold in a state.
+    /// The property that `state` violates, if any.
     fn violated_property(&self, state: &Self::State) -> Option<&'static str>;
 }
 
 /// Searches a model until all states are visited, a property is violated or `max_states` states are visited.
 ///
-/// The limit is checked once a depth, so somewhat more states may be visited. Searches of one process wait for each other,
-/// which bounds the memory of a test run.
+/// The limit is checked once per depth, so the search may visit more states than `max_states`. Searches in
+/// one process run one at a time, which bounds the memory of a test run.
 pub fn search<M: Model>(model: &M, max_states: usize) -> SearchReport {
-    static ONE_SEARCH_AT_A_TIME: Mutex<()> = Mutex::new(());
-    // A search that panicked leaves nothing behind that another one could see.
-    let _lock = ONE_SEARCH_AT_A_TIME.lock().unwrap_or_else(PoisonError::into_inner);
+    static SEARCH_LOCK: Mutex<()> = Mutex::new(());
+    // The lock protects no data, so a search that panicked leaves no inconsistent state behind.
+    let _lock = SEARCH_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let started_at = Instant::now();
     let visited = VisitedStates::new();
     let mut frontier = Frontier::new();
@@ -72,7 +73,7 @@
     }
 }
 
-/// Adds a state to the frontier if it is new, and checks its properties.
+/// Adds a state to the frontier if it was not visited before, and checks its properties.
 fn visit<M: Model>(
     model: &M, state: M::State, predecessor: Option<u64>, visited: &VisitedStates,
     frontier: &mut Frontier<M::State>,
@@ -86,12 +87,12 @@
     frontier.push(fingerprint, state);
 }
 
-/// The new states that are one step from those of a frontier.
+/// The unvisited states that are one step from the states of a frontier.
 fn next_frontier<M: Model>(
     model: &M, chunks: Vec<FrontierChunk<M::State>>, visited: &VisitedStates,
 ) -> Frontier<M::State> {
     let threads = if chunks.len() > 1 { SEARCH_THREADS } else { 1 };
-    // A chunk is dropped as soon as its successors are known.
+    // Each chunk is freed as soon as its successors are known.
     let chunks = Mutex::new(chunks);
     let expand_chunks = || {
         let mut frontier = Frontier::new();
@@ -112,25 +113,25 @@
         let workers: Vec<_> = (1..threads).map(|_| scope.spawn(expand_chunks)).collect();
         frontier.merge(expand_chunks());
         for worker in workers {
-            frontier.merge(worker.join().expect("a panic of a model ends the search"));
+            frontier.merge(worker.join().expect("no search thread panics"));
         }
     });
     frontier
 }
 
-/// The steps from an initial state to a visited one.
+/// Reconstructs the steps from an initial state to the visited state with the fingerprint `last`.
 fn rebuild_path<M: Model>(
     model: &M, visited: &VisitedStates, property: &'static str, last: u64,
 ) -> Counterexample {
     let path = visited.path_to(last);
     let initial = model.initial_states().into_iter().find(|state| fingerprint(state) == path[0]);
-    let mut state = initial.expect("the path begins with an initial state");
+    let mut state = initial.expect("the path starts with an initial state");
     let mut steps = Vec::new();
     for next in &path[1..] {
         let mut found = Vec::new();
         model.successors(&state, &mut found);
         let step = found.into_iter().find(|(_, successor)| fingerprint(successor) == *next);
-        let (step, successor) = step.expect("each state of the path was reached from the one before it");
+        let (step, successor) = step.expect("each state of the path is a successor of the previous one");
         steps.push(format!("{step:?}"));
         state = successor;
     }
--- a/crates/model/src/explorer/report.rs
+++ b/crates/model/src/explorer/report.rs
@@ -3,27 +3,27 @@
 use std::fmt::{Display, Formatter, Result as FormatResult};
 use std::time::Duration;
 
-/// The shortest path to a state in which a property does not hold.
+/// The shortest path to a state that violates a property.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counterexample {
-    /// The property, as named by the model.
+    /// The name of the property, as the model returns it.
     pub property: &'static str,
-    /// The `Debug` form of each step from an initial state on.
+    /// The `Debug` form of each step, starting from an initial state.
     pub steps: Vec<String>,
 }
 
-/// What a search has covered and found.
+/// The coverage and the result of a search.
 #[derive(Clone, Debug)]
 pub struct SearchReport {
-    /// Distinct states visited.
+    /// The number of distinct states visited.
     pub states: usize,
-    /// Steps from an initial state to the farthest one visited.
+    /// The number of steps from an initial state to the farthest visited state.
     pub depth: usize,
-    /// Wall time.
+    /// The wall-clock time of the search.
     pub elapsed: Duration,
     /// Whether every reachable state was visited.
     pub is_complete: bool,
-    /// The shortest counterexample; the search ends with the depth that has one.
+    /// The shortest counterexample. The search ends at the depth that has one.
     pub counterexample: Option<Counterexample>,
 }
 
@@ -34,7 +34,9 @@
         write!(formatter, "{extent} {} states, depth {}, {seconds:.2} s: ", self.states, self.depth)?;
         match &self.counterexample {
             None => write!(formatter, "no counterexample"),
-            Some(found) => write!(formatter, "\"{}\" broken in {} steps", found.property, found.steps.len()),
+            Some(found) => {
+                write!(formatter, "\"{}\" violated in {} steps", found.property, found.steps.len())
+            }
         }
     }
 }
--- a/crates/model/src/explorer/visited.rs
+++ b/crates/model/src/explorer/visited.rs
@@ -5,10 +5,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, MutexGuard};
 
-/// Parts of the table, each under its own lock.
+/// The number of shards of the table. Each has its own lock.
 const SHARD_COUNT: usize = 64;
 
-/// Hashes a fingerprint to itself, since its bits are spread evenly already.
+/// Hashes a fingerprint to itself, since the bits of a fingerprint are already evenly distributed.
 #[derive(Default)]
 struct IdentityHasher(u64);
 
@@ -26,10 +26,11 @@
     }
 }
 
-/// Fingerprints, each with that of its predecessor.
+/// Fingerprints of states, each with the fingerprint of its predecessor.
 type Shard = HashMap<u64, u64, BuildHasherDefault<IdentityHasher>>;
 
-/// The fingerprints of all visited states, each with that of its predecessor. An initial state is its own predecessor.
+/// The fingerprints of all visited states, each with the fingerprint of its predecessor. An initial state is
+/// its own predecessor.
 pub struct VisitedStates {
     shards: Vec<Mutex<Shard>>,
     count: AtomicUsize,
@@ -43,12 +44,12 @@
     }
 
     fn lock_shard(&self, fingerprint: u64) -> MutexGuard<'_, Shard> {
-        // The upper half, since the lower bits choose the bucket within the shard.
+        // The upper half selects the shard, since the lower bits select the bucket within the shard.
         let shard = &self.shards[(fingerprint >> 32) as usize % SHARD_COUNT];
-        shard.lock().expect("no thread panics while it uses the table")
+        shard.lock().expect("no thread panics while it holds the lock of a shard")
     }
 
-    /// Adds a state. Returns whether it is new.
+    /// Adds a state. Returns whether it was not visited before.
     pub fn insert(&self, fingerprint: u64, predecessor: u64) -> bool {
         let mut shard = self.lock_shard(fingerprint);
         if shard.contains_key(&fingerprint) {
@@ -59,7 +60,7 @@
         true
     }
 
-    /// The fingerprints from an initial state to a visited one, both included.
+    /// The fingerprints on the path from an initial state to a visited one, both included.
     pub fn path_to(&self, last: u64) -> Vec<u64> {
         let mut path = vec![last];
         let mut current = last;
@@ -74,7 +75,7 @@
         }
     }
 
-    /// How many states were visited.
+    /// The number of visited states.
     pub fn count(&self) -> usize {
         self.count.load(Ordering::Relaxed)
     }
--- a/crates/model/tests/models/chain_without_guards.rs
+++ b/crates/model/tests/models/chain_without_guards.rs
@@ -1,12 +1,12 @@
-//! The model of the chain without one of its guards: the search finds what the guard prevents.
+//! Searches of the chain model with a guard disabled: each finds the violation that the guard prevents.
 
-use crate::chain::{SUCCESSORS, agreement, bounds, explore};
+use crate::chain::{DEPENDENT_CHANGES, agreement, bounds, explore};
 use crate::{Extent, extent, has_long_bounds, violated_property};
 use lugwharf_model::chain::Guard::{self, *};
 use lugwharf_model::chain::{Bounds, Chain, Guards, SmallSet, property};
 use rstest::rstest;
 
-/// The property that is violated without these guards, and the extent of the search.
+/// The property that is violated without the guards in `removed`, and the extent of the search.
 fn search_without(removed: &[Guard], bounds: Bounds) -> (Option<&'static str>, Extent) {
     let report = explore(&format!("without {removed:?}"), bounds, Guards::without(removed));
     (violated_property(&report), extent(&report))
@@ -19,7 +19,7 @@
 #[case::source_holds_newest_history(SourceHoldsNewestHistory, property::ACKNOWLEDGED_NEVER_LOST, (2_688, 8))]
 #[case::serve_after_install(ServeAfterInstall, property::ACKNOWLEDGED_NEVER_LOST, (130_979, 17))]
 #[case::replace_only_with_spare_replicas(ReplaceOnlyWithSpareReplicas, property::ACKNOWLEDGED_NEVER_LOST, (28_961, 9))]
-#[case::seal_stops_takeover(SealStopsTakeover, property::ACKNOWLEDGED_NEVER_LOST, (181_670, 18))]
+#[case::seal_stops_install(SealStopsInstall, property::ACKNOWLEDGED_NEVER_LOST, (181_670, 18))]
 #[case::leave_after_next_view(LeaveAfterNextView, property::ACKNOWLEDGED_NEVER_LOST, (759, 4))]
 #[case::retries_deduplicated(RetriesDeduplicated, property::COMMITTED_NEVER_REJECTED, (199, 4))]
 #[case::one_change_in_flight(OneChangeInFlight, property::REJECTED_NEVER_COMMITTED, (12_805, 14))]
@@ -38,26 +38,26 @@
     assert_eq!(search_without(&[guard], smallest_bounds(guard)), (Some(property), expected));
 }
 
-/// The smallest bounds within which the guard is needed.
+/// The smallest bounds within which a property is violated without the guard.
 fn smallest_bounds(guard: Guard) -> Bounds {
     let one = Bounds { change_count: 1, ..bounds() };
     let short = Bounds { initial_chain: Chain::of(&[0, 1]), ..one };
     match guard {
         ReplicateAfterSync => Bounds { crashing_machines: SmallSet::of(&[0, 1, 2]), ..one },
-        NewDiskNewIdentity | MinChainLength => Bounds { may_wipe: true, ..one },
+        NewDiskNewIdentity | MinChainLength => Bounds { may_lose_disk: true, ..one },
         SourceHoldsNewestHistory => short,
         ServeAfterInstall => Bounds { max_proposals: [1, 1], max_chain_length: 2, ..one },
-        LeaveAfterNextView => Bounds { may_leave: true, may_wipe: true, may_add_newcomer: true, ..short },
-        ReplaceOnlyWithSpareReplicas => Bounds { may_wipe: true, may_add_newcomer: true, ..short },
+        LeaveAfterNextView => Bounds { may_leave: true, may_lose_disk: true, may_add_learner: true, ..short },
+        ReplaceOnlyWithSpareReplicas => Bounds { may_lose_disk: true, may_add_learner: true, ..short },
         ReadsConfirmed => Bounds { max_confirmations: 1, ..one },
-        RejectionsConfirmed => Bounds { changes: SUCCESSORS, ..bounds() },
+        RejectionsConfirmed => Bounds { changes: DEPENDENT_CHANGES, ..bounds() },
         SealStopsConfirmation => {
-            Bounds { may_add_newcomer: true, max_confirmations: 1, max_chain_length: 2, ..one }
+            Bounds { may_add_learner: true, max_confirmations: 1, max_chain_length: 2, ..one }
         }
         PrepareAfterSync | RoundRecoveredOnRestart => agreement(&[0]),
         PromiseAfterSync | AcceptedAfterSync => agreement(&[1]),
         LowerProposalsRejected | AcceptedViewAdopted => agreement(&[]),
-        SealStopsReplication | SealStopsTakeover => {
+        SealStopsReplication | SealStopsInstall => {
             Bounds { max_proposals: [1, 1], max_chain_length: 2, ..one }
         }
         OneViewPerProposal => Bounds { max_proposals: [3, 0], ..agreement(&[0]) },
@@ -65,12 +65,13 @@
     }
 }
 
-/// A sealed replica that goes on replicating does no harm alone: what is committed in its view is in the history of each
-/// replica of the chain, and the source of the next view offers its history as it is when it enters that view.
+/// A sealed replica that continues to replicate causes no violation by itself: an entry that is committed in
+/// its view is in the history of each replica of the chain, and the source of the next view sends its history
+/// as of the moment when it enters that view.
 #[test]
 fn sealing_stops_installation_or_replication() {
     let bounds = smallest_bounds(SealStopsReplication);
-    let both = [SealStopsTakeover, SealStopsReplication];
+    let both = [SealStopsInstall, SealStopsReplication];
     let expected = (Some(property::ACKNOWLEDGED_NEVER_LOST), (197_857, 17));
     assert_eq!(search_without(&both, bounds), expected);
     if has_long_bounds() {
@@ -78,7 +79,7 @@
     }
 }
 
-/// An acceptor never receives a second view under one proposal number, since no number is used twice.
+/// An acceptor never receives two views under one proposal number, since no number is used twice.
 #[test]
 fn a_unique_proposal_number_names_one_view() {
     if has_long_bounds() {
--- a/crates/model/tests/models/election.rs
+++ b/crates/model/tests/models/election.rs
@@ -1,4 +1,4 @@
-//! The model of the election, with all guards and without some.
+//! Searches of the election model, with all guards and with some disabled.
 
 use crate::{Extent, assert_holds, extent, has_long_bounds, run, violated_property};
 use lugwharf_model::election::Guard::{self, *};
@@ -6,10 +6,11 @@
 use lugwharf_model::explorer::SearchReport;
 use rstest::rstest;
 
-/// More states than any of the searches visits: they need less than 2 GB.
+/// The limit of states per search, above what any of them visits. A search at the limit needs less than 2 GB
+/// of memory.
 const MAX_STATES: usize = 16_000_000;
 
-/// Two campaigns within three ticks.
+/// Two campaigns within three ticks, without faults except for lost and delayed messages.
 fn bounds() -> Bounds {
     Bounds {
         max_ticks: 3,
@@ -22,7 +23,7 @@
     }
 }
 
-/// A second view within two ticks; `candidates` may campaign.
+/// A view change within two ticks; the machines in `candidates` may campaign.
 fn across_views(candidates: &'static [usize]) -> Bounds {
     Bounds { max_ticks: 2, candidates, may_change_view: true, ..bounds() }
 }
@@ -31,7 +32,7 @@
     run(name, &ElectionModel { bounds, guards }, &bounds, MAX_STATES)
 }
 
-/// The property that is violated without these guards, and the extent of the search.
+/// The property that is violated without the guards in `removed`, and the extent of the search.
 fn search_without(removed: &[Guard], bounds: Bounds) -> (Option<&'static str>, Extent) {
     let report = explore(&format!("without {removed:?}"), bounds, Guards::without(removed));
     (violated_property(&report), extent(&report))
@@ -49,7 +50,7 @@
     assert_eq!(extent(&report), expected);
 }
 
-/// The bounds of `MODEL_BOUNDS=long`.
+/// The bounds that are searched in addition with `MODEL_BOUNDS=long`.
 fn long_bounds() -> Vec<(&'static str, Bounds)> {
     let across = across_views(&[0, 1, 2, 3]);
     vec![
@@ -93,7 +94,8 @@
     assert_eq!(search_without(&[guard], bounds), (Some(property), expected));
 }
 
-/// The second guard prevents all that the first one prevents: only without both a property is violated.
+/// Another guard prevents the violations that the first one prevents: a property is violated only without
+/// both.
 #[rstest]
 #[case::tokens_increase(&[TokensIncrease, CampaignsTimeOut], bounds(), [(5_632, 14), (8_021, 12)])]
 #[case::regrant_after_restart(&[RegrantAfterRestart, NoVotesAfterRestart], Bounds { max_crashes: 1, ..bounds() }, [(38_909, 15), (25_397, 11)])]
@@ -108,8 +110,9 @@
     assert_eq!(extent, expected[1]);
 }
 
-/// A candidate that accepts a later view must not acquire the lease long after, since the holder may renew in the later view
-/// meanwhile. Either of these prevents it: the pre-vote, or the end of a campaign before the lease expires.
+/// A candidate that accepts a later view must not acquire the lease long afterwards, since the holder may
+/// have renewed its lease in the later view. Either guard prevents this: the pre-vote, or the timeout of a
+/// campaign before the lease expires.
 #[test]
 fn a_candidate_of_an_earlier_view_acquires_no_lease_late() {
     let bounds = Bounds { max_renewals: 1, ..across_views(&[1, 2]) };
@@ -121,11 +124,11 @@
     }
 }
 
-/// These guards make the next election start soon, or keep a renewal that was delayed from being granted; no property needs
-/// them.
+/// These guards let the next election start sooner, or prevent that a delayed renewal is granted. No safety
+/// property depends on them.
 #[rstest]
-#[case::released_stays_released(ReleasedStaysReleased, Bounds { max_ticks: 2, max_renewals: 1, max_releases: 1, candidates: &[0, 1], ..bounds() }, (249_739, 23))]
-#[case::renewals_current(RenewalsCurrent, Bounds { max_renewals: 1, ..across_views(&[1, 3]) }, (205_893, 24))]
+#[case::released_tokens_not_renewed(ReleasedTokensNotRenewed, Bounds { max_ticks: 2, max_renewals: 1, max_releases: 1, candidates: &[0, 1], ..bounds() }, (249_739, 23))]
+#[case::outdated_renewals_denied(OutdatedRenewalsDenied, Bounds { max_renewals: 1, ..across_views(&[1, 3]) }, (205_893, 24))]
 fn a_guard_for_progress_prevents_no_violation(
     #[case] guard: Guard, #[case] bounds: Bounds, #[case] expected: Extent,
 ) {
--- a/crates/model/tests/models/main.rs
+++ b/crates/model/tests/models/main.rs
@@ -1,8 +1,8 @@
-//! Exhaustive searches of the models, each within stated bounds.
+//! Exhaustive searches of the models, each within fixed bounds.
 //!
-//! `cargo test -p lugwharf-model -- --nocapture` prints the bounds, the number of states and the seconds of each search.
-//! `MODEL_BOUNDS=long` in the environment searches the long bounds as well (use `--release`); `MODEL_TRACE=1` prints the
-//! steps of each counterexample. The results are listed in `docs/design/model.md`.
+//! `cargo test -p lugwharf-model -- --nocapture` prints the bounds, the number of states and the seconds of
+//! each search. `MODEL_BOUNDS=long` in the environment searches the long bounds as well (use `--release`);
+//! `MODEL_TRACE=1` prints the steps of each counterexample. The results are listed in `docs/design/model.md`.
 
 mod chain;
 mod chain_without_guards;
@@ -11,8 +11,8 @@
 use lugwharf_model::explorer::{Model, SearchReport, search};
 use std::fmt::Debug;
 
-/// The number of states that a search visits, and its depth. Literals in the tests: a change of a model that alters them must
-/// say why.
+/// The number of states that a search visits, and its depth. The tests contain these as literals: a commit
+/// that changes them must explain why.
 type Extent = (usize, usize);
 
 /// Whether the long bounds are searched as well.
@@ -20,7 +20,7 @@
     std::env::var("MODEL_BOUNDS").is_ok_and(|bounds| bounds == "long")
 }
 
-/// Searches a model, and prints what the search covered.
+/// Searches a model, and prints the coverage and the result of the search.
 fn run(name: &str, model: &impl Model, bounds: &impl Debug, max_states: usize) -> SearchReport {
     let report = search(model, max_states);
     println!("{name}: {report}; {bounds:?}");
@@ -35,14 +35,17 @@
     (report.states, report.depth)
 }
 
-/// All states are visited and none violates a property.
+/// Asserts that the search visited all states and that none of them violates a property.
 fn assert_holds(report: &SearchReport) {
     assert_eq!(report.counterexample, None);
-    assert!(report.is_complete, "the bounds are too wide");
+    assert!(report.is_complete, "the search reached its limit of states before it had visited all of them");
 }
 
-/// The violated property of a search that visited all states or found one.
+/// The violated property, if any. The search must have visited all states or found a violation.
 fn violated_property(report: &SearchReport) -> Option<&'static str> {
-    assert!(report.is_complete || report.counterexample.is_some(), "the bounds are too wide");
+    assert!(
+        report.is_complete || report.counterexample.is_some(),
+        "the search reached its limit of states before it had visited all of them or found a violation"
+    );
     report.counterexample.as_ref().map(|found| found.property)
 }
