--- a/crates/soak/src/campaign.rs
+++ b/crates/soak/src/campaign.rs
@@ -1,4 +1,4 @@
-//! Plays many seeds, and minimizes the schedule of one that fails.
+//! Runs many seeds, and minimizes the schedule of a failing seed.
 
 use crate::command_line::Plan;
 use eyre::Result;
@@ -7,14 +7,14 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Mutex, PoisonError};
 
-/// Plays seeds, `jobs` of them at a time, and prints one line for each and a summary. Returns whether all were played and
-/// none had findings.
+/// Runs seeds, `jobs` of them at a time, and prints the result of each and a summary. Returns whether all
+/// seeds were run and none had findings.
 pub fn play_seeds(plan: &Plan, seeds: &[u64], jobs: usize) -> bool {
-    let next = AtomicUsize::new(0);
+    let next_index = AtomicUsize::new(0);
     let not_played = AtomicUsize::new(0);
     let summary = Mutex::new(Summary::default());
     let play_remaining = || {
-        while let Some(seed) = seeds.get(next.fetch_add(1, Ordering::Relaxed)) {
+        while let Some(seed) = seeds.get(next_index.fetch_add(1, Ordering::Relaxed)) {
             match play_seed(plan, *seed, plan.schedule.clone()) {
                 Ok(outcome) => {
                     report(plan, *seed, &outcome);
@@ -47,7 +47,7 @@
     Scenario { has_startup_faults: plan.has_startup_faults, ..scenario }
 }
 
-/// Plays a schedule, or else the one that the seed draws.
+/// Runs `schedule`, or the one drawn from the seed if it is `None`.
 fn play_seed(plan: &Plan, seed: u64, schedule: Option<Schedule>) -> Result<RunOutcome> {
     let scenario = scenario(plan, seed);
     let schedule = schedule.unwrap_or_else(|| Schedule::draw_from_kinds(&scenario, &plan.kinds));
@@ -55,7 +55,7 @@
     runtime.block_on(run(&plan.binary, &scenario, &schedule))
 }
 
-/// Prints the result of a seed, and writes its records if it has findings or all are kept.
+/// Prints the result of a seed, and writes its records if it has findings or all records are kept.
 fn report(plan: &Plan, seed: u64, outcome: &RunOutcome) {
     match outcome.findings.first() {
         None => println!("seed {seed}: ok, {} of {} requests", outcome.successes, outcome.requests),
@@ -74,8 +74,9 @@
     }
 }
 
-/// Leaves out one fault after the other of a failing seed, as long as the first finding is of the same rule. Writes the
-/// schedule that remains. Returns whether the seed has no findings at all.
+/// Removes each fault from the schedule of a failing seed without which the first finding still has the same
+/// rule, and writes the remaining schedule. Returns whether the seed has no findings even with the full
+/// schedule.
 pub fn minimize(plan: &Plan, seed: u64) -> Result<bool> {
     let scenario = scenario(plan, seed);
     let drawn = || Schedule::draw_from_kinds(&scenario, &plan.kinds);
@@ -86,11 +87,11 @@
     };
     let mut index = 0;
     while index < schedule.faults.len() {
-        let mut reduced = schedule.clone();
-        let left_out = reduced.faults.remove(index);
-        if first_rule(plan, seed, &reduced)? == Some(rule) {
-            println!("not needed: {left_out}");
-            schedule = reduced;
+        let mut reduced_schedule = schedule.clone();
+        let removed_fault = reduced_schedule.faults.remove(index);
+        if first_rule(plan, seed, &reduced_schedule)? == Some(rule) {
+            println!("not needed: {removed_fault}");
+            schedule = reduced_schedule;
         } else {
             index += 1;
         }
@@ -100,7 +101,7 @@
     Ok(false)
 }
 
-/// The rule of the first finding of a run.
+/// Runs a schedule and returns the rule of its first finding, if any.
 fn first_rule(plan: &Plan, seed: u64, schedule: &Schedule) -> Result<Option<&'static str>> {
     let outcome = play_seed(plan, seed, Some(schedule.clone()))?;
     Ok(outcome.findings.first().map(|finding| finding.rule))
--- a/crates/soak/src/checker/mod.rs
+++ b/crates/soak/src/checker/mod.rs
@@ -1,16 +1,17 @@
-//! Checks the records of a run: what clients, servers and operators observed, never what the processes say of themselves.
+//! Checks the records of a run. The records contain what clients, servers and operators observed, not what
+//! the processes report about themselves.
 //!
 //! | module | checks |
 //! | --- | --- |
-//! | `records` | (the records that the checks read) |
+//! | `records` | none: the records that the checks read |
 //! | `requests` | executions, responses, failures and their log lines, disconnected clients |
 //! | `routes` | which service executed a request |
-//! | `servers` | draining servers, and orders |
+//! | `servers` | draining servers, and stage orders |
 //! | `configurations` | writes and reads of configurations |
-//! | `excuses` | which failures a scheduled fault explains, and for how long |
+//! | `fault_attribution` | which failures a scheduled fault explains, and for how long |
 
 mod configurations;
-mod excuses;
+mod fault_attribution;
 mod records;
 mod requests;
 mod routes;
@@ -20,7 +21,7 @@
 
 pub use records::{DrainedServer, HostedControl, RunRecords};
 
-/// All violations that the records show.
+/// Runs all checks, and returns the violations.
 pub fn check(records: &RunRecords<'_>) -> Vec<Finding> {
     let mut found = Vec::new();
     requests::check(records, &mut found);
--- a/crates/soak/src/checker/records.rs
+++ b/crates/soak/src/checker/records.rs
@@ -10,41 +10,42 @@
 /// A server that was listed as draining.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainedServer {
-    /// The id of the incarnation.
+    /// The instance id of the server.
     pub instance: String,
-    /// When it was listed as draining, since the start of the environment.
+    /// When the server was listed as draining, since the start of the run.
     pub since: Duration,
 }
 
-/// What the agents of front-end nodes serve operators, where there are no machines for control; nothing elsewhere.
+/// The control that front-end nodes host; empty if there are dedicated control nodes.
 #[derive(Clone, Debug, Default)]
 pub struct HostedControl {
-    /// Where the agent of each front-end node serves operators, by index.
+    /// The address at which the agent of each front-end node serves operators, by the index of the node.
     pub addresses: Vec<SocketAddr>,
-    /// How many of them host a replica, from the first one on; the others forward.
+    /// The number of front-end nodes that host a replica; they are the first ones. The others forward to
+    /// them.
     pub replica_count: usize,
 }
 
 impl HostedControl {
-    /// The replicas that may be lost at a time while a majority is left.
+    /// The number of replicas that may fail at the same time while a majority remains.
     pub fn fault_tolerance(&self) -> usize {
         self.replica_count.saturating_sub(1) / 2
     }
 }
 
-/// The records of a run. All times are since the start of the environment.
+/// The records of a run. All times are since the start of the run.
 pub struct RunRecords<'a> {
-    /// The faults, with the times at which they were injected and recovered from in fact.
+    /// The faults, with the actual times of injection and recovery.
     pub schedule: &'a Schedule,
-    /// What the servers received and executed.
+    /// The requests and orders that the servers received and executed.
     pub request_log: &'a RequestLog,
-    /// What the clients sent and received.
+    /// The requests that the clients sent, with their outcomes.
     pub attempts: &'a [Attempt],
-    /// What the operators sent and received.
+    /// The writes and reads of the operators, with their outcomes.
     pub operator_log: &'a OperatorLog,
-    /// The log of each front-end node's proxy.
+    /// The log of the proxy of each front-end node.
     pub proxy_logs: &'a [String],
-    /// Lines about failed requests that each front-end node's proxy has omitted.
+    /// The number of log lines about failed requests that the proxy of each front-end node has omitted.
     pub omitted_log_lines: &'a [u64],
     /// The servers that were listed as draining.
     pub drained_servers: &'a [DrainedServer],
--- a/crates/soak/src/checker/routes.rs
+++ b/crates/soak/src/checker/routes.rs
@@ -1,6 +1,7 @@
-//! Checks of routes: a request is executed by a service that a configuration in force names for it.
+//! Checks of routes: a request must be executed by the service that a configuration in force names for its
+//! path.
 
-use super::excuses::is_routing_calm;
+use super::fault_attribution::is_routing_undisturbed;
 use super::records::RunRecords;
 use crate::configuration::{INITIAL_VERSION, MOVING_PREFIX, moving_service};
 use crate::finding::Finding;
@@ -9,11 +10,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// `ConfigMs` of the fleet's settings, with a harness that is a little late: an acknowledged configuration is in force at each
-/// front-end node within it.
+/// The time within which an acknowledged configuration is in force at each front-end node: `ConfigMs` of the
+/// fleet's settings (2,000 ms) plus a margin for delays of the harness.
 const CONFIG_TIMEOUT: Duration = Duration::from_millis(2_100);
 
-/// Requests to the prefix whose service changes are executed as a version says that may be in force.
+/// Checks that each request to the prefix whose service changes is executed by the service of a version that
+/// may be in force.
 pub fn check(records: &RunRecords<'_>, found: &mut Vec<Finding>) {
     let writes = records.operator_log.writes();
     let attempts =
@@ -22,21 +24,21 @@
         attempts.map(|attempt| (attempt.outcome.request_id.as_str(), attempt)).collect();
     for execution in records.request_log.executions() {
         let Some(attempt) = attempts.get(execution.request_id.as_str()) else { continue };
-        if !is_routing_calm(records, attempt) {
+        if !is_routing_undisturbed(records, attempt) {
             continue;
         }
         let allowed = allowed_services(&writes, attempt);
         if !allowed.contains(execution.service.as_str()) {
             let (id, service, at) =
                 (&execution.request_id, &execution.service, attempt.started_at.as_millis());
-            let facts = format!("{id} of {at} ms was executed by {service}, allowed: {allowed:?}");
+            let facts = format!("{id} sent at {at} ms was executed by {service}, allowed: {allowed:?}");
             found.push(Finding { rule: "route", facts });
         }
     }
 }
 
-/// The services behind the prefix in the versions that may be in force: the newest that has been in force everywhere since
-/// before the attempt, and all that were written later.
+/// The services of the prefix in all versions that may be in force during an attempt: the newest version that
+/// was in force at all front-end nodes before the attempt, and all versions that were written later.
 fn allowed_services(writes: &[ConfigWrite], attempt: &Attempt) -> BTreeSet<&'static str> {
     let settled = writes
         .iter()
--- a/crates/soak/src/checker/servers.rs
+++ b/crates/soak/src/checker/servers.rs
@@ -1,6 +1,6 @@
-//! Checks of what servers received besides client requests, and of servers that drain.
+//! Checks of draining servers, and of the stage orders that servers received.
 
-use super::excuses::CONTROL_MARGIN;
+use super::fault_attribution::CONTROL_MARGIN;
 use super::records::RunRecords;
 use crate::fault::FaultKind;
 use crate::finding::Finding;
@@ -8,11 +8,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// `DrainMs` of the fleet's settings (3,000 ms), with the list's own lag and a harness that is a little late.
+/// The time after which a draining server must receive no request: `DrainMs` of the fleet's settings (3,000
+/// ms) plus a margin for the lag of the list and for delays of the harness.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(3_300);
-/// An order that was on its way when its sender learned that a server refused its token arrives within this.
+/// The maximum time in which an order may still arrive that was in transit when its sender learned that a
+/// server had refused its token.
 const REFUSAL_MARGIN: Duration = Duration::from_millis(1_000);
-/// Orders to one server in a run without faults: one to change its stage, and one to change it back.
+/// The maximum number of orders to one server in a run without faults: one that changes its stage, and one
+/// that changes it back.
 const MAX_ORDERS_PER_SERVER: usize = 2;
 
 /// Runs all checks of this module.
@@ -22,7 +25,8 @@
     check_refused_tokens(records, found);
 }
 
-/// No request reaches a server long after the list has shown that it drains, unless a fault may have delayed the list.
+/// Checks that no request reaches a server long after it was listed as draining, unless a fault may have
+/// delayed updates of the list.
 fn check_draining_servers(records: &RunRecords<'_>, found: &mut Vec<Finding>) {
     let arrivals = records.request_log.arrivals();
     for drained in records.drained_servers {
@@ -34,12 +38,12 @@
             continue;
         }
         let (id, since, at) = (&drained.instance, drained.since.as_millis(), late.at.as_millis());
-        let facts = format!("{id} drains since {since} ms, reached at {at} ms");
+        let facts = format!("{id} has been draining since {since} ms, but received a request at {at} ms");
         found.push(Finding { rule: "drain", facts });
     }
 }
 
-/// The sender of an order, by the order's body.
+/// The sender of an order, as named in the body of the order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct OrderSender {
     token: u64,
@@ -47,7 +51,7 @@
 }
 
 impl OrderSender {
-    /// The sender that an order names; `None` if the body is no order.
+    /// The sender that an order names; `None` if the body is malformed.
     fn of(order: &ReceivedOrder) -> Option<OrderSender> {
         let body: serde_json::Value = serde_json::from_str(&order.body).ok()?;
         let (token, holder) = (body["Fence"].as_u64()?, body["Holder"].as_str()?);
@@ -55,18 +59,22 @@
     }
 }
 
-/// A fencing token has one holder, and without faults no server is ordered back and forth.
+/// Checks that each fencing token has one holder, and that without faults no server is repeatedly ordered to
+/// change its stage.
 fn check_orders(records: &RunRecords<'_>, found: &mut Vec<Finding>) {
     let mut holder_by_token: BTreeMap<u64, String> = BTreeMap::new();
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
     for order in records.request_log.orders() {
         let Some(OrderSender { token, holder }) = OrderSender::of(&order) else {
-            found.push(Finding { rule: "order", facts: format!("no order: {}", order.body) });
+            found.push(Finding { rule: "order", facts: format!("malformed order: {}", order.body) });
             continue;
         };
-        let known = holder_by_token.entry(token).or_insert_with(|| holder.clone());
-        if *known != holder {
-            found.push(Finding { rule: "order", facts: format!("token {token} of {known} and {holder}") });
+        let first_holder = holder_by_token.entry(token).or_insert_with(|| holder.clone());
+        if *first_holder != holder {
+            found.push(Finding {
+                rule: "order",
+                facts: format!("token {token} of {first_holder} and {holder}"),
+            });
         }
         *counts.entry(order.instance).or_default() += 1;
     }
@@ -77,16 +85,20 @@
     }
 }
 
-/// Whoever was refused by a server that had seen a higher token orders nothing more under its own, at whatever server.
+/// Checks that a sender whose token a server has refused, because it had seen a higher one, sends no more
+/// orders under that token to any server.
 fn check_refused_tokens(records: &RunRecords<'_>, found: &mut Vec<Finding>) {
     let mut seen_tokens: BTreeMap<String, u64> = BTreeMap::new();
     let mut refused_at: BTreeMap<OrderSender, Duration> = BTreeMap::new();
     for order in records.request_log.orders() {
         let Some(sender) = OrderSender::of(&order) else { continue };
-        let knows = refused_at.get(&sender).is_some_and(|at| order.at > *at + REFUSAL_MARGIN);
-        if knows {
+        let is_refusal_known = refused_at.get(&sender).is_some_and(|at| order.at > *at + REFUSAL_MARGIN);
+        if is_refusal_known {
             let OrderSender { token, holder } = &sender;
-            let facts = format!("{holder} orders {} under {token}, which was refused", order.instance);
+            let facts = format!(
+                "{holder} sent an order to {} under token {token}, which was refused",
+                order.instance
+            );
             found.push(Finding { rule: "refused_token", facts });
         }
         let seen = seen_tokens.entry(order.instance).or_default();
@@ -98,10 +110,13 @@
     }
 }
 
-/// Whether the response to an order may not reach its sender.
+/// Whether a fault may have prevented the response to an order at a given time from reaching the sender.
 fn may_lose_refusals(records: &RunRecords<'_>, at: Duration) -> bool {
     let mut faults = records.schedule.faults.iter().filter(|fault| {
-        matches!(fault.kind, FaultKind::AnswersLost | FaultKind::AnswersGarbled | FaultKind::ServerDark)
+        matches!(
+            fault.kind,
+            FaultKind::ResponsesLost | FaultKind::ResponsesMalformed | FaultKind::ServerBlackhole
+        )
     });
     faults.any(|fault| fault.start <= at + REFUSAL_MARGIN && at <= fault.end())
 }
--- a/crates/soak/src/checker_tests.rs
+++ b/crates/soak/src/checker_tests.rs
@@ -1,4 +1,4 @@
-//! The findings of the checker on records made by hand, rule by rule.
+//! Tests of each rule of the checker, on hand-written records.
 
 use crate::checker::{DrainedServer, HostedControl, RunRecords, check};
 use crate::configuration::{ALTERNATE_SERVICE, PLAIN_SERVICE};
@@ -19,8 +19,8 @@
     Duration::from_millis(millis)
 }
 
-/// The records of a run, to be filled in by a test.
-struct Scene {
+/// The records of a run, which a test fills in.
+struct RunFixture {
     schedule: Schedule,
     request_log: RequestLog,
     attempts: Vec<Attempt>,
@@ -31,10 +31,10 @@
     hosted_control: HostedControl,
 }
 
-impl Scene {
-    /// Empty records of a run with these faults, in the text form of a schedule.
-    fn new(schedule: &str) -> Scene {
-        Scene {
+impl RunFixture {
+    /// Empty records of a run with the faults of a schedule in text form.
+    fn new(schedule: &str) -> RunFixture {
+        RunFixture {
             schedule: Schedule::parse(schedule).expect("a schedule"),
             request_log: RequestLog::new(),
             attempts: Vec::new(),
@@ -66,7 +66,7 @@
         self.findings().into_iter().map(|(rule, _)| rule).collect()
     }
 
-    /// A request `ab` to front 0 that ran from 10,000 to 10,200 ms.
+    /// Adds the request `ab` to front-end node 0, sent at 10,000 ms and ended at 10,200 ms.
     fn attempt(&mut self, behaviour: Behaviour, ending: AttemptEnd) -> &mut Attempt {
         let request = ClientRequest::post("ab", "shop.example", "/read/1", RequestKind::Safe);
         let mut outcome = request.outcome();
@@ -142,19 +142,22 @@
 
 #[test]
 fn a_failed_request_is_reported_unless_a_fault_explains_it_and_a_log_line_records_it() {
-    let mut scene = Scene::new("");
-    assert_eq!(scene.findings(), []);
-    scene.attempt(Behaviour::Steady, AttemptEnd::Truncated);
+    let mut fixture = RunFixture::new("");
+    assert_eq!(fixture.findings(), []);
+    fixture.attempt(Behaviour::Steady, AttemptEnd::Truncated);
     let expected = [
         ("failed_without_cause", "ab /read/1 Steady front 0 10000..10200 ms Truncated None"),
-        ("unexplained", "front 0: 1 without a line, 0 left out; ab /read/1 Steady front 0 10000..10200 ms"),
+        (
+            "unexplained",
+            "front 0: 1 failed requests without a log line, 0 lines omitted; ab /read/1 Steady front 0 10000..10200 ms",
+        ),
     ];
-    assert_eq!(scene.findings(), expected.map(|(rule, facts)| (rule, facts.to_owned())));
-    scene.proxy_logs[0] = "WARN request failed request_id=ab status=502".to_owned();
-    assert_eq!(scene.rules(), ["failed_without_cause"]);
-    scene.proxy_logs[0].clear();
-    scene.omitted_log_lines[0] = 1;
-    assert_eq!(scene.rules(), ["failed_without_cause"]);
+    assert_eq!(fixture.findings(), expected.map(|(rule, facts)| (rule, facts.to_owned())));
+    fixture.proxy_logs[0] = "WARN request failed request_id=ab status=502".to_owned();
+    assert_eq!(fixture.rules(), ["failed_without_cause"]);
+    fixture.proxy_logs[0].clear();
+    fixture.omitted_log_lines[0] = 1;
+    assert_eq!(fixture.rules(), ["failed_without_cause"]);
 }
 
 #[rstest]
@@ -164,68 +167,70 @@
 #[case::long_before("proxy_kill 8000 500 2 0", &["failed_without_cause", "unexplained"])]
 #[case::shortly_after("proxy_kill 11699 100 0 0", &[])]
 #[case::long_after("proxy_kill 11700 100 0 0", &["failed_without_cause", "unexplained"])]
-#[case::within_the_grace("front_term 100 501 0 0", &[])]
-#[case::after_the_grace("front_term 100 400 0 0", &["failed_without_cause", "unexplained"])]
+#[case::within_the_grace_period("front_term 100 501 0 0", &[])]
+#[case::after_the_grace_period("front_term 100 400 0 0", &["failed_without_cause", "unexplained"])]
 #[case::at_a_server("server_dark 8000 1001 0 0", &["unexplained"])]
 #[case::at_a_server_before("server_dark 8000 1000 0 0", &["failed_without_cause", "unexplained"])]
 #[case::at_a_server_within_the_lag_of_the_harness("server_failing 10249 1000 0 0", &["unexplained"])]
 #[case::at_a_server_afterwards("server_failing 10250 1000 0 0", &["failed_without_cause", "unexplained"])]
-#[case::while_a_server_is_gone("server_crash 8000 5000 0 0", &["failed_without_cause", "unexplained"])]
-#[case::as_a_server_crashes("server_crash 9001 5000 0 0", &["unexplained"])]
+#[case::while_a_crashed_server_is_down("server_crash 8000 5000 0 0", &["failed_without_cause", "unexplained"])]
+#[case::when_a_server_crashes("server_crash 9001 5000 0 0", &["unexplained"])]
 #[case::while_a_server_drains("server_drain 9500 5000 0 0", &["failed_without_cause", "unexplained"])]
-#[case::as_a_drained_server_ends("server_drain 5000 5000 0 0", &["unexplained"])]
+#[case::when_a_drained_server_stops("server_drain 5000 5000 0 0", &["unexplained"])]
 #[case::at_control("control_kill 10000 1000 0 0", &["failed_without_cause", "unexplained"])]
-fn a_fault_excuses_only_the_requests_that_it_can_affect(#[case] schedule: &str, #[case] expected: &[&str]) {
-    let mut scene = Scene::new(schedule);
-    scene.attempt(Behaviour::Slow, AttemptEnd::Truncated);
-    assert_eq!(scene.rules(), expected);
+fn a_fault_explains_only_failures_of_requests_that_it_can_affect(
+    #[case] schedule: &str, #[case] expected: &[&str],
+) {
+    let mut fixture = RunFixture::new(schedule);
+    fixture.attempt(Behaviour::Slow, AttemptEnd::Truncated);
+    assert_eq!(fixture.rules(), expected);
 }
 
 #[rstest]
 #[case::terminated("front_term 10000 100 0 0", AttemptEnd::Truncated, true, &["failed_without_cause", "unexplained"])]
-#[case::crowded("crowd 10000 100 0 0", AttemptEnd::Truncated, true, &["failed_without_cause", "unexplained"])]
+#[case::connection_flood("crowd 10000 100 0 0", AttemptEnd::Truncated, true, &["failed_without_cause", "unexplained"])]
 #[case::killed("proxy_kill 10000 100 0 0", AttemptEnd::Truncated, true, &[])]
 #[case::not_forwarded("front_term 10000 100 0 0", AttemptEnd::Truncated, false, &[])]
 #[case::not_connected("front_term 10000 100 0 0", AttemptEnd::ConnectFailed, true, &[])]
-#[case::outlasting_the_grace("front_term 3533 100 0 0", AttemptEnd::Truncated, true, &[])]
-#[case::within_the_grace("front_term 3534 100 0 0", AttemptEnd::Truncated, true, &["failed_without_cause", "unexplained"])]
-fn a_front_that_terminates_must_complete_the_requests_that_it_forwarded(
+#[case::at_the_end_of_the_grace_period("front_term 3533 100 0 0", AttemptEnd::Truncated, true, &[])]
+#[case::within_the_grace_period("front_term 3534 100 0 0", AttemptEnd::Truncated, true, &["failed_without_cause", "unexplained"])]
+fn a_terminating_front_must_complete_the_requests_that_it_forwarded(
     #[case] schedule: &str, #[case] ending: AttemptEnd, #[case] has_arrived: bool, #[case] expected: &[&str],
 ) {
-    let mut scene = Scene::new(schedule);
-    scene.attempt(Behaviour::Steady, ending);
+    let mut fixture = RunFixture::new(schedule);
+    fixture.attempt(Behaviour::Steady, ending);
     if has_arrived {
-        scene.arrive("i-0-1", ms(10_050));
+        fixture.arrive("i-0-1", ms(10_050));
     }
-    assert_eq!(scene.rules(), expected);
+    assert_eq!(fixture.rules(), expected);
 }
 
 #[test]
 fn clients_that_disconnect_may_fail_but_get_no_wrong_response() {
-    let mut scene = Scene::new("");
-    scene.attempt(Behaviour::Stopping, AttemptEnd::Truncated);
-    scene.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
-    assert_eq!(scene.findings(), []);
-    scene.attempts[0].outcome.failed_checks.push(FailedCheck::MissingStamp);
+    let mut fixture = RunFixture::new("");
+    fixture.attempt(Behaviour::Stopping, AttemptEnd::Truncated);
+    fixture.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
+    assert_eq!(fixture.findings(), []);
+    fixture.attempts[0].outcome.failed_checks.push(FailedCheck::MissingStamp);
     let facts = "ab /read/1 Stopping front 0 10000..10200 ms Truncated [MissingStamp]";
-    assert_eq!(scene.findings(), [("answer", facts.to_owned())]);
+    assert_eq!(fixture.findings(), [("answer", facts.to_owned())]);
 }
 
 #[test]
-fn server_faults_excuse_no_request_after_the_recovery() {
-    let mut scene = Scene::new("server_dark 49500 1000 0 0");
-    scene.omitted_log_lines[0] = 1;
-    let attempt = scene.attempt(Behaviour::Steady, AttemptEnd::Truncated);
+fn server_faults_explain_no_failed_request_after_the_recovery() {
+    let mut fixture = RunFixture::new("server_dark 49500 1000 0 0");
+    fixture.omitted_log_lines[0] = 1;
+    let attempt = fixture.attempt(Behaviour::Steady, AttemptEnd::Truncated);
     (attempt.started_at, attempt.ended_at) = (ms(50_000), ms(50_100));
-    assert_eq!(scene.rules(), ["failed_after_healing"]);
-    scene.attempts[0].started_at = ms(49_999);
-    assert_eq!(scene.findings(), []);
+    assert_eq!(fixture.rules(), ["failed_after_healing"]);
+    fixture.attempts[0].started_at = ms(49_999);
+    assert_eq!(fixture.findings(), []);
 }
 
 #[test]
 fn an_execution_without_a_client_request_is_reported() {
-    let scene = Scene::new("");
-    scene.request_log.record_execution(Execution {
+    let fixture = RunFixture::new("");
+    fixture.request_log.record_execution(Execution {
         at: ms(1),
         instance: "i-0-1".to_owned(),
         service: "board".to_owned(),
@@ -233,7 +238,7 @@
         content_hash: 7,
         kv_owner: None,
     });
-    assert_eq!(scene.findings(), [("run", "UnknownRequest { request_id: \"cd\" }".to_owned())]);
+    assert_eq!(fixture.findings(), [("run", "UnknownRequest { request_id: \"cd\" }".to_owned())]);
 }
 
 #[rstest]
@@ -245,11 +250,11 @@
 fn a_request_that_reaches_a_server_long_after_its_client_disconnected_is_reported(
     #[case] schedule: &str, #[case] at: u64, #[case] expected: &[&str],
 ) {
-    let mut scene = Scene::new(schedule);
-    scene.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
-    scene.arrive("i-0-1", ms(at));
-    scene.request_log.record_completion(Completion { at: ms(at), request_id: "ab".to_owned() });
-    assert_eq!(scene.rules(), expected);
+    let mut fixture = RunFixture::new(schedule);
+    fixture.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
+    fixture.arrive("i-0-1", ms(at));
+    fixture.request_log.record_completion(Completion { at: ms(at), request_id: "ab".to_owned() });
+    assert_eq!(fixture.rules(), expected);
 }
 
 #[rstest]
@@ -263,31 +268,31 @@
 fn a_request_that_reaches_a_draining_server_late_is_reported(
     #[case] schedule: &str, #[case] at: u64, #[case] expected: &[&str],
 ) {
-    let mut scene = Scene::new(schedule);
-    scene.drained_servers.push(DrainedServer { instance: "i-5-1".to_owned(), since: ms(5_000) });
-    scene.arrive("i-5-1", ms(at));
-    scene.arrive("i-6-1", ms(20_000));
-    assert_eq!(scene.rules(), expected);
+    let mut fixture = RunFixture::new(schedule);
+    fixture.drained_servers.push(DrainedServer { instance: "i-5-1".to_owned(), since: ms(5_000) });
+    fixture.arrive("i-5-1", ms(at));
+    fixture.arrive("i-6-1", ms(20_000));
+    assert_eq!(fixture.rules(), expected);
 }
 
 #[test]
 fn two_holders_of_a_token_and_repeated_orders_are_reported() {
-    let mut scene = Scene::new("");
-    scene.order(r#"{"Fence":4,"Holder":"a"}"#);
-    scene.order(r#"{"Fence":5,"Holder":"b"}"#);
-    assert_eq!(scene.findings(), []);
-    scene.order(r#"{"Fence":5,"Holder":"b"}"#);
-    assert_eq!(scene.findings(), [("to_and_fro", "3 orders to i-0-1".to_owned())]);
-    scene.schedule = Schedule::parse("reload 1 1 1 1").expect("a schedule");
-    assert_eq!(scene.findings(), []);
-    scene.order(r#"{"Fence":4,"Holder":"c"}"#);
-    scene.order("{}");
-    let expected = [("order", "token 4 of a and c".to_owned()), ("order", "no order: {}".to_owned())];
-    assert_eq!(scene.findings(), expected);
+    let mut fixture = RunFixture::new("");
+    fixture.order(r#"{"Fence":4,"Holder":"a"}"#);
+    fixture.order(r#"{"Fence":5,"Holder":"b"}"#);
+    assert_eq!(fixture.findings(), []);
+    fixture.order(r#"{"Fence":5,"Holder":"b"}"#);
+    assert_eq!(fixture.findings(), [("to_and_fro", "3 orders to i-0-1".to_owned())]);
+    fixture.schedule = Schedule::parse("reload 1 1 1 1").expect("a schedule");
+    assert_eq!(fixture.findings(), []);
+    fixture.order(r#"{"Fence":4,"Holder":"c"}"#);
+    fixture.order("{}");
+    let expected = [("order", "token 4 of a and c".to_owned()), ("order", "malformed order: {}".to_owned())];
+    assert_eq!(fixture.findings(), expected);
 }
 
 #[rstest]
-#[case::calm("", &["not_acknowledged", "not_acknowledged", "not_read"])]
+#[case::no_fault("", &["not_acknowledged", "not_acknowledged", "not_read"])]
 #[case::control_killed("control_kill 9000 2000 0 0", &[])]
 #[case::control_killed_long_ago("control_kill 1000 2000 0 0", &["not_acknowledged", "not_acknowledged", "not_read"])]
 #[case::control_killed_before("control_kill 1000 2001 0 0", &[])]
@@ -297,12 +302,12 @@
 fn without_control_faults_unanswered_writes_and_reads_are_reported(
     #[case] schedule: &str, #[case] expected: &[&str],
 ) {
-    let scene = Scene::new(schedule);
-    scene.operator_log.record_write(put(2, 1, 10_000, CallOutcome::Unknown));
-    scene.operator_log.record_write(ConfigWrite { ended_at: ms(14_000), ..put(3, 2, 10_000, refused()) });
-    scene.operator_log.record_write(ConfigWrite { ended_at: ms(14_001), ..put(4, 3, 10_000, refused()) });
-    scene.operator_log.record_read(ConfigRead { bytes: None, ..read(1, 10_000) });
-    assert_eq!(scene.rules(), expected);
+    let fixture = RunFixture::new(schedule);
+    fixture.operator_log.record_write(put(2, 1, 10_000, CallOutcome::Unknown));
+    fixture.operator_log.record_write(ConfigWrite { ended_at: ms(14_000), ..put(3, 2, 10_000, refused()) });
+    fixture.operator_log.record_write(ConfigWrite { ended_at: ms(14_001), ..put(4, 3, 10_000, refused()) });
+    fixture.operator_log.record_read(ConfigRead { bytes: None, ..read(1, 10_000) });
+    assert_eq!(fixture.rules(), expected);
 }
 
 #[rstest]
@@ -313,79 +318,81 @@
     &["versions 2 and 3 on 1 were both acknowledged"])]
 #[case::refused_later(vec![ConfigWrite { is_resend: true, ..put(2, 1, 100, refused()) }], vec![],
     &["version 2 was acknowledged and then refused: Refused(Response { status: 409, headers: Headers([]), body: [] })"])]
-#[case::never_sent(vec![], vec![read(9, 100)], &["version 9 was read and not sent so"])]
+#[case::never_written(vec![], vec![read(9, 100)], &["version 9 was read with bytes that were never written"])]
 #[case::other_bytes(vec![ConfigWrite { bytes: bytes(7).into(), ..put(2, 1, 100, acknowledged()) }], vec![read(2, 300)],
-    &["version 2 was read and not sent so"])]
+    &["version 2 was read with bytes that were never written"])]
 #[case::no_configuration(vec![], vec![ConfigRead { bytes: Some(b"none".to_vec()), ..read(1, 100) }],
-    &["no configuration was read at 127.0.0.9:80"])]
+    &["an invalid configuration was read at 127.0.0.9:80"])]
 #[case::read_though_refused(vec![put(2, 1, 100, refused())], vec![read(2, 300)],
-    &["version 2 was read and refused: Refused(Response { status: 409, headers: Headers([]), body: [] })"])]
+    &["version 2 was read although it was refused: Refused(Response { status: 409, headers: Headers([]), body: [] })"])]
 #[case::older_than_acknowledged(vec![put(2, 1, 100, acknowledged())], vec![read(1, 201)],
-    &["version 1 was read at 127.0.0.9:80 from 201 ms on, after 2 was acknowledged"])]
-#[case::as_it_is_acknowledged(vec![put(2, 1, 100, acknowledged())], vec![read(1, 200)], &[])]
+    &["version 1 was read at 127.0.0.9:80 from 201 ms on, after version 2 was acknowledged"])]
+#[case::concurrent_with_the_acknowledgement(vec![put(2, 1, 100, acknowledged())], vec![read(1, 200)], &[])]
 #[case::older_than_read_before(vec![put(2, 1, 100, CallOutcome::Unknown)], vec![read(2, 300), read(1, 311)],
-    &["version 1 was read at 127.0.0.9:80 after 2"])]
+    &["version 1 was read at 127.0.0.9:80 after version 2"])]
 #[case::concurrent_reads(vec![put(2, 1, 100, CallOutcome::Unknown)], vec![read(2, 300), read(1, 310)], &[])]
 fn inconsistent_writes_and_stale_reads_are_reported(
     #[case] writes: Vec<ConfigWrite>, #[case] reads: Vec<ConfigRead>, #[case] expected: &[&str],
 ) {
-    // A fault of control for the whole run leaves only the rules about configurations.
-    let scene = Scene::new("control_kill 0 60000 0 0");
-    writes.into_iter().for_each(|put| scene.operator_log.record_write(put));
-    reads.into_iter().for_each(|read| scene.operator_log.record_read(read));
+    // A fault of control during the whole run explains all findings but those of the rule `configuration`.
+    let fixture = RunFixture::new("control_kill 0 60000 0 0");
+    writes.into_iter().for_each(|put| fixture.operator_log.record_write(put));
+    reads.into_iter().for_each(|read| fixture.operator_log.record_read(read));
     let expected: Vec<(&str, String)> =
         expected.iter().map(|facts| ("configuration", (*facts).to_owned())).collect();
-    assert_eq!(scene.findings(), expected);
+    assert_eq!(fixture.findings(), expected);
 }
 
-/// Where the agent of a front-end node serves operators; three of four host a replica.
+/// The address at which the agent of a front-end node serves operators.
 fn operator_address(front: u8) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 10 + front], 80))
 }
 
-/// A fault of an agent excuses reads at that agent alone, and no write: those go on to the next process.
+/// A fault of an agent explains unanswered reads at that agent only, and no unanswered write, since a write
+/// is retried at the next process. Three of the four front-end nodes host a replica.
 #[rstest]
 #[case::killed("agent_kill 9000 2000 1 0", &["not_acknowledged", "not_read 0", "not_read 2", "not_read 3"])]
 #[case::terminated("front_term 9000 2000 5 0", &["not_acknowledged", "not_read 0", "not_read 2", "not_read 3"])]
 #[case::paused("front_freeze 9000 2000 1 0", &["not_acknowledged", "not_read 0", "not_read 2", "not_read 3"])]
-#[case::deaf("agent_deaf 9000 2000 1 0", &["not_acknowledged", "not_read 0", "not_read 2", "not_read 3"])]
+#[case::inbound_blackhole("agent_deaf 9000 2000 1 0", &["not_acknowledged", "not_read 0", "not_read 2", "not_read 3"])]
 #[case::reset("agent_reset 9000 2000 1 0", &["not_acknowledged", "not_read 0", "not_read 2", "not_read 3"])]
 #[case::out_of_descriptors("agent_descriptors 9000 2000 1 0", &["not_acknowledged", "not_read 0", "not_read 2", "not_read 3"])]
 #[case::link_to_a_replica("agent_silent 9000 2000 6 0", &["not_acknowledged", "not_read 1", "not_read 3"])]
-#[case::one_that_forwards("agent_kill 9000 2000 3 0", &["not_acknowledged", "not_read 0", "not_read 1", "not_read 2"])]
+#[case::node_without_replica("agent_kill 9000 2000 3 0", &["not_acknowledged", "not_read 0", "not_read 1", "not_read 2"])]
 #[case::killed_long_ago("agent_kill 1000 2000 1 0", &["not_acknowledged", "not_read 0", "not_read 1", "not_read 2", "not_read 3"])]
 #[case::proxy_alone("proxy_kill 9000 2000 1 0", &["not_acknowledged", "not_read 0", "not_read 1", "not_read 2", "not_read 3"])]
-#[case::replica_and_one_that_forwards("agent_kill 9000 2000 1 0\nagent_kill 9000 2000 3 0", &["not_acknowledged", "not_read 0", "not_read 2"])]
+#[case::replica_and_node_without_replica("agent_kill 9000 2000 1 0\nagent_kill 9000 2000 3 0", &["not_acknowledged", "not_read 0", "not_read 2"])]
 #[case::majority("agent_kill 9000 2000 1 0\nagent_deaf 9000 2000 2 0", &[])]
 #[case::control("control_kill 9000 2000 0 0", &[])]
-fn a_fault_of_an_agent_that_hosts_control_excuses_its_own_reads(
+fn a_fault_of_an_agent_that_hosts_control_explains_only_its_own_unanswered_reads(
     #[case] schedule: &str, #[case] expected: &[&str],
 ) {
-    let mut scene = Scene::new(schedule);
+    let mut fixture = RunFixture::new(schedule);
     let addresses: Vec<SocketAddr> = (0..4).map(operator_address).collect();
-    scene.hosted_control = HostedControl { addresses: addresses.clone(), replica_count: 3 };
-    scene.operator_log.record_write(put(2, 1, 10_000, CallOutcome::Unknown));
+    fixture.hosted_control = HostedControl { addresses: addresses.clone(), replica_count: 3 };
+    fixture.operator_log.record_write(put(2, 1, 10_000, CallOutcome::Unknown));
     for from in &addresses {
-        scene.operator_log.record_read(ConfigRead {
+        fixture.operator_log.record_read(ConfigRead {
             from: *from,
             reached: *from,
             bytes: None,
             ..read(1, 10_000)
         });
     }
-    let place = |facts: &str| addresses.iter().position(|address| facts.contains(&address.to_string()));
-    let findings = scene.findings().into_iter();
+    let front_of = |facts: &str| addresses.iter().position(|address| facts.contains(&address.to_string()));
+    let findings = fixture.findings().into_iter();
     let found: Vec<String> = findings
-        .map(|(rule, facts)| place(&facts).map_or(rule.to_owned(), |front| format!("{rule} {front}")))
+        .map(|(rule, facts)| front_of(&facts).map_or(rule.to_owned(), |front| format!("{rule} {front}")))
         .collect();
     assert_eq!(found, expected);
 }
 
-/// A request `ab` to the prefix whose service changes, sent at `sent` and executed by `service`; versions 8 and 9 name another
-/// service than those before, and version 8 was acknowledged at 10,100 ms.
+/// The request `ab` is sent at `sent` to the prefix whose service changes, and is executed by `service`.
+/// Versions 8 and 9 name a different service than the versions before. Version 8 was acknowledged at 10,100
+/// ms.
 #[rstest]
 #[case::before(10_000, PLAIN_SERVICE, "", &[])]
-#[case::ahead_of_its_time(9_700, ALTERNATE_SERVICE, "", &["route"])]
+#[case::before_the_write_starts(9_700, ALTERNATE_SERVICE, "", &["route"])]
 #[case::while_it_is_written(9_900, ALTERNATE_SERVICE, "", &[])]
 #[case::by_the_old_service_within_the_bound(12_200, PLAIN_SERVICE, "", &[])]
 #[case::by_the_old_service_later(12_201, PLAIN_SERVICE, "", &["route"])]
@@ -394,18 +401,18 @@
 #[case::after_a_fault_of_another_agent(12_201, PLAIN_SERVICE, "agent_silent 9000 2000 1 0", &["route"])]
 #[case::after_a_fault_of_control(12_201, PLAIN_SERVICE, "control_kill 9000 2000 0 0", &[])]
 #[case::under_a_quota(12_201, PLAIN_SERVICE, "processor_quota 9000 2000 0 0", &["route"])]
-fn a_request_that_a_service_of_no_configuration_in_force_executes_is_reported(
+fn a_request_executed_by_a_service_of_no_configuration_in_force_is_reported(
     #[case] sent: u64, #[case] service: &str, #[case] schedule: &str, #[case] expected: &[&str],
 ) {
-    let mut scene = Scene::new(schedule);
-    scene.operator_log.record_write(put(8, 1, 10_000, acknowledged()));
-    scene.operator_log.record_write(put(9, 8, 10_200, acknowledged()));
+    let mut fixture = RunFixture::new(schedule);
+    fixture.operator_log.record_write(put(8, 1, 10_000, acknowledged()));
+    fixture.operator_log.record_write(put(9, 8, 10_200, acknowledged()));
     let request = ClientRequest::post("ab", "shop.example", "/move/1", RequestKind::Unsafe);
     let content_hash = request.outcome().content_hash;
-    let attempt = scene.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
+    let attempt = fixture.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
     attempt.outcome = request.outcome();
     (attempt.started_at, attempt.ended_at) = (ms(sent), ms(sent + 200));
-    scene.request_log.record_execution(Execution {
+    fixture.request_log.record_execution(Execution {
         at: ms(sent + 100),
         instance: "i-0-1".to_owned(),
         service: service.to_owned(),
@@ -413,40 +420,42 @@
         content_hash,
         kv_owner: None,
     });
-    assert_eq!(scene.rules(), expected);
+    assert_eq!(fixture.rules(), expected);
 }
 
-/// Holder `a` is refused under token 4 at 1,000 ms, since a stranger used token 9 at that server, and orders again.
+/// A server refuses an order of holder `a` under token 4 at 1,000 ms, since it has received token 9 from
+/// another sender. Holder `a` then sends another order.
 #[rstest]
-#[case::at_once(1_500, "i-1-1", 4, "", &[])]
+#[case::in_transit(1_500, "i-1-1", 4, "", &[])]
 #[case::later(2_001, "i-0-1", 4, "", &["refused_token"])]
 #[case::another_server(2_001, "i-1-1", 4, "", &["refused_token"])]
 #[case::under_a_new_token(2_001, "i-1-1", 5, "", &[])]
 #[case::the_refusal_was_lost(2_001, "i-1-1", 4, "answers_lost 500 600 0 0", &[])]
-#[case::losses_were_over(2_001, "i-1-1", 4, "answers_lost 0 0 0 0\nanswers_lost 2001 100 0 0", &["refused_token"])]
+#[case::the_refusal_was_received(2_001, "i-1-1", 4, "answers_lost 0 0 0 0\nanswers_lost 2001 100 0 0", &["refused_token"])]
 fn an_order_under_a_token_that_was_refused_is_reported(
     #[case] at: u64, #[case] instance: &str, #[case] token: u64, #[case] schedule: &str,
     #[case] expected: &[&str],
 ) {
-    // Without any fault, three orders to one server would be reported as well.
-    let scene = Scene::new(&format!("reload 1 1 1 1\n{schedule}"));
-    scene.order_at(900, "i-0-1", r#"{"Fence":9,"Holder":"stranger"}"#);
-    scene.order_at(1_000, "i-0-1", r#"{"Fence":4,"Holder":"a"}"#);
-    scene.order_at(at, instance, &format!(r#"{{"Fence":{token},"Holder":"a"}}"#));
-    assert_eq!(scene.rules(), expected);
+    // The reload avoids a finding of the rule `to_and_fro`: in a run without faults, three orders to one
+    // server are reported.
+    let fixture = RunFixture::new(&format!("reload 1 1 1 1\n{schedule}"));
+    fixture.order_at(900, "i-0-1", r#"{"Fence":9,"Holder":"stranger"}"#);
+    fixture.order_at(1_000, "i-0-1", r#"{"Fence":4,"Holder":"a"}"#);
+    fixture.order_at(at, instance, &format!(r#"{{"Fence":{token},"Holder":"a"}}"#));
+    assert_eq!(fixture.rules(), expected);
 }
 
-/// A front-end node without a replica refers readers to the process that its agent follows.
+/// A front-end node without a replica redirects reads to the process that its agent follows.
 #[rstest]
-#[case::to_one_with_a_fault(1, &[])]
-#[case::to_another_one(2, &["not_read"])]
-fn a_read_that_was_redirected_is_excused_by_a_fault_where_it_led(
+#[case::to_an_affected_process(1, &[])]
+#[case::to_an_unaffected_process(2, &["not_read"])]
+fn an_unanswered_redirected_read_is_explained_by_a_fault_of_the_redirect_target(
     #[case] reached: u8, #[case] expected: &[&str],
 ) {
-    let mut scene = Scene::new("agent_reset 9000 2000 1 0");
+    let mut fixture = RunFixture::new("agent_reset 9000 2000 1 0");
     let addresses = (0..4).map(operator_address).collect();
-    scene.hosted_control = HostedControl { addresses, replica_count: 3 };
+    fixture.hosted_control = HostedControl { addresses, replica_count: 3 };
     let (from, reached) = (operator_address(3), operator_address(reached));
-    scene.operator_log.record_read(ConfigRead { from, reached, bytes: None, ..read(1, 10_000) });
-    assert_eq!(scene.rules(), expected);
+    fixture.operator_log.record_read(ConfigRead { from, reached, bytes: None, ..read(1, 10_000) });
+    assert_eq!(fixture.rules(), expected);
 }
--- a/crates/soak/src/command_line.rs
+++ b/crates/soak/src/command_line.rs
@@ -6,27 +6,27 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The program that is played unless another is named.
+/// The default of `--binary`.
 const DEFAULT_BINARY: &str = "target/fleet/lugwharf";
-/// The folder of failing seeds unless another is named.
+/// The default of `--folder`.
 const DEFAULT_FOLDER: &str = "soak-found";
 
-/// How seeds are played.
+/// The options that apply to each seed.
 #[derive(Clone)]
 pub struct Plan {
     /// The program under test.
     pub binary: PathBuf,
-    /// Where the records of failing seeds are written.
+    /// The folder that the records of failing seeds are written to.
     pub folder: PathBuf,
-    /// Faults at a time.
+    /// The maximum number of faults that are active at the same time.
     pub overlap: Overlap,
-    /// For how long faults are injected.
+    /// How long faults are injected.
     pub fault_phase: Duration,
-    /// Played in place of the schedule that a seed draws.
+    /// The schedule to run instead of the one drawn from the seed.
     pub schedule: Option<Schedule>,
-    /// The kinds of faults that are drawn.
+    /// The kinds of faults that schedules are drawn from.
     pub kinds: Vec<FaultKind>,
-    /// Whether faults are injected during the first start as well.
+    /// Whether faults are also injected while the fleet starts for the first time.
     pub has_startup_faults: bool,
     /// Whether front-end nodes host control.
     pub is_without_core: bool,
@@ -34,22 +34,22 @@
     pub keeps_all_records: bool,
 }
 
-/// What the command line asks for.
+/// The command that the command line selects.
 pub enum Command {
-    /// Prints this text.
+    /// Prints the given help text.
     Help(String),
-    /// Plays seeds, so many at a time.
+    /// Runs seeds, `jobs` of them at a time.
     Play {
-        /// How they are played.
+        /// The options for each seed.
         plan: Plan,
         /// The seeds.
         seeds: Vec<u64>,
-        /// Seeds at a time.
+        /// The number of seeds that run at the same time.
         jobs: usize,
     },
-    /// Reduces the schedule of a failing seed.
+    /// Minimizes the schedule of a failing seed.
     Minimize {
-        /// How it is played.
+        /// The options for the seed.
         plan: Plan,
         /// The seed.
         seed: u64,
@@ -83,10 +83,11 @@
     options
 }
 
-/// Reads the arguments of the program.
+/// Parses the arguments of the program.
 ///
 /// # Errors
-/// An unknown option, a value that is no number, seed range, schedule or kind, or a program that does not exist.
+/// An option is unknown, a value is not a valid number, seed range, schedule or fault kind, or the program
+/// does not exist.
 pub fn parse(arguments: &[String]) -> Result<Command> {
     let matches = options().parse(arguments)?;
     if matches.opt_present("help") {
@@ -104,7 +105,7 @@
         is_without_core: matches.opt_present("without-core"),
         keeps_all_records: matches.opt_present("keep"),
     };
-    ensure!(plan.binary.exists(), "no program at {}", plan.binary.display());
+    ensure!(plan.binary.exists(), "no program exists at {}", plan.binary.display());
     let seeds = seeds(&matches)?;
     if matches.opt_present("minimize") {
         return Ok(Command::Minimize { plan, seed: seeds[0] });
@@ -116,21 +117,24 @@
 fn kinds(matches: &Matches) -> Result<Vec<FaultKind>> {
     let Some(text) = matches.opt_str("only") else { return Ok(FaultKind::default_kinds()) };
     let with_name = |name: &str| FaultKind::ALL.iter().copied().find(|kind| kind.name() == name);
-    let kinds = text.split(',').map(|name| with_name(name).ok_or_else(|| eyre!("no trouble {name:?}")));
+    let kinds =
+        text.split(',').map(|name| with_name(name).ok_or_else(|| eyre!("unknown fault kind {name:?}")));
     kinds.collect()
 }
 
 fn number(matches: &Matches, name: &str, default: u64) -> Result<u64> {
     let Some(text) = matches.opt_str(name) else { return Ok(default) };
-    text.parse().wrap_err_with(|| format!("--{name} {text:?}"))
+    text.parse().wrap_err_with(|| format!("invalid number in --{name}: {text:?}"))
 }
 
-/// The seeds to be played; at least one.
+/// The seeds to run; at least one.
 fn seeds(matches: &Matches) -> Result<Vec<u64>> {
     if let Some(range) = matches.opt_str("seeds") {
-        let (first, end) = range.split_once("..").ok_or_else(|| eyre!("--seeds takes FIRST..END"))?;
+        let (first, end) = range
+            .split_once("..")
+            .ok_or_else(|| eyre!("--seeds {range:?} is not a range of the form FIRST..END"))?;
         let seeds: Vec<u64> = (first.parse()?..end.parse()?).collect();
-        ensure!(!seeds.is_empty(), "--seeds {range} is empty");
+        ensure!(!seeds.is_empty(), "--seeds {range} is an empty range");
         return Ok(seeds);
     }
     Ok(vec![number(matches, "seed", 1)?])
@@ -138,5 +142,5 @@
 
 fn read_schedule(path: &str) -> Result<Schedule> {
     let text = std::fs::read_to_string(path).wrap_err_with(|| path.to_owned())?;
-    Schedule::parse(&text).map_err(|error| eyre!("{path}: {error}"))
+    Schedule::parse(&text).map_err(|error| eyre!("cannot parse the schedule {path}: {error}"))
 }
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -1,26 +1,27 @@
-//! The configurations that operators write: the routes of all clients, one route that is different in each version, and one
-//! whose service changes.
+//! The configurations that operators write: the routes that the client load uses, one route that is different
+//! in each version, and one route whose service changes with the version.
 
 use lugwharf_emulator::configuration::{ConfigurationSpec, EngineSpec, RouteSpec, ServiceSpec};
 use lugwharf_emulator::model_server::{ModelParameters, Stage};
 
 /// The host of all routes.
 pub const HOST: &str = "shop.example";
-/// The service of generations, in prefill and decode stages.
+/// The service for generations, with prefill and decode stages.
 pub const MODEL_SERVICE: &str = "tutor";
-/// The service of short requests.
+/// The service for short requests.
 pub const PLAIN_SERVICE: &str = "board";
-/// The service that takes turns with the plain one behind [`MOVING_PREFIX`].
+/// The service that alternates with [`PLAIN_SERVICE`] as the target of [`MOVING_PREFIX`].
 pub const ALTERNATE_SERVICE: &str = "annex";
-/// The prefix whose service changes every [`VERSIONS_PER_SERVICE`] versions.
+/// The path prefix whose service changes every [`VERSIONS_PER_SERVICE`] versions.
 pub const MOVING_PREFIX: &str = "/move/";
-/// So many versions in a row name the same service, so that for seconds only one of the two may execute a request.
+/// The number of consecutive versions that name the same service. It is large enough that for seconds only
+/// one of the two services may execute a request, which the checker can verify.
 pub const VERSIONS_PER_SERVICE: u64 = 8;
-/// The service of long requests, for clients that disconnect early.
+/// The service for long requests, which clients that disconnect early use.
 pub const SLOW_SERVICE: &str = "archive";
-/// The version that the harness writes before it records anything.
+/// The version that the harness writes before it starts to record.
 pub const INITIAL_VERSION: u64 = 1;
-/// The timeout of streams, in ms. Long ones take up to 8 s on an idle machine, and longer on a busy one.
+/// The timeout of streams, in ms. Long streams take up to 8 s on an idle machine, and longer on a busy one.
 const STREAM_TIMEOUT_MS: u64 = 30_000;
 
 /// The configuration of a version.
@@ -62,7 +63,7 @@
     }
 }
 
-/// The version in the bytes of a configuration; `None` if they are no configuration.
+/// The version of an encoded configuration; `None` if the bytes are not a configuration.
 pub fn version_of(bytes: &[u8]) -> Option<u64> {
     let value: serde_json::Value = serde_json::from_slice(bytes).ok()?;
     value["Version"].as_u64()
--- a/crates/soak/src/fault.rs
+++ b/crates/soak/src/fault.rs
@@ -1,4 +1,5 @@
-//! The faults that a schedule is made of: their kinds, what each kind may disrupt, and one scheduled instance.
+//! The faults of a schedule: the kinds of faults, what each kind may disrupt, and scheduled instances of
+//! them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,18 +9,18 @@
     ($($(#[doc = $help:literal])+ $variant:ident => $name:literal,)+) => {
         /// A kind of fault that the harness can inject.
         ///
-        /// Names are fixed: schedules on disk and `--only` use them. Variants are their names in camel case. Their order
-        /// is fixed as well: the draws of a schedule index into it.
+        /// Names are fixed, since schedules on disk and `--only` use them. The order of the variants is fixed
+        /// as well, since the draws of a schedule index into it.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum FaultKind {
             $($(#[doc = $help])+ $variant,)+
         }
 
         impl FaultKind {
-            /// All kinds, in the order in which schedules draw them.
+            /// All kinds, in the order that the draws of a schedule index into.
             pub const ALL: &'static [FaultKind] = &[$(FaultKind::$variant,)+];
 
-            /// The name in schedules, summaries and `--only`.
+            /// The name of the kind in schedules, summaries and `--only`.
             pub fn name(self) -> &'static str {
                 match self {
                     $(FaultKind::$variant => $name,)+
@@ -35,29 +36,29 @@
     /// A control process is terminated (SIGTERM) and restarted.
     ControlTerm => "control_term",
     /// A control process is paused (SIGSTOP).
-    ControlFreeze => "control_freeze",
-    /// A control process is killed, loses its disk and is restarted.
-    ControlWipe => "control_wipe",
-    /// All control processes are killed at once and restarted.
-    ControlHerd => "control_herd",
+    ControlPause => "control_freeze",
+    /// A control process is killed (SIGKILL), loses its disk and is restarted.
+    ControlDiskLoss => "control_wipe",
+    /// All control processes are killed (SIGKILL) at the same time and restarted.
+    AllControlKill => "control_herd",
     /// A control node is replaced by an empty one at another address.
     ControlReplace => "control_replace",
     /// The links between two control nodes drop all bytes, in both directions.
-    PairSilent => "pair_silent",
+    PairBlackhole => "pair_silent",
     /// Connections between two control nodes are reset.
     PairReset => "pair_reset",
-    /// The link from one control node to another drops all bytes; the opposite direction works.
-    PairOneWay => "pair_one_way",
+    /// The link from one control node to another drops all bytes. The opposite direction works.
+    PairOneWayBlackhole => "pair_one_way",
     /// The links between two control nodes have added latency.
-    PairSlow => "pair_slow",
-    /// The control nodes are partitioned into two groups; all other machines reach both.
-    Halves => "halves",
-    /// A control node receives from its peers, and none of them receives from it.
-    Mute => "mute",
+    PairLatency => "pair_slow",
+    /// The control nodes are partitioned into two groups. All other machines reach both groups.
+    ControlPartition => "halves",
+    /// All links from one control node to the others drop all bytes. The opposite directions work.
+    ControlOutboundBlackhole => "mute",
     /// The links between an agent and one control node drop all bytes.
-    AgentSilent => "agent_silent",
-    /// An agent receives from no control node, though all of them receive from it.
-    AgentDeaf => "agent_deaf",
+    AgentLinkBlackhole => "agent_silent",
+    /// The links from all control nodes to an agent drop all bytes. The opposite directions work.
+    AgentInboundBlackhole => "agent_deaf",
     /// Connections between an agent and all control nodes are reset.
     AgentReset => "agent_reset",
     /// A proxy is killed (SIGKILL) and restarted.
@@ -67,170 +68,173 @@
     /// Both processes of a front-end node are terminated (SIGTERM) and restarted.
     FrontTerm => "front_term",
     /// Both processes of a front-end node are paused (SIGSTOP).
-    FrontFreeze => "front_freeze",
+    FrontPause => "front_freeze",
     /// A control process runs out of file descriptors.
-    ControlDescriptors => "control_descriptors",
+    ControlDescriptorExhaustion => "control_descriptors",
     /// A proxy runs out of file descriptors.
-    ProxyDescriptors => "proxy_descriptors",
+    ProxyDescriptorExhaustion => "proxy_descriptors",
     /// An agent runs out of file descriptors.
-    AgentDescriptors => "agent_descriptors",
+    AgentDescriptorExhaustion => "agent_descriptors",
     /// More idle connections are opened to a proxy than it accepts.
-    Crowd => "crowd",
+    ConnectionFlood => "crowd",
     /// All processes reload their settings (SIGHUP).
     Reload => "reload",
     /// The platform does not respond.
-    PlatformDark => "platform_dark",
+    PlatformBlackhole => "platform_dark",
     /// The platform resets connections.
     PlatformReset => "platform_reset",
-    /// A server crashes; its successor takes its address.
+    /// A server crashes. A new instance starts at its address.
     ServerCrash => "server_crash",
-    /// A server is listed as draining, then leaves the list and ends; its successor takes its address.
+    /// A server is listed as draining, then removed from the list and stopped. A new instance starts at its
+    /// address.
     ServerDrain => "server_drain",
     /// A server does not respond.
-    ServerDark => "server_dark",
-    /// Executions at a server end with a failure of its own.
+    ServerBlackhole => "server_dark",
+    /// A server fails all requests that it executes.
     ServerFailing => "server_failing",
-    /// Servers execute requests and their responses are lost.
-    AnswersLost => "answers_lost",
-    /// Servers respond with bytes that are no response.
-    AnswersGarbled => "answers_garbled",
+    /// Servers execute requests, and the responses are lost.
+    ResponsesLost => "answers_lost",
+    /// Servers respond with bytes that are not a valid response.
+    ResponsesMalformed => "answers_garbled",
     /// Servers respond twice, or with the id of another request.
-    AnswersSurplus => "answers_surplus",
-    /// Streams are cut in the middle of an event.
-    StreamsCut => "streams_cut",
-    /// Servers drop idle connections without closing them; the next request on one is reset.
-    IdleRace => "idle_race",
-    /// Two operators write different configurations on one base version.
-    ConfigRace => "config_race",
+    ResponsesUnmatched => "answers_surplus",
+    /// Streams are truncated in the middle of an event.
+    StreamsTruncated => "streams_cut",
+    /// Servers drop idle connections without closing them. The next request on such a connection is reset.
+    IdleConnectionRace => "idle_race",
+    /// Two operators concurrently write different configurations on the same base version.
+    ConcurrentConfigWrites => "config_race",
     /// Operators write configurations in quick succession.
-    ConfigBurst => "config_burst",
-    /// A stranger orders a model server to change its stage, under a fencing token above all others.
-    HigherToken => "higher_token",
-    /// The disk of a control process rejects every write, as a full one does.
+    ConfigWriteBurst => "config_burst",
+    /// A sender outside the fleet orders a model server to change its stage, under a fencing token above all
+    /// others.
+    HigherFencingToken => "higher_token",
+    /// The disk of a control process is full: every write fails.
     ControlDiskFull => "control_disk_full",
-    /// The processes of a control node and of a front-end node stand still for most of each tenth of a second, as under a quota
-    /// of processor time.
+    /// The processes of a control node and of a front-end node are stopped for 60 ms of each 100 ms, as under
+    /// a CPU quota.
     ProcessorQuota => "processor_quota",
 }
 
 impl FaultKind {
-    /// The kinds that are drawn unless others are named.
+    /// The kinds that schedules are drawn from by default.
     pub fn default_kinds() -> Vec<FaultKind> {
         FaultKind::ALL.iter().copied().filter(|kind| !kind.needs_idle_machine()).collect()
     }
 
-    /// Whether the fault may fail requests that it should not on a busy machine. The proxy waits 2 ms for the reset of a
-    /// dropped idle connection, and the emulated servers need a turn of the processor to send it.
+    /// Whether the fault may cause requests to fail on a busy machine that would succeed on an idle one. The
+    /// proxy waits 2 ms for the reset of a dropped idle connection, and the emulated server must be scheduled
+    /// within that time to send the reset.
     pub fn needs_idle_machine(self) -> bool {
-        self == FaultKind::IdleRace
+        self == FaultKind::IdleConnectionRace
     }
 
-    /// Whether client requests may fail because of it.
+    /// Whether client requests may fail because of the fault.
     pub fn disrupts_requests(self) -> bool {
         self.disrupts_fronts() || self.disrupts_servers()
     }
 
-    /// Whether the proxy of a front-end node stops or rejects connections.
+    /// Whether the fault may stop the proxy of a front-end node, or make the proxy reject connections.
     pub fn disrupts_fronts(self) -> bool {
         matches!(
             self,
             FaultKind::ProxyKill
                 | FaultKind::FrontTerm
-                | FaultKind::FrontFreeze
-                | FaultKind::ProxyDescriptors
-                | FaultKind::Crowd
+                | FaultKind::FrontPause
+                | FaultKind::ProxyDescriptorExhaustion
+                | FaultKind::ConnectionFlood
         )
     }
 
-    /// Whether servers fail requests.
+    /// Whether the fault may make servers fail requests.
     pub fn disrupts_servers(self) -> bool {
         matches!(
             self,
             FaultKind::ServerCrash
                 | FaultKind::ServerDrain
-                | FaultKind::ServerDark
+                | FaultKind::ServerBlackhole
                 | FaultKind::ServerFailing
-                | FaultKind::AnswersLost
-                | FaultKind::AnswersGarbled
-                | FaultKind::AnswersSurplus
-                | FaultKind::StreamsCut
-                | FaultKind::HigherToken
+                | FaultKind::ResponsesLost
+                | FaultKind::ResponsesMalformed
+                | FaultKind::ResponsesUnmatched
+                | FaultKind::StreamsTruncated
+                | FaultKind::HigherFencingToken
         )
     }
 
-    /// Whether the agent of a front-end node fails, or its links to control. Where agents host control, this hits the control
-    /// process of that node.
+    /// Whether the fault affects the agent of a front-end node or its links to control. Where front-end nodes
+    /// host control, the fault affects the control process of that node.
     pub fn disrupts_agents(self) -> bool {
         matches!(
             self,
-            FaultKind::AgentSilent
-                | FaultKind::AgentDeaf
+            FaultKind::AgentLinkBlackhole
+                | FaultKind::AgentInboundBlackhole
                 | FaultKind::AgentReset
                 | FaultKind::AgentKill
-                | FaultKind::AgentDescriptors
+                | FaultKind::AgentDescriptorExhaustion
                 | FaultKind::FrontTerm
-                | FaultKind::FrontFreeze
+                | FaultKind::FrontPause
         )
     }
 
-    /// Whether control processes or the links between them fail, whichever machines they run on.
+    /// Whether the fault affects control processes or the links between them, whichever machines they run on.
     pub fn disrupts_control(self) -> bool {
         matches!(
             self,
             FaultKind::ControlKill
                 | FaultKind::ControlTerm
-                | FaultKind::ControlFreeze
-                | FaultKind::ControlWipe
-                | FaultKind::ControlHerd
+                | FaultKind::ControlPause
+                | FaultKind::ControlDiskLoss
+                | FaultKind::AllControlKill
                 | FaultKind::ControlReplace
-                | FaultKind::ControlDescriptors
+                | FaultKind::ControlDescriptorExhaustion
                 | FaultKind::ControlDiskFull
-                | FaultKind::PairSilent
+                | FaultKind::PairBlackhole
                 | FaultKind::PairReset
-                | FaultKind::PairOneWay
-                | FaultKind::PairSlow
-                | FaultKind::Halves
-                | FaultKind::Mute
+                | FaultKind::PairOneWayBlackhole
+                | FaultKind::PairLatency
+                | FaultKind::ControlPartition
+                | FaultKind::ControlOutboundBlackhole
         )
     }
 
-    /// Whether updates of the server list may reach the front-end nodes late.
+    /// Whether updates of the server list may reach the front-end nodes late because of the fault.
     pub fn delays_server_lists(self) -> bool {
         let has_no_effect = matches!(
             self,
             FaultKind::Reload
-                | FaultKind::ConfigRace
-                | FaultKind::ConfigBurst
-                | FaultKind::Crowd
-                | FaultKind::IdleRace
+                | FaultKind::ConcurrentConfigWrites
+                | FaultKind::ConfigWriteBurst
+                | FaultKind::ConnectionFlood
+                | FaultKind::IdleConnectionRace
                 | FaultKind::ProcessorQuota
         );
         !has_no_effect && !self.disrupts_servers()
     }
 
-    /// Whether a control node loses its disk.
+    /// Whether a control node loses its disk because of the fault.
     pub fn loses_disk(self) -> bool {
-        matches!(self, FaultKind::ControlWipe | FaultKind::ControlReplace)
+        matches!(self, FaultKind::ControlDiskLoss | FaultKind::ControlReplace)
     }
 }
 
 /// One fault of a schedule. Its text form is `KIND START_MS DURATION_MS TARGET PEER`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
-    /// What is injected.
+    /// The kind of the fault.
     pub kind: FaultKind,
-    /// When it is injected, since the fleet serves.
+    /// When the fault is injected, since the fleet came into service.
     pub start: Duration,
-    /// The time from injection to recovery. For a process that is killed, the time before it is restarted.
+    /// The time from injection to recovery. For a killed process, the time until it is restarted.
     pub duration: Duration,
-    /// Selects the machine or server, modulo how many there are at the injection.
+    /// Selects the affected machine or server, modulo their number at the injection.
     pub target: usize,
-    /// Selects the second machine of a fault between two, modulo how many others there are.
+    /// Selects the second machine of a fault between two machines, modulo the number of other machines.
     pub peer: usize,
 }
 
 impl ScheduledFault {
-    /// When recovery starts.
+    /// When the recovery starts.
     pub fn end(&self) -> Duration {
         self.start + self.duration
     }
@@ -243,7 +247,7 @@
     }
 }
 
-/// A line that is no scheduled fault.
+/// An error for a line that is not a valid scheduled fault.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ParseFaultError {
     line: String,
@@ -251,7 +255,7 @@
 
 impl fmt::Display for ParseFaultError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "no trouble: {:?}", self.line)
+        write!(f, "invalid fault: {:?}", self.line)
     }
 }
 
--- a/crates/soak/src/fault_injection.rs
+++ b/crates/soak/src/fault_injection.rs
@@ -1,6 +1,6 @@
 //! Injects a scheduled fault into a fleet, and recovers from it.
 //!
-//! Faults of links have no action of their own: `link_faults` derives the state of all links from the active faults.
+//! Link faults have no actions here: `link_faults` derives the state of all links from the active faults.
 
 use crate::fault::{FaultKind, ScheduledFault};
 use crate::fleet::{DescriptorLimit, DiskLimit, Fleet};
@@ -15,38 +15,39 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::timeout;
 
-/// Requests at each server that meet a planned fault.
+/// The number of requests at each server that a request fault affects.
 const REQUEST_FAULTS_PER_SERVER: usize = 3;
-/// Idle connections of a crowd: more than a proxy accepts.
-const CROWD_CONNECTIONS: usize = 90;
-/// The harness waits no longer for one of them.
+/// The number of idle connections of a connection flood, above the limit of a proxy.
+const FLOOD_CONNECTIONS: usize = 90;
+/// The timeout of each connection attempt of a connection flood.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(20);
 
-/// A scheduled fault that is being injected, with the machines and servers that its draws selected.
+/// A scheduled fault that is active, with the machines and servers that it affects.
 ///
-/// The selection is made once, at the injection: later changes of the fleet do not move a fault.
+/// They are selected once, at the injection, so later changes of the fleet do not change what a fault
+/// affects.
 #[derive(Debug)]
 pub struct ActiveFault {
-    /// The fault.
+    /// The scheduled fault.
     pub fault: ScheduledFault,
-    /// The control node that is hit.
+    /// The control node that the fault affects.
     pub control_node: usize,
-    /// Another control node, for faults between two.
+    /// Another control node, for faults between two control nodes.
     pub peer_control_node: usize,
-    /// All control nodes at the injection.
+    /// All control nodes at the time of the injection.
     pub control_nodes: Vec<usize>,
-    /// The front-end node that is hit.
+    /// The front-end node that the fault affects.
     pub front: usize,
     /// The agent of that front-end node, or the control process that it hosts.
     agent: ProcessId,
-    /// The server that is hit.
+    /// The server that the fault affects.
     server: usize,
     /// The control node that was added as a replacement.
     added_control_node: Option<usize>,
-    /// The processes that stand still by turns.
+    /// The processes that are repeatedly stopped and continued.
     throttled: Vec<ProcessId>,
-    /// The idle connections of a crowd.
-    crowd: Vec<TcpStream>,
+    /// The connections of a connection flood.
+    idle_connections: Vec<TcpStream>,
 }
 
 /// Whether the recovery of a fault is complete.
@@ -54,12 +55,12 @@
 pub enum RecoveryProgress {
     /// The fault is over.
     Complete,
-    /// A process that was asked to terminate still runs; the recovery has to be tried again.
+    /// A process that was asked to terminate is still running. The recovery must be retried.
     Pending,
 }
 
 impl ActiveFault {
-    /// Selects what the fault hits, among what the fleet has now.
+    /// Selects the machines and the server that the fault affects, among those that the fleet has now.
     pub fn select(fleet: &Fleet, fault: &ScheduledFault) -> ActiveFault {
         let control_node = fleet.control_node(fault.target);
         let peers: Vec<usize> =
@@ -78,17 +79,17 @@
             server: fault.target % fleet.servers.len(),
             added_control_node: None,
             throttled: throttled.into_iter().filter(|_| is_quota).collect(),
-            crowd: Vec::new(),
+            idle_connections: Vec::new(),
         }
     }
 
-    /// The instance id of the server that the fault drains, if it drains one.
+    /// The instance id of the server that the fault drains; `None` for other kinds of faults.
     pub fn drained_instance(&self, fleet: &Fleet) -> Option<String> {
         let drains = self.fault.kind == FaultKind::ServerDrain;
         drains.then(|| fleet.servers.instance_id(self.server).to_owned())
     }
 
-    /// The processes that stand still by turns while the fault is active.
+    /// The processes that are repeatedly stopped and continued while the fault is active.
     pub fn throttled(&self) -> &[ProcessId] {
         &self.throttled
     }
@@ -103,43 +104,43 @@
         match self.fault.kind {
             FaultKind::ControlKill
             | FaultKind::ControlTerm
-            | FaultKind::ControlFreeze
-            | FaultKind::ControlWipe
-            | FaultKind::ControlHerd
+            | FaultKind::ControlPause
+            | FaultKind::ControlDiskLoss
+            | FaultKind::AllControlKill
             | FaultKind::ControlReplace
-            | FaultKind::ControlDescriptors
+            | FaultKind::ControlDescriptorExhaustion
             | FaultKind::ControlDiskFull => self.inject_control_fault(fleet)?,
             FaultKind::ProxyKill
             | FaultKind::AgentKill
             | FaultKind::FrontTerm
-            | FaultKind::FrontFreeze
-            | FaultKind::ProxyDescriptors
-            | FaultKind::AgentDescriptors
-            | FaultKind::Crowd => self.inject_front_fault(fleet).await?,
+            | FaultKind::FrontPause
+            | FaultKind::ProxyDescriptorExhaustion
+            | FaultKind::AgentDescriptorExhaustion
+            | FaultKind::ConnectionFlood => self.inject_front_fault(fleet).await?,
             FaultKind::Reload => reload_all(fleet)?,
-            FaultKind::PlatformDark
+            FaultKind::PlatformBlackhole
             | FaultKind::PlatformReset
             | FaultKind::ServerCrash
             | FaultKind::ServerDrain
-            | FaultKind::ServerDark
+            | FaultKind::ServerBlackhole
             | FaultKind::ServerFailing
-            | FaultKind::AnswersLost
-            | FaultKind::AnswersGarbled
-            | FaultKind::AnswersSurplus
-            | FaultKind::StreamsCut
-            | FaultKind::IdleRace
-            | FaultKind::HigherToken => self.inject_server_fault(fleet).await,
-            // Operators that have stopped take no requests, and none are needed any more.
-            FaultKind::ConfigRace => drop(operators.send(OperatorRequest::RaceWrites)),
-            FaultKind::ConfigBurst => drop(operators.send(OperatorRequest::BurstWrites)),
-            FaultKind::PairSilent
+            | FaultKind::ResponsesLost
+            | FaultKind::ResponsesMalformed
+            | FaultKind::ResponsesUnmatched
+            | FaultKind::StreamsTruncated
+            | FaultKind::IdleConnectionRace
+            | FaultKind::HigherFencingToken => self.inject_server_fault(fleet).await,
+            // Sending fails if the operators have stopped; the run then needs no more writes.
+            FaultKind::ConcurrentConfigWrites => drop(operators.send(OperatorRequest::RaceWrites)),
+            FaultKind::ConfigWriteBurst => drop(operators.send(OperatorRequest::BurstWrites)),
+            FaultKind::PairBlackhole
             | FaultKind::PairReset
-            | FaultKind::PairOneWay
-            | FaultKind::PairSlow
-            | FaultKind::Halves
-            | FaultKind::Mute
-            | FaultKind::AgentSilent
-            | FaultKind::AgentDeaf
+            | FaultKind::PairOneWayBlackhole
+            | FaultKind::PairLatency
+            | FaultKind::ControlPartition
+            | FaultKind::ControlOutboundBlackhole
+            | FaultKind::AgentLinkBlackhole
+            | FaultKind::AgentInboundBlackhole
             | FaultKind::AgentReset
             | FaultKind::ProcessorQuota => {}
         }
@@ -151,19 +152,21 @@
         match self.fault.kind {
             FaultKind::ControlKill => fleet.kill(control),
             FaultKind::ControlTerm => fleet.terminate(control),
-            FaultKind::ControlFreeze => fleet.pause(control),
-            FaultKind::ControlWipe => {
+            FaultKind::ControlPause => fleet.pause(control),
+            FaultKind::ControlDiskLoss => {
                 fleet.kill(control)?;
                 Ok(fleet.cluster.wipe_control_disk(self.control_node)?)
             }
-            FaultKind::ControlHerd => {
+            FaultKind::AllControlKill => {
                 self.control_nodes.iter().try_for_each(|index| fleet.kill(ProcessId::Control(*index)))
             }
             FaultKind::ControlReplace => {
                 self.added_control_node = fleet.add_control_node()?;
                 Ok(())
             }
-            FaultKind::ControlDescriptors => fleet.limit_descriptors(control, DescriptorLimit::Exhausted),
+            FaultKind::ControlDescriptorExhaustion => {
+                fleet.limit_descriptors(control, DescriptorLimit::Exhausted)
+            }
             FaultKind::ControlDiskFull => fleet.limit_disk(control, DiskLimit::Full),
             // `inject` sends no other kind here.
             _ => Ok(()),
@@ -177,11 +180,15 @@
             FaultKind::ProxyKill => fleet.kill(proxy),
             FaultKind::AgentKill => fleet.kill(self.agent),
             FaultKind::FrontTerm => processes.try_for_each(|process_id| fleet.terminate(process_id)),
-            FaultKind::FrontFreeze => processes.try_for_each(|process_id| fleet.pause(process_id)),
-            FaultKind::ProxyDescriptors => fleet.limit_descriptors(proxy, DescriptorLimit::Exhausted),
-            FaultKind::AgentDescriptors => fleet.limit_descriptors(self.agent, DescriptorLimit::Exhausted),
-            FaultKind::Crowd => {
-                self.crowd = open_idle_connections(fleet.cluster.front_address(self.front)).await;
+            FaultKind::FrontPause => processes.try_for_each(|process_id| fleet.pause(process_id)),
+            FaultKind::ProxyDescriptorExhaustion => {
+                fleet.limit_descriptors(proxy, DescriptorLimit::Exhausted)
+            }
+            FaultKind::AgentDescriptorExhaustion => {
+                fleet.limit_descriptors(self.agent, DescriptorLimit::Exhausted)
+            }
+            FaultKind::ConnectionFlood => {
+                self.idle_connections = open_idle_connections(fleet.cluster.front_address(self.front)).await;
                 Ok(())
             }
             // `inject` sends no other kind here.
@@ -192,34 +199,37 @@
     async fn inject_server_fault(&self, fleet: &mut Fleet) {
         let servers = &mut fleet.servers;
         match self.fault.kind {
-            FaultKind::PlatformDark => servers.platform.set_reachability(Reachability::Blackholed),
+            FaultKind::PlatformBlackhole => servers.platform.set_reachability(Reachability::Blackholed),
             FaultKind::PlatformReset => servers.platform.set_reachability(Reachability::Refusing),
             FaultKind::ServerCrash => servers.crash_server(self.server).await,
             FaultKind::ServerDrain => servers.drain_server(self.server),
-            FaultKind::ServerDark => servers.set_server_reachability(self.server, Reachability::Blackholed),
+            FaultKind::ServerBlackhole => {
+                servers.set_server_reachability(self.server, Reachability::Blackholed)
+            }
             FaultKind::ServerFailing => servers.set_server_failing(self.server, true),
-            FaultKind::AnswersLost => {
+            FaultKind::ResponsesLost => {
                 servers.inject_request_fault(&Fault::DropResponse, REQUEST_FAULTS_PER_SERVER)
             }
-            FaultKind::AnswersGarbled => {
+            FaultKind::ResponsesMalformed => {
                 servers.inject_request_fault(&Fault::Garbage, REQUEST_FAULTS_PER_SERVER)
             }
-            FaultKind::AnswersSurplus => {
+            FaultKind::ResponsesUnmatched => {
                 servers.inject_request_fault(&Fault::SurplusResponse, REQUEST_FAULTS_PER_SERVER);
                 servers.inject_request_fault(&Fault::WrongRequestId, 1);
             }
-            FaultKind::StreamsCut => servers.inject_request_fault(
+            FaultKind::StreamsTruncated => servers.inject_request_fault(
                 &Fault::TruncateStream { after_events: 1, reset: true },
                 REQUEST_FAULTS_PER_SERVER,
             ),
-            FaultKind::IdleRace => servers.set_drops_idle_connections(true),
-            FaultKind::HigherToken => servers.order_as_stranger(self.server).await,
+            FaultKind::IdleConnectionRace => servers.set_drops_idle_connections(true),
+            FaultKind::HigherFencingToken => servers.send_foreign_order(self.server).await,
             // `inject` sends no other kind here.
             _ => {}
         }
     }
 
-    /// Recovers from the fault, or says that recovery has to be tried again. The caller applies the link faults.
+    /// Recovers from the fault, or returns that the recovery must be retried. The caller applies the link
+    /// faults.
     ///
     /// # Errors
     /// A process or server cannot be signalled or started.
@@ -230,8 +240,8 @@
             }
             FaultKind::FrontTerm => return restart_once_exited(fleet, &self.front_processes()),
             FaultKind::ServerCrash => fleet.servers.start_server(self.server).await?,
-            // The successor remembers no token.
-            FaultKind::HigherToken => {
+            // The new instance has not seen the higher token.
+            FaultKind::HigherFencingToken => {
                 fleet.servers.crash_server(self.server).await;
                 fleet.servers.start_server(self.server).await?;
             }
@@ -239,8 +249,8 @@
                 fleet.servers.crash_server(self.server).await;
                 fleet.servers.start_server(self.server).await?;
             }
-            FaultKind::Crowd => self.crowd.clear(),
-            FaultKind::PlatformDark | FaultKind::PlatformReset => {
+            FaultKind::ConnectionFlood => self.idle_connections.clear(),
+            FaultKind::PlatformBlackhole | FaultKind::PlatformReset => {
                 fleet.servers.platform.set_reachability(Reachability::Serving);
             }
             _ => {
@@ -254,9 +264,9 @@
     fn recover_processes(&mut self, fleet: &mut Fleet) -> Result<()> {
         let control = ProcessId::Control(self.control_node);
         match self.fault.kind {
-            FaultKind::ControlKill | FaultKind::ControlWipe => fleet.release_stop(control),
-            FaultKind::ControlFreeze => fleet.release_pause(control),
-            FaultKind::ControlHerd => {
+            FaultKind::ControlKill | FaultKind::ControlDiskLoss => fleet.release_stop(control),
+            FaultKind::ControlPause => fleet.release_pause(control),
+            FaultKind::AllControlKill => {
                 self.control_nodes.iter().try_for_each(|index| fleet.release_stop(ProcessId::Control(*index)))
             }
             FaultKind::ControlReplace => {
@@ -268,17 +278,21 @@
             }
             FaultKind::ProxyKill => fleet.release_stop(ProcessId::Proxy(self.front)),
             FaultKind::AgentKill => fleet.release_stop(self.agent),
-            FaultKind::FrontFreeze => {
+            FaultKind::FrontPause => {
                 self.front_processes().into_iter().try_for_each(|process_id| fleet.release_pause(process_id))
             }
-            FaultKind::ControlDescriptors => fleet.limit_descriptors(control, DescriptorLimit::Ample),
-            FaultKind::ControlDiskFull => fleet.limit_disk(control, DiskLimit::Free),
+            FaultKind::ControlDescriptorExhaustion => {
+                fleet.limit_descriptors(control, DescriptorLimit::Sufficient)
+            }
+            FaultKind::ControlDiskFull => fleet.limit_disk(control, DiskLimit::Unlimited),
             FaultKind::ProcessorQuota => fleet.release_throttle(&self.throttled),
-            FaultKind::ProxyDescriptors => {
-                fleet.limit_descriptors(ProcessId::Proxy(self.front), DescriptorLimit::Ample)
+            FaultKind::ProxyDescriptorExhaustion => {
+                fleet.limit_descriptors(ProcessId::Proxy(self.front), DescriptorLimit::Sufficient)
+            }
+            FaultKind::AgentDescriptorExhaustion => {
+                fleet.limit_descriptors(self.agent, DescriptorLimit::Sufficient)
             }
-            FaultKind::AgentDescriptors => fleet.limit_descriptors(self.agent, DescriptorLimit::Ample),
-            // All other kinds leave processes as they are.
+            // All other kinds need no recovery of processes.
             _ => Ok(()),
         }
     }
@@ -286,14 +300,14 @@
     fn recover_servers(&self, fleet: &Fleet) {
         let servers = &fleet.servers;
         match self.fault.kind {
-            FaultKind::ServerDark => servers.set_server_reachability(self.server, Reachability::Serving),
+            FaultKind::ServerBlackhole => servers.set_server_reachability(self.server, Reachability::Serving),
             FaultKind::ServerFailing => servers.set_server_failing(self.server, false),
-            FaultKind::AnswersLost
-            | FaultKind::AnswersGarbled
-            | FaultKind::AnswersSurplus
-            | FaultKind::StreamsCut => servers.clear_request_faults(),
-            FaultKind::IdleRace => servers.set_drops_idle_connections(false),
-            // All other kinds leave servers as they are.
+            FaultKind::ResponsesLost
+            | FaultKind::ResponsesMalformed
+            | FaultKind::ResponsesUnmatched
+            | FaultKind::StreamsTruncated => servers.clear_request_faults(),
+            FaultKind::IdleConnectionRace => servers.set_drops_idle_connections(false),
+            // All other kinds need no recovery of servers.
             _ => {}
         }
     }
@@ -303,15 +317,15 @@
     }
 }
 
-/// Has all processes reload their settings.
+/// Makes all processes reload their settings.
 fn reload_all(fleet: &mut Fleet) -> Result<()> {
     fleet.processes().into_iter().try_for_each(|process_id| fleet.signal(process_id, Signal::Reload))
 }
 
-/// Opens connections to a front-end node and sends nothing on them.
+/// Opens connections to a front-end node without sending anything on them.
 async fn open_idle_connections(front: SocketAddr) -> Vec<TcpStream> {
     let mut connections = Vec::new();
-    for _ in 0..CROWD_CONNECTIONS {
+    for _ in 0..FLOOD_CONNECTIONS {
         if let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(front)).await {
             connections.push(stream);
         }
--- a/crates/soak/src/finding.rs
+++ b/crates/soak/src/finding.rs
@@ -1,11 +1,11 @@
-//! What a run may be found to have done wrong.
+//! Findings: the violations that are detected in a run.
 
-/// A violated rule, or a condition that did not hold where it had to.
+/// A violated rule, or a required condition that did not hold.
 ///
 /// Findings are ordered by rule, then by facts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// The name of the rule. Names are fixed: they are written to `findings.txt` and compared by `--minimize`.
+    /// The name of the rule. Names are fixed, since they are written to `findings.txt`.
     pub rule: &'static str,
     /// What was observed, as one line of text.
     pub facts: String,
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The processes of one run with the link proxies between them, their servers and their platform.
+//! The processes of a run, the link proxies between them, their servers and the platform.
 //!
-//! Faults overlap, so that two of them may stop or pause the same process. The fleet counts the faults that stop and that
-//! pause each process; it runs again once both counts are zero.
+//! Faults overlap, so two of them may stop or pause the same process. The fleet counts, per process, the
+//! faults that stop and those that pause it; the process runs again once both counts are zero.
 
 use crate::checker::HostedControl;
 use crate::configuration::configuration;
@@ -18,36 +18,37 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Control nodes at most, those included that replace others.
+/// The maximum number of control nodes of a run, including those that replace others.
 const MAX_CONTROL_NODES: usize = 8;
-/// The limit of descriptors in the settings. A proxy then accepts some 60 clients, fewer than a crowd opens.
+/// The descriptor limit in the settings. With it a proxy accepts about 60 clients, fewer than a connection
+/// flood opens.
 const MAX_FDS: usize = 300;
-/// Descriptors that a process may open beyond those it has while it runs out of them.
+/// The number of further descriptors that a process may open while its descriptors are exhausted.
 const EXHAUSTED_HEADROOM: usize = 0;
-/// A limit of descriptors that no process reaches.
-const AMPLE_DESCRIPTORS: usize = 1_024;
+/// A descriptor limit that no process reaches.
+const SUFFICIENT_DESCRIPTORS: usize = 1_024;
 
-/// The limit of file descriptors of a process.
+/// The file descriptor limit of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DescriptorLimit {
     /// No further descriptor can be opened.
     Exhausted,
-    /// More than a process needs.
-    Ample,
+    /// The limit is higher than a process needs.
+    Sufficient,
 }
 
-/// What the disk of a process takes.
+/// The space on the disk of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiskLimit {
-    /// It rejects every write.
+    /// Every write fails.
     Full,
-    /// It takes all writes.
-    Free,
+    /// No write fails.
+    Unlimited,
 }
 
-/// All processes of one run and what surrounds them.
+/// The processes of a run and their environment.
 pub struct Fleet {
-    /// The clock of the run, and the log of what servers received.
+    /// The clock of the run, and the log of the requests that servers received.
     pub environment: Environment,
     /// The servers and the platform.
     pub servers: ServerPool,
@@ -59,15 +60,15 @@
     pub control_nodes: Vec<usize>,
     /// The number of front-end nodes.
     pub front_count: usize,
-    /// By process name: how many active faults have stopped it.
+    /// The number of active faults that stop each process, by process name.
     stop_counts: BTreeMap<String, usize>,
-    /// By process name: how many active faults have paused it.
+    /// The number of active faults that pause each process, by process name.
     pause_counts: BTreeMap<String, usize>,
-    /// The names of processes that were replaced and stay down.
+    /// The names of processes that were replaced and are not restarted.
     retired: BTreeSet<String>,
-    /// The index of the next control node to be added.
+    /// The index of the next control node that is added.
     next_control_node: usize,
-    /// Proxies forward until they are dropped.
+    /// Kept because a link proxy stops when it is dropped.
     _link_proxies: Vec<LinkProxy>,
 }
 
@@ -109,12 +110,13 @@
     /// The write is not acknowledged, or a front-end node does not become ready in time.
     pub async fn bring_into_service(&self) -> Result<()> {
         let outcome = self.operator().put(&configuration(1).to_bytes(), 0).await;
-        ensure!(outcome.status() == Some(200), "the first configuration: {outcome:?}");
-        ensure!(self.cluster.wait_ready().await, "a front is not ready");
+        ensure!(outcome.status() == Some(200), "the first configuration was not acknowledged: {outcome:?}");
+        ensure!(self.cluster.wait_ready().await, "a front-end node did not become ready in time");
         Ok(())
     }
 
-    /// The addresses that operators call: the control nodes in use, and the front-end nodes, which forward to them.
+    /// The addresses that operators call: the control nodes in use, and the front-end nodes, which forward to
+    /// them.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         let control_nodes = self.control_nodes.iter().map(|index| self.cluster.control_address(*index));
         control_nodes.chain(self.cluster.gateway_addresses()).collect()
@@ -125,17 +127,20 @@
         Operator::new(self.operator_addresses())
     }
 
-    /// The control node in use that the target of a fault selects. There is always one: replacements keep their number.
+    /// The control node in use that the target of a fault selects. There is always one, since a replacement
+    /// keeps the number of control nodes.
     pub fn control_node(&self, target: usize) -> usize {
         self.control_nodes[target % self.control_nodes.len()]
     }
 
-    /// The agent of a front-end node; its control process where it hosts control, since that acts as the agent.
+    /// The process that acts as the agent of a front-end node: its control process if the node hosts control,
+    /// otherwise its agent.
     pub fn agent(&self, front: usize) -> ProcessId {
         if self.cluster.hosts_control(front) { ProcessId::Control(front) } else { ProcessId::Agent(front) }
     }
 
-    /// What the agents serve operators, where they host control.
+    /// The control that front-end nodes host, with the addresses at which their agents serve operators. Empty
+    /// if there are dedicated control nodes.
     pub fn hosted_control(&self) -> HostedControl {
         let replicas: Vec<usize> =
             (0..self.front_count).filter(|front| self.cluster.hosts_control(*front)).collect();
@@ -147,7 +152,7 @@
         HostedControl { addresses, replica_count: replicas.len() }
     }
 
-    /// All processes in use: control, then proxies, then agents.
+    /// All processes in use: control processes, then proxies, then agents.
     pub fn processes(&self) -> Vec<ProcessId> {
         let control = self.control_nodes.iter().map(|index| ProcessId::Control(*index));
         let proxies = (0..self.front_count).map(ProcessId::Proxy);
@@ -156,13 +161,13 @@
         control.chain(proxies).chain(agents).collect()
     }
 
-    /// Whether an active fault stops or pauses the process, or it was replaced.
+    /// Whether an active fault stops or pauses the process, or the process was replaced.
     pub fn is_stopped_or_paused(&self, name: &str) -> bool {
         let is_counted = |counts: &BTreeMap<String, usize>| counts.get(name).is_some_and(|count| *count > 0);
         is_counted(&self.stop_counts) || is_counted(&self.pause_counts) || self.retired.contains(name)
     }
 
-    /// Kills a process (SIGKILL) and waits for its end. It stays down until [`Fleet::release_stop`].
+    /// Kills a process (SIGKILL) and waits for its exit. It is not restarted before [`Fleet::release_stop`].
     pub fn kill(&mut self, process_id: ProcessId) -> Result<()> {
         self.count_stop(process_id);
         if let Some(process) = self.cluster.process(&process_id.name()) {
@@ -172,7 +177,8 @@
         Ok(())
     }
 
-    /// Asks a process to terminate (SIGTERM), without waiting. It stays down until [`Fleet::release_stop`].
+    /// Asks a process to terminate (SIGTERM), without waiting for its exit. It is not restarted before
+    /// [`Fleet::release_stop`].
     pub fn terminate(&mut self, process_id: ProcessId) -> Result<()> {
         self.count_stop(process_id);
         Ok(self.cluster.terminate(&process_id.name())?)
@@ -182,12 +188,13 @@
         *self.stop_counts.entry(process_id.name()).or_default() += 1;
     }
 
-    /// Whether a process has exited, or never ran.
+    /// Whether a process has exited or was never started.
     pub fn has_exited(&mut self, process_id: ProcessId) -> bool {
         self.cluster.process(&process_id.name()).is_none_or(|process| process.exit_status().is_some())
     }
 
-    /// Takes back one stop. The process is restarted once no fault stops it, unless it was replaced or has not exited.
+    /// Ends one stop of a process. The process is restarted once no fault stops it, unless it was replaced or
+    /// has not exited.
     pub fn release_stop(&mut self, process_id: ProcessId) -> Result<()> {
         let count = self.stop_counts.entry(process_id.name()).or_default();
         *count = count.saturating_sub(1);
@@ -209,44 +216,45 @@
         self.signal(process_id, Signal::Stop)
     }
 
-    /// Takes back one pause. The process continues (SIGCONT) once no fault pauses it.
+    /// Ends one pause of a process. The process continues (SIGCONT) once no fault pauses it.
     pub fn release_pause(&mut self, process_id: ProcessId) -> Result<()> {
         let count = self.pause_counts.entry(process_id.name()).or_default();
         *count = count.saturating_sub(1);
         if *count == 0 { self.signal(process_id, Signal::Continue) } else { Ok(()) }
     }
 
-    /// Sets the limit of file descriptors of a process that runs.
+    /// Sets the file descriptor limit of a running process.
     pub fn limit_descriptors(&mut self, process_id: ProcessId, limit: DescriptorLimit) -> Result<()> {
         if let Some(process) = self.cluster.process(&process_id.name()) {
             process.limit_open_descriptors(match limit {
                 DescriptorLimit::Exhausted => process.open_descriptors() + EXHAUSTED_HEADROOM,
-                DescriptorLimit::Ample => AMPLE_DESCRIPTORS,
+                DescriptorLimit::Sufficient => SUFFICIENT_DESCRIPTORS,
             })?;
         }
         Ok(())
     }
 
-    /// Sets what the disk of a process that runs takes.
+    /// Sets whether writes of a running process to its disk fail.
     pub fn limit_disk(&mut self, process_id: ProcessId, limit: DiskLimit) -> Result<()> {
         if let Some(process) = self.cluster.process(&process_id.name()) {
             process.limit_file_size(match limit {
                 DiskLimit::Full => Some(0),
-                DiskLimit::Free => None,
+                DiskLimit::Unlimited => None,
             })?;
         }
         Ok(())
     }
 
-    /// Stops processes (SIGSTOP) that no other fault has stopped or paused, until [`Fleet::release_throttle`].
+    /// Stops the processes (SIGSTOP) that no other fault has stopped or paused, until
+    /// [`Fleet::release_throttle`].
     pub fn throttle(&mut self, processes: &[ProcessId]) -> Result<()> {
         processes.iter().try_for_each(|process_id| {
-            let is_idle = self.is_stopped_or_paused(&process_id.name());
-            if is_idle { Ok(()) } else { self.signal(*process_id, Signal::Stop) }
+            let is_already_stopped = self.is_stopped_or_paused(&process_id.name());
+            if is_already_stopped { Ok(()) } else { self.signal(*process_id, Signal::Stop) }
         })
     }
 
-    /// Has processes continue (SIGCONT) that no other fault pauses.
+    /// Continues the processes (SIGCONT) that no other fault pauses.
     pub fn release_throttle(&mut self, processes: &[ProcessId]) -> Result<()> {
         processes.iter().try_for_each(|process_id| {
             let is_paused = self.pause_counts.get(&process_id.name()).is_some_and(|count| *count > 0);
@@ -254,7 +262,7 @@
         })
     }
 
-    /// Sends a signal to a process that runs.
+    /// Sends a signal to a running process.
     pub fn signal(&mut self, process_id: ProcessId, signal: Signal) -> Result<()> {
         if let Some(process) = self.cluster.process(&process_id.name()) {
             process.signal(signal)?;
@@ -262,7 +270,8 @@
         Ok(())
     }
 
-    /// Starts an empty control node and returns its index; `None` if all addresses are taken.
+    /// Starts an empty control node and returns its index; `None` if all [`MAX_CONTROL_NODES`] indices have
+    /// been used.
     pub fn add_control_node(&mut self) -> Result<Option<usize>> {
         if self.next_control_node >= MAX_CONTROL_NODES {
             return Ok(None);
@@ -273,7 +282,7 @@
         Ok(Some(index))
     }
 
-    /// Replaces a control node, which was asked to terminate and stays down, by one that was added.
+    /// Replaces a control node, which was asked to terminate and is not restarted, by one that was added.
     pub fn replace_control_node(&mut self, old: usize, new: usize) {
         self.retired.insert(ProcessId::Control(old).name());
         self.control_nodes.retain(|index| *index != old);
@@ -295,12 +304,13 @@
     }
 }
 
-/// Starts the proxies in front of all control nodes that a run may use.
+/// Starts the link proxies of all control nodes that a run may use.
 async fn start_link_proxies(cluster: &Cluster, links: &LinkTable) -> Result<Vec<LinkProxy>> {
     let mut proxies = Vec::new();
     for index in 0..MAX_CONTROL_NODES {
         for (public, target) in cluster.relay_addresses(index) {
-            proxies.push(LinkProxy::start(links, public, target).await.wrap_err("a relay")?);
+            proxies
+                .push(LinkProxy::start(links, public, target).await.wrap_err("cannot start a link proxy")?);
         }
     }
     Ok(proxies)
--- a/crates/soak/src/harness.rs
+++ b/crates/soak/src/harness.rs
@@ -1,4 +1,4 @@
-//! Runs one scenario on real processes: from the start of the fleet, through the faults, to the findings.
+//! Runs one scenario on real processes: starts the fleet, injects the faults, and evaluates the findings.
 
 use crate::checker::{RunRecords, check};
 use crate::finding::Finding;
@@ -17,64 +17,64 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Clients go on for so long after the recovery. Only faults of their front-end node that have just ended excuse failures
-/// then.
+/// How long clients continue after the recovery. In this time a failed request is a finding unless a fault of
+/// its front-end node has just ended.
 const SETTLE_TIME: Duration = Duration::from_millis(3_000);
-/// The version of the last write of a run, above all others.
+/// The version of the last write of a run, higher than all others.
 const FINAL_VERSION: u64 = 1_000_000;
 
 /// The outcome of a run.
 #[derive(Debug)]
 pub struct RunOutcome {
-    /// The schedule that was played.
+    /// The schedule of the run.
     pub schedule: Schedule,
     /// All violations.
     pub findings: Vec<Finding>,
-    /// Requests that clients sent.
+    /// The number of requests that clients sent.
     pub requests: usize,
-    /// Requests with a complete 2xx response.
+    /// The number of requests with a complete 2xx response.
     pub successes: usize,
-    /// Configurations that operators wrote.
+    /// The number of configurations that operators wrote.
     pub changes: usize,
-    /// Reads of the configuration that were answered.
+    /// The number of reads of the configuration that were answered.
     pub reads: usize,
-    /// What the harness recorded, as text.
+    /// The records of the harness, as text.
     pub ledger: String,
-    /// What all processes logged.
+    /// The logs of all processes.
     pub logs: String,
 }
 
-/// What was recorded in a run, before it is checked.
+/// The records of a run, before they are checked.
 struct RunObservations {
-    /// When the schedule began, since the start of the environment.
+    /// When the schedule began, since the start of the run.
     started_at: Duration,
     played: PlayedSchedule,
     recovered_at: Duration,
     attempts: Vec<Attempt>,
     operator_log: OperatorLog,
     monitor: ProcessMonitor,
-    /// What the recovery was found to lack.
+    /// The findings of the recovery checks.
     recovery_findings: Vec<Finding>,
 }
 
-/// Plays a schedule on real processes of `binary`, and checks what was observed.
+/// Runs a schedule on real processes of `binary`, and checks what was observed.
 ///
 /// # Errors
-/// The harness itself fails: an address is taken, or a process cannot be started or signalled. What the fleet does wrong is
-/// no error but a finding.
+/// The harness itself fails: an address is in use, or a process cannot be started or signalled. A violation
+/// by the fleet is a finding, not an error.
 pub async fn run(binary: &Path, scenario: &Scenario, schedule: &Schedule) -> Result<RunOutcome> {
     let mut fleet = Fleet::start(scenario, binary).await?;
     if scenario.has_startup_faults {
         inject_startup_faults(&mut fleet, scenario.seed).await?;
     }
     if let Err(error) = fleet.bring_into_service().await {
-        return Ok(never_in_service(schedule, &mut fleet, &error));
+        return Ok(startup_failure_outcome(schedule, &mut fleet, &error));
     }
     let observations = observe_run(&mut fleet, scenario, schedule).await?;
-    Ok(conclude(&mut fleet, schedule, observations))
+    Ok(evaluate_run(&mut fleet, schedule, observations))
 }
 
-/// Plays the schedule under load, waits for the recovery, and ends the load.
+/// Runs the schedule under load, waits for the recovery, and ends the load.
 async fn observe_run(fleet: &mut Fleet, scenario: &Scenario, schedule: &Schedule) -> Result<RunObservations> {
     let operators = Operators::start(&fleet.environment, fleet.operator_addresses(), scenario.seed);
     let traffic = Traffic::start(&fleet.environment, fleet.cluster.front_addresses(), scenario.seed);
@@ -103,8 +103,8 @@
     })
 }
 
-/// Checks what was observed.
-fn conclude(fleet: &mut Fleet, schedule: &Schedule, observations: RunObservations) -> RunOutcome {
+/// Checks the records of a run.
+fn evaluate_run(fleet: &mut Fleet, schedule: &Schedule, observations: RunObservations) -> RunOutcome {
     let RunObservations { started_at, played, recovered_at, attempts, operator_log, monitor, .. } =
         observations;
     let mut findings = observations.recovery_findings;
@@ -140,10 +140,10 @@
     }
 }
 
-/// The outcome of a run whose fleet never came into service.
-fn never_in_service(schedule: &Schedule, fleet: &mut Fleet, error: &eyre::Report) -> RunOutcome {
+/// The outcome of a run whose fleet did not come into service.
+fn startup_failure_outcome(schedule: &Schedule, fleet: &mut Fleet, error: &eyre::Report) -> RunOutcome {
     let findings = vec![Finding { rule: "not_opened", facts: format!("{error:#}") }];
-    // Violations that are left in the cluster would fail the harness when it is dropped.
+    // The cluster panics when it is dropped with violations that nobody has taken.
     fleet.cluster.take_violations();
     RunOutcome {
         schedule: schedule.clone(),
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,20 +1,24 @@
-//! A soak test of real `lugwharf` processes on loopback, under client and operator load, with faults drawn from a seed.
+//! A soak test that runs real `lugwharf` processes on loopback under client and operator load, and injects
+//! faults drawn from a seed.
 //!
-//! The checker relies on what the harness observed at clients, operators and servers, not on what the processes report.
+//! The checker relies on what the harness observed at clients, operators and servers, not on what the
+//! processes report about themselves.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `fault`, `schedule` | kinds of faults; scenarios, and the schedule that a seed draws |
+//! | `fault`, `schedule` | the kinds of faults; scenarios, and the schedule drawn from a seed |
 //! | `harness` | one run, from the start of the fleet to its findings |
-//! | `fleet`, `process_id`, `servers`, `configuration` | the processes; the emulated servers and the platform; what operators write |
+//! | `fleet`, `process_id` | the processes |
+//! | `servers`, `configuration` | the emulated servers and the platform; the configurations that operators write |
 //! | `link_proxy` | links between machines that can be blackholed, reset and delayed, one direction at a time |
-//! | `timeline`, `fault_injection`, `link_faults`, `startup_faults` | plays a schedule; injects and recovers from a fault |
+//! | `timeline` | runs a schedule |
+//! | `fault_injection`, `link_faults`, `startup_faults` | inject a fault and recover from it |
 //! | `traffic` | the client load |
-//! | `operators`, `operator_log` | configurations written, raced, resent and read back; the log of all that |
-//! | `process_monitor` | exits, metrics and resources of the processes during a run |
-//! | `recovery` | what has to hold once all faults are over |
+//! | `operators`, `operator_log` | writes, concurrent writes, resends and reads of configurations; their log |
+//! | `process_monitor` | exits, metrics and resource use of the processes during a run |
+//! | `recovery` | the conditions that must hold once all faults are over |
 //! | `checker`, `finding` | violations in the records of a run |
-//! | `report`, `run_log` | the folder of a failing seed, its ledger, and the summary |
+//! | `report`, `run_log` | the folder and the ledger of a failing seed, and the summary of all seeds |
 #![forbid(unsafe_code)]
 
 mod checker;
--- a/crates/soak/src/link_faults.rs
+++ b/crates/soak/src/link_faults.rs
@@ -7,19 +7,22 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// A partition takes the group of a node from one of so many bits of the fault's draws, by the node's index.
+/// The number of bits of the fault's draws that determine a partition. The index of a node selects the bit
+/// for its group.
 const PARTITION_BITS: usize = 6;
-/// The latency of a slow pair, in ms, and what each unit of the fault's peer draw adds to it.
+/// The minimum latency of [`FaultKind::PairLatency`], in ms, and the latency that each unit of the fault's
+/// peer draw adds.
 const MIN_DELAY_MS: u64 = 20;
 const DELAY_STEP_MS: u64 = 4;
 
-/// A state that a fault gives to a link.
+/// A link, and the state that a fault sets it to.
 struct LinkFault {
     link: Link,
     state: LinkState,
 }
 
-/// Sets all links to the states that the active faults give them. Of several faults on one link, the most severe wins.
+/// Sets all links to the states that the active faults require. If several faults affect one link, the most
+/// severe state applies.
 pub fn apply_link_faults<'a>(fleet: &Fleet, active: impl Iterator<Item = &'a ActiveFault>) {
     fleet.links.open_all();
     let mut link_faults: Vec<LinkFault> = active.flat_map(|active| link_faults_of(fleet, active)).collect();
@@ -46,27 +49,27 @@
     [one_way(one, other, state), one_way(other, one, state)]
 }
 
-/// The links that a fault disturbs.
+/// The links that a fault affects, with their states.
 fn link_faults_of(fleet: &Fleet, active: &ActiveFault) -> Vec<LinkFault> {
     let address = |index: usize| fleet.cluster.control_bind_ip(index);
     let (node, peer) = (address(active.control_node), address(active.peer_control_node));
     let agent = fleet.cluster.front_bind_ip(active.front);
     let control_nodes = || active.control_nodes.iter().map(|index| address(*index));
     match active.fault.kind {
-        FaultKind::PairSilent => both_ways(node, peer, LinkState::Blackholed).into(),
+        FaultKind::PairBlackhole => both_ways(node, peer, LinkState::Blackholed).into(),
         FaultKind::PairReset => both_ways(node, peer, LinkState::Reset).into(),
-        FaultKind::PairOneWay => vec![one_way(node, peer, LinkState::Blackholed)],
-        FaultKind::PairSlow => {
+        FaultKind::PairOneWayBlackhole => vec![one_way(node, peer, LinkState::Blackholed)],
+        FaultKind::PairLatency => {
             let delay = Duration::from_millis(MIN_DELAY_MS + DELAY_STEP_MS * active.fault.peer as u64);
             both_ways(node, peer, LinkState::Delayed(delay)).into()
         }
-        FaultKind::Halves => partition(fleet, active),
-        FaultKind::Mute => {
+        FaultKind::ControlPartition => partition(fleet, active),
+        FaultKind::ControlOutboundBlackhole => {
             let peers = control_nodes().filter(|peer| *peer != node);
             peers.map(|peer| one_way(node, peer, LinkState::Blackholed)).collect()
         }
-        FaultKind::AgentSilent => both_ways(agent, node, LinkState::Blackholed).into(),
-        FaultKind::AgentDeaf => {
+        FaultKind::AgentLinkBlackhole => both_ways(agent, node, LinkState::Blackholed).into(),
+        FaultKind::AgentInboundBlackhole => {
             control_nodes().map(|from| one_way(from, agent, LinkState::Blackholed)).collect()
         }
         FaultKind::AgentReset => {
@@ -76,7 +79,8 @@
     }
 }
 
-/// Cuts the control nodes into two groups. Where the draws put all nodes into one, the node that is hit is alone in the other.
+/// Partitions the control nodes into two groups. If the draws put all nodes into one group, the affected node
+/// is isolated from all others.
 fn partition(fleet: &Fleet, active: &ActiveFault) -> Vec<LinkFault> {
     let bits = active.fault.target ^ active.fault.peer;
     let group = |index: usize| (bits >> (index % PARTITION_BITS)) & 1;
--- a/crates/soak/src/link_proxy.rs
+++ b/crates/soak/src/link_proxy.rs
@@ -1,7 +1,9 @@
-//! TCP proxies between the machines of a fleet, whose links can be blackholed, reset and delayed, one direction at a time.
+//! TCP proxies between the machines of a fleet. Each link can be blackholed, reset or delayed, separately per
+//! direction.
 //!
-//! A machine is reached at a public address, where a [`LinkProxy`] listens. Its process listens at another address and opens
-//! its own connections from there. The proxy so knows both ends of a connection, and with them its two links.
+//! A [`LinkProxy`] listens at the public address of a machine. The process of the machine listens at another
+//! address, from which it also opens its own connections. The proxy therefore knows the machines at both ends
+//! of a connection, and with them its two links.
 
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -17,20 +19,20 @@
 /// The size of the buffer of one direction, in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// How a link carries bytes.
+/// How a link forwards bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkState {
-    /// Without delay.
+    /// Bytes are forwarded without delay.
     Open,
-    /// Not at all: bytes wait until the link is passable again, and no end is notified.
+    /// Bytes are held back until the link is passable again. Neither end is notified.
     Blackholed,
-    /// Connections over it are reset.
+    /// Connections over the link are reset.
     Reset,
-    /// Each chunk after this delay.
+    /// Each chunk is forwarded after this delay.
     Delayed(Duration),
 }
 
-/// One direction between two machines, by the addresses at which their processes listen.
+/// One direction between two machines, named by the addresses at which their processes listen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Link {
     /// The sender.
@@ -46,11 +48,11 @@
     }
 }
 
-/// The states of all links; clones share them. A link that was never set is open.
+/// The states of all links, shared by all clones. A link that was never set is open.
 #[derive(Clone, Debug)]
 pub struct LinkTable {
     states: Arc<Mutex<HashMap<Link, LinkState>>>,
-    /// Counts changes, and so wakes those who wait for one.
+    /// The number of changes. It wakes the tasks that wait for a change.
     changes: watch::Sender<u64>,
 }
 
@@ -82,7 +84,7 @@
         self.states().get(&link).copied().unwrap_or(LinkState::Open)
     }
 
-    /// Waits until a link carries bytes and returns its delay; `None` if connections over it are reset.
+    /// Waits until a link forwards bytes and returns its delay; `None` if connections over it are reset.
     async fn wait_until_passable(&self, link: Link) -> Option<Duration> {
         let mut changes = self.changes.subscribe();
         loop {
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Waits until connections are reset in one direction of a link or the other.
+    /// Waits until connections are reset in either direction of a link.
     async fn wait_for_reset(&self, link: Link) {
         let mut changes = self.changes.subscribe();
         loop {
@@ -114,7 +116,7 @@
     }
 }
 
-/// Listens at a public address and forwards connections to a process, until it is dropped.
+/// Listens at a public address and forwards connections to a process. Stops listening when it is dropped.
 #[derive(Debug)]
 pub struct LinkProxy {
     task: tokio::task::JoinHandle<()>,
@@ -150,14 +152,14 @@
     let (SocketAddr::V4(from), SocketAddr::V4(to)) = (from, target) else { return };
     let outbound = Link { from: *from.ip(), to: *to.ip() };
     let inbound = outbound.reversed();
-    // A handshake needs both directions.
+    // A TCP handshake needs both directions.
     let is_passable = links.wait_until_passable(outbound).await.is_some()
         && links.wait_until_passable(inbound).await.is_some();
     let server = if is_passable { TcpStream::connect(target).await.ok() } else { None };
     let Some(server) = server else { return reset_on_close(&client) };
-    // A socket that has closed meanwhile takes no options; the copies then end at once.
+    // Setting options fails on a socket that has closed meanwhile; copying then ends immediately.
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
-    // Without linger, dropping the sockets resets both ends, which is what a reset link has to do.
+    // With a linger time of zero, dropping the sockets resets both ends, as a reset link requires.
     reset_on_close(&client);
     reset_on_close(&server);
     let (client_read, client_write) = client.into_split();
@@ -176,11 +178,11 @@
 
 /// Makes the end of a socket a reset (RST) instead of an orderly close (FIN).
 fn reset_on_close(stream: &TcpStream) {
-    // A socket that is closed already needs no reset.
+    // An error means that the socket is already closed and needs no reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
 
-/// Copies bytes over one link until the end of input, which is forwarded as well.
+/// Copies bytes over one link until the end of input, and forwards the end of input.
 async fn copy_one_way(links: &LinkTable, link: Link, mut from: OwnedReadHalf, mut to: OwnedWriteHalf) {
     let mut chunk = vec![0; CHUNK_BYTES];
     loop {
@@ -194,7 +196,7 @@
             return;
         }
         if length == 0 {
-            // A receiver that is gone needs no end of input.
+            // An error means that the receiver is gone and needs no end of input.
             let _ = to.shutdown().await;
             return;
         }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,7 +1,7 @@
-//! `lugwharf-soak`: plays seeds on real processes, and leaves a folder of records for each that fails.
+//! `lugwharf-soak`: runs seeds on real processes, and writes a folder of records for each seed that fails.
 //!
-//! Exits with 0 if no seed has findings, with 1 if one has or could not be played, and with 2 if the command line is wrong or
-//! a schedule cannot be minimized.
+//! Exits with 0 if no seed has findings, with 1 if a seed has findings or could not be run, and with 2 if the
+//! command line is invalid or a schedule cannot be minimized.
 #![forbid(unsafe_code)]
 
 mod campaign;
@@ -21,7 +21,7 @@
     }
 }
 
-/// Executes the command line. Returns whether no seed had findings.
+/// Executes the command line. Returns whether all seeds were run without findings.
 fn execute() -> eyre::Result<bool> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match command_line::parse(&arguments)? {
--- a/crates/soak/src/operator_log.rs
+++ b/crates/soak/src/operator_log.rs
@@ -1,28 +1,28 @@
-//! What the operators of a run sent, and how it was answered.
+//! The log of the configuration writes and reads of a run, with their outcomes.
 
 use lugwharf_emulator::operator::CallOutcome;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// One write of a configuration, with all its attempts.
+/// One write of a configuration, including all its attempts.
 #[derive(Clone, Debug)]
 pub struct ConfigWrite {
-    /// The version that was written.
+    /// The version of the configuration.
     pub version: u64,
-    /// The version that it was based on.
+    /// The version that the write is based on.
     pub base: u64,
-    /// The configuration, byte for byte.
+    /// The encoded configuration.
     pub bytes: Arc<[u8]>,
-    /// Whether the configuration is valid. An invalid one must be refused.
+    /// Whether the configuration is valid. An invalid configuration must be refused.
     pub is_valid: bool,
-    /// When the first attempt was sent, since the start of the environment.
+    /// When the first attempt was sent, since the start of the run.
     pub started_at: Duration,
-    /// When the last attempt ended, since the start of the environment.
+    /// When the last attempt ended, since the start of the run.
     pub ended_at: Duration,
-    /// How the write ended.
+    /// The outcome of the write.
     pub outcome: CallOutcome,
-    /// Whether this is a write that was acknowledged, sent again with no other write in between.
+    /// Whether this write repeats an acknowledged write, with no other write in between.
     pub is_resend: bool,
 }
 
@@ -32,24 +32,24 @@
         matches!(self.outcome, CallOutcome::Acknowledged(_))
     }
 
-    /// Whether the write was clearly refused.
+    /// Whether the write was definitely refused.
     pub fn is_refused(&self) -> bool {
         matches!(self.outcome, CallOutcome::Refused(_))
     }
 }
 
-/// One read of the newest configuration, at one address.
+/// One read of the newest configuration at one address.
 #[derive(Clone, Debug)]
 pub struct ConfigRead {
-    /// The address that was read at.
+    /// The address that the read was sent to.
     pub from: SocketAddr,
-    /// Where its redirects led; the same address if there were none.
+    /// The address that redirects led to; equal to `from` if there were none.
     pub reached: SocketAddr,
-    /// When the request was sent, since the start of the environment.
+    /// When the request was sent, since the start of the run.
     pub started_at: Duration,
-    /// When the response was received or the attempt ended, since the start of the environment.
+    /// When the response was received or the attempt ended, since the start of the run.
     pub ended_at: Duration,
-    /// The configuration, byte for byte; `None` for any status other than 200, and for no response.
+    /// The encoded configuration; `None` if there was no response or its status was not 200.
     pub bytes: Option<Vec<u8>>,
 }
 
@@ -59,7 +59,7 @@
     reads: Vec<ConfigRead>,
 }
 
-/// The log of all writes and reads of a run; clones share it.
+/// The log of all writes and reads of a run, shared by all clones.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorLog {
     records: Arc<Mutex<Records>>,
--- a/crates/soak/src/operators.rs
+++ b/crates/soak/src/operators.rs
@@ -1,4 +1,5 @@
-//! The operators of a run: one task writes configurations, one after the other, raced and resent; another reads them back.
+//! The operators of a run: one task writes configurations, sometimes concurrently or repeatedly, another
+//! reads them.
 
 use crate::configuration::{configuration, version_of};
 use crate::operator_log::{ConfigRead, ConfigWrite, OperatorLog};
@@ -12,35 +13,35 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// The range of the pause between two writes, in ms.
+/// The range that the pause between two writes is drawn from, in ms.
 const WRITE_PAUSE_MS: std::ops::Range<u64> = 100..900;
-/// The range of the pause between two reads, in ms.
+/// The range that the pause between two reads is drawn from, in ms.
 const READ_PAUSE_MS: std::ops::Range<u64> = 10..120;
-/// Writes of one burst.
+/// The number of writes in a burst.
 const BURST_WRITES: usize = 6;
 
-/// What a fault asks of the operators, in place of their next write.
+/// A request of a fault to the operators, which they execute instead of their next write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OperatorRequest {
-    /// Two different writes on one base version, at the same time.
+    /// Two different writes on the same base version at the same time.
     RaceWrites,
     /// Several writes without a pause.
     BurstWrites,
 }
 
-/// The operators of one run.
+/// The operators of a run.
 pub struct Operators {
     log: OperatorLog,
-    /// What faults ask of them.
+    /// The channel for the requests of faults.
     pub requests: UnboundedSender<OperatorRequest>,
-    /// The addresses that operators call; they change when a control node is replaced.
+    /// The addresses that operators call. They change when a control node is replaced.
     pub addresses: watch::Sender<Vec<SocketAddr>>,
     stop: watch::Sender<bool>,
     tasks: Vec<tokio::task::JoinHandle<()>>,
 }
 
 impl Operators {
-    /// Starts the operators. Version 1 of the configuration is in force.
+    /// Starts the operators. Version 1 of the configuration must be in force.
     pub fn start(environment: &Environment, addresses: Vec<SocketAddr>, seed: u64) -> Operators {
         let (requests, received_requests) = unbounded_channel();
         let (addresses, stop) = (watch::Sender::new(addresses), watch::Sender::new(false));
@@ -64,14 +65,14 @@
     pub async fn finish(self) -> OperatorLog {
         self.stop.send_replace(true);
         for task in self.tasks {
-            // An operator that panicked has nothing more to record.
+            // A task that panicked records nothing more.
             let _ = task.await;
         }
         self.log
     }
 }
 
-/// What both tasks share.
+/// The state that both tasks share.
 #[derive(Clone)]
 struct OperatorContext {
     environment: Environment,
@@ -89,9 +90,9 @@
         *self.stop.borrow()
     }
 
-    /// Sends a write until there is a clear response, and records it.
-    async fn write(&self, operator: &Operator, draft: Draft) -> CallOutcome {
-        let Draft { version, base, bytes, is_valid, is_resend } = draft;
+    /// Sends a write until a response tells its outcome, and records it.
+    async fn write(&self, operator: &Operator, pending_write: PendingWrite) -> CallOutcome {
+        let PendingWrite { version, base, bytes, is_valid, is_resend } = pending_write;
         let started_at = self.environment.now();
         let outcome = operator.put(&bytes, base).await;
         let ended_at = self.environment.now();
@@ -110,8 +111,8 @@
     }
 }
 
-/// A configuration that is about to be written.
-struct Draft {
+/// A write that is about to be sent.
+struct PendingWrite {
     version: u64,
     base: u64,
     bytes: Arc<[u8]>,
@@ -119,11 +120,11 @@
     is_resend: bool,
 }
 
-impl Draft {
-    /// A valid configuration.
-    fn new(version: u64, base: u64) -> Draft {
+impl PendingWrite {
+    /// The write of a valid configuration.
+    fn new(version: u64, base: u64) -> PendingWrite {
         let bytes = configuration(version).to_bytes().into();
-        Draft { version, base, bytes, is_valid: true, is_resend: false }
+        PendingWrite { version, base, bytes, is_valid: true, is_resend: false }
     }
 }
 
@@ -134,10 +135,10 @@
     bytes: Arc<[u8]>,
 }
 
-/// Writes configurations, each based on the one before.
+/// The task that writes configurations, each based on the previous one.
 struct ConfigWriter {
     context: OperatorContext,
-    /// `None` after a write without an acknowledgement: the newest version has to be read first.
+    /// `None` after a write that was not acknowledged: the newest version must be read before the next write.
     current: Option<CurrentConfig>,
     next_version: u64,
 }
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Reads the newest version after a write without an acknowledgement.
+    /// Reads the newest version, after a write that was not acknowledged.
     async fn refresh_current(&mut self) {
         let outcome = Operator::new(self.context.addresses()).get().await;
         if let Some(version) = version_of(outcome.body()) {
@@ -185,42 +186,43 @@
     }
 
     async fn write_next(&mut self, base: u64, rng: &mut fastrand::Rng) {
-        let draft = Draft::new(self.allocate_version(), base);
-        let written = CurrentConfig { version: draft.version, bytes: draft.bytes.clone() };
+        let pending_write = PendingWrite::new(self.allocate_version(), base);
+        let written = CurrentConfig { version: pending_write.version, bytes: pending_write.bytes.clone() };
         let operator = self.operator(rng);
-        self.current = match self.context.write(&operator, draft).await {
+        self.current = match self.context.write(&operator, pending_write).await {
             CallOutcome::Acknowledged(_) => Some(written),
-            // A refusal means that another version is in force; without a clear response either may be.
+            // After a refusal another version is in force; after an unknown outcome either version may be.
             CallOutcome::Refused(_) | CallOutcome::Unknown => None,
         };
     }
 
-    /// Sends the current configuration again, which has to be acknowledged again.
+    /// Sends the current configuration again, which must be acknowledged again.
     async fn resend(&mut self, current: CurrentConfig, rng: &mut fastrand::Rng) {
         let CurrentConfig { version, bytes } = current;
         let writes = self.context.log.writes();
         let mut acknowledged = writes.iter().filter(|write| write.is_acknowledged());
         let Some(write) = acknowledged.find(|write| write.version == version) else { return };
         let operator = self.operator(rng);
-        let draft = Draft { version, base: write.base, bytes, is_valid: true, is_resend: true };
-        self.context.write(&operator, draft).await;
+        let pending_write =
+            PendingWrite { version, base: write.base, bytes, is_valid: true, is_resend: true };
+        self.context.write(&operator, pending_write).await;
     }
 
-    /// Writes a configuration with a route to a service that does not exist.
+    /// Writes an invalid configuration, which has a route to a service that does not exist.
     async fn write_invalid(&mut self, base: u64, rng: &mut fastrand::Rng) {
         let version = self.allocate_version();
         let mut json = configuration(version).to_json();
         json["Routes"][1]["Service"] = "nobody".into();
         let bytes = json.to_string().into_bytes().into();
         let operator = self.operator(rng);
-        let draft = Draft { version, base, bytes, is_valid: false, is_resend: false };
-        self.context.write(&operator, draft).await;
+        let pending_write = PendingWrite { version, base, bytes, is_valid: false, is_resend: false };
+        self.context.write(&operator, pending_write).await;
     }
 
-    /// Writes two configurations on one base at the same time; at most one may be acknowledged.
+    /// Writes two configurations on the same base concurrently. At most one of them may be acknowledged.
     async fn race(&mut self, base: u64, rng: &mut fastrand::Rng) {
-        let first = Draft::new(self.allocate_version(), base);
-        let second = Draft::new(self.allocate_version(), base);
+        let first = PendingWrite::new(self.allocate_version(), base);
+        let second = PendingWrite::new(self.allocate_version(), base);
         let operators = [self.operator(rng), self.operator(rng)];
         tokio::join!(self.context.write(&operators[0], first), self.context.write(&operators[1], second));
         self.current = None;
@@ -234,7 +236,7 @@
     }
 }
 
-/// Reads at random addresses, one attempt each.
+/// The task that reads the configuration at random addresses, with a single attempt per read.
 async fn run_reader(context: OperatorContext, mut rng: fastrand::Rng) {
     while !context.has_stopped() {
         let addresses = context.addresses();
@@ -245,7 +247,7 @@
     }
 }
 
-/// Reads the newest configuration once, at one address.
+/// Reads the newest configuration at one address, with a single attempt.
 pub async fn read_once(environment: &Environment, from: SocketAddr) -> ConfigRead {
     let started_at = environment.now();
     let RedirectedCall { final_address, result } =
--- a/crates/soak/src/process_id.rs
+++ b/crates/soak/src/process_id.rs
@@ -1,6 +1,6 @@
-//! Names of the processes of a fleet.
+//! The identity of a process of a fleet.
 
-/// Identifies one process of a fleet. It stays the same when the process is restarted.
+/// Identifies a process of a fleet. The identity does not change when the process is restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessId {
     /// The control process of the control node with this index.
@@ -12,7 +12,7 @@
 }
 
 impl ProcessId {
-    /// The name under which the cluster knows the process.
+    /// The name of the process in the cluster.
     pub fn name(self) -> String {
         match self {
             ProcessId::Control(index) => format!("control-{index}"),
--- a/crates/soak/src/process_monitor.rs
+++ b/crates/soak/src/process_monitor.rs
@@ -1,4 +1,4 @@
-//! Observes exits, metrics and resources of the processes during a run.
+//! Observes the exits, metrics and resource use of the processes during a run.
 
 use crate::finding::Finding;
 use crate::fleet::Fleet;
@@ -7,32 +7,33 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Marks the counter of a violated invariant in a text of metrics.
+/// The part of a metrics line that identifies a counter of invariant violations.
 const INVARIANT_VIOLATIONS: &str = "_invariant_violations_total{invariant=\"";
-/// The line of a control process that holds the list watcher's lease.
+/// The metrics line of a control process that holds the lease of the list reader.
 const LIST_READER_METRIC: &str = "lugwharf_control_list_reader 1";
-/// The harness waits no longer for the metrics of one process.
+/// The timeout for the metrics of one process.
 const METRICS_TIMEOUT: Duration = Duration::from_millis(150);
-/// File descriptors of one idle process; this and the next two are far above what a small fleet needs.
+/// The maximum number of file descriptors of an idle process. This limit and the next two are far above the
+/// needs of a small fleet.
 const MAX_DESCRIPTORS: usize = 300;
-/// Threads of one idle process.
+/// The maximum number of threads of an idle process.
 const MAX_THREADS: u64 = 8;
-/// Resident memory of one idle process, in KB.
+/// The maximum resident memory of an idle process, in KB.
 const MAX_RESIDENT_KB: u64 = 64 * 1024;
 
-/// One incarnation of a process. The pid tells it from others of the same name.
+/// One incarnation of a process. The pid distinguishes it from others of the same name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Incarnation {
     name: String,
     pid: u32,
 }
 
-/// What was observed of the processes so far.
+/// The observations of the processes so far.
 #[derive(Debug, Default)]
 pub struct ProcessMonitor {
-    /// The configuration version that each incarnation reported last.
+    /// The last configuration version that each incarnation reported.
     config_versions: BTreeMap<Incarnation, u64>,
-    /// Log lines that each incarnation of a proxy has omitted.
+    /// The number of log lines that each incarnation of a proxy has omitted.
     omitted_log_lines: BTreeMap<Incarnation, u64>,
     findings: BTreeSet<Finding>,
 }
@@ -45,12 +46,12 @@
             let name = process_id.name();
             let Some(process) = fleet.cluster.process(&name) else { continue };
             let (pid, exit_status) = (process.id(), process.exit_status());
-            // A paused process would let the harness wait for its metrics.
+            // The metrics of a paused process would time out.
             if fleet.is_stopped_or_paused(&name) {
                 continue;
             }
             if let Some(status) = exit_status {
-                self.report("process_ended", format!("{name} ended by itself: {status}"));
+                self.report("process_ended", format!("{name} exited unexpectedly: {status}"));
                 continue;
             }
             if let Ok(Some(text)) = timeout(METRICS_TIMEOUT, metrics_of(fleet, process_id)).await {
@@ -61,8 +62,9 @@
         self.check_lease_holders(fleet, &lease_holders).await;
     }
 
-    /// Reports several holders of one lease. They were asked one after the other, so that the first may have lost the lease
-    /// in between; it has not if it still holds it after the last was asked.
+    /// Reports several holders of one lease. The processes were observed one after the other, so the first
+    /// may have lost the lease before the last was observed. It is a violation only if the first still holds
+    /// the lease afterwards.
     async fn check_lease_holders(&mut self, fleet: &Fleet, holders: &[ProcessId]) {
         let [first, _, ..] = holders else { return };
         let text = timeout(METRICS_TIMEOUT, metrics_of(fleet, *first)).await.ok().flatten();
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Checks the resources that each process holds while the fleet is idle.
+    /// Checks the resource use of each process while the fleet is idle.
     pub fn check_idle_resources(&mut self, fleet: &mut Fleet) {
         for process_id in fleet.processes() {
             let name = process_id.name();
@@ -103,7 +105,8 @@
         }
     }
 
-    /// Log lines about failed requests that all incarnations of a front-end node's proxy have omitted.
+    /// The number of log lines about failed requests that all incarnations of a front-end node's proxy have
+    /// omitted.
     pub fn omitted_log_lines(&self, front: usize) -> u64 {
         let proxy = ProcessId::Proxy(front).name();
         let of_proxy = self.omitted_log_lines.iter().filter(|(incarnation, _)| incarnation.name == proxy);
@@ -120,7 +123,7 @@
     }
 }
 
-/// Whether a control process holds the list watcher's lease.
+/// Whether a control process holds the lease of the list reader, according to its metrics.
 fn holds_list_lease(metrics: &str) -> bool {
     metrics.lines().any(|line| line == LIST_READER_METRIC)
 }
@@ -146,7 +149,7 @@
     }
 }
 
-/// The number of a field in `/proc/PID/status`; 0 if there is none.
+/// The numeric value of a field in `/proc/PID/status`; 0 if there is no such field.
 fn proc_field(status: &str, name: &str) -> u64 {
     let line = status.lines().find_map(|line| line.strip_prefix(name));
     line.and_then(|rest| rest.split_whitespace().next()).and_then(|value| value.parse().ok()).unwrap_or(0)
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run leaves on disk, and the summary of many runs.
+//! The files that a run writes to disk, and the summary of many runs.
 
 use crate::fault::FaultKind;
 use crate::finding::Finding;
@@ -9,7 +9,7 @@
 use std::io;
 use std::path::Path;
 
-/// Writes schedule, findings, ledger and logs of a run into a folder, which is created.
+/// Writes the schedule, findings, ledger and logs of a run into a folder, which is created if necessary.
 ///
 /// # Errors
 /// The folder or a file cannot be written.
@@ -23,7 +23,7 @@
     std::fs::write(folder.join("processes.log"), &outcome.logs)
 }
 
-/// Counts over many runs.
+/// Statistics over many runs.
 #[derive(Debug, Default)]
 pub struct Summary {
     seeds: usize,
@@ -33,14 +33,14 @@
     changes: usize,
     reads: usize,
     faults: BTreeMap<FaultKind, usize>,
-    /// Kinds of faults that were active at the same time, the smaller kind first.
+    /// The pairs of fault kinds that were active at the same time, with the smaller kind first.
     overlapping: BTreeSet<(FaultKind, FaultKind)>,
-    /// Findings by rule.
+    /// The number of findings by rule.
     violations: BTreeMap<&'static str, usize>,
 }
 
 impl Summary {
-    /// Counts a run.
+    /// Adds a run to the statistics.
     pub fn add(&mut self, seed: u64, outcome: &RunOutcome) {
         self.seeds += 1;
         self.requests += outcome.requests;
@@ -77,7 +77,7 @@
         writeln!(f, "requests {}, successes {}", self.requests, self.successes)?;
         writeln!(f, "changes {}, reads {}", self.changes, self.reads)?;
         let possible = FaultKind::ALL.len() * (FaultKind::ALL.len() + 1) / 2;
-        writeln!(f, "pairs of troubles that overlapped {} of {possible}", self.overlapping.len())?;
+        writeln!(f, "pairs of fault kinds that overlapped {} of {possible}", self.overlapping.len())?;
         for (kind, count) in &self.faults {
             writeln!(f, "  {:<18}{count}", kind.name())?;
         }
--- a/crates/soak/src/run_log.rs
+++ b/crates/soak/src/run_log.rs
@@ -1,6 +1,6 @@
-//! The text of what the harness recorded in a run, as `ledger.txt` holds it.
+//! The text of `ledger.txt`: the records of the harness in a run.
 //!
-//! Its words are fixed: records of earlier runs are compared with it.
+//! The format is fixed, since ledgers are compared with those of earlier runs.
 
 use crate::configuration::version_of;
 use crate::operator_log::OperatorLog;
@@ -9,7 +9,8 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Renders what operators, clients and servers recorded. `started_at` is when the schedule began.
+/// Renders the records of operators, clients and servers. `started_at` is the time at which the schedule
+/// began.
 pub fn render(
     started_at: Duration, operator_log: &OperatorLog, attempts: &[Attempt], request_log: &RequestLog,
 ) -> String {
@@ -20,7 +21,7 @@
     text
 }
 
-// Writing to a string does not fail, so that the results of `writeln!` are ignored below.
+// Writing to a string does not fail, so the results of `writeln!` are ignored below.
 
 fn write_operator_log(text: &mut String, log: &OperatorLog) {
     for write in log.writes() {
--- a/crates/soak/src/run_log_tests.rs
+++ b/crates/soak/src/run_log_tests.rs
@@ -1,4 +1,4 @@
-//! The text of `ledger.txt`.
+//! Tests of the text of `ledger.txt`.
 
 use crate::operator_log::{ConfigRead, ConfigWrite, OperatorLog};
 use crate::run_log;
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,57 +1,61 @@
-//! Scenarios, and the schedule of faults that a seed draws for one.
+//! Scenarios, and the schedules of faults drawn for them.
 //!
-//! A schedule is a function of its scenario. The number and order of draws are fixed, so that a seed always names the same
-//! schedule; `schedule_tests` has the digests.
+//! A schedule is a function of its scenario. The number and order of random draws are fixed, so that a seed
+//! always yields the same schedule; `schedule_tests` contains digests of schedules.
 
 use crate::fault::{FaultKind, ParseFaultError, ScheduledFault};
 use lugwharf_emulator::cluster::ControlPlacement;
 use std::fmt;
 use std::time::Duration;
 
-/// No fault starts earlier after the fleet serves.
+/// The earliest start of a fault, after the fleet came into service.
 const EARLIEST_START: Duration = Duration::from_millis(500);
-/// The range from which the first start of each strand is drawn, in ms after [`EARLIEST_START`].
+/// The range that the start of the first fault of each sequence is drawn from, in ms after
+/// [`EARLIEST_START`].
 const START_JITTER_MS: std::ops::Range<u64> = 0..1_500;
-/// The range from which the pause between two faults of one strand is drawn, in ms. It is short: the next fault often
-/// starts while the fleet recovers from the last one.
+/// The range that the pause between two faults of a sequence is drawn from, in ms. The pauses are short, so
+/// that the next fault often starts while the fleet still recovers from the previous one.
 const PAUSE_MS: std::ops::Range<u64> = 0..1_200;
-/// The shortest duration, in ms.
+/// The shortest duration of a fault, in ms.
 const MIN_DURATION_MS: u64 = 300;
-/// The longest duration, in ms: longer than leases, heartbeats and timeouts of any process.
+/// The longest duration of a fault, in ms. It exceeds the leases, heartbeat intervals and timeouts of all
+/// processes.
 const MAX_DURATION_MS: u64 = 4_500;
-/// A draining server runs on for `DrainMs` of the fleet's settings (3,000 ms) and a margin of 500 ms, which is longer than
-/// the front-end nodes may send to it.
+/// How long a draining server continues to run: `DrainMs` of the fleet's settings (3,000 ms) and a margin of
+/// 500 ms. Front-end nodes must stop sending to it earlier.
 const DRAIN_DURATION: Duration = Duration::from_millis(3_500);
-/// At most one disk is lost in a run: with a fault tolerance of one, a second loss would need time to catch up in between.
+/// The maximum number of disk losses in a run. With a fault tolerance of one, a second loss is tolerated only
+/// after a replica has caught up with the history again.
 const MAX_DISK_LOSSES: usize = 1;
-/// Targets and peers are drawn below this and taken modulo the number of machines.
+/// Targets and peers are drawn below this value, and later taken modulo the number of machines.
 const SELECTORS: usize = 64;
 
-/// The number of faults that may be active at a time.
+/// The maximum number of faults that are active at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Overlap(pub usize);
 
-/// The fleet of one run and the conditions under which it runs.
+/// The fleet of a run, and the conditions of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Scenario {
     /// The seed of all random draws of the run.
     pub seed: u64,
-    /// Control nodes at the start: 3, or 5 to tolerate the loss of two.
+    /// The initial number of control nodes: 3, or 5 to tolerate the loss of two.
     pub control_count: usize,
-    /// Front-end nodes.
+    /// The number of front-end nodes.
     pub front_count: usize,
-    /// Which machines run control.
+    /// The machines that run the control processes.
     pub placement: ControlPlacement,
-    /// Faults at a time.
+    /// The maximum number of faults that are active at the same time.
     pub overlap: Overlap,
-    /// For how long faults are injected.
+    /// How long faults are injected.
     pub fault_phase: Duration,
     /// Whether processes are killed and paused while the fleet starts for the first time.
     pub has_startup_faults: bool,
 }
 
 impl Scenario {
-    /// The scenario of a seed whose control nodes are machines of their own; every fourth seed has five of them.
+    /// The scenario of a seed with dedicated control nodes. Every fourth seed has five control nodes, the
+    /// others three.
     pub fn with_core(seed: u64, overlap: Overlap, fault_phase: Duration) -> Scenario {
         Scenario {
             seed,
@@ -64,7 +68,8 @@
         }
     }
 
-    /// The scenario of a seed whose front-end nodes host control, with one more front-end node that does not.
+    /// The scenario of a seed whose front-end nodes host control, with one additional front-end node that
+    /// does not.
     pub fn without_core(seed: u64, overlap: Overlap, fault_phase: Duration) -> Scenario {
         let scenario = Scenario::with_core(seed, overlap, fault_phase);
         Scenario {
@@ -74,14 +79,15 @@
         }
     }
 
-    /// Whether the harness can inject such a fault here. A replacement of a node that hosts control would move a front-end
-    /// node to another address, which the clients of the harness do not follow.
+    /// Whether the harness can inject faults of this kind in the scenario. Replacing a node that hosts
+    /// control would move a front-end node to another address, which the clients of the harness do not
+    /// support.
     fn supports(&self, kind: FaultKind) -> bool {
         self.placement == ControlPlacement::Dedicated || kind != FaultKind::ControlReplace
     }
 }
 
-/// All faults of a run, by start. Its text form has one line per fault.
+/// All faults of a run, ordered by start time. The text form has one line per fault.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Schedule {
     /// The faults.
@@ -89,12 +95,13 @@
 }
 
 impl Schedule {
-    /// Draws faults of the default kinds.
+    /// Draws a schedule of faults of the default kinds.
     pub fn draw(scenario: &Scenario) -> Schedule {
         Schedule::draw_from_kinds(scenario, &FaultKind::default_kinds())
     }
 
-    /// Draws faults of these kinds: as many strands as may overlap, each with one fault after the other.
+    /// Draws a schedule of faults of the given kinds. It consists of `scenario.overlap` sequences; the faults
+    /// of each sequence do not overlap.
     pub fn draw_from_kinds(scenario: &Scenario, kinds: &[FaultKind]) -> Schedule {
         let mut rng = fastrand::Rng::with_seed(scenario.seed ^ 0x50a4);
         let kinds: Vec<FaultKind> = kinds.iter().copied().filter(|kind| scenario.supports(*kind)).collect();
@@ -111,17 +118,17 @@
         Schedule { faults }
     }
 
-    /// This schedule with all starts later by `offset`.
+    /// The same schedule with `offset` added to all start times.
     pub fn shifted_by(&self, offset: Duration) -> Schedule {
         let mut shifted = self.clone();
         shifted.faults.iter_mut().for_each(|fault| fault.start += offset);
         shifted
     }
 
-    /// Reads the text form. Empty lines are ignored.
+    /// Parses the text form. Empty lines are ignored.
     ///
     /// # Errors
-    /// The first line that is no fault.
+    /// A line is not a valid fault. The error quotes the first such line.
     pub fn parse(text: &str) -> Result<Schedule, ParseFaultError> {
         let lines = text.lines().filter(|line| !line.trim().is_empty());
         let faults = lines.map(str::parse).collect::<Result<Vec<ScheduledFault>, ParseFaultError>>()?;
@@ -141,7 +148,8 @@
     let disk_losses = drawn.iter().filter(|fault| fault.kind.loses_disk()).count();
     let allowed: Vec<FaultKind> =
         kinds.iter().copied().filter(|kind| !kind.loses_disk() || disk_losses < MAX_DISK_LOSSES).collect();
-    // Nothing is allowed where only losses of disks were asked for and there was one. A reload does no harm.
+    // No kind is left if only kinds that lose a disk were selected and a disk has been lost. A reload of the
+    // settings disrupts nothing.
     let kind = rng.choice(&allowed).copied().unwrap_or(FaultKind::Reload);
     let duration = Duration::from_millis(match rng.u32(..3) {
         0 => rng.u64(MIN_DURATION_MS..800),
--- a/crates/soak/src/schedule_tests.rs
+++ b/crates/soak/src/schedule_tests.rs
@@ -1,4 +1,4 @@
-//! Schedules are a function of their seed, and their text form can be parsed.
+//! Tests that schedules are a function of their scenario, and that their text form can be parsed.
 
 use crate::fault::FaultKind;
 use crate::schedule::{Overlap, Scenario, Schedule};
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_seed_always_draws_the_same_schedule_and_it_survives_its_text_form() {
+fn a_seed_always_draws_the_same_schedule_and_its_text_form_can_be_parsed() {
     let first = Schedule::draw(&scenario(7, 3));
     assert_eq!(first, Schedule::draw(&scenario(7, 3)));
     assert_ne!(first, Schedule::draw(&scenario(8, 3)));
@@ -23,38 +23,44 @@
 #[test]
 fn all_default_kinds_are_drawn_and_overlap_up_to_the_limit() {
     let mut kinds = BTreeSet::new();
-    let mut most = 0;
+    let mut max_active = 0;
     for seed in 0..200 {
         let faults = Schedule::draw(&scenario(seed, 3)).faults;
         kinds.extend(faults.iter().map(|fault| fault.kind));
         for fault in &faults {
-            let at_once =
+            let active =
                 faults.iter().filter(|other| other.start <= fault.start && fault.start < other.end());
-            most = most.max(at_once.count());
+            max_active = max_active.max(active.count());
         }
-        let wipes = |kind: FaultKind| matches!(kind, FaultKind::ControlWipe | FaultKind::ControlReplace);
-        assert!(faults.iter().filter(|fault| wipes(fault.kind)).count() <= 1);
+        let loses_disk =
+            |kind: FaultKind| matches!(kind, FaultKind::ControlDiskLoss | FaultKind::ControlReplace);
+        assert!(faults.iter().filter(|fault| loses_disk(fault.kind)).count() <= 1);
     }
-    assert_eq!(most, 3);
+    assert_eq!(max_active, 3);
     assert_eq!(kinds, FaultKind::default_kinds().into_iter().collect());
-    let asked_for: Vec<FaultKind> =
+    let opt_in_kinds: Vec<FaultKind> =
         FaultKind::ALL.iter().copied().filter(|kind| !kinds.contains(kind)).collect();
-    assert_eq!(asked_for, [FaultKind::IdleRace], "kinds that are drawn only where they are named");
+    assert_eq!(
+        opt_in_kinds,
+        [FaultKind::IdleConnectionRace],
+        "kinds that are drawn only if they are selected"
+    );
 }
 
 #[test]
 fn only_the_named_kinds_are_drawn() {
-    let faults = Schedule::draw_from_kinds(&scenario(1, 3), &[FaultKind::IdleRace]).faults;
-    assert!(!faults.is_empty() && faults.iter().all(|fault| fault.kind == FaultKind::IdleRace));
+    let faults = Schedule::draw_from_kinds(&scenario(1, 3), &[FaultKind::IdleConnectionRace]).faults;
+    assert!(!faults.is_empty() && faults.iter().all(|fault| fault.kind == FaultKind::IdleConnectionRace));
 }
 
-/// FNV-1a of 64 bits: a digest that depends on the text alone.
+/// The 64-bit FNV-1a hash of a text.
 fn fnv(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Digests of the schedules with one to three faults at a time. They change with any change to the draws or their order.
+/// Digests of the schedules with one to three concurrent faults. Any change to the draws or their order
+/// changes the digests.
 #[rstest]
 #[case::seed(Scenario::with_core, 0, [0xc559_2c63_06e7_a769, 0x2666_d226_63d2_a0cc, 0xc392_50b2_1781_1284])]
 #[case::seed(Scenario::without_core, 0, [0x9bc9_420c_871f_5605, 0xd592_151d_96b8_635b, 0xf17d_e4fb_8138_cbd9])]
@@ -138,8 +144,9 @@
     assert_eq!(Schedule::draw(&scenario(7, 2)).to_string(), expected);
 }
 
-/// Names in schedules, and what the checker excuses by each: failures at fronts (`f`) and servers (`s`), refusals of control
-/// (`c`), late lists (`l`), failed requests of either sort (`d`); `i` is drawn only where it is named.
+/// The name of each kind in schedules, and the effects that the checker attributes to the kind: failures at
+/// front-end nodes (`f`) and servers (`s`), unavailable control (`c`), late server lists (`l`), failed
+/// requests at either (`d`). Kinds with `i` need an idle machine and are drawn only if they are selected.
 const KINDS: &[(&str, &str)] = &[
     ("control_kill", "--cl--"),
     ("control_term", "--cl--"),
@@ -184,7 +191,7 @@
 ];
 
 #[test]
-fn kinds_keep_their_names_their_order_and_what_they_disrupt() {
+fn the_names_the_order_and_the_effects_of_kinds_are_unchanged() {
     let table: Vec<(&str, String)> = FaultKind::ALL
         .iter()
         .map(|kind| {
@@ -208,7 +215,7 @@
 #[case::unknown_kind("storm 1 2 3 4")]
 #[case::no_number("crowd 1 2 x 4")]
 #[case::too_short("crowd 1 2 3")]
-fn a_line_that_is_no_fault_is_named_in_the_error(#[case] line: &str) {
+fn an_invalid_line_is_quoted_in_the_error(#[case] line: &str) {
     let error = Schedule::parse(&format!("mute 1 2 3 4\n\n{line}\n")).expect_err("no fault");
-    assert_eq!(error.to_string(), format!("no trouble: {line:?}"));
+    assert_eq!(error.to_string(), format!("invalid fault: {line:?}"));
 }
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -16,44 +16,45 @@
 
 /// The zone of all servers.
 const ZONE: &str = "zone-a";
-/// Model servers that start in the prefill stage.
+/// The number of model servers that start in the prefill stage.
 const PREFILL_SERVERS: usize = 2;
-/// Model servers that start in the decode stage.
+/// The number of model servers that start in the decode stage.
 const DECODE_SERVERS: usize = 3;
-/// Servers of the plain service.
+/// The number of servers of the plain service.
 const PLAIN_SERVERS: usize = 3;
-/// Servers of the service that takes turns with the plain one. With two of them a run may replace both while the list can't be
-/// read, and then none is known to the proxies.
+/// The number of servers of the alternate service. With only two, a run may replace both while the list of
+/// servers cannot be read, and the proxies would then know no server of the service.
 const ALTERNATE_SERVERS: usize = 3;
-/// Requests that the list says a server without stages executes at a time.
+/// The number of concurrent requests that the list states for a server without stages.
 const LISTED_SLOTS: u32 = 6;
-/// The fencing token of a stranger, above all that views and elections of a run lead to.
-pub const STRANGER_TOKEN: u64 = 1 << 50;
-/// How long a request of the slow service takes.
+/// The fencing token of a sender outside the fleet, above all tokens that the views and elections of a run
+/// lead to.
+pub const FOREIGN_TOKEN: u64 = 1 << 50;
+/// The execution time of a request of the slow service.
 const SLOW_EXECUTION: Duration = Duration::from_millis(1_500);
-/// Requests that the server of the slow service executes at a time.
+/// The number of requests that the server of the slow service executes concurrently.
 const SLOW_SLOTS: usize = 64;
 
-/// What a server runs.
+/// The kind of requests that a server executes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ServerRole {
-    /// Generations; starts in this stage.
+    /// Generations; the server starts in this stage.
     Model(Stage),
     /// Short requests.
     Plain,
-    /// Short requests, in some versions of the configuration.
+    /// Short requests, for the alternate service.
     Alternate,
     /// Long requests.
     Slow,
 }
 
-/// A server that runs.
+/// A running server.
 enum RunningServer {
     Model(EmulatedServer<ModelServer>),
     Plain(EmulatedServer<PlainServer>),
 }
 
-/// Evaluates an expression for the emulated server of either kind.
+/// Evaluates an expression for a running server of either kind.
 macro_rules! with_host {
     ($running:expr, $host:ident => $call:expr) => {
         match $running {
@@ -63,21 +64,22 @@
     };
 }
 
-/// A server that has just started, and how the platform is to list it.
+/// A server that has just started, and its entry in the list of the platform.
 struct StartedServer {
     running: RunningServer,
     address: SocketAddr,
     entry: InstanceEntry,
 }
 
-/// A server address with the incarnation that runs there. A successor takes the address over under a new id.
+/// A server address, and the incarnation that runs there. The next incarnation has the same address and a new
+/// instance id.
 struct Server {
     role: ServerRole,
     address: SocketAddr,
-    /// The id of the current incarnation, or of the last one.
+    /// The instance id of the current or last incarnation.
     instance_id: String,
     running: Option<RunningServer>,
-    /// Incarnations so far.
+    /// The number of incarnations so far.
     incarnations: u32,
 }
 
@@ -90,7 +92,7 @@
 }
 
 impl ServerPool {
-    /// Starts and lists all servers. `address_of` gives the address of the server with an index.
+    /// Starts and lists all servers. `address_of` returns the address of the server with a given index.
     pub async fn start(
         environment: &Environment, platform: PlatformHost, address_of: impl Fn(usize) -> SocketAddr,
     ) -> Result<ServerPool> {
@@ -114,12 +116,12 @@
         self.servers.len()
     }
 
-    /// The instance id of the current incarnation at an address, or of the last one.
+    /// The instance id of the current or last incarnation of a server.
     pub fn instance_id(&self, index: usize) -> &str {
         &self.servers[index].instance_id
     }
 
-    /// Starts and lists another incarnation at the address of a server, unless one runs.
+    /// Starts and lists a new incarnation of a server, unless one is running.
     pub async fn start_server(&mut self, index: usize) -> Result<()> {
         let server = &mut self.servers[index];
         if server.running.is_some() {
@@ -154,7 +156,7 @@
         Ok(())
     }
 
-    /// Ends a server as a crash does. The platform notices at once.
+    /// Stops a server as a crash does. The platform removes it from the list immediately.
     pub async fn crash_server(&mut self, index: usize) {
         let server = &mut self.servers[index];
         let Some(running) = server.running.take() else { return };
@@ -177,27 +179,27 @@
         }
     }
 
-    /// Sets whether executions at a server fail.
+    /// Sets whether a server fails the requests that it executes.
     pub fn set_server_failing(&self, index: usize, is_failing: bool) {
         if let Some(running) = &self.servers[index].running {
             with_host!(running, host => host.send_event(ServerEvent::SetFailing(is_failing)));
         }
     }
 
-    /// Orders a model server to take the other stage, under a token above all that the fleet uses; does nothing at servers
-    /// without stages. The server remembers the token until it ends.
-    pub async fn order_as_stranger(&self, index: usize) {
+    /// Orders a model server to change its stage, under a fencing token above all tokens of the fleet. Does
+    /// nothing at servers without stages. The server rejects lower tokens for the rest of its lifetime.
+    pub async fn send_foreign_order(&self, index: usize) {
         let server = &self.servers[index];
         let ServerRole::Model(stage) = server.role else { return };
         let other_stage = match stage {
             Stage::Prefill => Stage::Decode,
             Stage::Decode => Stage::Prefill,
         };
-        let body = json!({"Op": "Stage", "Stage": other_stage.as_str(), "Holder": "stranger", "Fence": STRANGER_TOKEN});
+        let body = json!({"Op": "Stage", "Stage": other_stage.as_str(), "Holder": "stranger", "Fence": FOREIGN_TOKEN});
         let mut request = Request::new("POST", "/order");
         request.headers.set("Expect-Instance", &server.instance_id);
         request.body = body.to_string().into_bytes();
-        // A server that is down or does not respond has other faults.
+        // An error means that another fault has stopped or blackholed the server.
         let _ = call_once(server.address, &request).await;
     }
 
@@ -208,14 +210,14 @@
         }
     }
 
-    /// Plans a fault for the next requests at each server, `count` of them each.
+    /// Makes the next `count` requests at each server fail with the given fault.
     pub fn inject_request_fault(&self, fault: &Fault, count: usize) {
         for running in self.running() {
             with_host!(running, host => host.inject(RequestMatcher::any(), fault.clone(), count));
         }
     }
 
-    /// Cancels all planned faults of requests.
+    /// Cancels the request faults that no request has triggered yet.
     pub fn clear_request_faults(&self) {
         for running in self.running() {
             with_host!(running, host => host.clear_faults());
@@ -227,7 +229,7 @@
     }
 }
 
-/// Starts a server of generations whose listed stage follows its own.
+/// Starts a model server. The platform lists the stage that the server currently has.
 async fn start_model_server(
     environment: &Environment, platform: &PlatformHost, server: &Server, stage: Stage,
 ) -> Result<StartedServer> {
--- a/crates/soak/src/startup_faults.rs
+++ b/crates/soak/src/startup_faults.rs
@@ -1,26 +1,28 @@
-//! Faults while the fleet starts for the first time, before the first configuration.
+//! Faults that are injected while the fleet starts for the first time, before the first configuration is
+//! written.
 
 use crate::fleet::Fleet;
 use crate::process_id::ProcessId;
 use eyre::Result;
 use std::time::Duration;
 
-/// The number of faults of one start.
+/// The range that the number of faults is drawn from.
 const FAULTS: std::ops::RangeInclusive<u32> = 1..=4;
-/// The time before each fault and before its recovery, in ms. The first view forms within some 300 ms.
+/// The range that the pause before each fault and before its recovery is drawn from, in ms. The first view is
+/// decided within about 300 ms.
 const PAUSE_MS: std::ops::Range<u64> = 0..400;
-/// One fault in so many hits all processes.
+/// One of this many faults affects all processes.
 const ALL_PROCESSES_ONE_IN: u32 = 4;
 
-/// Kills or pauses processes that have just started, and lets them run again.
+/// Kills or pauses processes that have just started, and restarts or continues them.
 pub async fn inject_startup_faults(fleet: &mut Fleet, seed: u64) -> Result<()> {
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x57a7);
     for _ in 0..rng.u32(FAULTS) {
         sleep(&mut rng).await;
         let processes = fleet.processes();
         let chosen = processes[rng.usize(..processes.len())];
-        let hits_all = rng.u32(..ALL_PROCESSES_ONE_IN) == 0;
-        let affected: Vec<ProcessId> = if hits_all { processes } else { vec![chosen] };
+        let affects_all = rng.u32(..ALL_PROCESSES_ONE_IN) == 0;
+        let affected: Vec<ProcessId> = if affects_all { processes } else { vec![chosen] };
         let is_pause = rng.bool();
         for process_id in &affected {
             if is_pause { fleet.pause(*process_id)? } else { fleet.kill(*process_id)? }
--- a/crates/soak/src/timeline.rs
+++ b/crates/soak/src/timeline.rs
@@ -1,4 +1,5 @@
-//! Plays a schedule: injects its faults and recovers from them at their times, and observes the processes in between.
+//! Runs a schedule: injects its faults and recovers from them at the scheduled times, and observes the
+//! processes in between.
 
 use crate::checker::DrainedServer;
 use crate::fault_injection::{ActiveFault, RecoveryProgress};
@@ -12,64 +13,65 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// The time between two observations of the processes.
+/// The interval between two observations of the processes.
 const OBSERVE_INTERVAL: Duration = Duration::from_millis(400);
-/// The pause before a recovery that waits for the exit of a process is tried again.
+/// The pause before the retry of a recovery that waits for the exit of a process.
 const RECOVERY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long throttled processes run in each tenth of a second, and how long they stand still.
+/// How long throttled processes run between two stops.
 const THROTTLE_RUN_TIME: Duration = Duration::from_millis(40);
+/// How long throttled processes are stopped at a time.
 const THROTTLE_STOP_TIME: Duration = Duration::from_millis(60);
 
-/// What was played.
+/// The record of a schedule that was run.
 pub struct PlayedSchedule {
-    /// The faults, with the times at which they were injected and recovered from in fact.
+    /// The faults, with the actual times of injection and recovery.
     pub schedule: Schedule,
     /// The servers that were listed as draining.
     pub drained_servers: Vec<DrainedServer>,
 }
 
-/// What a step does. Faults are named by their index in the schedule.
+/// The action of a step. A fault is identified by its index in the schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Action {
     Inject(usize),
     Recover(usize),
-    /// Stops the processes that a fault throttles.
+    /// Stops the processes that a fault throttles (SIGSTOP).
     Stop(usize),
-    /// Has them continue.
+    /// Continues the processes that a fault throttles (SIGCONT).
     Continue(usize),
     Observe,
 }
 
-/// Something that is due at a time of the environment.
+/// An action, and the time at which it is due, since the start of the run.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     due: Duration,
     action: Action,
 }
 
-/// A fault that was injected and not recovered from yet.
+/// A fault that is active: injected and not yet recovered from.
 struct InjectedFault {
     index: usize,
     active: ActiveFault,
 }
 
-/// The state of a schedule that is being played.
+/// The state of a running schedule.
 pub struct Timeline<'a> {
     fleet: &'a mut Fleet,
     operators: &'a Operators,
     monitor: &'a mut ProcessMonitor,
-    /// The schedule as it was drawn, in the time of the environment.
+    /// The schedule as it was drawn. Its times are since the start of the run.
     schedule: Schedule,
     steps: Vec<Step>,
     injected: Vec<InjectedFault>,
     played: PlayedSchedule,
-    /// Processes are observed until then, also if no step is left.
+    /// The processes are observed until this time, even if no other step is left.
     observe_until: Duration,
 }
 
 impl<'a> Timeline<'a> {
-    /// Prepares a schedule, whose starts are in the time of the environment.
+    /// Prepares a schedule. Its start times must be since the start of the run.
     pub fn new(
         fleet: &'a mut Fleet, operators: &'a Operators, monitor: &'a mut ProcessMonitor, schedule: Schedule,
         fault_phase: Duration,
@@ -84,7 +86,7 @@
         Timeline { fleet, operators, monitor, schedule, steps, injected, played, observe_until }
     }
 
-    /// Plays all steps.
+    /// Runs all steps.
     ///
     /// # Errors
     /// A fault cannot be injected or recovered from.
@@ -107,7 +109,7 @@
         Ok(self.played)
     }
 
-    /// The earliest step; of several at one time, the first.
+    /// Removes and returns the earliest step; of several steps at the same time, the first in the list.
     fn take_next_step(&mut self) -> Option<Step> {
         let (position, _) = self.steps.iter().enumerate().min_by_key(|(_, step)| step.due)?;
         Some(self.steps.swap_remove(position))
@@ -165,7 +167,8 @@
         Ok(())
     }
 
-    /// Has all throttled processes continue before a step that may take long, so that no stop outlasts its time.
+    /// Continues all throttled processes before a step that may take long, so that none is stopped for longer
+    /// than [`THROTTLE_STOP_TIME`].
     fn continue_all_throttled(&mut self) -> Result<()> {
         for injected in &self.injected {
             self.fleet.release_throttle(injected.active.throttled())?;
@@ -173,7 +176,7 @@
         Ok(())
     }
 
-    /// The processes that a fault throttles; `None` once it is over.
+    /// The processes that a fault throttles; `None` if the fault is no longer active.
     fn throttled_by(&self, index: usize) -> Option<Vec<ProcessId>> {
         let injected = self.injected.iter().find(|injected| injected.index == index)?;
         Some(injected.active.throttled().to_vec())
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -1,4 +1,5 @@
-//! The client load of a run: requests of all routes, also from clients that disconnect early, send slowly or stop midway.
+//! The client load of a run: requests on all routes. Some clients disconnect early, send slowly, or
+//! disconnect in the middle of a request.
 
 use crate::configuration::HOST;
 use lugwharf_emulator::client::{AttemptEnd, AttemptOutcome, Client, ClientRequest, RequestKind};
@@ -11,68 +12,70 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// Clients that behave well and send one request after the other.
+/// The number of clients that wait for each response before they send the next request.
 const STEADY_CLIENTS: usize = 6;
-/// The range of the pause between two requests of a client, in ms.
+/// The range that the pause between two requests of a client is drawn from, in ms.
 const PAUSE_MS: std::ops::Range<u64> = 5..60;
-/// One generation in so many is long.
+/// One of this many generations is long.
 const LONG_ONE_IN: u32 = 12;
-/// The range of the output tokens of a long generation; each takes some 0.6 ms.
+/// The range that the number of output tokens of a long generation is drawn from. Each token takes about 0.6
+/// ms.
 const LONG_TOKENS: std::ops::Range<u64> = 1_500..5_000;
-/// The client timeout, in ms: longer than any route allows.
+/// The client timeout, in ms. It is longer than the timeout of any route.
 const DEADLINE_MS: u64 = 32_000;
-/// At most so many requests are sent on one connection.
+/// The maximum number of requests that are sent on one connection.
 const MAX_REQUESTS_PER_CONNECTION: u32 = 20;
 
-/// How a client behaves. The names of variants are fixed: findings and `ledger.txt` show them.
+/// The behaviour of a client. The names of the variants are fixed, since findings and `ledger.txt` contain
+/// them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// It sends a request and waits for the response.
+    /// The client sends a request and waits for the response.
     Steady,
-    /// It disconnects before the response.
+    /// The client disconnects before it receives the response.
     Leaving,
-    /// It pauses in the middle of a request, and waits for the response.
+    /// The client pauses in the middle of a request, and waits for the response.
     Slow,
-    /// It disconnects in the middle of a request.
+    /// The client disconnects in the middle of a request.
     Stopping,
 }
 
 impl Behaviour {
-    /// Whether the client waits for each response, so that it must get one.
+    /// Whether the client waits for each response, and so must receive one.
     pub fn awaits_response(self) -> bool {
         matches!(self, Behaviour::Steady | Behaviour::Slow)
     }
 }
 
-/// One request of a client. Times are since the start of the environment.
+/// One request of a client. Times are since the start of the run.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The index of the front-end node that it was sent to.
+    /// The index of the front-end node that the request was sent to.
     pub front: usize,
-    /// How the client behaved.
+    /// The behaviour of the client.
     pub behaviour: Behaviour,
-    /// Whether the connection had carried a request before.
+    /// Whether the connection had been used for an earlier request.
     pub is_connection_reused: bool,
-    /// When it was sent.
+    /// When the request was sent.
     pub started_at: Duration,
-    /// When the client had the response, or disconnected.
+    /// When the client had received the response, or disconnected.
     pub ended_at: Duration,
-    /// What the client received.
+    /// The outcome at the client.
     pub outcome: AttemptOutcome,
 }
 
-/// What all clients share.
+/// The state that all clients share.
 #[derive(Clone)]
 struct ClientContext {
     environment: Environment,
     fronts: Vec<SocketAddr>,
     attempts: Arc<Mutex<Vec<Attempt>>>,
-    /// Numbers the requests of all clients.
+    /// The number of the next request, over all clients.
     next_id: Arc<AtomicU64>,
     stop: watch::Receiver<bool>,
 }
 
-/// The clients of one run.
+/// The clients of a run.
 pub struct Traffic {
     attempts: Arc<Mutex<Vec<Attempt>>>,
     stop: watch::Sender<bool>,
@@ -80,7 +83,8 @@
 }
 
 impl Traffic {
-    /// Starts all clients. Each draws from an RNG of its own, so that one does not shift the draws of another.
+    /// Starts all clients. Each has its own random number generator, so that the timing of one client does
+    /// not affect the draws of another.
     pub fn start(environment: &Environment, fronts: Vec<SocketAddr>, seed: u64) -> Traffic {
         let stop = watch::Sender::new(false);
         let context = ClientContext {
@@ -107,14 +111,14 @@
     pub async fn finish(self) -> Vec<Attempt> {
         self.stop.send_replace(true);
         for task in self.tasks {
-            // A client that panicked has nothing more to record.
+            // A client that panicked records nothing more.
             let _ = task.await;
         }
         self.attempts.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// Sends requests, each connection to a random front-end node, until the load stops.
+/// Sends requests until the load stops. Each connection is to a random front-end node.
 async fn run_client(context: ClientContext, behaviour: Behaviour, mut rng: fastrand::Rng) {
     while !*context.stop.borrow() {
         let front = rng.usize(..context.fronts.len());
@@ -135,7 +139,7 @@
     }
 }
 
-/// Sends and records one request. Returns whether the connection is open for another.
+/// Sends and records one request. Returns whether the connection can be used for another request.
 async fn send_one(
     context: &ClientContext, behaviour: Behaviour, front: usize, client: &mut Client, rng: &mut fastrand::Rng,
 ) -> bool {
@@ -144,8 +148,8 @@
     let outcome = match behaviour {
         Behaviour::Steady | Behaviour::Slow => client.send(&request).await,
         Behaviour::Leaving => {
-            let stay = Duration::from_millis(rng.u64(1..60));
-            let sent = timeout(stay, client.send(&request)).await.ok();
+            let disconnect_delay = Duration::from_millis(rng.u64(1..60));
+            let sent = timeout(disconnect_delay, client.send(&request)).await.ok();
             // Dropping the client closes its connection.
             let address = context.fronts[front];
             if sent.is_none() {
@@ -153,7 +157,7 @@
             }
             sent.unwrap_or_else(|| AttemptOutcome { ending: AttemptEnd::TimedOut, ..request.outcome() })
         }
-        Behaviour::Stopping => stop_midway(context.fronts[front], &request, rng).await,
+        Behaviour::Stopping => disconnect_midway(context.fronts[front], &request, rng).await,
     };
     let ended_at = context.environment.now();
     let attempt = Attempt { front, behaviour, is_connection_reused, started_at, ended_at, outcome };
@@ -161,13 +165,15 @@
     client.is_connected()
 }
 
-/// Sends a part of a request and closes the connection.
-async fn stop_midway(front: SocketAddr, request: &ClientRequest, rng: &mut fastrand::Rng) -> AttemptOutcome {
+/// Sends part of a request and closes the connection.
+async fn disconnect_midway(
+    front: SocketAddr, request: &ClientRequest, rng: &mut fastrand::Rng,
+) -> AttemptOutcome {
     let mut outcome = request.outcome();
     let Ok(mut connection) = Connection::open(front).await else { return outcome };
     outcome.ending = AttemptEnd::Truncated;
     let bytes = request.to_wire().encode();
-    // Without its last byte it is no complete request.
+    // At least the last byte is left out, so the request is incomplete.
     let length = rng.usize(1..bytes.len());
     if connection.write(&bytes[..length]).await.is_ok() {
         tokio::time::sleep(Duration::from_millis(rng.u64(0..40))).await;
@@ -176,14 +182,16 @@
     outcome
 }
 
-/// Draws a request that suits the behaviour.
+/// Draws a request that is suitable for the behaviour of the client.
 fn draw_request(context: &ClientContext, behaviour: Behaviour, rng: &mut fastrand::Rng) -> ClientRequest {
     let number = context.next_id.fetch_add(1, Ordering::Relaxed);
     let id = format!("{:016x}", 0x50a4_0000_0000_0000_u64 + number);
-    // A request that a client abandons should run on for seconds, and some streams should outlast a fault.
+    // A request whose client disconnects early should take seconds, and some streams should last longer than
+    // a fault.
     let is_long = behaviour == Behaviour::Leaving || rng.u32(..LONG_ONE_IN) == 0;
     let out_tokens = if is_long { rng.u64(LONG_TOKENS) } else { rng.u64(1..80) };
-    // The first segment of a prompt is one of twenty, so that servers have some in their prefix cache.
+    // The first segment of a prompt is one of twenty, so that servers have some of them in their prefix
+    // cache.
     let segments = [(rng.u64(..20), 2_000), (0x1_0000 + number, 2_000)];
     let route = if behaviour == Behaviour::Leaving { rng.u32(3..10) } else { rng.u32(..8) };
     let request = match route {
