--- a/crates/soak/src/checker_tests.rs
+++ b/crates/soak/src/checker_tests.rs
@@ -35,7 +35,7 @@
     /// Empty records of a run with the faults of a schedule in text form.
     fn new(schedule: &str) -> RunFixture {
         RunFixture {
-            schedule: Schedule::parse(schedule).expect("a schedule"),
+            schedule: Schedule::parse(schedule).expect("the schedule is valid"),
             request_log: RequestLog::new(),
             attempts: Vec::new(),
             operator_log: OperatorLog::default(),
@@ -80,7 +80,7 @@
             ended_at,
             outcome,
         });
-        self.attempts.last_mut().expect("an attempt")
+        self.attempts.last_mut().expect("an attempt was just added")
     }
 
     fn arrive(&self, instance: &str, at: Duration) {
@@ -283,7 +283,7 @@
     assert_eq!(fixture.findings(), []);
     fixture.order(r#"{"Fence":5,"Holder":"b"}"#);
     assert_eq!(fixture.findings(), [("to_and_fro", "3 orders to i-0-1".to_owned())]);
-    fixture.schedule = Schedule::parse("reload 1 1 1 1").expect("a schedule");
+    fixture.schedule = Schedule::parse("reload 1 1 1 1").expect("the schedule is valid");
     assert_eq!(fixture.findings(), []);
     fixture.order(r#"{"Fence":4,"Holder":"c"}"#);
     fixture.order("{}");
--- a/crates/soak/src/finding.rs
+++ b/crates/soak/src/finding.rs
@@ -5,7 +5,8 @@
 /// Findings are ordered by rule, then by facts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// The name of the rule. Names are fixed, since they are written to `findings.txt`.
+    /// The name of the rule. Names are fixed, since they are written to `findings.txt` and compared by
+    /// `--minimize`.
     pub rule: &'static str,
     /// What was observed, as one line of text.
     pub facts: String,
--- a/crates/soak/src/link_proxy_tests.rs
+++ b/crates/soak/src/link_proxy_tests.rs
@@ -16,36 +16,41 @@
 }
 
 async fn fixture() -> ProxyFixture {
-    let server = TcpListener::bind((SERVER_IP, 0)).await.expect("a port");
-    let port = TcpListener::bind((SERVER_IP, 0)).await.expect("a port").local_addr().expect("an address");
+    let server = TcpListener::bind((SERVER_IP, 0)).await.expect("a free port");
+    let port = TcpListener::bind((SERVER_IP, 0))
+        .await
+        .expect("a free port")
+        .local_addr()
+        .expect("the socket address is available");
     let links = LinkTable::default();
-    let proxy =
-        LinkProxy::start(&links, port, server.local_addr().expect("an address")).await.expect("a link proxy");
+    let proxy = LinkProxy::start(&links, port, server.local_addr().expect("the socket address is available"))
+        .await
+        .expect("the link proxy starts");
     ProxyFixture { links, public: port, server, _proxy: proxy }
 }
 
 async fn connect(to: SocketAddr) -> TcpStream {
-    let socket = TcpSocket::new_v4().expect("a socket");
-    socket.bind(SocketAddr::from((CLIENT_IP, 0))).expect("an address");
-    socket.connect(to).await.expect("a connection")
+    let socket = TcpSocket::new_v4().expect("a socket is created");
+    socket.bind(SocketAddr::from((CLIENT_IP, 0))).expect("the socket address is available");
+    socket.connect(to).await.expect("the connection is established")
 }
 
 #[tokio::test]
 async fn a_blackholed_link_delays_bytes_in_its_direction_only() {
     let fixture = fixture().await;
     let mut client = connect(fixture.public).await;
-    let (mut server, _) = fixture.server.accept().await.expect("a connection");
+    let (mut server, _) = fixture.server.accept().await.expect("the connection is established");
     fixture.links.set(Link { from: CLIENT_IP, to: SERVER_IP }, LinkState::Blackholed);
-    client.write_all(b"there").await.expect("a write");
-    server.write_all(b"back").await.expect("a write");
+    client.write_all(b"there").await.expect("the write succeeds");
+    server.write_all(b"back").await.expect("the write succeeds");
     let mut back = [0; 4];
-    client.read_exact(&mut back).await.expect("bytes");
+    client.read_exact(&mut back).await.expect("the bytes arrive");
     assert_eq!(&back, b"back");
     // Nothing has arrived in the blackholed direction, although bytes sent later have arrived in the other.
     assert!(server.try_read(&mut [0; 8]).is_err());
     fixture.links.open_all();
     let mut there = [0; 5];
-    server.read_exact(&mut there).await.expect("bytes");
+    server.read_exact(&mut there).await.expect("the bytes arrive");
     assert_eq!(&there, b"there");
 }
 
@@ -53,7 +58,7 @@
 async fn a_reset_link_resets_open_connections_and_new_ones() {
     let fixture = fixture().await;
     let mut client = connect(fixture.public).await;
-    let (mut server, _) = fixture.server.accept().await.expect("a connection");
+    let (mut server, _) = fixture.server.accept().await.expect("the connection is established");
     fixture.links.set(Link { from: SERVER_IP, to: CLIENT_IP }, LinkState::Reset);
     assert!(!matches!(client.read(&mut [0; 8]).await, Ok(1..)));
     assert!(!matches!(server.read(&mut [0; 8]).await, Ok(1..)));
@@ -66,10 +71,10 @@
     let fixture = fixture().await;
     fixture.links.set(Link { from: SERVER_IP, to: CLIENT_IP }, LinkState::Blackholed);
     let mut client = connect(fixture.public).await;
-    client.write_all(b"there").await.expect("a write");
+    client.write_all(b"there").await.expect("the write succeeds");
     fixture.links.open_all();
-    let (mut server, _) = fixture.server.accept().await.expect("a connection");
+    let (mut server, _) = fixture.server.accept().await.expect("the connection is established");
     let mut there = [0; 5];
-    server.read_exact(&mut there).await.expect("bytes");
+    server.read_exact(&mut there).await.expect("the bytes arrive");
     assert_eq!(&there, b"there");
 }
--- a/crates/soak/src/report_tests.rs
+++ b/crates/soak/src/report_tests.rs
@@ -7,7 +7,7 @@
 
 fn outcome() -> RunOutcome {
     RunOutcome {
-        schedule: Schedule::parse("crowd 100 200 3 4\nmute 299 50 1 2\n").expect("a schedule"),
+        schedule: Schedule::parse("crowd 100 200 3 4\nmute 299 50 1 2\n").expect("the schedule is valid"),
         findings: vec![Finding { rule: "drain", facts: "i-5-1".to_owned() }],
         requests: 7,
         successes: 5,
@@ -21,16 +21,16 @@
 #[test]
 fn a_run_folder_holds_schedule_findings_ledger_and_logs() {
     let folder = std::env::temp_dir().join(format!("lugwharf-soak-report-{}", std::process::id()));
-    write_run_folder(&folder, &outcome()).expect("a folder");
+    write_run_folder(&folder, &outcome()).expect("the run folder is accessible");
     let mut files: Vec<(String, String)> = std::fs::read_dir(&folder)
-        .expect("a folder")
-        .map(|file| file.expect("a file"))
+        .expect("the run folder is accessible")
+        .map(|file| file.expect("the directory entry is readable"))
         .map(|file| {
-            let text = std::fs::read_to_string(file.path()).expect("a text");
+            let text = std::fs::read_to_string(file.path()).expect("the file is readable text");
             (file.file_name().to_string_lossy().into_owned(), text)
         })
         .collect();
-    std::fs::remove_dir_all(&folder).expect("a folder");
+    std::fs::remove_dir_all(&folder).expect("the run folder is accessible");
     files.sort();
     let expected = [
         ("findings.txt", "drain: i-5-1\n"),
--- a/crates/soak/src/schedule_tests.rs
+++ b/crates/soak/src/schedule_tests.rs
@@ -216,6 +216,6 @@
 #[case::no_number("crowd 1 2 x 4")]
 #[case::too_short("crowd 1 2 3")]
 fn an_invalid_line_is_quoted_in_the_error(#[case] line: &str) {
-    let error = Schedule::parse(&format!("mute 1 2 3 4\n\n{line}\n")).expect_err("no fault");
+    let error = Schedule::parse(&format!("mute 1 2 3 4\n\n{line}\n")).expect_err("the line is invalid");
     assert_eq!(error.to_string(), format!("invalid fault: {line:?}"));
 }
