--- a/crates/lugwharf/src/cli.rs
+++ b/crates/lugwharf/src/cli.rs
@@ -5,28 +5,28 @@
 use eyre::Result;
 use getopts::{Matches, Options};
 
-/// A subcommand.
+/// A subcommand of `lugwharf`.
 struct Subcommand {
     name: &'static str,
-    kind: Kind,
+    kind: SubcommandKind,
     operand: Operand,
-    /// What it does, in one line of the help text.
+    /// What the subcommand does, as one line of the help text.
     summary: &'static str,
-    /// Adds the options beyond `--help`.
+    /// Adds the subcommand's options other than `--help`.
     add_options: fn(&mut Options),
     run: fn(&Matches) -> Result<()>,
 }
 
-/// What kind of program a subcommand is.
+/// Whether a subcommand runs a process of the fleet or a tool.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Kind {
-    /// A process of the fleet: logs, and counts violated invariants.
+enum SubcommandKind {
+    /// A process of the fleet, which writes a log and counts violated invariants.
     Role,
-    /// A program for operators that ends by itself.
+    /// A tool for operators, which runs to completion.
     Tool,
 }
 
-/// What a subcommand takes besides options.
+/// The operand that a subcommand takes besides options.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Operand {
     Nothing,
@@ -36,7 +36,7 @@
 const SUBCOMMANDS: [Subcommand; 7] = [
     Subcommand {
         name: "proxy",
-        kind: Kind::Role,
+        kind: SubcommandKind::Role,
         operand: Operand::Nothing,
         summary: "the data plane of a front-end node: accepts clients' requests and routes them",
         add_options: roles::add_options,
@@ -44,7 +44,7 @@
     },
     Subcommand {
         name: "agent",
-        kind: Kind::Role,
+        kind: SubcommandKind::Role,
         operand: Operand::Nothing,
         summary: "connects a front-end node to the control plane and feeds its proxy over loopback",
         add_options: roles::add_options,
@@ -52,7 +52,7 @@
     },
     Subcommand {
         name: "control",
-        kind: Kind::Role,
+        kind: SubcommandKind::Role,
         operand: Operand::Nothing,
         summary: "a control process: the operator's API, a replica, the list of servers",
         add_options: roles::add_options,
@@ -60,7 +60,7 @@
     },
     Subcommand {
         name: "check-config",
-        kind: Kind::Tool,
+        kind: SubcommandKind::Tool,
         operand: Operand::File,
         summary: "validates a configuration (JSON) as `PUT /config` would",
         add_options: no_options,
@@ -68,7 +68,7 @@
     },
     Subcommand {
         name: "check-settings",
-        kind: Kind::Tool,
+        kind: SubcommandKind::Tool,
         operand: Operand::File,
         summary: "validates a settings file (TOML)",
         add_options: no_options,
@@ -76,7 +76,7 @@
     },
     Subcommand {
         name: "check-tuning",
-        kind: Kind::Tool,
+        kind: SubcommandKind::Tool,
         operand: Operand::File,
         summary: "validates a file for --tuning (TOML)",
         add_options: no_options,
@@ -84,7 +84,7 @@
     },
     Subcommand {
         name: "print-schema",
-        kind: Kind::Tool,
+        kind: SubcommandKind::Tool,
         operand: Operand::Nothing,
         summary: "prints the JSON schema that every configuration is validated against",
         add_options: tools::add_schema_options,
@@ -94,7 +94,7 @@
 
 fn no_options(_: &mut Options) {}
 
-/// Runs the subcommand that the arguments name. A [`UsageError`] says that the arguments are wrong.
+/// Runs the subcommand that the arguments name. Fails with a [`UsageError`] if the arguments are invalid.
 pub fn run(arguments: &[String]) -> Result<()> {
     match arguments.first().map(String::as_str) {
         None => Err(UsageError::NoSubcommand.into()),
@@ -126,13 +126,14 @@
         (Operand::Nothing, [surplus, ..]) => return Err(usage_error(format!("takes no {surplus:?}")).into()),
         (Operand::File, _) => return Err(usage_error("takes one file".to_owned()).into()),
     }
-    if subcommand.kind == Kind::Role {
+    if subcommand.kind == SubcommandKind::Role {
         let level = roles::log_level(&matches).map_err(usage_error)?;
-        roles::prepare_process(level)?;
+        roles::init_process(level)?;
     }
     (subcommand.run)(&matches)
 }
 
+/// Returns all options of a subcommand.
 fn options(subcommand: &Subcommand) -> Options {
     let mut options = Options::new();
     options.optflag("h", "help", "print this text");
@@ -140,7 +141,7 @@
     options
 }
 
-/// The help text of `lugwharf --help`.
+/// Returns the text that `lugwharf --help` prints.
 fn overview() -> String {
     let mut text = String::from("Usage: lugwharf SUBCOMMAND [OPTIONS]\n\nSubcommands:\n");
     for subcommand in &SUBCOMMANDS {
@@ -153,7 +154,7 @@
     text
 }
 
-/// The help text of one subcommand.
+/// Returns the text that `lugwharf SUBCOMMAND --help` prints.
 fn help(subcommand: &Subcommand) -> String {
     let operand = match subcommand.operand {
         Operand::Nothing => "",
--- a/crates/lugwharf/src/front_end.rs
+++ b/crates/lugwharf/src/front_end.rs
@@ -1,8 +1,9 @@
-//! The agent of a front-end node, with the machine's part in the control plane: a hosted replica if it counts for the quorum,
-//! redirects to a control process if it does not (`ControlPlacement`).
+//! The agent of a front-end node, together with the machine's part in the control plane (`ControlPlacement`):
+//! a hosted replica if the machine counts for the quorum, or redirects to a control process if it does not.
 //!
-//! A hosted replica has a thread and a runtime of its own, so its work does not delay the agent. If it ends in an error, all
-//! its tasks and listeners end with its runtime and it is restarted, while the agent goes on.
+//! A hosted replica has a thread and a runtime of its own, so its work does not delay the agent. If the
+//! replica ends with an error, its tasks and listeners end with its runtime, and the replica is restarted
+//! while the agent keeps running.
 
 use crate::runtime::block_on;
 use eyre::{Result, WrapErr};
@@ -17,12 +18,13 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// The delay before the first restart of a hosted replica; it doubles with each restart.
+/// The delay before the first restart of a hosted replica. The delay doubles with each restart.
 const MIN_RESTART_DELAY: Duration = Duration::from_millis(250);
-/// The longest delay before a restart.
+/// The longest delay before a restart of a hosted replica.
 const MAX_RESTART_DELAY: Duration = Duration::from_secs(4);
 
-/// Runs the agent until SIGTERM. A hosted replica shuts down gracefully at the same time, and is waited for.
+/// Runs the agent until SIGTERM. A hosted replica shuts down gracefully at the same time, and the function
+/// waits for it.
 pub fn run_agent(settings: Settings, options: AgentOptions, stages: StageTuning) -> Result<()> {
     match settings.control_placement().wrap_err("settings")? {
         ControlPlacement::None => block_on(lugwharf_agent::run(settings, options)),
@@ -38,14 +40,14 @@
     }
 }
 
-/// Runs the agent and, for a machine without a replica, the redirects of the operator's API and the discovery of control
-/// processes.
+/// Runs the agent on a machine without a replica, together with redirects for the operator's API and the
+/// discovery of control processes.
 async fn run_with_gateway(settings: Settings, options: AgentOptions, address: SocketAddr) -> Result<()> {
     let discovery_address = SocketAddr::new(settings.listen_ip(), settings.internal_ports().agent);
     let control_plane = ControlPlaneStatus::default();
-    let (target, targets) = watch::channel(None);
-    gateway::serve(listen(address).await?, targets);
-    tokio::spawn(redirect_to_followed(control_plane.followed.subscribe(), target, address.port()));
+    let (target_sender, target_receiver) = watch::channel(None);
+    gateway::serve(listen(address).await?, target_receiver);
+    tokio::spawn(redirect_to_followed(control_plane.followed.subscribe(), target_sender, address.port()));
     tokio::spawn(discovery::serve(listen(discovery_address).await?, control_plane.clone()));
     let options = AgentOptions { control_plane, ..options };
     lugwharf_agent::run(settings, options).await
@@ -55,18 +57,19 @@
     TcpListener::bind(address).await.wrap_err_with(|| format!("listening on {address}"))
 }
 
-/// Publishes where to redirect callers of the operator's API: to the control process that the agent follows, on `port`, since
-/// ports are alike on all machines.
+/// Publishes the address to which callers of the operator's API are redirected: that of the control process
+/// which the agent follows, with `port`, since all machines use the same ports.
 async fn redirect_to_followed(
-    mut followed: watch::Receiver<Option<SocketAddr>>, target: watch::Sender<Option<SocketAddr>>, port: u16,
+    mut followed: watch::Receiver<Option<SocketAddr>>, target_sender: watch::Sender<Option<SocketAddr>>,
+    port: u16,
 ) {
     while followed.changed().await.is_ok() {
         let process = *followed.borrow_and_update();
-        target.send_replace(process.map(|process| SocketAddr::new(process.ip(), port)));
+        target_sender.send_replace(process.map(|process| SocketAddr::new(process.ip(), port)));
     }
 }
 
-/// Starts a thread that runs a replica until SIGTERM, and restarts it after errors.
+/// Starts a thread that runs a replica until SIGTERM and restarts it after errors.
 fn host_replica(settings: Settings, stages: StageTuning) -> Result<JoinHandle<()>> {
     let options = ControlOptions { stages, ..ControlOptions::default() };
     let run = move || {
--- a/crates/lugwharf/src/logging.rs
+++ b/crates/lugwharf/src/logging.rs
@@ -1,14 +1,14 @@
-//! The log of the process: one line an event on standard error.
+//! The log of the process: one line per event on standard error.
 
 use eyre::{Result, WrapErr};
 use spdlog::sink::{StdStream, StdStreamSink};
 use spdlog::{Level, LevelFilter, Logger};
 use std::sync::Arc;
 
-/// The level without the option `--log`: only what an operator should look into.
+/// The level without the option `--log`: only lines that an operator should look into.
 pub const DEFAULT_LEVEL: &str = "warn";
 
-/// The level with this name.
+/// Returns the level with this name; `None` if there is none.
 pub fn level(name: &str) -> Option<Level> {
     match name {
         "error" => Some(Level::Error),
@@ -21,7 +21,7 @@
 }
 
 /// Installs the logger of the process, which flushes each line.
-pub fn start(level: Level) -> Result<()> {
+pub fn init(level: Level) -> Result<()> {
     let sink = StdStreamSink::builder().std_stream(StdStream::Stderr).build().wrap_err("the log")?;
     let mut builder = Logger::builder();
     builder.sink(Arc::new(sink)).level_filter(LevelFilter::MoreSevereEqual(level));
--- a/crates/lugwharf/src/roles.rs
+++ b/crates/lugwharf/src/roles.rs
@@ -1,4 +1,4 @@
-//! The processes of the fleet: proxy, agent and control. They share their options.
+//! The processes of the fleet, which share their options: proxy, agent and control.
 
 use crate::runtime::block_on;
 use crate::tuning_file::{self, TuningFile};
@@ -12,37 +12,39 @@
 use lugwharf_settings::Settings;
 use spdlog::Level;
 
-const LOG: &str = "log";
-const METRICS: &str = "metrics";
-const SETTINGS: &str = "settings";
+const LOG_OPTION: &str = "log";
+const METRICS_OPTION: &str = "metrics";
+const SETTINGS_OPTION: &str = "settings";
 
-/// Adds the options of a process.
+/// Adds the options that all processes of the fleet share.
 pub fn add_options(options: &mut Options) {
     options.optopt(
         "l",
-        LOG,
+        LOG_OPTION,
         "the least severe level that is logged: error, warn, info, debug, trace",
         "LEVEL",
     );
-    options.optopt("m", METRICS, "serve GET /metrics on this port of the machine's address", "PORT");
+    options.optopt("m", METRICS_OPTION, "serve GET /metrics on this port of the machine's address", "PORT");
     options.optopt(
         "t",
         tuning_file::OPTION,
         "a file with parameters of the routing and planning decisions",
         "FILE",
     );
-    options.optopt("s", SETTINGS, "the settings file, if not the one in LUGWHARF_BOOT", "FILE");
+    options.optopt("s", SETTINGS_OPTION, "the settings file, if not the one in LUGWHARF_BOOT", "FILE");
 }
 
-/// The log level that the options name, or the default; the error says what is wrong with it.
+/// Returns the log level that the options name, or the default. The error is the reason why the name is
+/// invalid.
 pub fn log_level(matches: &Matches) -> Result<Level, String> {
-    let name = matches.opt_str(LOG).unwrap_or_else(|| logging::DEFAULT_LEVEL.to_owned());
+    let name = matches.opt_str(LOG_OPTION).unwrap_or_else(|| logging::DEFAULT_LEVEL.to_owned());
     logging::level(&name).ok_or_else(|| format!("no log level {name:?}"))
 }
 
-/// Starts the log. From now on violated invariants are counted and logged, and end no process, in every build.
-pub fn prepare_process(level: Level) -> Result<()> {
-    logging::start(level)?;
+/// Initializes the log. From now on, violated invariants are counted and logged instead of ending the
+/// process, in every build.
+pub fn init_process(level: Level) -> Result<()> {
+    logging::init(level)?;
     lugwharf_invariants::count_violations_only();
     lugwharf_telemetry::install_violation_logger();
     Ok(())
@@ -69,15 +71,16 @@
     block_on(lugwharf_control::run(settings(matches)?, options))
 }
 
+/// Reads the settings file of the option `--settings`, or else the default one.
 fn settings(matches: &Matches) -> Result<Settings> {
-    let path = matches.opt_str(SETTINGS).map_or_else(Settings::path, Into::into);
+    let path = matches.opt_str(SETTINGS_OPTION).map_or_else(Settings::path, Into::into);
     Settings::read(&path).wrap_err("settings")
 }
 
-/// The port of the option `--metrics`, if it is given.
+/// Returns the port of the option `--metrics`, if the option is given.
 fn metrics_port(matches: &Matches) -> Result<Option<u16>> {
-    let Some(text) = matches.opt_str(METRICS) else { return Ok(None) };
+    let Some(text) = matches.opt_str(METRICS_OPTION) else { return Ok(None) };
     let port = text.parse().ok().filter(|port| *port > 0);
-    let port = port.ok_or(UsageError::Port { option: METRICS, value: text })?;
+    let port = port.ok_or(UsageError::Port { option: METRICS_OPTION, value: text })?;
     Ok(Some(port))
 }
--- a/crates/lugwharf/src/usage.rs
+++ b/crates/lugwharf/src/usage.rs
@@ -1,6 +1,6 @@
-//! The errors of wrong command lines.
+//! The errors of invalid command lines.
 
-/// Why a command line is wrong. The process prints it on one line and ends with exit status 2.
+/// Why a command line is invalid. The process prints the error on one line and ends with exit status 2.
 #[derive(Debug, thiserror::Error)]
 pub enum UsageError {
     /// The command line has no subcommand.
@@ -9,12 +9,12 @@
     /// No subcommand has this name.
     #[error("unknown subcommand {0:?}; see lugwharf --help")]
     UnknownSubcommand(String),
-    /// The value of an option is no port.
+    /// The value of an option is not a port.
     #[error("--{option}: {value:?} is no port")]
     Port {
         /// The name of the option.
         option: &'static str,
-        /// Its value.
+        /// The value of the option.
         value: String,
     },
     /// The subcommand does not accept these arguments.
@@ -22,7 +22,7 @@
     Subcommand {
         /// The name of the subcommand.
         name: &'static str,
-        /// What is wrong.
+        /// Why the arguments are not accepted.
         reason: String,
     },
 }
--- a/src/bin/lugwharf-sidecar/client_connection.rs
+++ b/src/bin/lugwharf-sidecar/client_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of the application: its socket and the phase that it is in.
+//! One client connection of the application: its socket and its phase.
 
 use crate::socket::{has_nothing_to_read, poll_read, poll_write};
 use bytes::{Buf, BytesMut};
@@ -15,32 +15,32 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// Bytes that are read ahead behind a request that awaits its answer, to notice that its client has left. Clients send one
-/// request at a time, so usually there are none.
-const MAX_READ_AHEAD: usize = 16 * 1024;
-/// With more bytes than that behind it, how often the system is asked whether the other end has closed: a client that has
-/// left is to be noticed within 300 ms.
+/// The limit on the bytes that are read ahead while a request awaits its answer, to notice that its client
+/// has disconnected. Clients send one request at a time, so usually there are none.
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
+/// Once the read-ahead is full, the interval at which the kernel is asked whether the client has closed the
+/// connection. A disconnected client must be noticed within 300 ms.
 const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What a connection of the application is at.
+/// The phase of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ClientPhase {
-    /// It has carried no request yet.
+    /// The connection has carried no request yet.
     New,
-    /// A request's head has been read, and its body is being read.
+    /// The head of a request has been read, and its body is being read.
     ReadingBody,
     /// The request has been read and awaits its answer.
     AwaitingAnswer,
-    /// The answer is known and not completely written.
+    /// The answer is known but not completely written.
     WritingAnswer,
-    /// Idle after its first request. Many clients ask once and stay.
+    /// Idle after the first request. Many clients send one request and leave the connection open.
     IdleAfterFirst,
     /// Idle after a later request.
     Idle,
 }
 
 impl ClientPhase {
-    /// Returns whether no request is open on it, so that it may be closed.
+    /// Returns whether the connection has no request in progress, so that it may be closed.
     pub fn is_idle(self) -> bool {
         matches!(self, ClientPhase::New | ClientPhase::IdleAfterFirst | ClientPhase::Idle)
     }
@@ -49,18 +49,19 @@
 struct State {
     phase: ClientPhase,
     /// When the phase began.
-    since: Instant,
+    phase_started_at: Instant,
     /// Whether an answer has been written.
     has_answered: bool,
-    /// Whether it has been asked to close. It counts until it has.
+    /// Whether the connection has been asked to close. Until it has closed, it counts against the limits.
     is_closing: bool,
 }
 
+/// A client connection, shared by its task and the server.
 pub struct ClientConnection {
     socket: TcpStream,
     opened_at: Instant,
     state: Mutex<State>,
-    /// What has been read behind the current request.
+    /// Bytes that have been read ahead, after the current request.
     read_ahead: Mutex<BytesMut>,
     close_requested: Notify,
     answer_written: Notify,
@@ -73,8 +74,12 @@
 impl ClientConnection {
     pub fn new(socket: TcpStream) -> Arc<ClientConnection> {
         let opened_at = Instant::now();
-        let state =
-            State { phase: ClientPhase::New, since: opened_at, has_answered: false, is_closing: false };
+        let state = State {
+            phase: ClientPhase::New,
+            phase_started_at: opened_at,
+            has_answered: false,
+            is_closing: false,
+        };
         let (read_ahead, close_requested, answer_written) = Default::default();
         Arc::new(ClientConnection {
             socket,
@@ -86,57 +91,57 @@
         })
     }
 
-    /// The phase, and how long it has lasted.
+    /// Returns the phase, and how long it has lasted.
     pub fn phase(&self) -> (ClientPhase, Duration) {
         let state = lock(&self.state);
-        (state.phase, state.since.elapsed())
+        (state.phase, state.phase_started_at.elapsed())
     }
 
     fn enter(&self, phase: ClientPhase) {
         let mut state = lock(&self.state);
-        (state.phase, state.since) = (phase, Instant::now());
+        (state.phase, state.phase_started_at) = (phase, Instant::now());
     }
 
-    /// A request's head has been read. Returns since when the complete request is awaited: for a new client since it
-    /// connected, for a regular one since now.
+    /// Records that the head of a request has been read. Returns the time from which the time-out for the
+    /// complete request counts: for the first request when the client connected, for a later one now.
     pub fn start_reading_body(&self) -> Instant {
         self.enter(ClientPhase::ReadingBody);
         if lock(&self.state).has_answered { Instant::now() } else { self.opened_at }
     }
 
-    /// The request has been read completely.
+    /// Records that the request has been read completely.
     pub fn start_awaiting_answer(&self) {
         self.enter(ClientPhase::AwaitingAnswer);
     }
 
-    /// HTTP has been given the answer.
+    /// Records that the answer has been handed to the HTTP library.
     pub fn start_writing_answer(&self) {
         self.enter(ClientPhase::WritingAnswer);
     }
 
-    /// HTTP has written all that it had.
+    /// Records that the HTTP library has written everything in its buffer.
     fn on_flushed(&self) {
         let mut state = lock(&self.state);
         if state.phase == ClientPhase::WritingAnswer {
             let was_used = std::mem::replace(&mut state.has_answered, true);
             let phase = if was_used { ClientPhase::Idle } else { ClientPhase::IdleAfterFirst };
-            (state.phase, state.since) = (phase, Instant::now());
+            (state.phase, state.phase_started_at) = (phase, Instant::now());
             self.answer_written.notify_one();
         }
     }
 
-    /// Ends when the next answer has been written.
+    /// Completes when the next answer has been written.
     pub async fn answer_written(&self) {
         self.answer_written.notified().await;
     }
 
-    /// Asks its task to close it as soon as no request is open on it.
+    /// Asks the connection's task to close the connection as soon as no request is in progress.
     pub fn request_close(&self) {
         lock(&self.state).is_closing = true;
         self.close_requested.notify_one();
     }
 
-    /// Ends when it has been asked to close.
+    /// Completes when the connection has been asked to close.
     pub async fn close_requested(&self) {
         self.close_requested.notified().await;
     }
@@ -145,19 +150,22 @@
         lock(&self.state).is_closing
     }
 
-    /// Returns whether closing it now loses no request: none is open, and nothing has come that HTTP has not seen.
+    /// Returns whether closing the connection now loses no request: none is in progress, and no bytes have
+    /// arrived that the HTTP library has not seen.
     pub fn may_close(&self) -> bool {
         self.phase().0.is_idle() && lock(&self.read_ahead).is_empty() && has_nothing_to_read(&self.socket)
     }
 
-    /// Ends when the client leaves while its request awaits an answer. HTTP does not notice once it has read further bytes,
-    /// so what comes is read ahead of it here. It has to be polled after HTTP, in the same task.
+    /// Completes when the client disconnects while its request awaits an answer. The HTTP library does not
+    /// notice that once it has read bytes of a later request, so arriving bytes are read ahead here instead.
+    /// This future has to be polled after the HTTP connection, in the same task.
     pub async fn disconnected(&self) {
         loop {
             if poll_fn(|cx| self.poll_disconnected(cx)).await {
                 return;
             }
-            // No more is read ahead. The system knows when the other end has closed, also behind unread bytes.
+            // The read-ahead is full. The kernel knows that the client has closed the connection even if
+            // bytes are unread.
             sleep(CLOSE_CHECK_INTERVAL).await;
             let ready = self.socket.ready(Interest::READABLE).await;
             let is_closed = ready.map_or(true, |ready| ready.is_read_closed());
@@ -167,12 +175,12 @@
         }
     }
 
-    /// Ready with `true` once the client has left, and with `false` once the read-ahead is full.
+    /// Ready with `true` once the client has disconnected, and with `false` once the read-ahead is full.
     fn poll_disconnected(&self, cx: &mut Context<'_>) -> Poll<bool> {
         let mut read_ahead = lock(&self.read_ahead);
-        // The phase begins and ends in a poll of HTTP, after which this is polled.
+        // The phase changes only while the HTTP connection is polled, which comes before this poll.
         while self.phase().0 == ClientPhase::AwaitingAnswer {
-            if read_ahead.len() >= MAX_READ_AHEAD {
+            if read_ahead.len() >= MAX_READ_AHEAD_BYTES {
                 return Poll::Ready(false);
             }
             let mut bytes = [0; 1024];
@@ -186,7 +194,8 @@
     }
 }
 
-/// The socket of a client as HTTP reads and writes it: what was read ahead comes first.
+/// The socket of a client as the HTTP library reads and writes it. Bytes that were read ahead are returned
+/// first.
 pub struct ClientStream(pub Arc<ClientConnection>);
 
 impl AsyncRead for ClientStream {
@@ -207,7 +216,7 @@
         poll_write(&self.0.socket, cx, bytes)
     }
 
-    /// HTTP calls it once its own buffer is empty.
+    /// Called by the HTTP library once its own buffer is empty.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.0.on_flushed();
         Poll::Ready(Ok(()))
--- a/src/bin/lugwharf-sidecar/config.rs
+++ b/src/bin/lugwharf-sidecar/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a sidecar: the environment and its JSON file.
+//! The configuration of a sidecar, read from its JSON file and the environment.
 
 use lugwharf_sidecar::api::{RequestClass, Settings};
 use lugwharf_sidecar::settings_text::{self, NetworkSettings, SettingError};
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use std::{env, fs, io};
 
-/// The limit on descriptors where the configuration names none.
+/// The limit on file descriptors where the configuration sets none.
 const DEFAULT_MAX_DESCRIPTORS: usize = 1_024;
-/// How long a client waits at most where its class names no deadline.
+/// The longest that a client waits where its class sets no deadline.
 const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why the configuration cannot be used.
+/// The errors of reading a configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     #[error("BALANCER_CONFIG is not set")]
@@ -27,21 +27,23 @@
     Setting(#[from] SettingError),
 }
 
+/// The configuration of a sidecar.
 pub struct Config {
     /// The name of this sidecar, for its log.
     pub name: String,
-    /// Where it listens.
+    /// The address on which the sidecar listens.
     pub listen: SocketAddr,
-    /// Where discovery is at the start.
+    /// The address of discovery at the start.
     pub discovery: SocketAddr,
-    /// The seed of all random draws.
+    /// The seed of the random number generator.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The limit on the file descriptors of the process.
     pub max_descriptors: usize,
-    /// The server list as this sidecar had it last, in discovery's form. It may be out of date, or missing.
-    pub known: Value,
+    /// The server list that this sidecar had last, in the JSON form of discovery. The list may be out of date
+    /// or missing.
+    pub cached_list: Value,
     pub settings: Settings,
-    pub deployment: NetworkSettings,
+    pub network: NetworkSettings,
 }
 
 impl Config {
@@ -50,14 +52,15 @@
         Config::read(&read_file()?, |key| env::var(key).ok())
     }
 
-    /// Reads the file again, at SIGHUP, and returns where discovery is from now on. The file was changed after the process
-    /// started, so it takes precedence over the address that the environment gave at the start.
+    /// Reads the file again, at SIGHUP, and returns the new address of discovery. The file was changed after
+    /// the process started, so the file takes precedence over the address that the environment gave at the
+    /// start.
     pub fn reload_discovery() -> Result<SocketAddr, ConfigError> {
         let env = |key: &str| env::var(key).ok().filter(|_| key != "BALANCER_DISCOVERY");
         Ok(Config::read(&read_file()?, env)?.discovery)
     }
 
-    /// Reads the JSON. The environment takes precedence where both name a value.
+    /// Parses the JSON `text`. The environment takes precedence where both set a value.
     pub fn read(text: &str, env: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
         let json: Value = serde_json::from_str(text)?;
         let text = |key: &str, variable: &str| {
@@ -79,13 +82,13 @@
             discovery: address("discovery", "BALANCER_DISCOVERY")?,
             seed,
             max_descriptors: max_descriptors.map_or(DEFAULT_MAX_DESCRIPTORS, |n| n as usize),
-            known: json["known"].clone(),
+            cached_list: json["known"].clone(),
             settings: settings_text::parse(&settings)?,
-            deployment: settings_text::parse_network_settings(&settings)?,
+            network: settings_text::parse_network_settings(&settings)?,
         })
     }
 
-    /// The longest that a client of any class waits.
+    /// Returns the longest that a client of any class waits.
     pub fn max_client_timeout(&self) -> Duration {
         self.settings.classes.iter().map(client_timeout).max().unwrap_or(DEFAULT_CLIENT_TIMEOUT)
     }
@@ -96,35 +99,36 @@
     fs::read_to_string(&path).map_err(|error| ConfigError::Read(path, error))
 }
 
-/// How long a client of this class waits at most.
+/// Returns the longest that a client of this class waits.
 pub fn client_timeout(class: &RequestClass) -> Duration {
     if class.deadline.is_zero() { DEFAULT_CLIENT_TIMEOUT } else { class.deadline }
 }
 
-/// A name in the form that it has in the settings text, in which names are compared.
-pub fn flat_name(text: &str) -> String {
+/// Returns a name as the settings text spells it, so that names can be compared: spaces, commas and line
+/// breaks become underscores.
+pub fn normalize_name(text: &str) -> String {
     text.replace([' ', ',', '\n', '\r'], "_")
 }
 
-/// Writes nested settings as the `path=value` lines of the settings text. A list of objects gets a `count` and numbered
-/// paths; other lists are joined by commas.
+/// Appends nested settings to `out` as the `path=value` lines of the settings text. A list of objects becomes
+/// a `count` and numbered paths; the items of other lists are joined by commas.
 fn flatten(path: &str, value: &Value, out: &mut String) {
-    let below = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
-    let plain = |value: &Value| match value {
-        Value::String(text) => flat_name(text),
+    let child_path = |key: &str| if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") };
+    let scalar_text = |value: &Value| match value {
+        Value::String(text) => normalize_name(text),
         other => other.to_string(),
     };
     match value {
         Value::Null => {}
-        Value::Object(map) => map.iter().for_each(|(key, value)| flatten(&below(key), value, out)),
+        Value::Object(map) => map.iter().for_each(|(key, value)| flatten(&child_path(key), value, out)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            *out += &format!("{}={}\n", below("count"), items.len());
-            items.iter().enumerate().for_each(|(i, item)| flatten(&below(&i.to_string()), item, out));
+            *out += &format!("{}={}\n", child_path("count"), items.len());
+            items.iter().enumerate().for_each(|(i, item)| flatten(&child_path(&i.to_string()), item, out));
         }
         Value::Array(items) => {
-            *out += &format!("{path}={}\n", items.iter().map(plain).collect::<Vec<_>>().join(","));
+            *out += &format!("{path}={}\n", items.iter().map(scalar_text).collect::<Vec<_>>().join(","));
         }
-        value => *out += &format!("{path}={}\n", plain(value)),
+        value => *out += &format!("{path}={}\n", scalar_text(value)),
     }
 }
 
--- a/src/bin/lugwharf-sidecar/discovery/error.rs
+++ b/src/bin/lugwharf-sidecar/discovery/error.rs
@@ -1,26 +1,27 @@
-//! Why a call to discovery failed.
+//! The errors of calls to discovery.
 
 use hyper::StatusCode;
 use std::io;
 
+/// Why a call to discovery failed.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    #[error("no answer in time")]
+    #[error("the call timed out")]
     TimedOut,
-    #[error("no connection: {0}")]
+    #[error("connecting failed: {0}")]
     Connect(io::Error),
-    #[error("the call broke: {0}")]
+    #[error("HTTP failed: {0}")]
     Http(#[from] hyper::Error),
-    #[error("the answer broke or is too long: {0}")]
+    #[error("the response body is incomplete or too long: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    #[error("answered {0}")]
+    #[error("the response has status {0}")]
     Status(StatusCode),
-    #[error("no JSON: {0}")]
+    #[error("the response is not valid JSON: {0}")]
     Json(#[from] serde_json::Error),
-    #[error("the list has no {0}")]
+    #[error("the list has no valid {0}")]
     Missing(&'static str),
-    #[error("the list is not complete")]
+    #[error("the list has only changes, but the complete list was requested")]
     Incomplete,
-    #[error("no request to this address: {0}")]
+    #[error("building the request failed: {0}")]
     Address(#[from] hyper::http::Error),
 }
--- a/src/bin/lugwharf-sidecar/discovery/follow.rs
+++ b/src/bin/lugwharf-sidecar/discovery/follow.rs
@@ -1,14 +1,15 @@
-//! Following the list: a call for the complete list, then watches from its revision on.
+//! Following the server list: a call for the complete list, then watches from its revision on.
 //!
-//! A watch is a blocking query, as Consul calls its own: a long poll that names the known revision (`index`) and a longest wait
-//! (`wait`). Discovery answers as soon as there is a newer revision, and with an unchanged one after the wait.
+//! A watch is a long poll, which Consul calls a blocking query: a request that names the known revision
+//! (`index`) and the longest wait (`wait`). Discovery answers as soon as there is a newer revision, or with
+//! the unchanged revision after the wait.
 
 use super::error::DiscoveryError;
 use super::list::read;
 use crate::config::Config;
 use crate::connection::TcpConnection;
 use crate::events::{DriverEvent, DriverHandle, ListUpdate};
-use crate::upstream::MAX_BODY;
+use crate::upstream::MAX_BODY_BYTES;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
 use hyper::{Request, StatusCode};
@@ -19,32 +20,38 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, timeout};
 
-/// How long a watch may wait for a change. An agent beside the sidecar costs nothing to ask, and one that has gone silent
-/// is noticed sooner; a service that works through its calls in turn is asked seldom.
+/// How long a watch of pushed discovery may wait for a change. A call to the agent on the sidecar's own host
+/// costs nothing, and a short watch detects an unresponsive agent sooner.
 pub(super) const PUSHED_WATCH_TIME: Duration = Duration::from_secs(2);
+/// How long a watch of discovery on request may wait. The wait is long because that service processes its
+/// calls one at a time.
 pub(super) const ON_REQUEST_WATCH_TIME: Duration = Duration::from_secs(20);
-/// A call for the complete list has failed after this time. One service for all sidecars may make calls wait in turn.
+/// The time-out of a call for the complete list where discovery is pushed.
 const PUSHED_CALL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The time-out of a call for the complete list where discovery is on request. It is longer, since one
+/// service for all sidecars may queue calls.
 pub(super) const ON_REQUEST_CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// A watch has failed when its answer is this late. Changes that it misses count as known to the sidecar a second later,
-/// and that second has to do for asking again.
+/// A watch fails when its answer is this long overdue. Changes that it misses count as known to the sidecar
+/// one second later, so the sidecar has to ask again within that second.
 const WATCH_GRACE: Duration = Duration::from_secs(1);
-/// The first step of the exponential backoff after failed calls to an agent. Where discovery is asked on request, the module
-/// says when to ask again.
+/// The first delay of the exponential backoff after failed calls to an agent. Where discovery is on request,
+/// the decision module determines when to ask again.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest step of that backoff: each is inside the 200 ms in which a watch has to go on. It is also the pause after a
-/// watch that returned without a change in less than this time, whichever way discovery is asked.
+/// The longest delay of the backoff. It is below the 200 ms within which a watch has to be renewed. In either
+/// mode of discovery it is also the pause after a watch that returned without a change in less than this
+/// time.
 const MAX_BACKOFF: Duration = Duration::from_millis(160);
-/// The most bytes of a list: some hundred for each upstream, so more than those of a request's body.
-const MAX_LIST_BYTES: usize = 64 * MAX_BODY;
+/// The limit on a list, in bytes. Each upstream takes some hundred bytes, so the limit is above that of a
+/// request's body.
+const MAX_LIST_BYTES: usize = 64 * MAX_BODY_BYTES;
 
 type Connection = TcpConnection<Empty<Bytes>>;
 
-/// Follows the list at the current address; ends only when the address's sender is dropped.
+/// Follows the list at the current address; returns only when the sender of the address is dropped.
 ///
-/// Where discovery is asked on request, the first call comes when the module subscribes, or at once at a new address, and
-/// continues from the known revision, if there is one. An agent that pushes is asked for the complete list first: it may
-/// have restarted its count of revisions.
+/// Where discovery is on request, the first call is made when the decision module subscribes, or at once at a
+/// new address. It continues from the known revision, if there is one. Where discovery is pushed, the agent
+/// is asked for the complete list first, since it may have restarted its revision count.
 pub async fn follow(
     config: Arc<Config>, mut address: watch::Receiver<SocketAddr>, mut known_revision: Option<u64>,
     subscribe: Arc<Notify>, driver: DriverHandle,
@@ -60,7 +67,8 @@
     loop {
         let current = *address.borrow_and_update();
         let watcher = Watcher::new(current, &config, known_revision, &driver);
-        // A new address ends the running call, or the wait for the next. The old revision means nothing there.
+        // A new address ends the current call, or the wait for the next one. The old revision has no meaning
+        // there.
         tokio::select! {
             () = watcher.run(&subscribe) => {}
             changed = address.changed() => if changed.is_err() { return },
@@ -74,11 +82,11 @@
     address: SocketAddr,
     config: &'a Config,
     driver: &'a DriverHandle,
-    /// The revision of the current list; `None` where the complete list is to be read.
+    /// The revision of the current list; `None` if the complete list is to be read next.
     revision: Option<u64>,
-    /// The wait after the next failed call; [`MIN_BACKOFF`] if the last one succeeded.
+    /// The wait after the next failed call; [`MIN_BACKOFF`] if the last call succeeded.
     backoff: Duration,
-    /// The idle connection.
+    /// The idle connection, if there is one.
     connection: Option<Connection>,
 }
 
@@ -99,7 +107,7 @@
         if self.is_on_request() { ON_REQUEST_CALL_TIMEOUT } else { PUSHED_CALL_TIMEOUT }
     }
 
-    /// Never ends.
+    /// Makes calls forever.
     async fn run(mut self, subscribe: &Notify) {
         loop {
             let called_at = Instant::now();
@@ -113,11 +121,12 @@
         }
     }
 
-    /// Hands an update to the driver, and continues from its revision. A stale delta is dropped instead, and the complete
-    /// list is read next. Pauses before the next call if this one returned early without a change.
+    /// Hands an update to the driver, and continues from its revision. A stale delta is dropped instead, and
+    /// the complete list is read next. Pauses before the next call if this one returned early without a
+    /// change.
     async fn on_update(&mut self, update: ListUpdate, called_at: Instant) {
-        // Changes to another list than the current one. A complete list counts whatever its revision, since discovery may
-        // have restarted its count.
+        // A stale delta has changes to another list than the current one. A complete list is applied whatever
+        // its revision, since discovery may have restarted its revision count.
         let is_stale_delta =
             !update.is_complete && self.revision.is_some_and(|current| update.revision < current);
         if is_stale_delta {
@@ -128,12 +137,14 @@
             self.revision == Some(update.revision) && called_at.elapsed() < MAX_BACKOFF;
         (self.revision, self.backoff) = (Some(update.revision), MIN_BACKOFF);
         self.driver.send(DriverEvent::List(update));
-        // A watch that does not wait must not be repeated without a pause.
+        // A watch that returns at once must not be repeated without a pause.
         if returned_early_unchanged {
             sleep(MAX_BACKOFF).await;
         }
     }
 
+    /// Logs the first error in a row, reports the failure to the driver, and decides what the next call asks
+    /// for.
     fn on_error(&mut self, error: &DiscoveryError) {
         self.connection = None;
         let is_first = self.backoff == MIN_BACKOFF;
@@ -141,21 +152,23 @@
             eprintln!("discovery: {error}");
         }
         if is_first || self.is_on_request() {
-            // An interrupted watch is opened anew at once. That must not happen to a service that is down or rejects calls:
-            // such an error, or another one right after, is an outage.
+            // The module renews an interrupted watch at once. A service that is down or rejects calls must
+            // not get calls at that rate, so such an error, or a second one in a row, is reported as a
+            // failure.
             let is_interrupted = is_first
                 && self.revision.is_some()
                 && matches!(error, DiscoveryError::TimedOut | DiscoveryError::Http(_));
             let event = if is_interrupted { ServerListEvent::Interrupted } else { ServerListEvent::Failed };
             self.driver.send(DriverEvent::ListFailed(event));
         }
-        // An agent that has restarted its count would wait for a revision that is far off. To read its complete list costs
-        // nothing.
+        // An agent that has restarted its revision count would wait for a revision that is far ahead. Reading
+        // the complete list from it costs nothing.
         if !self.is_on_request() {
             self.revision = None;
         }
     }
 
+    /// Waits until the next call after an error is due.
     async fn wait_to_retry(&mut self, subscribe: &Notify) {
         if self.is_on_request() {
             subscribe.notified().await;
@@ -165,7 +178,7 @@
         self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
     }
 
-    /// Reads the complete list, or waits for a change to the current one.
+    /// Requests the complete list, or watches the current one for a change.
     async fn call(&mut self) -> Result<ListUpdate, DiscoveryError> {
         let connection = self.connect().await?;
         let time = match self.revision {
@@ -175,15 +188,17 @@
         timeout(time, self.exchange(connection)).await.unwrap_or(Err(DiscoveryError::TimedOut))
     }
 
-    /// The idle connection, or a new one. The time of a watch is not for one that does not come up.
+    /// Returns the idle connection, or opens one. Connecting has the shorter time-out of a call, not that of
+    /// a watch.
     async fn connect(&mut self) -> Result<Connection, DiscoveryError> {
-        if let Some(idle) = self.connection.take().filter(Connection::is_clean) {
+        if let Some(idle) = self.connection.take().filter(Connection::is_reusable) {
             return Ok(idle);
         }
         let opened = timeout(self.call_timeout(), Connection::open(self.address)).await;
         opened.unwrap_or(Err(std::io::ErrorKind::TimedOut.into())).map_err(DiscoveryError::Connect)
     }
 
+    /// Sends the request of a call and reads the answer.
     async fn exchange(&mut self, mut connection: Connection) -> Result<ListUpdate, DiscoveryError> {
         let uri = match self.revision {
             Some(revision) => {
@@ -202,8 +217,8 @@
             return Err(DiscoveryError::Status(status));
         }
         self.connection = Some(connection);
-        let update = read(&serde_json::from_slice(&body.to_bytes())?, &self.config.deployment)?;
-        // Changes without a list to apply them to: an error, so that the complete list is not read without a pause.
+        let update = read(&serde_json::from_slice(&body.to_bytes())?, &self.config.network)?;
+        // Changes cannot be applied without a list. The error makes the next call wait for the backoff.
         if self.revision.is_none() && !update.is_complete {
             return Err(DiscoveryError::Incomplete);
         }
--- a/src/bin/lugwharf-sidecar/discovery/mod.rs
+++ b/src/bin/lugwharf-sidecar/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams: read completely at first, then followed by watches.
+//! Discovery of the upstreams: the server list is read completely at first, then followed by watches.
 
 mod error;
 mod follow;
--- a/src/bin/lugwharf-sidecar/driver/actions.rs
+++ b/src/bin/lugwharf-sidecar/driver/actions.rs
@@ -1,4 +1,4 @@
-//! Carrying out the module's actions.
+//! Carrying out the actions of the decision module.
 
 use super::event_loop::{Driver, TimerKind};
 use super::pending_request::{AttemptTask, PendingAttempt};
@@ -12,11 +12,12 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// The same line is logged again after this time at the earliest: an overload must not fill the log.
+/// The shortest time after which the same line is logged again: an overload must not fill the log.
 const LOG_REPEAT_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Driver {
-    /// Hands one event to the module and carries out its actions. Events that these cause at once come after it.
+    /// Hands one event to the decision module and carries out the resulting actions. Events that these
+    /// actions cause at once are handled after it, in order.
     pub(super) fn handle_event(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
@@ -58,11 +59,11 @@
     ) -> Option<Event> {
         let pending = self.requests.get_mut(&id)?;
         let (attempt, now) = (pending.attempts.len(), Instant::now());
-        // Nothing is sent after the final answer, nor to a server that the list has withdrawn.
+        // Nothing is sent after the final answer, nor to a server that is no longer ready on the server list.
         let endpoint = self.endpoints.get(server).filter(|_| pending.is_awaiting_answer());
         let Some(endpoint) = endpoint else {
             pending.attempts.push(PendingAttempt { sent_at: now, task: None });
-            let (outcome, elapsed, request_status) = (Outcome::NotSent, Duration::ZERO, pending.progress());
+            let (outcome, elapsed, request_status) = (Outcome::NotSent, Duration::ZERO, pending.status());
             return Some(Event::Outcome { id, attempt, outcome, elapsed, request_status });
         };
         let handle = self.handle.clone();
@@ -84,7 +85,7 @@
         let cancelled = pending.attempts.get_mut(attempt)?;
         cancelled.task.take()?.task.abort();
         let elapsed = cancelled.sent_at.elapsed();
-        let request_status = pending.progress();
+        let request_status = pending.status();
         self.remove_if_finished(id);
         Some(Event::Outcome { id, attempt, outcome: Outcome::Cancelled, elapsed, request_status })
     }
@@ -95,10 +96,11 @@
         };
         let (pool, handle, config) = (self.pool.clone(), self.handle.clone(), self.config.clone());
         tokio::spawn(async move {
-            // The module waits for it as long as it likes; this only ends a probe that nobody waits for.
-            let answer_by = Instant::now() + config.deployment.connect_timeout;
-            let load_field = config.deployment.load_field_name.as_deref();
-            let result = upstream::probe(pool, endpoint, answer_by, load_field).await;
+            // The decision module has its own time-out for probes; this one only ends probes that it no
+            // longer waits for.
+            let answer_by = Instant::now() + config.network.connect_timeout;
+            let load_field_name = config.network.load_field_name.as_deref();
+            let result = upstream::probe(pool, endpoint, answer_by, load_field_name).await;
             let (outcome, reported_load) = (result.outcome, result.reported_load);
             handle.send(DriverEvent::ProbeEnded { server, outcome, reported_load });
         });
--- a/src/bin/lugwharf-sidecar/driver/driver_tests.rs
+++ b/src/bin/lugwharf-sidecar/driver/driver_tests.rs
@@ -24,7 +24,8 @@
 #[tokio::test]
 async fn a_request_that_the_module_does_not_decide_fails_at_its_answer_deadline() {
     let (mut driver, handle) = driver(crate::config::tests::JSON);
-    // The module has a request of the same id already, and ignores another.
+    // The decision module already has a request with this id, so it ignores the next one and never decides
+    // it.
     let (id, client_timeout) = (RequestId(0), Duration::from_secs(3_600));
     let arrival = Arrival { id, class: 0, cost: None, client_timeout, origin: Origin::Fresh };
     driver.balancer.handle(driver.clock.now(), Event::Request(arrival), &mut Vec::new());
@@ -32,7 +33,7 @@
     let (since, budget) = (Instant::now(), Duration::from_millis(200));
     let answer = tokio::time::timeout(Duration::from_secs(30), handle.execute(request(budget))).await;
     assert!(matches!(answer.expect("an answer"), FinalAnswer::Failed));
-    assert!(since.elapsed() >= budget - answer_margin(budget), "the module had its time");
+    assert!(since.elapsed() >= budget - answer_margin(budget), "the module had its share of the time");
 }
 
 fn request(client_timeout: Duration) -> ClientRequest {
@@ -47,13 +48,13 @@
     Driver::new(config, Pool::new(1, Duration::ZERO, Duration::ZERO, true), Arc::new(Notify::new()))
 }
 
-/// The end of a request's first attempt.
-fn ended(id: RequestId, outcome: Outcome, body: &'static [u8]) -> DriverEvent {
+/// The event that the first attempt of a request ended.
+fn attempt_ended(id: RequestId, outcome: Outcome, body: &'static [u8]) -> DriverEvent {
     let served = ServedBody { body: Bytes::from_static(body), content_type: None };
     DriverEvent::AttemptEnded { id, attempt: 0, outcome, served }
 }
 
-/// Puts an attempt in flight, as if the module had sent it.
+/// Puts an attempt in flight, as if the decision module had sent it.
 fn put_in_flight(driver: &mut Driver, id: RequestId) -> Arc<Notify> {
     let abandoned = Arc::<Notify>::default();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
@@ -67,11 +68,11 @@
 async fn events_in_the_channel_are_handled_before_due_timers() {
     let (mut driver, handle) = driver(crate::config::tests::JSON);
     let (id, budget) = (RequestId(0), Duration::from_millis(200));
-    let (to, answer) = oneshot::channel();
-    driver.on_request(id, request(budget), to);
+    let (answer_sender, answer) = oneshot::channel();
+    driver.on_request(id, request(budget), answer_sender);
     put_in_flight(&mut driver, id);
-    // The driver had no turn while the answer came and the request's time went by.
-    handle.send(ended(id, Outcome::Ok, b"in time"));
+    // The driver does not run while the answer arrives and the answer deadline passes.
+    handle.send(attempt_ended(id, Outcome::Ok, b"in time"));
     tokio::time::advance(budget).await;
     tokio::spawn(driver.run(None));
     let answer = answer.await.expect("an answer");
@@ -79,34 +80,34 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_disconnect_abandons_attempts_also_without_the_cancel_permit() {
+async fn a_client_disconnect_abandons_attempts_even_where_cancelling_is_not_permitted() {
     let (mut driver, _handle) =
         driver(&crate::config::tests::JSON.replace("\"cancel\":true", "\"cancel\":false"));
     let id = RequestId(0);
-    let (to, _answer) = oneshot::channel();
-    driver.on_request(id, request(Duration::from_secs(20)), to);
+    let (answer_sender, _answer) = oneshot::channel();
+    driver.on_request(id, request(Duration::from_secs(20)), answer_sender);
     let abandoned = put_in_flight(&mut driver, id);
     driver.on_event(DriverEvent::ClientDisconnected(id));
-    assert!(driver.requests.contains_key(&id), "its attempt is still out");
+    assert!(driver.requests.contains_key(&id), "its attempt is still in flight");
     let notified = tokio::time::timeout(Duration::from_secs(1), abandoned.notified()).await;
-    assert!(notified.is_ok(), "what is not completely written is never sent");
-    driver.on_event(ended(id, Outcome::NotSent, b""));
+    assert!(notified.is_ok(), "an incompletely written request is never completed");
+    driver.on_event(attempt_ended(id, Outcome::NotSent, b""));
     assert!(driver.requests.is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cancelled_attempt_has_one_outcome_though_its_own_was_in_the_channel() {
+async fn a_cancelled_attempt_has_one_outcome_even_if_its_own_is_in_the_channel() {
     let (mut driver, handle) = driver(crate::config::tests::JSON);
     let id = RequestId(0);
-    let (to, answer) = oneshot::channel();
-    driver.on_request(id, request(Duration::from_secs(20)), to);
+    let (answer_sender, answer) = oneshot::channel();
+    driver.on_request(id, request(Duration::from_secs(20)), answer_sender);
     put_in_flight(&mut driver, id);
-    handle.send(ended(id, Outcome::Ok, b"late"));
+    handle.send(attempt_ended(id, Outcome::Ok, b"late"));
     let event = driver.carry_out(Action::Cancel { id, attempt: 0 });
     assert!(matches!(event, Some(Event::Outcome { outcome: Outcome::Cancelled, .. })));
     driver.carry_out(Action::Fail(id));
     assert!(driver.requests.is_empty());
-    let late = driver.events.try_recv().expect("it was under way");
+    let late = driver.events.try_recv().expect("the late outcome");
     driver.on_event(late);
     assert!(matches!(answer.await, Ok(FinalAnswer::Failed)), "one final answer");
 }
--- a/src/bin/lugwharf-sidecar/driver/endpoint_table.rs
+++ b/src/bin/lugwharf-sidecar/driver/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! The endpoints of the servers on the list that take requests.
+//! The endpoints of those servers on the server list that take requests.
 
 use crate::events::ListUpdate;
 use crate::pool::{Endpoint, Pool};
@@ -7,15 +7,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-struct KnownServer {
-    /// Its start as the list has it. Another start is another process, which inherits no connection.
-    started: Option<Duration>,
+/// A server that takes requests.
+struct ReadyServer {
+    /// The start of the server as the list reports it. Another start means another process, which inherits no
+    /// connection.
+    started_at: Option<Duration>,
     endpoint: Arc<Endpoint>,
 }
 
+/// The endpoints by server.
 pub(super) struct EndpointTable {
     pool: Pool,
-    servers: HashMap<ServerId, KnownServer>,
+    servers: HashMap<ServerId, ReadyServer>,
 }
 
 impl EndpointTable {
@@ -28,18 +31,18 @@
     }
 
     pub(super) fn get(&self, server: ServerId) -> Option<Arc<Endpoint>> {
-        self.servers.get(&server).map(|known| known.endpoint.clone())
+        self.servers.get(&server).map(|ready| ready.endpoint.clone())
     }
 
-    /// Brings the endpoints up to date with the list. Servers that are missing from a complete one are gone.
+    /// Applies an update of the server list. Servers that are missing from a complete list are removed.
     pub(super) fn apply(&mut self, update: &ListUpdate) {
         let mut listed = HashSet::new();
         for member in &update.members {
-            let (server, started) = (member.entry.server, member.entry.started_at);
+            let (server, started_at) = (member.entry.server, member.entry.started_at);
             let is_ready = member.entry.availability == Availability::Ready;
             listed.insert(server);
-            let is_same = self.servers.get(&server).is_some_and(|known| {
-                is_ready && known.started == started && known.endpoint.address == member.address
+            let is_same = self.servers.get(&server).is_some_and(|ready| {
+                is_ready && ready.started_at == started_at && ready.endpoint.address == member.address
             });
             if is_same {
                 continue;
@@ -47,20 +50,21 @@
             self.close(server);
             if is_ready {
                 let endpoint = self.pool.endpoint(member.address);
-                self.servers.insert(server, KnownServer { started, endpoint });
+                self.servers.insert(server, ReadyServer { started_at, endpoint });
             }
         }
         if update.is_complete {
-            let gone: Vec<ServerId> =
+            let removed: Vec<ServerId> =
                 self.servers.keys().filter(|id| !listed.contains(id)).copied().collect();
-            gone.into_iter().for_each(|id| self.close(id));
+            removed.into_iter().for_each(|id| self.close(id));
         }
     }
 
-    /// Nothing new goes there, nor what waits for a connection to it.
+    /// Removes a server and closes its endpoint: no new attempt uses it, nor one that still waits for a
+    /// connection.
     fn close(&mut self, server: ServerId) {
-        if let Some(known) = self.servers.remove(&server) {
-            known.endpoint.close();
+        if let Some(ready) = self.servers.remove(&server) {
+            ready.endpoint.close();
         }
     }
 }
--- a/src/bin/lugwharf-sidecar/driver/event_loop.rs
+++ b/src/bin/lugwharf-sidecar/driver/event_loop.rs
@@ -1,4 +1,4 @@
-//! The driver's loop: events and timers, and the life of each request.
+//! The event loop of the driver: events, timers, and the lifecycle of each request.
 
 use super::endpoint_table::EndpointTable;
 use super::pending_request::PendingRequest;
@@ -17,13 +17,15 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// The part of a client's time-out that is reserved, since the answer has to be written and read within it. The module
-/// gets what is left after twice this margin; if it has not decided by then, the request is answered as failed when one
-/// margin is left. The way through this process takes a fraction of a millisecond.
+/// The margin is a client's time-out divided by this, within the bounds below. It is reserved because the
+/// answer has to be written and read within the time-out. The decision module gets the time-out less two
+/// margins. If it has not decided by then, the request is answered as failed when one margin is left. A
+/// request spends a fraction of a millisecond in this process itself.
 const MARGIN_DIVISOR: u32 = 40;
 const MIN_MARGIN: Duration = Duration::from_millis(1);
 const MAX_MARGIN: Duration = Duration::from_millis(10);
 
+/// Returns the margin of a client's time-out.
 pub(super) fn answer_margin(client_timeout: Duration) -> Duration {
     (client_timeout / MARGIN_DIVISOR).clamp(MIN_MARGIN, MAX_MARGIN)
 }
@@ -31,13 +33,14 @@
 /// What happens when a timer falls due.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum TimerKind {
-    /// The module's own timer.
+    /// A timer that the decision module has set.
     Module(TimerId),
-    /// The last moment for the answer of a request.
+    /// The latest time at which a request is answered.
     AnswerDeadline(RequestId),
 }
 
-/// The module's clock: Unix time at the start, since list entries carry Unix times, and steady from there.
+/// The clock of the decision module: Unix time at the start, since list entries carry Unix times, and
+/// monotonic from then on.
 pub(super) struct Clock {
     started_at: Instant,
     unix_time_at_start: Duration,
@@ -54,7 +57,7 @@
     }
 }
 
-/// Owns the decisions. See the module's documentation.
+/// The driver: owns the decision module and all pending requests. See the documentation of [`crate::driver`].
 pub struct Driver {
     pub(super) balancer: Balancer,
     pub(super) clock: Clock,
@@ -64,17 +67,17 @@
     pub(super) timers: BinaryHeap<Reverse<(Instant, TimerKind)>>,
     pub(super) endpoints: EndpointTable,
     pub(super) pool: Pool,
-    /// Notified when the module wants the server list to be watched.
+    /// Notified when the decision module asks to subscribe to the server list.
     pub(super) subscribe: Arc<Notify>,
     pub(super) config: Arc<Config>,
-    /// The module's output, reused for its allocation.
+    /// The buffer for the decision module's actions, kept to reuse its allocation.
     pub(super) actions: Vec<Action>,
-    /// The last line that the module logged, and when.
+    /// The last line that the decision module logged, and when.
     pub(super) last_logged: Option<(LogEvent, Instant)>,
 }
 
 impl Driver {
-    /// A driver, and the handle by which the other parts reach it.
+    /// Returns a driver, and the handle by which other tasks reach it.
     pub fn new(config: Arc<Config>, pool: Pool, subscribe: Arc<Notify>) -> (Driver, DriverHandle) {
         let (handle, events) = DriverHandle::new();
         let driver = Driver {
@@ -94,13 +97,14 @@
         (driver, handle)
     }
 
-    /// Starts with the list as it was last known, then handles events and timers until the handles are gone.
-    pub async fn run(mut self, known: Option<ListUpdate>) {
-        let entries = known.map_or(Vec::new(), |known| self.apply_list(known));
+    /// Starts with the cached server list, then handles events and timers until all handles are dropped.
+    pub async fn run(mut self, cached_list: Option<ListUpdate>) {
+        let entries = cached_list.map_or(Vec::new(), |list| self.apply_list(list));
         self.handle_event(Event::ServerList(ServerListEvent::Cached(entries)));
         loop {
-            // What has happened comes before what falls due: an answer that is already there beats its time-out, and a
-            // client that has left beats a timer that would send for it.
+            // Events in the channel are handled before due timers: an answer that has already arrived takes
+            // precedence over its time-out, and a client's disconnect over a timer that would send an attempt
+            // for it.
             for _ in 0..self.events.len() {
                 if let Ok(event) = self.events.try_recv() {
                     self.on_event(event);
@@ -159,7 +163,8 @@
         }
     }
 
-    /// Brings the endpoints up to date, and returns the entries for the module.
+    /// Applies an update of the server list to the endpoints, and returns the entries for the decision
+    /// module.
     fn apply_list(&mut self, update: ListUpdate) -> Vec<ServerEntry> {
         self.endpoints.apply(&update);
         self.handle.set_ready(!self.endpoints.is_empty());
@@ -184,7 +189,8 @@
     fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if pending.answer.take().is_some() {
-            // Also where the module may not cancel: what has not been sent needs no permit to stay here.
+            // This holds also where the settings don't permit the module to cancel attempts: not sending the
+            // rest of a request needs no permission.
             pending.abandon_attempts();
             self.handle_event(Event::ClientDisconnected(id));
             self.remove_if_finished(id);
@@ -194,7 +200,7 @@
     fn on_attempt_ended(&mut self, id: RequestId, number: usize, outcome: Outcome, served: ServedBody) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         let Some(attempt) = pending.attempts.get_mut(number) else { return };
-        // An attempt that was cancelled has had its outcome; its own may come late.
+        // The outcome of a cancelled attempt has been reported already; the attempt's own may arrive later.
         if attempt.task.take().is_none() {
             return;
         }
@@ -202,15 +208,15 @@
         if outcome == Outcome::Ok {
             pending.send_answer(FinalAnswer::Served(served));
         }
-        let request_status = pending.progress();
+        let request_status = pending.status();
         self.handle_event(Event::Outcome { id, attempt: number, outcome, elapsed, request_status });
         self.remove_if_finished(id);
     }
 
-    /// The module did not decide in time: the client gets a failure.
+    /// Answers a request as failed if the decision module has not decided in time.
     fn on_answer_deadline(&mut self, id: RequestId) {
         if self.requests.get(&id).is_some_and(PendingRequest::is_awaiting_answer) {
-            eprintln!("a request was left without an answer");
+            eprintln!("no decision on a request by its answer deadline; answering it as failed");
             self.send_answer(id, FinalAnswer::Failed);
             self.handle_event(Event::ClientDisconnected(id));
             self.remove_if_finished(id);
--- a/src/bin/lugwharf-sidecar/driver/mod.rs
+++ b/src/bin/lugwharf-sidecar/driver/mod.rs
@@ -1,5 +1,6 @@
-//! The driver connects the decision module with the network: it turns what happens into the module's events, carries the
-//! module's actions out in order, and alone knows which clients still wait for an answer.
+//! The driver connects the decision module with the network. The driver turns what happens into the module's
+//! events, carries out the module's actions in order, and is the only component that knows which clients
+//! still wait for an answer.
 
 mod actions;
 mod endpoint_table;
--- a/src/bin/lugwharf-sidecar/driver/pending_request.rs
+++ b/src/bin/lugwharf-sidecar/driver/pending_request.rs
@@ -1,4 +1,4 @@
-//! A request that is not answered, or has an attempt that has not ended.
+//! Requests that are not answered yet, or have an attempt that has not ended.
 
 use crate::events::FinalAnswer;
 use crate::upstream::ForwardedRequest;
@@ -11,21 +11,24 @@
 /// An attempt that has not ended.
 pub(super) struct AttemptTask {
     pub(super) task: AbortHandle,
-    /// Notified when nobody waits for the attempt any more: what has not been written completely by then never is.
+    /// Notified when nobody waits for the attempt any more. A request that is not completely written by then
+    /// never is.
     pub(super) abandoned: Arc<Notify>,
 }
 
-/// An attempt, in the order of sending.
+/// An attempt of a request.
 pub(super) struct PendingAttempt {
     pub(super) sent_at: Instant,
-    /// `None` once it has ended.
+    /// The running task; `None` once the attempt has ended.
     pub(super) task: Option<AttemptTask>,
 }
 
+/// A request that is not answered yet, or has an attempt that has not ended.
 pub(super) struct PendingRequest {
     pub(super) forwarded: Arc<ForwardedRequest>,
-    /// `None` once the client has its answer or has left.
+    /// The channel for the final answer; `None` once the client has its answer or has disconnected.
     pub(super) answer: Option<oneshot::Sender<FinalAnswer>>,
+    /// All attempts, in the order of sending.
     pub(super) attempts: Vec<PendingAttempt>,
 }
 
@@ -34,23 +37,24 @@
         self.answer.is_some()
     }
 
-    pub(super) fn progress(&self) -> RequestStatus {
+    pub(super) fn status(&self) -> RequestStatus {
         if self.is_awaiting_answer() { RequestStatus::AwaitingAnswer } else { RequestStatus::Finished }
     }
 
-    /// Returns whether it is answered and nothing is in flight for it.
+    /// Returns whether the request is answered, or its client has disconnected, and no attempt is in flight.
     pub(super) fn is_finished(&self) -> bool {
         !self.is_awaiting_answer() && self.attempts.iter().all(|attempt| attempt.task.is_none())
     }
 
-    /// Gives the client its final answer, if it still waits for one. A closed channel is fine: the client has just left.
+    /// Sends the client its final answer, if it still waits for one. A closed channel is ignored: the client
+    /// has just disconnected.
     pub(super) fn send_answer(&mut self, answer: FinalAnswer) {
         if let Some(sender) = self.answer.take() {
             drop(sender.send(answer));
         }
     }
 
-    /// Tells its attempts that nobody waits for them.
+    /// Notifies the request's attempts that nobody waits for them any more.
     pub(super) fn abandon_attempts(&self) {
         self.attempts.iter().flat_map(|attempt| &attempt.task).for_each(|task| task.abandoned.notify_one());
     }
--- a/src/bin/lugwharf-sidecar/gated_stream.rs
+++ b/src/bin/lugwharf-sidecar/gated_stream.rs
@@ -1,8 +1,9 @@
 //! A socket that can hold back the last byte of a request.
 //!
-//! An upstream starts a request with its last byte. A connection that breaks before that byte is written proves that
-//! nothing ran, and the request may be sent again. An idle connection that its upstream has just closed shows that only
-//! after a round trip, so the last byte waits for a moment.
+//! An upstream starts to execute a request when its last byte arrives. If a connection breaks before that
+//! byte is written, the request has not run and may be sent again. When an upstream has just closed an idle
+//! connection, the sidecar notices that only a round trip after it writes, so the last byte is delayed for a
+//! moment.
 
 use crate::socket::{has_nothing_to_read, poll_read, poll_write};
 use socket2::SockRef;
@@ -18,20 +19,25 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// The runtime's clock counts complete milliseconds: a wait ends with the first tick after its time.
+/// The resolution of the runtime's timers, which count whole milliseconds: a sleep ends with the first tick
+/// after its time.
 const TICK: Duration = Duration::from_millis(1);
-/// How long the last byte of a request is held back: more than a tick, since a wait for the next tick may last no time at
-/// all. A reset by a closed connection takes a round trip, which is less than this within a region.
-const HOLD_BACK: Duration = TICK.saturating_add(Duration::from_micros(1));
-const _: () = assert!(HOLD_BACK.as_micros() > TICK.as_micros(), "it may last no time at all");
-/// Tests hold it back for so long that a reset comes first on any machine.
-const LAST_BYTE_DELAY: Duration = if cfg!(test) { Duration::from_secs(1) } else { HOLD_BACK };
+/// How long the last byte of a request is held back in production. The time is more than a tick, since a
+/// sleep until the next tick may last no time at all. The reset from a closed connection arrives after a
+/// round trip, which is shorter than this within a region.
+const PRODUCTION_DELAY: Duration = TICK.saturating_add(Duration::from_micros(1));
+const _: () = assert!(PRODUCTION_DELAY.as_micros() > TICK.as_micros(), "the delay may last no time at all");
+/// How long the last byte is held back. The delay in tests is long enough that a reset arrives within it on
+/// any machine.
+const LAST_BYTE_DELAY: Duration = if cfg!(test) { Duration::from_secs(1) } else { PRODUCTION_DELAY };
 
-/// Whether the current request is completely written, and whether its last byte is to be held back.
+/// The state of the current request: whether it is completely written, and whether its last byte is to be
+/// held back.
 #[derive(Default)]
 pub struct LastByteGate {
-    /// The last byte is held back until this time at least; `None` if it is not.
+    /// The last byte is held back at least until this time; `None` if the byte is not held back.
     held_until: Mutex<Option<Instant>>,
+    /// Whether a part of the request has certainly not been written.
     is_incomplete: AtomicBool,
 }
 
@@ -40,7 +46,8 @@
         self.held_until.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// A request begins. Its last byte is held back until this time at least, if any is given.
+    /// Records the start of a request. With `hold_until`, the last byte of the request is held back at least
+    /// until then.
     pub fn begin_request(&self, hold_until: Option<Instant>) {
         *self.held_until() = hold_until;
         self.is_incomplete.store(true, Ordering::Relaxed);
@@ -55,16 +62,17 @@
         WriteProgress(gate)
     }
 
-    /// Returns whether it is sure that the last byte has not been written.
+    /// Returns whether the last byte has certainly not been written.
     pub fn is_incomplete(&self) -> bool {
         self.0.is_incomplete.load(Ordering::Relaxed)
     }
 }
 
-/// The socket as HTTP reads and writes it. The pool inspects the same socket.
+/// The socket as the HTTP library reads and writes it. The pool inspects the same socket.
 pub struct GatedStream {
     socket: Arc<TcpStream>,
     gate: Arc<LastByteGate>,
+    /// The wait until the last byte may be written, once it has begun.
     wait: Option<Pin<Box<Sleep>>>,
 }
 
@@ -73,14 +81,14 @@
         GatedStream { socket, gate, wait: None }
     }
 
-    /// Waits until the last byte may be written, and checks that nothing came in the meantime.
+    /// Waits until the last byte may be written, and checks that nothing has arrived meanwhile.
     fn poll_last_byte(&mut self, until: Instant, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let until = until.max(Instant::now() + LAST_BYTE_DELAY);
         let wait = self.wait.get_or_insert_with(|| Box::pin(sleep_until(until)));
         ready!(wait.as_mut().poll(cx));
         self.wait = None;
         *self.gate.held_until() = None;
-        // What comes behind the previous answer would be taken for the answer to this request.
+        // Bytes that arrive after the previous answer would be taken for the answer to this request.
         if has_nothing_to_read(&self.socket) {
             Poll::Ready(Ok(()))
         } else {
--- a/src/bin/lugwharf-sidecar/main.rs
+++ b/src/bin/lugwharf-sidecar/main.rs
@@ -1,4 +1,5 @@
-//! The sidecar: takes the requests of the application beside it and forwards each to an upstream.
+//! The sidecar: a client-side load balancer that accepts the requests of the application on its host and
+//! forwards each to an upstream server.
 #![forbid(unsafe_code)]
 
 mod client_connection;
@@ -29,15 +30,16 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep};
 
-/// Descriptors for what is no connection of the application or to upstreams: the listener, discovery, logs.
+/// File descriptors for everything but the connections of the application and to upstreams: the listener,
+/// discovery, logs.
 const RESERVED_DESCRIPTORS: usize = 16;
-/// The part of all descriptors, one of so many, that clients may use for requests. Each of these needs one more, for its
-/// upstream.
-const REQUEST_PART: usize = 3;
-/// How often binding is retried while a predecessor still has the address.
+/// Client connections that carry requests may use the process's descriptor limit divided by this. Each
+/// request needs one more descriptor, for its upstream connection.
+const REQUEST_DESCRIPTOR_DIVISOR: usize = 3;
+/// The interval between attempts to bind while the previous process still has the address.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why the sidecar ends with an error.
+/// The errors that end the sidecar.
 #[derive(Debug, thiserror::Error)]
 enum StartError {
     #[error(transparent)]
@@ -48,12 +50,13 @@
     System(#[from] io::Error),
 }
 
-/// Binds the address. A predecessor may still have it for so long while it shuts down.
-async fn listen(address: SocketAddr, predecessor_time: Duration) -> Result<TcpListener, StartError> {
+/// Binds the address. The previous sidecar process may still hold the address while it shuts down, so an
+/// address in use is retried for `max_wait`.
+async fn listen(address: SocketAddr, max_wait: Duration) -> Result<TcpListener, StartError> {
     let since = Instant::now();
     loop {
         match TcpListener::bind(address).await {
-            Err(error) if error.kind() == io::ErrorKind::AddrInUse && since.elapsed() < predecessor_time => {
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse && since.elapsed() < max_wait => {
                 sleep(BIND_RETRY_INTERVAL).await;
             }
             result => return result.map_err(|error| StartError::Listen(address, error)),
@@ -61,8 +64,8 @@
     }
 }
 
-/// Takes over what may change while the sidecar runs, which is where discovery is; the rest of the file counts at the next
-/// start. A file that cannot be read changes nothing.
+/// Applies the one setting that may change while the sidecar runs: the address of discovery. The rest of the
+/// file takes effect at the next start. A file that cannot be read changes nothing.
 fn reload(discovery: &watch::Sender<SocketAddr>) {
     match Config::reload_discovery() {
         Ok(address) => {
@@ -73,49 +76,49 @@
     }
 }
 
-/// The server list as it was last known; `None` if there is none that can be read.
-fn known_list(config: &Config) -> Option<ListUpdate> {
-    match discovery::read(&config.known, &config.deployment) {
-        Ok(known) => Some(known),
+/// Reads the cached server list of the configuration; `None` if there is none that can be read.
+fn read_cached_list(config: &Config) -> Option<ListUpdate> {
+    match discovery::read(&config.cached_list, &config.network) {
+        Ok(list) => Some(list),
         Err(error) => {
-            eprintln!("{}: starting without a known list: {error}", config.name);
+            eprintln!("{}: starting without a cached server list: {error}", config.name);
             None
         }
     }
 }
 
 async fn run() -> Result<(), StartError> {
-    // First of all: without a handler SIGHUP would end the process.
+    // Before anything else: without a handler, SIGHUP would end the process.
     let mut hangup = signal(SignalKind::hangup())?;
     let config = Arc::new(Config::from_env()?);
-    let mut term = signal(SignalKind::terminate())?;
+    let mut terminate = signal(SignalKind::terminate())?;
     let listener = listen(config.listen, server::shutdown_time(&config)).await?;
     eprintln!("{}: listening on {}", config.name, listener.local_addr()?);
-    // What is left of the descriptors is for connections that have sent no request yet.
-    let request_share = config.max_descriptors / REQUEST_PART;
-    let max_clients = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + request_share);
+    // The remaining descriptors are for client connections that have sent no request yet.
+    let request_descriptors = config.max_descriptors / REQUEST_DESCRIPTOR_DIVISOR;
+    let max_clients = config.max_descriptors.saturating_sub(RESERVED_DESCRIPTORS + request_descriptors);
     let pool = Pool::new(
-        request_share.max(1),
+        request_descriptors.max(1),
         config.settings.keep_alive,
-        config.deployment.connect_timeout,
+        config.network.connect_timeout,
         config.settings.handshake_price > 0.0,
     );
     tokio::spawn(pool.clone().sweep());
     let subscribe = Arc::new(Notify::new());
     let (driver, handle) = Driver::new(config.clone(), pool, subscribe.clone());
-    let known = known_list(&config);
-    let known_revision = known.as_ref().map(|known| known.revision);
-    let server = Server::new(config.clone(), handle.clone(), max_clients.max(1), request_share);
-    let mut driving = tokio::spawn(driver.run(known));
+    let cached_list = read_cached_list(&config);
+    let known_revision = cached_list.as_ref().map(|list| list.revision);
+    let server = Server::new(config.clone(), handle.clone(), max_clients.max(1), request_descriptors);
+    let mut driver_task = tokio::spawn(driver.run(cached_list));
     let (discovery, address) = watch::channel(config.discovery);
     tokio::spawn(discovery::follow(config, address, known_revision, subscribe, handle));
     tokio::spawn(server.clone().listen(listener));
     tokio::spawn(server.clone().sweep());
     loop {
         tokio::select! {
-            _ = term.recv() => break,
+            _ = terminate.recv() => break,
             _ = hangup.recv() => reload(&discovery),
-            ended = &mut driving => {
+            ended = &mut driver_task => {
                 return Err(io::Error::other(format!("the driver ended: {ended:?}")).into());
             }
         }
--- a/src/bin/lugwharf-sidecar/pool.rs
+++ b/src/bin/lugwharf-sidecar/pool.rs
@@ -1,7 +1,7 @@
-//! The idle connections to upstreams, and the limit on all connections to them.
+//! The pool of idle connections to upstreams, and the limit on all connections to upstreams.
 //!
-//! This is a pool of our own: those of client libraries send a request again by themselves when an idle connection breaks
-//! under it, and so may run it twice.
+//! The pools of HTTP client libraries are not used: when an idle connection breaks during a request, these
+//! libraries send the request again by themselves, so that it may run twice.
 
 use crate::connection::TcpConnection;
 use bytes::Bytes;
@@ -13,20 +13,23 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// An idle connection is not used in the last part, one of so many, of the time after which its upstream closes it.
+/// An idle connection is no longer used when this fraction of the upstream's keep-alive time is left: one
+/// divided by this.
 const KEEP_ALIVE_MARGIN_DIVISOR: u32 = 10;
-/// How long a connection rests after an answer before the last byte of the next request is written to it. Some upstreams
-/// send an answer twice, the second up to 6 ms behind the first; on a connection with a complete request out it would be
-/// taken for that request's answer. In tests it rests for so long that the second answer comes first on any machine.
-const REST_TIME: Duration = Duration::from_millis(if cfg!(test) { 1_000 } else { 10 });
-/// With less time than this left after a connection's rest, a request cannot wait for it.
-const MIN_TIME_AFTER_REST: Duration = Duration::from_millis(50);
-/// Idle connections to one endpoint.
+/// The cooldown of a connection after an answer: the last byte of the next request is not written before its
+/// end. Some upstreams send an answer twice, the second copy up to 6 ms after the first. If the next request
+/// were complete by then, the copy would be taken for its answer. In tests the cooldown is long enough that
+/// the copy arrives within it on any machine.
+const COOLDOWN: Duration = Duration::from_millis(if cfg!(test) { 1_000 } else { 10 });
+/// A request waits for the cooldown of a connection only if at least this much of its time is left
+/// afterwards.
+const MIN_TIME_AFTER_COOLDOWN: Duration = Duration::from_millis(50);
+/// The limit on idle connections to one endpoint.
 const MAX_IDLE_PER_ENDPOINT: usize = 8;
-/// How often idle connections are checked.
+/// The interval at which idle connections are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Counts a connection against the limit, from before it is opened until it is dropped.
+/// Counts a connection against the limit, from before the connection is opened until it is dropped.
 struct Slot(Arc<AtomicUsize>);
 
 impl Drop for Slot {
@@ -38,47 +41,48 @@
 /// A connection of the pool.
 pub struct PooledConnection {
     pub connection: TcpConnection<Full<Bytes>>,
-    /// How long it took to come up.
+    /// How long the connection took to be established.
     connect_time: Duration,
-    /// When its rest after the last answer is over.
-    rested_at: Instant,
+    /// When the cooldown after the last answer ends.
+    cooldown_ends_at: Instant,
     _slot: Slot,
 }
 
 impl PooledConnection {
-    /// A request begins. Its last byte is held back if there is time for that, and in any case until the connection has
-    /// rested.
+    /// Records the start of a request. Its last byte is held back if `hold_back` is set, and in any case
+    /// until the cooldown of the connection ends.
     pub fn begin_request(&self, hold_back: bool) {
-        let has_rested = Instant::now() >= self.rested_at;
-        self.connection.begin_request((hold_back || !has_rested).then_some(self.rested_at));
+        let is_past_cooldown = Instant::now() >= self.cooldown_ends_at;
+        self.connection.begin_request((hold_back || !is_past_cooldown).then_some(self.cooldown_ends_at));
     }
 }
 
-struct Idle {
+/// An idle connection.
+struct IdleConnection {
     pooled: PooledConnection,
-    since: Instant,
+    idle_since: Instant,
 }
 
-/// Where an attempt goes: one start of a server at its address. It owns its idle connections, so nothing that comes up at
-/// that address later inherits them.
+/// The destination of an attempt: one process of a server at its address. An endpoint owns its idle
+/// connections, so a process that starts later at the same address does not inherit them.
 pub struct Endpoint {
     pub address: SocketAddr,
     is_open: AtomicBool,
-    /// In the order in which they became idle.
-    idle: Mutex<Vec<Idle>>,
+    /// The idle connections, in the order in which they became idle.
+    idle: Mutex<Vec<IdleConnection>>,
 }
 
 impl Endpoint {
-    fn idle(&self) -> MutexGuard<'_, Vec<Idle>> {
+    fn idle(&self) -> MutexGuard<'_, Vec<IdleConnection>> {
         self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns whether the list still has it.
+    /// Returns whether the server list still names the endpoint as ready.
     pub fn is_open(&self) -> bool {
         self.is_open.load(Ordering::Relaxed)
     }
 
-    /// The list has withdrawn it: nothing new goes there.
+    /// Closes the endpoint when the server list no longer names it as ready: no new attempt uses it.
     pub fn close(&self) {
         self.is_open.store(false, Ordering::Relaxed);
         self.idle().clear();
@@ -89,8 +93,8 @@
 #[derive(Clone)]
 pub struct Pool {
     endpoints: Arc<Mutex<Vec<Weak<Endpoint>>>>,
-    /// Connections, idle ones and those that are being opened included.
-    open: Arc<AtomicUsize>,
+    /// The number of connections, including idle ones and those that are being opened.
+    open_count: Arc<AtomicUsize>,
     max_connections: usize,
     max_idle: Duration,
     connect_timeout: Duration,
@@ -98,14 +102,15 @@
 }
 
 impl Pool {
-    /// A pool of so many connections. An upstream closes one that is idle for `keep_alive`; one that does not come up in
-    /// `connect_timeout` has failed. With a handshake price an idle connection is waited for rather than opening another.
+    /// Returns a pool of up to `max_connections` connections. Upstreams close a connection that is idle for
+    /// `keep_alive`. A connection that is not established within `connect_timeout` has failed. With a
+    /// handshake price, a request waits for the cooldown of an idle connection rather than opening another.
     pub fn new(
         max_connections: usize, keep_alive: Duration, connect_timeout: Duration, has_handshake_price: bool,
     ) -> Self {
-        let (endpoints, open) = Default::default();
+        let (endpoints, open_count) = Default::default();
         let max_idle = keep_alive - keep_alive / KEEP_ALIVE_MARGIN_DIVISOR;
-        Pool { endpoints, open, max_connections, max_idle, connect_timeout, has_handshake_price }
+        Pool { endpoints, open_count, max_connections, max_idle, connect_timeout, has_handshake_price }
     }
 
     fn endpoints(&self) -> MutexGuard<'_, Vec<Weak<Endpoint>>> {
@@ -116,7 +121,7 @@
         self.endpoints().iter().filter_map(Weak::upgrade).collect()
     }
 
-    /// A new endpoint, without connections.
+    /// Returns a new endpoint without connections.
     pub fn endpoint(&self, address: SocketAddr) -> Arc<Endpoint> {
         let endpoint = Arc::new(Endpoint { address, is_open: AtomicBool::new(true), idle: Mutex::default() });
         let mut endpoints = self.endpoints();
@@ -125,7 +130,7 @@
         endpoint
     }
 
-    /// Closes connections that have been idle for too long or have broken. Never ends.
+    /// Closes connections that have been idle for too long or have broken. Never returns.
     pub async fn sweep(self) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -135,8 +140,8 @@
         }
     }
 
-    /// An idle connection, or a new one. The error is how the attempt ends without one: no connection came up in time, or
-    /// the list has withdrawn the endpoint meanwhile.
+    /// Returns an idle connection, or opens one. The error is the outcome of an attempt that has no
+    /// connection: none was established in time, or the endpoint was closed meanwhile.
     pub async fn connection(
         &self, endpoint: &Endpoint, deadline: Instant,
     ) -> Result<PooledConnection, Outcome> {
@@ -144,11 +149,11 @@
             return Ok(idle);
         }
         let pooled = self.open(endpoint, deadline).await.ok_or(Outcome::ConnectFailed)?;
-        // The server may have begun to drain while the connection came up.
+        // The server may have begun to drain while the connection was being established.
         if endpoint.is_open() { Ok(pooled) } else { Err(Outcome::NotSent) }
     }
 
-    /// Opens a connection; `None` if there is no capacity for one, or it does not come up in time.
+    /// Opens a connection; `None` if there is no capacity for one, or it is not established in time.
     async fn open(&self, endpoint: &Endpoint, deadline: Instant) -> Option<PooledConnection> {
         let since = Instant::now();
         let deadline = deadline.min(since + self.connect_timeout);
@@ -156,57 +161,63 @@
         let opened = timeout_at(deadline, TcpConnection::open(endpoint.address)).await;
         let mut connection = opened.ok()?.ok()?;
         connection.sender.ready().await.ok()?;
-        let rested_at = Instant::now();
-        Some(PooledConnection { connection, connect_time: rested_at - since, rested_at, _slot: slot })
+        let cooldown_ends_at = Instant::now();
+        Some(PooledConnection {
+            connection,
+            connect_time: cooldown_ends_at - since,
+            cooldown_ends_at,
+            _slot: slot,
+        })
     }
 
-    /// Keeps a connection for the next request, once HTTP is ready for one.
+    /// Returns a connection to the pool for the next request. The HTTP library must be ready for one.
     pub fn put_back(&self, endpoint: &Endpoint, mut pooled: PooledConnection) {
-        let (mut idle, since) = (endpoint.idle(), Instant::now());
+        let (mut idle, idle_since) = (endpoint.idle(), Instant::now());
         if endpoint.is_open() && idle.len() < MAX_IDLE_PER_ENDPOINT {
-            pooled.rested_at = since + REST_TIME;
-            idle.push(Idle { pooled, since });
+            pooled.cooldown_ends_at = idle_since + COOLDOWN;
+            idle.push(IdleConnection { pooled, idle_since });
         }
     }
 
-    /// The idle connection used last that has rested and is usable, or else the first that will have rested, if that is
-    /// worth the wait. One that its upstream has closed, or is about to close, would end the request as a reset, which
-    /// might have run.
+    /// Takes the most recently used idle connection that is usable and past its cooldown, or else the one
+    /// whose cooldown ends first, if that is worth the wait. On a connection that its upstream has closed, or
+    /// is about to close, the request would end as a reset and might have run.
     fn take_idle(&self, endpoint: &Endpoint, deadline: Instant) -> Option<PooledConnection> {
         let (mut idle, now) = (endpoint.idle(), Instant::now());
         loop {
-            let rested = idle.iter().rposition(|idle| idle.pooled.rested_at <= now);
+            let past_cooldown = idle.iter().rposition(|idle| idle.pooled.cooldown_ends_at <= now);
             let first = || idle.first().filter(|idle| self.is_worth_waiting_for(&idle.pooled, now, deadline));
-            let at = rested.or_else(|| first().map(|_| 0))?;
-            let taken = idle.remove(at);
+            let index = past_cooldown.or_else(|| first().map(|_| 0))?;
+            let taken = idle.remove(index);
             if self.is_usable(&taken) {
                 return Some(taken.pooled);
             }
         }
     }
 
-    fn is_usable(&self, idle: &Idle) -> bool {
-        idle.since.elapsed() < self.max_idle && idle.pooled.connection.is_clean()
+    fn is_usable(&self, idle: &IdleConnection) -> bool {
+        idle.idle_since.elapsed() < self.max_idle && idle.pooled.connection.is_reusable()
     }
 
-    /// Returns whether waiting for its rest is better than opening another connection, which may have a price and takes
-    /// its time as well, by what this one took.
+    /// Returns whether waiting for the connection's cooldown is better than opening another connection, which
+    /// may have a price and is expected to take as long as this one took to be established.
     fn is_worth_waiting_for(&self, pooled: &PooledConnection, now: Instant, deadline: Instant) -> bool {
-        let is_cheaper = self.has_handshake_price || pooled.rested_at <= now + pooled.connect_time;
-        is_cheaper && pooled.rested_at + MIN_TIME_AFTER_REST <= deadline
+        let is_cheaper = self.has_handshake_price || pooled.cooldown_ends_at <= now + pooled.connect_time;
+        is_cheaper && pooled.cooldown_ends_at + MIN_TIME_AFTER_COOLDOWN <= deadline
     }
 
-    /// Reserves capacity for one more connection. At the limit, the one that has been idle for longest is closed.
+    /// Reserves capacity for one more connection. At the limit, the connection that has been idle longest is
+    /// closed; `None` if there is no idle one.
     fn reserve_slot(&self) -> Option<Slot> {
-        if self.open.load(Ordering::Relaxed) >= self.max_connections {
+        if self.open_count.load(Ordering::Relaxed) >= self.max_connections {
             let endpoints = self.live_endpoints();
-            let idle_since = |endpoint: &Arc<Endpoint>| endpoint.idle().first().map(|idle| idle.since);
+            let idle_since = |endpoint: &Arc<Endpoint>| endpoint.idle().first().map(|idle| idle.idle_since);
             let with_idle = endpoints.iter().filter_map(|endpoint| Some((idle_since(endpoint)?, endpoint)));
             let (_, endpoint) = with_idle.min_by_key(|(since, _)| *since)?;
             drop(endpoint.idle().remove(0));
         }
-        self.open.fetch_add(1, Ordering::Relaxed);
-        Some(Slot(self.open.clone()))
+        self.open_count.fetch_add(1, Ordering::Relaxed);
+        Some(Slot(self.open_count.clone()))
     }
 }
 
--- a/src/bin/lugwharf-sidecar/request.rs
+++ b/src/bin/lugwharf-sidecar/request.rs
@@ -1,7 +1,7 @@
-//! Checking a client's request: what it asks for, or why it is invalid. Nothing in it is trusted.
+//! Validation of a client's request, none of whose content is trusted.
 
-use crate::config::{self, Config, flat_name};
-use crate::upstream::MAX_BODY;
+use crate::config::{self, Config, normalize_name};
+use crate::upstream::MAX_BODY_BYTES;
 use hyper::header::{CONTENT_LENGTH, HOST, HeaderName, HeaderValue, TRANSFER_ENCODING};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, StatusCode};
@@ -10,16 +10,17 @@
 
 const ID: HeaderName = HeaderName::from_static("x-call-id");
 const CLASS: HeaderName = HeaderName::from_static("x-call-class");
-/// The time that the client waits, in seconds.
+/// How long the client waits, in seconds.
 const BUDGET: HeaderName = HeaderName::from_static("x-budget");
-/// The work that the client expects the request to be, in microseconds.
+/// The work that the client expects the request to take, in microseconds.
 const COST: HeaderName = HeaderName::from_static("x-call-cost");
-/// `1` on a client's retry.
+/// `1` on a retry by the client.
 const RETRY: HeaderName = HeaderName::from_static("x-again");
 const KEY: HeaderName = HeaderName::from_static("idempotency-key");
-/// Headers that must not come twice: two readers might take different ones for the value.
+/// Headers that must not be repeated: two readers might use different values.
 const SINGLE_VALUED: [HeaderName; 8] = [ID, CLASS, BUDGET, COST, RETRY, KEY, CONTENT_LENGTH, HOST];
-/// Headers that are not forwarded: those of the application's connection, and those that are written anew.
+/// Headers that are not forwarded: the hop-by-hop headers of the application's connection, and those that the
+/// sidecar writes itself.
 const NOT_FORWARDED: [&str; 10] = [
     "connection",
     "content-length",
@@ -33,8 +34,9 @@
     "x-budget",
 ];
 
-/// Why a client's request is not executed at all: the 4xx status and the body of the response. Not to be taken for
-/// [`FinalAnswer::Rejected`](crate::events::FinalAnswer::Rejected), the balancer's rejection of a valid request.
+/// A client's request that is not executed because it is invalid: the 4xx status and the body of the
+/// response. Not to be confused with [`FinalAnswer::Rejected`](crate::events::FinalAnswer::Rejected), the
+/// balancer's rejection of a valid request.
 #[derive(Debug)]
 pub struct InvalidRequest {
     pub status: StatusCode,
@@ -51,19 +53,19 @@
     }
 }
 
-/// What a request asks for.
+/// The values of a valid request's headers.
 #[derive(Debug)]
-pub struct RequestTerms {
+pub struct RequestMetadata {
     pub id: HeaderValue,
     /// Index into the settings' classes.
     pub class: usize,
     pub cost: Option<Duration>,
     pub origin: Origin,
-    /// How long the client waits; the class's deadline at most.
+    /// How long the client waits; at most the deadline of its class.
     pub client_timeout: Duration,
 }
 
-/// A header's value as text without spaces around it, if it is text.
+/// Returns the value of a header without surrounding whitespace, if the value is text.
 fn text(headers: &HeaderMap, name: HeaderName) -> Option<&str> {
     headers.get(name).and_then(|value| value.to_str().ok()).map(str::trim)
 }
@@ -72,41 +74,44 @@
     text(headers, name)?.parse().ok()
 }
 
-/// Checks the head of a request.
-pub fn check(head: &Parts, config: &Config) -> Result<RequestTerms, InvalidRequest> {
+/// Validates the head of a request.
+pub fn check(head: &Parts, config: &Config) -> Result<RequestMetadata, InvalidRequest> {
     let headers = &head.headers;
     let body_length = check_framing(headers)?;
     let has_id = |id: &&HeaderValue| !id.as_bytes().trim_ascii().is_empty();
     let id = headers.get(ID).filter(has_id).ok_or(InvalidRequest::bad_request("no id"))?;
-    let class_name = text(headers, CLASS).map(flat_name);
-    let class = config.deployment.classes.iter().position(|name| Some(name) == class_name.as_ref());
+    let class_name = text(headers, CLASS).map(normalize_name);
+    let class = config.network.classes.iter().position(|name| Some(name) == class_name.as_ref());
     let class = class.ok_or(InvalidRequest::bad_request("no such class"))?;
-    let of_class = &config.settings.classes[class];
-    if !fits_class(head, of_class.idempotency, body_length) {
+    let class_settings = &config.settings.classes[class];
+    if !matches_idempotency(head, class_settings.idempotency, body_length) {
         return Err(InvalidRequest::bad_request("a method or a key that does not fit the class"));
     }
     let seconds = number(headers, BUDGET);
     let budget = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     let budget = budget.ok_or(InvalidRequest::bad_request("no readable budget"))?;
-    // No client waits past its class's deadline, and no clock could hold any time that a client names.
-    let client_timeout = budget.min(config::client_timeout(of_class));
+    // No client waits past the deadline of its class. The cap also prevents an overflow of the clock, since a
+    // client may send any time.
+    let client_timeout = budget.min(config::client_timeout(class_settings));
     let microseconds = number(headers, COST);
     let cost = microseconds.and_then(|us| Duration::try_from_secs_f64(us / 1e6).ok());
     let is_retry = text(headers, RETRY) == Some("1");
-    Ok(RequestTerms {
+    Ok(RequestMetadata {
         id: id.clone(),
         class,
-        // More work than this is never served, and would spoil what its class is expected to cost.
+        // More work than the client waits for is never served, and would distort the expected cost of its
+        // class.
         cost: cost.map(|cost| cost.min(client_timeout)),
         origin: if is_retry { Origin::ClientRetry } else { Origin::Fresh },
         client_timeout,
     })
 }
 
-/// Checks that all readers see the same end of the request, and returns the length of its body.
+/// Checks that every reader finds the same end of the request, and returns the length of its body.
 fn check_framing(headers: &HeaderMap) -> Result<u64, InvalidRequest> {
-    // A request hidden in the body of another: where both a coding and a length are given, readers differ on where it ends,
-    // and HTTP may have dropped the length by now. No request here needs a coding.
+    // Guards against request smuggling: where a request has both a transfer coding and a length, readers
+    // differ on where its body ends, and the HTTP library may have removed the length by now. No valid
+    // request here needs a transfer coding.
     if headers.contains_key(TRANSFER_ENCODING) {
         return Err(InvalidRequest::bad_request("a transfer coding"));
     }
@@ -115,14 +120,14 @@
     }
     let length = text(headers, CONTENT_LENGTH).map_or(Some(0), |length| length.parse::<u64>().ok());
     let length = length.ok_or(InvalidRequest::bad_request("no readable length"))?;
-    if length > MAX_BODY as u64 {
+    if length > MAX_BODY_BYTES as u64 {
         return Err(InvalidRequest::new(StatusCode::PAYLOAD_TOO_LARGE, "a body that is too long"));
     }
     Ok(length)
 }
 
-/// Returns whether method, key and body are those of a class with this idempotency.
-fn fits_class(head: &Parts, idempotency: Idempotency, body_length: u64) -> bool {
+/// Returns whether the method, the idempotency key and the body are those of a class with this idempotency.
+fn matches_idempotency(head: &Parts, idempotency: Idempotency, body_length: u64) -> bool {
     let key = head.headers.get(KEY);
     match idempotency {
         Idempotency::Idempotent => head.method == Method::GET && key.is_none() && body_length == 0,
@@ -131,7 +136,7 @@
     }
 }
 
-/// The headers that are forwarded to an upstream.
+/// Returns the headers that are forwarded to an upstream.
 pub fn forwarded_headers(mut headers: HeaderMap) -> HeaderMap {
     for name in NOT_FORWARDED {
         headers.remove(name);
--- a/src/bin/lugwharf-sidecar/request_tests.rs
+++ b/src/bin/lugwharf-sidecar/request_tests.rs
@@ -1,9 +1,9 @@
-//! Tests of the check of a request.
+//! Tests of the validation of requests.
 
 use super::*;
 use hyper::Request;
 
-fn check(method: &str, headers: &[(&str, &str)]) -> Result<RequestTerms, InvalidRequest> {
+fn check(method: &str, headers: &[(&str, &str)]) -> Result<RequestMetadata, InvalidRequest> {
     let json = crate::config::tests::JSON.replace(
         r#""idempotency":"fragile"}"#,
         r#""deadline":740.0,"idempotency":"fragile"},{"name":"report","aim":290.0,"deadline":740.0,
@@ -23,17 +23,17 @@
 
 #[test]
 fn requests_that_fit_their_class_are_accepted() {
-    let with = |of: &[(&'static str, &'static str)], more| [of, &[more]].concat();
+    let with = |headers: &[(&'static str, &'static str)], more| [headers, &[more]].concat();
     assert_eq!(check("POST", &PAY).expect("fits").client_timeout, Duration::from_millis(500));
     assert_eq!(check("POST", &with(&REPORT, ("Idempotency-Key", "k"))).expect("fits").class, 1);
     assert_eq!(check("GET", &LOOK).expect("fits").class, 2);
-    let again = check("POST", &with(&PAY, ("X-Again", "1"))).expect("fits");
-    assert_eq!((again.origin, again.cost), (Origin::ClientRetry, None));
+    let retry = check("POST", &with(&PAY, ("X-Again", "1"))).expect("fits");
+    assert_eq!((retry.origin, retry.cost), (Origin::ClientRetry, None));
 }
 
 #[test]
 fn requests_that_do_not_fit_are_rejected() {
-    for (method, of, more) in [
+    for (method, headers, more) in [
         ("GET", PAY, vec![]),
         ("POST", PAY, vec![("Idempotency-Key", "k")]),
         ("POST", REPORT, vec![]),
@@ -46,20 +46,25 @@
         ("POST", PAY, vec![("Content-Length", "65537")]),
         ("POST", PAY, vec![("Content-Length", "99999999999999999999999")]),
     ] {
-        assert!(check(method, &[&of[..], &more].concat()).is_err(), "{method} {of:?} {more:?}");
+        assert!(check(method, &[&headers[..], &more].concat()).is_err(), "{method} {headers:?} {more:?}");
     }
-    for (at, value) in [(0, ""), (0, "  "), (1, "nobody"), (2, "soon"), (2, "-1"), (2, "NaN"), (2, "1e20")] {
+    for (index, value) in [(0, ""), (0, "  "), (1, "nobody"), (2, "soon"), (2, "-1"), (2, "NaN"), (2, "1e20")]
+    {
         let mut headers = PAY;
-        headers[at].1 = value;
+        headers[index].1 = value;
         assert!(check("POST", &headers).is_err(), "{headers:?}");
-        assert!(check("POST", &[&PAY[..at], &PAY[at + 1..]].concat()).is_err(), "without {}", PAY[at].0);
+        assert!(
+            check("POST", &[&PAY[..index], &PAY[index + 1..]].concat()).is_err(),
+            "without {}",
+            PAY[index].0
+        );
     }
 }
 
 #[test]
 fn budget_and_cost_are_bounded_by_the_deadline() {
-    let terms = check("POST", &[&PAY[..2], &[("X-Budget", "1e18"), ("X-Call-Cost", "1e22")]].concat());
-    let terms = terms.expect("fits");
+    let metadata = check("POST", &[&PAY[..2], &[("X-Budget", "1e18"), ("X-Call-Cost", "1e22")]].concat());
+    let metadata = metadata.expect("fits");
     let deadline = Duration::from_millis(740);
-    assert_eq!((terms.client_timeout, terms.cost), (deadline, Some(deadline)));
+    assert_eq!((metadata.client_timeout, metadata.cost), (deadline, Some(deadline)));
 }
--- a/src/bin/lugwharf-sidecar/server/eviction.rs
+++ b/src/bin/lugwharf-sidecar/server/eviction.rs
@@ -1,4 +1,4 @@
-//! Closing connections on which no request is open: to make room for others, or because their time is over.
+//! Closing connections without a request in progress, to make room for others or because they timed out.
 
 use super::listener::{Server, lock};
 use crate::client_connection::{ClientConnection, ClientPhase};
@@ -7,32 +7,33 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// How often connections are checked whose time may be over.
+/// The interval at which connections are checked for time-outs.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(200);
-/// The head of a first request has to be read within this time: a client that sends none is disconnected within 3 s.
+/// The time-out for the head of the first request. A client that sends none must be disconnected within 3 s.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// A connection between requests is closed after this time. 2 s are allowed; this spares regular clients.
+/// The time-out of a connection between requests. 2 s would be allowed; the longer time spares regular
+/// clients a reconnect.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// Where room is needed, new connections that have sent nothing for so long are closed before all others: a client with a
-/// request sends it at once.
+/// When room is needed, new connections that have sent nothing for this long are closed before all others: a
+/// client that has a request sends it at once.
 pub(super) const SILENT_AFTER: Duration = Duration::from_millis(200);
-/// An answer may be read for so long after the longest deadline; then nobody waits for it.
+/// How long after the longest deadline an answer may still be unread; after that nobody waits for it.
 const UNREAD_GRACE: Duration = Duration::from_secs(1);
 
-/// Which connections are evicted first, from last to first.
+/// The order of eviction. The greatest rank is evicted first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// It has sent nothing yet, but may be about to.
+    /// The client has sent nothing yet, but may be about to.
     New,
-    /// It is used regularly.
+    /// The connection is used regularly.
     Idle,
-    /// Many clients ask once and stay.
+    /// The connection has carried one request. Many clients send one and leave the connection open.
     IdleAfterFirst,
-    /// It has sent nothing for [`SILENT_AFTER`].
+    /// The client has sent nothing for [`SILENT_AFTER`].
     Silent,
 }
 
-/// The rank of a connection that may be evicted; `None` if a request is open on it.
+/// Returns the rank of a connection that may be evicted; `None` if it has a request in progress.
 fn eviction_rank(phase: ClientPhase, age: Duration) -> Option<EvictionRank> {
     match phase {
         ClientPhase::New if age >= SILENT_AFTER => Some(EvictionRank::Silent),
@@ -44,22 +45,24 @@
 }
 
 impl Server {
-    /// How long an answer may stay unread.
+    /// Returns how long an answer may stay unread.
     pub(super) fn max_unread_time(&self) -> Duration {
         self.config.max_client_timeout() + UNREAD_GRACE
     }
 
-    /// Asks connections to close, by their phase and how long they have been in it.
-    pub(super) fn close_where(&self, is_over: impl Fn(ClientPhase, Duration) -> bool) {
+    /// Asks those connections to close that `should_close` selects by their phase and how long they have been
+    /// in it.
+    pub(super) fn close_where(&self, should_close: impl Fn(ClientPhase, Duration) -> bool) {
         for client in lock(&self.clients).values() {
             let (phase, age) = client.phase();
-            if is_over(phase, age) {
+            if should_close(phase, age) {
                 client.request_close();
             }
         }
     }
 
-    /// Closes connections whose clients send nothing, stay after an answer, or don't read it. Never ends.
+    /// Closes connections whose clients send no request, stay idle after an answer, or don't read it. Never
+    /// returns.
     pub async fn sweep(self: Arc<Self>) {
         loop {
             sleep(SWEEP_INTERVAL).await;
@@ -72,11 +75,11 @@
         }
     }
 
-    /// Waits until there is room for one more connection, and evicts others for it.
+    /// Evicts idle connections, and waits, until there is room for one more connection.
     pub(super) async fn make_room(&self) {
         while lock(&self.clients).len() >= self.max_connections {
             if self.evict(|_| true) {
-                // It closes when its task runs.
+                // The evicted connection closes when its task runs.
                 yield_now().await;
             } else {
                 self.capacity_freed.notified().await;
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Evicts idle connections while those that have carried a request are too many: clients that ask once and stay must
-    /// not hold all connections.
+    /// Evicts idle connections while too many connections have carried a request: clients that send one
+    /// request and leave the connection open must not hold all connections.
     pub(super) fn evict_idle_over_limit(&self) {
         let is_used =
             |client: &&Arc<ClientConnection>| client.phase().0 != ClientPhase::New && !client.is_closing();
@@ -97,9 +100,9 @@
         while is_over_limit() && self.evict(|phase| phase != ClientPhase::New) {}
     }
 
-    /// Asks the connection to close that comes first by [`EvictionRank`] and has been in its phase for longest, of those in
-    /// an eligible phase. It counts until it has closed: it may get a request at this moment, which is served first.
-    /// Returns whether there was one.
+    /// Asks one connection in an eligible phase to close: of those with the greatest [`EvictionRank`], the
+    /// one that has been in its phase longest. The connection counts until it has closed, as a request that
+    /// arrives at this moment is served first. Returns whether there was such a connection.
     pub(super) fn evict(&self, is_eligible: impl Fn(ClientPhase) -> bool) -> bool {
         let clients = lock(&self.clients);
         let ranked = clients.iter().filter_map(|(number, client)| {
--- a/src/bin/lugwharf-sidecar/server/listener.rs
+++ b/src/bin/lugwharf-sidecar/server/listener.rs
@@ -1,4 +1,4 @@
-//! The server's state, and accepting connections.
+//! The state of the server, and accepting connections.
 
 use crate::client_connection::ClientConnection;
 use crate::config::Config;
@@ -12,40 +12,41 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// The wait after an accept that failed, as when there are no descriptors left.
+/// The wait after a failed accept, for example when there are no file descriptors left.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(20);
-/// Connections that have carried a request may hold all but this part of the share of descriptors that is for requests.
-/// The part stays free for new connections: whoever cannot connect cannot even ask.
-const FREE_PART: usize = 4;
+/// The descriptors for requests, divided by this, stay free for new connections: a client that cannot connect
+/// cannot send a request at all. Connections that have carried a request may hold the rest.
+const RESERVE_DIVISOR: usize = 4;
 
 /// Locks a mutex whose holders don't panic halfway through a change.
 pub(super) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Shared by all connections of the application.
+/// The state that all connections of the application share.
 pub struct Server {
     pub(super) config: Arc<Config>,
     pub(super) driver: DriverHandle,
     pub(super) is_draining: AtomicBool,
     pub(super) max_connections: usize,
-    /// Of these, connections that have carried a request.
+    /// The limit on connections that have carried a request.
     pub(super) max_used_connections: usize,
-    /// Open connections, by the order of accepting.
+    /// Open connections by their number, which counts accepted connections.
     pub(super) clients: Mutex<BTreeMap<u64, Arc<ClientConnection>>>,
     /// Notified when a connection has ended or become idle.
     pub(super) capacity_freed: Notify,
     pub(super) last_accepted_at: Mutex<Instant>,
-    /// Notified when no more connections are to be accepted.
+    /// Notified when accepting connections has to stop.
     pub(super) stop_accepting: Notify,
-    /// The ids of requests that are not answered.
+    /// The ids of requests that are not answered yet.
     pub(super) open_ids: Mutex<HashSet<HeaderValue>>,
 }
 
 impl Server {
-    /// A server for so many connections, of which `request_share` may have requests.
+    /// Returns a server for up to `max_connections` connections. Of these, up to `request_descriptors`, less
+    /// a reserve, may have carried a request.
     pub fn new(
-        config: Arc<Config>, driver: DriverHandle, max_connections: usize, request_share: usize,
+        config: Arc<Config>, driver: DriverHandle, max_connections: usize, request_descriptors: usize,
     ) -> Arc<Server> {
         let (is_draining, clients, capacity_freed, stop_accepting, open_ids) = Default::default();
         Arc::new(Server {
@@ -53,7 +54,7 @@
             driver,
             is_draining,
             max_connections,
-            max_used_connections: request_share - request_share / FREE_PART,
+            max_used_connections: request_descriptors - request_descriptors / RESERVE_DIVISOR,
             clients,
             capacity_freed,
             last_accepted_at: Mutex::new(Instant::now()),
@@ -62,7 +63,8 @@
         })
     }
 
-    /// Accepts connections until accepting stops, and then all that the system has accepted by that time.
+    /// Accepts connections until accepting is stopped, and then all connections in the kernel's backlog at
+    /// that time.
     pub async fn listen(self: Arc<Self>, listener: TcpListener) {
         let (mut next_number, mut waiting) = (0, None);
         tokio::select! {
@@ -72,7 +74,7 @@
         if let Some(stream) = waiting {
             self.admit(stream, &mut next_number);
         }
-        // Asks the system itself: the runtime may not have heard of the last ones.
+        // Asks the kernel directly: the runtime may not have been notified of the last connections.
         let Ok(listener) = listener.into_std() else { return };
         while let Ok((stream, _)) = listener.accept() {
             if stream.set_nonblocking(true).is_ok()
@@ -83,8 +85,8 @@
         }
     }
 
-    /// Accepts connections for ever. One that has to wait for capacity is in `waiting` meanwhile, so that it is not lost when
-    /// accepting stops.
+    /// Accepts connections and never returns. A connection that has to wait for capacity is kept in
+    /// `waiting`, so that it is not lost when accepting is stopped.
     async fn accept(
         self: &Arc<Self>, listener: &TcpListener, next_number: &mut u64, waiting: &mut Option<TcpStream>,
     ) {
@@ -111,9 +113,9 @@
         }
     }
 
-    /// Serves a connection in a task of its own.
+    /// Starts a task that serves a connection.
     fn admit(self: &Arc<Self>, stream: TcpStream, next_number: &mut u64) {
-        // Without it answers are merely slower.
+        // A failure is ignored: without `TCP_NODELAY`, answers are merely slower.
         drop(stream.set_nodelay(true));
         *next_number += 1;
         let (server, client, number) = (self.clone(), ClientConnection::new(stream), *next_number);
--- a/src/bin/lugwharf-sidecar/server/mod.rs
+++ b/src/bin/lugwharf-sidecar/server/mod.rs
@@ -1,4 +1,5 @@
-//! The application's side: its connections, their requests to the driver and the answers back.
+//! The server for the application: accepts its connections, passes their requests to the driver and returns
+//! the answers.
 
 mod eviction;
 mod listener;
--- a/src/bin/lugwharf-sidecar/server/server_tests.rs
+++ b/src/bin/lugwharf-sidecar/server/server_tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the application's side.
+//! Tests of the server for the application.
 
 use super::eviction::SWEEP_INTERVAL;
 use super::listener::lock;
@@ -8,7 +8,7 @@
 use crate::config::Config;
 use crate::config::tests::JSON;
 use crate::events::{ClientRequest, DriverEvent, DriverHandle, FinalAnswer};
-use crate::upstream::{ForwardedRequest, MAX_BODY, ServedBody};
+use crate::upstream::{ForwardedRequest, MAX_BODY_BYTES, ServedBody};
 use bytes::Bytes;
 use lugwharf_sidecar::api::RequestId;
 use std::io::Write;
@@ -20,29 +20,31 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A server whose driver is the test.
+/// A server, with the test as its driver.
 struct TestServer {
     server: Arc<Server>,
     events: mpsc::UnboundedReceiver<DriverEvent>,
     addr: SocketAddr,
 }
 
-/// Its class has this deadline in milliseconds; its sockets have this send buffer, if given.
+/// Starts a server whose class has this deadline, in milliseconds, and whose sockets have this send buffer,
+/// if given.
 async fn start_server(deadline: u32, send_buffer: Option<usize>) -> TestServer {
-    let text = JSON.replace("\"aim\":290.0", &format!("\"aim\":290.0,\"deadline\":{deadline}"));
-    let config = Arc::new(Config::read(&text, |_| None).expect("readable"));
+    let json = JSON.replace("\"aim\":290.0", &format!("\"aim\":290.0,\"deadline\":{deadline}"));
+    let config = Arc::new(Config::read(&json, |_| None).expect("readable"));
     let (handle, events) = DriverHandle::new();
     let server = Server::new(config, handle, 8, 8);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
-    let of = socket2::SockRef::from(&listener);
-    send_buffer.into_iter().for_each(|bytes| of.set_send_buffer_size(bytes).expect("set"));
+    let socket = socket2::SockRef::from(&listener);
+    send_buffer.into_iter().for_each(|bytes| socket.set_send_buffer_size(bytes).expect("set"));
     tokio::spawn(server.clone().listen(listener));
     tokio::spawn(server.clone().sweep());
     TestServer { server, events, addr }
 }
 
 impl TestServer {
+    /// Waits for the next request that is passed to the driver.
     async fn request(&mut self) -> (RequestId, Box<ClientRequest>, oneshot::Sender<FinalAnswer>) {
         match timeout(Duration::from_secs(30), self.events.recv()).await {
             Ok(Some(DriverEvent::Request { id, request, answer })) => (id, request, answer),
@@ -50,6 +52,7 @@
         }
     }
 
+    /// Waits until a connection is in this phase.
     async fn wait_for(&self, phase: ClientPhase) {
         while !lock(&self.server.clients).values().any(|client| client.phase().0 == phase) {
             yield_now().await;
@@ -57,7 +60,8 @@
     }
 }
 
-fn text(id: &str, body: &str, length: usize) -> String {
+/// A request with this id and body, and `length` as its `Content-Length`.
+fn request_text(id: &str, body: &str, length: usize) -> String {
     format!(
         "POST /api HTTP/1.1\r\nX-Call-Id: {id}\r\nX-Call-Class: pay\r\nX-Budget: 60\r\n\
          Content-Length: {length}\r\n\r\n{body}"
@@ -68,7 +72,7 @@
     FinalAnswer::Served(ServedBody { body: Bytes::from(vec![b'x'; length]), content_type: None })
 }
 
-/// All that comes until the connection is closed; a reset ends it as well.
+/// Reads until the connection is closed or reset.
 async fn read_to_end(client: Blocking) -> String {
     client.set_nonblocking(true).expect("set");
     let client = TcpStream::from_std(client).expect("a socket");
@@ -84,13 +88,13 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_client_disconnect_is_noticed_behind_unread_bytes() {
-    for behind in [0, 1, 300] {
+async fn a_client_disconnect_is_noticed_despite_unread_bytes() {
+    for pipelined in [0, 1, 300] {
         for reset in [false, true] {
             let mut test_server = start_server(60_000, None).await;
             let mut client = Blocking::connect(test_server.addr).expect("accepted");
-            let more: String = (0..behind).map(|i| text(&i.to_string(), "", 0)).collect();
-            client.write_all((text("first", "body", 4) + &more).as_bytes()).expect("written");
+            let more: String = (0..pipelined).map(|i| request_text(&i.to_string(), "", 0)).collect();
+            client.write_all((request_text("first", "body", 4) + &more).as_bytes()).expect("written");
             let (id, _, _answer) = test_server.request().await;
             let since = Instant::now();
             if reset {
@@ -98,8 +102,8 @@
             }
             drop(client);
             let next = timeout(Duration::from_secs(30), test_server.events.recv()).await;
-            let left = matches!(next, Ok(Some(DriverEvent::ClientDisconnected(of))) if of == id);
-            assert!(left, "{behind} behind it, reset {reset}");
+            let is_reported = matches!(next, Ok(Some(DriverEvent::ClientDisconnected(other))) if other == id);
+            assert!(is_reported, "{pipelined} pipelined requests, reset {reset}");
             assert!(since.elapsed() <= Duration::from_millis(300), "{:?}", since.elapsed());
         }
     }
@@ -109,7 +113,9 @@
 async fn bytes_read_ahead_are_the_next_request() {
     let mut test_server = start_server(60_000, None).await;
     let mut client = Blocking::connect(test_server.addr).expect("accepted");
-    client.write_all((text("one", "body", 4) + &text("two", "more", 4)).as_bytes()).expect("written");
+    client
+        .write_all((request_text("one", "body", 4) + &request_text("two", "more", 4)).as_bytes())
+        .expect("written");
     for body in ["body", "more"] {
         let (_, request, answer) = test_server.request().await;
         let ForwardedRequest { body: seen, .. } = request.forwarded;
@@ -125,15 +131,15 @@
     let mut test_server = start_server(60_000, Some(4_096)).await;
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
     let socket = socket.expect("a socket");
-    // The answer fits into neither side's buffer.
+    // The answer fits into neither the send buffer nor the receive buffer.
     socket.set_recv_buffer_size(4_096).expect("set");
     socket.connect(&test_server.addr.into()).expect("accepted");
     let mut client = Blocking::from(socket);
-    client.write_all(text("slow", "", 0).as_bytes()).expect("written");
+    client.write_all(request_text("slow", "", 0).as_bytes()).expect("written");
     let (_, _, answer) = test_server.request().await;
-    assert!(answer.send(served(MAX_BODY)).is_ok());
+    assert!(answer.send(served(MAX_BODY_BYTES)).is_ok());
     test_server.wait_for(ClientPhase::WritingAnswer).await;
-    let ending = tokio::spawn({
+    let shutdown = tokio::spawn({
         let server = test_server.server.clone();
         async move { server.shut_down().await }
     });
@@ -141,11 +147,11 @@
         test_server.server.close_where(|_, _| true);
         sleep(SWEEP_INTERVAL).await;
     }
-    assert!(!ending.is_finished(), "an answer is not written yet");
-    assert!(!test_server.server.evict(|_| true), "nor does it give way");
+    assert!(!shutdown.is_finished(), "an answer is not written yet");
+    assert!(!test_server.server.evict(|_| true), "the connection is not evicted either");
     let answer_text = read_to_end(client).await;
-    assert_eq!(answer_text.matches('x').count(), MAX_BODY);
-    ending.await.expect("an end");
+    assert_eq!(answer_text.matches('x').count(), MAX_BODY_BYTES);
+    shutdown.await.expect("an end");
 }
 
 #[tokio::test(start_paused = true)]
@@ -153,9 +159,9 @@
     let mut test_server = start_server(60_000, None).await;
     let mut client = Blocking::connect(test_server.addr).expect("accepted");
     test_server.wait_for(ClientPhase::New).await;
-    // The connection's task does not run between these two.
+    // The connection's task does not run between the eviction and the write.
     assert!(test_server.server.evict(|_| true));
-    client.write_all(text("crossing", "", 0).as_bytes()).expect("written");
+    client.write_all(request_text("crossing", "", 0).as_bytes()).expect("written");
     let (_, _, answer) = test_server.request().await;
     assert_eq!(lock(&test_server.server.clients).len(), 1, "a shutdown sees it");
     assert!(answer.send(served(3)).is_ok());
@@ -167,47 +173,48 @@
 async fn a_shutdown_waits_for_answers_until_their_deadline() {
     let mut test_server = start_server(9_000, None).await;
     let mut client = Blocking::connect(test_server.addr).expect("accepted");
-    client.write_all(text("long", "", 0).as_bytes()).expect("written");
+    client.write_all(request_text("long", "", 0).as_bytes()).expect("written");
     let (_, _, answer) = test_server.request().await;
     // A client that connects and sends nothing.
-    let _mute = Blocking::connect(test_server.addr).expect("accepted");
-    let late = async {
+    let _silent = Blocking::connect(test_server.addr).expect("accepted");
+    let late_answer = async {
         sleep(Duration::from_millis(8_900)).await;
         assert!(answer.send(served(3)).is_ok());
     };
     let since = Instant::now();
-    let ended = async {
+    let shutdown = async {
         test_server.server.shut_down().await;
         since.elapsed()
     };
-    let (ended, ()) = tokio::join!(ended, late);
-    assert!(ended >= Duration::from_millis(8_900), "{ended:?}");
-    assert!(ended < Duration::from_secs(9) + MAX_ACCEPT_TIME, "{ended:?}");
+    let (took, ()) = tokio::join!(shutdown, late_answer);
+    assert!(took >= Duration::from_millis(8_900), "{took:?}");
+    assert!(took < Duration::from_secs(9) + MAX_ACCEPT_TIME, "{took:?}");
     assert!(read_to_end(client).await.contains("200 OK"));
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_shutdown_ends_before_sigkill_whatever_is_left() {
-    for (deadline, killed) in [(1_200, 3_700), (4_000, 4_700), (12_000, 12_700)] {
+async fn a_shutdown_ends_before_sigkill_despite_unfinished_requests() {
+    for (deadline, sigkill) in [(1_200, 3_700), (4_000, 4_700), (12_000, 12_700)] {
         let mut test_server = start_server(deadline, Some(4_096)).await;
-        // One client never reads its answer, which fits into neither side's buffer; one never gets any.
+        // One client never reads its answer, which fits into neither the send buffer nor the receive buffer;
+        // the other never gets an answer.
         let clients = ["unread", "unanswered"].map(|id| {
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
             let socket = socket.expect("a socket");
             socket.set_recv_buffer_size(4_096).expect("set");
             socket.connect(&test_server.addr.into()).expect("accepted");
             let mut client = Blocking::from(socket);
-            client.write_all(text(id, "", 0).as_bytes()).expect("written");
+            client.write_all(request_text(id, "", 0).as_bytes()).expect("written");
             client
         });
         let (_, _, answer) = test_server.request().await;
-        let (_, _, _never) = test_server.request().await;
-        assert!(answer.send(served(MAX_BODY)).is_ok());
+        let (_, _, _unanswered) = test_server.request().await;
+        assert!(answer.send(served(MAX_BODY_BYTES)).is_ok());
         test_server.wait_for(ClientPhase::WritingAnswer).await;
         let since = Instant::now();
         test_server.server.shut_down().await;
         let took = since.elapsed();
-        assert!(took < Duration::from_millis(killed), "{deadline}: {took:?}");
+        assert!(took < Duration::from_millis(sigkill), "{deadline}: {took:?}");
         assert!(took >= Duration::from_millis(deadline.into()), "{deadline}: {took:?}");
         drop(clients);
     }
@@ -216,9 +223,9 @@
 #[tokio::test(start_paused = true)]
 async fn clients_connected_when_accepting_stops_are_served() {
     let mut test_server = start_server(9_000, None).await;
-    // The server's task does not run before accepting stops.
+    // The task that accepts does not run before accepting is stopped.
     let mut client = Blocking::connect(test_server.addr).expect("accepted");
-    client.write_all(text("late", "", 0).as_bytes()).expect("written");
+    client.write_all(request_text("late", "", 0).as_bytes()).expect("written");
     test_server.server.stop_accepting.notify_one();
     let (_, _, answer) = test_server.request().await;
     assert!(answer.send(served(3)).is_ok());
@@ -231,13 +238,13 @@
 #[tokio::test(start_paused = true)]
 async fn an_incomplete_request_is_answered_within_three_seconds() {
     let mut test_server = start_server(60_000, None).await;
-    let whole = text("half", "body", 9);
-    for (pause, sent) in [(0, whole.len()), (1_900, whole.len()), (0, 30), (0, 0)] {
+    let complete_request = request_text("half", "body", 9);
+    for (pause, sent) in [(0, complete_request.len()), (1_900, complete_request.len()), (0, 30), (0, 0)] {
         let mut client = Blocking::connect(test_server.addr).expect("accepted");
         let since = Instant::now();
         test_server.wait_for(ClientPhase::New).await;
         sleep(Duration::from_millis(pause)).await;
-        client.write_all(&whole.as_bytes()[..sent]).expect("written");
+        client.write_all(&complete_request.as_bytes()[..sent]).expect("written");
         let answer_text = read_to_end(client).await;
         assert!(since.elapsed() <= Duration::from_secs(3), "{sent} bytes: {:?}", since.elapsed());
         assert!(answer_text.is_empty() || answer_text.starts_with("HTTP/1.1 408"), "{answer_text}");
--- a/src/bin/lugwharf-sidecar/server/service.rs
+++ b/src/bin/lugwharf-sidecar/server/service.rs
@@ -1,13 +1,14 @@
-//! Serving one connection: its requests to the driver, and the answers in HTTP.
+//! Serving one connection: passing its requests to the driver, and returning the answers in HTTP.
 //!
-//! An answer is what the driver gives for a request ([`FinalAnswer`]); a response is the HTTP message that carries it.
+//! An answer is what the driver returns for a request ([`FinalAnswer`]); a response is the HTTP message that
+//! carries it.
 
 use super::listener::{Server, lock};
 use crate::client_connection::{ClientConnection, ClientPhase, ClientStream};
-use crate::connection::{MAX_BUFFER, MAX_HEADERS};
+use crate::connection::{MAX_BUFFER_BYTES, MAX_HEADERS};
 use crate::events::{ClientRequest, FinalAnswer};
 use crate::request::{self, InvalidRequest};
-use crate::upstream::{ForwardedRequest, MAX_BODY};
+use crate::upstream::{ForwardedRequest, MAX_BODY_BYTES};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -22,13 +23,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// A request has to be read completely so long after its client connected, or after its head on a connection that has had
-/// an answer. A client that stops halfway is answered within 3 s.
+/// The time-out for reading a complete request, counted from the connect of its client or, on a connection
+/// that has had an answer, from the request's head. A client that stops halfway must be answered within 3 s.
 const MAX_REQUEST_READ_TIME: Duration = Duration::from_millis(2_500);
-/// A body has this long at least.
+/// The shortest time-out for reading a body.
 const MIN_BODY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Releases a request's id, however the request ends.
+/// Releases the id of a request when dropped, however the request ends.
 struct OpenId<'a> {
     server: &'a Server,
     id: HeaderValue,
@@ -41,7 +42,7 @@
 }
 
 impl Server {
-    /// Serves a connection until it ends, its client has left, or it is asked to close.
+    /// Serves a connection until it ends, its client has disconnected, or the connection is asked to close.
     pub(super) async fn serve(self: &Arc<Self>, client: Arc<ClientConnection>) {
         let service = service_fn(|request| {
             let (server, client) = (self.clone(), client.clone());
@@ -54,14 +55,14 @@
             }
         });
         let mut http = http1::Builder::new();
-        http.max_buf_size(MAX_BUFFER).max_headers(MAX_HEADERS);
+        http.max_buf_size(MAX_BUFFER_BYTES).max_headers(MAX_HEADERS);
         let connection = http.serve_connection(TokioIo::new(ClientStream(client.clone())), service);
         tokio::pin!(connection);
         loop {
             tokio::select! {
-                // HTTP first, so that the other branches see what it has read by now.
+                // The HTTP connection is polled first, so that the other branches see what it has read.
                 biased;
-                // Whatever ends it, a client that was waiting has left.
+                // However the connection ended, a client that was waiting has disconnected.
                 _ = connection.as_mut() => return,
                 () = client.disconnected() => return,
                 () = client.answer_written() => {
@@ -70,21 +71,23 @@
                 }
                 () = client.close_requested() => match client.phase() {
                     _ if client.may_close() => return,
-                    // A client that does not read its answer.
+                    // The client does not read its answer.
                     (ClientPhase::WritingAnswer, age) if age >= self.max_unread_time() => return,
                     (ClientPhase::WritingAnswer, _) => connection.as_mut().graceful_shutdown(),
-                    // A request that is being read is served, and its answer says that it is the last.
+                    // A request that is being read is served, and its response says that the connection
+                    // closes after it.
                     _ => {}
                 }
             }
         }
     }
 
+    /// Returns the response to a request.
     async fn respond(
         &self, request: Request<Incoming>, client: &ClientConnection, reading_since: Instant,
     ) -> Response<Full<Bytes>> {
         let is_draining = || self.is_draining.load(Ordering::Relaxed);
-        let (mut response, is_bad) = if request.uri().path() == "/health/ready" {
+        let (mut response, is_invalid) = if request.uri().path() == "/health/ready" {
             let is_ready = self.driver.is_ready() && !is_draining();
             let status = if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             (plain_response(status, ""), false)
@@ -94,41 +97,42 @@
                 Err(invalid) => (plain_response(invalid.status, invalid.reason), true),
             }
         };
-        // Nothing more is read on a connection with a bad request.
-        if is_bad || client.is_closing() || is_draining() {
+        // Nothing more is read on a connection with an invalid request.
+        if is_invalid || client.is_closing() || is_draining() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         response
     }
 
-    /// Checks a request, reads it completely and has it executed. A request that cannot be read goes nowhere.
+    /// Validates a request, reads it completely and passes it to the driver. An incomplete request is not
+    /// forwarded.
     async fn execute(
         &self, request: Request<Incoming>, client: &ClientConnection, reading_since: Instant,
     ) -> Result<FinalAnswer, InvalidRequest> {
         let received_at = Instant::now();
         let (head, body) = request.into_parts();
-        let terms = request::check(&head, &self.config)?;
+        let metadata = request::check(&head, &self.config)?;
         let left = MAX_REQUEST_READ_TIME.saturating_sub(reading_since.elapsed());
-        let body_timeout = left.max(MIN_BODY_TIMEOUT).min(terms.client_timeout);
-        let body = timeout(body_timeout, Limited::new(body, MAX_BODY).collect()).await;
+        let body_timeout = left.max(MIN_BODY_TIMEOUT).min(metadata.client_timeout);
+        let body = timeout(body_timeout, Limited::new(body, MAX_BODY_BYTES).collect()).await;
         let body =
             body.map_err(|_| InvalidRequest::new(StatusCode::REQUEST_TIMEOUT, "a body that does not end"))?;
         let body = body.map_err(|_| InvalidRequest::new(StatusCode::BAD_REQUEST, "a broken body"))?;
-        // An upstream may take one of two requests with the same id for the other.
-        if !lock(&self.open_ids).insert(terms.id.clone()) {
+        // An upstream may confuse two concurrent requests with the same id.
+        if !lock(&self.open_ids).insert(metadata.id.clone()) {
             return Err(InvalidRequest::new(StatusCode::CONFLICT, "the id of an open request"));
         }
-        let _open_id = OpenId { server: self, id: terms.id };
+        let _open_id = OpenId { server: self, id: metadata.id };
         let headers = request::forwarded_headers(head.headers);
         let forwarded =
             ForwardedRequest { method: head.method, uri: head.uri, headers, body: body.to_bytes() };
         client.start_awaiting_answer();
         let request = ClientRequest {
             forwarded,
-            class: terms.class,
-            cost: terms.cost,
-            origin: terms.origin,
-            client_timeout: terms.client_timeout,
+            class: metadata.class,
+            cost: metadata.cost,
+            origin: metadata.origin,
+            client_timeout: metadata.client_timeout,
             received_at,
         };
         Ok(self.driver.execute(request).await)
@@ -141,9 +145,10 @@
     response
 }
 
-/// The final answer in HTTP: 200 with the body and the `Content-Type` of the upstream's response, and none of its other
-/// headers; 502 for a failure; 503 for a rejection, with `Retry-After` if the balancer advises a time. That header has
-/// seconds with three decimals, which the operators' clients read; RFC 9110 knows whole seconds only.
+/// Returns the response for a final answer: 200 with the body and the `Content-Type` of the upstream's
+/// response, and none of its other headers; 502 for a failure; 503 for a rejection, with `Retry-After` if the
+/// balancer advises a delay. The header has seconds with three decimals, which the operators' clients read,
+/// although RFC 9110 defines whole seconds only.
 fn to_response(answer: FinalAnswer) -> Response<Full<Bytes>> {
     match answer {
         FinalAnswer::Served(served) => {
--- a/src/bin/lugwharf-sidecar/server/shutdown.rs
+++ b/src/bin/lugwharf-sidecar/server/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown after SIGTERM: all clients that have come are served, and nothing is left when SIGKILL comes.
+//! Graceful shutdown after SIGTERM: all connected clients are served, and the process ends before SIGKILL.
 
 use super::eviction::SILENT_AFTER;
 use super::listener::{Server, lock};
@@ -8,30 +8,31 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// After SIGTERM connections are accepted for this long at least, ...
+/// The shortest time for which connections are accepted after SIGTERM.
 const MIN_ACCEPT_TIME: Duration = Duration::from_millis(500);
-/// ... then until none came for this long, ...
+/// After [`MIN_ACCEPT_TIME`], connections are accepted until none has arrived for this long.
 const QUIET_TIME: Duration = Duration::from_millis(250);
-/// ... and for this long at most: clients that came by then have an answer by their deadline, before SIGKILL.
+/// The longest time for which connections are accepted after SIGTERM. Clients that connect by then have an
+/// answer by their deadline, before SIGKILL.
 pub(super) const MAX_ACCEPT_TIME: Duration = Duration::from_millis(650);
-/// How often a shutdown checks whether it is done.
+/// The interval at which a shutdown checks whether it is done.
 const CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// SIGKILL comes 700 ms after the longest deadline, which counts as this at least.
+/// SIGKILL is sent 700 ms after the longest deadline of a class, which counts as at least this long.
 const MIN_DEADLINE: Duration = Duration::from_secs(3);
-/// A shutdown ends so long after the longest deadline: before SIGKILL, and after the last answer to clients that came while
-/// connections were accepted.
+/// A shutdown ends at the latest this long after the longest deadline: before SIGKILL, and after the last
+/// answer to clients that connected while connections were accepted.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(660);
 const _: () = assert!(MAX_ACCEPT_TIME.as_millis() < SHUTDOWN_MARGIN.as_millis(), "an answer is still due");
 
-/// The longest that a shutdown takes.
+/// Returns the longest that a shutdown takes.
 pub fn shutdown_time(config: &Config) -> Duration {
     config.max_client_timeout().max(MIN_DEADLINE) + SHUTDOWN_MARGIN
 }
 
 impl Server {
-    /// Serves all clients that have come, and those that still come for a moment, and returns once no connection is left or
-    /// its time is over. It does not end before the last answer is written, however long the settings let clients wait: if
-    /// SIGKILL comes sooner, at least this program has not cut off an answer.
+    /// Serves all connected clients, and those that connect within a short time, and returns once no
+    /// connection is left or [`shutdown_time`] is over. That time covers the longest wait that the settings
+    /// allow a client: if SIGKILL is sent sooner, at least this program has not cut off an answer.
     pub async fn shut_down(&self) {
         let since = Instant::now();
         self.drain();
@@ -43,7 +44,7 @@
         self.stop_accepting.notify_one();
         loop {
             sleep(CHECK_INTERVAL).await;
-            // Silent connections are closed; the others close after their answers.
+            // Closes connections that have been idle for a while; the others close after their answers.
             self.close_where(|phase, age| phase.is_idle() && age >= SILENT_AFTER);
             if lock(&self.clients).is_empty() || since.elapsed() >= shutdown_time(&self.config) {
                 return;
@@ -51,13 +52,13 @@
         }
     }
 
-    /// Readiness fails from now on, and connections close after their answers.
+    /// Makes readiness checks fail from now on, and connections close after their answers.
     fn drain(&self) {
         self.is_draining.store(true, Ordering::Relaxed);
         self.close_where(|phase, _| phase != ClientPhase::New);
     }
 
-    /// Returns whether no connection came for so long.
+    /// Returns whether no connection has been accepted for `time`.
     fn is_quiet_for(&self, time: Duration) -> bool {
         lock(&self.last_accepted_at).elapsed() >= time
     }
--- a/src/bin/lugwharf-sidecar/socket.rs
+++ b/src/bin/lugwharf-sidecar/socket.rs
@@ -1,4 +1,4 @@
-//! Reading, writing and inspecting a TCP socket that several parts share.
+//! Reading, writing and inspecting a TCP socket that several owners share.
 
 use socket2::SockRef;
 use std::io;
@@ -7,7 +7,8 @@
 use tokio::io::ReadBuf;
 use tokio::net::TcpStream;
 
-/// Returns whether there is nothing to read, not even the end of the connection. It asks the system, not the runtime.
+/// Returns whether there is nothing to read, not even an end of stream. The function asks the kernel, since
+/// the runtime's readiness may be out of date.
 pub fn has_nothing_to_read(socket: &TcpStream) -> bool {
     let mut byte = [MaybeUninit::uninit(); 1];
     SockRef::from(socket).peek(&mut byte).is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
--- a/src/bin/lugwharf-sidecar/upstream/attempt.rs
+++ b/src/bin/lugwharf-sidecar/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: one request to one endpoint.
+//! Attempts: each sends one request to one endpoint.
 
 use super::exchange::{CompleteAnswer, Exchange, MAX_CONNECTIONS, exchange};
 use crate::connection::WriteProgress;
@@ -17,12 +17,12 @@
 use tokio::time::error::Elapsed;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// With less time left than this, a request cannot spare the millisecond or so for which its last byte is held back; in
-/// tests that is a second.
+/// The last byte of a request is held back only if at least this much of its time is left. Holding it back
+/// takes about a millisecond, and a second in tests.
 pub(super) const MIN_TIME_FOR_HOLD_BACK: Duration =
     Duration::from_millis(if cfg!(test) { 50_000 } else { 50 });
 
-/// What of a client's request is forwarded to an upstream.
+/// The parts of a client's request that are forwarded to an upstream.
 pub struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
@@ -31,7 +31,7 @@
 }
 
 impl ForwardedRequest {
-    /// The request with the time that is left for it, in seconds with four decimals.
+    /// Returns the request with the remaining time in `X-Budget`, in seconds with four decimals.
     fn with_budget(&self, left: Duration) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
@@ -44,37 +44,38 @@
     }
 }
 
-/// The body of an upstream's 200, and its type.
+/// The body and `Content-Type` of an upstream's response with status 200.
 #[derive(Debug, Default, PartialEq)]
 pub struct ServedBody {
     pub body: Bytes,
     pub content_type: Option<HeaderValue>,
 }
 
-/// How long an attempt lasts.
+/// The deadlines of an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptDeadlines {
-    /// Nobody waits for its answer after this time.
+    /// The deadline for the answer, after which nobody waits for it.
     pub answer_by: Instant,
-    /// What has not been written completely by this time never is.
+    /// The deadline for writing. A request that is not completely written by then never is.
     pub write_by: Instant,
 }
 
-/// Makes one attempt, from the choice of a connection to the end of the answer. `on_end` is called first, then the
-/// connection is made ready for the next request.
+/// Makes one attempt, from the choice of a connection to the end of the answer. `on_end` is called with the
+/// outcome before the connection is made ready for the next request and put back.
 ///
-/// An idle connection that proves dead before the request is completely written shows that nothing ran, and another is
-/// taken. The attempt ends as [`Outcome::NotSent`] if it is `abandoned`, or passes `write_by`, before its last byte is
-/// written, and as [`Outcome::ConnectFailed`] if its time is over before it has a connection.
+/// If a connection breaks before the request is completely written, the request has not run, and the attempt
+/// goes on with another connection. The attempt ends as [`Outcome::NotSent`] if it is `abandoned`, or passes
+/// `write_by`, before its last byte is written, and as [`Outcome::ConnectFailed`] if its time is over before
+/// it has a connection.
 pub async fn attempt(
     pool: Pool, endpoint: Arc<Endpoint>, forwarded: Arc<ForwardedRequest>, deadlines: AttemptDeadlines,
     abandoned: Arc<Notify>, on_end: impl FnOnce(Outcome, ServedBody),
 ) {
     let AttemptDeadlines { answer_by, write_by } = deadlines;
-    let (abandoned, late) = (abandoned.notified(), sleep_until(write_by));
-    tokio::pin!(abandoned, late);
+    let (abandoned, write_deadline) = (abandoned.notified(), sleep_until(write_by));
+    tokio::pin!(abandoned, write_deadline);
     let stop_writing = poll_fn(|cx| {
-        let stop = abandoned.as_mut().poll(cx).is_ready() || late.as_mut().poll(cx).is_ready();
+        let stop = abandoned.as_mut().poll(cx).is_ready() || write_deadline.as_mut().poll(cx).is_ready();
         if stop { Poll::Ready(()) } else { Poll::Pending }
     });
     tokio::pin!(stop_writing);
@@ -113,7 +114,8 @@
     on_end(Outcome::ConnectFailed, ServedBody::default());
 }
 
-/// Ends when writing has to stop while the last byte is not out. Once that is out, the answer has to be waited for.
+/// Completes when writing has to stop and the last byte has not been written. Once that byte is written, the
+/// future never completes, since the answer has to be awaited.
 async fn stopped_before_last_byte(
     stop_writing: Pin<&mut impl Future<Output = ()>>, progress: &WriteProgress,
 ) {
@@ -123,7 +125,7 @@
     }
 }
 
-/// How an attempt ends; `None` if it goes on with another connection.
+/// Returns how an attempt ends; `None` if the attempt goes on with another connection.
 fn outcome_of(ended: Result<Exchange, Elapsed>) -> Option<(Outcome, ServedBody)> {
     match ended {
         Ok(Exchange::NeverWritten) => None,
@@ -133,7 +135,8 @@
     }
 }
 
-/// What the answer to an attempt means. A 503 or 504 proves that nothing ran only with `X-Rejected: 1`.
+/// Returns the outcome that an answer means. A 503 or 504 proves that the request did not run only with
+/// `X-Rejected: 1`.
 fn classify(answer: CompleteAnswer) -> (Outcome, ServedBody) {
     let CompleteAnswer { status, headers, body } = answer;
     let is_rejected = headers.get("X-Rejected").is_some_and(|value| value == "1");
--- a/src/bin/lugwharf-sidecar/upstream/mod.rs
+++ b/src/bin/lugwharf-sidecar/upstream/mod.rs
@@ -1,11 +1,11 @@
-//! The upstreams' side: attempts and probes, and what their answers mean.
+//! Attempts and probes to upstreams, and the interpretation of their answers.
 
 mod attempt;
 mod exchange;
 mod probe;
 
 pub use attempt::{AttemptDeadlines, ForwardedRequest, ServedBody, attempt};
-pub use exchange::MAX_BODY;
+pub use exchange::MAX_BODY_BYTES;
 pub use probe::probe;
 
 #[cfg(test)]
--- a/src/bin/lugwharf-sidecar/upstream/probe.rs
+++ b/src/bin/lugwharf-sidecar/upstream/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: asking an upstream for its load.
+//! Probes: each asks an upstream for its load.
 
 use super::exchange::{CompleteAnswer, Exchange, MAX_CONNECTIONS, exchange};
 use crate::pool::{Endpoint, Pool, PooledConnection};
@@ -12,13 +12,14 @@
 use std::sync::Arc;
 use tokio::time::{Instant, timeout_at};
 
-/// The most requests that an upstream may report to have in flight. A report that says more is taken for none.
+/// The limit on the in-flight requests that an upstream may report. A report above it is ignored.
 const MAX_REPORTED_LOAD: f64 = 1e6;
 
-/// How a probe ended, and what it showed.
+/// The result of a probe.
 #[derive(Debug, PartialEq)]
 pub struct ProbeResult {
     pub outcome: Outcome,
+    /// The load that the upstream reported, if any.
     pub reported_load: Option<f64>,
 }
 
@@ -28,17 +29,17 @@
     }
 }
 
-/// Asks an upstream for its load, the value of this name in its report. Where upstreams report none, only asks whether it
-/// is alive.
+/// Asks an upstream for its load: the value named `load_field_name` in its load report. Without a name,
+/// upstreams report no load, and the probe only asks whether the upstream is alive.
 pub async fn probe(
-    pool: Pool, endpoint: Arc<Endpoint>, answer_by: Instant, load_field: Option<&str>,
+    pool: Pool, endpoint: Arc<Endpoint>, answer_by: Instant, load_field_name: Option<&str>,
 ) -> ProbeResult {
     for _ in 0..MAX_CONNECTIONS {
         let mut pooled = match pool.connection(&endpoint, answer_by).await {
             Ok(pooled) => pooled,
             Err(outcome) => return ProbeResult::without_load(outcome),
         };
-        let request = probe_request(endpoint.address, load_field.is_some());
+        let request = probe_request(endpoint.address, load_field_name.is_some());
         let ended = timeout_at(answer_by, exchange(&mut pooled, request, false)).await;
         let answer = match ended {
             Ok(Exchange::NeverWritten) => continue,
@@ -46,7 +47,7 @@
             Ok(Exchange::Broken) => return ProbeResult::without_load(Outcome::Reset),
             Err(_) => return ProbeResult::without_load(Outcome::Timeout),
         };
-        let reported_load = load_field.and_then(|field| load_in(&answer, field));
+        let reported_load = load_field_name.and_then(|name| load_in(&answer, name));
         let outcome = if answer.status == StatusCode::OK { Outcome::Ok } else { Outcome::Rejected };
         put_back_when_ready(&pool, &endpoint, pooled).await;
         return ProbeResult { outcome, reported_load };
@@ -63,10 +64,10 @@
     request
 }
 
-/// The load in a report; `None` if there is none, or none that can be true.
-fn load_in(answer: &CompleteAnswer, field: &str) -> Option<f64> {
+/// Returns the value of this name in a load report; `None` if the value is missing or out of range.
+fn load_in(answer: &CompleteAnswer, field_name: &str) -> Option<f64> {
     let report: Value = serde_json::from_slice(&answer.body).ok()?;
-    report[field].as_f64().filter(|load| (0.0..=MAX_REPORTED_LOAD).contains(load))
+    report[field_name].as_f64().filter(|load| (0.0..=MAX_REPORTED_LOAD).contains(load))
 }
 
 async fn put_back_when_ready(pool: &Pool, endpoint: &Endpoint, mut pooled: PooledConnection) {
--- a/src/bin/lugwharf-simulator/host.rs
+++ b/src/bin/lugwharf-simulator/host.rs
@@ -1,13 +1,13 @@
-//! Hosts one balancer for each instance of the simulator.
+//! The balancers of all instances, one for each sidecar that the simulator runs.
 
-use crate::wire::{Batch, DiscoveryUpdate, LIST_NUMBERS, ListKind, Record, Reply, WireError};
+use crate::wire::{Batch, DiscoveryUpdate, ListKind, MAX_LISTS, Record, Reply, WireError};
 use lugwharf_sidecar::api::{Action, Event, ServerEntry, ServerListEvent};
 use lugwharf_sidecar::settings_text::SettingError;
 use lugwharf_sidecar::{Balancer, settings_text};
 use std::collections::HashMap;
 use std::io;
 
-/// What ends the adapter.
+/// The errors that end the adapter.
 #[derive(Debug, thiserror::Error)]
 pub enum HostError {
     #[error(transparent)]
@@ -20,26 +20,30 @@
     Output(io::Error),
 }
 
+/// A running instance.
 struct Instance {
     balancer: Balancer,
-    /// The value of its servers' load reports that the module asks for.
-    load_field: Option<usize>,
+    /// The index of that value of a load report which the decision module uses; `None` if there are no
+    /// reports.
+    load_field_index: Option<usize>,
 }
 
-/// All instances that run, and the lists that were declared.
+/// All running instances, and the server lists that were declared.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<u32, Instance>,
-    lists: [Option<Vec<ServerEntry>>; LIST_NUMBERS as usize],
+    lists: [Option<Vec<ServerEntry>>; MAX_LISTS as usize],
+    /// The buffer for the actions of one event, kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles the records of a batch in order, and adds the actions of all instances to the reply. Records of an unknown
-    /// code, or for an instance that does not run, are skipped with a line on standard error.
+    /// Handles the records of a batch in order, and adds the actions of all instances to the reply. A record
+    /// with an unknown code, or an event for an instance that is not running, is skipped with a line on
+    /// standard error.
     pub fn handle(&mut self, batch: &Batch, reply: &mut Reply) -> Result<(), HostError> {
         for record in batch.records() {
-            let Some((number, event)) = self.event_of(record?)? else { continue };
+            let Some((number, event)) = self.handle_record(record?)? else { continue };
             let Some(instance) = self.instances.get_mut(&number) else {
                 eprintln!("lugwharf-simulator: skipped an event for instance {number}, which is not up");
                 continue;
@@ -50,8 +54,9 @@
         Ok(())
     }
 
-    /// The event of a record and the instance that it is for. Other records are carried out here.
-    fn event_of(&mut self, record: Record) -> Result<Option<(u32, Event)>, HostError> {
+    /// Returns the event of a record and the number of its instance. A record without an event is handled
+    /// here.
+    fn handle_record(&mut self, record: Record) -> Result<Option<(u32, Event)>, HostError> {
         match record {
             Record::Start { instance, seed, settings } => self.start(instance, seed, settings)?,
             Record::Kill { instance } => {
@@ -63,8 +68,8 @@
             }
             Record::Event { instance, event } => return Ok(Some((instance, event))),
             Record::ProbeCompleted { instance, server, outcome, load_values } => {
-                let field = self.instances.get(&instance).and_then(|instance| instance.load_field);
-                let load = field.and_then(|field| load_values.get(field).copied());
+                let index = self.instances.get(&instance).and_then(|instance| instance.load_field_index);
+                let load = index.and_then(|index| load_values.get(index).copied());
                 let reported_load = load.filter(|load| load.is_finite());
                 return Ok(Some((instance, Event::ProbeCompleted { server, outcome, reported_load })));
             }
@@ -76,16 +81,18 @@
         Ok(None)
     }
 
+    /// Starts an instance, in place of any with the same number.
     fn start(&mut self, number: u32, seed: u64, text: &str) -> Result<(), HostError> {
         let settings = settings_text::parse(text).map_err(|error| HostError::Settings(number, error))?;
         let instance = Instance {
             balancer: Balancer::new(settings, seed),
-            load_field: settings_text::load_field_index(text),
+            load_field_index: settings_text::load_field_index(text),
         };
         self.instances.insert(number, instance);
         Ok(())
     }
 
+    /// Returns the event of an answer of discovery.
     fn server_list(&self, update: DiscoveryUpdate) -> Result<ServerListEvent, HostError> {
         let DiscoveryUpdate::List { kind, number } = update else { return Ok(ServerListEvent::Failed) };
         let list = self.lists.get(number as usize).and_then(Option::as_ref);
--- a/src/bin/lugwharf-simulator/main.rs
+++ b/src/bin/lugwharf-simulator/main.rs
@@ -1,4 +1,5 @@
-//! The simulator's adapter: the decision module on the simulator's wire, on standard input and output.
+//! The simulator's adapter: reads the simulator's events from standard input in its wire format, passes them
+//! to the decision module, and writes the resulting actions to standard output.
 #![forbid(unsafe_code)]
 
 mod host;
@@ -9,7 +10,7 @@
 use std::process::ExitCode;
 use wire::Reply;
 
-/// Answers each batch with one reply, until the input ends.
+/// Answers each batch with one reply until the input ends.
 fn run(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
     let (mut host, mut reply, mut frame) = (Host::default(), Reply::default(), Vec::new());
     while let Some(batch) = wire::read_batch(&mut input)? {
--- a/src/bin/lugwharf-simulator/wire/error.rs
+++ b/src/bin/lugwharf-simulator/wire/error.rs
@@ -1,8 +1,8 @@
-//! What makes a frame unreadable.
+//! The errors of reading frames.
 
 use std::io;
 
-/// An unreadable frame. The wire cannot be followed any further.
+/// A frame that cannot be read. No further frame can be read after it.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// The input could not be read.
@@ -11,9 +11,9 @@
     /// The input ended inside a frame.
     #[error("the input ends inside a frame: {got} of {wanted} bytes")]
     Truncated {
-        /// Bytes that came.
+        /// The bytes that were read.
         got: usize,
-        /// Bytes that were announced.
+        /// The announced bytes.
         wanted: usize,
     },
     /// The records do not fit into the frame.
@@ -24,30 +24,30 @@
         /// The announced number of records.
         records: u32,
     },
-    /// A reference past the end of the tail.
+    /// A record refers to bytes past the end of the tail.
     #[error("{what} at {offset} for {len} reaches beyond a tail of {tail} bytes")]
     Tail {
-        /// The field.
+        /// The name of the field.
         what: &'static str,
-        /// Its offset.
+        /// The offset of the reference.
         offset: u32,
-        /// Its length, in units of its own.
+        /// The length of the reference, in the unit of the field.
         len: u32,
         /// The length of the tail.
         tail: usize,
     },
-    /// A code without a meaning.
+    /// A field has a code without a meaning.
     #[error("{what} {code} is unknown")]
     Code {
-        /// The field.
+        /// The name of the field.
         what: &'static str,
-        /// Its value.
+        /// The value of the field.
         code: u32,
     },
-    /// A clock reading that is not a time.
+    /// The clock reading of a frame is not a valid time.
     #[error("the clock reads {0}")]
     Clock(f64),
-    /// Settings that are not text.
+    /// The settings of an instance are not UTF-8.
     #[error("the settings of instance {0} are not UTF-8")]
     Text(u32),
 }
--- a/src/bin/lugwharf-simulator/wire/fields.rs
+++ b/src/bin/lugwharf-simulator/wire/fields.rs
@@ -1,10 +1,10 @@
-//! The fields of a record, and what it refers to in the tail.
+//! Access to the fields of a record, and to the parts of the tail that a record refers to.
 
 use super::error::WireError;
 use lugwharf_sidecar::api::{RequestId, ServerId};
 use std::time::Duration;
 
-/// The fields of a record, by their offset in it. Offsets are constants within the record's fixed size.
+/// The fields of a record, addressed by their offset. Offsets are constants within the record's fixed size.
 pub(super) struct Fields<'a>(pub(super) &'a [u8]);
 
 impl Fields<'_> {
@@ -38,7 +38,7 @@
         f64::from_le_bytes(self.bytes(at))
     }
 
-    /// A time; negative ones and NaN are zero.
+    /// Returns the time at `at`. A time that is negative, NaN or too long counts as zero.
     pub(super) fn time(&self, at: usize) -> Duration {
         Duration::try_from_secs_f64(self.f64(at) / 1e3).unwrap_or(Duration::ZERO)
     }
@@ -47,7 +47,7 @@
         RequestId(self.u32(at))
     }
 
-    /// A server: six bytes, of an address and a port.
+    /// Returns the server at `at`: six bytes, an address and a port.
     pub(super) fn server_id(&self, at: usize) -> ServerId {
         let mut bytes = [0; 8];
         bytes[..6].copy_from_slice(&self.0[at..at + 6]);
@@ -55,7 +55,7 @@
     }
 }
 
-/// The part of a frame behind its records.
+/// The part of a frame after its records.
 pub(super) struct Tail<'a>(&'a [u8]);
 
 impl<'a> Tail<'a> {
@@ -63,8 +63,8 @@
         Tail(bytes)
     }
 
-    /// What a record refers to with the offset and the length that stand at this place in it. The length counts units of
-    /// this size.
+    /// Returns the bytes that a record refers to by the offset and the length at `at` in it. The length
+    /// counts units of `unit` bytes. `what` names the field in an error.
     pub(super) fn slice(
         &self, fields: &Fields, at: usize, unit: usize, what: &'static str,
     ) -> Result<&'a [u8], WireError> {
--- a/src/bin/lugwharf-simulator/wire/frame.rs
+++ b/src/bin/lugwharf-simulator/wire/frame.rs
@@ -1,4 +1,4 @@
-//! Frames: a header, records and a tail.
+//! Reading frames: a header, records and a tail.
 
 use super::error::WireError;
 use super::fields::{Fields, Tail};
@@ -9,17 +9,18 @@
 const HEADER_SIZE: usize = 16;
 pub(super) const RECORD_SIZE: usize = 48;
 
-/// One frame of records, not decoded yet.
+/// One frame, whose records are not decoded yet.
 #[derive(Debug)]
 pub struct Batch {
+    /// The records and the tail.
     body: Vec<u8>,
     record_count: usize,
-    /// The clock reading of all its records.
+    /// The clock reading for all records of the frame.
     pub now: Duration,
 }
 
 impl Batch {
-    /// The records in order.
+    /// Decodes the records in order.
     pub fn records(&self) -> impl Iterator<Item = Result<Record<'_>, WireError>> {
         let (records, tail) = self.body.split_at(self.record_count * RECORD_SIZE);
         records.chunks_exact(RECORD_SIZE).map(move |record| decode(&Fields(record), &Tail::new(tail)))
@@ -48,8 +49,8 @@
     Ok(Some(Batch { body, record_count: records as usize, now }))
 }
 
-/// Reads so many bytes, fewer at the end of the input. The buffer grows with what arrives: an absurd length allocates
-/// nothing by itself.
+/// Reads `len` bytes, or fewer at the end of the input. The buffer grows with the bytes that arrive, so a
+/// corrupt length does not allocate memory by itself.
 fn read_up_to(input: &mut impl Read, len: usize) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     input.by_ref().take(len as u64).read_to_end(&mut bytes)?;
--- a/src/bin/lugwharf-simulator/wire/mod.rs
+++ b/src/bin/lugwharf-simulator/wire/mod.rs
@@ -1,7 +1,7 @@
-//! The simulator's wire: binary frames into records, and actions into reply frames. Nothing is decided here.
+//! The simulator's wire format: decodes binary frames into records, and encodes actions into reply frames.
 //!
-//! A frame is a header, fixed-size records, and a tail of variable length that records refer to by offset and length. All
-//! numbers are little-endian; times are milliseconds as 64-bit floats.
+//! A frame has a header, records of fixed size, and a tail of variable length, which records refer to by
+//! offset and length. All numbers are little-endian. Times are milliseconds as 64-bit floats.
 
 mod error;
 mod fields;
@@ -11,5 +11,5 @@
 
 pub use error::WireError;
 pub use frame::{Batch, read_batch};
-pub use record::{DiscoveryUpdate, LIST_NUMBERS, ListKind, Record};
+pub use record::{DiscoveryUpdate, ListKind, MAX_LISTS, Record};
 pub use reply::Reply;
--- a/src/bin/lugwharf-simulator/wire/record.rs
+++ b/src/bin/lugwharf-simulator/wire/record.rs
@@ -6,29 +6,29 @@
     Arrival, Availability, Event, Origin, Outcome, RequestStatus, ServerEntry, ServerId, TimerId,
 };
 
-/// The size of a list's entry in the tail.
+/// The size of an entry of a server list in the tail, in bytes.
 const ENTRY_SIZE: usize = 24;
-/// Lists are numbered below this.
-pub const LIST_NUMBERS: u32 = 16;
-/// The most values that a load report carries.
+/// The limit on declared lists. Their numbers are below it.
+pub const MAX_LISTS: u32 = 16;
+/// The limit on the values of a load report.
 const MAX_LOAD_VALUES: usize = 4;
 
-/// A record of a batch. `instance` is the number of the sidecar that it is for.
+/// A record of a batch. `instance` is the number of the sidecar that the record is for.
 #[derive(Debug, PartialEq)]
 pub enum Record<'a> {
     /// An instance starts.
     Start { instance: u32, seed: u64, settings: &'a str },
     /// An instance ends at once.
     Kill { instance: u32 },
-    /// A server list, by a number that later records refer to.
+    /// Declares a server list under a number that later records refer to.
     DeclareList { number: u32, entries: Vec<ServerEntry> },
     /// An answer of discovery.
     Discovery { instance: u32, update: DiscoveryUpdate },
-    /// An event that the module gets as it stands.
+    /// An event that is passed to the decision module unchanged.
     Event { instance: u32, event: Event },
     /// A probe's result, with the values of the server's load report.
     ProbeCompleted { instance: u32, server: ServerId, outcome: Outcome, load_values: Vec<f64> },
-    /// A record that this adapter has no use for.
+    /// A record that this adapter does not use.
     Ignored,
     /// A code that this adapter does not know.
     Unknown(u8),
@@ -37,24 +37,24 @@
 /// An answer of discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryUpdate {
-    /// The list that was declared by this number.
+    /// The list that was declared under this number.
     List { kind: ListKind, number: u32 },
     /// The call failed.
     Failed,
 }
 
-/// How a list is to be read.
+/// What a list contains.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ListKind {
-    /// The entries that changed.
+    /// Only the entries that changed.
     Delta,
     /// The complete list.
     Full,
-    /// The complete list as the instance had it last.
+    /// The complete list that the instance had last.
     Cached,
 }
 
-/// Decodes one record. Its first byte is its code; bytes 1 to 4 are the instance.
+/// Decodes one record. Byte 0 is the code; bytes 1 to 4 are the instance.
 pub(super) fn decode<'a>(fields: &Fields, tail: &Tail<'a>) -> Result<Record<'a>, WireError> {
     let instance = fields.u32(1);
     let event = |event| Ok(Record::Event { instance, event });
@@ -66,7 +66,7 @@
         4 => event(decode_outcome(fields)?),
         5 => Ok(Record::Kill { instance }),
         6 => decode_probe(instance, fields),
-        // Messages of other sidecars: this module sends none, so none is of use.
+        // A message of another sidecar. The decision module sends no messages, so it uses none.
         7 => Ok(Record::Ignored),
         8 => decode_discovery(instance, fields),
         9 => event(decode_stream_start(fields)),
@@ -82,9 +82,9 @@
 }
 
 fn decode_list<'a>(fields: &Fields, tail: &Tail<'a>) -> Result<Record<'a>, WireError> {
-    // It is for no instance: its number stands in the instance's place.
+    // The record is for no instance; the number of the list takes the place of the instance.
     let number = fields.u32(1);
-    if number >= LIST_NUMBERS {
+    if number >= MAX_LISTS {
         return Err(WireError::Code { what: "list number", code: number });
     }
     let bytes = tail.slice(fields, 5, ENTRY_SIZE, "list")?;
@@ -99,7 +99,7 @@
         2 => Availability::Draining,
         code => return Err(WireError::Code { what: "availability", code: code.into() }),
     };
-    let started = fields.time(16);
+    let started_at = fields.time(16);
     Ok(ServerEntry {
         server: fields.server_id(1),
         availability,
@@ -107,7 +107,7 @@
         zone: fields.u16(13),
         machine_type: fields.u8(15),
         weight: fields.f32(9),
-        started_at: (!started.is_zero()).then_some(started),
+        started_at: (!started_at.is_zero()).then_some(started_at),
     })
 }
 
@@ -115,7 +115,7 @@
     Ok(Event::Outcome {
         id: fields.request_id(5),
         attempt: usize::from(fields.u8(9)),
-        outcome: outcome(fields.u16(16))?,
+        outcome: decode_outcome_code(fields.u16(16))?,
         elapsed: fields.time(18),
         request_status: if fields.u8(26) == 0 {
             RequestStatus::AwaitingAnswer
@@ -125,7 +125,7 @@
     })
 }
 
-fn outcome(code: u16) -> Result<Outcome, WireError> {
+fn decode_outcome_code(code: u16) -> Result<Outcome, WireError> {
     Ok(match code {
         1 => Outcome::Ok,
         2 => Outcome::Error,
@@ -144,7 +144,7 @@
     Ok(Record::ProbeCompleted {
         instance,
         server: fields.server_id(5),
-        outcome: outcome(fields.u16(11))?,
+        outcome: decode_outcome_code(fields.u16(11))?,
         load_values: (0..value_count).map(|index| fields.f32(22 + 4 * index)).collect(),
     })
 }
--- a/src/bin/lugwharf-simulator/wire/record_tests.rs
+++ b/src/bin/lugwharf-simulator/wire/record_tests.rs
@@ -1,11 +1,11 @@
-//! Tests of the records' form: one of each kind, from literal bytes.
+//! Tests of decoding records: one of each kind, from literal bytes.
 
 use super::*;
 use crate::wire::frame::{Batch, RECORD_SIZE, read_batch};
 use lugwharf_sidecar::api::RequestId;
 use std::time::Duration;
 
-/// One frame with one record, whose first bytes are these, and this tail.
+/// A frame with this tail and one record, whose first bytes are `start`.
 fn batch(start: &[u8], tail: &[u8]) -> Batch {
     let mut body = vec![0; RECORD_SIZE];
     body[..start.len()].copy_from_slice(start);
@@ -17,7 +17,8 @@
     read_batch(&mut &frame[..]).expect("readable").expect("a frame")
 }
 
-fn one<'a>(batch: &'a Batch) -> Record<'a> {
+/// Returns the only record of a batch.
+fn single_record<'a>(batch: &'a Batch) -> Record<'a> {
     assert_eq!(batch.now, Duration::from_micros(1_500_250));
     let mut records = batch.records();
     let record = records.next().expect("a record").expect("readable");
@@ -30,7 +31,7 @@
 const NINE_HUNDRED: [u8; 8] = [0, 0, 0, 0, 0, 0x20, 0x8c, 0x40];
 
 #[test]
-fn records_without_a_tail_have_their_literal_form() {
+fn records_without_a_tail_are_decoded_from_literal_bytes() {
     let instance = 0x0403_0201;
     let (id, server) = (RequestId(0x0908_0706), ServerId(0x0b0a_0908_0706));
     let event = |event| Record::Event { instance, event };
@@ -81,12 +82,12 @@
     ];
     for (code, rest, expected) in cases {
         let batch = batch(&[vec![code, 1, 2, 3, 4], rest].concat(), &[]);
-        assert_eq!(one(&batch), expected, "code {code}");
+        assert_eq!(single_record(&batch), expected, "code {code}");
     }
 }
 
 #[test]
-fn a_request_has_its_cost_and_its_origin_by_two_bits() {
+fn a_request_has_its_cost_and_origin_in_two_bits() {
     for (attributes, cost, origin) in [
         (0, None, Origin::Fresh),
         (1, Some(Duration::from_millis(30)), Origin::Fresh),
@@ -102,12 +103,15 @@
         bytes.extend([3, attributes, 0]);
         let (id, client_timeout) = (RequestId(0x0908_0706), Duration::from_millis(900));
         let arrival = Arrival { id, class: 3, cost, client_timeout, origin };
-        assert_eq!(one(&batch(&bytes, &[])), Record::Event { instance: 5, event: Event::Request(arrival) });
+        assert_eq!(
+            single_record(&batch(&bytes, &[])),
+            Record::Event { instance: 5, event: Event::Request(arrival) }
+        );
     }
 }
 
 #[test]
-fn an_outcome_has_its_code_and_whether_the_request_is_over() {
+fn an_outcome_has_its_code_and_the_status_of_the_request() {
     let all = [
         Outcome::Ok,
         Outcome::Error,
@@ -119,13 +123,15 @@
         Outcome::NotSent,
     ];
     for (code, outcome) in (1..).zip(all) {
-        for (ended, request_status) in [(0, RequestStatus::AwaitingAnswer), (1, RequestStatus::Finished)] {
+        for (status_code, request_status) in
+            [(0, RequestStatus::AwaitingAnswer), (1, RequestStatus::Finished)]
+        {
             let mut bytes = vec![4, 5, 0, 0, 0, 6, 7, 8, 9, 2, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, code, 0];
             bytes.extend(THIRTY);
-            bytes.push(ended);
+            bytes.push(status_code);
             let (id, elapsed) = (RequestId(0x0908_0706), Duration::from_millis(30));
             let event = Event::Outcome { id, attempt: 2, outcome, elapsed, request_status };
-            assert_eq!(one(&batch(&bytes, &[])), Record::Event { instance: 5, event });
+            assert_eq!(single_record(&batch(&bytes, &[])), Record::Event { instance: 5, event });
         }
     }
 }
@@ -134,14 +140,20 @@
 fn a_start_and_a_list_refer_to_the_tail() {
     let bytes = [2, 5, 0, 0, 0, 1, 2, 3, 4, 5, 6, 7, 8, 1, 0, 0, 0, 6, 0, 0, 0];
     let start = batch(&bytes, b"-zone=0-");
-    assert_eq!(one(&start), Record::Start { instance: 5, seed: 0x0807_0605_0403_0201, settings: "zone=0" });
-    let line = |availability: u8| {
+    assert_eq!(
+        single_record(&start),
+        Record::Start { instance: 5, seed: 0x0807_0605_0403_0201, settings: "zone=0" }
+    );
+    let entry_bytes = |availability: u8| {
         let mut entry = vec![availability, 1, 2, 3, 4, 5, 6, 7, 8, 0, 0, 0x20, 0x40, 9, 10, 11];
         entry.extend(if availability == 2 { [0; 8] } else { THIRTY });
         entry
     };
-    let list = batch(&[3, 15, 0, 0, 0, 2, 0, 0, 0, 3], &[b"--".to_vec(), line(0), line(1), line(2)].concat());
-    let listed = |availability, started_at| ServerEntry {
+    let list = batch(
+        &[3, 15, 0, 0, 0, 2, 0, 0, 0, 3],
+        &[b"--".to_vec(), entry_bytes(0), entry_bytes(1), entry_bytes(2)].concat(),
+    );
+    let server_entry = |availability, started_at| ServerEntry {
         server: ServerId(0x0605_0403_0201),
         availability,
         cell: 0x0807,
@@ -152,9 +164,9 @@
     };
     let started_at = Some(Duration::from_millis(30));
     let entries = vec![
-        listed(Availability::Gone, started_at),
-        listed(Availability::Ready, started_at),
-        listed(Availability::Draining, None),
+        server_entry(Availability::Gone, started_at),
+        server_entry(Availability::Ready, started_at),
+        server_entry(Availability::Draining, None),
     ];
-    assert_eq!(one(&list), Record::DeclareList { number: 15, entries });
+    assert_eq!(single_record(&list), Record::DeclareList { number: 15, entries });
 }
--- a/src/bin/lugwharf-simulator/wire/reply.rs
+++ b/src/bin/lugwharf-simulator/wire/reply.rs
@@ -1,10 +1,11 @@
-//! Reply frames: the actions of all instances after one batch.
+//! Encoding reply frames: the actions of all instances after one batch.
 
 use lugwharf_sidecar::api::Action;
 use std::time::Duration;
 
+/// The size of an encoded action, in bytes.
 const ACTION_SIZE: usize = 24;
-/// The furthest that the wire lets a timer be set.
+/// The longest delay of a timer that the wire format permits.
 const MAX_TIMER: Duration = Duration::from_secs(71 * 60);
 
 /// A reply under construction.
@@ -15,19 +16,20 @@
     count: u32,
 }
 
-fn ms(time: Duration) -> [u8; 8] {
+/// Returns a time as encoded on the wire, in milliseconds.
+fn encode_time(time: Duration) -> [u8; 8] {
     (time.as_secs_f64() * 1e3).to_le_bytes()
 }
 
 impl Reply {
-    /// Empties it and keeps its memory.
+    /// Removes all actions and keeps the allocated memory.
     pub fn clear(&mut self) {
         self.records.clear();
         self.tail.clear();
         self.count = 0;
     }
 
-    /// Adds one action of one instance. The first byte is the action's code; bytes 1 to 4 are the instance.
+    /// Adds one action of one instance. Byte 0 is the action's code; bytes 1 to 4 are the instance.
     pub fn push(&mut self, instance: u32, action: &Action) {
         let mut record = [0u8; ACTION_SIZE];
         record[1..5].copy_from_slice(&instance.to_le_bytes());
@@ -35,12 +37,12 @@
             Action::Send { id, server, timeout, .. } => {
                 record[5..9].copy_from_slice(&id.0.to_le_bytes());
                 record[9..15].copy_from_slice(&server.0.to_le_bytes()[..6]);
-                record[15..23].copy_from_slice(&ms(*timeout));
+                record[15..23].copy_from_slice(&encode_time(*timeout));
             }
             Action::Reject { id, retry_after } => {
                 record[0] = 1;
                 record[5..9].copy_from_slice(&id.0.to_le_bytes());
-                record[9..17].copy_from_slice(&ms(retry_after.unwrap_or(Duration::ZERO)));
+                record[9..17].copy_from_slice(&encode_time(retry_after.unwrap_or(Duration::ZERO)));
             }
             Action::Fail(id) => {
                 record[0] = 2;
@@ -53,7 +55,7 @@
             }
             Action::SetTimer { timer, after } => {
                 record[0] = 4;
-                record[5..13].copy_from_slice(&ms(*after.min(&MAX_TIMER)));
+                record[5..13].copy_from_slice(&encode_time(*after.min(&MAX_TIMER)));
                 record[13..21].copy_from_slice(&timer.0.to_le_bytes());
             }
             Action::Probe(server) => {
@@ -73,7 +75,7 @@
         self.count += 1;
     }
 
-    /// Adds a text to the tail and returns its offset and length.
+    /// Adds a text to the tail, and returns its encoded offset and length.
     fn push_text(&mut self, text: &str) -> [u8; 8] {
         let (offset, len) = (self.tail.len() as u32, text.len() as u32);
         self.tail.extend_from_slice(text.as_bytes());
