--- a/src/bin/lugwharf-sidecar/gated_stream.rs
+++ b/src/bin/lugwharf-sidecar/gated_stream.rs
@@ -37,7 +37,7 @@
 pub struct LastByteGate {
     /// The last byte is held back at least until this time; `None` if the byte is not held back.
     held_until: Mutex<Option<Instant>>,
-    /// Whether a part of the request has certainly not been written.
+    /// Whether the last byte has certainly not been written.
     is_incomplete: AtomicBool,
 }
 
