--- a/crates/routing/src/balancer.rs
+++ b/crates/routing/src/balancer.rs
@@ -112,7 +112,8 @@
     }
 
     /// Returns whether an attempt of `phase` may still be sent to the server. The endpoint list may change
-    /// while a connection is being established, so this must be checked right before each attempt is written.
+    /// while a connection is being established, so the caller must check eligibility right before it writes
+    /// each attempt.
     pub fn is_eligible(&self, now: Duration, key: ServerKey, phase: Phase) -> bool {
         self.servers.get(&key).is_some_and(|server| server.accepts(phase, None, now))
     }
--- a/crates/routing/src/endpoints.rs
+++ b/crates/routing/src/endpoints.rs
@@ -9,7 +9,8 @@
 
 impl Balancer {
     /// Applies an update of the endpoint list unless it is older than the list in use; returns whether it was
-    /// applied. Servers that stay in the list keep their measurements.
+    /// applied. A server keeps its measurements while it is listed with the same service and address; a change
+    /// of stage clears its latencies.
     pub fn apply(&mut self, now: Duration, delta: &ServerDelta) -> bool {
         if delta.position < self.position {
             return false;
@@ -69,8 +70,8 @@
             if let Some(server) = server.filter(is_same_endpoint) {
                 return server.update(entry.clone(), zone);
             }
-            // Latency, load and connections belong to an address, so an id at another address starts without
-            // state.
+            // Latency, load and connections belong to an address and a service, so an id that is listed with
+            // another address or service starts without state.
             self.remove(&entry.id);
         }
         self.insert(now, entry, zone);
--- a/crates/routing/src/kv_transfer.rs
+++ b/crates/routing/src/kv_transfer.rs
@@ -1,8 +1,9 @@
 //! Circuit breaker for KV cache transfers between the prefill and decode servers of a service.
 //!
 //! When KV handles expire or the links between servers are down, each attempted transfer costs one more
-//! delivery. Once most transfers fail, requests are sent to decode servers alone, except for one trial every
-//! 500 ms (the half-open state of a circuit breaker).
+//! delivery. Once most transfers fail, the breaker opens: no transfer is attempted for requests whose prompts a
+//! decode server may prefill itself, except for one trial every 500 ms (the half-open state of a circuit
+//! breaker).
 
 use std::time::Duration;
 
--- a/crates/routing/src/locality.rs
+++ b/crates/routing/src/locality.rs
@@ -6,9 +6,13 @@
 
 /// Returns the winner of power of two choices in the preferred zone. If its estimate exceeds a share of the
 /// latency objective ([`Tuning::local_zone_objective_share`](crate::Tuning::local_zone_objective_share)), a
-/// second draw is made over all zones, whose winner is returned if its score is lower by
+/// second draw is made over all zones. The winner of the second draw is returned if its score is still lower
+/// than that of the local winner after multiplication by
 /// [`Tuning::cross_zone_factor`](crate::Tuning::cross_zone_factor).
 ///
+/// There is one draw over all zones if the preferred zone has none or all of the eligible servers, or if
+/// [`Tuning::prefers_local_zone`](crate::Tuning::prefers_local_zone) is off.
+///
 /// `eligible` is reordered: the servers of the preferred zone move to the front.
 pub(crate) fn draw_local_first(
     scorer: &Scorer<'_>, rng: &mut fastrand::Rng, eligible: &mut [ServerKey],
--- a/crates/routing/src/p2c.rs
+++ b/crates/routing/src/p2c.rs
@@ -19,7 +19,8 @@
     if count == 1 || !scorer.tuning.uses_two_choices {
         return Some(first_candidate);
     }
-    // Drawn from all servers but the first: indices from the first one on move up by one.
+    // The second index is drawn from the remaining `count - 1` indices: those from `first` on are shifted up
+    // by one.
     let second = rng.usize(..count - 1);
     let second = if second >= first { second + 1 } else { second };
     let second_candidate = scorer.candidate(servers[second])?;
--- a/crates/routing/src/prefix_cache.rs
+++ b/crates/routing/src/prefix_cache.rs
@@ -8,7 +8,8 @@
 /// it recently.
 ///
 /// This is only an estimate: servers don't report evictions, and other proxies fill the same caches. The
-/// number of tracked segments is bounded; on overflow the older half is dropped.
+/// number of tracked segments is bounded. On overflow, all segments whose last use is not after the median
+/// one are dropped, which is at least half of them.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixCacheTracker {
     /// The time of the last use of each segment, by segment id.
--- a/crates/routing/src/scoring.rs
+++ b/crates/routing/src/scoring.rs
@@ -31,7 +31,8 @@
     pub tuning: &'a Tuning,
     pub query: &'a SelectionQuery<'a>,
     pub now: Duration,
-    /// The latency assumed for servers without samples, in ms per unit of work.
+    /// The latency assumed for servers without samples, towards which the averages of the other servers
+    /// decay; in ms per unit of work.
     pub median_latency: f64,
 }
 
--- a/crates/routing/src/server.rs
+++ b/crates/routing/src/server.rs
@@ -15,7 +15,8 @@
 /// flight.
 const MIN_LATENCY_MS: f64 = 0.1;
 
-/// Identifies one listed incarnation of a server. Keys are never reused for another incarnation.
+/// Identifies one listing of a server. An incarnation that is removed and listed again, or is listed with
+/// another address or service, gets a new key. Keys repeat only after 2^32 listings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerKey(pub(crate) u32);
 
@@ -115,8 +116,8 @@
     /// Returns the score in ms per unit of work; lower is better: `latency x (own + others + 1) x penalties`.
     ///
     /// `own` is the number of this proxy's requests in flight in the phase. `others` is a share
-    /// ([`Tuning::load_report_weight`]) of the load that the server has reported beyond `own`. The endpoint
-    /// list has no server weights.
+    /// ([`Tuning::load_report_weight`]) of the load that the server has reported beyond `own`. The formula
+    /// has no server weight, because the endpoint list has none.
     pub fn score(&self, phase: Phase, median_latency: f64, now: Duration, tuning: &Tuning) -> f64 {
         let state = &self.phases[phase.index()];
         let latency = self.latency(phase, median_latency, now, tuning);
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -18,6 +18,7 @@
     Duration::from_millis(ms)
 }
 
+/// Returns the entry of a ready server of [`SERVICE`] whose port is derived from its id.
 pub fn entry(id: &str, zone: &str, stage: Option<Stage>) -> ServerEntry {
     let port =
         1_000 + id.bytes().fold(0u16, |sum, byte| sum.wrapping_mul(31).wrapping_add(byte.into())) % 50_000;
@@ -42,17 +43,19 @@
     ServerDelta { position, is_full: true, entries, removed: Vec::new() }
 }
 
+/// Returns a balancer whose endpoint list has these entries, at position 1 of epoch 1.
 pub fn balancer(tuning: Tuning, entries: Vec<ServerEntry>) -> Balancer {
     let mut balancer = Balancer::new(tuning, retry_budget_config(), SEED);
     assert!(balancer.apply(Duration::ZERO, &full_delta(position(1, 1), entries)));
     balancer
 }
 
-/// The servers "a", "b", "c" … without a stage, in the zone "home".
+/// Returns the entries of the servers "a", "b", "c" … without a stage, in the zone "home".
 pub fn unstaged_servers(count: u8) -> Vec<ServerEntry> {
     (0..count).map(|number| entry(&char::from(b'a' + number).to_string(), "home", None)).collect()
 }
 
+/// The part of a [`SelectionQuery`] that differs between tests.
 pub struct TestQuery<'a> {
     pub phase: Phase,
     pub prompt: &'a Prompt,
@@ -75,6 +78,7 @@
     balancer.select(now, &query)
 }
 
+/// Selects a server for a request without a prompt, in [`Phase::Full`] and with "home" as preferred zone.
 pub fn select(balancer: &mut Balancer, now: Duration) -> Result<Selection, SelectionError> {
     let prompt = Prompt::default();
     select_with(
@@ -87,5 +91,5 @@
 /// Returns the key of a listed server.
 pub fn key_of(balancer: &mut Balancer, id: &str) -> ServerKey {
     let keys: Vec<ServerKey> = balancer.server_keys().collect();
-    keys.into_iter().find(|key| balancer.server_id(*key) == Some(id)).expect("listed")
+    keys.into_iter().find(|key| balancer.server_id(*key) == Some(id)).expect("the server is listed")
 }
--- a/crates/routing/tests/digest.rs
+++ b/crates/routing/tests/digest.rs
@@ -135,11 +135,11 @@
         }
     }
 
-    fn service(&mut self) -> &'static str {
+    fn random_service(&mut self) -> &'static str {
         SERVICES[usize::from(self.rng.u8(..5) == 0)]
     }
 
-    fn phase(&mut self) -> Phase {
+    fn random_phase(&mut self) -> Phase {
         PHASES[self.rng.usize(..3)]
     }
 
@@ -150,12 +150,12 @@
         keys
     }
 
-    fn key(&mut self) -> Option<ServerKey> {
+    fn random_key(&mut self) -> Option<ServerKey> {
         let keys = self.keys();
         (!keys.is_empty()).then(|| keys[self.rng.usize(..keys.len())])
     }
 
-    fn prompt(&mut self) -> Prompt {
+    fn random_prompt(&mut self) -> Prompt {
         let (subject, own) = (self.rng.u8(..12), self.rng.u16(..));
         match self.rng.u8(..4) {
             0 => Prompt::default(),
@@ -168,10 +168,10 @@
         }
     }
 
-    fn entry(&mut self, number: u8) -> ServerEntry {
+    fn random_entry(&mut self, number: u8) -> ServerEntry {
         let stage = [None, Some(Stage::Prefill), Some(Stage::Decode)][self.rng.usize(..3)];
         let mut entry = entry(&format!("i-{number}"), ZONES[self.rng.usize(..3)], stage);
-        entry.service = self.service().to_owned();
+        entry.service = self.random_service().to_owned();
         entry.slots = 1 + self.rng.u32(..64);
         entry.warmup_remaining_ms = if self.rng.u8(..4) == 0 { 3_000 } else { 0 };
         if self.rng.u8(..10) == 0 {
@@ -196,7 +196,7 @@
     fn replace_list(&mut self) {
         self.sequence += 1;
         let count = self.rng.u8(6..16);
-        self.listed = (0..count).map(|number| self.entry(number)).collect();
+        self.listed = (0..count).map(|number| self.random_entry(number)).collect();
         self.apply(&full_delta(position(1, self.sequence), self.listed.clone()));
     }
 
@@ -220,7 +220,7 @@
                 entries.push(self.listed[at].clone());
             }
             (Some(at), _) => {
-                self.listed[at] = self.entry(number);
+                self.listed[at] = self.random_entry(number);
                 entries.push(self.listed[at].clone());
             }
             (None, 0) => {
@@ -228,7 +228,7 @@
                 return self.apply(&outdated);
             }
             (None, _) => {
-                let entry = self.entry(number);
+                let entry = self.random_entry(number);
                 self.listed.push(entry.clone());
                 entries.push(entry);
             }
@@ -239,7 +239,7 @@
     }
 
     fn select(&mut self) {
-        let (service, phase, prompt) = (self.service(), self.phase(), self.prompt());
+        let (service, phase, prompt) = (self.random_service(), self.random_phase(), self.random_prompt());
         let keys = self.keys();
         let excluded: Vec<ServerKey> = keys.into_iter().filter(|_| self.rng.u8(..12) == 0).collect();
         let query = SelectionQuery {
@@ -283,7 +283,7 @@
     }
 
     fn record_observation(&mut self) {
-        let (Some(key), phase) = (self.key(), self.phase()) else { return };
+        let (Some(key), phase) = (self.random_key(), self.random_phase()) else { return };
         let elapsed = Duration::from_micros(self.rng.u64(500..400_000));
         let work = WorkSize { tokens: f64::from(self.rng.u32(..4_000)) };
         let sample = match self.rng.u8(..10) {
@@ -299,7 +299,7 @@
     }
 
     fn record_load_report(&mut self) {
-        let Some(key) = self.key() else { return };
+        let Some(key) = self.random_key() else { return };
         if self.rng.u8(..12) == 0 {
             return self.balancer.record_misdirected(self.now, key);
         }
@@ -313,14 +313,14 @@
     }
 
     fn record_prefill(&mut self) {
-        let prompt = self.prompt();
-        if let Some(key) = self.key() {
+        let prompt = self.random_prompt();
+        if let Some(key) = self.random_key() {
             self.balancer.record_prefill(self.now, key, &prompt);
         }
     }
 
     fn use_retry_budget(&mut self) {
-        let service = self.service();
+        let service = self.random_service();
         if self.rng.bool() {
             return self.balancer.record_request(self.now, service);
         }
@@ -329,7 +329,7 @@
     }
 
     fn use_kv_transfer(&mut self) {
-        let service = self.service();
+        let service = self.random_service();
         if self.rng.bool() {
             let succeeded = self.rng.u8(..3) == 0;
             return self.balancer.record_kv_transfer(self.now, service, succeeded);
@@ -362,7 +362,7 @@
             self.digest.bool(self.balancer.is_disaggregated(service));
         }
         for key in self.keys() {
-            self.digest.text(self.balancer.server_id(key).expect("listed"));
+            self.digest.text(self.balancer.server_id(key).expect("the server is listed"));
             self.digest.bool(self.balancer.is_listed(key));
             for phase in PHASES {
                 self.digest.bool(self.balancer.is_eligible(self.now, key, phase));
--- a/crates/routing/tests/mechanism_switches.rs
+++ b/crates/routing/tests/mechanism_switches.rs
@@ -11,10 +11,10 @@
 const SELECTIONS: usize = 400;
 
 /// Returns how often each server is selected.
-fn selections(balancer: &mut lugwharf_routing::Balancer) -> BTreeMap<ServerKey, usize> {
+fn count_selections(balancer: &mut lugwharf_routing::Balancer) -> BTreeMap<ServerKey, usize> {
     let mut counts = BTreeMap::new();
     for _ in 0..SELECTIONS {
-        *counts.entry(select(balancer, ms(1)).expect("a server").key).or_insert(0) += 1;
+        *counts.entry(select(balancer, ms(1)).expect("a server is selected").key).or_insert(0) += 1;
     }
     counts
 }
@@ -35,7 +35,7 @@
         let key = key_of(&mut balancer, id);
         balancer.record_observation(ms(0), key, Phase::Full, success_after(elapsed_ms));
     }
-    let count = selections(&mut balancer).get(&slow).copied().unwrap_or(0);
+    let count = count_selections(&mut balancer).get(&slow).copied().unwrap_or(0);
     assert!(if uses_two_choices { count == 0 } else { count >= min }, "{count}");
 }
 
@@ -48,7 +48,7 @@
     let mut balancer = balancer(Tuning { counts_in_flight, ..Tuning::default() }, unstaged_servers(2));
     let busy = key_of(&mut balancer, "a");
     (0..3).for_each(|_| balancer.record_start(busy, Phase::Full));
-    let count = selections(&mut balancer).get(&busy).copied().unwrap_or(0);
+    let count = count_selections(&mut balancer).get(&busy).copied().unwrap_or(0);
     assert_eq!(count > 0, !counts_in_flight, "{count}");
 }
 
@@ -63,7 +63,7 @@
     balancer.record_observation(ms(0), spiky, Phase::Full, success_after(10));
     balancer.record_observation(ms(0), steady, Phase::Full, success_after(50));
     balancer.record_observation(ms(0), spiky, Phase::Full, success_after(900));
-    let count = selections(&mut balancer).get(&spiky).copied().unwrap_or(0);
+    let count = count_selections(&mut balancer).get(&spiky).copied().unwrap_or(0);
     assert_eq!(count > 0, !is_peak_sensitive, "{count}");
 }
 
@@ -83,7 +83,7 @@
         Phase::Full,
         Observation::Failure { kind: FailureKind::ServerError, elapsed, timeout, work },
     );
-    let count = selections(&mut balancer).get(&failed).copied().unwrap_or(0);
+    let count = count_selections(&mut balancer).get(&failed).copied().unwrap_or(0);
     assert_eq!(count > 0, !samples_failures, "{count}");
 }
 
@@ -100,7 +100,7 @@
         balancer.record_observation(ms(0), key, Phase::Full, success_after(elapsed_ms));
     }
     balancer.record_start(unknown, Phase::Full);
-    let count = selections(&mut balancer).get(&unknown).copied().unwrap_or(0);
+    let count = count_selections(&mut balancer).get(&unknown).copied().unwrap_or(0);
     assert_eq!(count > 0, !starts_at_median, "{count}");
 }
 
@@ -111,7 +111,7 @@
     let entries = vec![entry("a", "home", None), entry("b", "away", None), entry("c", "away", None)];
     let mut balancer = balancer(Tuning { prefers_local_zone, ..Tuning::default() }, entries);
     let home = key_of(&mut balancer, "a");
-    let count = selections(&mut balancer).get(&home).copied().unwrap_or(0);
+    let count = count_selections(&mut balancer).get(&home).copied().unwrap_or(0);
     assert_eq!(count == SELECTIONS, prefers_local_zone, "{count}");
 }
 
@@ -129,7 +129,7 @@
         Phase::Full,
         Observation::Failure { kind: FailureKind::Connect, elapsed, timeout, work },
     );
-    let count = selections(&mut balancer).get(&failing).copied().unwrap_or(0);
+    let count = count_selections(&mut balancer).get(&failing).copied().unwrap_or(0);
     assert_eq!(count > 0, !ejects_outliers, "{count}");
 }
 
@@ -142,8 +142,9 @@
     let mut balancer = balancer(Tuning { uses_prefix_affinity, ..Tuning::default() }, entries);
     let prompt = Prompt::parse(Some("a1:1000,b1:10"), Some("1010,5"));
     let query = TestQuery { phase: Phase::Prefill, prompt: &prompt, excluded: &[], zone: "home" };
-    let mut selected: Vec<ServerKey> =
-        (0..50).map(|_| select_with(&mut balancer, ms(1), &query).expect("a server").key).collect();
+    let mut selected: Vec<ServerKey> = (0..50)
+        .map(|_| select_with(&mut balancer, ms(1), &query).expect("a server is selected").key)
+        .collect();
     selected.sort();
     selected.dedup();
     assert_eq!(selected.len() == 1, uses_prefix_affinity, "{}", selected.len());
--- a/crates/routing/tests/outlier_ejection.rs
+++ b/crates/routing/tests/outlier_ejection.rs
@@ -39,7 +39,8 @@
         balancer.record_observation(ms(at), key, Phase::Full, failed);
         balancer.record_end(key, Phase::Full);
     }
-    let mut is_selected = |at| (0..100).any(|_| select(&mut balancer, at).expect("a selection").key == key);
+    let mut is_selected =
+        |at| (0..100).any(|_| select(&mut balancer, at).expect("a server is selected").key == key);
     // The second failure ejects the server for 500 ms.
     assert!(!is_selected(ms(500)));
     assert!(is_selected(ms(501)));
@@ -55,7 +56,7 @@
         balancer.record_observation(ms(0), key, Phase::Full, failed);
     }
     let mut selected: Vec<_> =
-        (0..100).map(|_| select(&mut balancer, ms(1)).expect("a selection").key).collect();
+        (0..100).map(|_| select(&mut balancer, ms(1)).expect("a server is selected").key).collect();
     selected.sort_unstable();
     selected.dedup();
     assert_eq!(selected, keys[2..], "the first two are ejected, the others are not");
@@ -74,5 +75,5 @@
     );
     let prompt = Default::default();
     let query = TestQuery { phase: Phase::Full, prompt: &prompt, excluded: &[b], zone: "home" };
-    assert_eq!(select_with(&mut balancer, ms(1), &query).expect("a selection").key, a);
+    assert_eq!(select_with(&mut balancer, ms(1), &query).expect("a server is selected").key, a);
 }
--- a/crates/routing/tests/prefix_affinity.rs
+++ b/crates/routing/tests/prefix_affinity.rs
@@ -11,19 +11,19 @@
 use rstest::rstest;
 use std::collections::HashSet;
 
-fn servers(count: u8) -> Vec<ServerEntry> {
+fn prefill_servers(count: u8) -> Vec<ServerEntry> {
     let name = |number| format!("s{number}");
     (0..count).map(|number| entry(&name(number), "home", Some(Stage::Prefill))).collect()
 }
 
-fn prompt(prefix: &str, own: &str) -> Prompt {
+fn prompt_with_segments(prefix: &str, own: &str) -> Prompt {
     let text = format!("aa:800,{prefix}:400,{own}:200");
     Prompt::parse(Some(&text), Some("1400,20"))
 }
 
 fn select_for(balancer: &mut Balancer, prompt: &Prompt) -> lugwharf_routing::Selection {
     let query = TestQuery { phase: Phase::Prefill, prompt, excluded: &[], zone: "home" };
-    select_with(balancer, ms(0), &query).expect("a selection")
+    select_with(balancer, ms(0), &query).expect("a server is selected")
 }
 
 #[rstest]
@@ -42,17 +42,19 @@
 
 #[test]
 fn shared_prefix_goes_to_the_same_two_servers() {
-    let mut balancer = balancer(Tuning::default(), servers(9));
-    let selected: HashSet<_> =
-        (0..100).map(|own| select_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key).collect();
+    let mut balancer = balancer(Tuning::default(), prefill_servers(9));
+    let selected: HashSet<_> = (0..100)
+        .map(|own| select_for(&mut balancer, &prompt_with_segments("b1", &format!("{own:x}"))).key)
+        .collect();
     assert!(selected.len() <= 2, "seed {SEED}: {selected:?}");
 }
 
 #[test]
 fn prefixes_spread_over_all_servers() {
-    let mut balancer = balancer(Tuning::default(), servers(9));
-    let selected: HashSet<_> =
-        (0..200).map(|number| select_for(&mut balancer, &prompt(&format!("{number:x}"), "f")).key).collect();
+    let mut balancer = balancer(Tuning::default(), prefill_servers(9));
+    let selected: HashSet<_> = (0..200)
+        .map(|number| select_for(&mut balancer, &prompt_with_segments(&format!("{number:x}"), "f")).key)
+        .collect();
     assert_eq!(selected.len(), 9, "seed {SEED}");
 }
 
@@ -69,15 +71,15 @@
 
 #[test]
 fn cached_segments_lower_the_estimate() {
-    let mut balancer = balancer(Tuning::default(), servers(1));
+    let mut balancer = balancer(Tuning::default(), prefill_servers(1));
     let key = key_of(&mut balancer, "s0");
     let sample = Observation::Success { elapsed: ms(100), work: WorkSize { tokens: 1_400.0 } };
     balancer.record_observation(ms(0), key, Phase::Prefill, sample);
-    let all = select_for(&mut balancer, &prompt("b1", "c1"));
+    let all = select_for(&mut balancer, &prompt_with_segments("b1", "c1"));
     assert_eq!(all.prefill_tokens, 1_400);
     assert!(all.estimate.abs_diff(ms(100)) < ms(1), "{:?}", all.estimate);
-    balancer.record_prefill(ms(0), key, &prompt("b1", "c1"));
-    let shared = select_for(&mut balancer, &prompt("b1", "c2"));
+    balancer.record_prefill(ms(0), key, &prompt_with_segments("b1", "c1"));
+    let shared = select_for(&mut balancer, &prompt_with_segments("b1", "c2"));
     assert_eq!(shared.prefill_tokens, 200);
     assert!(shared.estimate < ms(50), "{:?}", shared.estimate);
 }
@@ -85,22 +87,26 @@
 #[test]
 fn segment_is_cached_only_behind_cached_segments_and_within_its_ttl() {
     let mut cache = PrefixCacheTracker::default();
-    cache.record_prefill(ms(0), &prompt("b1", "c1"), 100);
+    cache.record_prefill(ms(0), &prompt_with_segments("b1", "c1"), 100);
     let cached = |cache: &PrefixCacheTracker, at, of: &Prompt| cache.cached_tokens(ms(at), of, ms(8_000));
-    assert_eq!(cached(&cache, 0, &prompt("b1", "c1")), 1_400);
-    assert_eq!(cached(&cache, 0, &prompt("b2", "c1")), 800, "c1 is behind a segment that is not cached");
-    assert_eq!(cached(&cache, 8_001, &prompt("b1", "c1")), 0);
+    assert_eq!(cached(&cache, 0, &prompt_with_segments("b1", "c1")), 1_400);
+    assert_eq!(
+        cached(&cache, 0, &prompt_with_segments("b2", "c1")),
+        800,
+        "c1 is behind a segment that is not cached"
+    );
+    assert_eq!(cached(&cache, 8_001, &prompt_with_segments("b1", "c1")), 0);
 }
 
 #[test]
 fn tracked_segments_are_bounded_and_the_oldest_are_dropped() {
     let mut cache = PrefixCacheTracker::default();
     for number in 0..1_000u64 {
-        cache.record_prefill(ms(number), &prompt(&format!("{number:x}"), "ffff"), 64);
+        cache.record_prefill(ms(number), &prompt_with_segments(&format!("{number:x}"), "ffff"), 64);
         assert!(cache.len() <= 64, "{}", cache.len());
     }
     assert_eq!(
-        cache.cached_tokens(ms(1_000), &prompt("3e7", "ffff"), ms(8_000)),
+        cache.cached_tokens(ms(1_000), &prompt_with_segments("3e7", "ffff"), ms(8_000)),
         1_400,
         "the newest is tracked"
     );
@@ -108,9 +114,10 @@
 
 #[test]
 fn loaded_affinity_server_loses_to_the_drawn_one() {
-    let mut balancer = balancer(Tuning::default(), servers(9));
-    let affinity_servers: HashSet<_> =
-        (0..20).map(|own| select_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key).collect();
+    let mut balancer = balancer(Tuning::default(), prefill_servers(9));
+    let affinity_servers: HashSet<_> = (0..20)
+        .map(|own| select_for(&mut balancer, &prompt_with_segments("b1", &format!("{own:x}"))).key)
+        .collect();
     let keys: Vec<_> = balancer.server_keys().collect();
     for key in keys {
         let sample = Observation::Success { elapsed: ms(50), work: WorkSize { tokens: 1_400.0 } };
@@ -121,7 +128,7 @@
         (0..7).for_each(|_| balancer.record_start(*key, Phase::Prefill));
     }
     let other = (0..50).filter(|own| {
-        let key = select_for(&mut balancer, &prompt("b1", &format!("{own:x}"))).key;
+        let key = select_for(&mut balancer, &prompt_with_segments("b1", &format!("{own:x}"))).key;
         !affinity_servers.contains(&key)
     });
     assert!(other.count() >= 40, "seed {SEED}");
@@ -142,7 +149,10 @@
     }
     for number in 0..50 {
         let selected: HashSet<_> = (0..10)
-            .map(|own| select_for(&mut balancer, &prompt(&format!("{number:x}"), &format!("{own:x}"))).key)
+            .map(|own| {
+                select_for(&mut balancer, &prompt_with_segments(&format!("{number:x}"), &format!("{own:x}")))
+                    .key
+            })
             .collect();
         assert_eq!(selected.len(), 1, "seed {SEED}, prefix {number}");
     }
--- a/crates/routing/tests/scoring.rs
+++ b/crates/routing/tests/scoring.rs
@@ -25,7 +25,7 @@
     for (at, sample) in samples {
         average.observe(ms(*at), DECAY, *sample, true);
     }
-    let value = average.value().expect("a value");
+    let value = average.value().expect("the average has a sample");
     assert!((value - expected).abs() < 1e-3, "{value} instead of {expected}");
 }
 
@@ -51,12 +51,20 @@
     // 10 x 1 < 25 x 1; 10 x 2 < 25 x 1; 10 x 3 > 25 x 1.
     for (in_flight, expected) in [(0, a), (1, a), (2, b)] {
         assert_eq!(balancer.in_flight(a, Phase::Full), in_flight);
-        assert_eq!(select(&mut balancer, ms(0)).expect("a selection").key, expected, "{in_flight} in flight");
+        assert_eq!(
+            select(&mut balancer, ms(0)).expect("a server is selected").key,
+            expected,
+            "{in_flight} in flight"
+        );
         balancer.record_start(a, Phase::Full);
     }
     balancer.record_end(a, Phase::Full);
     balancer.record_end(a, Phase::Full);
-    assert_eq!(select(&mut balancer, ms(0)).expect("a selection").key, a, "ended requests are not in flight");
+    assert_eq!(
+        select(&mut balancer, ms(0)).expect("a server is selected").key,
+        a,
+        "ended requests are not in flight"
+    );
 }
 
 #[test]
@@ -71,7 +79,7 @@
             work: WorkSize::default(),
         };
         balancer.record_observation(ms(0), a, Phase::Full, failed);
-        assert_eq!(select(&mut balancer, ms(0)).expect("a selection").estimate, ms(expected));
+        assert_eq!(select(&mut balancer, ms(0)).expect("a server is selected").estimate, ms(expected));
     }
 }
 
@@ -82,13 +90,13 @@
     let (a, b) = (key_of(&mut balancer, "a"), key_of(&mut balancer, "b"));
     balancer.record_observation(ms(0), a, Phase::Full, success_after(20));
     balancer.record_observation(ms(0), b, Phase::Full, success_after(40));
-    assert_eq!(select(&mut balancer, ms(0)).expect("a selection").key, a);
+    assert_eq!(select(&mut balancer, ms(0)).expect("a server is selected").key, a);
     balancer.record_observation(ms(1), a, Phase::Full, Observation::Rejected);
-    assert_eq!(select(&mut balancer, ms(2)).expect("a selection").key, b, "a is saturated");
-    let later = select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a selection");
+    assert_eq!(select(&mut balancer, ms(2)).expect("a server is selected").key, b, "a is saturated");
+    let later = select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a server is selected");
     assert_eq!((later.key, later.is_busy), (a, false));
     balancer.record_observation(ms(2), a, Phase::Full, Observation::Inconclusive);
-    assert_eq!(select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a selection").key, a);
+    assert_eq!(select(&mut balancer, ms(2) + tuning.load_report_ttl).expect("a server is selected").key, a);
 }
 
 #[test]
@@ -100,7 +108,7 @@
     }
     let mut wins: HashMap<_, u32> = HashMap::new();
     for _ in 0..3_000 {
-        *wins.entry(select(&mut balancer, ms(0)).expect("a selection").key).or_default() += 1;
+        *wins.entry(select(&mut balancer, ms(0)).expect("a server is selected").key).or_default() += 1;
     }
     assert_eq!(wins.get(&keys[2]), None, "seed {SEED}: the worst can't be drawn twice");
     // The best server is in two of three pairs.
@@ -127,7 +135,7 @@
     let others = ["a", "b", "c"].map(|id| key_of(&mut balancer, id));
     let prompt = Default::default();
     let query = TestQuery { phase: Phase::Full, prompt: &prompt, excluded: &others, zone: "home" };
-    let new_server = select_with(&mut balancer, ms(0), &query).expect("the new server");
+    let new_server = select_with(&mut balancer, ms(0), &query).expect("the new server is selected");
     assert_eq!((&*new_server.id, new_server.estimate), ("d", ms(30)));
 }
 
@@ -138,7 +146,7 @@
     balancer.record_observation(ms(0), a, Phase::Prefill, success_after(500));
     balancer.record_start(a, Phase::Prefill);
     assert_eq!(balancer.in_flight(a, Phase::Decode), 0);
-    assert!(select(&mut balancer, ms(0)).expect("a selection").estimate < ms(10));
+    assert!(select(&mut balancer, ms(0)).expect("a server is selected").estimate < ms(10));
 }
 
 #[rstest]
@@ -198,13 +206,14 @@
     }
     for _ in 0..50 {
         assert_eq!(
-            select(&mut balancer, ms(0)).expect("a selection").key,
+            select(&mut balancer, ms(0)).expect("a server is selected").key,
             a,
             "100 ms are within half of 300 ms"
         );
     }
     balancer.record_observation(ms(0), a, Phase::Full, success_after(1_000));
-    let away = (0..50).filter(|_| select(&mut balancer, ms(0)).expect("a selection").key != a).count();
+    let away =
+        (0..50).filter(|_| select(&mut balancer, ms(0)).expect("a server is selected").key != a).count();
     assert_eq!(away, 50, "seed {SEED}: each pair has a faster one");
 }
 
--- a/crates/routing/tests/tuning_keys.rs
+++ b/crates/routing/tests/tuning_keys.rs
@@ -50,7 +50,7 @@
         max_rejections: 3,
     };
     assert_eq!(Tuning::default(), expected);
-    assert_eq!(toml::from_str::<Tuning>("").expect("an empty file"), expected);
+    assert_eq!(toml::from_str::<Tuning>("").expect("an empty file is valid"), expected);
 }
 
 /// Setting a key to its default changes nothing; setting it to another value changes its field alone.
@@ -94,7 +94,9 @@
 fn each_key_sets_its_field(
     #[case] key: &str, #[case] default: &str, #[case] other: &str, #[case] set: fn(&mut Tuning),
 ) {
-    let parse = |value: &str| toml::from_str::<Tuning>(&format!("{key} = {value}")).expect("an accepted key");
+    let parse = |value: &str| {
+        toml::from_str::<Tuning>(&format!("{key} = {value}")).expect("the key and its value are accepted")
+    };
     assert_eq!(parse(default), Tuning::default());
     let mut expected = Tuning::default();
     set(&mut expected);
