--- a/src/api/action.rs
+++ b/src/api/action.rs
@@ -15,9 +15,9 @@
         server: ServerId,
         /// How long to wait for the answer.
         timeout: Duration,
-        /// The time within which the whole request must be written. The caller must not start or continue to
-        /// write it later: the deduplication window has then closed, and the servers no longer recognise a
-        /// repeat.
+        /// The time within which the whole request must be written, at most `timeout`. The caller must not
+        /// start or continue to write it later: when a repeat exceeds this time, the deduplication window has
+        /// closed, and the servers no longer recognise the repeat.
         write_within: Duration,
     },
     /// Answer the client with a rejection. No attempt has been executed, or the client may safely retry.
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -40,8 +40,8 @@
 }
 
 impl Idempotency {
-    /// The time after the first attempt that may have been executed within which a retry must reach its
-    /// server.
+    /// Returns the time, measured from the first attempt that may have been executed, within which a retry
+    /// must reach its server; [`Duration::MAX`] without an idempotency key.
     pub fn window(self) -> Duration {
         if let Idempotency::Keyed { window, .. } = self { window } else { Duration::MAX }
     }
--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -22,7 +22,7 @@
 pub(crate) const WAIT_SHARE: f64 = 0.25;
 
 impl Balancer {
-    /// Sets the initial windows for the first server list.
+    /// Sets the initial windows for the cached server list that is reported at startup.
     pub(crate) fn open_windows(&mut self) {
         let per_server = INITIAL_WINDOW_PER_SERVER / f64::from(self.settings.sidecar_count.max(1));
         for locality in LOCALITIES {
--- a/src/decision/balancer.rs
+++ b/src/decision/balancer.rs
@@ -42,7 +42,7 @@
     pub(crate) queue: Vec<QueuedRequest>,
     /// Whether [`QUEUE_TIMER`] is running.
     pub(crate) is_queue_timer_set: bool,
-    /// Whether load shedding was logged since the queue was last empty.
+    /// Whether load shedding was logged since the last answer that found the queue empty.
     pub(crate) is_shedding: bool,
     /// Requests that wait for the probes of their candidates. All are in `requests`.
     pub(crate) awaiting_probes: BTreeSet<RequestId>,
@@ -130,7 +130,7 @@
         out.push(Action::SetTimer { timer: TimerId(u64::from(id.0)), after: from_ms(after_ms) });
     }
 
-    /// Logs load shedding once, until the queue has been empty again.
+    /// Logs load shedding, and then not again before an answer finds the queue empty.
     pub(crate) fn log_shedding_once(&mut self, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.is_shedding, true) {
             out.push(Action::Log(LogEvent::Shedding));
--- a/src/decision/concurrency_window.rs
+++ b/src/decision/concurrency_window.rs
@@ -1,7 +1,7 @@
 //! The concurrency window, which limits the attempts in flight by additive increase, multiplicative decrease
 //! (AIMD).
 
-/// The share of the window by which a late attempt decreases it.
+/// The share of its size by which the window is decreased after a late or rejected attempt.
 pub(crate) const WINDOW_DECREASE: f64 = 0.1;
 /// The minimum share of the window that remains after one overload. All attempts that were in flight together
 /// report the same overload, and must not decrease the window further.
@@ -21,7 +21,7 @@
 }
 
 impl ConcurrencyWindow {
-    /// The window before the first server list.
+    /// The window before [`ConcurrencyWindow::open`] is called.
     pub(crate) const INITIAL: ConcurrencyWindow = ConcurrencyWindow {
         in_flight: 0,
         per_server: 1.0,
@@ -34,12 +34,12 @@
         self.per_server
     }
 
-    /// Sets the window for the first server list.
+    /// Sets the window for the cached server list that is reported at startup.
     pub(crate) fn open(&mut self, per_server: f64) {
         self.per_server = per_server;
     }
 
-    /// Decreases the window after a late attempt that was sent at `sent_at_ms`, but not below
+    /// Decreases the window after a late or rejected attempt that was sent at `sent_at_ms`, but not below
     /// `min_per_server`. Attempts that were sent before the current overload was detected belong to that
     /// overload.
     pub(crate) fn decrease(&mut self, sent_at_ms: f64, now_ms: f64, min_per_server: f64) {
--- a/src/decision/latency_tests.rs
+++ b/src/decision/latency_tests.rs
@@ -79,9 +79,9 @@
     let mut server = new_server();
     assert_eq!(server.load_at(5.0, TIME_CONSTANT_MS), None);
     server.load_report = Some(LoadReport { in_flight: 8.0, received_at_ms: 10.0 });
-    assert_near(server.load_at(10.0, TIME_CONSTANT_MS).expect("a report"), 8.0);
+    assert_near(server.load_at(10.0, TIME_CONSTANT_MS).expect("the load report was set above"), 8.0);
     assert_near(
-        server.load_at(10.0 + TIME_CONSTANT_MS, TIME_CONSTANT_MS).expect("a report"),
+        server.load_at(10.0 + TIME_CONSTANT_MS, TIME_CONSTANT_MS).expect("the load report was set above"),
         8.0 / std::f64::consts::E,
     );
 }
--- a/src/decision/outcome_history.rs
+++ b/src/decision/outcome_history.rs
@@ -1,6 +1,6 @@
 //! The recent outcomes of attempts, as a miss rate that few or old samples raise only a little.
 
-/// Maximum number of attempts that a history counts. Older attempts decay beyond that.
+/// Maximum number of earlier attempts that a history counts. A larger number is scaled down to it.
 const MAX_COUNTED_ATTEMPTS: f64 = 16.0;
 /// Pseudo-count of successes that is added to the attempts (a Bayesian prior), so that few attempts have
 /// little weight.
--- a/src/decision/outcomes.rs
+++ b/src/decision/outcomes.rs
@@ -6,7 +6,7 @@
 use super::statistics::update_ewma;
 use crate::api::{Action, LogEvent, Outcome, RequestId, RequestStatus, ServerId};
 
-/// Weight of one answer in the running means of classes and in [`Balancer::mean_latency_ms`].
+/// Weight of one sample in the running means of classes and in [`Balancer::mean_latency_ms`].
 pub(crate) const MEAN_GAIN: f64 = 1.0 / 32.0;
 /// Weight of one answer in [`Balancer::latency_per_load_ms`]. A few answers must suffice to show an overload.
 const LATENCY_PER_LOAD_GAIN: f64 = 1.0 / 8.0;
--- a/src/decision/outlier_ejection.rs
+++ b/src/decision/outlier_ejection.rs
@@ -8,8 +8,8 @@
 
 /// Minimum number of consecutive failures that eject a server. One or two failures may be due to chance.
 const MIN_CONSECUTIVE_FAILURES: u32 = 3;
-/// If the median server misses too, so many failures are required that chance makes them less likely than
-/// this.
+/// Maximum probability that the consecutive failures that eject a server are due to chance, if the server
+/// misses as often as the median server does. A higher miss rate raises the required number of failures.
 const FALSE_EJECTION_PROBABILITY: f64 = 1e-3;
 /// Maximum share of ready servers that are ejected. If most servers look bad, the cause is elsewhere.
 const MAX_EJECTED_SHARE: f64 = 0.5;
--- a/src/decision/probing.rs
+++ b/src/decision/probing.rs
@@ -69,15 +69,16 @@
             self.choose_probed(id, out);
         } else if has_passed && request.wait_ends_at_ms > now_ms + tick_ms {
             // Probes wait in the servers' queues, so the first server to answer is the less busy one. The
-            // other has one more tick.
+            // probe of the other server gets one more tick.
             request.wait_ends_at_ms = now_ms + tick_ms;
             self.set_request_timer(id, tick_ms, out);
         }
     }
 
     /// Sends a request to the best candidate that passed its probe, if that server is expected to answer in
-    /// time. Otherwise probes two more candidates while there is slack time, and finally rejects the request.
-    /// This keeps requests away from servers that hang, are paused, or are overloaded by other clients.
+    /// time. Otherwise probes two more candidates while there is slack time, for up to [`MAX_PROBE_ROUNDS`], and
+    /// then rejects the request. Requests are thus not sent to servers that hang, are paused, or are
+    /// overloaded by other clients.
     pub(crate) fn choose_probed(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let (profile, probe_rounds) = (request.profile, request.probe_rounds);
--- a/src/decision/queue.rs
+++ b/src/decision/queue.rs
@@ -66,7 +66,7 @@
 
     /// Adds the value of a request to the demanded value of its class.
     fn record_demand(&mut self, profile: &RequestProfile) {
-        self.class_value_totals.iter_mut().for_each(|service| service.decay(DEMAND_GAIN));
+        self.class_value_totals.iter_mut().for_each(|totals| totals.decay(DEMAND_GAIN));
         self.class_value_totals[profile.class].demanded += self.request_value(profile);
     }
 
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -60,10 +60,10 @@
 
     /// Returns whether requests are sent only after a probe.
     ///
-    /// That is the case if the traffic of this sidecar is so sparse that its statistics of the servers are
-    /// stale before they are used again, and if probes are worth their price: a probe saves at most one miss,
-    /// so the miss rate must reach the price of the probes, and the probes must report load. Probes without a
-    /// load report only add to an overload.
+    /// All of these must hold: probes are permitted; the traffic of this sidecar is so sparse that its
+    /// statistics of the servers are stale before they are used again; the miss rate reaches the price of a
+    /// round of probes, since a round saves at most one miss; and probes report load. Probes without a load
+    /// report only add to an overload.
     pub(crate) fn must_probe(&self) -> bool {
         let stale_after_ms = self.time_constant_ms * STALE_AFTER_TIME_CONSTANTS;
         let sends_until_stale = self.sends_per_ms() * self.time_constant_ms * STALE_AFTER_TIME_CONSTANTS;
@@ -167,9 +167,9 @@
         candidates.iter().copied().min_by(|a, b| score(a).total_cmp(&score(b)))
     }
 
-    /// Returns the number of servers that this sidecar draws from: as many as its traffic can keep
-    /// connections open to and statistics fresh for. The subsets of all sidecars cover the list evenly, and
-    /// so do those of the sidecars in one zone, whichever indexes these sidecars have.
+    /// Returns the number of servers that this sidecar draws from: all while it probes, otherwise as many as
+    /// its traffic can keep connections open to, at least [`MIN_SUBSET_SIZE`]. The subsets of all sidecars
+    /// cover the list evenly, and those of the sidecars in one zone nearly so for most sets of indexes.
     pub(crate) fn subset_size(&self) -> usize {
         let handshakes = self.settings.handshake_price / MAX_HANDSHAKE_SHARE;
         let requests_per_connection = MIN_REQUESTS_PER_CONNECTION.max(handshakes);
--- a/src/decision/server_table.rs
+++ b/src/decision/server_table.rs
@@ -77,8 +77,8 @@
 
     /// Returns the ejected servers, until they are readmitted or a list update makes them not ready.
     ///
-    /// A server that was already not ready when it was ejected is included until then. Removed servers are
-    /// skipped.
+    /// A server that was already not ready when it was ejected is included until it is readmitted or the next
+    /// list update changes it. Removed servers are skipped.
     pub(crate) fn ejected(&self) -> impl Iterator<Item = &Server> {
         self.ejected.iter().filter_map(|id| self.by_id.get(id))
     }
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -5,7 +5,7 @@
 use super::server::{RECENT_SENDS_MS, Server};
 use super::time::to_ms;
 
-/// Mean requests by which sends may exceed the even share, because requests may arrive in bursts by chance.
+/// Number of mean requests by which sends may exceed the even share, since requests may arrive in bursts.
 const SEND_BURST_ALLOWANCE: f64 = 0.5;
 
 impl Balancer {
@@ -14,8 +14,8 @@
         server.entry.started_at.map_or(1.0, |started_at| self.capacity_share_at(to_ms(started_at)))
     }
 
-    /// Returns this share for a server that started at this time. The share grows linearly over the ramp
-    /// time.
+    /// Returns the minimum capacity share of a server that started at `started_at_ms`. The share grows
+    /// linearly over the ramp time.
     pub(crate) fn capacity_share_at(&self, started_at_ms: f64) -> f64 {
         let initial = self.settings.slow_start.initial_capacity;
         let age = (self.now_ms - started_at_ms).max(0.0) / self.ramp_time_ms();
@@ -36,8 +36,8 @@
 
     /// Returns whether a request keeps a warming server within its rate limit, which applies if few other
     /// servers are left to draw from. The limit is `multiple` times the server's even share of this sidecar's
-    /// sends, reduced to its capacity share. A request must also not be larger than this share of one
-    /// second's sends of all sidecars. `request_size` is relative to a mean request.
+    /// sends, reduced to its capacity share. A request must also not be larger than the limit would be
+    /// for the sends of all sidecars in one second. `request_size` is relative to a mean request.
     fn is_within_warmup_rate(&self, server: &Server, request_size: f64, multiple: f64) -> bool {
         let share = self.capacity_share(server);
         let ready = self.servers.ready().len();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -57,9 +57,11 @@
 
 pub struct Harness {
     pub balancer: Balancer,
+    /// The clock reading, in milliseconds.
     pub now: u64,
+    /// The running timers, with the times at which they expire, in milliseconds.
     pub timers: Vec<(u64, TimerId)>,
-    /// All actions so far except timers, with the times at which they were returned.
+    /// All actions so far except timers, with the times at which they were returned, in milliseconds.
     pub log: Vec<(u64, Action)>,
     next_id: u32,
 }
@@ -95,7 +97,7 @@
         actions
     }
 
-    /// Advances the clock in ticks of 5 ms and fires the timers that expire.
+    /// Advances the clock by `time` milliseconds, in ticks of 5 ms, and fires the timers that expire.
     pub fn advance(&mut self, time: u64) -> Vec<Action> {
         let mut actions = vec![];
         let end = self.now + time;
@@ -146,7 +148,7 @@
     /// returns that server.
     pub fn serve(&mut self, elapsed: impl Fn(ServerId) -> u64) -> ServerId {
         let (id, actions) = self.request();
-        let server = sent_to(&actions).expect("sent at once");
+        let server = sent_to(&actions).expect("the request is sent at once");
         let elapsed = elapsed(server);
         self.advance(elapsed);
         self.end_attempt(id, 0, Outcome::Ok, elapsed);
--- a/tests/decision_digests.rs
+++ b/tests/decision_digests.rs
@@ -10,7 +10,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// One second, in nanoseconds, the unit of the simulated clock.
 const SECOND: u64 = 1_000_000_000;
+/// One millisecond, in nanoseconds.
 const MS: u64 = 1_000_000;
 const SEEDS: u64 = 10;
 
@@ -218,7 +220,7 @@
     outcomes: [u64; 9],
 }
 
-fn outcome(code: u64) -> Outcome {
+fn outcome_from_code(code: u64) -> Outcome {
     match code {
         1 => Outcome::Ok,
         2 => Outcome::Error,
@@ -233,7 +235,7 @@
 
 impl Simulation {
     fn new(text: &str, server_count: u64, mean_interval_us: u64, seed: u64) -> Simulation {
-        let settings = settings_text::parse(text).expect("valid settings");
+        let settings = settings_text::parse(text).expect("the settings are valid");
         let classes = settings.classes.len() as u64;
         let mut rng = Xorshift(0x9e37_79b9_7f4a_7c15 ^ (seed + 1).wrapping_mul(0xd6e8_feb8_6659_fd93));
         let servers = (0..server_count).map(|id| SimulatedServer {
@@ -324,7 +326,7 @@
                 let reported_load = (!self.rng.one_in(6)).then(|| (in_flight + self.rng.below(4)) as f64);
                 self.handle(Event::ProbeCompleted {
                     server: ServerId(server),
-                    outcome: outcome(code),
+                    outcome: outcome_from_code(code),
                     reported_load,
                 });
             }
@@ -390,7 +392,7 @@
         self.handle(Event::Outcome {
             id: RequestId(id),
             attempt,
-            outcome: outcome(code),
+            outcome: outcome_from_code(code),
             elapsed,
             request_status,
         });
@@ -400,7 +402,7 @@
     fn start_attempt(&mut self, id: u32, server: u64, timeout: Duration) {
         let attempt = self.sent.entry(id).or_insert(0);
         let number = std::mem::replace(attempt, *attempt + 1);
-        let at = self.servers.iter().position(|listed| listed.id == server).expect("listed");
+        let at = self.servers.iter().position(|listed| listed.id == server).expect("the server is listed");
         self.servers[at].in_flight += 1;
         self.in_flight_attempts.insert((id, number), (self.now, at));
         let will_fail = self.rng.below(1_000) < self.servers[at].failures_per_thousand;
--- a/tests/module/admission.rs
+++ b/tests/module/admission.rs
@@ -138,7 +138,7 @@
     let arrived_at = harness.now;
     let actions = harness.advance(200);
     let Some(Action::Reject { retry_after: Some(advice), .. }) = actions.get(1) else {
-        panic!("{actions:?}")
+        panic!("the second action must be a rejection with advice: {actions:?}")
     };
     let rejected_at =
         harness.log.iter().find(|(_, a)| matches!(a, Action::Reject { .. })).map_or(0, |(at, _)| *at);
--- a/tests/module/attempts.rs
+++ b/tests/module/attempts.rs
@@ -260,10 +260,11 @@
             })
         };
         let (id, actions) = harness.request();
-        let (timeout, first) = times(&actions).expect("sent");
+        let (timeout, first) = times(&actions).expect("the request is sent");
         assert_eq!(first, timeout, "the first attempt may be written until its timeout");
         harness.advance(300);
-        let (timeout, retry) = times(&harness.end_attempt(id, 0, Outcome::Reset, 300)).expect("sent again");
+        let (timeout, retry) =
+            times(&harness.end_attempt(id, 0, Outcome::Reset, 300)).expect("the retry is sent");
         assert_eq!(retry, write_within.map_or(timeout, ms), "{idempotency:?}");
     }
 }
@@ -278,7 +279,7 @@
             Action::Send { timeout, .. } => Some(*timeout),
             _ => None,
         };
-        harness.log.iter().find_map(sent).expect("sent")
+        harness.log.iter().find_map(sent).expect("the request is sent")
     };
     assert_eq!(timeout(0.0, 1_200, Origin::Fresh), ms(400), "the latency target");
     assert_eq!(timeout(0.3, 1_200, Origin::Fresh), ms(1_200), "a late answer has a value");
--- a/tests/module/outlier_ejection.rs
+++ b/tests/module/outlier_ejection.rs
@@ -151,7 +151,7 @@
         for i in 0..1_200 {
             let class = i % 2;
             let (id, actions) = harness.request_of_class(class, 1_200);
-            let failing_server = is_failing_server(sent_to(&actions).expect("sent at once"));
+            let failing_server = is_failing_server(sent_to(&actions).expect("the request is sent at once"));
             counts[class] += u32::from(failing_server);
             if failing_server && is_failing && class == 0 && i % 3 > 0 {
                 harness.advance(600);
@@ -194,7 +194,6 @@
         }
     }
     let ejected = harness.log.iter().filter(|(_, a)| matches!(a, Action::Log(LogEvent::Ejected(_)))).count();
-    // About one run of consecutive failures ejects a server by chance. With a fixed threshold of three, 34
-    // would.
+    // About one ejection is due to chance. With a fixed threshold of three failures, there would be 34.
     assert!(ejected < 10, "{ejected}");
 }
--- a/tests/module/selection.rs
+++ b/tests/module/selection.rs
@@ -200,7 +200,7 @@
     for round in 0..400 {
         let class = round % 2;
         let (id, actions) = harness.request_of_class(class, 1_200);
-        let server = sent_to(&actions).expect("sent at once");
+        let server = sent_to(&actions).expect("the request is sent at once");
         let is_suited = server.0 % 2 == class as u64;
         suited_sends += usize::from(is_suited && round >= 200);
         let elapsed = if is_suited { 30 } else { 90 };
--- a/tests/policy_files.rs
+++ b/tests/policy_files.rs
@@ -10,7 +10,8 @@
 
 /// Returns the unparsed value of a key of `deploy/balancer.toml`.
 fn deploy_value(key: &str) -> String {
-    let text = fs::read_to_string(root().join("deploy/balancer.toml")).expect("the deploy file");
+    let text =
+        fs::read_to_string(root().join("deploy/balancer.toml")).expect("deploy/balancer.toml is readable");
     let values: Vec<&str> =
         text.lines().filter_map(|line| line.strip_prefix(key)?.trim_start().strip_prefix('=')).collect();
     assert_eq!(values.len(), 1, "{key} must occur exactly once");
@@ -19,16 +20,20 @@
 
 /// Returns the strings in a TOML list.
 fn list_items(value: &str) -> Vec<&str> {
-    let list = value.split_once('[').and_then(|(_, rest)| rest.split_once(']')).expect("a list").0;
+    let list =
+        value.split_once('[').and_then(|(_, rest)| rest.split_once(']')).expect("the value is a list").0;
     list.split('"').skip(1).step_by(2).collect()
 }
 
 /// Returns all source files of the module, except tests and programs.
 fn module_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("a folder").map(|entry| entry.expect("an entry").path());
+    let entries = fs::read_dir(folder)
+        .expect("the folder is readable")
+        .map(|entry| entry.expect("the folder entry is readable").path());
     let mut files = Vec::new();
     for path in entries {
-        let name = path.file_name().and_then(|name| name.to_str()).expect("a name").to_owned();
+        let name =
+            path.file_name().and_then(|name| name.to_str()).expect("the file name is valid UTF-8").to_owned();
         if path.is_dir() && name != "bin" {
             files.extend(module_files(&path));
         } else if name.ends_with(".rs") && !name.ends_with("_tests.rs") {
@@ -63,7 +68,7 @@
     let files = module_files(&root().join("src"));
     assert!(files.len() >= 8, "{files:?}");
     for file in files {
-        let text = fs::read_to_string(&file).expect("readable");
+        let text = fs::read_to_string(&file).expect("the source file is readable");
         let code = text.lines().filter(|line| !line.trim_start().starts_with("//"));
         for line in code {
             for word in [
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -29,15 +29,16 @@
     servers: u64,
 }
 
-const WINDOW: u64 = 800;
+/// The deduplication window of the keyed class, in milliseconds.
+const DEDUP_WINDOW_MS: u64 = 800;
 
-fn cell(server: u64) -> u16 {
+fn cell_of(server: u64) -> u16 {
     (server % 2) as u16
 }
 
 impl Simulation {
     fn new(seed: u64, discovery: Discovery, probes: bool) -> Simulation {
-        let keyed = Idempotency::Keyed { scope: DedupScope::Cell, window: ms(WINDOW) };
+        let keyed = Idempotency::Keyed { scope: DedupScope::Cell, window: ms(DEDUP_WINDOW_MS) };
         let mut settings =
             settings(vec![class(Idempotency::Idempotent), class(keyed), class(Idempotency::NonIdempotent)]);
         settings.discovery = discovery;
@@ -59,7 +60,7 @@
                         Some(&Availability::Ready),
                         "a server that is not ready is sent a request"
                     );
-                    let request = self.requests.get_mut(&id).expect("known");
+                    let request = self.requests.get_mut(&id).expect("the request is known");
                     assert_eq!(request.final_answers, 0, "sent after the final answer");
                     assert!(request.attempts.len() < 3, "more than three attempts");
                     let has_attempt_in_flight = request.attempts.iter().any(|a| a.2.is_none());
@@ -67,8 +68,8 @@
                     let possible_execution = request.attempts.iter().find(|a| a.2 != Some(true));
                     match (request.class, possible_execution) {
                         (1, Some(first)) => {
-                            assert_eq!(first.0, cell(server.0), "outside the deduplication group");
-                            assert!(now < first.1 + WINDOW, "outside the deduplication window");
+                            assert_eq!(first.0, cell_of(server.0), "outside the deduplication group");
+                            assert!(now < first.1 + DEDUP_WINDOW_MS, "outside the deduplication window");
                         }
                         (2, possible_execution) => assert!(
                             possible_execution.is_none(),
@@ -76,10 +77,10 @@
                         ),
                         _ => {}
                     }
-                    request.attempts.push((cell(server.0), now, None));
+                    request.attempts.push((cell_of(server.0), now, None));
                 }
                 Action::Reject { id, .. } | Action::Fail(id) => {
-                    let request = self.requests.get_mut(&id).expect("known");
+                    let request = self.requests.get_mut(&id).expect("the request is known");
                     let may_reject = request.class == 0 || request.attempts.iter().all(|a| a.2 == Some(true));
                     assert!(
                         may_reject || matches!(action, Action::Fail(_)),
@@ -123,7 +124,7 @@
     fn end_attempt(&mut self, id: RequestId, outcome: Outcome) {
         let now = self.harness.now;
         loop {
-            let request = self.requests.get_mut(&id).expect("known");
+            let request = self.requests.get_mut(&id).expect("the request is known");
             let Some(attempt_number) = request.attempts.iter().position(|a| a.2.is_none()) else { return };
             request.attempts[attempt_number].2 = Some(outcome.never_ran());
             let is_final = outcome == Outcome::Ok && request.final_answers == 0;
@@ -182,8 +183,13 @@
                 self.availabilities.insert(server, availability);
                 let started_at = (choice % 5 == 0).then(|| ms(self.harness.now));
                 let base = entry(server);
-                let listed =
-                    ServerEntry { availability, cell: cell(server), zone: cell(server), started_at, ..base };
+                let listed = ServerEntry {
+                    availability,
+                    cell: cell_of(server),
+                    zone: cell_of(server),
+                    started_at,
+                    ..base
+                };
                 let actions = self.harness.handle(Event::ServerList(ServerListEvent::Delta(vec![listed])));
                 self.check(actions);
             }
--- a/tests/settings_keys.rs
+++ b/tests/settings_keys.rs
@@ -58,7 +58,7 @@
         slow_start: SlowStart { initial_capacity: 0.1, ramp_time: ms(30_000), overload_multiple: 2.0 },
         tick: ms(5),
     };
-    assert_eq!(settings_text::parse(MINIMAL).expect("valid settings"), expected);
+    assert_eq!(settings_text::parse(MINIMAL).expect("the settings are valid"), expected);
     let expected = NetworkSettings {
         zones: vec![],
         machine_types: vec![],
@@ -66,15 +66,16 @@
         connect_timeout: ms(250),
         load_field_name: None,
     };
-    assert_eq!(settings_text::parse_network_settings(MINIMAL).expect("valid settings"), expected);
+    assert_eq!(settings_text::parse_network_settings(MINIMAL).expect("the settings are valid"), expected);
     assert_eq!(settings_text::load_field_index(MINIMAL), None);
-    let on_request = settings_text::parse(&MINIMAL.replace("pushed", "on_request")).expect("valid settings");
+    let on_request =
+        settings_text::parse(&MINIMAL.replace("pushed", "on_request")).expect("the settings are valid");
     assert_eq!(on_request.discovery, Discovery::OnRequest { max_poll_interval: ms(10_000) });
-    let with_retry_after =
-        settings_text::parse(&format!("{MINIMAL}policyLimits.retryAfter=true\n")).expect("valid settings");
+    let with_retry_after = settings_text::parse(&format!("{MINIMAL}policyLimits.retryAfter=true\n"))
+        .expect("the settings are valid");
     assert_eq!(with_retry_after.max_retry_after, Some(ms(0)));
-    let without_retry_after =
-        settings_text::parse(&format!("{MINIMAL}policyLimits.maxRetryAfter=60\n")).expect("valid settings");
+    let without_retry_after = settings_text::parse(&format!("{MINIMAL}policyLimits.maxRetryAfter=60\n"))
+        .expect("the settings are valid");
     assert_eq!(
         without_retry_after.max_retry_after, None,
         "`maxRetryAfter` applies only if `retryAfter` is `true`"
@@ -123,7 +124,7 @@
         slow_start: SlowStart { initial_capacity: 0.25, ramp_time: ms(9_000), overload_multiple: 4.0 },
         tick: Duration::from_micros(2_500),
     };
-    assert_eq!(settings_text::parse(COMPLETE).expect("valid settings"), expected);
+    assert_eq!(settings_text::parse(COMPLETE).expect("the settings are valid"), expected);
     let expected = NetworkSettings {
         zones: vec!["a".into(), "b_c".into()],
         machine_types: vec!["small".into(), "large".into()],
@@ -131,21 +132,22 @@
         connect_timeout: ms(70),
         load_field_name: Some("concurrent".into()),
     };
-    assert_eq!(settings_text::parse_network_settings(COMPLETE).expect("valid settings"), expected);
+    assert_eq!(settings_text::parse_network_settings(COMPLETE).expect("the settings are valid"), expected);
     assert_eq!(settings_text::load_field_index(COMPLETE), Some(2));
     assert_eq!(settings_text::load_field_index("report.fields=load_share,depth\n"), Some(1));
     let all_servers = COMPLETE.replace("group=cell", "group=all");
-    let all_servers = settings_text::parse(&all_servers).expect("valid settings").classes[1].idempotency;
+    let all_servers =
+        settings_text::parse(&all_servers).expect("the settings are valid").classes[1].idempotency;
     assert_eq!(all_servers, Idempotency::Keyed { scope: DedupScope::All, window: ms(700) });
-    let by_request =
-        settings_text::parse(&COMPLETE.replace("worthBy=work", "worthBy=request")).expect("valid settings");
+    let by_request = settings_text::parse(&COMPLETE.replace("worthBy=work", "worthBy=request"))
+        .expect("the settings are valid");
     assert_eq!(by_request.value_basis, ValueBasis::PerRequest);
 }
 
 #[test]
 fn an_error_names_the_key_and_the_invalid_text() {
     let error = |from: &str, to: &str| {
-        settings_text::parse(&COMPLETE.replace(from, to)).expect_err("an invalid value").to_string()
+        settings_text::parse(&COMPLETE.replace(from, to)).expect_err("the value is invalid").to_string()
     };
     for (key, from, to) in [
         ("zone", "zone=2\n", "zone=-1\n"),
@@ -162,7 +164,7 @@
         ("requestClasses.0.idempotency", "0.idempotency=dedup", "0.idempotency=perhaps"),
         ("requestClasses.2.aim", "2.aim=400.5", "2.aim=inf"),
     ] {
-        let text = to.trim_end().rsplit('=').next().expect("a value");
+        let text = to.trim_end().rsplit('=').next().expect("the line has a value");
         assert_eq!(error(from, to), format!("setting {key}: cannot read {text:?}"));
     }
     for key in ["zone", "discovery", "requestClasses.count", "requestClasses.0.dedupWindow"] {
@@ -171,10 +173,11 @@
             .filter(|line| !line.starts_with(&format!("{key}=")))
             .map(|l| format!("{l}\n"))
             .collect();
-        let error = settings_text::parse(&text).expect_err("a missing key").to_string();
+        let error = settings_text::parse(&text).expect_err("the key is missing").to_string();
         assert_eq!(error, format!("setting {key}: missing"));
     }
     let without_name = COMPLETE.replace("requestClasses.1.name=report\n", "");
-    let error = settings_text::parse_network_settings(&without_name).expect_err("a missing key").to_string();
+    let error =
+        settings_text::parse_network_settings(&without_name).expect_err("the key is missing").to_string();
     assert_eq!(error, "setting requestClasses.1.name: missing");
 }
--- a/tests/simulator_wire.rs
+++ b/tests/simulator_wire.rs
@@ -11,24 +11,26 @@
 
 const SESSION: &str = include_str!("fixtures/simulator_session.txt");
 
-fn frames(kind: &str) -> Vec<Vec<u8>> {
+fn captured_frames(kind: &str) -> Vec<Vec<u8>> {
     let lines = SESSION.lines().filter_map(|line| line.strip_prefix(kind));
     let byte = |text: &str, at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("hexadecimal digits");
     lines.map(|text| (0..text.len()).step_by(2).map(|at| byte(text, at)).collect()).collect()
 }
 
 /// Returns the set of record codes, the first byte of each record, in these frames.
-fn codes(frames: &[Vec<u8>], header: usize, count_at: usize, record: usize) -> BTreeSet<u8> {
-    let number =
-        |frame: &[u8]| u32::from_le_bytes(frame[count_at..count_at + 4].try_into().expect("four")) as usize;
+fn record_codes(frames: &[Vec<u8>], header: usize, count_at: usize, record: usize) -> BTreeSet<u8> {
+    let number = |frame: &[u8]| {
+        u32::from_le_bytes(frame[count_at..count_at + 4].try_into().expect("the slice has four bytes"))
+            as usize
+    };
     frames.iter().flat_map(|frame| (0..number(frame)).map(|at| frame[header + at * record])).collect()
 }
 
 #[test]
 fn the_captured_session_is_answered_byte_for_byte() {
-    let (input, expected) = (frames("in "), frames("out "));
-    assert_eq!(codes(&input, 16, 12, 48), BTreeSet::from([0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 99]));
-    assert_eq!(codes(&expected, 8, 4, 24), BTreeSet::from([0, 1, 2, 3, 4, 5, 8, 10]));
+    let (input, expected) = (captured_frames("in "), captured_frames("out "));
+    assert_eq!(record_codes(&input, 16, 12, 48), BTreeSet::from([0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 99]));
+    assert_eq!(record_codes(&expected, 8, 4, 24), BTreeSet::from([0, 1, 2, 3, 4, 5, 8, 10]));
     for line in [
         "ejected server 2b230100000a",
         "readmitted server 2b230100000a",
@@ -44,11 +46,13 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("starts");
-    let mut adapter_input = adapter.stdin.take().expect("an input");
-    let writer = std::thread::spawn(move || adapter_input.write_all(&input.concat()).expect("written"));
-    let output = adapter.wait_with_output().expect("ends");
-    writer.join().expect("all written");
+        .expect("the adapter is started");
+    let mut adapter_input = adapter.stdin.take().expect("standard input is piped");
+    let writer = std::thread::spawn(move || {
+        adapter_input.write_all(&input.concat()).expect("the adapter reads all input")
+    });
+    let output = adapter.wait_with_output().expect("the adapter exits");
+    writer.join().expect("the writer thread exits");
     assert_eq!(output.status.code(), Some(0));
     assert_eq!(
         String::from_utf8_lossy(&output.stderr),
--- a/tests/sockets/answers.rs
+++ b/tests/sockets/answers.rs
@@ -1,7 +1,7 @@
 //! Tests of the literal answers to the client: status line, headers and body, except the date.
 
 use crate::harness::*;
-use crate::{ok, read_to_end};
+use crate::{ok_reply, read_to_end};
 use serde_json::json;
 use std::io::Write;
 
@@ -9,12 +9,12 @@
 /// without the date.
 fn exchange(sidecar: &Sidecar, text: &str) -> String {
     let mut client = sidecar.connect();
-    client.write_all(text.as_bytes()).expect("written");
+    client.write_all(text.as_bytes()).expect("the bytes are written");
     without_date(&read_to_end(&mut client))
 }
 
 fn without_date(text: &str) -> String {
-    let (head, body) = text.split_once("\r\n\r\n").expect("a head");
+    let (head, body) = text.split_once("\r\n\r\n").expect("the answer has a complete head");
     let lines: Vec<&str> = head.split("\r\n").collect();
     assert_eq!(lines.iter().filter(|line| line.starts_with("date: ")).count(), 1, "{text}");
     let kept: Vec<&str> = lines.into_iter().filter(|line| !line.starts_with("date: ")).collect();
@@ -32,7 +32,7 @@
     let upstream = Upstream::start(|received| match received.body.as_str() {
         "typed" => Reply::text(200, "Content-Type: text/x-typed\r\nX-Other: 1\r\n", "hello"),
         "broken" => Reply::text(500, "", "why"),
-        _ => ok("plain"),
+        _ => ok_reply("plain"),
     });
     let sidecar = Sidecar::start_with(&[&upstream], |config| {
         config["settings"]["policyLimits"]["maxRetryAfter"] = json!(50.0);
@@ -40,12 +40,12 @@
     });
     let send = |body: &str| {
         let mut client = sidecar.connect();
-        client.write_all(call("pay", 19.0).body(body).text().as_bytes()).expect("written");
+        client.write_all(call("pay", 19.0).body(body).text().as_bytes()).expect("the bytes are written");
         without_date(&Answer::read_text(&mut client))
     };
     let ready = || {
         let mut client = sidecar.connect();
-        client.write_all(b"GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n").expect("written");
+        client.write_all(b"GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n").expect("the bytes are written");
         without_date(&Answer::read_text(&mut client))
     };
     assert_eq!(ready(), "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n");
@@ -63,7 +63,7 @@
 
 #[test]
 fn each_rejection_has_its_literal_status_and_reason() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let pay = || call("pay", 2.0);
     let with = |from: &str, to: &str| pay().text().replace(from, to);
@@ -93,7 +93,7 @@
     // The client stays connected but does not send the complete body.
     let mut client = sidecar.connect();
     let text = call("pay", 0.3).text().replace("Length: 0", "Length: 5");
-    client.write_all(text.as_bytes()).expect("written");
+    client.write_all(text.as_bytes()).expect("the bytes are written");
     assert_eq!(
         without_date(&read_to_end(&mut client)),
         rejection("408 Request Timeout", "a body that does not end")
@@ -107,17 +107,17 @@
     let sidecar = Sidecar::start(&[&upstream]);
     let request_text = || call("pay", 20.0).header("X-Call-Id", "same").text();
     let mut first = sidecar.connect();
-    first.write_all(request_text().as_bytes()).expect("written");
+    first.write_all(request_text().as_bytes()).expect("the bytes are written");
     upstream.wait_for("the request", |state| state.requests.len() == 1);
     let mut second = sidecar.connect();
-    second.write_all(request_text().as_bytes()).expect("written");
+    second.write_all(request_text().as_bytes()).expect("the bytes are written");
     let answer_text = without_date(&read_to_end(&mut second));
     assert_eq!(answer_text, rejection("409 Conflict", "the id of an open request"));
 }
 
 #[test]
 fn an_upstream_receives_the_client_headers_without_connection_headers() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let call = call("report", 2.0)
         .header("X-Own", "kept")
@@ -144,7 +144,7 @@
     sorted.sort_unstable();
     assert_eq!(received_names, sorted);
     assert_eq!((received[0].header("x-own"), received[0].header("host")), (Some("kept"), Some("origin.svc")));
-    let budget = received[0].header("x-budget").expect("a budget");
-    let digits = budget.strip_prefix("1.").expect("under 2 s, over 1");
+    let budget = received[0].header("x-budget").expect("the request has X-Budget");
+    let digits = budget.strip_prefix("1.").expect("the budget is at least 1 s and less than 2 s");
     assert!(digits.len() == 4 && digits.bytes().all(|byte| byte.is_ascii_digit()), "four decimals: {budget}");
 }
--- a/tests/sockets/connections.rs
+++ b/tests/sockets/connections.rs
@@ -1,7 +1,7 @@
 //! Tests of client connections and upstream connections.
 
 use crate::harness::*;
-use crate::{ok, read_to_end};
+use crate::{ok_reply, read_to_end};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::sync::{Mutex, mpsc};
@@ -25,7 +25,7 @@
     // Also with unread bytes after the request.
     for (number, pipelined) in [(1, String::new()), (2, call("pay", 20.0).text())] {
         let mut client = sidecar.connect();
-        client.write_all((call("pay", 20.0).text() + &pipelined).as_bytes()).expect("written");
+        client.write_all((call("pay", 20.0).text() + &pipelined).as_bytes()).expect("the bytes are written");
         upstream.wait_for("the request", |state| state.requests.len() == number);
         drop(client);
         upstream.wait_for("the connection to close", |state| state.closed_by_peer == number);
@@ -35,7 +35,7 @@
 
 #[test]
 fn idle_connections_are_reused_unless_the_upstream_closed_them() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     for _ in 0..5 {
         assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
@@ -52,7 +52,7 @@
 
 #[test]
 fn a_connection_idle_for_nearly_its_keep_alive_time_is_not_reused() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start_with(&[&upstream], |config| {
         config["settings"]["policyLimits"]["keepalive"] = json!(400.0)
     });
@@ -71,16 +71,20 @@
     let (released, requests) = (Mutex::new(released), SharedCounter::default());
     let upstream = Upstream::start(move |_| {
         if requests.increment() == 1 {
-            released.lock().expect("no panic").recv().expect("released by the test");
+            released
+                .lock()
+                .expect("no thread has panicked while it held the lock")
+                .recv()
+                .expect("released by the test");
         }
-        ok("served")
+        ok_reply("served")
     });
     let mut sidecar = Sidecar::start(&[&upstream]);
     let mut idle_client = sidecar.connect();
-    idle_client.write_all(b"GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n").expect("written");
+    idle_client.write_all(b"GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n").expect("the bytes are written");
     assert_eq!(Answer::read(&mut idle_client).status, 200);
     let mut first_client = sidecar.connect();
-    first_client.write_all(call("pay", 3.0).text().as_bytes()).expect("written");
+    first_client.write_all(call("pay", 3.0).text().as_bytes()).expect("the bytes are written");
     upstream.wait_for("the request", |state| state.requests.len() == 1);
     sidecar.terminate();
     sidecar.wait_until("readiness to fail", |sidecar| sidecar.readiness() == 503);
@@ -93,7 +97,11 @@
     release.send(()).expect("the upstream waits");
     let first_answer = Answer::read(&mut first_client);
     assert_eq!((first_answer.status, first_answer.header("connection")), (200, Some("close")));
-    assert_eq!(idle_client.read(&mut [0; 8]).expect("an end"), 0, "the idle connection is closed");
+    assert_eq!(
+        idle_client.read(&mut [0; 8]).expect("the connection ends without an error"),
+        0,
+        "the idle connection is closed"
+    );
     // A client that keeps polling readiness does not delay the shutdown.
     sidecar.wait_until("the process to stop listening", |sidecar| sidecar.readiness() == 0);
     assert_eq!(sidecar.exit_code(), Some(0));
@@ -101,13 +109,13 @@
 
 #[test]
 fn idle_connections_are_evicted_for_new_ones_at_the_limit() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start_with(&[&upstream], |config| config["limits"]["sockets"] = json!(32));
     // More connections than the limit allows, all kept open by their clients.
     let mut kept_clients = Vec::new();
     for i in 0..48 {
         let mut client = sidecar.connect();
-        client.write_all(call("pay", 5.0).text().as_bytes()).expect("written");
+        client.write_all(call("pay", 5.0).text().as_bytes()).expect("the bytes are written");
         assert_eq!(Answer::read(&mut client).status, 200, "connection {i}");
         kept_clients.push(client);
     }
@@ -118,7 +126,7 @@
 
 #[test]
 fn accepting_without_descriptors_neither_stops_nor_uses_much_cpu() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     // The operating system's limit on descriptors is lower than the configured one.
     let sidecar = Sidecar::start_in_shell("ulimit -n 40", &[&upstream]);
     let silent: Vec<_> = (0..60).map(|_| sidecar.connect()).collect();
@@ -133,15 +141,17 @@
 
 #[test]
 fn silent_and_idle_clients_are_closed_and_do_not_block_others() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start_with(&[&upstream], |config| config["limits"]["sockets"] = json!(48));
     let mut kept_open = sidecar.connect();
-    kept_open.write_all(call("pay", 20.0).text().as_bytes()).expect("written");
+    kept_open.write_all(call("pay", 20.0).text().as_bytes()).expect("the bytes are written");
     assert_eq!(Answer::read(&mut kept_open).status, 200);
     let start = Instant::now();
     let mut silent_clients: Vec<_> = (0..200).map(|_| sidecar.connect()).collect();
     let mut incomplete_client = sidecar.connect();
-    incomplete_client.write_all(b"POST /api HTTP/1.1\r\nX-Call-Id: half\r\nX-").expect("written");
+    incomplete_client
+        .write_all(b"POST /api HTTP/1.1\r\nX-Call-Id: half\r\nX-")
+        .expect("the bytes are written");
     assert_eq!(sidecar.send(&call("pay", 20.0)).status, 200);
     assert!(
         start.elapsed() < Duration::from_millis(1_500),
@@ -156,11 +166,11 @@
 
 #[test]
 fn clients_that_stay_after_one_request_are_evicted_first() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     // Of the 96 sockets, 32 are available for client connections.
     let sidecar = Sidecar::start_with(&[&upstream], |config| config["limits"]["sockets"] = json!(96));
     let send_on = |client: &mut std::net::TcpStream| {
-        client.write_all(call("pay", 20.0).text().as_bytes()).expect("written");
+        client.write_all(call("pay", 20.0).text().as_bytes()).expect("the bytes are written");
         assert_eq!(Answer::read(client).status, 200);
     };
     let mut regular_client = sidecar.connect();
@@ -177,7 +187,7 @@
 
 #[test]
 fn a_restarted_server_inherits_no_connection() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
     let mut entry = upstream.list_entry("Ready");
--- a/tests/sockets/harness/discovery.rs
+++ b/tests/sockets/harness/discovery.rs
@@ -29,13 +29,13 @@
 
 impl Discovery {
     pub fn start(list: &Value) -> Discovery {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
+        let addr = listener.local_addr().expect("the listener has a local address");
         let registry = Monitor::new(Registry { complete_list: list.clone(), ..Registry::default() });
         let shared_registry = registry.clone();
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (stream, registry) = (stream.expect("a connection"), shared_registry.clone());
+                let (stream, registry) = (stream.expect("a connection is accepted"), shared_registry.clone());
                 thread::spawn(move || Discovery::serve(stream, &registry));
             }
         });
@@ -43,11 +43,11 @@
     }
 
     fn serve(mut stream: TcpStream, registry: &Monitor<Registry>) {
-        let mut reader = BufReader::new(stream.try_clone().expect("a clone"));
+        let mut reader = BufReader::new(stream.try_clone().expect("the stream can be cloned"));
         while let Some(received) = ReceivedMessage::read(&mut reader) {
             let index = received.start_line.split_once("index=").map(|(_, rest)| {
                 let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
-                digits.parse::<u64>().expect("an index")
+                digits.parse::<u64>().expect("the index is a number")
             });
             registry.update(|r| {
                 r.calls += 1;
@@ -58,7 +58,12 @@
                 let reply_or_timeout = registry
                     .1
                     .wait_timeout_while(registry.get(), WAIT_TIMEOUT, |r| r.queued_replies.is_empty());
-                reply_or_timeout.expect("no panic").0.queued_replies.pop_front().map(|(_, reply)| reply)
+                reply_or_timeout
+                    .expect("no thread has panicked while it held the lock")
+                    .0
+                    .queued_replies
+                    .pop_front()
+                    .map(|(_, reply)| reply)
             } else {
                 Some(Reply::text(200, "", &registry.get().complete_list.to_string()))
             };
@@ -88,7 +93,7 @@
             let mut current_members = if complete {
                 Vec::new()
             } else {
-                r.complete_list["members"].as_array().expect("a list").clone()
+                r.complete_list["members"].as_array().expect("the members are a list").clone()
             };
             current_members.retain(|known| members.iter().all(|member| member["id"] != known["id"]));
             current_members.extend(members.iter().filter(|member| member["phase"] != "Gone").cloned());
@@ -114,6 +119,6 @@
         let watch_delay = |r: &Registry| r.watches.iter().find(|(index, _)| *index == revision).map(|w| w.1);
         let registry =
             self.registry.wait("a watch", |r| r.queued_replies.is_empty() && watch_delay(r).is_some());
-        watch_delay(&registry).expect("a watch of the revision")
+        watch_delay(&registry).expect("the revision has a watch")
     }
 }
--- a/tests/sockets/harness/message.rs
+++ b/tests/sockets/harness/message.rs
@@ -28,10 +28,11 @@
             headers.push((name.to_lowercase(), value.trim().to_owned()));
         }
         let mut received = ReceivedMessage { start_line: start, headers, body: String::new() };
-        let length = received.header("content-length").map_or(0, |text| text.parse().expect("a length"));
+        let length =
+            received.header("content-length").map_or(0, |text| text.parse().expect("the length is a number"));
         let mut body = vec![0; length];
         from.read_exact(&mut body).ok()?;
-        received.body = String::from_utf8(body).expect("text");
+        received.body = String::from_utf8(body).expect("the body is valid UTF-8");
         Some(received)
     }
 
@@ -121,12 +122,13 @@
 
 impl Answer {
     pub fn read(from: &mut TcpStream) -> Answer {
-        Answer::try_read(from).expect("an answer")
+        Answer::try_read(from).expect("a complete answer is received")
     }
 
     /// Reads an answer up to its content length, and returns its text.
     pub fn read_text(from: &mut TcpStream) -> String {
-        let received = ReceivedMessage::read(&mut BufReader::new(from)).expect("an answer");
+        let received =
+            ReceivedMessage::read(&mut BufReader::new(from)).expect("a complete answer is received");
         let headers: String =
             received.headers.iter().map(|(name, value)| format!("{name}: {value}\r\n")).collect();
         format!("{}\r\n{headers}\r\n{}", received.start_line, received.body)
@@ -134,8 +136,12 @@
 
     pub(super) fn try_read(from: &mut TcpStream) -> Option<Answer> {
         let received = ReceivedMessage::read(&mut BufReader::new(from))?;
-        let status =
-            received.start_line.split(' ').nth(1).and_then(|text| text.parse().ok()).expect("a status");
+        let status = received
+            .start_line
+            .split(' ')
+            .nth(1)
+            .and_then(|text| text.parse().ok())
+            .expect("the answer has a status code");
         Some(Answer { status, body: received.body.clone(), received })
     }
 
--- a/tests/sockets/harness/mod.rs
+++ b/tests/sockets/harness/mod.rs
@@ -38,7 +38,7 @@
     }
 
     fn get(&self) -> MutexGuard<'_, T> {
-        self.0.lock().expect("no panic")
+        self.0.lock().expect("no thread has panicked while it held the lock")
     }
 
     fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
@@ -48,8 +48,10 @@
     }
 
     fn wait(&self, what: &str, condition: impl Fn(&T) -> bool) -> MutexGuard<'_, T> {
-        let (state, timeout) =
-            self.1.wait_timeout_while(self.get(), WAIT_TIMEOUT, |s| !condition(s)).expect("no panic");
+        let (state, timeout) = self
+            .1
+            .wait_timeout_while(self.get(), WAIT_TIMEOUT, |s| !condition(s))
+            .expect("no thread has panicked while it held the lock");
         assert!(!timeout.timed_out(), "timed out waiting for {what}");
         state
     }
--- a/tests/sockets/harness/sidecar.rs
+++ b/tests/sockets/harness/sidecar.rs
@@ -60,23 +60,32 @@
         static NEXT_FILE: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT_FILE.fetch_add(1, Ordering::SeqCst);
         let file = format!("{}/{}-{number}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-        std::fs::write(&file, config.to_string()).expect("written");
+        std::fs::write(&file, config.to_string()).expect("the configuration file is written");
         let mut process = Command::new("sh")
             .args(["-c", &format!("{shell}; exec {}", env!("CARGO_BIN_EXE_lugwharf-sidecar"))])
             .env("BALANCER_CONFIG", &file)
-            .env("BALANCER_DISCOVERY", config["discovery"].as_str().expect("an address"))
+            .env(
+                "BALANCER_DISCOVERY",
+                config["discovery"].as_str().expect("the discovery address is a string"),
+            )
             .stderr(Stdio::piped())
             .spawn()
-            .expect("started");
-        let mut lines = BufReader::new(process.stderr.take().expect("a log")).lines();
+            .expect("the sidecar is started");
+        let mut lines = BufReader::new(process.stderr.take().expect("standard error is piped")).lines();
         let addr = lines.find_map(|line| line.ok()?.split_once("listening on ")?.1.parse().ok());
         let log = Monitor::new(Vec::new());
         let shared_log = log.clone();
         thread::spawn(move || {
             lines.map_while(Result::ok).for_each(|line| shared_log.update(|log| log.push(line)))
         });
-        let sidecar =
-            Sidecar { process, addr: addr.expect("a listen address"), discovery, log, config, file };
+        let sidecar = Sidecar {
+            process,
+            addr: addr.expect("the sidecar logs its listen address"),
+            discovery,
+            log,
+            config,
+            file,
+        };
         sidecar.wait_until("readiness", |sidecar| sidecar.readiness() == 200);
         if sidecar.config["settings"]["discovery"] == "pushed" {
             drop(sidecar.discovery.registry.wait("a call", |r| r.watches.iter().any(|w| w.0 == 1)));
@@ -86,7 +95,7 @@
 
     /// Replaces the configuration file by this text and sends SIGHUP.
     pub fn reload(&self, text: &str) {
-        std::fs::write(&self.file, text).expect("written");
+        std::fs::write(&self.file, text).expect("the configuration file is written");
         self.signal("HUP");
     }
 
@@ -98,8 +107,8 @@
     }
 
     pub fn connect(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.addr).expect("accepted");
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
+        let stream = TcpStream::connect(self.addr).expect("the sidecar accepts the connection");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
         stream
     }
 
@@ -114,17 +123,18 @@
     /// Returns the status of `/health/ready`; 0 if there is no answer.
     pub fn readiness(&self) -> u16 {
         let Ok(mut stream) = TcpStream::connect(self.addr) else { return 0 };
-        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("the read timeout is set");
         drop(stream.write_all(b"GET /health/ready HTTP/1.1\r\nHost: n0\r\n\r\n"));
         Answer::try_read(&mut stream).map_or(0, |answer| answer.status)
     }
 
     /// Returns the CPU time used so far, in hundredths of a second.
     pub fn cpu_time_ticks(&self) -> u64 {
-        let stat =
-            std::fs::read_to_string(format!("/proc/{}/stat", self.process.id())).expect("process statistics");
-        let fields: Vec<&str> = stat.rsplit(')').next().expect("fields").split_whitespace().collect();
-        [11, 12].iter().map(|&at| fields[at].parse::<u64>().expect("ticks")).sum()
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id()))
+            .expect("/proc has the statistics of the process");
+        let fields: Vec<&str> =
+            stat.rsplit(')').next().expect("the statistics have fields").split_whitespace().collect();
+        [11, 12].iter().map(|&at| fields[at].parse::<u64>().expect("the CPU time is a number")).sum()
     }
 
     pub fn wait_until(&self, what: &str, condition: impl Fn(&Sidecar) -> bool) {
@@ -146,13 +156,13 @@
 
     fn signal(&self, name: &str) {
         let kill = Command::new("sh").arg("-c").arg(format!("kill -{name} {}", self.process.id())).status();
-        assert!(kill.expect("run").success());
+        assert!(kill.expect("the shell can be run").success());
     }
 
     pub fn exit_code(&mut self) -> Option<i32> {
         let start = Instant::now();
         loop {
-            if let Some(status) = self.process.try_wait().expect("a child") {
+            if let Some(status) = self.process.try_wait().expect("the process can be waited for") {
                 return status.code();
             }
             assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for the process to exit");
@@ -161,7 +171,9 @@
     }
 
     pub fn open_descriptors(&self) -> usize {
-        std::fs::read_dir(format!("/proc/{}/fd", self.process.id())).expect("open descriptors").count()
+        std::fs::read_dir(format!("/proc/{}/fd", self.process.id()))
+            .expect("/proc lists the open descriptors")
+            .count()
     }
 }
 
--- a/tests/sockets/harness/upstream.rs
+++ b/tests/sockets/harness/upstream.rs
@@ -25,8 +25,8 @@
 
 impl Upstream {
     pub fn start(reply: impl Fn(&ReceivedMessage) -> Reply + Send + Sync + 'static) -> Upstream {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
+        let addr = listener.local_addr().expect("the listener has a local address");
         let (state, stopped, reply) =
             (Monitor::new(UpstreamState::default()), Arc::new(AtomicBool::new(false)), Arc::new(reply));
         let (shared_state, shared_stopped) = (state.clone(), stopped.clone());
@@ -36,7 +36,7 @@
                     return;
                 }
                 let (stream, state, reply) =
-                    (stream.expect("a connection"), shared_state.clone(), reply.clone());
+                    (stream.expect("a connection is accepted"), shared_state.clone(), reply.clone());
                 thread::spawn(move || Upstream::serve(stream, &state, &*reply));
             }
         });
@@ -46,7 +46,7 @@
     fn serve(
         mut stream: TcpStream, state: &Monitor<UpstreamState>, reply: &dyn Fn(&ReceivedMessage) -> Reply,
     ) {
-        let clone = || stream.try_clone().expect("a clone");
+        let clone = || stream.try_clone().expect("the stream can be cloned");
         let mut reader = BufReader::new(clone());
         state.update(|state| {
             state.accepted += 1;
@@ -95,7 +95,8 @@
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::SeqCst);
         drop(TcpStream::connect(self.addr));
-        let accept_thread = self.accept_thread.lock().expect("no panic").take();
-        accept_thread.expect("stopped once").join().expect("an end");
+        let accept_thread =
+            self.accept_thread.lock().expect("no thread has panicked while it held the lock").take();
+        accept_thread.expect("the upstream is stopped only once").join().expect("the accept thread exits");
     }
 }
--- a/tests/sockets/main.rs
+++ b/tests/sockets/main.rs
@@ -10,7 +10,7 @@
 use harness::*;
 use std::io::Read;
 
-fn ok(body: &str) -> Reply {
+fn ok_reply(body: &str) -> Reply {
     Reply::text(200, "", body)
 }
 
--- a/tests/sockets/requests.rs
+++ b/tests/sockets/requests.rs
@@ -1,14 +1,14 @@
 //! Tests of forwarding, retries and rejections.
 
 use crate::harness::*;
-use crate::{ok, read_to_end};
+use crate::{ok_reply, read_to_end};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_request_and_its_answer_are_forwarded_unchanged() {
-    let upstream = Upstream::start(|_| ok("\u{0}the answer"));
+    let upstream = Upstream::start(|_| ok_reply("\u{0}the answer"));
     let sidecar = Sidecar::start(&[&upstream]);
     let call = call("report", 2.0).header("X-Call-Id", "call 1").header("Idempotency-Key", "k1");
     let answer = sidecar.send(&call.path("/api?x=1%20y").body("hello"));
@@ -21,7 +21,11 @@
     );
     assert_eq!(received[0].header("x-call-id"), Some("call 1"));
     assert_eq!(received[0].header("idempotency-key"), Some("k1"));
-    let budget: f64 = received[0].header("x-budget").expect("a budget").parse().expect("seconds");
+    let budget: f64 = received[0]
+        .header("x-budget")
+        .expect("the request has X-Budget")
+        .parse()
+        .expect("the value is a number of seconds");
     assert!(budget > 0.5 && budget < 2.0, "the budget must leave time to return the answer: {budget}");
 }
 
@@ -63,7 +67,7 @@
             let request_count = request_count.clone();
             Upstream::start(move |_| match request_count.increment() {
                 15 => Reply::text(status, "X-Rejected: 1\r\n", ""),
-                _ => ok("served"),
+                _ => ok_reply("served"),
             })
         });
         let sidecar = Sidecar::start(&[&upstreams[0], &upstreams[1]]);
@@ -74,7 +78,7 @@
     }
     // No server listens at the other address. A refused connection does not use the retry budget, and proves
     // that the request was not executed.
-    let (up, down) = (Upstream::start(|_| ok("served")), Upstream::start(|_| ok("")));
+    let (up, down) = (Upstream::start(|_| ok_reply("served")), Upstream::start(|_| ok_reply("")));
     down.stop();
     let sidecar = Sidecar::start(&[&up, &down]);
     for _ in 0..6 {
@@ -84,7 +88,7 @@
 
 #[test]
 fn malformed_requests_are_rejected_and_not_forwarded() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let long = "x".repeat(64 * 1024 + 1);
     let invalid_requests = [
@@ -103,9 +107,9 @@
         assert_eq!(answer.header("connection"), Some("close"));
     }
     let mut client = sidecar.connect();
-    client.write_all(b"\x16\x03\x01 no http at all\r\n\r\n").expect("written");
+    client.write_all(b"\x16\x03\x01 no http at all\r\n\r\n").expect("the bytes are written");
     let mut answer_text = String::new();
-    client.read_to_string(&mut answer_text).expect("an end");
+    client.read_to_string(&mut answer_text).expect("the connection ends without an error");
     assert!(answer_text.is_empty() || answer_text.starts_with("HTTP/1.1 400"), "{answer_text}");
     assert!(upstream.requests().is_empty());
     assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
@@ -123,7 +127,7 @@
         assert_eq!(sidecar.send(&call("pay", 2.0)).status, 502, "{raw}");
     }
     let long = "x".repeat(64 * 1024 + 1);
-    let upstream = Upstream::start(move |_| ok(&long));
+    let upstream = Upstream::start(move |_| ok_reply(&long));
     let sidecar = Sidecar::start(&[&upstream]);
     assert_eq!(sidecar.send(&call("pay", 2.0)).status, 502, "an answer body above the limit of 64 KiB");
 }
@@ -137,7 +141,7 @@
         let upstreams = [(); 2].map(|()| {
             let request_count = request_count.clone();
             Upstream::start(
-                move |_| if request_count.increment() == 16 { Reply::Close } else { ok("served") },
+                move |_| if request_count.increment() == 16 { Reply::Close } else { ok_reply("served") },
             )
         });
         let sidecar = Sidecar::start_with(&[&upstreams[0], &upstreams[1]], |config| {
@@ -153,7 +157,7 @@
 
 #[test]
 fn a_rejection_has_retry_after_and_comes_when_the_queue_wait_is_over() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start_with(&[&upstream], |config| {
         config["settings"]["requestClasses"][0]["aim"] = json!(400.0);
     });
@@ -161,8 +165,11 @@
     sidecar.discovery.wait_for_watch(2);
     let start = Instant::now();
     let answer = sidecar.send(&call("pay", 60.0));
-    let retry_after: f64 =
-        answer.header("retry-after").expect("a Retry-After header").parse().expect("seconds");
+    let retry_after: f64 = answer
+        .header("retry-after")
+        .expect("the answer has Retry-After")
+        .parse()
+        .expect("the value is a number of seconds");
     assert_eq!(answer.status, 503);
     assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
     // A request that cannot be sent is queued for a quarter of its slack time.
@@ -172,7 +179,7 @@
 
 #[test]
 fn a_huge_budget_or_cost_is_bounded() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     for value in ["1e19", "18446744073709551615", "1e300"] {
         let answer = sidecar.send(&call("pay", 2.0).header("X-Budget", value).header("X-Call-Cost", value));
@@ -187,7 +194,7 @@
 
 #[test]
 fn a_smuggled_request_is_not_forwarded() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let smuggled = call("pay", 2.0).text();
     for framing in [
@@ -197,7 +204,7 @@
     ] {
         let outer = call("pay", 2.0).text().replace("Content-Length: 0\r\n", &framing);
         let mut client = sidecar.connect();
-        client.write_all(format!("{outer}0\r\n\r\n{smuggled}").as_bytes()).expect("written");
+        client.write_all(format!("{outer}0\r\n\r\n{smuggled}").as_bytes()).expect("the bytes are written");
         let answer_text = read_to_end(&mut client);
         assert!(
             answer_text.starts_with("HTTP/1.1 4") && answer_text.matches("HTTP/1.1").count() == 1,
@@ -210,11 +217,13 @@
 #[test]
 fn the_id_of_an_open_request_is_rejected_until_it_is_released() {
     let upstream =
-        Upstream::start(|received| if received.body == "stay" { Reply::NoAnswer } else { ok("served") });
+        Upstream::start(
+            |received| if received.body == "stay" { Reply::NoAnswer } else { ok_reply("served") },
+        );
     let sidecar = Sidecar::start(&[&upstream]);
     let mut first = sidecar.connect();
     let same_id = |body: &str| call("pay", 20.0).header("X-Call-Id", "same").body(body);
-    first.write_all(same_id("stay").text().as_bytes()).expect("written");
+    first.write_all(same_id("stay").text().as_bytes()).expect("the bytes are written");
     upstream.wait_for("the request", |state| state.requests.len() == 1);
     assert_eq!(sidecar.send(&same_id("")).status, 409);
     assert_eq!(sidecar.send(&call("pay", 20.0)).status, 200, "another id");
@@ -226,33 +235,37 @@
 
 #[test]
 fn a_huge_content_length_is_rejected_before_the_body_is_read() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     for length in ["60000000", "-1", "18446744073709551616", "1x"] {
         let mut client = sidecar.connect();
         let text = call("pay", 20.0).text().replace("Length: 0", &format!("Length: {length}"));
-        client.write_all(text.as_bytes()).expect("written");
+        client.write_all(text.as_bytes()).expect("the bytes are written");
         let answer_text = read_to_end(&mut client);
         assert!(answer_text.starts_with("HTTP/1.1 4"), "{length}: {answer_text}");
     }
     // A valid length with a missing body is answered when the client timeout has passed.
     let mut client = sidecar.connect();
     let text = call("pay", 0.3).text().replace("Length: 0", "Length: 5");
-    client.write_all(text.as_bytes()).expect("written");
+    client.write_all(text.as_bytes()).expect("the bytes are written");
     assert!(read_to_end(&mut client).starts_with("HTTP/1.1 408"));
     assert!(upstream.requests().is_empty());
 }
 
 #[test]
 fn the_answer_margin_of_a_short_budget_is_small() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     // The maximum of many budgets is checked, because a busy machine delays some requests.
     for _ in 0..50 {
         sidecar.send(&call("pay", 0.1));
     }
     let budget = |received: crate::harness::ReceivedMessage| {
-        received.header("x-budget").expect("a budget").parse::<f64>().expect("seconds")
+        received
+            .header("x-budget")
+            .expect("the request has X-Budget")
+            .parse::<f64>()
+            .expect("the value is a number of seconds")
     };
     let max_budget = upstream.requests().into_iter().map(budget).fold(0.0, f64::max);
     assert!(max_budget > 0.085 && max_budget < 0.1, "{max_budget}");
--- a/tests/sockets/upstreams.rs
+++ b/tests/sockets/upstreams.rs
@@ -1,13 +1,13 @@
 //! Tests of the server list, load reports and slow start.
 
 use crate::harness::*;
-use crate::ok;
+use crate::ok_reply;
 use serde_json::json;
 use std::time::{Duration, Instant};
 
 #[test]
 fn the_server_list_is_followed_and_retained_through_failures() {
-    let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
+    let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok_reply("served")));
     let sidecar = Sidecar::start(&[&a, &b]);
     let served_by = |expected: &Upstream, other: &Upstream| {
         let before = other.requests().len();
@@ -44,7 +44,7 @@
 
 #[test]
 fn an_upstream_is_reached_at_its_new_address() {
-    let [old, new] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
+    let [old, new] = [(); 2].map(|()| Upstream::start(|_| ok_reply("served")));
     let sidecar = Sidecar::start(&[&old]);
     assert_eq!(sidecar.send(&call("pay", 2.0)).status, 200);
     let mut entry = old.list_entry("Ready");
@@ -58,7 +58,7 @@
 
 #[test]
 fn the_next_watch_follows_at_once_from_the_current_revision() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     // The minimum of several delays: a busy machine may delay some watches, but a pause in the sidecar would
     // delay all.
@@ -72,7 +72,7 @@
 
 #[test]
 fn discovery_on_request_is_watched_once_the_module_subscribes() {
-    let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
+    let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok_reply("served")));
     let sidecar = Sidecar::start_with(&[&a], |config| {
         config["settings"]["discovery"] = json!("on_request");
         config["settings"]["obligations"] = json!({"mustAskIn": 200.0});
@@ -89,9 +89,9 @@
         .map(|i| {
             Upstream::start(move |request| match request.start_line.as_str() {
                 "GET /stats HTTP/1.1" => {
-                    ok(&format!("{{\"depth\":0,\"concurrent\":{}}}", if i == 0 { 0 } else { 9 }))
+                    ok_reply(&format!("{{\"depth\":0,\"concurrent\":{}}}", if i == 0 { 0 } else { 9 }))
                 }
-                _ => ok("served"),
+                _ => ok_reply("served"),
             })
         })
         .collect();
@@ -113,9 +113,11 @@
 
 #[test]
 fn a_warming_upstream_gets_few_requests_from_a_new_sidecar() {
-    let [warm, warming] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
-    let now =
-        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a clock").as_millis();
+    let [warm, warming] = [(); 2].map(|()| Upstream::start(|_| ok_reply("served")));
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("the clock is past the epoch")
+        .as_millis();
     let sidecar = Sidecar::start_with(&[&warm, &warming], |config| {
         config["known"]["members"][1]["up_since_ms"] = json!(now as u64);
     });
@@ -127,7 +129,7 @@
 
 #[test]
 fn a_watch_that_returns_at_once_is_repeated_with_a_pause() {
-    let upstream = Upstream::start(|_| ok("served"));
+    let upstream = Upstream::start(|_| ok_reply("served"));
     let sidecar = Sidecar::start(&[&upstream]);
     let (before, started_at) = (sidecar.discovery.calls(), Instant::now());
     (0..1_000).for_each(|_| sidecar.discovery.publish(1, false, &[]));
@@ -142,7 +144,7 @@
 #[test]
 fn at_sighup_discovery_moves_to_the_address_in_the_file() {
     for mode in ["pushed", "on_request"] {
-        let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok("served")));
+        let [a, b] = [(); 2].map(|()| Upstream::start(|_| ok_reply("served")));
         let sidecar = Sidecar::start_with(&[&a], |config| config["settings"]["discovery"] = json!(mode));
         sidecar.reload("{ no JSON");
         assert_eq!(
--- a/tests/startup.rs
+++ b/tests/startup.rs
@@ -17,16 +17,16 @@
     if let Some(file) = file {
         command.env("BALANCER_CONFIG", file);
     }
-    let output = command.stdout(Stdio::piped()).output().expect("ends");
+    let output = command.stdout(Stdio::piped()).output().expect("the sidecar exits");
     assert!(output.stdout.is_empty());
-    (String::from_utf8(output.stderr).expect("text"), output.status.code())
+    (String::from_utf8(output.stderr).expect("standard error is valid UTF-8"), output.status.code())
 }
 
 fn start_with_text(name: &str, text: &str) -> (String, Option<i32>) {
     let file = format!("{}/startup-{}-{name}.json", env!("CARGO_TARGET_TMPDIR"), std::process::id());
-    std::fs::write(&file, text).expect("written");
+    std::fs::write(&file, text).expect("the configuration file is written");
     let result = start_with(Some(&file));
-    std::fs::remove_file(&file).expect("removed");
+    std::fs::remove_file(&file).expect("the configuration file is removed");
     result
 }
 
@@ -56,8 +56,8 @@
 
 #[test]
 fn an_address_in_use_exits_with_one_line_after_the_predecessors_shutdown_time() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a loopback port can be bound");
+    let addr = listener.local_addr().expect("the listener has a local address");
     let started_at = std::time::Instant::now();
     let result = start_with_text("in-use", &JSON.replace("127.0.0.1:0", &addr.to_string()));
     let line = format!("lugwharf-sidecar: listening on {addr}: Address already in use (os error 98)\n");
