--- a/crates/membership/src/live_nodes.rs
+++ b/crates/membership/src/live_nodes.rs
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Records a heartbeat; returns whether the node is new or has restarted.
+    /// Records a heartbeat; returns whether the node is new or has restarted. A new node beyond [`MAX_NODES`]
+    /// is ignored, and `false` is returned.
     pub fn record_heartbeat(&mut self, node: &str, incarnation: u64, now: Duration) -> bool {
         let heartbeat = Heartbeat { incarnation, received_at: now };
         if let Some(last) = self.nodes.get_mut(node) {
--- a/crates/stages/src/target.rs
+++ b/crates/stages/src/target.rs
@@ -25,8 +25,8 @@
 
 /// Returns the number of decode servers for each zone, by the largest-remainder method.
 ///
-/// A zone with at least two servers keeps one of each stage, so that KV caches need not be transferred
-/// between zones.
+/// A zone with at least two servers keeps at least one of each stage, so that KV caches need not be
+/// transferred between zones.
 pub fn decode_targets(servers_by_zone: &BTreeMap<&str, usize>, demand: &Demand) -> BTreeMap<String, usize> {
     let server_count: usize = servers_by_zone.values().sum();
     let needed = total_decode_servers(server_count, demand);
@@ -63,8 +63,8 @@
     by_share.max(by_load).min(server_count as f64) as usize
 }
 
-/// Leaves one server of each stage in a zone with at least two servers. A lone server decodes, since only a
-/// decode server can serve a request alone.
+/// Limits a zone's number of decode servers, so that a zone with at least two servers keeps at least one of
+/// each stage. A lone server decodes, since only a decode server can serve a request alone.
 fn clamp_to_zone(target: usize, server_count: usize) -> usize {
     match server_count {
         0 => 0,
