--- a/crates/proxy/src/agent_feed.rs
+++ b/crates/proxy/src/agent_feed.rs
@@ -21,12 +21,12 @@
 
 /// Connects to the agent and reconnects after each failure, for as long as the process runs.
 pub async fn run(state: Rc<ProxyState>, agent: SocketAddr) {
-    let mut was_connected = true;
+    let mut is_first_failure = true;
     loop {
         match run_session(&state, agent).await {
             Ok(()) => spdlog::warn!("feed outcome=closed"),
-            // Logged once per outage, not for each attempt to connect.
-            Err(error) if std::mem::replace(&mut was_connected, false) => {
+            // Only the first failure of the process is logged, since each attempt to connect may fail.
+            Err(error) if std::mem::replace(&mut is_first_failure, false) => {
                 spdlog::warn!("feed outcome=down error={error}")
             }
             Err(_) => {}
--- a/crates/proxy/src/agent_feed_tests.rs
+++ b/crates/proxy/src/agent_feed_tests.rs
@@ -2,7 +2,7 @@
 //! next.
 
 use crate::agent_feed::run;
-use crate::outbound::fixtures::{listener, server_entry, state};
+use crate::outbound::fixtures::{server_entry, start_listener, state_with_server};
 use crate::state::ProxyState;
 use lugwharf_protocol::{
     ConfigRecord, FeedMessage, ProxyReport, ServerDelta, TablePosition, Update, encode, read_frame,
@@ -22,15 +22,16 @@
 
 /// Accepts the proxy's next connection and reads its first report.
 async fn accept(agent: &TcpListener) -> (TcpStream, ProxyReport) {
-    let mut connection = agent.accept().await.expect("a connection of the proxy").0;
-    let report = read_frame(&mut connection).await.expect("a report").expect("a report");
+    let mut connection = agent.accept().await.expect("the proxy connects to the agent").0;
+    let report =
+        read_frame(&mut connection).await.expect("the frame is valid").expect("the proxy sends a report");
     (connection, report)
 }
 
 async fn with_agent(body: impl AsyncFnOnce(&TcpListener, &Rc<ProxyState>)) {
-    let agent = listener().await;
-    let address = agent.local_addr().expect("an address");
-    let state = state(address);
+    let agent = start_listener().await;
+    let address = agent.local_addr().expect("the listener has a local address");
+    let state = state_with_server(address);
     let local = LocalSet::new();
     local.spawn_local(run(state.clone(), address));
     local.run_until(body(&agent, &state)).await;
@@ -47,14 +48,15 @@
     with_agent(async |agent, state| {
         let (mut old, report) = accept(agent).await;
         assert_eq!(report.have.config, 0);
-        let bytes = encode(&config(7)).expect("a frame");
+        let bytes = encode(&config(7)).expect("the message can be encoded");
         let end = end.min(bytes.len() - 1);
-        old.write_all(&bytes[..end]).await.expect("sent");
+        old.write_all(&bytes[..end]).await.expect("the bytes are written");
         drop(old);
         let (mut new, report) = accept(agent).await;
         assert_eq!(report.have.config, 0, "no part of the partial message was applied");
-        write_frame(&mut new, &config(8)).await.expect("sent");
-        let report: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
+        write_frame(&mut new, &config(8)).await.expect("the bytes are written");
+        let report: ProxyReport =
+            read_frame(&mut new).await.expect("the frame is valid").expect("the proxy sends a report");
         assert_eq!((report.have.config, state.versions().config), (8, 8));
     })
     .await;
@@ -65,8 +67,9 @@
 async fn older_versions_of_a_restarted_agent_are_ignored() {
     with_agent(async |agent, state| {
         let (mut old, report) = accept(agent).await;
-        write_frame(&mut old, &config(7)).await.expect("sent");
-        let after: ProxyReport = read_frame(&mut old).await.expect("a report").expect("a report");
+        write_frame(&mut old, &config(7)).await.expect("the bytes are written");
+        let after: ProxyReport =
+            read_frame(&mut old).await.expect("the frame is valid").expect("the proxy sends a report");
         assert_eq!(after.have.config, 7);
         drop(old);
         let (mut new, after) = accept(agent).await;
@@ -76,11 +79,13 @@
         let servers = Some(ServerDelta { position, is_full: true, entries: Vec::new(), removed: Vec::new() });
         write_frame(&mut new, &FeedMessage::Update(Update { servers, ..Update::default() }))
             .await
-            .expect("sent");
-        let after: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
+            .expect("the bytes are written");
+        let after: ProxyReport =
+            read_frame(&mut new).await.expect("the frame is valid").expect("the proxy sends a report");
         assert_eq!(after.have.servers, report.have.servers);
-        write_frame(&mut new, &config(6)).await.expect("sent");
-        let after: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
+        write_frame(&mut new, &config(6)).await.expect("the bytes are written");
+        let after: ProxyReport =
+            read_frame(&mut new).await.expect("the frame is valid").expect("the proxy sends a report");
         assert_eq!(after.have.config, 7);
         assert!(state.balancer.borrow().has_servers());
     })
@@ -97,12 +102,13 @@
         drop(old);
         let (mut new, _) = accept(agent).await;
         let position = report.have.servers;
-        let entries = vec![server_entry(agent.local_addr().expect("an address"))];
+        let entries = vec![server_entry(agent.local_addr().expect("the listener has a local address"))];
         let servers = Some(ServerDelta { position, is_full: true, entries, removed: Vec::new() });
         write_frame(&mut new, &FeedMessage::Update(Update { servers, ..Update::default() }))
             .await
-            .expect("sent");
-        let after: ProxyReport = read_frame(&mut new).await.expect("a report").expect("a report");
+            .expect("the bytes are written");
+        let after: ProxyReport =
+            read_frame(&mut new).await.expect("the frame is valid").expect("the proxy sends a report");
         assert_eq!(after.have.servers, position);
         assert_eq!(state.balancer.borrow().server_keys().collect::<Vec<_>>(), before);
     })
--- a/crates/proxy/src/http/body.rs
+++ b/crates/proxy/src/http/body.rs
@@ -5,7 +5,7 @@
 
 /// The maximum length of a chunk-size line with its extensions, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
-/// The maximum number of hexadecimal digits in a chunk size.
+/// The maximum number of hexadecimal digits in a chunk size, so that sizes are below 2^48 bytes.
 const MAX_CHUNK_SIZE_DIGITS: usize = 12;
 /// The maximum size of all trailers together, in bytes.
 const MAX_TRAILER_BYTES: usize = 4 * 1024;
--- a/crates/proxy/src/http/body_tests.rs
+++ b/crates/proxy/src/http/body_tests.rs
@@ -6,7 +6,7 @@
 
 /// Decodes `text`, received in pieces of `size` bytes. Returns the body and the bytes after it, or `None` if
 /// the body is invalid or incomplete.
-fn decode(framing: Framing, text: &str, size: usize) -> Option<(String, String)> {
+fn decode_in_pieces(framing: Framing, text: &str, size: usize) -> Option<(String, String)> {
     let (mut decoder, mut buffer, mut body) = (BodyDecoder::new(framing), BytesMut::new(), Vec::new());
     let mut steps = text.as_bytes().chunks(size);
     loop {
@@ -39,7 +39,7 @@
 ) {
     let expected = expected.map(|(body, rest)| (body.to_owned(), rest.to_owned()));
     for size in 1..=text.len() {
-        assert_eq!(decode(framing, text, size), expected, "in pieces of {size} bytes");
+        assert_eq!(decode_in_pieces(framing, text, size), expected, "in pieces of {size} bytes");
     }
 }
 
--- a/crates/proxy/src/http/framing.rs
+++ b/crates/proxy/src/http/framing.rs
@@ -4,7 +4,7 @@
 
 use crate::http::head::{Headers, RequestHead, ResponseHead};
 
-/// The maximum number of digits in a `Content-Length`.
+/// The maximum number of digits in a `Content-Length`, so that lengths are below 10^15 bytes.
 const MAX_CONTENT_LENGTH_DIGITS: usize = 15;
 
 /// How the end of a body is determined.
--- a/crates/proxy/src/inbound/connections.rs
+++ b/crates/proxy/src/inbound/connections.rs
@@ -91,7 +91,7 @@
         self.slots.borrow_mut().insert(id, slot.clone());
         let open = self.count();
         check(Invariant::ClientConnectionsBounded, open <= self.max_connections, || {
-            format!("{open} of {}", self.max_connections)
+            format!("{open} client connections are open, the limit is {}", self.max_connections)
         });
         (id, slot)
     }
@@ -114,7 +114,7 @@
         let idle = slots.values().filter_map(|slot| Some((slot.idle_since.get()?, slot)));
         let longest_idle = idle.min_by_key(|(since, _)| *since);
         longest_idle.inspect(|(_, slot)| {
-            // No longer counts as idle, so that it is not evicted again.
+            // The connection no longer counts as idle, so that it is not evicted again.
             slot.idle_since.set(None);
             slot.request_close();
         });
--- a/crates/proxy/src/inbound/connections_tests.rs
+++ b/crates/proxy/src/inbound/connections_tests.rs
@@ -2,7 +2,7 @@
 
 use crate::inbound::connection;
 use crate::inbound::connections::ClientConnections;
-use crate::outbound::fixtures::{listener, state};
+use crate::outbound::fixtures::{start_listener, state_with_server};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -44,20 +44,23 @@
 /// and the response must announce the close, since a further request on this connection would fail.
 #[tokio::test]
 async fn request_received_during_eviction_is_served_and_its_response_announces_the_close() {
-    let listener = listener().await;
-    let address = listener.local_addr().expect("an address");
-    let mut client = TcpStream::connect(address).await.expect("a connection");
-    let (stream, _) = listener.accept().await.expect("a connection");
+    let listener = start_listener().await;
+    let address = listener.local_addr().expect("the listener has a local address");
+    let mut client = TcpStream::connect(address).await.expect("the connection is established");
+    let (stream, _) = listener.accept().await.expect("a connection is accepted");
     let connections = ClientConnections::new(0);
     let (_, slot) = connections.register();
-    client.write_all(b"GET /ping HTTP/1.1\r\nHost: x\r\nRequest-Id: r1\r\n\r\n").await.expect("a write");
-    stream.readable().await.expect("the request");
+    client
+        .write_all(b"GET /ping HTTP/1.1\r\nHost: x\r\nRequest-Id: r1\r\n\r\n")
+        .await
+        .expect("the bytes are written");
+    stream.readable().await.expect("the request arrives");
     assert!(connections.evict_longest_idle());
-    let state = state(address);
+    let state = state_with_server(address);
     let mut received = String::new();
     let (_, read) =
         tokio::join!(connection::serve(&state, stream, &slot), client.read_to_string(&mut received));
-    read.expect("a complete response");
+    read.expect("the response is read to its end");
     assert!(received.starts_with("HTTP/1.1 "), "{received}");
     assert!(received.to_ascii_lowercase().contains("connection: close\r\n"), "{received}");
 }
--- a/crates/proxy/src/inbound/error_response.rs
+++ b/crates/proxy/src/inbound/error_response.rs
@@ -23,38 +23,38 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
     /// The received bytes are not a valid request, or its framing is ambiguous.
-    #[error("malformed request")]
+    #[error("the request is malformed or its framing is ambiguous")]
     Malformed,
     /// The head is larger than the configuration allows, or has too many header fields.
-    #[error("request head too large")]
+    #[error("the request head is too large")]
     HeadTooLarge,
     /// The body is larger than the configuration allows.
-    #[error("request body too large")]
+    #[error("the request body is too large")]
     BodyTooLarge,
     /// The client took too long to send the complete request.
-    #[error("request was received too slowly")]
+    #[error("the request was received too slowly")]
     RequestTimeout,
     /// No route matches the request.
-    #[error("no route")]
+    #[error("no route matches the request")]
     NoRoute,
     /// No configuration has been received yet.
-    #[error("no configuration")]
+    #[error("no configuration has been received")]
     NotReady,
     /// No server is available. The request was not executed.
-    #[error("no server available")]
+    #[error("no server is available")]
     Unavailable,
     /// The servers, this proxy's memory for bodies, or the retry budget are exhausted. The request was not
     /// executed.
-    #[error("saturated")]
+    #[error("the servers, the memory for request bodies or the retry budget are exhausted")]
     Saturated,
     /// The deadline has passed. The request was not executed.
-    #[error("deadline exceeded before execution")]
+    #[error("the deadline passed before the request was executed")]
     DeadlineBeforeExecution,
     /// The deadline has passed. The request may have been executed.
-    #[error("deadline exceeded")]
+    #[error("the deadline passed, and the request may have been executed")]
     DeadlineExceeded,
     /// A server failed. The request may have been executed.
-    #[error("bad gateway")]
+    #[error("a server failed, and the request may have been executed")]
     BadGateway,
 }
 
--- a/crates/proxy/src/inbound/error_response_tests.rs
+++ b/crates/proxy/src/inbound/error_response_tests.rs
@@ -38,10 +38,10 @@
     );
 }
 
-fn written(error: RequestError, request_id: Option<&str>, close: bool, jitter: f64) -> String {
+fn encode_response(error: RequestError, request_id: Option<&str>, close: bool, jitter: f64) -> String {
     let mut out = Vec::new();
     error.write(&mut out, request_id.map(str::as_bytes), close, jitter);
-    String::from_utf8(out).expect("text")
+    String::from_utf8(out).expect("the text is valid UTF-8")
 }
 
 /// The complete response for each error, byte for byte, with and without a request id and `Connection:
@@ -65,9 +65,9 @@
 fn bytes_of_each_response(#[case] error: RequestError, #[case] name: &str, #[case] start: &str) {
     assert_eq!(error.name(), name);
     let expected = format!("HTTP/1.1 {start}Request-Id: r1\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!(written(error, Some("r1"), false, 0.5), expected);
+    assert_eq!(encode_response(error, Some("r1"), false, 0.5), expected);
     let expected = format!("HTTP/1.1 {start}Content-Length: 0\r\nConnection: close\r\n\r\n");
-    assert_eq!(written(error, None, true, 0.5), expected);
+    assert_eq!(encode_response(error, None, true, 0.5), expected);
 }
 
 #[rstest]
@@ -77,5 +77,5 @@
 fn retry_after_is_scaled_by_the_jitter(#[case] jitter: f64, #[case] seconds: &str) {
     let expected =
         format!("HTTP/1.1 503 Service Unavailable\r\nRetry-After: {seconds}\r\nContent-Length: 0\r\n\r\n");
-    assert_eq!(written(RequestError::Saturated, None, false, jitter), expected);
+    assert_eq!(encode_response(RequestError::Saturated, None, false, jitter), expected);
 }
--- a/crates/proxy/src/inbound/request.rs
+++ b/crates/proxy/src/inbound/request.rs
@@ -18,7 +18,7 @@
     pub body: Bytes,
     /// Whether a body was announced, even an empty one.
     pub has_body: bool,
-    /// When its first bytes were received.
+    /// When the first bytes of the request were received.
     pub arrived: Instant,
 }
 
--- a/crates/proxy/src/inbound/response_writer.rs
+++ b/crates/proxy/src/inbound/response_writer.rs
@@ -104,7 +104,7 @@
         self.head_count += 1;
         let head_count = self.head_count;
         check(Invariant::OneFinalAnswer, head_count == 1, || {
-            format!("{head_count} heads to {:?}", self.request_text())
+            format!("{head_count} response heads for request {:?}", self.request_text())
         });
     }
 
@@ -214,7 +214,9 @@
         }
         self.record_head(head.status);
         let is_own = self.request_id.is_none_or(|id| head.headers.get("request-id") == Some(id));
-        check(Invariant::AnswerOfItsRequest, is_own, || format!("a response to {:?}", self.request_text()));
+        check(Invariant::AnswerOfItsRequest, is_own, || {
+            format!("response without the id of request {:?}", self.request_text())
+        });
         out.extend_from_slice(b"HTTP/1.1 ");
         append_number(out, head.status.into());
         out.extend_from_slice(b" ");
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -72,7 +72,7 @@
     if let Some(level) = options.log_level {
         spdlog::default_logger().set_level_filter(level);
     }
-    let mut sigterm = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
+    let mut sigterm = signal(SignalKind::terminate()).wrap_err("cannot install the SIGTERM handler")?;
     let terminated = async move {
         sigterm.recv().await;
     };
@@ -89,9 +89,11 @@
 ) -> eyre::Result<()> {
     let front = settings.listen.front.ok_or_eyre("Listen.Front is missing")?;
     let ready = settings.listen.ready.ok_or_eyre("Listen.Ready is missing")?;
-    let front = TcpListener::bind(front).await.wrap_err_with(|| format!("Listen.Front {front}"))?;
-    let ready = TcpListener::bind(ready).await.wrap_err_with(|| format!("Listen.Ready {ready}"))?;
-    let sighup = signal(SignalKind::hangup()).wrap_err("SIGHUP")?;
+    let front =
+        TcpListener::bind(front).await.wrap_err_with(|| format!("cannot bind Listen.Front {front}"))?;
+    let ready =
+        TcpListener::bind(ready).await.wrap_err_with(|| format!("cannot bind Listen.Ready {ready}"))?;
+    let sighup = signal(SignalKind::hangup()).wrap_err("cannot install the SIGHUP handler")?;
     let state = ProxyState::new(&settings, options.tuning, random_seed(&settings));
     let connections = ClientConnections::new(settings.limits.max_fds);
     let grace = Duration::from_secs_f64(settings.bounds.grace_s.min(3_600.0));
--- a/crates/proxy/src/outbound/exchange.rs
+++ b/crates/proxy/src/outbound/exchange.rs
@@ -91,7 +91,7 @@
 }
 
 /// Checks that the server is still eligible, since the endpoint list may have changed after the selection. If
-/// it is not, a reused connection is returned to the pool and a new one is closed.
+/// the server is not eligible, a reused connection is returned to the pool and a new one is closed.
 fn check_eligible(
     state: &ProxyState, server: &Selection, connection: Connection, phase: Phase,
 ) -> Result<Connection, ExchangeError> {
@@ -135,9 +135,9 @@
 /// expected.
 ///
 /// On a reused connection that may be stale, the last byte is delayed even if the request may be retried,
-/// since each broken connection uses up one of its executions. A new connection is delayed only if the
-/// request must not be retried: resets of new connections are rare, so that for other requests an occasional
-/// retry costs less than the delay.
+/// since each broken connection uses up one of its executions. On a new connection, the last byte is delayed
+/// only if the request must not be retried: resets of new connections are rare, so that for other requests an
+/// occasional retry costs less than the delay.
 pub fn last_byte_delay(terms: &ExchangeTerms, is_reused: bool, idle_time: Duration) -> Option<Duration> {
     let may_retry = terms.is_idempotent || terms.phase == Phase::Prefill;
     let may_be_reset = if is_reused { idle_time >= STALE_AFTER_IDLE } else { !may_retry };
--- a/crates/proxy/src/outbound/exchange_tests.rs
+++ b/crates/proxy/src/outbound/exchange_tests.rs
@@ -5,7 +5,8 @@
 use crate::outbound::error::ExchangeError;
 use crate::outbound::exchange::{ExchangeTerms, exchange, last_byte_delay};
 use crate::outbound::fixtures::{
-    apply_server_list, open_connection, outbound, selection, server_and_state, server_entry, server_key,
+    apply_server_list, open_connection, outbound_request, server_and_state, server_entry, server_key,
+    server_selection,
 };
 use crate::outbound::request::{AttemptHeaders, OutboundRequest};
 use crate::outbound::response::ServerResponse;
@@ -20,7 +21,7 @@
 const LONG_BODY_BYTES: usize = 32 << 20;
 const RESPONSE: &str = "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n";
 
-fn terms(is_idempotent: bool, phase: Phase) -> ExchangeTerms {
+fn exchange_terms(is_idempotent: bool, phase: Phase) -> ExchangeTerms {
     ExchangeTerms {
         phase,
         deadline: Instant::now() + Duration::from_secs(3),
@@ -30,21 +31,21 @@
     }
 }
 
-fn request(length: usize) -> OutboundRequest {
-    outbound("POST", "Request-Id: r1\r\n", vec![b'x'; length])
+fn request_with_body(length: usize) -> OutboundRequest {
+    outbound_request("POST", "Request-Id: r1\r\n", vec![b'x'; length])
 }
 
-async fn send(
+async fn run_exchange(
     state: &ProxyState, listener: &TcpListener, outbound: &mut OutboundRequest, terms: ExchangeTerms,
 ) -> Result<ServerResponse, ExchangeError> {
-    let selection = selection(state, listener.local_addr().expect("an address"));
+    let selection = server_selection(state, listener.local_addr().expect("the listener has a local address"));
     exchange(state, &selection, outbound, &AttemptHeaders::default(), terms).await
 }
 
-async fn read(peer: &mut TcpStream, end: &[u8]) {
+async fn read_until(peer: &mut TcpStream, end: &[u8]) {
     let (mut seen, mut byte) = (Vec::new(), [0]);
     while !seen.ends_with(end) {
-        peer.read_exact(&mut byte).await.expect("a byte");
+        peer.read_exact(&mut byte).await.expect("the peer receives a byte");
         seen.push(byte[0]);
     }
 }
@@ -67,7 +68,10 @@
     #[case] is_withheld: bool,
 ) {
     let idle = Duration::from_millis(idle_ms);
-    assert_eq!(last_byte_delay(&terms(is_idempotent, phase), is_reused, idle).is_some(), is_withheld);
+    assert_eq!(
+        last_byte_delay(&exchange_terms(is_idempotent, phase), is_reused, idle).is_some(),
+        is_withheld
+    );
 }
 
 /// The deadline passes while the body is being sent. If the server has begun to respond, it may have executed
@@ -78,16 +82,18 @@
 #[tokio::test]
 async fn deadline_before_the_last_byte(#[case] received: &str, #[case] expected: ExchangeError) {
     let (state, listener) = server_and_state().await;
-    let mut outbound = request(LONG_BODY_BYTES);
+    let mut outbound = request_with_body(LONG_BODY_BYTES);
     let server = async {
-        let mut peer = listener.accept().await.expect("a connection").0;
-        read(&mut peer, b"\r\n\r\n").await;
-        peer.write_all(received.as_bytes()).await.expect("sent");
+        let mut peer = listener.accept().await.expect("a connection is accepted").0;
+        read_until(&mut peer, b"\r\n\r\n").await;
+        peer.write_all(received.as_bytes()).await.expect("the bytes are written");
         tokio::time::pause();
         peer
     };
-    let (result, _peer) =
-        tokio::join!(send(&state, &listener, &mut outbound, terms(false, Phase::Full)), server);
+    let (result, _peer) = tokio::join!(
+        run_exchange(&state, &listener, &mut outbound, exchange_terms(false, Phase::Full)),
+        server
+    );
     assert_eq!(result.err(), Some(expected));
 }
 
@@ -103,13 +109,18 @@
     let mut pooled = None;
     if is_reused {
         let (connection, peer) = open_connection(&state, &listener).await;
-        state.pool.checkin(server_key(&state), connection.into_idle().expect("a reusable connection"));
+        state.pool.checkin(server_key(&state), connection.into_idle().expect("the connection is reusable"));
         pooled = Some(peer);
     }
-    let mut outbound = request(4);
+    let mut outbound = request_with_body(4);
     let deadline = Instant::now() + Duration::from_millis(left_ms);
-    let result =
-        send(&state, &listener, &mut outbound, ExchangeTerms { deadline, ..terms(true, Phase::Full) }).await;
+    let result = run_exchange(
+        &state,
+        &listener,
+        &mut outbound,
+        ExchangeTerms { deadline, ..exchange_terms(true, Phase::Full) },
+    )
+    .await;
     let expected = if is_late { ExchangeError::TooLate } else { ExchangeError::Timeout };
     assert_eq!(result.err(), Some(expected));
     assert_eq!(outbound.used_connections.is_empty(), is_late);
@@ -119,12 +130,18 @@
 #[tokio::test]
 async fn nothing_is_sent_to_a_server_removed_after_its_selection() {
     let (state, listener) = server_and_state().await;
-    let selection = selection(&state, listener.local_addr().expect("an address"));
+    let selection =
+        server_selection(&state, listener.local_addr().expect("the listener has a local address"));
     apply_server_list(&state, 2, Vec::new());
-    let mut outbound = request(4);
-    let result =
-        exchange(&state, &selection, &mut outbound, &AttemptHeaders::default(), terms(true, Phase::Full))
-            .await;
+    let mut outbound = request_with_body(4);
+    let result = exchange(
+        &state,
+        &selection,
+        &mut outbound,
+        &AttemptHeaders::default(),
+        exchange_terms(true, Phase::Full),
+    )
+    .await;
     assert_eq!((result.err(), outbound.used_connections.len()), (Some(ExchangeError::Aborted), 0));
 }
 
@@ -133,17 +150,18 @@
     let (state, listener) = server_and_state().await;
     tokio::time::pause();
     let (connection, _peer) = open_connection(&state, &listener).await;
-    let connection = connection.into_idle().expect("a reusable connection");
+    let connection = connection.into_idle().expect("the connection is reusable");
     let (id, since) = (connection.id(), connection.idle_since);
     state.pool.checkin(server_key(&state), connection);
     tokio::time::advance(Duration::from_millis(900)).await;
-    let mut draining = server_entry(listener.local_addr().expect("an address"));
+    let mut draining = server_entry(listener.local_addr().expect("the listener has a local address"));
     draining.state = lugwharf_protocol::ServerState::Draining;
     apply_server_list(&state, 2, vec![draining]);
-    let mut outbound = request(4);
-    let result = send(&state, &listener, &mut outbound, terms(true, Phase::Full)).await;
+    let mut outbound = request_with_body(4);
+    let result = run_exchange(&state, &listener, &mut outbound, exchange_terms(true, Phase::Full)).await;
     assert_eq!(result.err(), Some(ExchangeError::Aborted));
-    let connection = state.pool.checkout(server_key(&state), true, &[]).expect("pooled");
+    let connection =
+        state.pool.checkout(server_key(&state), true, &[]).expect("the connection was returned to the pool");
     assert_eq!((connection.id(), connection.idle_since), (id, since));
 }
 
@@ -163,25 +181,25 @@
         state.pool.checkin(server_key(&state), age(connection));
         peers.push(peer);
     }
-    let mut outbound = request(4);
+    let mut outbound = request_with_body(4);
     let server = async {
         // Each connection closes while the last byte is withheld. No time passes until the next connection is
         // used.
         let closes = async {
             for mut peer in peers.into_iter().rev() {
-                read(&mut peer, b"\r\n\r\nxxx").await;
+                read_until(&mut peer, b"\r\n\r\nxxx").await;
             }
-            listener.accept().await.expect("a connection").0
+            listener.accept().await.expect("a connection is accepted").0
         };
         let mut peer = with_stopped_clock(closes).await;
-        read(&mut peer, b"\r\n\r\nxxxx").await;
-        peer.write_all(RESPONSE.as_bytes()).await.expect("sent");
+        read_until(&mut peer, b"\r\n\r\nxxxx").await;
+        peer.write_all(RESPONSE.as_bytes()).await.expect("the bytes are written");
         peer
     };
-    let sending = send(&state, &listener, &mut outbound, terms(false, Phase::Full));
+    let sending = run_exchange(&state, &listener, &mut outbound, exchange_terms(false, Phase::Full));
     let result = tokio::select! {
         result = sending => result,
-        _ = async { server.await; std::future::pending::<()>().await } => unreachable!("never completes"),
+        _ = async { server.await; std::future::pending::<()>().await } => unreachable!("the server task never completes"),
     };
     assert_eq!(result.err(), (!is_sent).then_some(ExchangeError::Aborted));
     assert_eq!(outbound.used_connections.len(), if is_sent { stale + 1 } else { stale });
@@ -199,7 +217,7 @@
     let done = tokio::select! {
         biased;
         done = body => done,
-        () = busy => unreachable!("never completes"),
+        () = busy => unreachable!("the busy task never completes"),
     };
     tokio::time::resume();
     done
@@ -207,7 +225,7 @@
 
 /// Makes the connection idle for long enough that it may be stale.
 fn idle_for_long(connection: Connection) -> Connection {
-    let mut connection = connection.into_idle().expect("a reusable connection");
+    let mut connection = connection.into_idle().expect("the connection is reusable");
     connection.idle_since -= Duration::from_millis(600);
     connection.server_idle_since -= Duration::from_millis(600);
     connection
@@ -216,7 +234,7 @@
 /// Makes the connection idle after its last response was forwarded to a slow client: the connection may have
 /// been idle at the server during all that time.
 fn slowly_forwarded(connection: Connection) -> Connection {
-    let mut connection = connection.into_idle().expect("a reusable connection");
+    let mut connection = connection.into_idle().expect("the connection is reusable");
     connection.server_idle_since -= Duration::from_millis(600);
     connection
 }
@@ -225,17 +243,17 @@
 #[tokio::test]
 async fn request_is_sent_once_per_connection() {
     let (state, listener) = server_and_state().await;
-    let (mut outbound, mut peers) = (request(4), Vec::new());
+    let (mut outbound, mut peers) = (request_with_body(4), Vec::new());
     for attempt in 0..3 {
         let server = async {
-            let mut peer = listener.accept().await.expect("a connection").0;
-            read(&mut peer, b"\r\n\r\nxxxx").await;
-            peer.write_all(RESPONSE.as_bytes()).await.expect("sent");
+            let mut peer = listener.accept().await.expect("a connection is accepted").0;
+            read_until(&mut peer, b"\r\n\r\nxxxx").await;
+            peer.write_all(RESPONSE.as_bytes()).await.expect("the bytes are written");
             peer
         };
-        let sending = send(&state, &listener, &mut outbound, terms(true, Phase::Full));
+        let sending = run_exchange(&state, &listener, &mut outbound, exchange_terms(true, Phase::Full));
         let (result, peer) = tokio::join!(sending, server);
-        result.expect("a response").release_connection(&state);
+        result.expect("the exchange succeeds").release_connection(&state);
         assert_eq!(outbound.used_connections.len(), attempt + 1);
         peers.push(peer);
     }
@@ -253,17 +271,18 @@
     #[case] response: &str, #[case] is_pooled: bool,
 ) {
     let (state, listener) = server_and_state().await;
-    let mut outbound = request(4);
+    let mut outbound = request_with_body(4);
     let server = async {
-        let mut peer = listener.accept().await.expect("a connection").0;
-        read(&mut peer, b"\r\n\r\nxxxx").await;
-        peer.write_all(response.as_bytes()).await.expect("sent");
+        let mut peer = listener.accept().await.expect("a connection is accepted").0;
+        read_until(&mut peer, b"\r\n\r\nxxxx").await;
+        peer.write_all(response.as_bytes()).await.expect("the bytes are written");
         is_pooled.then_some(peer)
     };
     let sending = async {
-        let mut response =
-            send(&state, &listener, &mut outbound, terms(true, Phase::Full)).await.expect("a response");
-        response.collect(100, Instant::now() + Duration::from_secs(3)).await.expect("a body");
+        let mut response = run_exchange(&state, &listener, &mut outbound, exchange_terms(true, Phase::Full))
+            .await
+            .expect("the exchange succeeds");
+        response.collect(100, Instant::now() + Duration::from_secs(3)).await.expect("the body is received");
         response.release_connection(&state);
     };
     let ((), _peer) = tokio::join!(sending, server);
@@ -277,17 +296,18 @@
 #[tokio::test]
 async fn collected_body_is_limited(#[case] max: usize, #[case] is_accepted: bool) {
     let (state, listener) = server_and_state().await;
-    let mut outbound = request(4);
+    let mut outbound = request_with_body(4);
     let server = async {
-        let mut peer = listener.accept().await.expect("a connection").0;
-        read(&mut peer, b"\r\n\r\nxxxx").await;
+        let mut peer = listener.accept().await.expect("a connection is accepted").0;
+        read_until(&mut peer, b"\r\n\r\nxxxx").await;
         let response = RESPONSE.replace("Length: 0", "Length: 3") + "all";
-        peer.write_all(response.as_bytes()).await.expect("sent");
+        peer.write_all(response.as_bytes()).await.expect("the bytes are written");
         peer
     };
-    let sending = send(&state, &listener, &mut outbound, terms(true, Phase::Full));
+    let sending = run_exchange(&state, &listener, &mut outbound, exchange_terms(true, Phase::Full));
     let (response, _peer) = tokio::join!(sending, server);
-    let body = response.expect("a response").collect(max, Instant::now() + Duration::from_secs(3)).await;
+    let body =
+        response.expect("the exchange succeeds").collect(max, Instant::now() + Duration::from_secs(3)).await;
     assert_eq!(body.ok(), is_accepted.then(|| b"all".to_vec()));
 }
 
@@ -301,26 +321,26 @@
     #[case] length: usize, #[case] is_reused: bool, #[case] is_discarded: bool,
 ) {
     let (state, listener) = server_and_state().await;
-    let mut outbound = request(4);
+    let mut outbound = request_with_body(4);
     let mut pooled = None;
     if is_reused {
         let (connection, peer) = open_connection(&state, &listener).await;
-        state.pool.checkin(server_key(&state), connection.into_idle().expect("a reusable connection"));
+        state.pool.checkin(server_key(&state), connection.into_idle().expect("the connection is reusable"));
         pooled = Some(peer);
     }
     let server = async {
         let mut peer = match pooled {
             Some(peer) => peer,
-            None => listener.accept().await.expect("a connection").0,
+            None => listener.accept().await.expect("a connection is accepted").0,
         };
-        read(&mut peer, b"\r\n\r\nxxxx").await;
+        read_until(&mut peer, b"\r\n\r\nxxxx").await;
         let body = "x".repeat(length);
         let other = format!("HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nContent-Length: {length}\r\n\r\n{body}");
         // The proxy may close the connection before everything is written.
         drop(peer.write_all(format!("{other}{RESPONSE}").as_bytes()).await);
         peer
     };
-    let sending = send(&state, &listener, &mut outbound, terms(true, Phase::Full));
+    let sending = run_exchange(&state, &listener, &mut outbound, exchange_terms(true, Phase::Full));
     let (result, _peer) = tokio::join!(sending, server);
     assert_eq!(result.err(), (!is_discarded).then_some(ExchangeError::ConnectionBroken));
 }
--- a/crates/proxy/src/outbound/fixtures.rs
+++ b/crates/proxy/src/outbound/fixtures.rs
@@ -16,25 +16,25 @@
 use tokio::time::Instant;
 
 /// Returns the listener of a scripted server.
-pub async fn listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").await.expect("a port")
+pub async fn start_listener() -> TcpListener {
+    TcpListener::bind("127.0.0.1:0").await.expect("a loopback port can be bound")
 }
 
 /// Returns the state of a proxy that knows a scripted server, and the server's listener.
 pub async fn server_and_state() -> (Rc<ProxyState>, TcpListener) {
-    let listener = listener().await;
-    (state(listener.local_addr().expect("an address")), listener)
+    let listener = start_listener().await;
+    (state_with_server(listener.local_addr().expect("the listener has a local address")), listener)
 }
 
 /// Returns the state of a proxy that knows the server at `address`.
-pub fn state(address: SocketAddr) -> Rc<ProxyState> {
+pub fn state_with_server(address: SocketAddr) -> Rc<ProxyState> {
     let text = r#"
         Node = "front-1"
         Ip = "127.0.0.1"
         Zone = "home"
         PortRange = [20000, 20010]
     "#;
-    let settings = Settings::parse(text).expect("settings");
+    let settings = Settings::parse(text).expect("the settings are valid");
     let state = ProxyState::new(&settings, Tuning::default(), 1);
     apply_server_list(&state, 1, vec![server_entry(address)]);
     state
@@ -64,11 +64,11 @@
 
 /// Returns the key of the only server.
 pub fn server_key(state: &ProxyState) -> ServerKey {
-    state.balancer.borrow().server_keys().next().expect("a server")
+    state.balancer.borrow().server_keys().next().expect("the list has a server")
 }
 
 /// Returns the selection of the only server.
-pub fn selection(state: &ProxyState, address: SocketAddr) -> Selection {
+pub fn server_selection(state: &ProxyState, address: SocketAddr) -> Selection {
     Selection {
         key: server_key(state),
         id: "i-a".into(),
@@ -82,16 +82,19 @@
 
 /// Opens a connection from the proxy to the server. Returns both ends.
 pub async fn open_connection(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
-    let address = listener.local_addr().expect("an address");
-    let permit = state.pool.try_reserve(server_key(state), None, 1).expect("capacity");
+    let address = listener.local_addr().expect("the listener has a local address");
+    let permit =
+        state.pool.try_reserve(server_key(state), None, 1).expect("the limit on connections is not reached");
     let (connection, accepted) = tokio::join!(Connection::open(address, permit), listener.accept());
-    (connection.expect("a connection"), accepted.expect("a connection").0)
+    (connection.expect("the connection is established"), accepted.expect("a connection is accepted").0)
 }
 
 /// Returns a request whose head has the further lines `more`.
-pub fn outbound(method: &str, more: &str, body: Vec<u8>) -> OutboundRequest {
+pub fn outbound_request(method: &str, more: &str, body: Vec<u8>) -> OutboundRequest {
     let text = format!("{method} /r/x HTTP/1.1\r\nHost: h\r\n{more}\r\n");
-    let head = parse_request(&mut BytesMut::from(text.as_str())).expect("a head").expect("a complete head");
+    let head = parse_request(&mut BytesMut::from(text.as_str()))
+        .expect("the head is valid")
+        .expect("the head is complete");
     OutboundRequest::new(&ClientRequest {
         head,
         has_body: true,
--- a/crates/proxy/src/outbound/pool_tests.rs
+++ b/crates/proxy/src/outbound/pool_tests.rs
@@ -11,9 +11,9 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::Instant;
 
-async fn idle(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
+async fn open_idle_connection(state: &ProxyState, listener: &TcpListener) -> (Connection, TcpStream) {
     let (connection, peer) = open_connection(state, listener).await;
-    (connection.into_idle().expect("a reusable connection"), peer)
+    (connection.into_idle().expect("the connection is reusable"), peer)
 }
 
 #[tokio::test]
@@ -21,16 +21,17 @@
     let (state, listener) = server_and_state().await;
     let (mut ids, mut peers) = (Vec::new(), Vec::new());
     for _ in 0..3 {
-        let (connection, peer) = idle(&state, &listener).await;
+        let (connection, peer) = open_idle_connection(&state, &listener).await;
         ids.push(connection.id());
         state.pool.checkin(server_key(&state), connection);
         peers.push(peer);
     }
     assert!(ids[0] != ids[1] && ids[1] != ids[2]);
-    let taken = state.pool.checkout(server_key(&state), true, &[ids[2]]).expect("an idle connection");
+    let taken =
+        state.pool.checkout(server_key(&state), true, &[ids[2]]).expect("the pool has a usable connection");
     assert_eq!(taken.id(), ids[1]);
     // Excluded connections stay in the pool.
-    let taken = state.pool.checkout(server_key(&state), true, &[]).expect("an idle connection");
+    let taken = state.pool.checkout(server_key(&state), true, &[]).expect("the pool has a usable connection");
     assert_eq!(taken.id(), ids[2]);
     assert!(state.pool.checkout(server_key(&state), true, &ids).is_none());
 }
@@ -41,12 +42,12 @@
 #[tokio::test]
 async fn idle_connection_with_pending_input_is_not_checked_out(#[case] closes: bool) {
     let (state, listener) = server_and_state().await;
-    let (connection, mut peer) = idle(&state, &listener).await;
+    let (connection, mut peer) = open_idle_connection(&state, &listener).await;
     state.pool.checkin(server_key(&state), connection);
     if closes {
         drop(peer);
     } else {
-        peer.write_all(b"surplus").await.expect("sent");
+        peer.write_all(b"surplus").await.expect("the bytes are written");
     }
     assert!(state.pool.checkout(server_key(&state), true, &[]).is_none());
 }
@@ -75,7 +76,7 @@
 ) {
     let (state, listener) = server_and_state().await;
     tokio::time::pause();
-    let (mut connection, _peer) = idle(&state, &listener).await;
+    let (mut connection, _peer) = open_idle_connection(&state, &listener).await;
     connection.server_closes_at = closes_ms.map(|ms| Instant::now() + Duration::from_millis(ms));
     state.pool.checkin(server_key(&state), connection);
     tokio::time::advance(Duration::from_millis(idle_ms)).await;
@@ -86,7 +87,7 @@
 async fn expired_connections_are_closed() {
     let (state, listener) = server_and_state().await;
     tokio::time::pause();
-    let (connection, peer) = idle(&state, &listener).await;
+    let (connection, peer) = open_idle_connection(&state, &listener).await;
     state.pool.checkin(server_key(&state), connection);
     state.pool.close_expired();
     assert!(peer.try_read(&mut [0]).is_err(), "the connection is open");
@@ -102,14 +103,18 @@
 async fn connections_to_a_removed_server_are_closed() {
     let (state, listener) = server_and_state().await;
     let removed = server_key(&state);
-    let (connection, peer) = idle(&state, &listener).await;
-    let (late, _late_peer) = idle(&state, &listener).await;
+    let (connection, peer) = open_idle_connection(&state, &listener).await;
+    let (late, _late_peer) = open_idle_connection(&state, &listener).await;
     state.pool.checkin(removed, connection);
     apply_server_list(&state, 2, Vec::new());
     peer.readable().await.expect("the end of the connection");
     assert_eq!(peer.try_read(&mut [0]).expect("the end of the connection"), 0);
     state.pool.checkin(removed, late);
-    apply_server_list(&state, 3, vec![server_entry(listener.local_addr().expect("an address"))]);
+    apply_server_list(
+        &state,
+        3,
+        vec![server_entry(listener.local_addr().expect("the listener has a local address"))],
+    );
     assert_ne!(server_key(&state), removed, "the same id, listed again");
     assert!(state.pool.checkout(removed, true, &[]).is_none());
     assert!(state.pool.checkout(server_key(&state), true, &[]).is_none());
@@ -120,7 +125,7 @@
     let (state, listener) = server_and_state().await;
     let mut peers = Vec::new();
     for _ in 0..17 {
-        let (connection, peer) = idle(&state, &listener).await;
+        let (connection, peer) = open_idle_connection(&state, &listener).await;
         state.pool.checkin(server_key(&state), connection);
         peers.push(peer);
     }
--- a/crates/proxy/src/outbound/response.rs
+++ b/crates/proxy/src/outbound/response.rs
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Discards the part of the body that has been received, and releases the connection. It is reused only
-    /// if the body is complete.
+    /// Discards the part of the body that has been received, and releases the connection, which is reused
+    /// only if the body is complete.
     pub fn discard_body(mut self, state: &ProxyState) {
         while let Ok(Decoded::Data(_)) = self.connection.decode(&mut self.decoder) {}
         self.release_connection(state);
--- a/crates/proxy/src/shutdown.rs
+++ b/crates/proxy/src/shutdown.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpListener;
 use tokio::time::{Instant, timeout_at};
 
-/// The time until the platform routes no more clients to this process. It checks readiness once a second, and
-/// stops after two failed checks.
+/// The time until the platform routes no more clients to this process: the platform checks readiness once a
+/// second, and needs two failed checks.
 const PLATFORM_DETECTION_TIME: Duration = Duration::from_millis(2_300);
 /// The shutdown ends this long before the platform would kill the process.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
--- a/crates/proxy/src/stack/attempt.rs
+++ b/crates/proxy/src/stack/attempt.rs
@@ -42,7 +42,7 @@
     ) -> AttemptOutcome {
         let may_be_sent = self.terms.is_idempotent || self.attempts.is_unexecuted();
         check(Invariant::UnrepeatableSentOnce, may_be_sent, || {
-            format!("request {} to {} as {phase:?}", self.request.id(), selection.id)
+            format!("request {} sent again to server {} as {phase:?}", self.request.id(), selection.id)
         });
         let in_flight = InFlightAttempt::new(self.state, selection, phase, deadline);
         let terms = ExchangeTerms {
--- a/crates/proxy/src/stack/delivery_budget.rs
+++ b/crates/proxy/src/stack/delivery_budget.rs
@@ -5,7 +5,7 @@
 #[derive(Debug, Default)]
 pub struct DeliveryBudget {
     has_unused_withdrawal: bool,
-    did_last_use_withdrawal: bool,
+    last_delivery_used_withdrawal: bool,
 }
 
 impl DeliveryBudget {
@@ -23,12 +23,12 @@
 
     /// Records a delivery, which uses the withdrawal if there is one.
     pub fn record_delivery(&mut self) {
-        self.did_last_use_withdrawal = std::mem::replace(&mut self.has_unused_withdrawal, false);
+        self.last_delivery_used_withdrawal = std::mem::replace(&mut self.has_unused_withdrawal, false);
     }
 
     /// Records that the last delivery was a prefill. If the prefill is free, its withdrawal becomes available
     /// for the next delivery.
     pub fn record_prefill(&mut self, is_free: bool) {
-        self.has_unused_withdrawal = is_free && self.did_last_use_withdrawal;
+        self.has_unused_withdrawal = is_free && self.last_delivery_used_withdrawal;
     }
 }
--- a/crates/proxy/src/stack/disaggregated.rs
+++ b/crates/proxy/src/stack/disaggregated.rs
@@ -237,7 +237,9 @@
             return Ok(None);
         };
         let is_unused = handle.is_none() || execution.attempts.executions() == executions_before;
-        check(Invariant::HandleUsedOnce, is_unused, || format!("request {}", execution.request.id()));
+        check(Invariant::HandleUsedOnce, is_unused, || {
+            format!("KV handle of request {} sent again after an execution", execution.request.id())
+        });
         let outcome = execution.attempt(&selection, phase, &headers, execution.terms.deadline).await;
         execution.history.attempted_servers.push(selection.key);
         let was_delivered = !matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::TooLate);
--- a/crates/proxy/src/stack/execution.rs
+++ b/crates/proxy/src/stack/execution.rs
@@ -186,7 +186,7 @@
 
     /// Records that a server responded with 421: it is another incarnation, or does not serve the stage, the
     /// model or its version. The server is excluded from selection for a while, unless the client itself
-    /// expected a version, since that says nothing about other requests.
+    /// expected a version: the response then says nothing about other requests.
     pub fn record_misdirected(&self, selection: &Selection) {
         if self.request.head.headers.has("expect-version") {
             return;
@@ -194,8 +194,8 @@
         self.state.balancer.borrow_mut().record_misdirected(self.state.now(), selection.key);
     }
 
-    /// Records a successful prefill. If it was the free one, its withdrawal is kept for the next delivery:
-    /// there may be one if an earlier prefill was rejected, which made this one a retry.
+    /// Records a successful prefill. If the prefill was the free one, its withdrawal is kept for the next
+    /// delivery. A free prefill has a withdrawal if an earlier prefill was rejected, since it is then a retry.
     pub fn record_prefill(&mut self) {
         self.budget.record_prefill(self.attempts.has_free_prefill());
         self.attempts.record_prefill();
@@ -205,14 +205,16 @@
     /// from the retry budget.
     pub(super) fn record_delivery(&mut self) {
         let is_withdrawn = self.budget.has_unused_withdrawal() || !self.attempts.needs_retry_budget();
-        check(Invariant::RetriesPaid, is_withdrawn, || format!("request {}", self.request.id()));
+        check(Invariant::RetriesPaid, is_withdrawn, || {
+            format!("request {} sent again without a withdrawal", self.request.id())
+        });
         self.budget.record_delivery();
         self.attempts.record_delivery();
     }
 
-    /// Returns the error of a request that is not attempted again. This is `error_if_unexecuted` if no server
-    /// has executed the request and there is time left; that error must guarantee to the client that a retry
-    /// is safe.
+    /// Returns the error of a request that is not attempted again. The error is `error_if_unexecuted` if no
+    /// server has executed the request and there is time left; `error_if_unexecuted` must guarantee to the
+    /// client that a retry is safe.
     pub fn final_error(&self, error_if_unexecuted: RequestError) -> RequestError {
         match (self.attempts.is_unexecuted(), self.terms.time_left().is_zero()) {
             (true, true) => RequestError::DeadlineBeforeExecution,
--- a/crates/proxy/src/stack/response_class_tests.rs
+++ b/crates/proxy/src/stack/response_class_tests.rs
@@ -39,6 +39,8 @@
     #[case] status: u16, #[case] fields: &str, #[case] expected: ResponseClass,
 ) {
     let text = format!("HTTP/1.1 {status} X\r\nRequest-Id: r1\r\n{fields}\r\n");
-    let head = parse_response(&mut BytesMut::from(text.as_str())).expect("a head").expect("a complete head");
+    let head = parse_response(&mut BytesMut::from(text.as_str()))
+        .expect("the head is valid")
+        .expect("the head is complete");
     assert_eq!(classify(&head), expected);
 }
--- a/crates/proxy/src/stack/sse_tests.rs
+++ b/crates/proxy/src/stack/sse_tests.rs
@@ -4,14 +4,14 @@
 use rstest::rstest;
 
 /// Returns what is forwarded of `text`, received in pieces of `size` bytes, and the buffer with the rest.
-fn forward(text: &str, size: usize) -> (String, EventBuffer) {
+fn forward_in_pieces(text: &str, size: usize) -> (String, EventBuffer) {
     let (mut events, mut out) = (EventBuffer::default(), Vec::new());
     for step in text.as_bytes().chunks(size) {
-        events.push(step).expect("events");
+        events.push(step).expect("the events are valid");
         out.extend_from_slice(events.complete_events());
         events.drop_complete_events();
     }
-    (String::from_utf8(out).expect("text"), events)
+    (String::from_utf8(out).expect("the text is valid UTF-8"), events)
 }
 
 #[rstest]
@@ -29,7 +29,7 @@
     #[case] text: &str, #[case] expected: &str, #[case] last: Option<&str>,
 ) {
     for size in 1..=text.len() {
-        let (out, events) = forward(text, size);
+        let (out, events) = forward_in_pieces(text, size);
         assert_eq!(out, expected, "in pieces of {size} bytes");
         assert_eq!(events.last_event_id(), last.map(str::as_bytes), "in pieces of {size} bytes");
     }
@@ -37,7 +37,7 @@
 
 #[test]
 fn remaining_bytes_count_as_complete_at_the_end_of_the_stream() {
-    let (_, mut events) = forward("id: 1\n\nrest", 3);
+    let (_, mut events) = forward_in_pieces("id: 1\n\nrest", 3);
     events.finish();
     assert_eq!(events.complete_events(), b"rest");
 }
@@ -48,7 +48,7 @@
 #[case("4", false)]
 #[case("3", false)]
 fn resumed_stream_must_continue_after_the_last_event(#[case] next: &str, #[case] follows: bool) {
-    let (_, mut events) = forward("id: 4\ndata: a\n\nid: 5\nda", 4);
+    let (_, mut events) = forward_in_pieces("id: 4\ndata: a\n\nid: 5\nda", 4);
     events.prepare_resumption();
     let pushed = events.push(format!("id: {next}\ndata: b\n\n").as_bytes());
     assert_eq!(pushed, if follows { Ok(()) } else { Err(EventError::RepeatedEvent) });
@@ -56,9 +56,9 @@
 
 #[test]
 fn stream_without_ids_is_not_resumed_once_an_event_was_forwarded() {
-    assert!(forward("data: a", 2).1.can_resume());
-    assert!(!forward("data: a\n\n", 2).1.can_resume());
-    assert!(forward("id: 1\n\n", 2).1.can_resume());
+    assert!(forward_in_pieces("data: a", 2).1.can_resume());
+    assert!(!forward_in_pieces("data: a\n\n", 2).1.can_resume());
+    assert!(forward_in_pieces("id: 1\n\n", 2).1.can_resume());
 }
 
 #[test]
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -114,7 +114,7 @@
     /// Records the admission of a client connection, and checks that admission has not been stopped.
     pub fn record_admission(&self) {
         check(Invariant::NothingNewAfterDrain, !self.is_admission_stopped.get(), || {
-            "a connection was admitted".to_owned()
+            "a client connection was admitted after admission had stopped".to_owned()
         });
     }
 
@@ -126,7 +126,9 @@
     /// Releases `bytes` that were reserved for the body of a request.
     pub fn release_body_bytes(&self, bytes: u64) {
         let (free, max) = (self.free_body_bytes.get() + bytes, self.max_body_bytes);
-        check(Invariant::BodyBytesBounded, free <= max, || format!("{free} bytes free of {max}"));
+        check(Invariant::BodyBytesBounded, free <= max, || {
+            format!("{free} free bytes for request bodies, of at most {max}")
+        });
         self.free_body_bytes.set(free);
     }
 
@@ -135,7 +137,7 @@
         self.rng.borrow_mut().f64()
     }
 
-    /// Applies the settings that may change while the process runs, which is the retry budget.
+    /// Applies the only setting that may change while the process runs: the retry budget.
     pub fn reload(&self, settings: &Settings) {
         self.balancer.borrow_mut().set_retry_budget(retry_budget_config(&settings.bounds));
     }
@@ -180,7 +182,9 @@
 
     fn set_configuration(&self, configuration: Configuration) {
         let (before, version) = (self.versions().config, configuration.version);
-        check(Invariant::ProxyVersionClimbs, version > before, || format!("{version} after {before}"));
+        check(Invariant::ProxyVersionClimbs, version > before, || {
+            format!("configuration version {version} after {before}")
+        });
         self.balancer.borrow_mut().retain_services(|name| configuration.service(name).is_some());
         *self.limits.borrow_mut() = configuration.limits.clone();
         *self.routes.borrow_mut() = Some(Rc::new(Routes::new(configuration, || self.random_fraction())));
--- a/crates/proxy/src/telemetry/metrics_tests.rs
+++ b/crates/proxy/src/telemetry/metrics_tests.rs
@@ -4,13 +4,13 @@
 use crate::inbound::connections::ClientConnections;
 use crate::inbound::error_response::RequestError;
 use crate::outbound::ExchangeError;
-use crate::outbound::fixtures::state;
+use crate::outbound::fixtures::state_with_server;
 use crate::stack::response_class::ResponseClass;
 use crate::telemetry::metrics::increment;
 use crate::telemetry::metrics_endpoint::render;
 use crate::telemetry::outcome::{AttemptLabel, RequestOutcome};
 
-const EXPECTED: [&str; 54] = [
+const EXPECTED_LINES: [&str; 54] = [
     "# TYPE lugwharf_proxy_body_bytes gauge",
     "# TYPE lugwharf_proxy_budget_denials counter",
     "# TYPE lugwharf_proxy_clients gauge",
@@ -68,7 +68,7 @@
 ];
 
 /// Returns the lines with types and values, sorted, since the values of one metric may come in any order.
-fn sorted(text: &str) -> Vec<&str> {
+fn sorted_sample_lines(text: &str) -> Vec<&str> {
     let is_ignored =
         |line: &str| line.starts_with("# HELP") || line.contains("invariant_violations") || line == "# EOF";
     let mut lines: Vec<&str> = text.lines().filter(|line| !is_ignored(line)).collect();
@@ -78,7 +78,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn names_and_values_of_all_metrics() {
-    let state = state(([127, 0, 0, 1], 9).into());
+    let state = state_with_server(([127, 0, 0, 1], 9).into());
     let clients = ClientConnections::new(4_096);
     let _ = clients.register();
     state.free_body_bytes.set(state.free_body_bytes.get() - 321);
@@ -112,5 +112,5 @@
     let outcome = RequestOutcome::Rejected(RequestError::Saturated);
     let logged = (0..7).filter(|_| state.metrics.try_acquire_log_permit(state.now(), outcome).is_some());
     assert_eq!(logged.count(), 5);
-    assert_eq!(sorted(&render(&state, &clients)), EXPECTED);
+    assert_eq!(sorted_sample_lines(&render(&state, &clients)), EXPECTED_LINES);
 }
--- a/crates/proxy/src/telemetry/request_trace_tests.rs
+++ b/crates/proxy/src/telemetry/request_trace_tests.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-fn attempt(label: AttemptLabel) -> AttemptTrace {
+fn attempt_with_label(label: AttemptLabel) -> AttemptTrace {
     AttemptTrace {
         server: "i-1".into(),
         phase: Phase::Decode,
@@ -25,17 +25,18 @@
 
 #[test]
 fn attempt_is_shown_with_server_connection_times_and_outcome() {
-    let broken = attempt(AttemptLabel::Failed(ExchangeError::ConnectionBroken));
+    let broken = attempt_with_label(AttemptLabel::Failed(ExchangeError::ConnectionBroken));
     assert_eq!(broken.to_string(), "i-1/decode connection:7 at_ms:3 took_ms:20 left_ms:480 broken");
     let class = ResponseClass::Success;
     let body_timeout = AttemptTrace {
         is_budgeted: true,
         body: Some(BodyFailure::Timeout),
-        ..attempt(AttemptLabel::Response { status: 200, class })
+        ..attempt_with_label(AttemptLabel::Response { status: 200, class })
     };
     let text = "i-1/decode connection:7 at_ms:3 took_ms:20 left_ms:480 budgeted success:200 body_timeout";
     assert_eq!(body_timeout.to_string(), text);
-    let not_sent = AttemptTrace { connection: None, ..attempt(AttemptLabel::Failed(ExchangeError::Connect)) };
+    let not_sent =
+        AttemptTrace { connection: None, ..attempt_with_label(AttemptLabel::Failed(ExchangeError::Connect)) };
     assert_eq!(not_sent.to_string(), "i-1/decode at_ms:3 took_ms:20 left_ms:480 connect");
 }
 
--- a/crates/proxy/tests/at_most_once.rs
+++ b/crates/proxy/tests/at_most_once.rs
@@ -2,7 +2,7 @@
 //!
 //! A request that a server may have executed is sent again only if its route allows that (`safe`, or a
 //! resumable stream), whatever happens while the request is in flight: a new configuration, a restart of the
-//! agent, a shutdown, a truncated response or one to another request. The number of attempts that provably
+//! agent, a shutdown, a truncated response, or a response to another request. The number of attempts that provably
 //! did not execute the request is limited as well.
 
 mod support;
@@ -15,16 +15,16 @@
 /// More servers than one request may be sent to.
 const NAMES: [&str; 8] = ["a", "b", "c", "d", "e", "f", "g", "h"];
 
-fn route(kind: &'static str, attempts: u32) -> Route {
+fn route_with_attempts(kind: &'static str, attempts: u32) -> Route {
     Route::new(kind).max_attempts(attempts)
 }
 
 /// A request is served according to the route that was in force when it arrived, until it ends.
 #[rstest]
-#[case::kind(route("unsafe", 3), vec![route("safe", 3)])]
-#[case::attempts(route("safe", 1), vec![route("safe", 5)])]
-#[case::both(route("unsafe", 1), vec![route("safe", 5)])]
-#[case::removed(route("unsafe", 3), vec![])]
+#[case::kind(route_with_attempts("unsafe", 3), vec![route_with_attempts("safe", 3)])]
+#[case::attempts(route_with_attempts("safe", 1), vec![route_with_attempts("safe", 5)])]
+#[case::both(route_with_attempts("unsafe", 1), vec![route_with_attempts("safe", 5)])]
+#[case::removed(route_with_attempts("unsafe", 3), vec![])]
 #[tokio::test]
 async fn in_flight_request_keeps_its_retry_policy_when_configuration_relaxes_it(
     #[case] before: Route, #[case] after: Vec<Route>,
@@ -43,7 +43,7 @@
 async fn in_flight_request_keeps_its_retry_when_configuration_forbids_retries() {
     with_proxy(Scenario::new("safe").max_attempts(2).retry_budget(10.0), async |proxy| {
         let (mut client, server, first) = proxy.dispatch("r1", "").await;
-        proxy.configure(2, &[route("unsafe", 1)]).await;
+        proxy.configure(2, &[route_with_attempts("unsafe", 1)]).await;
         server.reset();
         let (mut server, _, second) = proxy.receive_any(&PLAIN_SERVERS).await;
         assert_ne!(first, second);
@@ -59,7 +59,7 @@
     with_proxy(Scenario::new("unsafe").max_attempts(3).retry_budget(10.0), async |proxy| {
         let (mut client, server, _) = proxy.dispatch("r1", "").await;
         proxy.reconnect_agent().await;
-        proxy.configure(2, &[route("safe", 3)]).await;
+        proxy.configure(2, &[route_with_attempts("safe", 3)]).await;
         proxy.list_all().await;
         server.reset();
         assert_eq!(client.read_response().await.status(), 502);
@@ -155,7 +155,7 @@
         server.send(reply).await;
         drop(server);
         let response = tokio::select! {
-            response = client.read_message() => response.expect("a response"),
+            response = client.read_message() => response.expect("a complete response is received"),
             _ = proxy.accept_any(&PLAIN_SERVERS) => panic!("the request was retried"),
         };
         assert_eq!(response.status(), status);
@@ -185,8 +185,8 @@
             server.send(reply).await;
         }
         let response = tokio::select! {
-            response = client.read_message() => response.expect("a response"),
-            _ = proxy.accept_any(&NAMES) => panic!("a third attempt"),
+            response = client.read_message() => response.expect("a complete response is received"),
+            _ = proxy.accept_any(&NAMES) => panic!("the request was sent a third time"),
         };
         assert!(response.status() == 502 || response.status() == 500, "{}", response.head);
     })
@@ -214,7 +214,7 @@
         let mut attempts = 0;
         let response = loop {
             let mut server = tokio::select! {
-                response = client.read_message() => break response.expect("a response"),
+                response = client.read_message() => break response.expect("a complete response is received"),
                 (accepted, _) = proxy.accept_any(&NAMES) => accepted,
             };
             server.read_request().await;
@@ -241,8 +241,8 @@
             client.read_response().await;
             client.send(&request("r2", "Deadline-Ms: 900\r\n", "body")).await;
             let response = tokio::select! {
-                response = client.read_message() => response.expect("a response"),
-                received = idle.read_until(ALL_BUT_LAST_BYTE) => panic!("sent: {received:?}"),
+                response = client.read_message() => response.expect("a complete response is received"),
+                received = idle.read_until(ALL_BUT_LAST_BYTE) => panic!("the request was sent: {received:?}"),
             };
             assert_eq!(response.status(), 503);
             // With more time left, the request is sent.
@@ -277,7 +277,7 @@
         let response = with_frozen_clock(async {
             loop {
                 let mut server = tokio::select! {
-                    response = client.read_message() => break response.expect("a response"),
+                    response = client.read_message() => break response.expect("a complete response is received"),
                     (accepted, _) = proxy.accept_any(&NAMES) => accepted,
                 };
                 assert!(server.read_until(ALL_BUT_LAST_BYTE).await.is_some());
--- a/crates/proxy/tests/client_disconnect.rs
+++ b/crates/proxy/tests/client_disconnect.rs
@@ -177,15 +177,15 @@
 async fn disconnect_while_the_body_is_being_sent_stops_it(
     #[values(Disconnect::Close, Disconnect::Reset)] how: Disconnect,
 ) {
-    const LONG: usize = 16 * 1024 * 1024;
-    with_proxy(Scenario::new("unsafe").max_body_bytes(LONG), async |proxy| {
+    const LONG_BODY_BYTES: usize = 16 * 1024 * 1024;
+    with_proxy(Scenario::new("unsafe").max_body_bytes(LONG_BODY_BYTES), async |proxy| {
         let mut client = proxy.connect().await;
-        client.send(&request("r1", "", &"x".repeat(LONG))).await;
+        client.send(&request("r1", "", &"x".repeat(LONG_BODY_BYTES))).await;
         let (mut server, _) = proxy.accept_any(&PLAIN_SERVERS).await;
         assert!(server.read_head().await.is_some());
         let since = disconnect_and_pause(client, how);
         assert_eq!(proxy.readiness_status().await, 200);
-        assert!(server.read_to_end().await.len() < LONG, "the rest is never sent");
+        assert!(server.read_to_end().await.len() < LONG_BODY_BYTES, "the rest is never sent");
         assert!(since.elapsed() < MAX_CANCELLATION_TIME, "{:?}", since.elapsed());
         expect_no_attempt(proxy, &PLAIN_SERVERS).await;
     })
@@ -221,8 +221,9 @@
     with_proxy(Scenario::new(kind).max_attempts(3).retry_budget(10.0), async |proxy| {
         // There is no await in between, so that the proxy sees the connection, the request and the close at
         // the same time.
-        let mut client = std::net::TcpStream::connect(proxy.front_address).expect("a connection");
-        client.write_all(request("r1", "", "body").as_bytes()).expect("a write");
+        let mut client =
+            std::net::TcpStream::connect(proxy.front_address).expect("the connection is established");
+        client.write_all(request("r1", "", "body").as_bytes()).expect("the bytes are written");
         drop(client);
         tokio::time::pause();
         expect_no_attempt(proxy, &PLAIN_SERVERS).await;
--- a/crates/proxy/tests/connection_reuse.rs
+++ b/crates/proxy/tests/connection_reuse.rs
@@ -109,7 +109,7 @@
         prefill_server.send(&prefill_response("r1", "one")).await;
         let _other = proxy.send_request("r2", "").await;
         let mut second = tokio::select! {
-            received = prefill_server.read_message() => panic!("the response to DELETE is outstanding: {received:?}"),
+            received = prefill_server.read_message() => panic!("received before the response to DELETE: {received:?}"),
             accepted = proxy.accept("p") => accepted,
         };
         assert_eq!(second.read_request().await.header("request-id"), Some("r2"));
@@ -135,7 +135,7 @@
         let _other = proxy.send_request("r2", "").await;
         tokio::select! {
             biased;
-            _ = proxy.accept("p") => panic!("a request to an address that may be reused"),
+            _ = proxy.accept("p") => panic!("a request was sent to the address of a removed server"),
             _ = proxy.accept("d") => {}
         }
     })
--- a/crates/proxy/tests/deadlines.rs
+++ b/crates/proxy/tests/deadlines.rs
@@ -17,8 +17,12 @@
 /// The time that a server takes to respond.
 const SERVER_DELAY: Duration = Duration::from_millis(1_000);
 
-fn deadline(received: &Message) -> Duration {
-    let ms = received.header("deadline-ms").expect("a deadline").parse().expect("a number");
+fn remaining_time(received: &Message) -> Duration {
+    let ms = received
+        .header("deadline-ms")
+        .expect("the request has Deadline-Ms")
+        .parse()
+        .expect("the value is a number");
     Duration::from_millis(ms)
 }
 
@@ -35,12 +39,12 @@
     with_proxy(Scenario::new("safe").max_attempts(2).retry_budget(10.0), async |proxy| {
         let _client = proxy.send_request("r1", headers).await;
         let (mut server, received, _) = proxy.receive_any(&PLAIN_SERVERS).await;
-        let first = deadline(&received);
+        let first = remaining_time(&received);
         assert!(first <= max && first > max / 2, "{first:?}");
         advance_clock(SERVER_DELAY).await;
         server.send(&rejection("r1", 503)).await;
         let (_server, received, _) = proxy.receive_any(&PLAIN_SERVERS).await;
-        let second = deadline(&received);
+        let second = remaining_time(&received);
         assert!(second <= first - SERVER_DELAY, "{second:?} after {first:?}");
         assert_eq!(received.head.to_lowercase().matches("deadline-ms").count(), 1);
     })
@@ -60,17 +64,17 @@
     with_proxy(scenario, async |proxy| {
         let _client = proxy.send_request("r1", headers).await;
         let (mut prefill_server, received) = proxy.receive("p").await;
-        assert!(deadline(&received) <= max);
+        assert!(remaining_time(&received) <= max);
         advance_clock(Duration::from_millis(500)).await;
         prefill_server.send(&prefill_response("r1", HANDLE)).await;
         let (mut server, received, _) = receive_decode(proxy).await;
-        let decode = deadline(&received);
+        let decode = remaining_time(&received);
         assert!(decode <= max - Duration::from_millis(500), "{decode:?}");
         server.start_stream("r1", 1).await;
         advance_clock(SERVER_DELAY).await;
         server.reset();
         let (_server, received, _) = receive_decode(proxy).await;
-        assert!(deadline(&received) <= decode - SERVER_DELAY);
+        assert!(remaining_time(&received) <= decode - SERVER_DELAY);
     })
     .await;
 }
@@ -99,9 +103,9 @@
         let received = server.read_request().await;
         assert_eq!(received.header("request-id"), Some("r2"));
         assert!(
-            deadline(&received) <= Duration::from_millis(3_000) - SERVER_DELAY,
+            remaining_time(&received) <= Duration::from_millis(3_000) - SERVER_DELAY,
             "{:?}",
-            deadline(&received)
+            remaining_time(&received)
         );
     })
     .await;
--- a/crates/proxy/tests/early_responses.rs
+++ b/crates/proxy/tests/early_responses.rs
@@ -6,14 +6,14 @@
 use support::*;
 
 /// The length of a body that exceeds the socket buffers of both ends.
-const LONG: usize = 16 * 1024 * 1024;
+const LONG_BODY_BYTES: usize = 16 * 1024 * 1024;
 
 fn long_bodies(kind: &'static str) -> Scenario {
-    Scenario::new(kind).max_attempts(2).max_body_bytes(LONG).retry_budget(10.0)
+    Scenario::new(kind).max_attempts(2).max_body_bytes(LONG_BODY_BYTES).retry_budget(10.0)
 }
 
 fn is_part_of_body(rest: &[u8]) -> bool {
-    rest.len() < LONG && rest.iter().all(|byte| *byte == b'x')
+    rest.len() < LONG_BODY_BYTES && rest.iter().all(|byte| *byte == b'x')
 }
 
 #[tokio::test]
@@ -21,7 +21,7 @@
     with_proxy(long_bodies("unsafe"), async |proxy| {
         proxy.list_all_except(&["b"]).await;
         let mut client = proxy.connect().await;
-        client.send(&request("r1", "", &"x".repeat(LONG))).await;
+        client.send(&request("r1", "", &"x".repeat(LONG_BODY_BYTES))).await;
         let mut early = proxy.accept("a").await;
         assert!(early.read_head().await.is_some());
         early.send(&ok_response("r1", "early")).await;
@@ -40,13 +40,13 @@
 async fn early_rejection_sends_the_complete_body_to_another_server() {
     with_proxy(long_bodies("unsafe"), async |proxy| {
         let mut client = proxy.connect().await;
-        client.send(&request("r1", "", &"x".repeat(LONG))).await;
+        client.send(&request("r1", "", &"x".repeat(LONG_BODY_BYTES))).await;
         let (mut early, first) = proxy.accept_any(&PLAIN_SERVERS).await;
         assert!(early.read_head().await.is_some());
         early.send(&rejection("r1", 503)).await;
         let (mut server, second) = proxy.accept_any(&PLAIN_SERVERS).await;
         assert_ne!(first, second);
-        assert_eq!(server.read_request().await.body.len(), LONG);
+        assert_eq!(server.read_request().await.body.len(), LONG_BODY_BYTES);
         server.send(&ok_response("r1", "there")).await;
         assert_eq!(client.read_response().await.body, "there");
         assert!(is_part_of_body(&early.read_to_end().await));
@@ -58,12 +58,12 @@
 async fn interim_response_does_not_stop_the_body() {
     with_proxy(long_bodies("unsafe"), async |proxy| {
         let mut client = proxy.connect().await;
-        client.send(&request("r1", "", &"x".repeat(LONG))).await;
+        client.send(&request("r1", "", &"x".repeat(LONG_BODY_BYTES))).await;
         let (mut server, _) = proxy.accept_any(&PLAIN_SERVERS).await;
-        let head = server.read_head().await.expect("a head");
-        assert!(head.contains(&format!("Content-Length: {LONG}\r\n")), "{head}");
+        let head = server.read_head().await.expect("a complete head is received");
+        assert!(head.contains(&format!("Content-Length: {LONG_BODY_BYTES}\r\n")), "{head}");
         server.send("HTTP/1.1 100 Continue\r\n\r\n").await;
-        assert_eq!(server.read_exactly(LONG).await.map(|body| body.len()), Some(LONG));
+        assert_eq!(server.read_exactly(LONG_BODY_BYTES).await.map(|body| body.len()), Some(LONG_BODY_BYTES));
         server.send(&ok_response("r1", "whole")).await;
         assert_eq!(client.read_response().await.body, "whole");
     })
@@ -92,7 +92,7 @@
     with_proxy(long_bodies("unsafe"), async |proxy| {
         proxy.list_all_except(&["b"]).await;
         let mut client = proxy.connect().await;
-        client.send(&request("r1", "", &"x".repeat(LONG))).await;
+        client.send(&request("r1", "", &"x".repeat(LONG_BODY_BYTES))).await;
         let mut early = proxy.accept("a").await;
         assert!(early.read_head().await.is_some());
         early.send(&ok_response("r1", "early")).await;
--- a/crates/proxy/tests/forwarding.rs
+++ b/crates/proxy/tests/forwarding.rs
@@ -18,7 +18,7 @@
         assert_eq!((received.header("x-hop"), received.header("connection")), (None, None));
         assert_eq!(received.header("kv-from"), None, "only the proxy names a KV source");
         assert_eq!(received.header("expect-instance"), Some(format!("i-{name}").as_str()));
-        let left: u64 = received.header("deadline-ms").expect("a deadline").parse().expect("a number");
+        let left: u64 = received.header("deadline-ms").expect("the request has Deadline-Ms").parse().expect("the value is a number");
         assert!((2_000..3_000).contains(&left), "{left}");
         let reply = "HTTP/1.1 201 Made\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nX-Its: 3\r\nConnection: keep-alive\r\nContent-Length: 3\r\n\r\nyes";
         server.send(reply).await;
@@ -217,7 +217,7 @@
         server
             .send("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 9\r\n\r\n")
             .await;
-        let head = client.read_head().await.expect("a head");
+        let head = client.read_head().await.expect("a complete head is received");
         assert!(head.contains("Content-Length: 9\r\n"), "{head}");
     })
     .await;
--- a/crates/proxy/tests/graceful_shutdown.rs
+++ b/crates/proxy/tests/graceful_shutdown.rs
@@ -24,7 +24,7 @@
         let mut late = proxy.send_request("r2", "").await;
         for _ in 0..2 {
             let (mut server, received) = proxy.receive("a").await;
-            let id = received.header("request-id").expect("an id").to_owned();
+            let id = received.header("request-id").expect("the request has Request-Id").to_owned();
             server.send(&ok_response(&id, "still")).await;
         }
         for client in [&mut idle, &mut late] {
--- a/crates/proxy/tests/kv_handles.rs
+++ b/crates/proxy/tests/kv_handles.rs
@@ -13,12 +13,12 @@
 const STAMPED: &str = "Request-Id: r1\r\nServer-Stamp: s\r\n";
 
 /// Returns a scenario with prefill and decode servers and a large retry budget.
-fn generation(prefill: &[&'static str], decode: &[&'static str]) -> Scenario {
+fn generation_scenario(prefill: &[&'static str], decode: &[&'static str]) -> Scenario {
     Scenario::prefill_decode(prefill, decode).retry_budget(10.0)
 }
 
 /// Returns the response to the prefill of request `r1`, without a `Content-Type`.
-fn prefilled(handle: &str) -> String {
+fn untyped_prefill_response(handle: &str) -> String {
     prefill_response("r1", handle).replace("Content-Type: application/json\r\n", "")
 }
 
@@ -33,18 +33,18 @@
 /// A prefill with an invalid handle has failed. The only attempt that is left runs both phases on a decode
 /// server.
 #[rstest]
-#[case::path(prefilled("../x"))]
-#[case::line_break(prefilled("a\\r\\nX: 1"))]
-#[case::empty(prefilled(""))]
-#[case::too_long(prefilled(&"x".repeat(257)))]
+#[case::path(untyped_prefill_response("../x"))]
+#[case::line_break(untyped_prefill_response("a\\r\\nX: 1"))]
+#[case::empty(untyped_prefill_response(""))]
+#[case::too_long(untyped_prefill_response(&"x".repeat(257)))]
 #[case::unexpected_status("HTTP/1.1 201 OK\r\nRequest-Id: r1\r\nContent-Length: 16\r\n\r\n{\"KvHandle\":\"x\"}".to_owned())]
 #[case::server_error("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nContent-Length: 0\r\n\r\n".to_owned())]
 #[case::malformed_json("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 1\r\n\r\n{".to_owned())]
 #[case::oversized_body(format!("HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nContent-Length: 20000\r\n\r\n{{\"KvHandle\":\"x\"}}{}", " ".repeat(19_984)))]
-#[case::response_to_another_request(prefilled("x").replace("r1", "r0"))]
+#[case::response_to_another_request(untyped_prefill_response("x").replace("r1", "r0"))]
 #[tokio::test]
 async fn invalid_handle_is_not_forwarded(#[case] reply: String) {
-    with_proxy(generation(&["p", "q"], &["d"]).max_attempts(1), async |proxy| {
+    with_proxy(generation_scenario(&["p", "q"], &["d"]).max_attempts(1), async |proxy| {
         proxy.list_all_except(&["q"]).await;
         let _client = proxy.send_request("r1", "").await;
         let mut server = serve_prefill(proxy, "p", &reply).await;
@@ -60,9 +60,9 @@
 #[case::all_punctuation("aZ0-_.~")]
 #[tokio::test]
 async fn valid_handle_is_forwarded_and_not_released(#[case] handle: &str) {
-    with_proxy(generation(&["p"], &["d"]), async |proxy| {
+    with_proxy(generation_scenario(&["p"], &["d"]), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
-        let mut prefill_server = serve_prefill(proxy, "p", &prefilled(handle)).await;
+        let mut prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response(handle)).await;
         let mut server = proxy.accept("d").await;
         let source = format!("{}/{handle}", proxy.address("p"));
         assert_eq!(server.read_request().await.header("kv-from"), Some(source.as_str()));
@@ -82,30 +82,33 @@
 #[case::server_error("HTTP/1.1 500 Oh\r\nRequest-Id: r1\r\nServer-Stamp: s\r\nContent-Length: 0\r\n\r\n")]
 #[tokio::test]
 async fn handle_is_not_reused_by_a_second_execution(#[case] reply: &str, #[values(2, 4)] attempts: u32) {
-    with_proxy(generation(&["p", "q"], &["d", "e"]).resumable().max_attempts(attempts), async |proxy| {
-        proxy.list_all_except(&["q"]).await;
-        let _client = proxy.send_request("r1", "").await;
-        let mut prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
-        let (mut server, first) = proxy.accept_any(&["d", "e"]).await;
-        assert!(server.read_request().await.header("kv-from").is_some());
-        server.send(reply).await;
-        server.reset();
-        let (mut server, second) = tokio::select! {
-            accepted = proxy.accept_any(&["d", "e"]) => accepted,
-            _ = proxy.accept("p") => panic!("a second prefill for one stream"),
-        };
-        assert_ne!(first, second);
-        assert_eq!(server.read_request().await.header("kv-from"), None);
-        expect_release(&mut prefill_server, "one").await;
-    })
+    with_proxy(
+        generation_scenario(&["p", "q"], &["d", "e"]).resumable().max_attempts(attempts),
+        async |proxy| {
+            proxy.list_all_except(&["q"]).await;
+            let _client = proxy.send_request("r1", "").await;
+            let mut prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response("one")).await;
+            let (mut server, first) = proxy.accept_any(&["d", "e"]).await;
+            assert!(server.read_request().await.header("kv-from").is_some());
+            server.send(reply).await;
+            server.reset();
+            let (mut server, second) = tokio::select! {
+                accepted = proxy.accept_any(&["d", "e"]) => accepted,
+                _ = proxy.accept("p") => panic!("the prompt was prefilled a second time"),
+            };
+            assert_ne!(first, second);
+            assert_eq!(server.read_request().await.header("kv-from"), None);
+            expect_release(&mut prefill_server, "one").await;
+        },
+    )
     .await;
 }
 
 #[tokio::test]
 async fn failure_response_releases_the_handle() {
-    with_proxy(generation(&["p"], &["d", "e"]), async |proxy| {
+    with_proxy(generation_scenario(&["p"], &["d", "e"]), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
-        let mut prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let mut prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response("one")).await;
         let (mut server, _, _) = proxy.receive_any(&["d", "e"]).await;
         server.send(&format!("HTTP/1.1 500 Oh\r\n{STAMPED}Content-Length: 0\r\n\r\n")).await;
         assert_eq!(client.read_response().await.status(), 500);
@@ -117,9 +120,9 @@
 /// The handle is offered to two decode servers. The third runs both phases.
 #[tokio::test]
 async fn handle_rejected_by_two_servers_is_released() {
-    with_proxy(generation(&["p"], &["d", "e", "f"]), async |proxy| {
+    with_proxy(generation_scenario(&["p"], &["d", "e", "f"]), async |proxy| {
         let _client = proxy.send_request("r1", "").await;
-        let mut prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let mut prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response("one")).await;
         let mut attempted = Vec::new();
         for has_handle in [true, true, false] {
             let (mut server, name) = proxy.accept_any(&["d", "e", "f"]).await;
@@ -139,7 +142,7 @@
 #[case::two(2, true)]
 #[tokio::test]
 async fn broken_prefill_is_retried_within_max_attempts(#[case] attempts: u32, #[case] is_retried: bool) {
-    with_proxy(generation(&["p", "q"], &["d"]).max_attempts(attempts), async |proxy| {
+    with_proxy(generation_scenario(&["p", "q"], &["d"]).max_attempts(attempts), async |proxy| {
         let _client = proxy.send_request("r1", "").await;
         let (server, _, first) = proxy.receive_any(&["p", "q"]).await;
         server.reset();
@@ -153,7 +156,7 @@
 /// The connection is closed with the attempt, so that a late handle is not received.
 #[tokio::test]
 async fn prefill_timeout_closes_its_connection_and_is_retried() {
-    with_proxy(generation(&["p", "q"], &["d"]).max_attempts(2), async |proxy| {
+    with_proxy(generation_scenario(&["p", "q"], &["d"]).max_attempts(2), async |proxy| {
         let _client = proxy.send_request("r1", "").await;
         let (mut silent, _, first) = proxy.receive_any(&["p", "q"]).await;
         tokio::time::pause();
@@ -161,7 +164,7 @@
         tokio::time::resume();
         let (mut server, _, second) = proxy.receive_any(&["p", "q"]).await;
         assert_ne!(first, second);
-        server.send(&prefilled("two")).await;
+        server.send(&untyped_prefill_response("two")).await;
         let mut decode_server = proxy.accept("d").await;
         let source = format!("{}/two", proxy.address(second));
         assert_eq!(decode_server.read_request().await.header("kv-from"), Some(source.as_str()));
@@ -172,14 +175,14 @@
 /// After three rejected prefill attempts, a decode server runs both phases.
 #[tokio::test]
 async fn rejected_prefill_attempts_are_limited_to_three() {
-    with_proxy(generation(&["p", "q", "s", "t"], &["d"]), async |proxy| {
+    with_proxy(generation_scenario(&["p", "q", "s", "t"], &["d"]), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let mut attempts = 0;
         loop {
             let mut server = tokio::select! {
                 (accepted, _) = proxy.accept_any(&["p", "q", "s", "t"]) => accepted,
                 _ = proxy.accept("d") => break,
-                response = client.read_message() => panic!("ended before a decode: {response:?}"),
+                response = client.read_message() => panic!("the request ended before a decode attempt: {response:?}"),
             };
             server.read_request().await;
             attempts += 1;
@@ -205,7 +208,7 @@
 async fn after_a_failed_prefill_only_short_prompts_run_on_a_decode_server(
     #[case] prompt: &str, #[case] is_executed: bool,
 ) {
-    with_proxy(generation(&["p", "q"], &["d"]).max_attempts(1), async |proxy| {
+    with_proxy(generation_scenario(&["p", "q"], &["d"]).max_attempts(1), async |proxy| {
         let mut client = proxy.send_request("r1", prompt).await;
         let (server, _, _) = proxy.receive_any(&["p", "q"]).await;
         server.reset();
@@ -225,13 +228,13 @@
 /// The retry budget does not allow another prefill attempt.
 #[tokio::test]
 async fn without_retry_budget_a_long_prompt_is_rejected_after_a_rejected_prefill() {
-    with_proxy(generation(&["p", "q"], &["d"]).retry_budget(0.0), async |proxy| {
+    with_proxy(generation_scenario(&["p", "q"], &["d"]).retry_budget(0.0), async |proxy| {
         let mut client = proxy.send_request("r1", LONG_PROMPT).await;
         let (mut server, _, _) = proxy.receive_any(&["p", "q"]).await;
         server.send(&rejection("r1", 503)).await;
         let response = tokio::select! {
-            response = client.read_message() => response.expect("a response"),
-            _ = proxy.accept("d") => panic!("a decode server prefills a long prompt"),
+            response = client.read_message() => response.expect("a complete response is received"),
+            _ = proxy.accept("d") => panic!("a connection to a decode server was opened for a long prompt"),
         };
         assert_eq!(response.status(), 503);
     })
@@ -247,10 +250,10 @@
 async fn long_prompt_with_a_rejected_handle_is_prefilled_again_or_rejected(
     #[case] attempts: u32, #[case] is_prefilled: bool,
 ) {
-    with_proxy(generation(&["p", "q"], &["d", "e", "f"]).max_attempts(attempts), async |proxy| {
+    with_proxy(generation_scenario(&["p", "q"], &["d", "e", "f"]).max_attempts(attempts), async |proxy| {
         let mut client = proxy.send_request("r1", LONG_PROMPT).await;
         let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
-        prefill_server.send(&prefilled("one")).await;
+        prefill_server.send(&untyped_prefill_response("one")).await;
         for _ in 0..2 {
             let (mut server, _) = proxy.accept_any(&["d", "e", "f"]).await;
             assert!(server.read_request().await.header("kv-from").is_some());
@@ -259,7 +262,7 @@
         expect_release(&mut prefill_server, "one").await;
         let status = tokio::select! {
             received = prefill_server.read_message() => {
-                assert_eq!(received.expect("a request").header("serving-stage"), Some("prefill"));
+                assert_eq!(received.expect("a complete request is received").header("serving-stage"), Some("prefill"));
                 None
             }
             (mut accepted, _) = proxy.accept_any(&["p", "q"]) => {
@@ -275,7 +278,7 @@
 
 #[tokio::test]
 async fn without_prefill_servers_a_decode_server_prefills_long_prompts() {
-    with_proxy(generation(&[], &["d"]), async |proxy| {
+    with_proxy(generation_scenario(&[], &["d"]), async |proxy| {
         let _client = proxy.send_request("r1", LONG_PROMPT).await;
         let mut decode_server = proxy.accept("d").await;
         assert_eq!(decode_server.read_request().await.header("serving-stage"), None);
@@ -286,13 +289,13 @@
 /// The decode server does not respond. The client gets 504, and the request is not sent to another server.
 #[tokio::test]
 async fn unsafe_stream_that_exceeds_its_deadline_is_not_retried() {
-    with_proxy(generation(&["p"], &["d", "e"]).max_attempts(3), async |proxy| {
+    with_proxy(generation_scenario(&["p"], &["d", "e"]).max_attempts(3), async |proxy| {
         let mut client = proxy.send_request("r1", "Deadline-Ms: 2000\r\n").await;
-        let mut prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let mut prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response("one")).await;
         let (_server, _, _) = proxy.receive_any(&["d", "e"]).await;
         tokio::time::pause();
         let response = tokio::select! {
-            response = client.read_message() => response.expect("a response"),
+            response = client.read_message() => response.expect("a complete response is received"),
             _ = proxy.accept_any(&["d", "e"]) => panic!("the request was retried"),
         };
         tokio::time::resume();
@@ -305,9 +308,9 @@
 /// Without an event id, a server can't determine where to resume the stream.
 #[tokio::test]
 async fn stream_whose_last_event_has_no_id_is_not_resumed() {
-    with_proxy(generation(&["p"], &["d", "e"]).resumable().max_attempts(3), async |proxy| {
+    with_proxy(generation_scenario(&["p"], &["d", "e"]).resumable().max_attempts(3), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
-        let _prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let _prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response("one")).await;
         let (mut server, _, _) = proxy.receive_any(&["d", "e"]).await;
         server.send(&stream_head("r1")).await;
         server.send(&chunk("data: 1\n\n")).await;
@@ -327,13 +330,13 @@
 #[tokio::test]
 async fn rejected_attempts_of_a_stream_are_limited() {
     const NAMES: [&str; 8] = ["d", "e", "f", "g", "h", "i", "j", "k"];
-    with_proxy(generation(&["p"], &NAMES).retry_budget(100.0), async |proxy| {
+    with_proxy(generation_scenario(&["p"], &NAMES).retry_budget(100.0), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
-        let _prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let _prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response("one")).await;
         let mut attempts = 0;
         let response = loop {
             let mut server = tokio::select! {
-                response = client.read_message() => break response.expect("a response"),
+                response = client.read_message() => break response.expect("a complete response is received"),
                 (accepted, _) = proxy.accept_any(&NAMES) => accepted,
             };
             server.read_request().await;
@@ -348,14 +351,14 @@
 /// The second decode attempt would have to be withdrawn from the retry budget.
 #[tokio::test]
 async fn without_retry_budget_a_stream_tries_one_decode_server() {
-    with_proxy(generation(&["p"], &["d", "e"]).retry_budget(0.0), async |proxy| {
+    with_proxy(generation_scenario(&["p"], &["d", "e"]).retry_budget(0.0), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
-        let _prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
+        let _prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response("one")).await;
         let (mut server, _, _) = proxy.receive_any(&["d", "e"]).await;
         server.send(&rejection("r1", 503)).await;
         let response = tokio::select! {
-            response = client.read_message() => response.expect("a response"),
-            _ = proxy.accept_any(&["d", "e"]) => panic!("a retry without budget"),
+            response = client.read_message() => response.expect("a complete response is received"),
+            _ = proxy.accept_any(&["d", "e"]) => panic!("the request was retried without a retry budget"),
         };
         assert_eq!(response.status(), 503);
     })
@@ -367,28 +370,35 @@
 async fn handle_of_a_resumed_stream_is_used_by_one_execution() {
     // A violated invariant would otherwise panic, which ends the request's task and leaves the test waiting.
     let _suppression = lugwharf_invariants::suppress_panics();
-    with_proxy(generation(&["p"], &["d", "e", "f", "g"]).resumable().max_attempts(6), async |proxy| {
-        let mut client = proxy.send_request("r1", "").await;
-        let _first_prefill_server = serve_prefill(proxy, "p", &prefilled("one")).await;
-        let mut server = accept_decode(proxy).await;
-        server.read_request().await;
-        server.start_stream("r1", 1).await;
-        assert!(client.read_head().await.is_some());
-        server.reset();
-        let mut second_prefill_server = serve_prefill(proxy, "p", &prefilled("two")).await;
-        let mut server = accept_decode(proxy).await;
-        let received = server.read_request().await;
-        assert!(received.header("kv-from").is_some_and(|from| from.ends_with("/two")), "{}", received.head);
-        server.reset();
-        let mut server = accept_decode(proxy).await;
-        let received = server.read_request().await;
-        assert_eq!(received.header("kv-from"), None, "{}", received.head);
-        expect_release(&mut second_prefill_server, "two").await;
-        server.send(&stream_head("r1")).await;
-        server.send(&chunk(&event(2))).await;
-        server.send(LAST_CHUNK).await;
-        assert_eq!(client.read_stream().await, (events(2), true));
-    })
+    with_proxy(
+        generation_scenario(&["p"], &["d", "e", "f", "g"]).resumable().max_attempts(6),
+        async |proxy| {
+            let mut client = proxy.send_request("r1", "").await;
+            let _first_prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response("one")).await;
+            let mut server = accept_decode(proxy).await;
+            server.read_request().await;
+            server.start_stream("r1", 1).await;
+            assert!(client.read_head().await.is_some());
+            server.reset();
+            let mut second_prefill_server = serve_prefill(proxy, "p", &untyped_prefill_response("two")).await;
+            let mut server = accept_decode(proxy).await;
+            let received = server.read_request().await;
+            assert!(
+                received.header("kv-from").is_some_and(|from| from.ends_with("/two")),
+                "{}",
+                received.head
+            );
+            server.reset();
+            let mut server = accept_decode(proxy).await;
+            let received = server.read_request().await;
+            assert_eq!(received.header("kv-from"), None, "{}", received.head);
+            expect_release(&mut second_prefill_server, "two").await;
+            server.send(&stream_head("r1")).await;
+            server.send(&chunk(&event(2))).await;
+            server.send(LAST_CHUNK).await;
+            assert_eq!(client.read_stream().await, (events(2), true));
+        },
+    )
     .await;
 }
 
--- a/crates/proxy/tests/prefill_budget.rs
+++ b/crates/proxy/tests/prefill_budget.rs
@@ -12,13 +12,13 @@
 const ONE_RETRY_BUDGET: f64 = 2.0;
 
 /// Two prefill and two decode servers.
-fn generation(retry_budget: f64) -> Scenario {
+fn generation_scenario(retry_budget: f64) -> Scenario {
     Scenario::prefill_decode(&["p", "q"], &["d", "e"]).retry_budget(retry_budget)
 }
 
 #[tokio::test]
 async fn first_prefill_withdraws_nothing() {
-    with_proxy(generation(NO_RETRY_BUDGET), async |proxy| {
+    with_proxy(generation_scenario(NO_RETRY_BUDGET), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
         prefill_server.send(&prefill_response("r1", HANDLE)).await;
@@ -32,7 +32,7 @@
 
 #[tokio::test]
 async fn rejected_prefill_counts_as_a_delivery() {
-    with_proxy(generation(NO_RETRY_BUDGET), async |proxy| {
+    with_proxy(generation_scenario(NO_RETRY_BUDGET), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
         prefill_server.send(&rejection("r1", 503)).await;
@@ -47,7 +47,7 @@
 /// is free.
 #[tokio::test]
 async fn first_accepted_prefill_is_free_after_a_rejected_one() {
-    with_proxy(generation(ONE_RETRY_BUDGET), async |proxy| {
+    with_proxy(generation_scenario(ONE_RETRY_BUDGET), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let (mut prefill_server, _, first) = proxy.receive_any(&["p", "q"]).await;
         prefill_server.send(&rejection("r1", 503)).await;
@@ -56,7 +56,7 @@
         prefill_server.send(&prefill_response("r1", HANDLE)).await;
         let (mut server, received, _) = tokio::select! {
             offered = receive_decode(proxy) => offered,
-            response = client.read_message() => panic!("rejected: {response:?}"),
+            response = client.read_message() => panic!("the request was rejected: {response:?}"),
         };
         assert!(received.header("kv-from").is_some());
         server.send(&complete_stream("r1", 1)).await;
@@ -69,7 +69,7 @@
 /// resumption itself is not sent.
 #[tokio::test]
 async fn second_prefill_counts_as_a_delivery() {
-    with_proxy(generation(ONE_RETRY_BUDGET).resumable().max_attempts(3), async |proxy| {
+    with_proxy(generation_scenario(ONE_RETRY_BUDGET).resumable().max_attempts(3), async |proxy| {
         let mut client = proxy.send_request("r1", "").await;
         let (mut prefill_server, _, _) = proxy.receive_any(&["p", "q"]).await;
         prefill_server.send(&prefill_response("r1", HANDLE)).await;
@@ -78,7 +78,7 @@
         server.reset();
         let (mut second, received) = tokio::select! {
             offered = proxy.receive_any(&["p", "q"]) => (offered.0, offered.1),
-            received = prefill_server.read_message() => (prefill_server, received.expect("a request")),
+            received = prefill_server.read_message() => (prefill_server, received.expect("a complete request is received")),
         };
         assert_eq!(received.header("serving-stage"), Some("prefill"));
         second.send(&prefill_response("r1", HANDLE)).await;
--- a/crates/proxy/tests/prefill_decode.rs
+++ b/crates/proxy/tests/prefill_decode.rs
@@ -15,7 +15,7 @@
         assert_eq!(received.header("kv-from"), Some(format!("{}/{HANDLE}", proxy.address("p")).as_str()));
         assert_eq!((received.header("serving-stage"), received.body.as_str()), (None, "body"));
         server.send(&stream_head("r1")).await;
-        let head = client.read_head().await.expect("a head");
+        let head = client.read_head().await.expect("a complete head is received");
         assert!(head.contains("Server-Stamp: stamp-r1\r\n"), "{head}");
         for id in 1..4 {
             server.send(&chunk(&event(id))).await;
@@ -61,7 +61,7 @@
         server.send(&stream_head("r1").replace("stamp-r1", "other")).await;
         server.send(&chunk(&(event(3) + event(4).as_str()))).await;
         server.send(LAST_CHUNK).await;
-        let head = client.read_head().await.expect("a head");
+        let head = client.read_head().await.expect("a complete head is received");
         assert!(head.contains("Server-Stamp: stamp-r1\r\n"), "{head}");
         assert_eq!(client.read_stream().await, (events(4), true));
     })
--- a/crates/proxy/tests/retries.rs
+++ b/crates/proxy/tests/retries.rs
@@ -77,7 +77,11 @@
         }
         let response = client.read_response().await;
         assert_eq!(response.status(), 503);
-        let after: f64 = response.header("retry-after").expect("a delay").parse().expect("a number");
+        let after: f64 = response
+            .header("retry-after")
+            .expect("the response has Retry-After")
+            .parse()
+            .expect("the value is a number");
         assert!((0.05..0.5).contains(&after), "{after}");
     })
     .await;
--- a/crates/proxy/tests/support/clock.rs
+++ b/crates/proxy/tests/support/clock.rs
@@ -24,7 +24,7 @@
     let done = tokio::select! {
         biased;
         done = script => done,
-        () = busy => unreachable!("never completes"),
+        () = busy => unreachable!("the busy task never completes"),
     };
     tokio::time::resume();
     done
--- a/crates/proxy/tests/support/connection.rs
+++ b/crates/proxy/tests/support/connection.rs
@@ -14,7 +14,11 @@
 impl Message {
     /// Returns the status code of a response.
     pub fn status(&self) -> u16 {
-        self.head.split(' ').nth(1).and_then(|status| status.parse().ok()).expect("a status")
+        self.head
+            .split(' ')
+            .nth(1)
+            .and_then(|status| status.parse().ok())
+            .expect("the response has a status code")
     }
 
     /// Returns the first value of a header. Case is ignored in its name.
@@ -42,7 +46,7 @@
 
     /// Sends the text.
     pub async fn send(&mut self, text: &str) {
-        self.stream.write_all(text.as_bytes()).await.expect("written");
+        self.stream.write_all(text.as_bytes()).await.expect("the bytes are written");
     }
 
     /// Sends the head of an event stream and its first `count` events, each in a separate chunk.
@@ -93,33 +97,35 @@
             }
             return Some(message);
         }
-        let length = message.header("content-length").map_or(0, |length| length.parse().expect("a length"));
+        let length = message
+            .header("content-length")
+            .map_or(0, |length| length.parse().expect("the length is a number"));
         message.body = self.read_exactly(length).await?;
         Some(message)
     }
 
     /// Reads the next request, which must be complete.
     pub async fn read_request(&mut self) -> Message {
-        self.read_message().await.expect("a request")
+        self.read_message().await.expect("a complete request is received")
     }
 
     /// Reads the next response, which must be complete.
     pub async fn read_response(&mut self) -> Message {
-        self.read_message().await.expect("a response")
+        self.read_message().await.expect("a complete response is received")
     }
 
     /// Reads the next chunk. Returns `Some(None)` for the last chunk, and `None` if the connection ends
     /// before the chunk is complete.
     pub async fn read_chunk(&mut self) -> Option<Option<String>> {
         let size = self.read_until("\r\n").await?;
-        let size = usize::from_str_radix(size.trim(), 16).expect("a size");
+        let size = usize::from_str_radix(size.trim(), 16).expect("the chunk size is a hexadecimal number");
         while self.buffer.len() < size + 2 {
             if !self.fill().await {
                 return None;
             }
         }
         let data: Vec<u8> = self.buffer.drain(..size + 2).take(size).collect();
-        Some((size > 0).then(|| String::from_utf8(data).expect("text")))
+        Some((size > 0).then(|| String::from_utf8(data).expect("the text is valid UTF-8")))
     }
 
     /// Reads chunks until the stream ends. Returns their data, and whether the last chunk was received.
@@ -152,7 +158,7 @@
 
     /// Closes the sending direction. The receiving direction stays open.
     pub async fn shutdown_write(&mut self) {
-        self.stream.shutdown().await.expect("shut down");
+        self.stream.shutdown().await.expect("the sending direction is shut down");
     }
 
     /// Waits for input. Returns whether the peer closes the connection without sending another byte.
@@ -163,7 +169,7 @@
     /// Closes the connection with a reset.
     pub fn reset(self) {
         let socket = socket2::SockRef::from(&self.stream);
-        socket.set_linger(Some(std::time::Duration::ZERO)).expect("set");
+        socket.set_linger(Some(std::time::Duration::ZERO)).expect("the option is set");
     }
 }
 
--- a/crates/proxy/tests/support/harness.rs
+++ b/crates/proxy/tests/support/harness.rs
@@ -36,8 +36,8 @@
 
 impl ProcessSetup {
     pub async fn prepare(scenario: &Scenario) -> ProcessSetup {
-        let agent_listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let agent_port = agent_listener.local_addr().expect("an address").port();
+        let agent_listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port can be bound");
+        let agent_port = agent_listener.local_addr().expect("the listener has a local address").port();
         let addresses = ListenAddresses::unique();
         let settings = settings(agent_port, &addresses, scenario.retry_budget);
         let (stop, stop_signal) = oneshot::channel();
@@ -83,7 +83,7 @@
         BudgetSlack = 0
         "#
     );
-    Settings::parse(&text).expect("settings")
+    Settings::parse(&text).expect("the settings are valid")
 }
 
 /// A running proxy, its agent and its servers. Tests refer to a server by its name; its instance id is
@@ -107,7 +107,7 @@
     /// scenario.
     pub(super) async fn start(peers: PeerSetup, scenario: &Scenario) -> TestProxy {
         let PeerSetup { agent_listener, addresses, stop } = peers;
-        let mut agent = agent_listener.accept().await.expect("a connection of the proxy").0;
+        let mut agent = agent_listener.accept().await.expect("the proxy connects to the agent").0;
         assert_eq!(read_report(&mut agent).await, VersionVector::default());
         let mut proxy = TestProxy {
             front_address: addresses.front,
@@ -131,8 +131,8 @@
 
     async fn start_servers(&mut self, scenario: &Scenario) {
         for (name, stage) in &scenario.servers {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            let address = listener.local_addr().expect("an address");
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a loopback port can be bound");
+            let address = listener.local_addr().expect("the listener has a local address");
             self.listeners.insert(*name, listener);
             self.entries.push(ServerEntry {
                 id: format!("i-{name}"),
@@ -154,8 +154,8 @@
     /// Closes the agent's connection and accepts the next one. Returns the versions that the proxy reports on
     /// it.
     pub async fn reconnect_agent(&mut self) -> VersionVector {
-        self.agent.shutdown().await.expect("closed");
-        self.agent = self.agent_listener.accept().await.expect("a connection of the proxy").0;
+        self.agent.shutdown().await.expect("the agent's connection is shut down");
+        self.agent = self.agent_listener.accept().await.expect("the proxy connects to the agent").0;
         read_report(&mut self.agent).await
     }
 
@@ -203,7 +203,7 @@
     }
 
     async fn update(&mut self, update: Update) -> VersionVector {
-        write_frame(&mut self.agent, &FeedMessage::Update(update)).await.expect("sent");
+        write_frame(&mut self.agent, &FeedMessage::Update(update)).await.expect("the bytes are written");
         read_report(&mut self.agent).await
     }
 }
@@ -213,19 +213,19 @@
     /// Returns the address on which a server listens.
     pub fn address(&self, name: &str) -> SocketAddr {
         let entry = self.entries.iter().find(|entry| is_named(entry, &[name]));
-        entry.expect("a server of that name").address
+        entry.expect("the scenario has a server of this name").address
     }
 
     /// Accepts the next connection to a server.
     pub async fn accept(&self, name: &str) -> Connection {
-        Connection::new(self.listeners[name].accept().await.expect("a connection").0)
+        Connection::new(self.listeners[name].accept().await.expect("a connection is accepted").0)
     }
 
     /// Accepts the next connection to one of the servers. Returns it with the server's name.
     pub async fn accept_any(&self, names: &[&'static str]) -> (Connection, &'static str) {
         let (stream, name) = poll_fn(|context| {
             let ready = names.iter().find_map(|name| match self.listeners[name].poll_accept(context) {
-                Poll::Ready(accepted) => Some((accepted.expect("a connection").0, *name)),
+                Poll::Ready(accepted) => Some((accepted.expect("a connection is accepted").0, *name)),
                 Poll::Pending => None,
             });
             ready.map_or(Poll::Pending, Poll::Ready)
@@ -259,7 +259,9 @@
 impl TestProxy {
     /// Opens a client connection.
     pub async fn connect(&self) -> Connection {
-        Connection::new(TcpStream::connect(self.front_address).await.expect("accepted"))
+        Connection::new(
+            TcpStream::connect(self.front_address).await.expect("the proxy accepts the connection"),
+        )
     }
 
     /// Opens a client connection and sends a request to `/r/x`. `headers` are complete lines.
@@ -290,7 +292,9 @@
 
     /// Returns the status of the response to a readiness check.
     pub async fn readiness_status(&self) -> u16 {
-        let mut check = Connection::new(TcpStream::connect(self.ready_address).await.expect("accepted"));
+        let mut check = Connection::new(
+            TcpStream::connect(self.ready_address).await.expect("the proxy accepts the connection"),
+        );
         check.send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").await;
         check.read_response().await.status()
     }
@@ -306,6 +310,7 @@
 }
 
 async fn read_report(agent: &mut TcpStream) -> VersionVector {
-    let report: ProxyReport = read_frame(agent).await.expect("a report").expect("a report");
+    let report: ProxyReport =
+        read_frame(agent).await.expect("the frame is valid").expect("the proxy sends a report");
     report.have
 }
--- a/crates/proxy/tests/support/scenario.rs
+++ b/crates/proxy/tests/support/scenario.rs
@@ -156,7 +156,7 @@
 /// Runs a proxy while `script` runs. The proxy must not exit before the script is complete.
 pub async fn with_proxy(scenario: Scenario, script: impl AsyncFnOnce(&mut TestProxy)) {
     let setup = ProcessSetup::prepare(&scenario).await;
-    let process = run_until(setup.settings, ProxyOptions::default(), stopped(setup.stop_signal));
+    let process = run_until(setup.settings, ProxyOptions::default(), wait_for_stop(setup.stop_signal));
     let script = async {
         let mut proxy = TestProxy::start(setup.peers, &scenario).await;
         script(&mut proxy).await;
@@ -171,17 +171,17 @@
 /// Runs a proxy and a `script` that begins a graceful shutdown, and waits for both to complete.
 pub async fn with_proxy_until_shutdown(scenario: Scenario, script: impl AsyncFnOnce(&mut TestProxy)) {
     let setup = ProcessSetup::prepare(&scenario).await;
-    let process = run_until(setup.settings, ProxyOptions::default(), stopped(setup.stop_signal));
+    let process = run_until(setup.settings, ProxyOptions::default(), wait_for_stop(setup.stop_signal));
     let script = async {
         let mut proxy = TestProxy::start(setup.peers, &scenario).await;
         script(&mut proxy).await;
         proxy
     };
     let (ended, _proxy) = tokio::join!(process, script);
-    ended.expect("an orderly exit");
+    ended.expect("the proxy exits without an error");
 }
 
 /// Completes when the signal is sent or its sender is dropped.
-async fn stopped(stop_signal: tokio::sync::oneshot::Receiver<()>) {
+async fn wait_for_stop(stop_signal: tokio::sync::oneshot::Receiver<()>) {
     drop(stop_signal.await);
 }
