--- a/crates/agent/src/control_connection_tests.rs
+++ b/crates/agent/src/control_connection_tests.rs
@@ -36,23 +36,24 @@
 }
 
 async fn call(sends: PeerSends) -> (Result<ControlReply, FrameError>, Duration) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     let (keep_open, closed) = oneshot::channel::<()>();
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
-        read_frame::<AgentRequest>(&mut stream).await.expect("a request");
-        let bytes = encode(&reply()).expect("a frame");
+        let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
+        read_frame::<AgentRequest>(&mut stream).await.expect("cannot read the request");
+        let bytes = encode(&reply()).expect("cannot encode the message");
         let end = match sends {
             PeerSends::AllButOneByte => bytes.len() - 1,
             PeerSends::Nothing => 0,
             PeerSends::Close => return,
         };
-        stream.write_all(&bytes[..end]).await.expect("a write");
+        stream.write_all(&bytes[..end]).await.expect("cannot write to the connection");
         // Keeps the connection open until the test ends.
         drop(closed.await);
     });
-    let mut connection = ControlConnection::open(address, None).await.expect("a connection");
+    let mut connection =
+        ControlConnection::open(address, None).await.expect("cannot connect to the listener");
     tokio::time::pause();
     let started_at = tokio::time::Instant::now();
     let result = connection.call(&request(), FIRST_BYTE_TIMEOUT).await;
@@ -62,17 +63,24 @@
 
 #[tokio::test]
 async fn complete_replies_are_returned() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
         while let Ok(Some(_)) = read_frame::<AgentRequest>(&mut stream).await {
-            stream.write_all(&encode(&reply()).expect("a frame")).await.expect("a write");
+            stream
+                .write_all(&encode(&reply()).expect("cannot encode the message"))
+                .await
+                .expect("cannot write to the connection");
         }
     });
-    let mut connection = ControlConnection::open(address, None).await.expect("a connection");
+    let mut connection =
+        ControlConnection::open(address, None).await.expect("cannot connect to the listener");
     for _ in 0..3 {
-        assert_eq!(connection.call(&request(), Duration::from_secs(60)).await.expect("a reply"), reply());
+        assert_eq!(
+            connection.call(&request(), Duration::from_secs(60)).await.expect("the call failed"),
+            reply()
+        );
     }
 }
 
@@ -99,11 +107,14 @@
 #[case::cancelled(false)]
 #[tokio::test]
 async fn a_late_reply_is_not_taken_for_the_reply_to_the_next_call(#[case] times_out: bool) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let mut connection = ControlConnection::open(listener.local_addr().expect("an address"), None)
-        .await
-        .expect("a connection");
-    let (mut peer, _) = listener.accept().await.expect("a connection");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let mut connection = ControlConnection::open(
+        listener.local_addr().expect("cannot read the address of the listener"),
+        None,
+    )
+    .await
+    .expect("cannot connect to the listener");
+    let (mut peer, _) = listener.accept().await.expect("cannot accept a connection");
     if times_out {
         tokio::time::pause();
         assert!(connection.call(&request(), FIRST_BYTE_TIMEOUT).await.is_err());
@@ -112,12 +123,12 @@
         let received = async { read_frame::<AgentRequest>(&mut peer).await };
         let first = request();
         tokio::select! {
-            reply = connection.call(&first, Duration::from_secs(60)) => panic!("{reply:?}"),
-            request = received => assert!(request.expect("a request").is_some()),
+            reply = connection.call(&first, Duration::from_secs(60)) => panic!("not cancelled: {reply:?}"),
+            request = received => assert!(request.expect("cannot read the request").is_some()),
         }
     }
     // The write fails if the connection is already closed.
-    drop(peer.write_all(&encode(&reply()).expect("a frame")).await);
+    drop(peer.write_all(&encode(&reply()).expect("cannot encode the message")).await);
     let second = connection.call(&request(), FIRST_BYTE_TIMEOUT).await;
     assert!(matches!(second, Err(FrameError::Io(_))), "{second:?}");
 }
@@ -138,11 +149,11 @@
     let (mut stream, mut peer) = tokio::io::duplex(8);
     tokio::spawn(async move {
         sleep(SLOW_WRITE).await;
-        read_frame::<AgentRequest>(&mut peer).await.expect("a request");
-        let bytes = encode(&reply()).expect("a frame");
+        read_frame::<AgentRequest>(&mut peer).await.expect("cannot read the request");
+        let bytes = encode(&reply()).expect("cannot encode the message");
         for piece in bytes.chunks(bytes.len().div_ceil(PIECES)) {
             sleep(reply_time / PIECES as u32).await;
-            peer.write_all(piece).await.expect("a write");
+            peer.write_all(piece).await.expect("cannot write to the connection");
         }
     });
     let result = send_and_receive(&mut stream, &request(), FIRST_BYTE_TIMEOUT).await;
--- a/crates/agent/src/control_link_tests.rs
+++ b/crates/agent/src/control_link_tests.rs
@@ -52,7 +52,10 @@
                 silent.push(stream);
                 break;
             };
-            stream.write_all(&encode(&reply).expect("a frame")).await.expect("a write");
+            stream
+                .write_all(&encode(&reply).expect("cannot encode the message"))
+                .await
+                .expect("cannot write to the connection");
         }
     }
 }
@@ -74,9 +77,10 @@
 async fn harness(scripts: Vec<Vec<Reply>>) -> Harness {
     let mut listeners = Vec::new();
     for _ in &scripts {
-        listeners.push(TcpListener::bind("127.0.0.1:0").await.expect("a listener"));
+        listeners.push(TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener"));
     }
-    let address = |listener: &TcpListener| listener.local_addr().expect("an address");
+    let address =
+        |listener: &TcpListener| listener.local_addr().expect("cannot read the address of the listener");
     let seeds: Vec<SocketAddr> = listeners.iter().map(address).collect();
     let (commands, queue) = mpsc::channel(4);
     let applied = Arc::new(Mutex::new(Vec::new()));
@@ -101,7 +105,10 @@
                 let _ = reply.send(PullReport { have: VersionVector::default(), loads: Vec::new() });
             }
             Command::Apply { update, reply } => {
-                applied.lock().expect("a list").push(update.vector.config);
+                applied
+                    .lock()
+                    .expect("another thread panicked while it held the lock")
+                    .push(update.vector.config);
                 let _ = reply.send(update.vector);
             }
             Command::RecordLoads(_) | Command::AwaitUpdate { .. } | Command::GetSummary { .. } => {}
@@ -126,7 +133,7 @@
 async fn a_pass_applies(#[case] scripts: Vec<Vec<Reply>>, #[case] served: bool, #[case] versions: &[u64]) {
     let mut harness = harness(scripts).await;
     assert_eq!(harness.link.try_candidates().await, served);
-    assert_eq!(*harness.applied.lock().expect("a list"), versions);
+    assert_eq!(*harness.applied.lock().expect("another thread panicked while it held the lock"), versions);
 }
 
 #[tokio::test]
@@ -135,7 +142,7 @@
     let mut harness = harness(vec![vec![FRESH, lost, lost], vec![]]).await;
     assert!(harness.link.try_candidates().await);
     assert!(!harness.link.try_candidates().await);
-    assert_eq!(*harness.applied.lock().expect("a list"), [5, 6]);
+    assert_eq!(*harness.applied.lock().expect("another thread panicked while it held the lock"), [5, 6]);
 }
 
 /// Requests are redirected to the followed process, and no longer redirected after the agent has stopped
@@ -154,7 +161,7 @@
     });
     assert!(harness.link.try_candidates().await);
     drop(harness);
-    let seen = watching.await.expect("what was published");
+    let seen = watching.await.expect("the watching task panicked");
     assert_eq!(seen.last(), Some(&None));
     assert!(seen.contains(&Some(process)), "{seen:?}");
 }
@@ -177,8 +184,8 @@
 #[tokio::test]
 async fn tries_announced_processes_before_the_seeds() {
     let mut harness = harness(vec![vec![], vec![]]).await;
-    let announced: SocketAddr = "127.0.0.9:1".parse().expect("an address");
-    harness.link.control = vec!["127.0.0.8:1".parse().expect("an address")];
+    let announced: SocketAddr = "127.0.0.9:1".parse().expect("cannot parse the address");
+    harness.link.control = vec!["127.0.0.8:1".parse().expect("cannot parse the address")];
     let known = harness.link.control[0];
     harness.link.control_plane.announced.send_replace(vec![announced, known]);
     let candidates = harness.link.candidates();
@@ -189,8 +196,8 @@
 /// pass must use the last settings.
 #[tokio::test]
 async fn pass_begins_with_the_newest_settings() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let last = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let last = listener.local_addr().expect("cannot read the address of the listener");
     let with_seed = |seed: SocketAddr| {
         let port = seed.port();
         let text = format!(
@@ -198,7 +205,7 @@
             port - 1,
             port.saturating_add(10)
         );
-        Settings::parse(&text).expect("settings")
+        Settings::parse(&text).expect("cannot parse the settings")
     };
     let unused = SocketAddr::from(([127, 0, 0, 1], 9));
     let (reload, reloads) = watch::channel(with_seed(unused));
@@ -207,8 +214,8 @@
     let (commands, mut queue) = mpsc::channel(4);
     let link = tokio::spawn(run(reloads, Arc::default(), commands, ControlPlaneStatus::default()));
     tokio::select! {
-        accepted = listener.accept() => drop(accepted.expect("a connection")),
-        () = async { while queue.recv().await.is_some() {} } => panic!("the link has ended"),
+        accepted = listener.accept() => drop(accepted.expect("cannot accept a connection")),
+        () = async { while queue.recv().await.is_some() {} } => panic!("the link ended before it connected"),
     }
     link.abort();
 }
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -10,8 +10,8 @@
 /// The prefix of all metric names.
 const PREFIX: &str = "lugwharf_agent";
 
-/// The outcome of a pull from a control process, of an attempt to connect to it, or of a pass over all of
-/// them.
+/// The outcome of a pull from a control process, of an attempt to connect to one, or of a pass over all
+/// control processes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PullOutcome {
     /// The control process replied and has a quorum.
--- a/crates/agent/src/stall_timeout_tests.rs
+++ b/crates/agent/src/stall_timeout_tests.rs
@@ -36,7 +36,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_reader_without_a_long_pause_is_read_to_its_end(#[case] before: u64, #[case] between: u64) {
     let (read, _) = read(before, between).await;
-    assert_eq!(read.expect("read"), 30);
+    assert_eq!(read.expect("reading all bytes failed"), 30);
 }
 
 #[rstest]
@@ -47,7 +47,7 @@
     #[case] before: u64, #[case] between: u64, #[case] ends_ms: u64, #[case] text: &str,
 ) {
     let (read, took) = read(before, between).await;
-    let error = read.expect_err("a timeout");
+    let error = read.expect_err("the read did not time out");
     assert_eq!((error.kind(), error.to_string().as_str()), (io::ErrorKind::TimedOut, text));
     assert!(took.abs_diff(Duration::from_millis(ends_ms)) <= Duration::from_millis(2), "{took:?}");
 }
