--- a/crates/store/src/frame.rs
+++ b/crates/store/src/frame.rs
@@ -18,8 +18,11 @@
 const MARKER: [u8; 4] = *b"LwF1";
 /// The length of the file header in bytes.
 pub const HEADER_BYTES: usize = 20;
+/// The length of a frame's header, from the marker to the number of records, in bytes.
 const FRAME_HEADER_BYTES: usize = 24;
+/// The offset in a frame at which the checksum ends and the bytes that it covers begin.
 const CHECKSUM_END: usize = 8;
+/// The size of the length before each record, in bytes.
 const LENGTH_BYTES: usize = 4;
 /// The maximum length of a frame's records as framed, in bytes: half of the smallest supported disk. A
 /// corrupted length field need not be checked against this limit, since it points past the end of the file or
--- a/crates/store/src/simulated.rs
+++ b/crates/store/src/simulated.rs
@@ -129,7 +129,7 @@
 }
 
 fn not_found(name: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::NotFound, name.to_owned())
+    io::Error::new(io::ErrorKind::NotFound, format!("no file {name:?} on the simulated disk"))
 }
 
 impl State {
