--- a/crates/protocol/src/agent.rs
+++ b/crates/protocol/src/agent.rs
@@ -77,11 +77,12 @@
 pub enum ControlReply {
     /// Everything newer than the version vector of the request.
     Update {
-        /// Whether this control process is in contact with a majority of its view. An agent disconnects from
-        /// a control process that is not, since its updates may be out of date.
+        /// Whether agents may rely on the sender: it is in contact with a majority of its view and is not
+        /// shutting down. Otherwise its updates may be out of date, and an agent disconnects from it. Always
+        /// false in the reply to an announcement and from a machine without a replica.
         #[serde(rename = "in_touch")]
         has_quorum: bool,
-        /// The agent addresses of all control processes of the view.
+        /// The agent addresses of the control processes that the sender knows.
         control: Vec<SocketAddr>,
         /// The tables that are newer.
         update: Update,
--- a/crates/protocol/src/byte_string.rs
+++ b/crates/protocol/src/byte_string.rs
@@ -8,10 +8,12 @@
 use serde::{Deserializer, Serializer};
 use std::fmt;
 
+/// Serialises the bytes as a single byte string.
 pub fn serialize<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
     serializer.serialize_bytes(bytes)
 }
 
+/// Deserialises a byte string or an array of integers.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
     deserializer.deserialize_byte_buf(ByteStringVisitor)
 }
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -5,8 +5,9 @@
 use std::io;
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// The maximum length of the CBOR value in a frame, in bytes: twice the maximum size of a configuration
-/// submitted by an operator. The limit bounds the memory that a corrupted length can reserve.
+/// The maximum length of the CBOR value in a frame, in bytes. A frame has room for two configurations of the
+/// maximum size that an operator may submit (three eighths of this limit) and the headers of earlier entries.
+/// The limit also bounds the memory that a corrupted length can reserve.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 /// The size of the length prefix in bytes.
 const LENGTH_BYTES: usize = 4;
@@ -48,7 +49,8 @@
     Ok(ciborium::from_reader(body)?)
 }
 
-/// Reads one message. Returns `None` if the connection was closed between two frames.
+/// Reads one message. Returns `None` if the connection was closed between two frames or within the length
+/// prefix of a frame.
 ///
 /// This function is not cancel safe: if the future is dropped while reading a frame, the reader is left in
 /// the middle of that frame.
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -5,8 +5,8 @@
 //! | agent | agent to control process, over the agent port | [`AgentRequest`], answered by [`ControlReply`] |
 //! | feed | agent to proxy, over loopback | [`FeedMessage`]; [`ProxyReport`] in the opposite direction |
 //!
-//! Connections between control processes use the same framing for the messages of the crates `chain`,
-//! `election` and `distribution`.
+//! Connections between control processes use the same framing for the messages of the crate `control`, which
+//! contain those of `chain` and `election`.
 //!
 //! During a rolling upgrade, processes of two versions communicate with each other. The names of fields and
 //! variants are part of the encoding, so a renamed field or variant must keep its encoded name through
--- a/crates/protocol/src/table.rs
+++ b/crates/protocol/src/table.rs
@@ -36,6 +36,7 @@
     }
 }
 
+/// The number of bytes of a hash that are displayed: 128 bits.
 const DISPLAYED_HASH_BYTES: usize = 16;
 
 /// The inference phase that a model server executes if prefill and decode are disaggregated.
