--- a/crates/control/src/agent_server.rs
+++ b/crates/control/src/agent_server.rs
@@ -17,7 +17,8 @@
 /// The maximum number of connected agents: several times the share of one control process in the largest
 /// deployment, and below the limit of 4,096 file descriptors on a small machine.
 const MAX_CONNECTIONS: usize = 2_000;
-/// A connection without a request for this long is closed. Agents pull twice a second, so it was abandoned.
+/// A connection without a request for this long is closed. Agents pull twice a second, so such a
+/// connection was abandoned.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// An agent that reads no byte of its reply for this long is disconnected. The timeout applies to each write
 /// and not to the complete reply, because a long list takes longer over a slow link.
--- a/crates/control/src/controller/agent_requests.rs
+++ b/crates/control/src/controller/agent_requests.rs
@@ -27,8 +27,8 @@
         self.serve_pulls();
     }
 
-    /// Handles an announcement from a control process that takes this process for a seed without a replica.
-    /// The reply reports no quorum, so that nobody relies on its tables.
+    /// Handles an announcement from a control process that considers this process a seed without a
+    /// replica. The reply reports no quorum, so that the sender does not rely on its tables.
     fn receive_announcement(&mut self, control: &[SocketAddr], reply: oneshot::Sender<ReplyFrame>) {
         self.contact_announced_processes(control);
         let members = self.replica.status().members;
--- a/crates/control/src/controller/list_watcher_role_tests.rs
+++ b/crates/control/src/controller/list_watcher_role_tests.rs
@@ -20,7 +20,7 @@
     let next = HeldLease { token: FencingToken(8), ..renewed };
     let mut is_woken_by = |published| {
         role.publish(published);
-        let is_woken = lease.has_changed().expect("a sender");
+        let is_woken = lease.has_changed().expect("the sender of the lease was dropped");
         assert_eq!(*lease.borrow_and_update(), published);
         is_woken
     };
--- a/crates/control/src/controller/platform_reachability.rs
+++ b/crates/control/src/controller/platform_reachability.rs
@@ -10,6 +10,7 @@
 /// are cut off from the platform, the lease passes through all members once in this time, and each round
 /// leaves the fleet without stage planning for seconds.
 const RETRY_AFTER: Duration = Duration::from_secs(30);
+/// The maximum time for which a process that failed repeatedly is considered unable to reach the platform.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(240);
 /// A peer report older than this is ignored. Peers report every 500 ms (`EXCHANGE_INTERVAL`), so three
 /// reports were missed.
--- a/crates/control/src/controller/platform_reachability_tests.rs
+++ b/crates/control/src/controller/platform_reachability_tests.rs
@@ -22,51 +22,54 @@
 fn only_a_member_with_a_fresh_positive_report_may_reach(
     #[case] reaches: bool, #[case] now: u64, #[case] member: u8, #[case] expected: bool,
 ) {
-    let mut reach = PlatformReachability::default();
-    reach.record_peer_report(ms(5_000), address(2), reaches);
-    assert_eq!(reach.any_peer_may_reach(ms(now), &[address(member)]), expected);
+    let mut reachability = PlatformReachability::default();
+    reachability.record_peer_report(ms(5_000), address(2), reaches);
+    assert_eq!(reachability.any_peer_may_reach(ms(now), &[address(member)]), expected);
 }
 
 #[rstest]
 #[case(29_999, false)]
 #[case(30_000, true)]
 fn own_failure_expires(#[case] after: u64, #[case] expected: bool) {
-    let mut reach = PlatformReachability::default();
-    assert!(reach.may_be_reachable(ms(0)));
-    reach.record_failure(ms(1_000));
-    assert_eq!(reach.may_be_reachable(ms(1_000 + after)), expected);
+    let mut reachability = PlatformReachability::default();
+    assert!(reachability.may_be_reachable(ms(0)));
+    reachability.record_failure(ms(1_000));
+    assert_eq!(reachability.may_be_reachable(ms(1_000 + after)), expected);
 }
 
 #[test]
 fn success_clears_the_failure() {
-    let mut reach = PlatformReachability::default();
-    reach.record_failure(ms(1_000));
-    reach.record_success();
-    assert!(reach.may_be_reachable(ms(1_001)));
+    let mut reachability = PlatformReachability::default();
+    reachability.record_failure(ms(1_000));
+    reachability.record_success();
+    assert!(reachability.may_be_reachable(ms(1_001)));
 }
 
 /// After a peer has read the list, the retry time of a process that failed repeatedly is as short as after a
 /// first failure.
 #[test]
 fn failures_add_up_until_somebody_reads_the_list() {
-    let mut reach = PlatformReachability::default();
+    let mut reachability = PlatformReachability::default();
     let mut now = 0;
     for wait in [30_000, 60_000, 120_000, 240_000, 240_000] {
-        reach.record_failure(ms(now));
-        assert!(!reach.may_be_reachable(ms(now + wait - 1)), "{wait}");
+        reachability.record_failure(ms(now));
+        assert!(!reachability.may_be_reachable(ms(now + wait - 1)), "{wait}");
         now += wait;
-        assert!(reach.may_be_reachable(ms(now)), "{wait}");
+        assert!(reachability.may_be_reachable(ms(now)), "{wait}");
     }
-    reach.record_failure(ms(now));
-    reach.record_peer_success();
+    reachability.record_failure(ms(now));
+    reachability.record_peer_success();
     assert!(
-        !reach.may_be_reachable(ms(now + 29_999)),
+        !reachability.may_be_reachable(ms(now + 29_999)),
         "this process may still be unable to reach the platform"
     );
-    assert!(reach.may_be_reachable(ms(now + 30_000)));
-    reach.record_success();
-    reach.record_failure(ms(now));
-    assert!(reach.may_be_reachable(ms(now + 30_000)), "it counts as the first failure after a success");
+    assert!(reachability.may_be_reachable(ms(now + 30_000)));
+    reachability.record_success();
+    reachability.record_failure(ms(now));
+    assert!(
+        reachability.may_be_reachable(ms(now + 30_000)),
+        "it counts as the first failure after a success"
+    );
 }
 
 /// None of three processes reaches the platform. Each lease holder fails 1.4 s after it acquired the lease,
@@ -79,8 +82,10 @@
     let (mut holder, mut acquired_at, mut moves) = (0, 0, Vec::new());
     for now in (0..900_000).step_by(100) {
         for from in 0..3 {
-            let expected = reaches[from].may_be_reachable(ms(now));
-            reaches.iter_mut().for_each(|reach| reach.record_peer_report(ms(now), all[from], expected));
+            let is_reachable = reaches[from].may_be_reachable(ms(now));
+            reaches
+                .iter_mut()
+                .for_each(|reachability| reachability.record_peer_report(ms(now), all[from], is_reachable));
         }
         if now < acquired_at + 1_400 {
             continue;
@@ -91,7 +96,7 @@
             moves.push(now);
             holder = (0..3)
                 .find(|next| *next != holder && reaches[*next].may_be_reachable(ms(now)))
-                .expect("a process");
+                .expect("no other process may reachability the platform");
             acquired_at = now;
         }
     }
--- a/crates/control/src/controller/process_directory_tests.rs
+++ b/crates/control/src/controller/process_directory_tests.rs
@@ -72,7 +72,7 @@
 #[test]
 fn process_beyond_the_bound_is_added_once_others_have_expired() {
     let mut processes = ProcessDirectory::default();
-    let count = u8::try_from(MAX_PROCESSES).expect("a small bound");
+    let count = u8::try_from(MAX_PROCESSES).expect("the limit does not fit into a u8");
     processes.record_reported_processes(seconds(0), &processes_numbered(0..count));
     processes.record_message(seconds(1), process(200));
     assert_eq!(processes.all(seconds(1), process(0), &[]).len(), MAX_PROCESSES);
--- a/crates/control/src/controller/replication.rs
+++ b/crates/control/src/controller/replication.rs
@@ -60,7 +60,7 @@
                 chain::Action::Committed { config } => self.handle_committed_config(&config),
                 // The view is read from the replica's status after each event.
                 chain::Action::ViewChanged(_) => {}
-                chain::Action::Log(line) => logs::log_chain_event(&spdlog::default_logger(), &line),
+                chain::Action::Log(event) => logs::log_chain_event(&spdlog::default_logger(), &event),
             }
         }
     }
--- a/crates/control/src/controller/stage_planning_tests.rs
+++ b/crates/control/src/controller/stage_planning_tests.rs
@@ -59,7 +59,7 @@
     planning.send_due(PLANNED_AT, "core-1", TOKEN);
     assert!(orders.try_recv().is_err(), "the draining state has not reached all proxies yet");
     planning.send_due(DUE_AT, "core-1", TOKEN);
-    let AuthorizedOrder { order, holder, token } = orders.try_recv().expect("an order");
+    let AuthorizedOrder { order, holder, token } = orders.try_recv().expect("no order was queued");
     assert_eq!((holder.as_str(), token, order.stage), ("core-1", TOKEN, Stage::Decode));
     assert!(changing.contains(&order.id), "{order:?}");
     planning.send_due(DUE_AT, "core-1", token);
@@ -73,7 +73,7 @@
         let mut entries = prefill_servers();
         planning.plan(PLANNED_AT, &mut entries, &FleetLoad::default());
         planning.send_due(DUE_AT, "core-1", TOKEN);
-        let id = orders.try_recv().expect("an order").order.id;
+        let id = orders.try_recv().expect("no order was queued").order.id;
         planning.record_order_outcome(DUE_AT, &id, Some("model"), outcome);
         assert_eq!(!planning.changing_server_ids(entries.iter()).is_empty(), still_changes, "{outcome:?}");
     }
--- a/crates/control/src/controller/view_changes.rs
+++ b/crates/control/src/controller/view_changes.rs
@@ -8,16 +8,16 @@
 use std::net::SocketAddr;
 
 impl Controller {
-    /// Reports the view of the replica to the elector if it is new. It was either agreed or recovered from
-    /// disk.
+    /// Reports the view of the replica to the elector if it is new. The view was either decided or
+    /// recovered from disk.
     pub(super) fn report_view_to_elector(&mut self) {
         let status = self.replica.status();
         if self.views.enter(status.view_number) {
             self.enter_view(&status);
         }
-        // The elector learns of the seal before the acceptance is sent, which waits for the disk. From then
-        // on this process votes for no lease holder in this view, because the next view may elect another
-        // one.
+        // The elector learns of the seal before the acceptance is sent, because the acceptance is sent only
+        // after it is synced. From then on this process votes for no lease holder in this view, because the
+        // next view may elect another process.
         if status.has_accepted_next_view && self.views.seal(status.view_number) {
             self.handle_elector_event(election::Event::ViewSealed { number: status.view_number });
         }
--- a/crates/control/src/controller_tests.rs
+++ b/crates/control/src/controller_tests.rs
@@ -39,7 +39,7 @@
         "#,
         directory.display()
     );
-    Settings::parse(&text).expect("readable")
+    Settings::parse(&text).expect("cannot parse the settings")
 }
 
 fn start(directory: &Path) -> (Controller, Sender<Command>, Receiver<Command>) {
@@ -50,7 +50,7 @@
         commands.clone(),
         &RejectionCounters::default(),
     )
-    .expect("a start");
+    .expect("cannot start the controller");
     (controller, commands, queue)
 }
 
@@ -65,7 +65,7 @@
 fn empty_directory(name: &str) -> PathBuf {
     let directory = std::env::temp_dir().join(format!("lugwharf-controller-{name}-{}", std::process::id()));
     drop(std::fs::remove_dir_all(&directory));
-    std::fs::create_dir_all(&directory).expect("a directory");
+    std::fs::create_dir_all(&directory).expect("cannot create the directory");
     directory
 }
 
@@ -84,8 +84,9 @@
     let (node, incarnation, loads) = ("front-1".to_owned(), 1, Vec::new());
     let request = AgentRequest::Pull { node, incarnation, have: VersionVector::default(), wait_ms: 0, loads };
     controller.handle(Command::Pull { request, reply });
-    let frame = answer.try_recv().expect("an answer");
-    let ControlReply::Update { has_quorum, .. } = decode(&frame[size_of::<u32>()..]).expect("a reply");
+    let frame = answer.try_recv().expect("no reply was sent");
+    let ControlReply::Update { has_quorum, .. } =
+        decode(&frame[size_of::<u32>()..]).expect("cannot decode the reply");
     has_quorum
 }
 
@@ -131,7 +132,7 @@
         }
         step(controller, queue).await;
     }
-    panic!("no lease: {:?}", controller.replica.status());
+    panic!("no lease was acquired in {MAX_STEPS} steps: {:?}", controller.replica.status());
 }
 
 fn server_ids(controller: &Controller) -> Vec<String> {
@@ -234,14 +235,17 @@
     let (reply, mut response) = oneshot::channel();
     let request = AgentRequest::Announce { control: Vec::new() };
     controller.handle(Command::Pull { request, reply });
-    let frame = response.try_recv().expect("a reply");
+    let frame = response.try_recv().expect("no reply was sent");
     let agent_port = controller.settings.internal_ports().agent;
     let expected = ControlReply::Update {
         has_quorum: false,
         control: vec![SocketAddr::new(controller.local_address.ip(), agent_port)],
         update: Update::default(),
     };
-    assert_eq!(decode::<ControlReply>(&frame[size_of::<u32>()..]).expect("a reply"), expected);
+    assert_eq!(
+        decode::<ControlReply>(&frame[size_of::<u32>()..]).expect("cannot decode the reply"),
+        expected
+    );
     drop(std::fs::remove_dir_all(directory));
 }
 
--- a/crates/control/src/encoded_bytes_tests.rs
+++ b/crates/control/src/encoded_bytes_tests.rs
@@ -23,16 +23,16 @@
 }
 
 pub fn from_hex(hex: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("the text is not hexadecimal");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
 /// Asserts that the value encodes to these bytes, and that the value decoded from them encodes to the same
 /// bytes again.
 pub fn assert_bytes<T: Serialize + DeserializeOwned>(value: &T, hex: &str) {
-    assert_eq!(to_hex(&encode(value).expect("encodable")[LENGTH_BYTES..]), hex);
-    let decoded: T = decode(&from_hex(hex)).expect("decodable");
-    assert_eq!(to_hex(&encode(&decoded).expect("encodable")[LENGTH_BYTES..]), hex);
+    assert_eq!(to_hex(&encode(value).expect("cannot encode the value")[LENGTH_BYTES..]), hex);
+    let decoded: T = decode(&from_hex(hex)).expect("cannot decode the value");
+    assert_eq!(to_hex(&encode(&decoded).expect("cannot encode the value")[LENGTH_BYTES..]), hex);
 }
 
 fn address(host: u8) -> SocketAddr {
@@ -136,10 +136,13 @@
 fn have_of_an_earlier_version_is_decoded_with_defaults(
     #[case] hex: &str, #[case] is_reachable: bool, #[case] process_count: usize,
 ) {
-    let decoded: TablesMessage = decode(&from_hex(hex)).expect("decodable");
+    let decoded: TablesMessage = decode(&from_hex(hex)).expect("cannot decode the value");
     let processes = [address(1)].into_iter().take(process_count).collect();
     let current = have(is_reachable, processes);
-    assert_eq!(to_hex(&encode(&decoded).expect("encodable")), to_hex(&encode(&current).expect("encodable")));
+    assert_eq!(
+        to_hex(&encode(&decoded).expect("cannot encode the value")),
+        to_hex(&encode(&current).expect("cannot encode the value"))
+    );
 }
 
 fn chain_message() -> PeerMessage {
--- a/crates/control/src/gateway_tests.rs
+++ b/crates/control/src/gateway_tests.rs
@@ -8,20 +8,20 @@
 use tokio::sync::watch;
 
 async fn call(target: Option<&str>, head: &str, body: &[u8]) -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
-    let target: Option<SocketAddr> = target.map(|target| target.parse().expect("an address"));
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
+    let target: Option<SocketAddr> = target.map(|target| target.parse().expect("cannot parse the address"));
     let (_sender, targets) = watch::channel(target);
     gateway::serve(listener, targets);
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("cannot connect to the listener");
     let head = format!(
         "{head} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
-    stream.write_all(head.as_bytes()).await.expect("a write");
-    stream.write_all(body).await.expect("a write");
+    stream.write_all(head.as_bytes()).await.expect("cannot write to the connection");
+    stream.write_all(body).await.expect("cannot write to the connection");
     let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).await.expect("an answer");
+    stream.read_to_end(&mut answer).await.expect("cannot read the response");
     String::from_utf8_lossy(&answer).into_owned()
 }
 
--- a/crates/control/src/http_bytes_tests.rs
+++ b/crates/control/src/http_bytes_tests.rs
@@ -28,8 +28,8 @@
 use tokio::time::Instant;
 
 async fn listener() -> (TcpListener, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     (listener, address)
 }
 
@@ -58,12 +58,12 @@
 
 /// Sends these bytes and shuts down the writing side. Returns the response without its `Date` header.
 async fn exchange(address: SocketAddr, request: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
-    stream.write_all(request).await.expect("a write");
-    stream.shutdown().await.expect("an end");
+    let mut stream = TcpStream::connect(address).await.expect("cannot connect to the listener");
+    stream.write_all(request).await.expect("cannot write to the connection");
+    stream.shutdown().await.expect("cannot shut down the writing side");
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer).await;
-    without_date(&String::from_utf8(answer).expect("text"))
+    without_date(&String::from_utf8(answer).expect("the received text is not UTF-8"))
 }
 
 fn without_date(answer: &str) -> String {
@@ -190,7 +190,7 @@
 #[tokio::test]
 async fn gateway_answers_with_the_captured_bytes(#[case] target: Option<&str>, #[case] expected: &str) {
     let (listener, address) = listener().await;
-    let target: Option<SocketAddr> = target.map(|target| target.parse().expect("an address"));
+    let target: Option<SocketAddr> = target.map(|target| target.parse().expect("cannot parse the address"));
     let (_sender, targets) = watch::channel(target);
     gateway::serve(listener, targets);
     let request = change("PUT /config?wait=1 HTTP/1.1", "{}");
@@ -257,20 +257,25 @@
     "{\"Node\":\"core-1\",\"Address\":\"10.0.0.1:7700\",\"UptimeMs\":1,\"View\":2,\"Members\":[],\"Chain\":[],\"Learners\":[],\"Standby\":false,\"Position\":null,\"Member\":true,\"Serving\":true,\"InTouch\":true,\"DiskWell\":false,\"ConfigVersion\":5,\"Roles\":[{\"Role\":\"list_reader\",\"Holder\":null,\"Token\":null,\"HeldMs\":null,\"HeldHere\":false}],\"Servers\":0,\"Services\":[],\"LiveProxies\":9,\"Agents\":[]}"
 )]
 fn status_is_written_as_captured(#[case] status: Status, #[case] expected: &str) {
-    assert_eq!(serde_json::to_string(&status).expect("JSON"), expected);
+    assert_eq!(serde_json::to_string(&status).expect("cannot encode the status as JSON"), expected);
 }
 
 /// Accepts one connection, reads up to `end` and answers. Returns the received text, in which the address of
 /// the listener is replaced by `ADDRESS`.
 async fn receive(listener: TcpListener, end: &[u8], answer: &[u8]) -> String {
-    let address = listener.local_addr().expect("an address");
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
+    let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
     let mut received = Vec::new();
     while !received.ends_with(end) {
-        assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
+        assert!(
+            stream.read_buf(&mut received).await.expect("cannot read from the connection") > 0,
+            "the request ended early"
+        );
     }
-    stream.write_all(answer).await.expect("an answer");
-    String::from_utf8(received).expect("text").replace(&address.to_string(), "ADDRESS")
+    stream.write_all(answer).await.expect("cannot write the response");
+    String::from_utf8(received)
+        .expect("the received text is not UTF-8")
+        .replace(&address.to_string(), "ADDRESS")
 }
 
 #[rstest]
@@ -305,8 +310,8 @@
     calls
         .send(AuthorizedOrder { order, holder: "core-1".to_owned(), token: FencingToken(7) })
         .await
-        .expect("a queue");
-    assert_eq!(server.await.expect("a request"), expected);
+        .expect("the queue is closed");
+    assert_eq!(server.await.expect("the server task panicked"), expected);
     let ended = done.recv().await;
     assert!(matches!(ended, Some(Command::OrderCompleted { outcome: OrderOutcome::Accepted, .. })));
 }
@@ -319,21 +324,26 @@
         format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
     };
     let server = tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
         let mut received = Vec::new();
         for body in ["{\"Instances\":[],\"NextToken\":\"a b/é\"}", "{\"Instances\":[]}"] {
             let start = received.len();
             while !received[start..].ends_with(b"\r\n\r\n") {
-                assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
+                assert!(
+                    stream.read_buf(&mut received).await.expect("cannot read from the connection") > 0,
+                    "the request ended early"
+                );
             }
-            stream.write_all(page(body).as_bytes()).await.expect("an answer");
+            stream.write_all(page(body).as_bytes()).await.expect("cannot write the response");
         }
-        String::from_utf8(received).expect("text").replace(&address.to_string(), "ADDRESS")
+        String::from_utf8(received)
+            .expect("the received text is not UTF-8")
+            .replace(&address.to_string(), "ADDRESS")
     });
     let entries = PlatformClient::new(address).list_servers(|| true).await;
     assert!(entries.is_ok_and(|entries| entries.is_empty()));
     assert_eq!(
-        server.await.expect("requests"),
+        server.await.expect("the server task panicked"),
         "GET /instances HTTP/1.1\r\nhost: ADDRESS\r\n\r\nGET /instances?PageToken=a%20b%2F%C3%A9 HTTP/1.1\r\nhost: ADDRESS\r\n\r\n"
     );
 }
@@ -356,18 +366,22 @@
     const REPLY: &str = "00000081a166557064617465a368696e5f746f756368f467636f6e74726f6c81a162563482840a000001191e2966757064617465a466766563746f72a366636f6e666967006773657276657273a26565706f6368006873657175656e6365006c6c6976655f70726f786965730066636f6e666967f66773657276657273f665666c656574f6";
     let (listener, seed) = listener().await;
     let server = tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
         let mut received = vec![0; REQUEST.len() / 2];
-        stream.read_exact(&mut received).await.expect("a frame");
-        stream.write_all(&from_hex(REPLY)).await.expect("a write");
+        stream.read_exact(&mut received).await.expect("cannot read the frame");
+        stream.write_all(&from_hex(REPLY)).await.expect("cannot write to the connection");
         received
     });
     let (commands, mut queue) = mpsc::channel(4);
     tokio::spawn(announcement::run(None, commands));
-    let Some(Command::GetAnnouncement { reply }) = queue.recv().await else { panic!("no request") };
+    let Some(Command::GetAnnouncement { reply }) = queue.recv().await else {
+        panic!("no GetAnnouncement command was sent")
+    };
     let control = vec![SocketAddr::from(([10, 0, 0, 2], 7_721))];
     assert!(reply.send(Announcement { seeds: vec![seed], control }).is_ok(), "the requester waits");
-    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else { panic!("no addresses") };
+    let Some(Command::PeersAnnounced { addresses }) = queue.recv().await else {
+        panic!("no PeersAnnounced command was sent")
+    };
     assert_eq!(addresses, [SocketAddr::from(([10, 0, 0, 1], 7_721))]);
-    assert_eq!(to_hex(&server.await.expect("a request")), REQUEST);
+    assert_eq!(to_hex(&server.await.expect("the server task panicked")), REQUEST);
 }
--- a/crates/control/src/leased_call.rs
+++ b/crates/control/src/leased_call.rs
@@ -48,7 +48,7 @@
     Http(#[from] hyper::Error),
 }
 
-/// A response whose headers have arrived. Dropping it resets the connection.
+/// A response whose headers have arrived. Dropping the response resets the connection.
 pub struct CallResponse {
     response: Response<Incoming>,
     _connection: ConnectionTask,
@@ -70,7 +70,7 @@
     }
 }
 
-/// The task that drives a connection. Dropping this aborts the task.
+/// The task that drives a connection. Dropping the struct aborts the task.
 struct ConnectionTask(JoinHandle<()>);
 
 impl Drop for ConnectionTask {
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -80,8 +80,8 @@
 
 /// The capacity of the controller's command queue. When it is full, connections and HTTP requests wait.
 const COMMAND_QUEUE_CAPACITY: usize = 1024;
-/// The period of [`Command::Tick`]: well below the shortest timer of the state machines (heartbeats every 150
-/// ms), but not shorter than needed because each tick costs a wake-up.
+/// The period of [`Command::Tick`]: the shortest that the replica and the elector expect (20 to 50 ms). A
+/// shorter period would only cost more wake-ups.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Used if `GraceS` in the settings is not a valid duration.
 const DEFAULT_GRACE: Duration = Duration::from_secs(8);
--- a/crates/control/src/list_watcher.rs
+++ b/crates/control/src/list_watcher.rs
@@ -22,9 +22,9 @@
 const READ_INTERVAL: Duration = Duration::from_millis(1_000);
 /// The interval between a failed read and the next one.
 const READ_RETRY_DELAY: Duration = Duration::from_millis(250);
-/// After this long without a response, another process should try, because it may be able to reach the
-/// platform. The time covers two page timeouts; together with the election and the first read of the next
-/// lease holder it is about 2 s.
+/// After this long without a response, another process should read the list, because it may be able to reach
+/// the platform. The time elapses during the second of two consecutive page timeouts (0.7 s each). Together
+/// with the election and the first read of the next lease holder, this is about 2 s.
 const OUTAGE_BEFORE_STEP_DOWN: Duration = Duration::from_millis(1_200);
 
 /// The delay before each attempt of the initial read, in which peers can send the list that they have.
--- a/crates/control/src/list_watcher_tests.rs
+++ b/crates/control/src/list_watcher_tests.rs
@@ -56,13 +56,13 @@
 #[case::running(Duration::from_secs(60), true)]
 #[tokio::test(start_paused = true)]
 async fn page_is_requested_only_under_a_valid_lease(#[case] remaining: Duration, #[case] is_requested: bool) {
-    let platform = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = platform.local_addr().expect("bound");
+    let platform = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = platform.local_addr().expect("cannot read the address of the listener");
     let (_lease_sender, lease) =
         watch::channel(Some(HeldLease { token: FencingToken(7), expires_at: Instant::now() + remaining }));
     let (commands, _queue) = mpsc::channel(1);
     tokio::spawn(run(Cloud { address, rate_per_s: 1.0, lag_ms: 0 }, LeaseWatch::new(lease), commands));
-    let (mut stream, _) = platform.accept().await.expect("a connection");
+    let (mut stream, _) = platform.accept().await.expect("cannot accept a connection");
     let mut bytes = [0; 64];
     let received = timeout(Duration::from_millis(500), stream.read(&mut bytes)).await;
     assert_eq!(received.is_ok_and(|read| read.is_ok_and(|bytes| bytes > 0)), is_requested);
--- a/crates/control/src/logs.rs
+++ b/crates/control/src/logs.rs
@@ -37,8 +37,8 @@
 }
 
 /// Logs an event of the replica.
-pub fn log_chain_event(logger: &Logger, line: &LogEvent) {
-    match line {
+pub fn log_chain_event(logger: &Logger, event: &LogEvent) {
+    match event {
         LogEvent::Started { identity, may_bootstrap, view_number } => {
             let disk = format!("{:016x}", identity.disk);
             info!(logger: logger, "replica", kv: {
--- a/crates/control/src/logs_tests.rs
+++ b/crates/control/src/logs_tests.rs
@@ -15,11 +15,11 @@
 fn written(line: &LogEvent, level: Level) -> String {
     let sink = WriteSink::builder().target(Vec::new());
     let sink = sink.formatter(PatternFormatter::new(pattern!("{level} {payload} {kv}")));
-    let sink = Arc::new(sink.build().expect("a sink"));
+    let sink = Arc::new(sink.build().expect("cannot build the sink"));
     let mut builder = Logger::builder();
     builder.sink(sink.clone()).level_filter(LevelFilter::MoreSevereEqual(level));
-    logs::log_chain_event(&builder.build().expect("a logger"), line);
-    String::from_utf8(sink.clone_target()).expect("text")
+    logs::log_chain_event(&builder.build().expect("cannot build the logger"), line);
+    String::from_utf8(sink.clone_target()).expect("the log line is not UTF-8")
 }
 
 fn header() -> EntryHeader {
--- a/crates/control/src/metrics_tests.rs
+++ b/crates/control/src/metrics_tests.rs
@@ -11,7 +11,7 @@
 fn behind(status: Status) -> Status {
     let agents = [0, 2].map(|versions_behind| AgentStatus {
         versions_behind,
-        ..status.agents.first().cloned().expect("an agent")
+        ..status.agents.first().cloned().expect("the example status lists no agent")
     });
     Status { agents: agents.to_vec(), ..status }
 }
@@ -99,7 +99,7 @@
     let text = text();
     let types = text.lines().filter_map(|line| line.strip_prefix("# TYPE lugwharf_control_"));
     for metric in types {
-        let (name, kind) = metric.split_once(' ').expect("a name and a type");
+        let (name, kind) = metric.split_once(' ').expect("the TYPE line has no name and type");
         let shown = if kind == "counter" { format!("`{name}_total`") } else { format!("`{name}`") };
         assert!(OPERATING.contains(&shown), "{shown} is not in docs/OPERATING.md");
     }
--- a/crates/control/src/operator_error_tests.rs
+++ b/crates/control/src/operator_error_tests.rs
@@ -7,13 +7,19 @@
 
 /// Returns the kind, the status and the name in each row of the table.
 fn table() -> Vec<(String, u16, String)> {
-    let (_, section) = DESIGN.split_once(HEADING).expect("the section");
+    let (_, section) = DESIGN.split_once(HEADING).expect("docs/DESIGN.md has no section with this heading");
     let section = section.split("\n## ").next().unwrap_or_default();
     let rows = section.lines().filter(|line| line.starts_with("| `"));
     rows.map(|row| {
         let cells: Vec<&str> = row.split('|').map(|cell| cell.trim().trim_matches('`')).collect();
-        let [_, kind, status, name, ..] = cells.as_slice() else { panic!("{row}") };
-        ((*kind).to_owned(), status.parse().expect("a status"), (*name).to_owned())
+        let [_, kind, status, name, ..] = cells.as_slice() else {
+            panic!("the row has too few cells: {row}")
+        };
+        (
+            (*kind).to_owned(),
+            status.parse().expect("the documented status is not a number"),
+            (*name).to_owned(),
+        )
     })
     .collect()
 }
--- a/crates/control/src/operator_tests.rs
+++ b/crates/control/src/operator_tests.rs
@@ -20,9 +20,9 @@
 use tokio::time::Instant;
 
 /// The number of entries whose headers a replica retains.
-const HEADERS: u64 = 10_000;
+const RETAINED_HEADERS: u64 = 10_000;
 /// The number of entries whose bodies a replica retains.
-const BODIES: u64 = 2;
+const RETAINED_BODIES: u64 = 2;
 
 /// Guards against accepting a configuration that can't be transferred between replicas: the chain could never
 /// be extended again.
@@ -34,16 +34,21 @@
         blake3: Some(Blake3(u64::MAX, u64::MAX)),
         request_hash: Some(Blake3(u64::MAX, u64::MAX)),
     };
-    let headers =
-        (0..HEADERS).map(|index| EntryHeader { index: first + index, version: first, base: first, digest });
-    let bytes: Arc<[u8]> = vec![b'x'; usize::try_from(MAX_CONFIG_BYTES).expect("a size")].into();
-    let bodies = (0..BODIES).map(|index| EntryBody { index: first + index, bytes: bytes.clone() });
+    let headers = (0..RETAINED_HEADERS).map(|index| EntryHeader {
+        index: first + index,
+        version: first,
+        base: first,
+        digest,
+    });
+    let bytes: Arc<[u8]> =
+        vec![b'x'; usize::try_from(MAX_CONFIG_BYTES).expect("the limit does not fit into a usize")].into();
+    let bodies = (0..RETAINED_BODIES).map(|index| EntryBody { index: first + index, bytes: bytes.clone() });
     let transfer = HistorySuffix { after: first, headers: headers.collect(), bodies: bodies.collect() };
     let body = PeerMessage::Chain(Message::State { view: first, suffix: transfer });
-    // The frame also contains the address of the sender.
-    const ENVELOPE: usize = 256;
-    let frame = encode(&body).expect("a frame");
-    assert!(frame.len() + ENVELOPE <= MAX_FRAME_BYTES, "{} bytes", frame.len());
+    // The maximum size of the rest of the frame, which is the address of the sender.
+    const ENVELOPE_BYTES: usize = 256;
+    let frame = encode(&body).expect("cannot encode the message");
+    assert!(frame.len() + ENVELOPE_BYTES <= MAX_FRAME_BYTES, "{} bytes", frame.len());
 }
 
 /// Two configurations then leave a quarter of a frame for the headers.
@@ -79,8 +84,8 @@
 where
     F: Future<Output = ()> + Send + 'static,
 {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     let (commands, queue) = mpsc::channel(4);
     tokio::spawn(answer_commands(queue));
     operator::serve(listener, commands, RejectionCounters::default());
@@ -89,9 +94,9 @@
 
 /// Sends request headers with this content length, followed by `body`, which may be shorter.
 async fn send(address: SocketAddr, head: &str, length: usize, body: &[u8]) -> TcpStream {
-    let mut stream = TcpStream::connect(address).await.expect("a connection");
+    let mut stream = TcpStream::connect(address).await.expect("cannot connect to the listener");
     let head = format!("{head}\r\nHost: {address}\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
-    stream.write_all(head.as_bytes()).await.expect("a write");
+    stream.write_all(head.as_bytes()).await.expect("cannot write to the connection");
     // The server may respond and close the connection before it has read the complete body.
     let _ = stream.write_all(body).await;
     stream
@@ -152,7 +157,8 @@
             Command::SubmitConfig { base: 7, version, request: Some(_), bytes, reply }
                 if !bytes.is_empty() =>
             {
-                let patched: serde_json::Value = serde_json::from_slice(&bytes).expect("JSON");
+                let patched: serde_json::Value =
+                    serde_json::from_slice(&bytes).expect("the submitted configuration is not JSON");
                 assert_eq!(
                     (&patched["Version"], &patched["Services"][0]["Name"]),
                     (&version.into(), &"s-2".into())
@@ -160,7 +166,7 @@
                 drop(reply.send(OperatorResponse::Accepted { version }));
             }
             Command::SubmitConfig { base: 7, .. } => {
-                panic!("a patched configuration without the hash of its request")
+                panic!("a patched configuration was submitted without the hash of its request")
             }
             Command::SubmitConfig { request, version, bytes, reply, .. } => {
                 assert!(bytes.is_empty(), "a configuration was computed from a base that is not current");
@@ -207,7 +213,7 @@
 
 #[tokio::test]
 async fn patch_that_grows_the_configuration_over_the_limit_is_rejected() {
-    let size = usize::try_from(MAX_CONFIG_BYTES).expect("a size");
+    let size = usize::try_from(MAX_CONFIG_BYTES).expect("the limit does not fit into a usize");
     let address = serve(move |mut queue: mpsc::Receiver<Command>| async move {
         let padding = " ".repeat(size - 100);
         let text = format!(r#"{{"Version":7,"Routes":[],"Services":[],"Note":"{padding}"}}"#);
@@ -217,7 +223,7 @@
                 Command::ReadConfig { reply } => {
                     drop(reply.send(OperatorResponse::Config(Some(current.clone()))))
                 }
-                Command::SubmitConfig { .. } => panic!("a configuration over the limit"),
+                Command::SubmitConfig { .. } => panic!("a configuration over the limit was submitted"),
                 _ => {}
             }
         }
@@ -233,7 +239,8 @@
 
 #[tokio::test]
 async fn configuration_over_the_limit_is_rejected() {
-    let body = vec![b' '; usize::try_from(MAX_CONFIG_BYTES).expect("a size") + 1];
+    let body =
+        vec![b' '; usize::try_from(MAX_CONFIG_BYTES).expect("the limit does not fit into a usize") + 1];
     let answer = call("PUT /config HTTP/1.1\r\nIf-Match: 7", &body).await;
     assert!(answer.starts_with("HTTP/1.1 413 ") && answer.contains("too_large"), "{answer}");
 }
@@ -330,7 +337,7 @@
     let head = "PUT /config HTTP/1.1\r\nIf-Match: 7\r\nExpect: 100-continue";
     let mut stream = send(address, head, 100, b"").await;
     let mut interim = vec![0; CONTINUE.len()];
-    stream.read_exact(&mut interim).await.expect("an interim response");
+    stream.read_exact(&mut interim).await.expect("cannot read the interim response");
     assert_eq!(interim, CONTINUE);
     stream
 }
@@ -348,7 +355,7 @@
     assert!(answer.starts_with("HTTP/1.1 503 "), "{answer}");
     // A change whose body is complete releases its permit.
     let mut first = occupied.remove(0);
-    first.write_all(&[b' '; 100]).await.expect("a write");
+    first.write_all(&[b' '; 100]).await.expect("cannot write to the connection");
     let answer = read_response(first).await;
     assert!(answer.starts_with("HTTP/1.1 400 "), "{answer}");
     let answer = read_response(change().await).await;
--- a/crates/control/src/orders_tests.rs
+++ b/crates/control/src/orders_tests.rs
@@ -37,16 +37,16 @@
     tokio::spawn(run(queue, LeaseWatch::new(lease), commands));
     let order = Order { id: "i-1".to_owned(), address, stage: Stage::Decode, if_revision: None };
     let authorized = AuthorizedOrder { order, holder: "core-1".to_owned(), token: TOKEN };
-    orders.send(authorized).await.expect("a queue");
+    orders.send(authorized).await.expect("the queue is closed");
     match done.recv().await {
         Some(Command::OrderCompleted { id, token: TOKEN, outcome }) if id == "i-1" => outcome,
-        _ => panic!("no outcome of the order"),
+        _ => panic!("no OrderCompleted command was sent for the order"),
     }
 }
 
 /// Accepts a connection and returns the bytes that arrive on it until its end.
 async fn receive_until_end(listener: TcpListener) -> Vec<u8> {
-    let (mut stream, _) = listener.accept().await.expect("a connection");
+    let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
     let mut received = Vec::new();
     let _ = stream.read_to_end(&mut received).await;
     received
@@ -54,19 +54,25 @@
 
 #[tokio::test]
 async fn order_contains_its_server_its_holder_and_its_token() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     let server = tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"}") {
-            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
+            assert!(
+                stream.read_buf(&mut received).await.expect("cannot read from the connection") > 0,
+                "the request ended early"
+            );
         }
-        stream.write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n").await.expect("an answer");
-        String::from_utf8(received).expect("text")
+        stream
+            .write_all(b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n")
+            .await
+            .expect("cannot write the response");
+        String::from_utf8(received).expect("the received text is not UTF-8")
     });
     assert_eq!(send_order(address, Instant::now() + LONG).await, OrderOutcome::Accepted);
-    let received = server.await.expect("a request");
+    let received = server.await.expect("the server task panicked");
     assert!(received.starts_with("POST /order HTTP/1.1\r\n"), "{received}");
     assert!(received.to_ascii_lowercase().contains("expect-instance: i-1\r\n"), "{received}");
     let body = r#"{"Op":"Stage","Stage":"decode","Holder":"core-1","Fence":7}"#;
@@ -75,19 +81,19 @@
 
 #[tokio::test]
 async fn no_order_is_sent_after_the_lease_has_ended() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     let server = tokio::spawn(receive_until_end(listener));
     assert_eq!(send_order(address, Instant::now()).await, OrderOutcome::Rejected);
-    assert_eq!(server.await.expect("a connection"), b"");
+    assert_eq!(server.await.expect("the server task panicked"), b"");
 }
 
 /// The server accepts the connection and does not respond. The order must be aborted when the lease expires,
 /// because the next holder may act from then on.
 #[tokio::test(start_paused = true)]
 async fn order_in_flight_is_aborted_at_the_end_of_the_lease() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     let started_at = Instant::now();
     let remaining = Duration::from_millis(100);
     assert_eq!(send_order(address, started_at + remaining).await, OrderOutcome::Unknown);
@@ -106,16 +112,19 @@
 #[case::failed(500, OrderOutcome::Unknown)]
 #[tokio::test]
 async fn outcome_follows_from_the_status(#[case] status: u16, #[case] expected: OrderOutcome) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"}") {
-            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
+            assert!(
+                stream.read_buf(&mut received).await.expect("cannot read from the connection") > 0,
+                "the request ended early"
+            );
         }
         let response = format!("HTTP/1.1 {status} x\r\nContent-Length: 0\r\n\r\n");
-        stream.write_all(response.as_bytes()).await.expect("an answer");
+        stream.write_all(response.as_bytes()).await.expect("cannot write the response");
         stream.read_to_end(&mut received).await
     });
     assert_eq!(send_order(address, Instant::now() + LONG).await, expected);
@@ -128,40 +137,43 @@
 #[case::a_later_token(Some(HeldLease { token: FencingToken(TOKEN.0 + 1), expires_at: Instant::now() + LONG }))]
 #[tokio::test]
 async fn queued_order_is_withheld_after_the_lease_was_resigned(#[case] lease: Option<HeldLease>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     let server = tokio::spawn(receive_until_end(listener));
     let (_lease_sender, lease) = watch::channel(lease);
     assert_eq!(send_order_under(address, lease).await, OrderOutcome::Rejected);
-    assert_eq!(server.await.expect("a connection"), b"");
+    assert_eq!(server.await.expect("the server task panicked"), b"");
 }
 
 /// The server has read the order and has not responded when the lease is resigned: the connection must be
 /// reset immediately.
 #[tokio::test]
 async fn order_in_flight_is_aborted_when_the_lease_is_resigned() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     let (lease_sender, lease) = watch::channel(lease_until(Instant::now() + LONG));
     let server = tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"}") {
-            assert!(stream.read_buf(&mut received).await.expect("bytes") > 0, "the request ended early");
+            assert!(
+                stream.read_buf(&mut received).await.expect("cannot read from the connection") > 0,
+                "the request ended early"
+            );
         }
         lease_sender.send_replace(None);
         stream.read_buf(&mut received).await.map_err(|error| error.kind())
     });
     assert_eq!(send_order_under(address, lease).await, OrderOutcome::Unknown);
-    assert_eq!(server.await.expect("a connection"), Err(std::io::ErrorKind::ConnectionReset));
+    assert_eq!(server.await.expect("the server task panicked"), Err(std::io::ErrorKind::ConnectionReset));
 }
 
 /// A renewal changes the expiry of the lease without waking a task. An order in flight must not be aborted at
 /// the earlier expiry.
 #[tokio::test(start_paused = true)]
 async fn order_in_flight_continues_past_the_first_expiry_of_a_renewed_lease() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     let started_at = Instant::now();
     let (lease_sender, lease) = watch::channel(lease_until(started_at + Duration::from_millis(100)));
     lease_sender.send_if_modified(|lease| {
--- a/crates/control/src/pulls_tests.rs
+++ b/crates/control/src/pulls_tests.rs
@@ -34,7 +34,10 @@
 
 fn tables(servers: u8) -> Tables {
     let mut tables = Tables::new();
-    tables.servers_mut().replace(1, (0..servers).map(server).collect()).expect("the first epoch");
+    tables
+        .servers_mut()
+        .replace(1, (0..servers).map(server).collect())
+        .expect("cannot replace the server list");
     tables
 }
 
@@ -53,7 +56,8 @@
 }
 
 fn update(frame: &ReplyFrame) -> Update {
-    let ControlReply::Update { update, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
+    let ControlReply::Update { update, .. } =
+        decode(&frame[LENGTH_BYTES..]).expect("cannot decode the reply");
     update
 }
 
@@ -66,10 +70,10 @@
         let now = Duration::from_millis(time_ms);
         let mut answer = pull(&mut pulls, now, VersionVector::default());
         pulls.serve(now, &tables, &context(true));
-        answers.push(answer.try_recv().expect("an immediate answer"));
+        answers.push(answer.try_recv().expect("no reply was sent immediately"));
     }
     assert!(answers.iter().all(|frame| Arc::ptr_eq(frame, &answers[0])));
-    assert_eq!(update(&answers[0]).servers.expect("the list").entries.len(), 20);
+    assert_eq!(update(&answers[0]).servers.expect("the update contains no server list").entries.len(), 20);
 }
 
 #[test]
@@ -78,12 +82,12 @@
     let mut pulls = PendingPulls::default();
     let mut before = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     pulls.serve(Duration::ZERO, &tables, &context(true));
-    assert_eq!(update(&before.try_recv().expect("an answer")).vector.config, 0);
+    assert_eq!(update(&before.try_recv().expect("no reply was sent")).vector.config, 0);
     tables.advance_config(Arc::new(ConfigRecord { version: 4, bytes: b"{}".to_vec() }));
     let mut after = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     let served = pulls.serve(Duration::ZERO, &tables, &context(true));
     assert_eq!((served.updated, served.configs), (1, vec![sent_config(4)]));
-    assert_eq!(update(&after.try_recv().expect("an answer")).vector.config, 4);
+    assert_eq!(update(&after.try_recv().expect("no reply was sent")).vector.config, 4);
 }
 
 #[test]
@@ -95,7 +99,7 @@
     pulls.serve(Duration::ZERO, &tables, &context(true));
     assert!(answer.try_recv().is_err());
     pulls.serve(Duration::from_millis(u64::from(WAIT_MS)), &tables, &context(true));
-    let received = update(&answer.try_recv().expect("an answer"));
+    let received = update(&answer.try_recv().expect("no reply was sent"));
     assert_eq!((received.vector, received.servers), (have, None));
 }
 
@@ -105,8 +109,9 @@
     let mut pulls = PendingPulls::default();
     let mut answer = pull(&mut pulls, Duration::ZERO, tables.version_vector());
     pulls.serve(Duration::ZERO, &tables, &context(false));
-    let frame = answer.try_recv().expect("an answer");
-    let ControlReply::Update { has_quorum, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
+    let frame = answer.try_recv().expect("no reply was sent");
+    let ControlReply::Update { has_quorum, .. } =
+        decode(&frame[LENGTH_BYTES..]).expect("cannot decode the reply");
     assert!(!has_quorum);
 }
 
@@ -116,7 +121,7 @@
     let mut pulls = PendingPulls::default();
     let mut first = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     pulls.serve(Duration::ZERO, &tables, &context(true));
-    let first = first.try_recv().expect("an answer");
+    let first = first.try_recv().expect("no reply was sent");
     pulls.serve(REPLY_CACHE_TTL, &tables, &context(true));
     assert_eq!(Arc::strong_count(&first), 1);
     assert_eq!(update(&first).vector.servers, TablePosition { epoch: 1, sequence: 1 });
@@ -141,7 +146,7 @@
         pulls.serve(now, &tables, &context(true));
         if let Ok(frame) = answer.try_recv() {
             have = VersionVector {
-                config: update(&frame).config.expect("newer").version,
+                config: update(&frame).config.expect("the update contains no configuration").version,
                 ..tables.version_vector()
             };
             sent.push(have.config);
@@ -157,15 +162,21 @@
     tables.advance_config(config(1));
     let mut first = pull(&mut pulls, Duration::ZERO, VersionVector::default());
     pulls.serve(Duration::ZERO, &tables, &context(true));
-    assert_eq!(update(&first.try_recv().expect("an answer")).vector.config, 1);
+    assert_eq!(update(&first.try_recv().expect("no reply was sent")).vector.config, 1);
     let have = tables.version_vector();
     tables.advance_config(config(2));
-    tables.servers_mut().replace(1, (0..3).map(server).collect()).expect("the same epoch");
+    tables.servers_mut().replace(1, (0..3).map(server).collect()).expect("cannot replace the server list");
     let now = Duration::from_millis(100);
     let mut second = pull(&mut pulls, now, have);
     pulls.serve(now, &tables, &context(true));
-    let received = update(&second.try_recv().expect("an answer"));
-    assert_eq!((received.config, received.servers.expect("a change").entries.len()), (None, 1));
+    let received = update(&second.try_recv().expect("no reply was sent"));
+    assert_eq!(
+        (
+            received.config,
+            received.servers.expect("the update contains no change of the server list").entries.len()
+        ),
+        (None, 1)
+    );
 }
 
 #[test]
@@ -177,12 +188,13 @@
         let now = Duration::from_millis(at);
         let mut answer = pull(&mut pulls, now, VersionVector::default());
         pulls.serve(now, &tables, &context(true));
-        assert!(update(&answer.try_recv().expect("an answer")).config.is_some());
+        assert!(update(&answer.try_recv().expect("no reply was sent")).config.is_some());
     }
 }
 
 fn has_quorum(frame: &ReplyFrame) -> bool {
-    let ControlReply::Update { has_quorum, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
+    let ControlReply::Update { has_quorum, .. } =
+        decode(&frame[LENGTH_BYTES..]).expect("cannot decode the reply");
     has_quorum
 }
 
@@ -196,7 +208,7 @@
     for state in [before, after] {
         let mut answer = pull(&mut pulls, Duration::ZERO, VersionVector::default());
         pulls.serve(Duration::ZERO, &tables, &context(state));
-        assert_eq!(has_quorum(&answer.try_recv().expect("an answer")), state);
+        assert_eq!(has_quorum(&answer.try_recv().expect("no reply was sent")), state);
     }
 }
 
@@ -209,8 +221,9 @@
         let context = ReplyContext { has_quorum: true, control: control.clone() };
         let mut answer = pull(&mut pulls, Duration::ZERO, VersionVector::default());
         pulls.serve(Duration::ZERO, &tables, &context);
-        let frame = answer.try_recv().expect("an answer");
-        let ControlReply::Update { control: named, .. } = decode(&frame[LENGTH_BYTES..]).expect("a reply");
+        let frame = answer.try_recv().expect("no reply was sent");
+        let ControlReply::Update { control: named, .. } =
+            decode(&frame[LENGTH_BYTES..]).expect("cannot decode the reply");
         assert_eq!(named, control);
     }
 }
@@ -229,7 +242,13 @@
     let mut answer = pull(&mut pulls, Duration::ZERO, have);
     let served = pulls.serve(Duration::ZERO, &tables, &context(true));
     assert_eq!(served, PullsServed { updated: 1, unchanged: 0, configs: vec![sent_config(2)] });
-    assert_eq!(update(&answer.try_recv().expect("an answer")).config.expect("newer").version, 2);
+    assert_eq!(
+        update(&answer.try_recv().expect("no reply was sent"))
+            .config
+            .expect("the update contains no configuration")
+            .version,
+        2
+    );
 }
 
 #[test]
@@ -242,7 +261,7 @@
     assert!(answer.try_recv().is_err());
     let served = pulls.serve(MAX_WAIT, &tables, &context(true));
     assert_eq!(served, PullsServed { updated: 0, unchanged: 1, configs: Vec::new() });
-    assert!(has_quorum(&answer.try_recv().expect("an answer")));
+    assert!(has_quorum(&answer.try_recv().expect("no reply was sent")));
 }
 
 /// Serves up-to-date and outdated pulls in one pass. `swap_remove` must not cause any of them to be skipped.
@@ -294,9 +313,9 @@
         let have = VersionVector { config: version, ..tables.version_vector() };
         let mut answer = pull(&mut pulls, Duration::ZERO, have);
         pulls.serve(Duration::ZERO, &tables, &context(true));
-        answer.try_recv().expect("an answer")
+        answer.try_recv().expect("no reply was sent")
     };
-    let cached = u64::try_from(MAX_CACHED_REPLIES).expect("a number");
+    let cached = u64::try_from(MAX_CACHED_REPLIES).expect("the limit does not fit into a u64");
     let first: Vec<ReplyFrame> = (0..=cached).map(&mut pull_config).collect();
     let second: Vec<ReplyFrame> = (0..=cached).map(&mut pull_config).collect();
     let shared = |index: usize| Arc::ptr_eq(&first[index], &second[index]);
--- a/crates/control/src/server_reports_tests.rs
+++ b/crates/control/src/server_reports_tests.rs
@@ -18,11 +18,11 @@
 /// Requests the report of a server that responds with this status and body, under a lease with the token
 /// `held`. Returns the request that the server received and the report that was read.
 async fn request_report(held: FencingToken, status: &str, body: &str) -> (String, Option<StageReport>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a listener");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let address = listener.local_addr().expect("cannot read the address of the listener");
     let response = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
     let server = tokio::spawn(async move {
-        let (mut stream, _) = listener.accept().await.expect("a connection");
+        let (mut stream, _) = listener.accept().await.expect("cannot accept a connection");
         let mut received = Vec::new();
         while !received.ends_with(b"\r\n\r\n") {
             if stream.read_buf(&mut received).await.unwrap_or(0) == 0 {
@@ -32,7 +32,9 @@
         // The write fails if the caller has closed the connection.
         let _ = stream.write_all(response.as_bytes()).await;
         let _ = stream.read_to_end(&mut Vec::new()).await;
-        String::from_utf8(received).expect("text").replace(&address.to_string(), "ADDRESS")
+        String::from_utf8(received)
+            .expect("the received text is not UTF-8")
+            .replace(&address.to_string(), "ADDRESS")
     });
     let expires_at = Instant::now() + Duration::from_secs(600);
     let (_lease_sender, lease) = watch::channel(Some(HeldLease { token: held, expires_at }));
@@ -40,15 +42,15 @@
     let (commands, mut reported) = mpsc::channel(1);
     let task = tokio::spawn(run(queue, LeaseWatch::new(lease), commands));
     let request = ReportRequest { id: "i-1".to_owned(), address, token: TOKEN };
-    requests.send(request).await.expect("a queue");
+    requests.send(request).await.expect("the queue is closed");
     drop(requests);
-    task.await.expect("the task ends with its queue");
+    task.await.expect("the task that reads the reports panicked");
     let report = match reported.recv().await {
         Some(Command::ServerReported { id, token: TOKEN, report }) if id == "i-1" => Some(report),
-        Some(_) => panic!("another command"),
+        Some(_) => panic!("a command other than ServerReported was sent"),
         None => None,
     };
-    (server.await.expect("a connection"), report)
+    (server.await.expect("the server task panicked"), report)
 }
 
 #[rstest]
--- a/crates/control/src/status.rs
+++ b/crates/control/src/status.rs
@@ -31,7 +31,8 @@
     pub member: bool,
     /// Whether the view serves, as far as this process knows.
     pub serving: bool,
-    /// Whether a majority of the view's members has sent a message within the last second.
+    /// Whether this process has bidirectional links to a majority of the view's members, counting itself.
+    /// False also for 1 s after this process was paused for 0.7 s or longer.
     #[serde(rename = "InTouch")]
     pub has_quorum: bool,
     /// Whether the disk of this process accepts writes.
--- a/crates/control/src/status_tests.rs
+++ b/crates/control/src/status_tests.rs
@@ -48,7 +48,7 @@
 /// `docs/OPERATING.md`.
 #[test]
 fn field_names_are_fixed() {
-    let json = serde_json::to_value(example()).expect("JSON");
+    let json = serde_json::to_value(example()).expect("cannot encode the status as JSON");
     let status = "Address Agents Chain ConfigVersion DiskWell InTouch Learners LiveProxies Member Members Node Position Roles \
                   Servers Services Serving Standby UptimeMs View";
     assert_eq!(names(&json), status);
@@ -101,7 +101,7 @@
 /// The operators' documentation lists every field.
 #[test]
 fn every_field_is_documented_for_operators() {
-    let json = serde_json::to_value(example()).expect("JSON");
+    let json = serde_json::to_value(example()).expect("cannot encode the status as JSON");
     for value in [&json, &json["Roles"][0], &json["Services"][0], &json["Agents"][0]] {
         for name in names(value).split(' ') {
             assert!(OPERATING.contains(&format!("`{name}`")), "{name} is not in docs/OPERATING.md");
@@ -110,7 +110,8 @@
 }
 
 fn names(value: &serde_json::Value) -> String {
-    let mut names: Vec<&str> = value.as_object().expect("an object").keys().map(String::as_str).collect();
+    let mut names: Vec<&str> =
+        value.as_object().expect("the value is not a JSON object").keys().map(String::as_str).collect();
     names.sort_unstable();
     names.join(" ")
 }
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -2,8 +2,9 @@
 //! it.
 //!
 //! Batches are written and synced in order; each ends with one [`Command::Persisted`]. A failed write is
-//! logged (`log_file outcome=write_failed`) and reported to the state machine, which retries it. If the log
-//! can't be used at the start, it is quarantined, and this process starts as if its disk had been lost.
+//! logged (`log_file outcome=write_failed`) and reported to the state machine that wrote the batch: the
+//! replica retries the batch, the elector denies the vote. If the log can't be used at the start, it is
+//! quarantined, and this process starts as if its disk had been lost.
 
 use crate::command::Command;
 use crate::message::PersistOutcome;
@@ -104,8 +105,8 @@
     }
 }
 
-/// Logs a failed write. The state machines retry a failed batch until it succeeds, so only the first of
-/// several consecutive failures is a warning.
+/// Logs a failed write. The replica retries a failed batch until it succeeds, so only the first of several
+/// consecutive failures is a warning.
 fn log_write_failure(was_healthy: bool, directory: &Path, error: &StoreError) {
     let level = if was_healthy { Level::Warn } else { Level::Debug };
     log!(level, "log_file", kv: { outcome = "write_failed", directory: = directory.display(), error: = error });
