--- a/crates/election/src/elector.rs
+++ b/crates/election/src/elector.rs
@@ -28,8 +28,7 @@
 /// campaign that got past the pre-vote.
 const BACKOFF_DIVISOR: u32 = 16;
 /// A pending pre-vote is resent after the lease duration divided by this. That is half of the maximum
-/// backoff, so that two attempts take no longer than the maximum backoff before another process's first
-/// attempt.
+/// backoff, so that a candidate can send its pre-vote twice within the maximum backoff of another process.
 const RESEND_DIVISOR: u32 = 32;
 /// The maximum number of doublings of the backoff between campaigns. It keeps the backoff within half of the
 /// lease duration.
--- a/crates/election/src/event.rs
+++ b/crates/election/src/event.rs
@@ -26,9 +26,9 @@
     /// This process has accepted a proposal for the view after `number`. From now on it grants nothing in
     /// view `number`.
     ///
-    /// The driver sends this event after the acceptance is synced and before it answers the proposer, and
-    /// again after a restart. Otherwise a majority of a view that does not yet know about its successor could
-    /// renew a holder's lease while the next view elects another holder.
+    /// The driver sends this event before it answers the proposer, whether the acceptance is synced yet or
+    /// not, and again after a restart. Otherwise a majority of a view that does not yet know about its
+    /// successor could renew a holder's lease while the next view elects another holder.
     ViewSealed {
         /// The number of the sealed view.
         number: u64,
--- a/crates/election/src/lib.rs
+++ b/crates/election/src/lib.rs
@@ -24,6 +24,7 @@
 //! as long as clock drift stays within a bound. In contrast to these, each voter tracks the lease itself, and
 //! there is no log that orders the holders. Their actions are ordered by the fencing token that accompanies
 //! each action.
+//!
 //! # Comparison with Raft
 //!
 //! | this crate | Raft |
@@ -38,6 +39,7 @@
 //! cannot depend on it. A denied pre-vote and a denied vote are the same message
 //! ([`MessageBody::VoteDenied`]), since both contain the request id and the highest token known to the voter.
 //! The request id distinguishes them, since each phase of a campaign has its own.
+//!
 //! # Why there is at most one holder at a time
 //!
 //! - Within a view: any two majorities share a voter. At the holder the lease starts before it sends the
@@ -49,6 +51,7 @@
 //!   process is elected or renewed in the previous view, and its holder acts for at most one more lease
 //!   duration. Voters of the new view elect no process for one lease duration, but do renew the holder's
 //!   lease, since its request shows that it held the role after the new view was chosen.
+//!
 //! # Why a token has at most one holder and tokens increase
 //!
 //! Within a view a voter elects only under tokens above the last synced one, and any two majorities share a
--- a/crates/election/src/settings.rs
+++ b/crates/election/src/settings.rs
@@ -4,6 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The number of percent in the whole.
 const PERCENT: u32 = 100;
 
 /// A singleton role: at most one process holds it at a time.
--- a/crates/election/tests/elector/campaigns.rs
+++ b/crates/election/tests/elector/campaigns.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const FIRST: FencingToken = FencingToken((1 << 24) + 1);
+/// The first token of view 1.
+const FIRST_TOKEN: FencingToken = FencingToken((1 << 24) + 1);
 /// A pending pre-vote is resent after 1/32 of the lease duration of 1 s, in ms rounded up.
 const RESEND_AFTER: u64 = 32;
 /// A campaign times out after 1/4 of the lease duration, in ms.
@@ -20,7 +21,7 @@
 }
 
 fn holder(host: u8) -> Option<LeaseHolder> {
-    Some(LeaseHolder { address: address(host), token: FIRST })
+    Some(LeaseHolder { address: address(host), token: FIRST_TOKEN })
 }
 
 /// Returns the receivers and request ids of all pre-votes in `actions`.
@@ -65,7 +66,11 @@
 fn pre_vote_is_not_resent_after_voting_for_another_candidate() {
     let mut harness = start();
     let (now, _) = harness.wait_for_pre_vote(FIRST_ELECTION);
-    assert!(persists(&harness.receive(now + 1, 1, MessageBody::RequestVote { request_id: 9, token: FIRST })));
+    assert!(persists(&harness.receive(
+        now + 1,
+        1,
+        MessageBody::RequestVote { request_id: 9, token: FIRST_TOKEN }
+    )));
     assert_eq!(pre_votes(&harness.handle(now + RESEND_AFTER, Event::Tick)), []);
 }
 
@@ -100,7 +105,7 @@
     harness.receive_pre_vote_grant(now, 1, request_id);
     for response_id in [request_id, request_id + 1] {
         let early =
-            harness.receive(now, 1, MessageBody::VoteGranted { request_id: response_id, token: FIRST });
+            harness.receive(now, 1, MessageBody::VoteGranted { request_id: response_id, token: FIRST_TOKEN });
         assert_eq!(early, []);
     }
     assert_eq!(harness.elector.held_lease(Duration::from_millis(now)), None);
@@ -112,19 +117,31 @@
 #[test]
 fn known_holder_is_the_process_that_renews_until_it_releases() {
     let mut harness = start();
-    harness.receive(FIRST_ELECTION, 1, MessageBody::RequestVote { request_id: 9, token: FIRST });
+    harness.receive(FIRST_ELECTION, 1, MessageBody::RequestVote { request_id: 9, token: FIRST_TOKEN });
     harness.handle(FIRST_ELECTION, Event::Persisted { batch: FIRST_BATCH });
     assert_eq!(harness.elector.known_holder(), None);
-    harness.receive(FIRST_ELECTION + 1, 1, MessageBody::ReleaseLease { token: FIRST, was_holder: false });
+    harness.receive(
+        FIRST_ELECTION + 1,
+        1,
+        MessageBody::ReleaseLease { token: FIRST_TOKEN, was_holder: false },
+    );
     assert_eq!(harness.elector.known_holder(), None);
-    harness.receive(FIRST_ELECTION + 2, 3, MessageBody::RenewLease { request_id: 9, token: FIRST });
+    harness.receive(FIRST_ELECTION + 2, 3, MessageBody::RenewLease { request_id: 9, token: FIRST_TOKEN });
     assert_eq!(harness.elector.known_holder(), holder(3));
     // A release by a process that is not the holder has no effect.
-    harness.receive(FIRST_ELECTION + 3, 1, MessageBody::ReleaseLease { token: FIRST, was_holder: true });
+    harness.receive(
+        FIRST_ELECTION + 3,
+        1,
+        MessageBody::ReleaseLease { token: FIRST_TOKEN, was_holder: true },
+    );
     assert_eq!(harness.elector.known_holder(), holder(3));
-    harness.receive(FIRST_ELECTION + 4, 3, MessageBody::ReleaseLease { token: FIRST, was_holder: true });
+    harness.receive(
+        FIRST_ELECTION + 4,
+        3,
+        MessageBody::ReleaseLease { token: FIRST_TOKEN, was_holder: true },
+    );
     assert_eq!(harness.elector.known_holder(), None);
-    harness.receive(FIRST_ELECTION + 5, 3, MessageBody::RenewLease { request_id: 9, token: FIRST });
+    harness.receive(FIRST_ELECTION + 5, 3, MessageBody::RenewLease { request_id: 9, token: FIRST_TOKEN });
     assert_eq!(harness.elector.known_holder(), None);
 }
 
@@ -143,7 +160,7 @@
         } => Some((*request_id, *token)),
         _ => None,
     });
-    let (request_id, token) = request.expect("a vote request");
+    let (request_id, token) = request.expect("no vote request was sent");
     let won = harness.receive(now + 1, 1, MessageBody::VoteGranted { request_id, token });
     let is_renewal = |action: &&Action| {
         matches!(action, Action::Send { message: Message { body: MessageBody::RenewLease { .. }, .. }, .. })
@@ -178,7 +195,7 @@
     let (now, request_id) = harness.wait_for_pre_vote(FIRST_ELECTION);
     harness.receive_pre_vote_grant(now, 1, request_id);
     harness.handle(now, Event::Persisted { batch: FIRST_BATCH });
-    harness.receive(now, 1, MessageBody::VoteGranted { request_id: request_id + 1, token: FIRST });
+    harness.receive(now, 1, MessageBody::VoteGranted { request_id: request_id + 1, token: FIRST_TOKEN });
     assert_eq!(harness.elector.known_holder(), holder(2));
     assert_eq!(harness.handle(now + 249, Event::Tick), []);
     assert_eq!(harness.handle(now + 250, Event::Tick).len(), 2);
--- a/crates/election/tests/elector/fencing_tokens.rs
+++ b/crates/election/tests/elector/fencing_tokens.rs
@@ -187,7 +187,8 @@
     cluster.sync(CANDIDATE, campaigned);
     cluster.handle(CANDIDATE, campaigned + CAMPAIGN_TIMEOUT, Event::Tick);
     let delayed = cluster.take_candidate_token_messages();
-    let first = delayed.iter().filter_map(token_of).max().expect("a token of the first campaign");
+    let first =
+        delayed.iter().filter_map(token_of).max().expect("the first campaign sent no message with a token");
     assert_eq!(
         delayed.len(),
         2 * (members - 1),
@@ -199,7 +200,8 @@
     let now = cluster.wait_for_own_vote(restarted + FIRST_ELECTION);
     cluster.sync(CANDIDATE, now);
     let requests = cluster.take_candidate_token_messages();
-    let second = requests.iter().filter_map(token_of).max().expect("a token of the second campaign");
+    let second =
+        requests.iter().filter_map(token_of).max().expect("the second campaign sent no message with a token");
     assert!(second > first, "{second:?} after {first:?}");
     cluster.deliver(now, requests);
     (1..members).for_each(|voter| cluster.sync(voter, now));
--- a/crates/election/tests/elector/harness.rs
+++ b/crates/election/tests/elector/harness.rs
@@ -98,7 +98,7 @@
                 return (now, *request_id);
             }
         }
-        panic!("no pre-vote was sent");
+        panic!("no pre-vote was sent within 9 s");
     }
 
     /// Lets the elector request votes. Returns the time, the request id and the token.
@@ -108,7 +108,7 @@
         assert!(matches!(own_vote.as_slice(), [Action::Persist { batch: FIRST_BATCH, .. }]), "{own_vote:?}");
         let requested = sent_bodies(&self.handle(now, Event::Persisted { batch: FIRST_BATCH }));
         let Some(MessageBody::RequestVote { request_id, token }) = requested.first().copied() else {
-            panic!("{requested:?}")
+            panic!("no vote request was sent: {requested:?}")
         };
         (now, request_id, token)
     }
--- a/crates/election/tests/elector/views.rs
+++ b/crates/election/tests/elector/views.rs
@@ -178,7 +178,7 @@
     let (now, token) = harness.acquire_lease();
     let renewed = sent_bodies(&harness.handle(now + 250, Event::Tick));
     let Some(MessageBody::RenewLease { request_id, .. }) = renewed.first().copied() else {
-        panic!("{renewed:?}")
+        panic!("no renewal was sent: {renewed:?}")
     };
     assert!(!harness.is_holder(now + 980));
     harness.receive_in(now + 300, 1, 1, MessageBody::VoteGranted { request_id: request_id + 1, token });
--- a/crates/election/tests/elector/voting.rs
+++ b/crates/election/tests/elector/voting.rs
@@ -8,8 +8,10 @@
 use rstest::rstest;
 use std::time::Duration;
 
-const FIRST: FencingToken = FencingToken((1 << 24) + 1);
-const SECOND: FencingToken = FencingToken((1 << 24) + 2);
+/// The first token of view 1.
+const FIRST_TOKEN: FencingToken = FencingToken((1 << 24) + 1);
+/// The second token of view 1.
+const SECOND_TOKEN: FencingToken = FencingToken((1 << 24) + 2);
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -19,19 +21,25 @@
     Harness::start(Role::StagePlanner, SEED, records)
 }
 
-/// Grants the first process a lease under `FIRST`. Returns the persisted records.
+/// Grants the first process a lease under `FIRST_TOKEN`. Returns the persisted records.
 fn grant_to_first(harness: &mut Harness, now: u64) -> Vec<Vec<u8>> {
-    let actions = harness.receive(now, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST });
-    let [Action::Persist { batch: FIRST_BATCH, records }] = actions.as_slice() else { panic!("{actions:?}") };
+    let actions =
+        harness.receive(now, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST_TOKEN });
+    let [Action::Persist { batch: FIRST_BATCH, records }] = actions.as_slice() else {
+        panic!("expected one Persist action: {actions:?}")
+    };
     let records = records.clone();
     let voted = harness.handle(now, Event::Persisted { batch: FIRST_BATCH });
-    assert_eq!(sent_bodies(&voted), [MessageBody::VoteGranted { request_id: REQUEST_ID, token: FIRST }]);
+    assert_eq!(
+        sent_bodies(&voted),
+        [MessageBody::VoteGranted { request_id: REQUEST_ID, token: FIRST_TOKEN }]
+    );
     records
 }
 
-/// Returns whether the elector persists a vote for the third process under `SECOND`.
+/// Returns whether the elector persists a vote for the third process under `SECOND_TOKEN`.
 fn votes_for_third(harness: &mut Harness, now: u64) -> bool {
-    harness.persists_vote_for(now, VIEW, 3, SECOND)
+    harness.persists_vote_for(now, VIEW, 3, SECOND_TOKEN)
 }
 
 #[rstest]
@@ -47,19 +55,19 @@
 fn vote_is_sent_only_after_the_grant_is_synced() {
     let mut harness = start(&[]);
     let actions =
-        harness.receive(2_000, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST });
+        harness.receive(2_000, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST_TOKEN });
     assert_eq!(sent_bodies(&actions), []);
     assert!(is_denied(&harness.receive(
         2_001,
         3,
-        MessageBody::RequestVote { request_id: REQUEST_ID, token: SECOND }
+        MessageBody::RequestVote { request_id: REQUEST_ID, token: SECOND_TOKEN }
     )));
     assert!(is_denied(&harness.handle(2_002, Event::PersistFailed { batch: FIRST_BATCH })));
     assert_eq!(harness.handle(2_003, Event::Persisted { batch: FIRST_BATCH }), []);
     assert!(is_denied(&harness.receive(
         2_004,
         3,
-        MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST }
+        MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST_TOKEN }
     )));
 }
 
@@ -76,8 +84,12 @@
     let records = grant_to_first(&mut start(&[]), 2_000);
     let mut harness = start(&records);
     assert_eq!(harness.elector.snapshot_records(), records);
-    let renewed = harness.receive(10, 1, MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST });
-    assert_eq!(sent_bodies(&renewed), [MessageBody::VoteGranted { request_id: REQUEST_ID, token: FIRST }]);
+    let renewed =
+        harness.receive(10, 1, MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST_TOKEN });
+    assert_eq!(
+        sent_bodies(&renewed),
+        [MessageBody::VoteGranted { request_id: REQUEST_ID, token: FIRST_TOKEN }]
+    );
     assert!(!votes_for_third(&mut harness, 1_029));
     assert!(votes_for_third(&mut harness, 1_030));
 }
@@ -88,9 +100,10 @@
     assert!(is_denied(&harness.receive(
         1_019,
         1,
-        MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST }
+        MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST_TOKEN }
     )));
-    let actions = harness.receive(1_020, 1, MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST });
+    let actions =
+        harness.receive(1_020, 1, MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST_TOKEN });
     assert!(matches!(actions.as_slice(), [Action::Persist { .. }]));
 }
 
@@ -108,7 +121,7 @@
     assert!(is_denied(&harness.receive(
         2_200,
         1,
-        MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST }
+        MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST_TOKEN }
     )));
     assert!(!votes_for_third(&mut harness, 9_000));
 }
@@ -116,7 +129,7 @@
 #[test]
 fn vote_persisted_after_the_seal_is_not_sent() {
     let mut harness = start(&[]);
-    harness.receive(2_000, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST });
+    harness.receive(2_000, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST_TOKEN });
     harness.handle(2_001, Event::ViewSealed { number: VIEW });
     assert_eq!(sent_bodies(&harness.handle(2_002, Event::Persisted { batch: FIRST_BATCH })), []);
 }
@@ -128,7 +141,7 @@
     let third = FencingToken((2 << 24) + 1);
     let elect = MessageBody::RequestVote { request_id: REQUEST_ID, token: third };
     assert!(is_denied(&harness.receive_in(5_500, VIEW + 1, 3, elect)));
-    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST };
+    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST_TOKEN };
     assert!(matches!(harness.receive_in(5_600, VIEW + 1, 1, renew).as_slice(), [Action::Persist { .. }]));
     harness.handle(5_610, Event::Persisted { batch: FIRST_BATCH });
     assert!(is_denied(&harness.receive_in(6_100, VIEW + 1, 3, elect)));
@@ -140,7 +153,7 @@
     let mut harness = Harness::start_without_view(Role::StagePlanner, SEED, &[]);
     harness.install_view(0, VIEW, false);
     assert_eq!(
-        harness.receive(5_000, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST }),
+        harness.receive(5_000, 1, MessageBody::RequestVote { request_id: REQUEST_ID, token: FIRST_TOKEN }),
         []
     );
     assert_eq!(harness.handle(9_000, Event::Tick), []);
@@ -150,11 +163,11 @@
 fn released_lease_is_not_renewed() {
     let mut harness = start(&[]);
     grant_to_first(&mut harness, 2_000);
-    harness.receive(2_100, 1, MessageBody::ReleaseLease { token: FIRST, was_holder: true });
+    harness.receive(2_100, 1, MessageBody::ReleaseLease { token: FIRST_TOKEN, was_holder: true });
     assert!(is_denied(&harness.receive(
         2_101,
         1,
-        MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST }
+        MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST_TOKEN }
     )));
     assert!(votes_for_third(&mut harness, 2_102));
 }
@@ -165,15 +178,18 @@
     let mut harness = start(&[]);
     let (now, request_id) = harness.wait_for_pre_vote(FIRST_ELECTION);
     let requested_at = now + 20;
-    let own_vote =
-        harness.receive(requested_at, 1, MessageBody::PreVoteGranted { request_id, highest_token: FIRST });
+    let own_vote = harness.receive(
+        requested_at,
+        1,
+        MessageBody::PreVoteGranted { request_id, highest_token: FIRST_TOKEN },
+    );
     assert!(matches!(own_vote.as_slice(), [Action::Persist { batch: FIRST_BATCH, .. }]), "{own_vote:?}");
     let requested = harness.handle(requested_at + 8, Event::Persisted { batch: FIRST_BATCH });
     let Some(MessageBody::RequestVote { request_id, token }) = sent_bodies(&requested).first().copied()
     else {
-        panic!("{requested:?}")
+        panic!("no vote request was sent: {requested:?}")
     };
-    assert_eq!(token, SECOND);
+    assert_eq!(token, SECOND_TOKEN);
     assert_eq!(harness.elector.held_lease(ms(requested_at + 8)), None);
     let acquired = harness.receive(requested_at + 90, 1, MessageBody::VoteGranted { request_id, token });
     assert!(acquired.contains(&Action::LeaseAcquired { token }));
@@ -263,7 +279,7 @@
     let requested = harness.handle(now, Event::Persisted { batch: FIRST_BATCH });
     let Some(MessageBody::RequestVote { request_id, token }) = sent_bodies(&requested).first().copied()
     else {
-        panic!("{requested:?}")
+        panic!("no vote request was sent: {requested:?}")
     };
     // The third process has won the election under this token with the vote of the first process.
     for from in [1, 3] {
@@ -283,15 +299,18 @@
     let mut harness = start(&[]);
     grant_to_first(&mut harness, 2_000);
     // As long as its vote may still count for the first process, the voter votes for no other process.
-    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST };
+    let renew = MessageBody::RenewLease { request_id: REQUEST_ID, token: FIRST_TOKEN };
     assert!(is_denied(&harness.receive(2_050, 3, renew)));
-    harness.receive(2_100, 1, MessageBody::ReleaseLease { token: FIRST, was_holder: false });
+    harness.receive(2_100, 1, MessageBody::ReleaseLease { token: FIRST_TOKEN, was_holder: false });
     let actions = harness.receive(2_101, 3, renew);
     let [Action::Persist { batch, .. }] = actions.as_slice() else {
         panic!("no vote for the holder: {actions:?}")
     };
     let voted = harness.handle(2_102, Event::Persisted { batch: *batch });
-    assert_eq!(sent_bodies(&voted), [MessageBody::VoteGranted { request_id: REQUEST_ID, token: FIRST }]);
+    assert_eq!(
+        sent_bodies(&voted),
+        [MessageBody::VoteGranted { request_id: REQUEST_ID, token: FIRST_TOKEN }]
+    );
     // The process that released the token cannot reclaim it. Two processes claiming the same token violate an
     // invariant, so panics are suppressed.
     let _suppression = lugwharf_invariants::suppress_panics();
--- a/crates/election/tests/encoded_forms.rs
+++ b/crates/election/tests/encoded_forms.rs
@@ -18,13 +18,13 @@
 }
 
 fn bytes(hex: &str) -> Vec<u8> {
-    let byte_at = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
+    let byte_at = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("the text is not hexadecimal");
     (0..hex.len()).step_by(2).map(byte_at).collect()
 }
 
 fn encoded(message: &Message) -> String {
     let mut bytes = Vec::new();
-    ciborium::into_writer(message, &mut bytes).expect("message is encodable");
+    ciborium::into_writer(message, &mut bytes).expect("cannot encode the message");
     hex(&bytes)
 }
 
@@ -41,7 +41,8 @@
 fn a_message_has_the_captured_bytes(#[case] role: Role, #[case] body: MessageBody, #[case] captured: &str) {
     let message = Message { role, view: VIEW, body };
     assert_eq!(encoded(&message), captured);
-    let decoded: Message = ciborium::from_reader(bytes(captured).as_slice()).expect("a message");
+    let decoded: Message =
+        ciborium::from_reader(bytes(captured).as_slice()).expect("cannot decode the message");
     assert_eq!(decoded, message);
     assert_eq!(encoded(&decoded), captured);
 }
@@ -73,7 +74,7 @@
         Action::Persist { batch: BatchId(1), records } => Some(records.clone()),
         _ => None,
     });
-    let records = records.expect("a persist action");
+    let records = records.expect("no Persist action was emitted");
     assert_eq!(records.len(), 1);
     records[0].clone()
 }
--- a/crates/election/tests/simulation/main.rs
+++ b/crates/election/tests/simulation/main.rs
@@ -17,8 +17,11 @@
 
 /// The number of seeds run by default, starting at 0.
 const SEEDS: u64 = 300;
+/// The time for which faults are injected.
 const FAULT_TIME: Duration = Duration::from_secs(30);
+/// The time after which a process must hold the role.
 const SETTLE_TIME: Duration = Duration::from_secs(6);
+/// The time for which the holder must then stay the same.
 const STABLE_TIME: Duration = Duration::from_secs(3);
 
 fn seeds() -> std::ops::Range<u64> {
@@ -118,7 +121,8 @@
         let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
         world.resign(holder);
         world.run_for(LEASE / 2);
-        let (next, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: no successor"));
+        let (next, _) =
+            world.holder().unwrap_or_else(|| panic!("seed {seed}: no process succeeds the holder"));
         assert_ne!(next, holder, "seed {seed}");
     }
 }
@@ -133,7 +137,7 @@
         let (holder, _) = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process holds the role"));
         world.step_down(holder, LEASE);
         world.run_for(LEASE / 2);
-        let next = world.holder().unwrap_or_else(|| panic!("seed {seed}: no successor"));
+        let next = world.holder().unwrap_or_else(|| panic!("seed {seed}: no process succeeds the holder"));
         assert_ne!(next.0, holder, "seed {seed}");
         world.run_for(STABLE_TIME);
         assert_eq!(world.holder(), Some(next), "seed {seed}: the previous holder returned");
--- a/crates/election/tests/simulation/partitions.rs
+++ b/crates/election/tests/simulation/partitions.rs
@@ -7,9 +7,13 @@
 use rstest::rstest;
 use std::time::Duration;
 
+/// The interval at which the workers are checked.
 const STEP: Duration = Duration::from_millis(1);
+/// The time after which a process must hold the role.
 const SETTLE_TIME: Duration = Duration::from_secs(6);
+/// The duration of a partition.
 const PARTITION_TIME: Duration = Duration::from_secs(20);
+/// The time for which the processes are observed after the partition.
 const HEALED_TIME: Duration = Duration::from_secs(5);
 /// The number of seeds per case. Each seed simulates half a minute of virtual time in steps of 1 ms.
 const SEEDS: u64 = 10;
--- a/crates/election/tests/simulation/process.rs
+++ b/crates/election/tests/simulation/process.rs
@@ -10,7 +10,7 @@
     SocketAddr::from(([127, 0, 0, 1], 7_000 + process as u16))
 }
 
-pub fn index(address: SocketAddr) -> usize {
+pub fn process_at(address: SocketAddr) -> usize {
     usize::from(address.port()) - 7_000
 }
 
--- a/crates/election/tests/simulation/refusals.rs
+++ b/crates/election/tests/simulation/refusals.rs
@@ -9,10 +9,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+/// The number of seeds per case.
 const SEEDS: u64 = 60;
+/// The number of servers.
 const SERVERS: usize = 4;
+/// The time for which faults are injected.
 const FAULT_TIME: Duration = Duration::from_secs(20);
+/// The time after the faults within which a process must hold the role.
 const HEALED_TIME: Duration = Duration::from_secs(40);
+/// The time for which the holder must then stay the same.
 const SETTLED_TIME: Duration = Duration::from_secs(3);
 /// Longer than a lease duration of the simulated world, so that a refusal may arrive when the next lease is
 /// already held.
--- a/crates/election/tests/simulation/world.rs
+++ b/crates/election/tests/simulation/world.rs
@@ -1,6 +1,6 @@
 //! A simulated control plane: processes, links, disks and views.
 
-use crate::process::{Process, View, address, index};
+use crate::process::{Process, View, address, process_at};
 use crate::trace::Trace;
 use fastrand::Rng;
 use lugwharf_election::{
@@ -14,16 +14,19 @@
 const RENEW_INTERVAL: Duration = Duration::from_millis(250);
 pub const TICK: Duration = Duration::from_millis(25);
 pub const DRIFT_PERCENT: u32 = 2;
-/// The delay of a message if links are not slow.
+/// The minimum delay of a message, and the maximum one if links are not slow.
 const MIN_DELAY: Duration = Duration::from_micros(500);
 pub const MAX_DELAY: Duration = Duration::from_micros(4_500);
+/// The maximum delay of a message if links are slow.
 const SLOW_DELAY: Duration = Duration::from_micros(1_500_500);
-/// The duration of a sync if the disk does not stall.
+/// The minimum duration of a sync, and the maximum one if the disk does not stall.
 const MIN_SYNC: Duration = Duration::from_millis(1);
 pub const MAX_SYNC: Duration = Duration::from_millis(9);
+/// The maximum duration of a sync if the disk stalls.
 const STALLED_SYNC: Duration = Duration::from_millis(3_001);
 /// The maximum delay of a view update if updates are not slow.
 pub const MAX_VIEW_DELAY: Duration = Duration::from_millis(30);
+/// The maximum delay of a view update if updates are slow.
 const MAX_SLOW_VIEW_DELAY: Duration = Duration::from_millis(3_000);
 /// The interval at which tests check who holds the role.
 pub const POLL: Duration = Duration::from_millis(5);
@@ -459,7 +462,7 @@
 
     fn execute(&mut self, process: usize, action: Action) {
         match action {
-            Action::Send { to, message } => self.send(process, index(to), message),
+            Action::Send { to, message } => self.send(process, process_at(to), message),
             Action::Persist { batch, records } => self.persist(process, batch, records),
             Action::LeaseAcquired { token } => self.record_lease(process, token),
             Action::LeaseLost => self.trace.fold_event(b'l', self.now, process),
@@ -512,6 +515,6 @@
 
 fn encoded(message: &Message) -> Vec<u8> {
     let mut bytes = Vec::new();
-    ciborium::into_writer(message, &mut bytes).expect("message is encodable");
+    ciborium::into_writer(message, &mut bytes).expect("cannot encode the message");
     bytes
 }
