--- a/crates/chain/src/action.rs
+++ b/crates/chain/src/action.rs
@@ -70,7 +70,7 @@
         /// The current version.
         current: u64,
     },
-    /// The change is based on the current version, but its own version is not higher (4xx).
+    /// The change is based on the current version, but its own version is not higher (409).
     StaleVersion {
         /// The current version.
         current: u64,
--- a/crates/chain/src/digest.rs
+++ b/crates/chain/src/digest.rs
@@ -7,7 +7,9 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
+/// The offset basis of FNV-1a with 128 bits.
 const FNV_OFFSET: u128 = 0x6c62_272e_07bb_0142_62b8_2175_6295_c58d;
+/// The prime of FNV-1a with 128 bits.
 const FNV_PRIME: u128 = 0x0000_0000_0100_0000_0000_0000_0000_013b;
 
 /// An FNV-1a hash of 128 bits (draft-eastlake-fnv), upper half first. Not resistant to collisions.
--- a/crates/chain/src/earlier_version_tests.rs
+++ b/crates/chain/src/earlier_version_tests.rs
@@ -30,35 +30,37 @@
 const HEARTBEAT: &str = "a169486561727462656174ab6673656e646572a26761646472657373a162563482840a000001191b58646469736b076b696e6361726e6174696f6e0567666f756e646572f571636f756e74735f666f725f71756f72756df564766965770469696e7374616c6c656404667365616c6564f46673796e6365640369636f6d6d6974746564a465696e646578036776657273696f6e181e64626173651466646967657374821bc7a4c2350083d94f1b7081694153737d4b696469736b5f77656c6cf5656c696e6b7381a26470656572a162563482840a000001191b586774776f5f776179f5";
 
 fn bytes(hex: &str) -> Vec<u8> {
-    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
+    let digits = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("the text is not hexadecimal");
     (0..hex.len()).step_by(2).map(digits).collect()
 }
 
 fn record(hex: &str) -> Record {
-    Record::decode(&bytes(hex)).expect("a record")
+    Record::decode(&bytes(hex)).expect("cannot decode the record")
 }
 
 fn message(hex: &str) -> Message {
-    ciborium::from_reader(bytes(hex).as_slice()).expect("a message")
+    ciborium::from_reader(bytes(hex).as_slice()).expect("cannot decode the message")
 }
 
-fn reread<T: Serialize, U: for<'de> Deserialize<'de>>(value: &T) -> U {
+fn encode_and_decode<T: Serialize, U: for<'de> Deserialize<'de>>(value: &T) -> U {
     let mut encoded = Vec::new();
-    ciborium::into_writer(value, &mut encoded).expect("encodable");
-    ciborium::from_reader(encoded.as_slice()).expect("readable")
+    ciborium::into_writer(value, &mut encoded).expect("cannot encode the value");
+    ciborium::from_reader(encoded.as_slice()).expect("cannot decode the value")
 }
 
+/// The history that results from [`APPENDS`].
 fn appended() -> History {
     let mut history = History::default();
     for hex in APPENDS {
-        let Record::Append { entry } = record(hex) else { panic!("not an entry") };
+        let Record::Append { entry } = record(hex) else { panic!("the record is not an Append") };
         assert!(history.append(entry));
     }
     history
 }
 
+/// The history that results from [`INSTALL`].
 fn installed() -> History {
-    let Record::Install { view: 4, suffix } = record(INSTALL) else { panic!("not a history") };
+    let Record::Install { view: 4, suffix } = record(INSTALL) else { panic!("the record is not an Install") };
     let mut history = History::default();
     assert!(history.install(&suffix));
     history
@@ -75,7 +77,9 @@
 #[case::appended(appended(), [true, true, true])]
 #[case::installed(installed(), [false, true, true])]
 fn log_of_earlier_version_is_decoded(#[case] history: History, #[case] has_blake3: [bool; 3]) {
-    let known = |index: u64| history.header(index).expect("a header").digest.blake3.is_some();
+    let known = |index: u64| {
+        history.header(index).expect("the history does not retain the header").digest.blake3.is_some()
+    };
     assert_eq!([1, 2, 3].map(known), has_blake3);
     for (version, text) in [(10, "one"), (20, "two"), (30, "three")] {
         assert!(history.find(version, version - 10, Digest::of(text.as_bytes())).is_some(), "{text}");
@@ -86,18 +90,20 @@
 #[test]
 fn messages_of_earlier_version_are_decoded() {
     let Message::Submit { base: 30, version: 40, digest, bytes, .. } = message(SUBMIT) else {
-        panic!("not a change")
+        panic!("the message is not a Submit")
     };
     assert_eq!((digest, bytes.as_ref()), (Fnv::of(b"four"), &b"four"[..]));
-    let Message::Replicate { view: 4, entry } = message(REPLICATE) else { panic!("not an entry") };
+    let Message::Replicate { view: 4, entry } = message(REPLICATE) else {
+        panic!("the message is not a Replicate")
+    };
     assert!(entry.header.digest.matches_bytes(b"four"));
-    let Message::Committed { header } = message(COMMITTED) else { panic!("not a commit") };
+    let Message::Committed { header } = message(COMMITTED) else { panic!("the message is not a Committed") };
     assert!(header.is_same(&entry.header));
     assert!(matches!(message(STATE_REQUEST), Message::StateRequest { view: 4, after: 1, .. }));
-    let Message::State { view: 4, suffix } = message(STATE) else { panic!("not a history") };
+    let Message::State { view: 4, suffix } = message(STATE) else { panic!("the message is not a State") };
     assert_eq!((suffix.headers.len(), suffix.bodies.len()), (3, 2));
     let Message::Heartbeat(Heartbeat { committed: Some(header), .. }) = message(HEARTBEAT) else {
-        panic!("not a heartbeat")
+        panic!("the message is not a Heartbeat")
     };
     assert_eq!((header.index, header.version), (3, 30));
 }
@@ -121,11 +127,11 @@
 #[test]
 fn earlier_version_decodes_this_encoding() {
     let header = EntryHeader { index: 3, version: 30, base: 20, digest: Digest::of(b"three") };
-    let read: EarlierEntryHeader = reread(&header);
+    let read: EarlierEntryHeader = encode_and_decode(&header);
     assert_eq!((read.index, read.version, read.base), (3, 30, 20));
     assert_eq!(read.digest, Fnv::of(b"three"));
-    let Message::Heartbeat(heartbeat) = message(HEARTBEAT) else { panic!("not a heartbeat") };
-    let read: EarlierHeartbeat = reread(&Heartbeat { committed: Some(header), ..heartbeat });
+    let Message::Heartbeat(heartbeat) = message(HEARTBEAT) else { panic!("the message is not a Heartbeat") };
+    let read: EarlierHeartbeat = encode_and_decode(&Heartbeat { committed: Some(header), ..heartbeat });
     assert_eq!((read.synced, read.committed.map(|header| header.index)), (3, Some(3)));
 }
 
@@ -136,7 +142,7 @@
     let digest = Digest::of(b"four");
     let header = EntryHeader { index: 4, version: 40, base: 30, digest };
     assert!(history.append(Entry { header, bytes: b"four"[..].into() }));
-    let Message::Committed { header } = message(COMMITTED) else { panic!("not a commit") };
+    let Message::Committed { header } = message(COMMITTED) else { panic!("the message is not a Committed") };
     assert_eq!(header.digest.blake3, None);
     assert!(history.contains(&header));
     assert!(!history.contains(&EntryHeader { base: 20, ..header }));
--- a/crates/chain/src/encoding_tests.rs
+++ b/crates/chain/src/encoding_tests.rs
@@ -149,18 +149,18 @@
 }
 
 fn from_hex(hex: &str) -> Vec<u8> {
-    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits");
+    let byte = |at: usize| u8::from_str_radix(&hex[at..at + 2], 16).expect("the text is not hexadecimal");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
 fn encode<T: Serialize>(value: &T) -> String {
     let mut bytes = Vec::new();
-    ciborium::into_writer(value, &mut bytes).expect("encodable");
+    ciborium::into_writer(value, &mut bytes).expect("cannot encode the value");
     to_hex(&bytes)
 }
 
 fn decode<T: DeserializeOwned>(hex: &str) -> T {
-    ciborium::from_reader(from_hex(hex).as_slice()).expect("decodable")
+    ciborium::from_reader(from_hex(hex).as_slice()).expect("cannot decode the value")
 }
 
 /// Asserts that the value is encoded to these bytes, and that the bytes are decoded to the value and encoded
--- a/crates/chain/src/history_stream.rs
+++ b/crates/chain/src/history_stream.rs
@@ -67,9 +67,12 @@
     bodies: Vec<BodyLength>,
 }
 
+/// The length of one body of a stream.
 #[derive(Serialize, Deserialize)]
 struct BodyLength {
+    /// The index of the entry.
     index: u64,
+    /// The length of the body in bytes.
     bytes: u64,
 }
 
@@ -128,6 +131,7 @@
         chunks
     }
 
+    /// At most `max_bytes` bytes of the stream from `offset` on.
     fn bytes(&self, mut offset: usize, max_bytes: usize) -> Vec<u8> {
         let mut bytes = Vec::with_capacity(max_bytes.min(self.total_bytes - offset));
         for segment in &self.segments {
@@ -140,6 +144,7 @@
     }
 }
 
+/// A stream and the time of its last request.
 #[derive(Debug)]
 struct RetainedStream {
     stream: HistoryStream,
@@ -244,6 +249,8 @@
     }
 }
 
+/// Decodes a complete stream. `None` if its header cannot be decoded or its length differs from the one that
+/// the header states.
 fn decode(mut stream: &[u8]) -> Option<HistorySuffix> {
     let header: StreamHeader = ciborium::from_reader(&mut stream).ok()?;
     let mut bodies = Vec::new();
--- a/crates/chain/src/history_tests.rs
+++ b/crates/chain/src/history_tests.rs
@@ -76,9 +76,9 @@
 fn install_rejects_a_gap() {
     let mut replica = history(2);
     assert!(!replica.install(&history(6).suffix(4)));
-    let mut torn = history(6).suffix(2);
-    torn.headers.remove(1);
-    assert!(!replica.install(&torn));
+    let mut with_gap = history(6).suffix(2);
+    with_gap.headers.remove(1);
+    assert!(!replica.install(&with_gap));
     assert_eq!(replica.last_index(), 2);
 }
 
@@ -90,8 +90,8 @@
     assert!(replica.install(&suffix));
     assert_eq!(replica.header(3), None);
     assert_eq!(replica.last_index(), 6);
-    let nothing = HistorySuffix { after: 6, headers: Vec::new(), bodies: Vec::new() };
-    assert!(replica.install(&nothing));
+    let empty = HistorySuffix { after: 6, headers: Vec::new(), bodies: Vec::new() };
+    assert!(replica.install(&empty));
     assert_eq!(replica.last_index(), 6);
 }
 
@@ -106,8 +106,8 @@
 fn may_have_dropped_recognises_versions_before_the_first_header(
     #[case] version: u64, #[case] base: u64, #[case] dropped: bool,
 ) {
-    let mut short = History::new(HistoryLimits { max_headers: 3, max_bodies: 2 });
-    assert!(short.install(&history(6).suffix(0)));
-    assert_eq!(short.may_have_dropped(version, base), dropped);
+    let mut limited = History::new(HistoryLimits { max_headers: 3, max_bodies: 2 });
+    assert!(limited.install(&history(6).suffix(0)));
+    assert_eq!(limited.may_have_dropped(version, base), dropped);
     assert!(!history(6).may_have_dropped(version, base));
 }
--- a/crates/chain/src/journal.rs
+++ b/crates/chain/src/journal.rs
@@ -56,6 +56,7 @@
     pub is_rewrite: bool,
 }
 
+/// The batch in flight and the effects that it releases.
 #[derive(Debug)]
 struct InFlight {
     batch: Batch,
--- a/crates/chain/src/replica/change_queue.rs
+++ b/crates/chain/src/replica/change_queue.rs
@@ -62,7 +62,8 @@
 }
 
 impl ChangeQueue {
-    /// Drops all changes when a view is entered. The processes that received them send them again.
+    /// Drops all changes when a view is entered. The processes that received the changes
+    /// from operators send them again.
     pub fn clear(&mut self) {
         self.pending.clear();
     }
--- a/crates/chain/src/replica/heartbeats.rs
+++ b/crates/chain/src/replica/heartbeats.rs
@@ -6,14 +6,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Addresses that are not members and from which no heartbeat has arrived are included in one of this many
-/// rounds.
+/// A heartbeat is sent to the members and to the processes from which one has arrived in every round, and to
+/// all other known addresses in one of this many rounds.
 const UNSEEN_PEER_ROUND_INTERVAL: u64 = 4;
 
 /// The schedule of heartbeats.
 #[derive(Debug, Default)]
 pub struct HeartbeatSchedule {
     next_at: Duration,
+    /// The number of rounds of heartbeats sent so far.
     rounds: u64,
 }
 
--- a/crates/chain/src/replica/learner.rs
+++ b/crates/chain/src/replica/learner.rs
@@ -125,8 +125,8 @@
         self.outbox.send(source, Message::HistoryRequest { after, chunk });
     }
 
-    /// A live peer that holds more of the committed history than this process. Advances to the next one after
-    /// each failure.
+    /// A live peer that holds more of the committed history than this process. After each failure, the next
+    /// such peer is chosen.
     fn choose_history_source(&self) -> Option<SocketAddr> {
         let sources = self.peers.with_history_beyond(self.commit_index, self.now);
         sources.get(self.learner.source_cursor.checked_rem(sources.len())?).copied()
--- a/crates/chain/src/replica/pending_requests.rs
+++ b/crates/chain/src/replica/pending_requests.rs
@@ -50,10 +50,12 @@
     last_sent: Option<SentRequest>,
 }
 
+/// The last time that a request was sent.
 #[derive(Debug)]
 struct SentRequest {
     /// The head or the tail of the view.
     to: SocketAddr,
+    /// The number of the view.
     view: u64,
     sent_at: Duration,
 }
--- a/crates/chain/src/replica/read_only.rs
+++ b/crates/chain/src/replica/read_only.rs
@@ -43,8 +43,9 @@
 }
 
 impl ReadOnly {
-    /// Drops the pending reads when a view is entered. The processes that received them send them again.
-    /// Round numbers continue, so that late confirmations are recognised as stale.
+    /// Drops the pending reads when a view is entered. The processes that received the reads
+    /// from operators send them again. Round numbers continue, so that late confirmations are recognised as
+    /// stale.
     pub fn reset(&mut self) {
         self.pending_reads.clear();
         self.confirmations.clear();
--- a/crates/chain/src/replica/recovery.rs
+++ b/crates/chain/src/replica/recovery.rs
@@ -20,7 +20,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// If there are fewer seeds, they are assumed to be all processes of the system.
+/// A list of fewer seeds is assumed to name all processes of the system. A longer list may name only some of
+/// them.
 const MIN_PARTIAL_SEEDS: usize = 3;
 
 /// The identity from the first record of a log.
--- a/crates/chain/src/replica/replication.rs
+++ b/crates/chain/src/replica/replication.rs
@@ -25,6 +25,7 @@
     last_sent: Option<SentEntry>,
 }
 
+/// An entry that was sent to the successor.
 #[derive(Debug)]
 struct SentEntry {
     index: u64,
--- a/crates/chain/src/replica/state_transfer.rs
+++ b/crates/chain/src/replica/state_transfer.rs
@@ -64,6 +64,7 @@
         }
     }
 
+    /// Whether this process is a replica of the chain that must still install the history of the view.
     fn lacks_state(&self) -> bool {
         let is_replica = self.view.position(self.identity).is_some();
         is_replica && self.state_transfer.installed_view < self.view.number && !self.is_sealed()
--- a/crates/chain/src/replica/tests/driver.rs
+++ b/crates/chain/src/replica/tests/driver.rs
@@ -108,7 +108,8 @@
     pub fn start(number: u8, synced: Vec<Vec<u8>>, members: u8) -> Driver {
         let settings = ReplicaSettings::new(address(number), Vec::new(), false, 1, 7);
         let mut actions = Vec::new();
-        let replica = Replica::recover(settings, &synced, Duration::ZERO, &mut actions).expect("readable");
+        let replica = Replica::recover(settings, &synced, Duration::ZERO, &mut actions)
+            .expect("cannot recover the replica from its records");
         let (sent, unsynced, responses) = (Vec::new(), Vec::new(), Vec::new());
         let now = Duration::ZERO;
         let mut driver = Driver { replica, synced, unsynced, sent, responses, now, number, members };
@@ -161,7 +162,7 @@
             }
             self.run(1, &live);
         }
-        panic!("no proposal");
+        panic!("no proposal within {MAX_TICKS_TO_PROPOSE} ticks");
     }
 
     /// The heartbeat of a process that has bidirectional links to the local process and to `linked`.
--- a/crates/chain/src/replica/tests/learner.rs
+++ b/crates/chain/src/replica/tests/learner.rs
@@ -19,7 +19,9 @@
     });
     let mut assembly = StreamAssembly::new(0);
     let last = chunks.map(|chunk| assembly.add(chunk)).last();
-    let Some(AssemblyProgress::Complete(suffix)) = last else { panic!("no history: {last:?}") };
+    let Some(AssemblyProgress::Complete(suffix)) = last else {
+        panic!("the history is not complete: {last:?}")
+    };
     assert_eq!(suffix.headers, [entry(1).header]);
 }
 
--- a/crates/chain/src/replica/tests/read_only.rs
+++ b/crates/chain/src/replica/tests/read_only.rs
@@ -12,7 +12,7 @@
     });
     driver.receive(
         1,
-        Message::Confirmed { view: 1, request_id: confirm_id.expect("a confirmation was requested") },
+        Message::Confirmed { view: 1, request_id: confirm_id.expect("no confirmation was requested") },
     );
     assert_eq!(driver.count(is_outcome), 0);
 }
@@ -32,7 +32,7 @@
         Message::Confirm { request_id, .. } => Some(*request_id),
         _ => None,
     });
-    let request_id = confirm_id.expect("a confirmation was requested");
+    let request_id = confirm_id.expect("no confirmation was requested");
     let incarnation = request_id.incarnation.wrapping_add(incarnation_offset);
     let request_id = RequestId { incarnation, ..request_id };
     driver.receive(1, Message::Confirmed { view: 1 + view_offset, request_id });
--- a/crates/chain/src/replica/tests/replication.rs
+++ b/crates/chain/src/replica/tests/replication.rs
@@ -15,7 +15,7 @@
     }
     let is_committed = |message: &Message| matches!(message, Message::Committed { .. });
     driver.receive(2, replicate(1));
-    assert_eq!(driver.count(is_committed), 0, "before it is on disk");
+    assert_eq!(driver.count(is_committed), 0, "committed before the entry was synced");
     driver.sync();
     assert_eq!(driver.count(is_committed) > 0, serves);
 }
@@ -33,7 +33,9 @@
     let mut driver = serving(1);
     driver.receive(2, submit(1, 0));
     driver.sync();
-    let Message::Submit { base, version, digest, bytes, .. } = submit(2, 0) else { unreachable!("a change") };
+    let Message::Submit { base, version, digest, bytes, .. } = submit(2, 0) else {
+        unreachable!("submit returns a Submit message")
+    };
     let request_id = RequestId { sequence: 2, ..REQUEST_ID };
     driver.receive(
         3,
--- a/crates/chain/src/replica/tests/sealing.rs
+++ b/crates/chain/src/replica/tests/sealing.rs
@@ -38,7 +38,7 @@
     assert_eq!(driver.count(is_confirmed), 1);
     driver.receive(3, prepare());
     driver.receive(3, confirm);
-    assert_eq!(driver.count(is_confirmed), 1, "also before the promise is on disk");
+    assert_eq!(driver.count(is_confirmed), 1, "a view was confirmed before the promise was synced");
 }
 
 /// After its promise, a head decides no change and a tail responds to no read, even if the request arrived
--- a/crates/chain/src/replica/tests/stored_entries.rs
+++ b/crates/chain/src/replica/tests/stored_entries.rs
@@ -42,8 +42,8 @@
     ];
     let records: Vec<Vec<u8>> = records.iter().map(Record::encode).collect();
     let settings = ReplicaSettings::new(member(2).address, Vec::new(), false, 1, 7);
-    let mut replica =
-        Replica::recover(settings, &records, Duration::ZERO, &mut Vec::new()).expect("readable");
+    let mut replica = Replica::recover(settings, &records, Duration::ZERO, &mut Vec::new())
+        .expect("cannot recover the replica from its records");
     replica.handle(Duration::ZERO, Event::Tick, &mut Vec::new());
     replica
 }
@@ -58,7 +58,7 @@
     });
     let mut entries = Vec::new();
     for (batch, records) in batches.collect::<Vec<_>>() {
-        let read = records.iter().map(|record| Record::decode(record).expect("readable"));
+        let read = records.iter().map(|record| Record::decode(record).expect("cannot decode the record"));
         entries.extend(read.filter_map(|record| match record {
             Record::Append { entry } => Some(entry),
             _ => None,
@@ -124,7 +124,7 @@
     assert_eq!(replica.status().durable_commit_index, 0);
 }
 
-/// The chunk that member 2 sends to member 3.
+/// The last chunk with which member 2 answers a request of member 3.
 fn chunk(replica: &mut Replica, request: Message) -> Chunk {
     let mut out = Vec::new();
     let from = member(3).address;
@@ -133,7 +133,7 @@
         Action::Send { message: Message::StateChunk { chunk, .. }, .. } => Some(chunk),
         _ => None,
     });
-    chunks.last().expect("a chunk")
+    chunks.last().expect("no chunk was sent")
 }
 
 /// A replica has fetched the first part of the history of one view. It must not receive the remaining part as
@@ -167,7 +167,7 @@
     let message = Message::HistoryRequest { after: 0, chunk: begin };
     replica.handle(Duration::ZERO, Event::Message { from: member(3).address, message }, &mut out);
     let Some(Action::Send { message: Message::HistoryChunk { chunk: committed }, .. }) = out.pop() else {
-        panic!("no history")
+        panic!("no HistoryChunk message was sent")
     };
     let rest = Some(ChunkRequest { stream: Some(committed.stream), offset: 1 });
     let state = chunk(&mut replica, Message::StateRequest { view: 1, after: 0, chunk: rest });
--- a/crates/chain/src/replica/tests/voting.rs
+++ b/crates/chain/src/replica/tests/voting.rs
@@ -4,10 +4,11 @@
 use super::driver::TICK;
 use super::*;
 
-fn recovered(records: &[Record]) -> Replica {
+fn recover_replica(records: &[Record]) -> Replica {
     let settings = ReplicaSettings::new(member(1).address, vec![member(2).address], false, 1, 7);
     let records: Vec<Vec<u8>> = records.iter().map(Record::encode).collect();
-    Replica::recover(settings, &records, Duration::ZERO, &mut Vec::new()).expect("readable")
+    Replica::recover(settings, &records, Duration::ZERO, &mut Vec::new())
+        .expect("cannot recover the replica from its records")
 }
 
 #[test]
@@ -15,13 +16,13 @@
     let identity = Record::Identity { disk: 1, bootstrap_seeds: None };
     let proposal = ProposalNumber { round: 1, proposer: member(2) };
     let mut records = vec![identity, Record::Decided { view: view(1, 3) }];
-    assert!(!recovered(&records).status().has_accepted_next_view);
+    assert!(!recover_replica(&records).status().has_accepted_next_view);
     records.push(Record::Promise { instance: 2, proposal });
-    assert!(!recovered(&records).status().has_accepted_next_view, "a promise chooses no view");
+    assert!(!recover_replica(&records).status().has_accepted_next_view, "a promise chooses no view");
     records.push(Record::Accept { proposal, view: view(2, 3) });
-    assert!(recovered(&records).status().has_accepted_next_view);
+    assert!(recover_replica(&records).status().has_accepted_next_view);
     records.push(Record::Decided { view: view(2, 3) });
-    assert!(!recovered(&records).status().has_accepted_next_view);
+    assert!(!recover_replica(&records).status().has_accepted_next_view);
 }
 
 fn proposal_numbers(driver: &Driver) -> Vec<ProposalNumber> {
@@ -38,7 +39,7 @@
 fn prepare_is_sent_after_own_promise_is_synced(#[case] members: u8) {
     let mut driver = Driver::start(1, disk_of(1, members), members);
     driver.run_until_proposal(2);
-    assert_eq!(proposal_numbers(&driver), Vec::new(), "before its own promise is on disk");
+    assert_eq!(proposal_numbers(&driver), Vec::new(), "sent before its own promise was synced");
     driver.sync();
     assert_eq!(
         proposal_numbers(&driver).len(),
@@ -129,7 +130,7 @@
         Message::Prepare { proposal, .. } => Some(*proposal),
         _ => None,
     });
-    let proposal = prepared.expect("a proposal");
+    let proposal = prepared.expect("no Prepare message was sent");
     let sender = MemberId { address: address(2), disk };
     let position = crate::HistoryPosition { installed_view: 1, last_index: 0 };
     driver.receive(2, Message::Promise { sender, instance: 2, proposal, accepted: None, position });
@@ -160,32 +161,32 @@
 fn replica_with_unhealthy_disk_promises_nothing() {
     let mut driver = serving(2);
     driver.receive(1, replicate(1));
-    let (batch, _) = driver.unsynced.pop().expect("an entry for the disk");
+    let (batch, _) = driver.unsynced.pop().expect("no batch waits for the disk");
     driver.handle(Event::PersistFailed { batch });
     driver.receive(3, prepare());
     driver.receive(3, Message::Confirm { view: 1, request_id: REQUEST_ID });
     assert_eq!(driver.count(is_confirmed), 1);
 }
 
-/// A driver may read the clock for a failed batch before it reads it for other events, so the time of the
-/// failure may be earlier than the latest known time. The retry delay counts from the latest time that the
-/// replica knows.
+/// A driver may read the clock for a failed batch before it reads the clock for other events, so the time of
+/// the failure may be earlier than the latest known time. The retry delay counts from the latest time that
+/// the replica knows.
 #[test]
 fn failed_batch_is_retried_after_the_delay_despite_an_earlier_event_time() {
-    const PAUSE: Duration = Duration::from_millis(400);
+    const RETRY_DELAY: Duration = Duration::from_millis(400);
     let mut driver = serving(2);
     driver.run(40, &[1, 3]);
     driver.receive(1, replicate(1));
-    let (batch, _) = driver.unsynced.pop().expect("an entry for the disk");
+    let (batch, _) = driver.unsynced.pop().expect("no batch waits for the disk");
     let now = driver.now;
-    driver.now = now - PAUSE;
+    driver.now = now - RETRY_DELAY;
     driver.handle(Event::PersistFailed { batch });
     driver.now = now + TICK;
     driver.handle(Event::Tick);
-    assert!(driver.unsynced.is_empty(), "a tick after the failure");
-    driver.now = now + PAUSE;
+    assert!(driver.unsynced.is_empty(), "retried one tick after the failure");
+    driver.now = now + RETRY_DELAY;
     driver.handle(Event::Tick);
-    assert_eq!(driver.unsynced.len(), 1, "the pause is over");
+    assert_eq!(driver.unsynced.len(), 1, "not retried after the delay");
 }
 
 /// Only acceptances of members count for the decision on a view.
@@ -200,7 +201,7 @@
         Message::Prepare { proposal, .. } => Some(*proposal),
         _ => None,
     });
-    let proposal = prepared.expect("a proposal");
+    let proposal = prepared.expect("no Prepare message was sent");
     let position = crate::HistoryPosition { installed_view: 1, last_index: 0 };
     let sender = member(2);
     driver.receive(2, Message::Promise { sender, instance: 2, proposal, accepted: None, position });
@@ -221,9 +222,9 @@
     driver.sync();
     let voted = |message: &Message| is_promise(message) || matches!(message, Message::Accepted { .. });
     assert_eq!(driver.count(voted), 0);
-    let sealed = driver.synced.iter().filter_map(|record| Record::decode(record).ok());
+    let records = driver.synced.iter().filter_map(|record| Record::decode(record).ok());
     assert_eq!(
-        sealed.filter(|record| matches!(record, Record::Promise { .. } | Record::Accept { .. })).count(),
+        records.filter(|record| matches!(record, Record::Promise { .. } | Record::Accept { .. })).count(),
         0
     );
 }
--- a/crates/chain/src/settings.rs
+++ b/crates/chain/src/settings.rs
@@ -11,6 +11,7 @@
 const SUSPECT_AFTER: Duration = Duration::from_millis(700);
 /// Shorter than the time within which a new process must have become a member (4 s).
 const REPLACE_AFTER: Duration = Duration::from_millis(1_800);
+/// Two and a half heartbeat intervals.
 const REJOIN_AFTER: Duration = Duration::from_millis(500);
 /// Shorter than the one second after which an operator retries at another process.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
--- a/crates/chain/src/status.rs
+++ b/crates/chain/src/status.rs
@@ -50,12 +50,13 @@
 pub enum LeaveState {
     /// The process has not asked to leave.
     NotLeaving,
-    /// The process is still in the chain, or is still a member although a learner is ready to replace it.
+    /// The current view does not serve, its chain contains the process, or the process is a member although a
+    /// learner is ready to replace it.
     Leaving,
     /// The current view serves and its chain does not contain the process. The process is still a member,
     /// since no learner is ready to replace it.
     OutOfChain,
-    /// The current view serves and the process is not a member of it. Each acknowledged entry is on the disks
-    /// of that view's chain.
+    /// The current view serves and the process is not a member of it, so each acknowledged entry is on the
+    /// disks of that view's chain. Also the state if no view was decided yet.
     Left,
 }
--- a/crates/chain/src/view.rs
+++ b/crates/chain/src/view.rs
@@ -6,7 +6,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// With fewer members, the restart of a single one would leave no majority.
+/// The minimum of [`View::target_member_count`]. With fewer members, the restart of a single one would leave
+/// no majority.
 const MIN_TARGET_MEMBERS: usize = 3;
 
 /// One decided configuration of the control plane: its members and its chain. View `n + 1` is decided by the
--- a/crates/chain/src/view_planner/chain.rs
+++ b/crates/chain/src/view_planner/chain.rs
@@ -34,7 +34,8 @@
         self.faulty_of(&self.view.chain).or_else(|| self.faulty_of(&outside))
     }
 
-    /// The first of these processes that is unusable, or else one that cannot reach another one of them.
+    /// The first of these processes that is unusable, or else the one with the most severed links to the
+    /// others.
     fn faulty_of(&self, processes: &[MemberId]) -> Option<FaultyReplica> {
         let unusable = processes.iter().find_map(|process| {
             self.fault_of(*process).map(|fault| FaultyReplica { address: process.address, fault })
@@ -45,9 +46,9 @@
         })
     }
 
-    /// Of the processes that cannot reach another one of them, the one that lacks the most links. This
-    /// process is chosen only if there is no alternative: it observes that a peer does not answer, but not
-    /// why.
+    /// The process that has the most severed links to the others; `None` if no link is severed. Among
+    /// processes with equally many severed links, the first one is chosen, and the local process last: it
+    /// observes that a peer does not answer, but not why.
     fn process_with_most_severed_links(&self, processes: &[MemberId]) -> Option<MemberId> {
         let severed_links = |one: &MemberId| {
             let is_link_severed =
--- a/crates/chain/tests/simulation/cases/partition_cases.rs
+++ b/crates/chain/tests/simulation/cases/partition_cases.rs
@@ -128,8 +128,10 @@
         let mut cluster = bootstrapped_cluster(seed, Scenario { node_count, ..Scenario::three_nodes() });
         commit_change(&mut cluster);
         let chain = cluster.status(0).chain;
-        let learner = (0..node_count).find(|node| !chain.contains(&address(*node))).expect("a learner");
-        let ends = [chain.first(), chain.last()].map(|end| *end.expect("a chain"));
+        let learner = (0..node_count)
+            .find(|node| !chain.contains(&address(*node)))
+            .expect("no machine is outside the chain");
+        let ends = [chain.first(), chain.last()].map(|end| *end.expect("the chain is empty"));
         let is_end = |node: &usize| ends.contains(&address(*node));
         let cut: Vec<Link> =
             (0..node_count).filter(is_end).flat_map(|end| links_between(learner, end, direction)).collect();
--- a/crates/chain/tests/simulation/cases/state_transfer_cases.rs
+++ b/crates/chain/tests/simulation/cases/state_transfer_cases.rs
@@ -89,7 +89,7 @@
     assert_eq!(cluster.chunks_sent, before, "chunks were requested without a fault");
 }
 
-/// The catch-up time after thousands of changes is bounded. The test also prints it.
+/// The catch-up time after thousands of changes is bounded. The test also prints this time.
 #[rstest]
 #[case::dropped_headers(small_limits(), 2, 3_000, Duration::from_millis(1_500))]
 #[case::all_headers(Scenario { history: HistoryLimits::default(), chunk_bytes: 16 << 10, ..small_limits() }, 2, 3_000, Duration::from_millis(1_500))]
@@ -179,7 +179,7 @@
         cluster.nodes[node].rewrite_steps_before_crash = Some(steps);
         cluster.rewrite_fault = Some((node, Fault::crash(&[node], Duration::from_millis(300))));
         let first = commit_changes(&mut cluster, 40);
-        assert!(cluster.rewrite_fault.is_none(), "no rewrite");
+        assert!(cluster.rewrite_fault.is_none(), "the log was not rewritten");
         assert_recovers(&mut cluster);
         lose_power(&mut cluster, &[0, 1, 2], &[], SECOND);
         assert_recovers(&mut cluster);
--- a/crates/chain/tests/simulation/harness/driver.rs
+++ b/crates/chain/tests/simulation/harness/driver.rs
@@ -206,8 +206,8 @@
 /// Encodes and decodes a message, as on a real link.
 fn reencode(message: &Message) -> Message {
     let mut bytes = Vec::new();
-    ciborium::into_writer(message, &mut bytes).expect("a message can be encoded");
-    let decoded: Message = ciborium::from_reader(bytes.as_slice()).expect("a message can be decoded");
+    ciborium::into_writer(message, &mut bytes).expect("cannot encode the message");
+    let decoded: Message = ciborium::from_reader(bytes.as_slice()).expect("cannot decode the message");
     assert_eq!(&decoded, message);
     decoded
 }
--- a/crates/chain/tests/simulation/harness/transcript.rs
+++ b/crates/chain/tests/simulation/harness/transcript.rs
@@ -119,7 +119,7 @@
 
     fn record_encoded(&mut self, value: &impl serde::Serialize) {
         let mut bytes = Vec::new();
-        ciborium::into_writer(value, &mut bytes).expect("the value can be encoded");
+        ciborium::into_writer(value, &mut bytes).expect("cannot encode the value");
         self.record_bytes(&bytes);
     }
 
--- a/crates/chain/tests/simulation/runs.rs
+++ b/crates/chain/tests/simulation/runs.rs
@@ -60,7 +60,7 @@
     // Uses a separate generator, so that a scenario can be generated independently of the run.
     let mut rng = fastrand::Rng::with_seed(seed ^ 0x5eed);
     let (node_count, fault_tolerance) =
-        *rng.choice(&[(3, 1), (3, 1), (3, 1), (5, 2), (4, 1), (5, 1)]).expect("not empty");
+        *rng.choice(&[(3, 1), (3, 1), (3, 1), (5, 2), (4, 1), (5, 1)]).expect("the list of choices is empty");
     let has_slow_disks = rng.u32(..4) == 0;
     let has_slow_links = rng.u32(..6) == 0;
     let client_count = rng.usize(1..=3);
@@ -72,12 +72,14 @@
         client_count,
         sync_time: Duration::from_micros(sync_time_us),
         max_delay: Duration::from_micros(max_delay_us),
-        rewrite_threshold_bytes: *rng.choice(&[4_000, 20_000, 8 << 20]).expect("not empty"),
+        rewrite_threshold_bytes: *rng
+            .choice(&[4_000, 20_000, 8 << 20])
+            .expect("the list of choices is empty"),
         history: HistoryLimits {
-            max_headers: *rng.choice(&[8, 64, 10_000, 10_000]).expect("not empty"),
+            max_headers: *rng.choice(&[8, 64, 10_000, 10_000]).expect("the list of choices is empty"),
             ..HistoryLimits::default()
         },
-        chunk_bytes: *rng.choice(&[200, 2_000, 256 << 10]).expect("not empty"),
+        chunk_bytes: *rng.choice(&[200, 2_000, 256 << 10]).expect("the list of choices is empty"),
         encodes_messages: rng.u32(..8) == 0,
         has_dueling_proposers: false,
     }
