--- a/crates/chain/src/replica/mod.rs
+++ b/crates/chain/src/replica/mod.rs
@@ -344,8 +344,8 @@
         self.journal.is_healthy(self.now, self.settings.suspect_after)
     }
 
-    /// Whether this process has promised the view after the newest one that it knows, and so no longer
-    /// participates in the latter.
+    /// Whether this process has promised the view after the newest one that it knows. It then no longer
+    /// participates in the newest view that it knows.
     fn is_sealed(&self) -> bool {
         self.acceptor.promised.is_some()
     }
--- a/crates/chain/src/replica/tests/voting.rs
+++ b/crates/chain/src/replica/tests/voting.rs
@@ -109,13 +109,13 @@
 #[case::confirm(Message::Confirm { view: 1, request_id: REQUEST_ID }, is_confirmed)]
 #[case::entry(replicate(1), is_replicated)]
 fn new_disk_at_member_address_does_not_participate(
-    #[case] message: Message, #[case] answers: fn(&Message) -> bool,
+    #[case] message: Message, #[case] is_reply: fn(&Message) -> bool,
 ) {
     let mut driver = Driver::start(2, disk_of(77, 3), 3);
     driver.run(3, &[1, 3]);
     driver.receive(if matches!(message, Message::Replicate { .. }) { 1 } else { 3 }, message);
     driver.sync();
-    assert_eq!(driver.count(answers), 0);
+    assert_eq!(driver.count(is_reply), 0);
 }
 
 /// A promise from a machine with a new disk does not count.
@@ -145,15 +145,15 @@
 #[case::acceptance(3, Message::Accept { proposal: PROPOSAL, view: view(2, 3) }, |message: &Message| matches!(message, Message::Accepted { .. }))]
 #[case::entry(1, replicate(1), is_replicated)]
 fn reply_is_sent_after_sync(
-    #[case] from: u8, #[case] message: Message, #[case] answers: fn(&Message) -> bool,
+    #[case] from: u8, #[case] message: Message, #[case] is_reply: fn(&Message) -> bool,
 ) {
     let mut driver = serving(2);
     driver.receive(from, message.clone());
     driver.run(1, &[1, 3]);
     driver.receive(from, message);
-    assert_eq!(driver.count(answers), 0);
+    assert_eq!(driver.count(is_reply), 0);
     driver.sync();
-    assert!(driver.count(answers) > 0);
+    assert!(driver.count(is_reply) > 0);
 }
 
 /// A replica whose disk fails cannot persist a promise, so it makes none and stays in the current view.
