--- a/crates/control/src/command.rs
+++ b/crates/control/src/command.rs
@@ -1,7 +1,7 @@
 //! The commands that other tasks send to the controller, which handles them one at a time.
 //!
-//! A command that requests something carries a `reply` channel. The requester may be gone before the reply is
-//! sent: see [`crate::reply::send_reply`].
+//! A command that requests something carries a `reply` channel. The requester may have stopped waiting before
+//! the reply is sent: see [`crate::reply::send_reply`].
 
 use crate::message::{Announcement, PeerMessage, PersistOutcome};
 use crate::pulls::ReplyFrame;
--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -87,7 +87,8 @@
     Ok(RecoveredLog { log, recovered, was_quarantined: true })
 }
 
-/// Runs the storage thread: writes and syncs batches until the controller or its command queue is gone.
+/// Runs the storage thread: writes and syncs batches until the controller has ended or its command queue is
+/// closed.
 fn write_batches(
     mut log: Log, directory: &Path, queue: &Receiver<LogBatch>, commands: &tokio::sync::mpsc::Sender<Command>,
 ) {
