--- a/crates/soak/src/campaign.rs
+++ b/crates/soak/src/campaign.rs
@@ -74,9 +74,9 @@
     }
 }
 
-/// Removes each fault from the schedule of a failing seed without which the first finding still has the same
-/// rule, and writes the remaining schedule. Returns whether the seed has no findings even with the full
-/// schedule.
+/// Minimizes the schedule of a failing seed: removes a fault if the first finding of a run without the fault
+/// still has the same rule. Writes the remaining schedule to the folder of the plan. Returns whether the seed
+/// has no findings even with the full schedule.
 pub fn minimize(plan: &Plan, seed: u64) -> Result<bool> {
     let scenario = scenario(plan, seed);
     let drawn = || Schedule::draw_from_kinds(&scenario, &plan.kinds);
--- a/crates/soak/src/checker/configurations.rs
+++ b/crates/soak/src/checker/configurations.rs
@@ -35,7 +35,7 @@
         }
         let other = version_by_base.insert(*base, *version).filter(|other| other != version);
         if let Some(other) = other {
-            report(found, format!("versions {other} and {version} on {base} were both acknowledged"));
+            report(found, format!("versions {other} and {version} on base {base} were both acknowledged"));
         }
     }
     for write in writes.iter().filter(|write| write.is_resend && write.is_refused()) {
@@ -69,7 +69,7 @@
         let (from, started_at) = (read.from, read.started_at.as_millis());
         if version < newest {
             let facts = format!(
-                "version {version} was read at {from} from {started_at} ms on, after version {newest} was acknowledged"
+                "version {version} was read at {from} by a read that started at {started_at} ms, after version {newest} was acknowledged"
             );
             report(found, facts);
         }
@@ -122,7 +122,11 @@
     });
     for read in undisturbed_reads {
         if read.bytes.is_none() {
-            let facts = format!("no answer at {} from {} ms on", read.from, read.started_at.as_millis());
+            let facts = format!(
+                "no answer at {} to the read that started at {} ms",
+                read.from,
+                read.started_at.as_millis()
+            );
             found.push(Finding { rule: "not_read", facts });
         }
     }
--- a/crates/soak/src/checker/fault_attribution.rs
+++ b/crates/soak/src/checker/fault_attribution.rs
@@ -99,8 +99,8 @@
     is_control_undisturbed(records, from, until) && !is_affected
 }
 
-/// Whether the front-end node of an attempt must receive configurations in time: no fault of control, of its
-/// agent or of its processes is active during the attempt or has just ended.
+/// Whether the front-end node of an attempt must receive configurations in time: no fault of control, or
+/// of the agent or the proxy of that node, is active during the attempt or has just ended.
 pub fn is_routing_undisturbed(records: &RunRecords<'_>, attempt: &Attempt) -> bool {
     let (from, until) = (attempt.started_at, attempt.ended_at);
     let is_at_front = |fault: &ScheduledFault| fault.target % records.front_count == attempt.front;
--- a/crates/soak/src/checker/records.rs
+++ b/crates/soak/src/checker/records.rs
@@ -21,8 +21,8 @@
 pub struct HostedControl {
     /// The address at which the agent of each front-end node serves operators, by the index of the node.
     pub addresses: Vec<SocketAddr>,
-    /// The number of front-end nodes that host a replica; they are the first ones. The others forward to
-    /// them.
+    /// The number of front-end nodes that host a replica: the nodes with the lowest indices. The agents of
+    /// the other nodes redirect operators to them.
     pub replica_count: usize,
 }
 
--- a/crates/soak/src/checker/servers.rs
+++ b/crates/soak/src/checker/servers.rs
@@ -73,7 +73,7 @@
         if *first_holder != holder {
             found.push(Finding {
                 rule: "order",
-                facts: format!("token {token} of {first_holder} and {holder}"),
+                facts: format!("token {token} was used by two holders, {first_holder} and {holder}"),
             });
         }
         *counts.entry(order.instance).or_default() += 1;
@@ -85,8 +85,8 @@
     }
 }
 
-/// Checks that a sender whose token a server has refused, because it had seen a higher one, sends no more
-/// orders under that token to any server.
+/// Checks that a sender whose token a server has refused, because the server had received a higher token,
+/// sends no more orders under the refused token to any server.
 fn check_refused_tokens(records: &RunRecords<'_>, found: &mut Vec<Finding>) {
     let mut seen_tokens: BTreeMap<String, u64> = BTreeMap::new();
     let mut refused_at: BTreeMap<OrderSender, Duration> = BTreeMap::new();
--- a/crates/soak/src/checker_tests.rs
+++ b/crates/soak/src/checker_tests.rs
@@ -67,7 +67,7 @@
     }
 
     /// Adds the request `ab` to front-end node 0, sent at 10,000 ms and ended at 10,200 ms.
-    fn attempt(&mut self, behaviour: Behaviour, ending: AttemptEnd) -> &mut Attempt {
+    fn add_attempt(&mut self, behaviour: Behaviour, ending: AttemptEnd) -> &mut Attempt {
         let request = ClientRequest::post("ab", "shop.example", "/read/1", RequestKind::Safe);
         let mut outcome = request.outcome();
         outcome.ending = ending;
@@ -83,12 +83,13 @@
         self.attempts.last_mut().expect("an attempt was just added")
     }
 
-    fn arrive(&self, instance: &str, at: Duration) {
+    /// Records that the request `ab` arrived at a server.
+    fn record_arrival(&self, instance: &str, at: Duration) {
         self.request_log.record_arrival(Arrival {
             at,
             instance: instance.to_owned(),
             service: "board".to_owned(),
-            address: address(),
+            address: loopback_address(),
             request_id: Some("ab".to_owned()),
             method: "POST".to_owned(),
             target: "/read/1".to_owned(),
@@ -98,37 +99,41 @@
         });
     }
 
-    fn order(&self, body: &str) {
-        self.order_at(1, "i-0-1", body);
+    /// Records an order to the server `i-0-1` at 1 ms.
+    fn record_order(&self, body: &str) {
+        self.record_order_at(1, "i-0-1", body);
     }
 
-    fn order_at(&self, at: u64, instance: &str, body: &str) {
+    fn record_order_at(&self, at: u64, instance: &str, body: &str) {
         let (at, instance, body) = (ms(at), instance.to_owned(), body.to_owned());
         self.request_log.record_order(ReceivedOrder { at, instance, body });
     }
 }
 
-fn address() -> SocketAddr {
+/// The address of all operator reads, and the client address of all arrivals.
+fn loopback_address() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 9], 80))
 }
 
-fn bytes(version: u64) -> Vec<u8> {
+fn configuration_bytes(version: u64) -> Vec<u8> {
     ConfigurationSpec::new(version).to_bytes()
 }
 
-fn put(version: u64, base: u64, at: u64, outcome: CallOutcome) -> ConfigWrite {
-    let bytes = bytes(version).into();
+/// A write of a valid configuration, sent at `at` ms and ended 100 ms later.
+fn config_write(version: u64, base: u64, at: u64, outcome: CallOutcome) -> ConfigWrite {
+    let bytes = configuration_bytes(version).into();
     let (started_at, ended_at) = (ms(at), ms(at + 100));
     ConfigWrite { version, base, bytes, is_valid: true, started_at, ended_at, outcome, is_resend: false }
 }
 
-fn read(version: u64, at: u64) -> ConfigRead {
+/// An answered read, sent at `at` ms and ended 10 ms later.
+fn config_read(version: u64, at: u64) -> ConfigRead {
     ConfigRead {
-        from: address(),
-        reached: address(),
+        from: loopback_address(),
+        reached: loopback_address(),
         started_at: ms(at),
         ended_at: ms(at + 10),
-        bytes: Some(bytes(version)),
+        bytes: Some(configuration_bytes(version)),
     }
 }
 
@@ -144,7 +149,7 @@
 fn a_failed_request_is_reported_unless_a_fault_explains_it_and_a_log_line_records_it() {
     let mut fixture = RunFixture::new("");
     assert_eq!(fixture.findings(), []);
-    fixture.attempt(Behaviour::Steady, AttemptEnd::Truncated);
+    fixture.add_attempt(Behaviour::Steady, AttemptEnd::Truncated);
     let expected = [
         ("failed_without_cause", "ab /read/1 Steady front 0 10000..10200 ms Truncated None"),
         (
@@ -182,7 +187,7 @@
     #[case] schedule: &str, #[case] expected: &[&str],
 ) {
     let mut fixture = RunFixture::new(schedule);
-    fixture.attempt(Behaviour::Slow, AttemptEnd::Truncated);
+    fixture.add_attempt(Behaviour::Slow, AttemptEnd::Truncated);
     assert_eq!(fixture.rules(), expected);
 }
 
@@ -198,9 +203,9 @@
     #[case] schedule: &str, #[case] ending: AttemptEnd, #[case] has_arrived: bool, #[case] expected: &[&str],
 ) {
     let mut fixture = RunFixture::new(schedule);
-    fixture.attempt(Behaviour::Steady, ending);
+    fixture.add_attempt(Behaviour::Steady, ending);
     if has_arrived {
-        fixture.arrive("i-0-1", ms(10_050));
+        fixture.record_arrival("i-0-1", ms(10_050));
     }
     assert_eq!(fixture.rules(), expected);
 }
@@ -208,8 +213,8 @@
 #[test]
 fn clients_that_disconnect_may_fail_but_get_no_wrong_response() {
     let mut fixture = RunFixture::new("");
-    fixture.attempt(Behaviour::Stopping, AttemptEnd::Truncated);
-    fixture.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
+    fixture.add_attempt(Behaviour::Stopping, AttemptEnd::Truncated);
+    fixture.add_attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
     assert_eq!(fixture.findings(), []);
     fixture.attempts[0].outcome.failed_checks.push(FailedCheck::MissingStamp);
     let facts = "ab /read/1 Stopping front 0 10000..10200 ms Truncated [MissingStamp]";
@@ -220,7 +225,7 @@
 fn server_faults_explain_no_failed_request_after_the_recovery() {
     let mut fixture = RunFixture::new("server_dark 49500 1000 0 0");
     fixture.omitted_log_lines[0] = 1;
-    let attempt = fixture.attempt(Behaviour::Steady, AttemptEnd::Truncated);
+    let attempt = fixture.add_attempt(Behaviour::Steady, AttemptEnd::Truncated);
     (attempt.started_at, attempt.ended_at) = (ms(50_000), ms(50_100));
     assert_eq!(fixture.rules(), ["failed_after_healing"]);
     fixture.attempts[0].started_at = ms(49_999);
@@ -251,8 +256,8 @@
     #[case] schedule: &str, #[case] at: u64, #[case] expected: &[&str],
 ) {
     let mut fixture = RunFixture::new(schedule);
-    fixture.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
-    fixture.arrive("i-0-1", ms(at));
+    fixture.add_attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
+    fixture.record_arrival("i-0-1", ms(at));
     fixture.request_log.record_completion(Completion { at: ms(at), request_id: "ab".to_owned() });
     assert_eq!(fixture.rules(), expected);
 }
@@ -270,24 +275,27 @@
 ) {
     let mut fixture = RunFixture::new(schedule);
     fixture.drained_servers.push(DrainedServer { instance: "i-5-1".to_owned(), since: ms(5_000) });
-    fixture.arrive("i-5-1", ms(at));
-    fixture.arrive("i-6-1", ms(20_000));
+    fixture.record_arrival("i-5-1", ms(at));
+    fixture.record_arrival("i-6-1", ms(20_000));
     assert_eq!(fixture.rules(), expected);
 }
 
 #[test]
 fn two_holders_of_a_token_and_repeated_orders_are_reported() {
     let mut fixture = RunFixture::new("");
-    fixture.order(r#"{"Fence":4,"Holder":"a"}"#);
-    fixture.order(r#"{"Fence":5,"Holder":"b"}"#);
+    fixture.record_order(r#"{"Fence":4,"Holder":"a"}"#);
+    fixture.record_order(r#"{"Fence":5,"Holder":"b"}"#);
     assert_eq!(fixture.findings(), []);
-    fixture.order(r#"{"Fence":5,"Holder":"b"}"#);
+    fixture.record_order(r#"{"Fence":5,"Holder":"b"}"#);
     assert_eq!(fixture.findings(), [("to_and_fro", "3 orders to i-0-1".to_owned())]);
     fixture.schedule = Schedule::parse("reload 1 1 1 1").expect("the schedule is valid");
     assert_eq!(fixture.findings(), []);
-    fixture.order(r#"{"Fence":4,"Holder":"c"}"#);
-    fixture.order("{}");
-    let expected = [("order", "token 4 of a and c".to_owned()), ("order", "malformed order: {}".to_owned())];
+    fixture.record_order(r#"{"Fence":4,"Holder":"c"}"#);
+    fixture.record_order("{}");
+    let expected = [
+        ("order", "token 4 was used by two holders, a and c".to_owned()),
+        ("order", "malformed order: {}".to_owned()),
+    ];
     assert_eq!(fixture.findings(), expected);
 }
 
@@ -303,40 +311,44 @@
     #[case] schedule: &str, #[case] expected: &[&str],
 ) {
     let fixture = RunFixture::new(schedule);
-    fixture.operator_log.record_write(put(2, 1, 10_000, CallOutcome::Unknown));
-    fixture.operator_log.record_write(ConfigWrite { ended_at: ms(14_000), ..put(3, 2, 10_000, refused()) });
-    fixture.operator_log.record_write(ConfigWrite { ended_at: ms(14_001), ..put(4, 3, 10_000, refused()) });
-    fixture.operator_log.record_read(ConfigRead { bytes: None, ..read(1, 10_000) });
+    fixture.operator_log.record_write(config_write(2, 1, 10_000, CallOutcome::Unknown));
+    fixture
+        .operator_log
+        .record_write(ConfigWrite { ended_at: ms(14_000), ..config_write(3, 2, 10_000, refused()) });
+    fixture
+        .operator_log
+        .record_write(ConfigWrite { ended_at: ms(14_001), ..config_write(4, 3, 10_000, refused()) });
+    fixture.operator_log.record_read(ConfigRead { bytes: None, ..config_read(1, 10_000) });
     assert_eq!(fixture.rules(), expected);
 }
 
 #[rstest]
-#[case::consistent(vec![put(2, 1, 100, acknowledged()), put(3, 2, 300, CallOutcome::Unknown)], vec![read(1, 50), read(3, 500)], &[])]
-#[case::invalid(vec![ConfigWrite { is_valid: false, ..put(2, 1, 100, acknowledged()) }], vec![],
+#[case::consistent(vec![config_write(2, 1, 100, acknowledged()), config_write(3, 2, 300, CallOutcome::Unknown)], vec![config_read(1, 50), config_read(3, 500)], &[])]
+#[case::invalid(vec![ConfigWrite { is_valid: false, ..config_write(2, 1, 100, acknowledged()) }], vec![],
     &["version 2 is invalid and was acknowledged"])]
-#[case::two_on_one_base(vec![put(2, 1, 100, acknowledged()), put(3, 1, 100, acknowledged())], vec![],
-    &["versions 2 and 3 on 1 were both acknowledged"])]
-#[case::refused_later(vec![ConfigWrite { is_resend: true, ..put(2, 1, 100, refused()) }], vec![],
+#[case::two_on_one_base(vec![config_write(2, 1, 100, acknowledged()), config_write(3, 1, 100, acknowledged())], vec![],
+    &["versions 2 and 3 on base 1 were both acknowledged"])]
+#[case::refused_later(vec![ConfigWrite { is_resend: true, ..config_write(2, 1, 100, refused()) }], vec![],
     &["version 2 was acknowledged and then refused: Refused(Response { status: 409, headers: Headers([]), body: [] })"])]
-#[case::never_written(vec![], vec![read(9, 100)], &["version 9 was read with bytes that were never written"])]
-#[case::other_bytes(vec![ConfigWrite { bytes: bytes(7).into(), ..put(2, 1, 100, acknowledged()) }], vec![read(2, 300)],
+#[case::never_written(vec![], vec![config_read(9, 100)], &["version 9 was read with bytes that were never written"])]
+#[case::other_bytes(vec![ConfigWrite { bytes: configuration_bytes(7).into(), ..config_write(2, 1, 100, acknowledged()) }], vec![config_read(2, 300)],
     &["version 2 was read with bytes that were never written"])]
-#[case::no_configuration(vec![], vec![ConfigRead { bytes: Some(b"none".to_vec()), ..read(1, 100) }],
+#[case::no_configuration(vec![], vec![ConfigRead { bytes: Some(b"none".to_vec()), ..config_read(1, 100) }],
     &["an invalid configuration was read at 127.0.0.9:80"])]
-#[case::read_though_refused(vec![put(2, 1, 100, refused())], vec![read(2, 300)],
+#[case::read_though_refused(vec![config_write(2, 1, 100, refused())], vec![config_read(2, 300)],
     &["version 2 was read although it was refused: Refused(Response { status: 409, headers: Headers([]), body: [] })"])]
-#[case::older_than_acknowledged(vec![put(2, 1, 100, acknowledged())], vec![read(1, 201)],
-    &["version 1 was read at 127.0.0.9:80 from 201 ms on, after version 2 was acknowledged"])]
-#[case::concurrent_with_the_acknowledgement(vec![put(2, 1, 100, acknowledged())], vec![read(1, 200)], &[])]
-#[case::older_than_read_before(vec![put(2, 1, 100, CallOutcome::Unknown)], vec![read(2, 300), read(1, 311)],
+#[case::older_than_acknowledged(vec![config_write(2, 1, 100, acknowledged())], vec![config_read(1, 201)],
+    &["version 1 was read at 127.0.0.9:80 by a read that started at 201 ms, after version 2 was acknowledged"])]
+#[case::concurrent_with_the_acknowledgement(vec![config_write(2, 1, 100, acknowledged())], vec![config_read(1, 200)], &[])]
+#[case::older_than_read_before(vec![config_write(2, 1, 100, CallOutcome::Unknown)], vec![config_read(2, 300), config_read(1, 311)],
     &["version 1 was read at 127.0.0.9:80 after version 2"])]
-#[case::concurrent_reads(vec![put(2, 1, 100, CallOutcome::Unknown)], vec![read(2, 300), read(1, 310)], &[])]
+#[case::concurrent_reads(vec![config_write(2, 1, 100, CallOutcome::Unknown)], vec![config_read(2, 300), config_read(1, 310)], &[])]
 fn inconsistent_writes_and_stale_reads_are_reported(
     #[case] writes: Vec<ConfigWrite>, #[case] reads: Vec<ConfigRead>, #[case] expected: &[&str],
 ) {
     // A fault of control during the whole run explains all findings but those of the rule `configuration`.
     let fixture = RunFixture::new("control_kill 0 60000 0 0");
-    writes.into_iter().for_each(|put| fixture.operator_log.record_write(put));
+    writes.into_iter().for_each(|write| fixture.operator_log.record_write(write));
     reads.into_iter().for_each(|read| fixture.operator_log.record_read(read));
     let expected: Vec<(&str, String)> =
         expected.iter().map(|facts| ("configuration", (*facts).to_owned())).collect();
@@ -370,13 +382,13 @@
     let mut fixture = RunFixture::new(schedule);
     let addresses: Vec<SocketAddr> = (0..4).map(operator_address).collect();
     fixture.hosted_control = HostedControl { addresses: addresses.clone(), replica_count: 3 };
-    fixture.operator_log.record_write(put(2, 1, 10_000, CallOutcome::Unknown));
+    fixture.operator_log.record_write(config_write(2, 1, 10_000, CallOutcome::Unknown));
     for from in &addresses {
         fixture.operator_log.record_read(ConfigRead {
             from: *from,
             reached: *from,
             bytes: None,
-            ..read(1, 10_000)
+            ..config_read(1, 10_000)
         });
     }
     let front_of = |facts: &str| addresses.iter().position(|address| facts.contains(&address.to_string()));
@@ -405,11 +417,11 @@
     #[case] sent: u64, #[case] service: &str, #[case] schedule: &str, #[case] expected: &[&str],
 ) {
     let mut fixture = RunFixture::new(schedule);
-    fixture.operator_log.record_write(put(8, 1, 10_000, acknowledged()));
-    fixture.operator_log.record_write(put(9, 8, 10_200, acknowledged()));
+    fixture.operator_log.record_write(config_write(8, 1, 10_000, acknowledged()));
+    fixture.operator_log.record_write(config_write(9, 8, 10_200, acknowledged()));
     let request = ClientRequest::post("ab", "shop.example", "/move/1", RequestKind::Unsafe);
     let content_hash = request.outcome().content_hash;
-    let attempt = fixture.attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
+    let attempt = fixture.add_attempt(Behaviour::Leaving, AttemptEnd::TimedOut);
     attempt.outcome = request.outcome();
     (attempt.started_at, attempt.ended_at) = (ms(sent), ms(sent + 200));
     fixture.request_log.record_execution(Execution {
@@ -439,9 +451,9 @@
     // The reload avoids a finding of the rule `to_and_fro`: in a run without faults, three orders to one
     // server are reported.
     let fixture = RunFixture::new(&format!("reload 1 1 1 1\n{schedule}"));
-    fixture.order_at(900, "i-0-1", r#"{"Fence":9,"Holder":"stranger"}"#);
-    fixture.order_at(1_000, "i-0-1", r#"{"Fence":4,"Holder":"a"}"#);
-    fixture.order_at(at, instance, &format!(r#"{{"Fence":{token},"Holder":"a"}}"#));
+    fixture.record_order_at(900, "i-0-1", r#"{"Fence":9,"Holder":"stranger"}"#);
+    fixture.record_order_at(1_000, "i-0-1", r#"{"Fence":4,"Holder":"a"}"#);
+    fixture.record_order_at(at, instance, &format!(r#"{{"Fence":{token},"Holder":"a"}}"#));
     assert_eq!(fixture.rules(), expected);
 }
 
@@ -456,6 +468,6 @@
     let addresses = (0..4).map(operator_address).collect();
     fixture.hosted_control = HostedControl { addresses, replica_count: 3 };
     let (from, reached) = (operator_address(3), operator_address(reached));
-    fixture.operator_log.record_read(ConfigRead { from, reached, bytes: None, ..read(1, 10_000) });
+    fixture.operator_log.record_read(ConfigRead { from, reached, bytes: None, ..config_read(1, 10_000) });
     assert_eq!(fixture.rules(), expected);
 }
--- a/crates/soak/src/command_line.rs
+++ b/crates/soak/src/command_line.rs
@@ -141,6 +141,6 @@
 }
 
 fn read_schedule(path: &str) -> Result<Schedule> {
-    let text = std::fs::read_to_string(path).wrap_err_with(|| path.to_owned())?;
+    let text = std::fs::read_to_string(path).wrap_err_with(|| format!("cannot read the schedule {path}"))?;
     Schedule::parse(&text).map_err(|error| eyre!("cannot parse the schedule {path}: {error}"))
 }
--- a/crates/soak/src/fault_injection.rs
+++ b/crates/soak/src/fault_injection.rs
@@ -24,8 +24,8 @@
 
 /// A scheduled fault that is active, with the machines and servers that it affects.
 ///
-/// They are selected once, at the injection, so later changes of the fleet do not change what a fault
-/// affects.
+/// The machines and servers are selected once, at the injection, so later changes of the fleet do not change
+/// what a fault affects.
 #[derive(Debug)]
 pub struct ActiveFault {
     /// The scheduled fault.
@@ -168,7 +168,7 @@
                 fleet.limit_descriptors(control, DescriptorLimit::Exhausted)
             }
             FaultKind::ControlDiskFull => fleet.limit_disk(control, DiskLimit::Full),
-            // `inject` sends no other kind here.
+            // `inject` calls this function for no other kind.
             _ => Ok(()),
         }
     }
@@ -191,7 +191,7 @@
                 self.idle_connections = open_idle_connections(fleet.cluster.front_address(self.front)).await;
                 Ok(())
             }
-            // `inject` sends no other kind here.
+            // `inject` calls this function for no other kind.
             _ => Ok(()),
         }
     }
@@ -223,7 +223,7 @@
             ),
             FaultKind::IdleConnectionRace => servers.set_drops_idle_connections(true),
             FaultKind::HigherFencingToken => servers.send_foreign_order(self.server).await,
-            // `inject` sends no other kind here.
+            // `inject` calls this function for no other kind.
             _ => {}
         }
     }
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -115,8 +115,8 @@
         Ok(())
     }
 
-    /// The addresses that operators call: the control nodes in use, and the front-end nodes, which forward to
-    /// them.
+    /// The addresses that operators call: the control nodes in use and, if front-end nodes host control, the
+    /// gateways of the front-end nodes that do not.
     pub fn operator_addresses(&self) -> Vec<SocketAddr> {
         let control_nodes = self.control_nodes.iter().map(|index| self.cluster.control_address(*index));
         control_nodes.chain(self.cluster.gateway_addresses()).collect()
--- a/crates/soak/src/harness.rs
+++ b/crates/soak/src/harness.rs
@@ -34,7 +34,7 @@
     pub requests: usize,
     /// The number of requests with a complete 2xx response.
     pub successes: usize,
-    /// The number of configurations that operators wrote.
+    /// The number of writes that operators sent, including those that were refused or repeated.
     pub changes: usize,
     /// The number of reads of the configuration that were answered.
     pub reads: usize,
--- a/crates/soak/src/link_faults.rs
+++ b/crates/soak/src/link_faults.rs
@@ -7,12 +7,13 @@
 use std::net::Ipv4Addr;
 use std::time::Duration;
 
-/// The number of bits of the fault's draws that determine a partition. The index of a node selects the bit
-/// for its group.
+/// The number of low bits of the drawn target and peer of a fault that determine a partition. The index of a
+/// node selects the bit that is the group of the node.
 const PARTITION_BITS: usize = 6;
-/// The minimum latency of [`FaultKind::PairLatency`], in ms, and the latency that each unit of the fault's
-/// peer draw adds.
+/// The minimum latency of [`FaultKind::PairLatency`], in ms.
 const MIN_DELAY_MS: u64 = 20;
+/// The latency that each unit of [`ScheduledFault::peer`](crate::fault::ScheduledFault::peer) adds to
+/// [`MIN_DELAY_MS`], in ms.
 const DELAY_STEP_MS: u64 = 4;
 
 /// A link, and the state that a fault sets it to.
@@ -32,6 +33,7 @@
     }
 }
 
+/// The rank of a state among the states that several faults require of one link; the highest applies.
 fn severity(state: LinkState) -> u8 {
     match state {
         LinkState::Open => 0,
--- a/crates/soak/src/link_proxy.rs
+++ b/crates/soak/src/link_proxy.rs
@@ -3,7 +3,7 @@
 //!
 //! A [`LinkProxy`] listens at the public address of a machine. The process of the machine listens at another
 //! address, from which it also opens its own connections. The proxy therefore knows the machines at both ends
-//! of a connection, and with them its two links.
+//! of a connection, and thus the two links that the connection uses.
 
 use socket2::SockRef;
 use std::collections::HashMap;
@@ -52,7 +52,7 @@
 #[derive(Clone, Debug)]
 pub struct LinkTable {
     states: Arc<Mutex<HashMap<Link, LinkState>>>,
-    /// The number of changes. It wakes the tasks that wait for a change.
+    /// The number of changes so far. Each update wakes the tasks that wait for a change.
     changes: watch::Sender<u64>,
 }
 
@@ -176,7 +176,7 @@
     }
 }
 
-/// Makes the end of a socket a reset (RST) instead of an orderly close (FIN).
+/// Makes the socket send a reset (RST) instead of an orderly close (FIN) when it is dropped.
 fn reset_on_close(stream: &TcpStream) {
     // An error means that the socket is already closed and needs no reset.
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
--- a/crates/soak/src/link_proxy_tests.rs
+++ b/crates/soak/src/link_proxy_tests.rs
@@ -8,6 +8,7 @@
 const SERVER_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 1);
 const CLIENT_IP: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
+/// A server, and a link proxy that listens at `public` and forwards to the server.
 struct ProxyFixture {
     links: LinkTable,
     public: SocketAddr,
@@ -15,29 +16,31 @@
     _proxy: LinkProxy,
 }
 
-async fn fixture() -> ProxyFixture {
-    let server = TcpListener::bind((SERVER_IP, 0)).await.expect("a free port");
-    let port = TcpListener::bind((SERVER_IP, 0))
+async fn start_proxy() -> ProxyFixture {
+    let server = TcpListener::bind((SERVER_IP, 0)).await.expect("the listener binds to a free port");
+    let public = TcpListener::bind((SERVER_IP, 0))
         .await
-        .expect("a free port")
+        .expect("the listener binds to a free port")
         .local_addr()
-        .expect("the socket address is available");
+        .expect("the listener has a local address");
     let links = LinkTable::default();
-    let proxy = LinkProxy::start(&links, port, server.local_addr().expect("the socket address is available"))
-        .await
-        .expect("the link proxy starts");
-    ProxyFixture { links, public: port, server, _proxy: proxy }
+    let proxy =
+        LinkProxy::start(&links, public, server.local_addr().expect("the listener has a local address"))
+            .await
+            .expect("the link proxy starts");
+    ProxyFixture { links, public, server, _proxy: proxy }
 }
 
+/// Connects from [`CLIENT_IP`], which is how a link proxy recognizes the client.
 async fn connect(to: SocketAddr) -> TcpStream {
     let socket = TcpSocket::new_v4().expect("a socket is created");
-    socket.bind(SocketAddr::from((CLIENT_IP, 0))).expect("the socket address is available");
+    socket.bind(SocketAddr::from((CLIENT_IP, 0))).expect("the socket binds to the client address");
     socket.connect(to).await.expect("the connection is established")
 }
 
 #[tokio::test]
 async fn a_blackholed_link_delays_bytes_in_its_direction_only() {
-    let fixture = fixture().await;
+    let fixture = start_proxy().await;
     let mut client = connect(fixture.public).await;
     let (mut server, _) = fixture.server.accept().await.expect("the connection is established");
     fixture.links.set(Link { from: CLIENT_IP, to: SERVER_IP }, LinkState::Blackholed);
@@ -56,7 +59,7 @@
 
 #[tokio::test]
 async fn a_reset_link_resets_open_connections_and_new_ones() {
-    let fixture = fixture().await;
+    let fixture = start_proxy().await;
     let mut client = connect(fixture.public).await;
     let (mut server, _) = fixture.server.accept().await.expect("the connection is established");
     fixture.links.set(Link { from: SERVER_IP, to: CLIENT_IP }, LinkState::Reset);
@@ -68,7 +71,7 @@
 
 #[tokio::test]
 async fn a_connection_opened_over_a_blackholed_link_is_established_once_the_link_opens() {
-    let fixture = fixture().await;
+    let fixture = start_proxy().await;
     fixture.links.set(Link { from: SERVER_IP, to: CLIENT_IP }, LinkState::Blackholed);
     let mut client = connect(fixture.public).await;
     client.write_all(b"there").await.expect("the write succeeds");
--- a/crates/soak/src/process_monitor.rs
+++ b/crates/soak/src/process_monitor.rs
@@ -63,8 +63,8 @@
     }
 
     /// Reports several holders of one lease. The processes were observed one after the other, so the first
-    /// may have lost the lease before the last was observed. It is a violation only if the first still holds
-    /// the lease afterwards.
+    /// may have lost the lease before the last was observed. Several holders are a violation only if the
+    /// first process still holds the lease afterwards.
     async fn check_lease_holders(&mut self, fleet: &Fleet, holders: &[ProcessId]) {
         let [first, _, ..] = holders else { return };
         let text = timeout(METRICS_TIMEOUT, metrics_of(fleet, *first)).await.ok().flatten();
@@ -83,7 +83,9 @@
             let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
             let (threads, resident) = (proc_field(&status, "Threads:"), proc_field(&status, "VmRSS:"));
             if descriptors > MAX_DESCRIPTORS || threads > MAX_THREADS || resident > MAX_RESIDENT_KB {
-                let facts = format!("{name}: {descriptors} descriptors, {threads} threads, {resident} KB");
+                let facts = format!(
+                    "{name}: {descriptors} descriptors (at most {MAX_DESCRIPTORS}), {threads} threads (at most {MAX_THREADS}), {resident} KB resident (at most {MAX_RESIDENT_KB})"
+                );
                 self.report("bounds", facts);
             }
         }
--- a/crates/soak/src/recovery.rs
+++ b/crates/soak/src/recovery.rs
@@ -100,7 +100,9 @@
         is_resend: false,
     });
     if outcome.status() != Some(200) {
-        return failed(format!("the write of version {version} on {base} was not acknowledged: {outcome:?}"));
+        return failed(format!(
+            "the write of version {version} on base {base} was not acknowledged: {outcome:?}"
+        ));
     }
     await_propagation(fleet, version).await
 }
--- a/crates/soak/src/report.rs
+++ b/crates/soak/src/report.rs
@@ -26,14 +26,16 @@
 /// Statistics over many runs.
 #[derive(Debug, Default)]
 pub struct Summary {
+    /// The number of seeds that were run.
     seeds: usize,
+    /// The seeds with findings.
     failed: BTreeSet<u64>,
     requests: usize,
     successes: usize,
     changes: usize,
     reads: usize,
     faults: BTreeMap<FaultKind, usize>,
-    /// The pairs of fault kinds that were active at the same time, with the smaller kind first.
+    /// The pairs of fault kinds whose scheduled times overlapped, with the smaller kind first.
     overlapping: BTreeSet<(FaultKind, FaultKind)>,
     /// The number of findings by rule.
     violations: BTreeMap<&'static str, usize>,
@@ -76,8 +78,8 @@
         writeln!(f, "seeds {}, failed {} {:?}", self.seeds, self.failed.len(), self.failed)?;
         writeln!(f, "requests {}, successes {}", self.requests, self.successes)?;
         writeln!(f, "changes {}, reads {}", self.changes, self.reads)?;
-        let possible = FaultKind::ALL.len() * (FaultKind::ALL.len() + 1) / 2;
-        writeln!(f, "pairs of fault kinds that overlapped {} of {possible}", self.overlapping.len())?;
+        let possible_pairs = FaultKind::ALL.len() * (FaultKind::ALL.len() + 1) / 2;
+        writeln!(f, "pairs of fault kinds that overlapped {} of {possible_pairs}", self.overlapping.len())?;
         for (kind, count) in &self.faults {
             writeln!(f, "  {:<18}{count}", kind.name())?;
         }
--- a/crates/soak/src/report_tests.rs
+++ b/crates/soak/src/report_tests.rs
@@ -21,16 +21,16 @@
 #[test]
 fn a_run_folder_holds_schedule_findings_ledger_and_logs() {
     let folder = std::env::temp_dir().join(format!("lugwharf-soak-report-{}", std::process::id()));
-    write_run_folder(&folder, &outcome()).expect("the run folder is accessible");
+    write_run_folder(&folder, &outcome()).expect("the run folder is written");
     let mut files: Vec<(String, String)> = std::fs::read_dir(&folder)
-        .expect("the run folder is accessible")
+        .expect("the run folder is listed")
         .map(|file| file.expect("the directory entry is readable"))
         .map(|file| {
             let text = std::fs::read_to_string(file.path()).expect("the file is readable text");
             (file.file_name().to_string_lossy().into_owned(), text)
         })
         .collect();
-    std::fs::remove_dir_all(&folder).expect("the run folder is accessible");
+    std::fs::remove_dir_all(&folder).expect("the run folder is removed");
     files.sort();
     let expected = [
         ("findings.txt", "drain: i-5-1\n"),
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -18,8 +18,9 @@
 const PAUSE_MS: std::ops::Range<u64> = 0..1_200;
 /// The shortest duration of a fault, in ms.
 const MIN_DURATION_MS: u64 = 300;
-/// The longest duration of a fault, in ms. It exceeds the leases, heartbeat intervals and timeouts of all
-/// processes.
+/// The upper bound of the drawn duration of a fault, in ms, not included. A drain lasts [`DRAIN_DURATION`]
+/// longer. The bound exceeds the heartbeat intervals of all processes, and `LeaseMs` (3,000), `ContactMs`
+/// (3,000), `CatchUpS` (4 s) and `AckMs` (4,000) of the fleet's settings.
 const MAX_DURATION_MS: u64 = 4_500;
 /// How long a draining server continues to run: `DrainMs` of the fleet's settings (3,000 ms) and a margin of
 /// 500 ms. Front-end nodes must stop sending to it earlier.
@@ -27,8 +28,9 @@
 /// The maximum number of disk losses in a run. With a fault tolerance of one, a second loss is tolerated only
 /// after a replica has caught up with the history again.
 const MAX_DISK_LOSSES: usize = 1;
-/// Targets and peers are drawn below this value, and later taken modulo the number of machines.
-const SELECTORS: usize = 64;
+/// The number of values that the target and the peer of a fault are drawn from. Both are later taken modulo
+/// the number of machines or servers.
+const SELECTOR_COUNT: usize = 64;
 
 /// The maximum number of faults that are active at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -151,11 +153,18 @@
     // No kind is left if only kinds that lose a disk were selected and a disk has been lost. A reload of the
     // settings disrupts nothing.
     let kind = rng.choice(&allowed).copied().unwrap_or(FaultKind::Reload);
+    // Short, medium and long faults are equally likely.
     let duration = Duration::from_millis(match rng.u32(..3) {
         0 => rng.u64(MIN_DURATION_MS..800),
         1 => rng.u64(800..2_000),
         _ => rng.u64(2_000..MAX_DURATION_MS),
     });
     let duration = if kind == FaultKind::ServerDrain { duration + DRAIN_DURATION } else { duration };
-    ScheduledFault { kind, start, duration, target: rng.usize(..SELECTORS), peer: rng.usize(..SELECTORS) }
+    ScheduledFault {
+        kind,
+        start,
+        duration,
+        target: rng.usize(..SELECTOR_COUNT),
+        peer: rng.usize(..SELECTOR_COUNT),
+    }
 }
--- a/crates/soak/src/timeline.rs
+++ b/crates/soak/src/timeline.rs
@@ -61,7 +61,7 @@
     fleet: &'a mut Fleet,
     operators: &'a Operators,
     monitor: &'a mut ProcessMonitor,
-    /// The schedule as it was drawn. Its times are since the start of the run.
+    /// The schedule to run. Its times are since the start of the run.
     schedule: Schedule,
     steps: Vec<Step>,
     injected: Vec<InjectedFault>,
