--- a/crates/model/src/chain/bounds.rs
+++ b/crates/model/src/chain/bounds.rs
@@ -15,8 +15,8 @@
 /// Limits the states that a search visits.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Bounds {
-    /// The changes that operators submit, any number of times, to any head. A change that is based on another
-    /// one is submitted only after that one has been acknowledged.
+    /// The changes that operators submit, any number of times, to any replica that serves as the head. A
+    /// change that is based on another is submitted only after the other has been acknowledged.
     pub changes: [Change; CHANGE_COUNT],
     /// How many of `changes` are submitted, counted from the first.
     pub change_count: u8,
--- a/crates/model/src/chain/faults.rs
+++ b/crates/model/src/chain/faults.rs
@@ -13,7 +13,7 @@
         self.sync_records(machine, steps);
         self.restart(machine, steps);
         self.lose_disk(machine, steps);
-        self.leave_for_good(machine, steps);
+        self.leave_permanently(machine, steps);
     }
 
     fn sync_records(&self, machine: usize, steps: &mut Steps<'_>) {
@@ -66,7 +66,7 @@
     }
 
     /// A member leaves permanently, and its disk is no longer available.
-    fn leave_for_good(&self, machine: usize, steps: &mut Steps<'_>) {
+    fn leave_permanently(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
         let is_replaced = (0..MACHINE_COUNT - 1).any(|view_index| {
--- a/crates/model/src/chain/identity.rs
+++ b/crates/model/src/chain/identity.rs
@@ -7,8 +7,8 @@
 /// The identity of the machine that is not a member of the first view.
 pub const INITIAL_LEARNER: Identity = 3;
 
-/// A machine together with its disk. Machine `m` has identity `m`, and `m + MACHINE_COUNT` after it lost its
-/// disk.
+/// The identity of a machine together with its disk. Machine `m` has identity `m`, and `m + MACHINE_COUNT`
+/// after it lost its disk.
 pub type Identity = u8;
 
 /// The index of the machine that an identity belongs to.
--- a/crates/model/src/chain/message.rs
+++ b/crates/model/src/chain/message.rs
@@ -9,6 +9,8 @@
     /// Phase 1a of Paxos for view `instance`.
     Prepare { instance: u8, proposal: ProposalNumber },
     /// Phase 1b: the sender accepts no lower proposal, and stops serving in view `instance - 1`.
+    /// `accepted` and `installed` are those of the sender's records, `last_index` is the length of its
+    /// history.
     Promise {
         instance: u8,
         proposal: ProposalNumber,
--- a/crates/model/src/chain/node.rs
+++ b/crates/model/src/chain/node.rs
@@ -47,13 +47,14 @@
     pub identity: Identity,
     /// Whether the machine has left permanently.
     pub has_left: bool,
-    /// The contents of its log, synced or not.
+    /// The contents of the machine's log, synced or not.
     pub records: Records,
     /// The proposal in progress, if any.
     pub attempt: Option<ProposalAttempt>,
     /// The highest round that the machine has proposed or promised.
     pub highest_round: u8,
-    /// Whether the machine is a replica of the chain and knows that all its replicas hold the history.
+    /// Whether the machine is a replica of the chain and knows that all replicas of the chain hold the
+    /// history.
     pub is_serving: bool,
     /// The request that waits for the confirmation of the view, if any.
     pub pending_confirmation: Option<PendingConfirmation>,
--- a/crates/model/src/chain/property.rs
+++ b/crates/model/src/chain/property.rs
@@ -50,9 +50,9 @@
         records.installed < view || records.history.items().get(position) == Some(&change)
     };
     let present = state.nodes.iter().filter(|node| !node.has_left);
-    let mut all =
+    let mut all_records =
         present.flat_map(|node| [&node.records, state.synced_records_of(machine_of(node.identity))]);
-    all.all(holds)
+    all_records.all(holds)
 }
 
 /// Whether the committed entry at `position` is on the disk of some member of the newest view. The next
--- a/crates/model/src/chain/proposer.rs
+++ b/crates/model/src/chain/proposer.rs
@@ -63,6 +63,7 @@
             .filter_map(|message| promise_for(message, &current, attempt.proposal))
             .collect();
         let mut chosen: Vec<View> = Vec::new();
+        // The proposer may act on the promises of any majority, so each subset of the promises is tried.
         for subset in 0..1_u32 << promises.len() {
             let indexed = promises.iter().enumerate();
             let received: Vec<ReceivedPromise> =
--- a/crates/model/src/chain/pruning.rs
+++ b/crates/model/src/chain/pruning.rs
@@ -9,8 +9,9 @@
 impl State {
     /// Removes the messages in flight that no machine would act on.
     pub fn prune(&mut self, guards: Guards) {
-        // Without these guards a delayed message may be taken as part of a new proposal, or be addressed to a
-        // member that lost its disk and with it the record that it had acted on the message.
+        // Without these guards a delayed message may still have an effect: it may be taken as part of a new
+        // proposal, or reach a member that has lost its disk, and so no longer knows that it has already
+        // acted on the message.
         if !guards.proposals_are_unique() || !guards.has(Guard::NewDiskNewIdentity) {
             return;
         }
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The written and the synced records of an identity; none if it has left or its disk was lost.
+    /// The written and the synced records of an identity; none if the machine has left or has lost this disk.
     fn records_of(&self, identity: Identity) -> impl Iterator<Item = &Records> {
         let machine = machine_of(identity);
         let node = &self.nodes[machine];
@@ -58,8 +59,8 @@
         [&node.records, self.synced_records_of(machine)].into_iter().filter(move |_| is_present)
     }
 
-    /// Whether a member that votes on view `instance`, now or once it has entered the previous view, would
-    /// act.
+    /// Whether a member would act on a message about view `instance`, now or once it has entered the previous
+    /// view. `acts` tells whether a member in the previous view would act, given its records.
     fn has_receiving_acceptor(&self, instance: u8, acts: impl Fn(&Records) -> bool) -> bool {
         let members = self.decided_views[usize::from(instance) - 2].members;
         members.iter().any(|member| {
--- a/crates/model/src/chain/replication.rs
+++ b/crates/model/src/chain/replication.rs
@@ -33,9 +33,9 @@
         }
     }
 
-    /// Performs the actions that follow from the synced records of a machine. It announces which history it
-    /// has installed; a serving replica then forwards its last uncommitted entry to its successor, and the
-    /// tail commits it.
+    /// Performs the actions that follow from the synced records of a machine. The machine announces which
+    /// history it has installed. A serving replica then forwards its last entry to its successor if the entry
+    /// is uncommitted, and the tail commits it.
     pub(super) fn act_on_synced_records(&self, state: &mut State, machine: usize) {
         let synced = *state.synced_records_of(machine);
         let node = state.nodes[machine];
--- a/crates/model/src/chain/requests.rs
+++ b/crates/model/src/chain/requests.rs
@@ -24,7 +24,7 @@
     pub(super) fn submit_change(&self, machine: usize, change: u8, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
-        if !self.is_serving_head(node) || !self.may_have_been_sent(state, change) {
+        if !self.is_serving_head(node) || !self.may_be_submitted(state, change) {
             return;
         }
         let history = node.records.history;
@@ -51,8 +51,8 @@
         });
     }
 
-    /// Whether an operator may have submitted the change: its base has been acknowledged.
-    fn may_have_been_sent(&self, state: &State, change: u8) -> bool {
+    /// Whether an operator may submit the change: the change has no base, or its base has been acknowledged.
+    fn may_be_submitted(&self, state: &State, change: u8) -> bool {
         let base = self.bounds.changes[usize::from(change)].base;
         let is_base = |other: &u8| self.bounds.changes[usize::from(*other)].version == base;
         base == 0 || state.committed.items().iter().any(is_base)
@@ -122,7 +122,8 @@
         }
     }
 
-    /// Answers the pending read or rejection of a machine once a majority has confirmed the view.
+    /// Answers the pending read or rejection of a machine once a majority has confirmed the view. A change
+    /// whose base has become known meanwhile is not rejected; operators may submit it again.
     pub(super) fn answer_confirmed(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
--- a/crates/model/src/chain/state.rs
+++ b/crates/model/src/chain/state.rs
@@ -24,8 +24,8 @@
     pub in_flight: Vec<Message>,
     /// The decided views; view `n` is at index `n - 1`.
     pub decided_views: [View; MAX_VIEWS],
-    /// The replicas that have announced that they hold the history of a view on disk; view `n` is at index `n
-    /// - 1`.
+    /// The replicas that have announced that they hold the history of a view on disk. As in `decided_views`,
+    /// view `n` is at index `n - 1`.
     pub installed_members: [SmallSet; MAX_VIEWS],
     /// The committed changes. A commit and its acknowledgement are one step.
     pub committed: History,
@@ -104,7 +104,7 @@
     /// Puts a message in flight.
     pub fn send(&mut self, message: Message) {
         if let Err(position) = self.in_flight.binary_search(&message) {
-            // Without spare capacity: a search keeps millions of states, and most receive no further message.
+            // Reserves no spare capacity: a search keeps millions of states, and most get no further message.
             self.in_flight.reserve_exact(1);
             self.in_flight.insert(position, message);
         }
@@ -122,7 +122,7 @@
     }
 
     /// The number of committed entries at the start of a history. Replicas learn of commits later, but no
-    /// other step depends on when.
+    /// other step depends on when they do.
     pub fn committed_prefix_len(&self, history: &History) -> usize {
         let both = history.items().iter().zip(self.committed.items());
         both.take_while(|(entry, committed)| entry == committed).count()
--- a/crates/model/src/chain/view.rs
+++ b/crates/model/src/chain/view.rs
@@ -51,7 +51,7 @@
     pub source: Identity,
     /// The earlier views that may have been the last view to serve, newest first.
     pub lineage: [Ancestor; MAX_VIEWS - 1],
-    /// The newest view before those of `lineage` that may have served.
+    /// The newest view before those of `lineage`, which is treated as a view that has served; 0 for none.
     pub base: u8,
 }
 
--- a/crates/model/src/chain/view_change.rs
+++ b/crates/model/src/chain/view_change.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether the rest of the run can depend on a machine entering a view. A machine that does not vote,
-    /// replicate or confirm in the view has the same effect as one that never enters it.
+    /// replicate or confirm in the view has the same effect as a machine that never enters the view.
     fn is_adoption_observable(&self, state: &State, node: &Node, view: &View) -> bool {
         let has_vote =
             state.remaining_proposals.get(usize::from(view.number) - 1).is_some_and(|left| *left > 0);
--- a/crates/model/src/chain/view_planning.rs
+++ b/crates/model/src/chain/view_planning.rs
@@ -52,6 +52,7 @@
         let current = proposer.records.view;
         let (lineage, base) = self.lineage_after(&current, has_served, promises);
         let newest = lineage[0].number;
+        // The newest view that may have served. The source must have installed its history or a later one.
         let floor = if newest > 0 { newest } else { base };
         let floor = if self.guards.has(Guard::SourceHoldsNewestHistory) { floor } else { 0 };
         let eligible = promises.iter().filter(|promise| promise.installed >= floor);
@@ -68,9 +69,9 @@
     }
 
     /// The lineage and the base of the view after `view`: the views that may have been the last view to
-    /// serve, newest first, and the newest view before those. A view whose chain includes a replica that has
-    /// promised but not installed the history of the view has not served and, since that replica is sealed,
-    /// never will.
+    /// serve, newest first, and the newest view before those, which is treated as a view that has served. A
+    /// view whose chain includes a replica that has promised but not installed the history of the view has
+    /// not served and, since that replica is sealed, never will.
     fn lineage_after(
         &self, view: &View, has_served: bool, promises: &[ReceivedPromise],
     ) -> ([Ancestor; MAX_VIEWS - 1], u8) {
--- a/crates/model/src/election/elector.rs
+++ b/crates/model/src/election/elector.rs
@@ -38,7 +38,8 @@
         }
     }
 
-    /// A member that would vote for itself starts a pre-vote.
+    /// A member that would vote for itself starts a pre-vote. Without [`Guard::PreVoteFirst`] the member
+    /// requests votes immediately.
     fn start_pre_vote(&self, machine: usize, steps: &mut Steps<'_>) {
         let state = steps.from;
         let members = members(state.nodes[machine].view);
@@ -57,7 +58,8 @@
         });
     }
 
-    /// Another member would vote for this one. The two of them are a majority of three members.
+    /// Another member grants the pre-vote of the machine. With its own vote, the machine then has a majority
+    /// of three members.
     fn collect_pre_vote(&self, machine: usize, started_at: u8, steps: &mut Steps<'_>) {
         let state = steps.from;
         let node = &state.nodes[machine];
@@ -114,6 +116,7 @@
         votes.count() >= majority
     }
 
+    /// When a lease ends for its holder, which requested the lease at `requested_at`.
     fn lease_end(&self, state: &State, requested_at: u8) -> u8 {
         let starts_at = if self.guards.has(Guard::LeaseStartsAtRequest) { requested_at } else { state.now };
         starts_at + LEASE_TICKS
--- a/crates/model/src/election/mod.rs
+++ b/crates/model/src/election/mod.rs
@@ -11,10 +11,10 @@
 //! | `elector` | pre-vote, candidacy, holding, renewing and releasing the lease |
 //! | `faults` | the view change, restarts of voters |
 //!
-//! All machines share one clock of a few ticks, and messages may be delayed by any time. When a machine
-//! starts a campaign, renews or releases is nondeterministic. Requests and votes older than a lease duration
-//! are dropped, since they cannot make a machine the holder. A voter syncs and sends its vote in one step;
-//! without [`Guard::VoteAfterSync`] a restart may find that the vote was not written.
+//! All machines share one clock of a few ticks, and messages may be delayed by any time. The times at which
+//! machines start a campaign, or renew or release the lease, are nondeterministic. Requests and votes older
+//! than a lease duration are dropped, since they cannot make a machine the holder. A voter syncs and sends
+//! its vote in one step; without [`Guard::VoteAfterSync`] a restart may find that the vote was not written.
 
 mod elector;
 mod faults;
--- a/crates/model/src/election/state.rs
+++ b/crates/model/src/election/state.rs
@@ -63,7 +63,8 @@
         self.nodes.iter().filter(is_holder).count()
     }
 
-    /// Clears expired times and messages, so that states that differ only in times in the past become equal.
+    /// Drops expired leases, campaigns, waiting times and messages, so that states that differ only in times
+    /// in the past become equal.
     pub(super) fn drop_expired(&mut self, guards: Guards) {
         let now = self.now;
         let campaign_ticks = if guards.has(Guard::CampaignsTimeOut) { CAMPAIGN_TICKS } else { LEASE_TICKS };
--- a/crates/model/src/explorer/fingerprint.rs
+++ b/crates/model/src/explorer/fingerprint.rs
@@ -13,7 +13,9 @@
 /// A hasher that collects bytes into 64-bit words and mixes each word in with a multiplication to 128 bits,
 /// as wyhash does.
 struct FoldingHasher {
+    /// The hash of the words that are complete.
     folded: u64,
+    /// The bytes that do not fill a word yet.
     word: u64,
     /// The number of bits of `word` that are in use.
     filled_bits: u32,
--- a/crates/model/tests/models/chain_without_guards.rs
+++ b/crates/model/tests/models/chain_without_guards.rs
@@ -1,6 +1,6 @@
 //! Searches of the chain model with a guard disabled: each finds the violation that the guard prevents.
 
-use crate::chain::{DEPENDENT_CHANGES, agreement, bounds, explore};
+use crate::chain::{DEPENDENT_CHANGES, agreement_bounds, base_bounds, explore};
 use crate::{Extent, extent, has_long_bounds, violated_property};
 use lugwharf_model::chain::Guard::{self, *};
 use lugwharf_model::chain::{Bounds, Chain, Guards, SmallSet, property};
@@ -40,28 +40,30 @@
 
 /// The smallest bounds within which a property is violated without the guard.
 fn smallest_bounds(guard: Guard) -> Bounds {
-    let one = Bounds { change_count: 1, ..bounds() };
-    let short = Bounds { initial_chain: Chain::of(&[0, 1]), ..one };
+    let one_change = Bounds { change_count: 1, ..base_bounds() };
+    let short_chain = Bounds { initial_chain: Chain::of(&[0, 1]), ..one_change };
     match guard {
-        ReplicateAfterSync => Bounds { crashing_machines: SmallSet::of(&[0, 1, 2]), ..one },
-        NewDiskNewIdentity | MinChainLength => Bounds { may_lose_disk: true, ..one },
-        SourceHoldsNewestHistory => short,
-        ServeAfterInstall => Bounds { max_proposals: [1, 1], max_chain_length: 2, ..one },
-        LeaveAfterNextView => Bounds { may_leave: true, may_lose_disk: true, may_add_learner: true, ..short },
-        ReplaceOnlyWithSpareReplicas => Bounds { may_lose_disk: true, may_add_learner: true, ..short },
-        ReadsConfirmed => Bounds { max_confirmations: 1, ..one },
-        RejectionsConfirmed => Bounds { changes: DEPENDENT_CHANGES, ..bounds() },
+        ReplicateAfterSync => Bounds { crashing_machines: SmallSet::of(&[0, 1, 2]), ..one_change },
+        NewDiskNewIdentity | MinChainLength => Bounds { may_lose_disk: true, ..one_change },
+        SourceHoldsNewestHistory => short_chain,
+        ServeAfterInstall => Bounds { max_proposals: [1, 1], max_chain_length: 2, ..one_change },
+        LeaveAfterNextView => {
+            Bounds { may_leave: true, may_lose_disk: true, may_add_learner: true, ..short_chain }
+        }
+        ReplaceOnlyWithSpareReplicas => Bounds { may_lose_disk: true, may_add_learner: true, ..short_chain },
+        ReadsConfirmed => Bounds { max_confirmations: 1, ..one_change },
+        RejectionsConfirmed => Bounds { changes: DEPENDENT_CHANGES, ..base_bounds() },
         SealStopsConfirmation => {
-            Bounds { may_add_learner: true, max_confirmations: 1, max_chain_length: 2, ..one }
+            Bounds { may_add_learner: true, max_confirmations: 1, max_chain_length: 2, ..one_change }
         }
-        PrepareAfterSync | RoundRecoveredOnRestart => agreement(&[0]),
-        PromiseAfterSync | AcceptedAfterSync => agreement(&[1]),
-        LowerProposalsRejected | AcceptedViewAdopted => agreement(&[]),
+        PrepareAfterSync | RoundRecoveredOnRestart => agreement_bounds(&[0]),
+        PromiseAfterSync | AcceptedAfterSync => agreement_bounds(&[1]),
+        LowerProposalsRejected | AcceptedViewAdopted => agreement_bounds(&[]),
         SealStopsReplication | SealStopsInstall => {
-            Bounds { max_proposals: [1, 1], max_chain_length: 2, ..one }
+            Bounds { max_proposals: [1, 1], max_chain_length: 2, ..one_change }
         }
-        OneViewPerProposal => Bounds { max_proposals: [3, 0], ..agreement(&[0]) },
-        RetriesDeduplicated | OneChangeInFlight => bounds(),
+        OneViewPerProposal => Bounds { max_proposals: [3, 0], ..agreement_bounds(&[0]) },
+        RetriesDeduplicated | OneChangeInFlight => base_bounds(),
     }
 }
 
@@ -71,9 +73,9 @@
 #[test]
 fn sealing_stops_installation_or_replication() {
     let bounds = smallest_bounds(SealStopsReplication);
-    let both = [SealStopsInstall, SealStopsReplication];
+    let removed = [SealStopsInstall, SealStopsReplication];
     let expected = (Some(property::ACKNOWLEDGED_NEVER_LOST), (197_857, 17));
-    assert_eq!(search_without(&both, bounds), expected);
+    assert_eq!(search_without(&removed, bounds), expected);
     if has_long_bounds() {
         assert_eq!(search_without(&[SealStopsReplication], bounds).0, None);
     }
--- a/crates/model/tests/models/main.rs
+++ b/crates/model/tests/models/main.rs
@@ -21,7 +21,7 @@
 }
 
 /// Searches a model, and prints the coverage and the result of the search.
-fn run(name: &str, model: &impl Model, bounds: &impl Debug, max_states: usize) -> SearchReport {
+fn search_and_print(name: &str, model: &impl Model, bounds: &impl Debug, max_states: usize) -> SearchReport {
     let report = search(model, max_states);
     println!("{name}: {report}; {bounds:?}");
     let counterexample = report.counterexample.as_ref();
@@ -31,6 +31,7 @@
     report
 }
 
+/// The extent of a search, as the tests compare it.
 fn extent(report: &SearchReport) -> Extent {
     (report.states, report.depth)
 }
