--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -1,4 +1,5 @@
-//! The time limits and quotas that the deployment states. The guarantees of the system are judged by them.
+//! The time limits and quotas that the deployment states. They are part of the definitions of the system's
+//! guarantees.
 
 use crate::SettingsError;
 use serde::Deserialize;
@@ -17,8 +18,7 @@
     pub ack_ms: u64,
     /// How long a machine still counts as lost after it has come back, in s. Default 4.
     pub catch_up_s: f64,
-    /// No request may reach a server later than this after the server is listed as draining, in ms. Default
-    /// 3,000.
+    /// How long requests may still reach a server after it is listed as draining, in ms. Default 3,000.
     pub drain_ms: u64,
     /// The time between SIGTERM and SIGKILL, in s. Default 8.
     pub grace_s: f64,
@@ -33,12 +33,12 @@
     pub retry_budget: f64,
     /// The window in which retries are counted, in s. Default 10.
     pub budget_window_s: f64,
-    /// The number of retries that are allowed in a window in addition to that share. Default 20.
+    /// The number of retries that are allowed in a window in addition to the share of requests. Default 20.
     pub budget_slack: f64,
     /// The maximum time that an event of a stream takes through the system, in ms. Default 120.
     pub transit_ms: u64,
     /// The time within which a shared prompt prefix must be used again to count as reusable, in s. Default 8.
-    /// Unlike the other keys of the file, this one is in lower case.
+    /// Unlike the other keys of the file, this key is in lower case.
     #[serde(rename = "again_s")]
     pub prefix_reuse_s: f64,
     /// Whether servers reject orders with a fencing token lower than the highest one seen. Default true.
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -43,7 +43,7 @@
     Invalid {
         /// The key as it is spelled in the file, with its table.
         field: &'static str,
-        /// What is wrong with its value.
+        /// What is wrong with the value.
         reason: &'static str,
     },
 }
@@ -132,8 +132,8 @@
     pub role: String,
     /// The address of the machine.
     pub ip: IpAddr,
-    /// The address that this process listens on and connects from, if it differs from [`Settings::ip`], under
-    /// which other machines reach the process. An example is network address translation.
+    /// The address that this process listens on and connects from, if other machines reach the process at a
+    /// different address ([`Settings::ip`]), for example because of network address translation.
     #[serde(default)]
     pub bind: Option<IpAddr>,
     /// The zone of the machine. Default empty.
@@ -150,8 +150,8 @@
     /// Whether this is the first start of the entire fleet, with empty disks. Default false.
     #[serde(default)]
     pub bootstrap: bool,
-    /// Whether the machine counts for the quorum, and its loss for [`FaultTolerance`]. Only such machines
-    /// become members of a view. Default true.
+    /// Whether the machine counts for the quorum. Only machines that do can become members of a view, and
+    /// only their loss counts for [`FaultTolerance`]. Default true.
     #[serde(default = "default_true")]
     pub counts_for_quorum: bool,
     /// The directory for durable files; absent on a machine without a disk.
@@ -202,7 +202,7 @@
         Ok(Settings { source: Some(path.to_owned()), ..settings })
     }
 
-    /// Reads the same file again, as on SIGHUP. Settings that were parsed from a string are read from
+    /// Reads the settings file again, as on SIGHUP. Settings that were parsed from a string are read from
     /// [`Settings::path`].
     ///
     /// # Errors
--- a/crates/settings/src/ports.rs
+++ b/crates/settings/src/ports.rs
@@ -31,7 +31,7 @@
 }
 
 impl InternalPorts {
-    /// The number of ports that are used. They are the first ones of the range.
+    /// The number of ports that are used: the first ports of the range.
     pub const COUNT: u16 = 3;
 
     /// The internal ports: the first ports of `range`.
--- a/crates/settings/tests/outside_form.rs
+++ b/crates/settings/tests/outside_form.rs
@@ -62,16 +62,16 @@
 const REQUIRED_KEYS: &str = "Node = \"n\"\nIp = \"10.1.0.13\"\nPortRange = [7720, 7735]\n";
 
 fn address(text: &str) -> SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("the address is valid")
 }
 
 /// The settings that [`EVERY_KEY`] contains.
-fn every_value() -> Settings {
+fn settings_of_every_key() -> Settings {
     Settings {
         node: "n".to_owned(),
         role: "my-front".to_owned(),
-        ip: "10.1.0.13".parse().expect("an address"),
-        bind: Some("10.9.0.1".parse().expect("an address")),
+        ip: "10.1.0.13".parse().expect("the address is valid"),
+        bind: Some("10.9.0.1".parse().expect("the address is valid")),
         zone: "a".to_owned(),
         region: "r".to_owned(),
         port_range: PortRange { first: 7720, last: 7735 },
@@ -113,11 +113,11 @@
 }
 
 /// The settings that [`REQUIRED_KEYS`] contains, with the defaults of all other keys.
-fn every_default() -> Settings {
+fn settings_of_required_keys() -> Settings {
     Settings {
         node: "n".to_owned(),
         role: String::new(),
-        ip: "10.1.0.13".parse().expect("an address"),
+        ip: "10.1.0.13".parse().expect("the address is valid"),
         bind: None,
         zone: String::new(),
         region: String::new(),
@@ -157,14 +157,17 @@
 
 #[test]
 fn every_key_is_read() {
-    assert_eq!(Settings::parse(EVERY_KEY).expect("settings"), every_value());
+    assert_eq!(Settings::parse(EVERY_KEY).expect("the settings are valid"), settings_of_every_key());
 }
 
 #[test]
 fn every_key_that_is_left_out_has_its_default() {
-    assert_eq!(Settings::parse(REQUIRED_KEYS).expect("settings"), every_default());
+    assert_eq!(Settings::parse(REQUIRED_KEYS).expect("the settings are valid"), settings_of_required_keys());
     for table in ["[Listen]\n", "[Limits]\n", "[FaultTolerance]\n", "[Bounds]\n", "[Zones]\n"] {
-        assert_eq!(Settings::parse(&format!("{REQUIRED_KEYS}{table}")).expect("settings"), every_default());
+        assert_eq!(
+            Settings::parse(&format!("{REQUIRED_KEYS}{table}")).expect("the settings are valid"),
+            settings_of_required_keys()
+        );
     }
 }
 
@@ -172,7 +175,7 @@
 fn a_cloud_needs_its_address_alone() {
     let text = format!("{REQUIRED_KEYS}[Cloud]\nAddress = \"10.200.0.79:8169\"\n");
     let cloud = Cloud { address: address("10.200.0.79:8169"), rate_per_s: 10.0, lag_ms: 0 };
-    assert_eq!(Settings::parse(&text).expect("settings").cloud, Some(cloud));
+    assert_eq!(Settings::parse(&text).expect("the settings are valid").cloud, Some(cloud));
 }
 
 #[test]
@@ -259,20 +262,23 @@
 #[case::grace("GraceS = 7.5", "GraceS = -1.0", "Bounds.GraceS: must be a finite number of at least 0")]
 fn the_error_of_an_unusable_file_is_unchanged(#[case] from: &str, #[case] to: &str, #[case] message: &str) {
     assert!(EVERY_KEY.contains(from), "{from}");
-    let error = Settings::parse(&EVERY_KEY.replacen(from, to, 1)).expect_err("unusable");
+    let error = Settings::parse(&EVERY_KEY.replacen(from, to, 1)).expect_err("the settings are unusable");
     assert_eq!(error.to_string(), message);
 }
 
 #[test]
 fn the_error_of_a_missing_file_is_unchanged() {
-    let error = Settings::read(Path::new("/nonexistent/settings.toml")).expect_err("no file");
+    let error = Settings::read(Path::new("/nonexistent/settings.toml")).expect_err("the file does not exist");
     assert_eq!(error.to_string(), "/nonexistent/settings.toml: No such file or directory (os error 2)");
 }
 
 #[test]
 fn the_error_of_control_without_a_disk_is_unchanged() {
     let text = EVERY_KEY.replace("CountsForQuorum = false", "").replace("DataDir = \"/data\"", "");
-    let error = Settings::parse(&text).expect("settings").control_placement().expect_err("no disk");
+    let error = Settings::parse(&text)
+        .expect("the settings are valid")
+        .control_placement()
+        .expect_err("the replica has no data directory");
     assert_eq!(error.to_string(), "DataDir: is missing on a machine that counts and serves control");
 }
 
@@ -280,12 +286,13 @@
 #[test]
 fn settings_are_read_again_from_the_file_that_they_came_from() {
     let path = std::env::temp_dir().join(format!("lugwharf-settings-{}.toml", std::process::id()));
-    std::fs::write(&path, REQUIRED_KEYS).expect("a file");
-    let settings = Settings::read(&path).expect("settings");
-    assert_eq!(settings, Settings { source: Some(path.clone()), ..every_default() });
-    std::fs::write(&path, format!("{REQUIRED_KEYS}Seeds = [\"10.1.0.16:8166\"]\n")).expect("a file");
-    let again = settings.reload().expect("settings");
-    assert_eq!((again.seeds, again.source), (vec![address("10.1.0.16:8166")], Some(path.clone())));
-    std::fs::remove_file(&path).expect("a file");
+    std::fs::write(&path, REQUIRED_KEYS).expect("the settings file is written");
+    let settings = Settings::read(&path).expect("the settings are valid");
+    assert_eq!(settings, Settings { source: Some(path.clone()), ..settings_of_required_keys() });
+    std::fs::write(&path, format!("{REQUIRED_KEYS}Seeds = [\"10.1.0.16:8166\"]\n"))
+        .expect("the settings file is written");
+    let reloaded = settings.reload().expect("the settings are valid");
+    assert_eq!((reloaded.seeds, reloaded.source), (vec![address("10.1.0.16:8166")], Some(path.clone())));
+    std::fs::remove_file(&path).expect("the settings file is removed");
     assert!(settings.reload().is_err(), "no other file is read in its place");
 }
