--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -97,9 +97,9 @@
 
     /// Checks the rules that the schema cannot express.
     fn validate(&self) -> Result<(), ConfigError> {
-        let mut services = HashSet::new();
+        let mut service_names = HashSet::new();
         for (index, service) in self.services.iter().enumerate() {
-            if !services.insert(service.name.as_str()) {
+            if !service_names.insert(service.name.as_str()) {
                 let field = format!("/Services/{index}/Name");
                 return Err(ConfigError::new(
                     ConfigErrorKind::DuplicateName,
@@ -108,10 +108,10 @@
                 ));
             }
         }
-        let mut matches = HashSet::new();
+        let mut hosts_and_prefixes = HashSet::new();
         for (index, route) in self.routes.iter().enumerate() {
-            validate_route(route, index, &services)?;
-            if !matches.insert((route.host.to_ascii_lowercase(), route.path_prefix.as_str())) {
+            validate_route(route, index, &service_names)?;
+            if !hosts_and_prefixes.insert((route.host.to_ascii_lowercase(), route.path_prefix.as_str())) {
                 let field = format!("/Routes/{index}/PathPrefix");
                 return Err(ConfigError::new(
                     ConfigErrorKind::DuplicateRoute,
@@ -124,27 +124,31 @@
     }
 }
 
-fn validate_route(route: &Route, index: usize, services: &HashSet<&str>) -> Result<(), ConfigError> {
-    let at = |name: &str| format!("/Routes/{index}/{name}");
+fn validate_route(route: &Route, index: usize, service_names: &HashSet<&str>) -> Result<(), ConfigError> {
+    let pointer_to = |name: &str| format!("/Routes/{index}/{name}");
     if !(route.timeout_ms.is_finite() && route.timeout_ms > 0.0) {
-        return Err(ConfigError::new(ConfigErrorKind::ZeroTimeout, at("TimeoutMs"), "must be above 0"));
+        return Err(ConfigError::new(
+            ConfigErrorKind::ZeroTimeout,
+            pointer_to("TimeoutMs"),
+            "must be above 0",
+        ));
     }
     if !route.path_prefix.starts_with('/') || !route.path_prefix.ends_with('/') {
         return Err(ConfigError::new(
             ConfigErrorKind::InvalidPrefix,
-            at("PathPrefix"),
+            pointer_to("PathPrefix"),
             "must begin and end with a slash",
         ));
     }
-    if let Some(target) = route.targets().find(|target| !services.contains(target.service)) {
+    if let Some(target) = route.targets().find(|target| !service_names.contains(target.service)) {
         let reason = format!("no service is named {:?}", target.service);
-        return Err(ConfigError::new(ConfigErrorKind::UnknownService, at("Service"), reason));
+        return Err(ConfigError::new(ConfigErrorKind::UnknownService, pointer_to("Service"), reason));
     }
     let weight: f64 = route.targets().map(|target| target.weight).sum();
     if !(weight.is_finite() && weight > 0.0) {
         return Err(ConfigError::new(
             ConfigErrorKind::ZeroWeight,
-            at("TrafficSplit"),
+            pointer_to("TrafficSplit"),
             "the weights add up to 0",
         ));
     }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// What the operator states about the model servers of a service. Absent values are 0.
+/// The properties of the model servers of a service, as the operator states them. Absent values are 0.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct Engine {
--- a/crates/config/src/patch.rs
+++ b/crates/config/src/patch.rs
@@ -1,7 +1,7 @@
 //! A patch of named items (`PATCH /config`): routes and services are added, replaced or removed by name.
 //!
 //! Applying a patch is deterministic: the same patch on the same base gives the same bytes in every process.
-//! A change that two processes compute independently is therefore a single change.
+//! Processes that independently apply a patch to the same base therefore propose the same configuration.
 
 use crate::check::{ConfigError, ConfigErrorKind, LazySchema};
 use crate::{Configuration, PATCH_SCHEMA, VersionNumber};
@@ -12,11 +12,11 @@
 static COMPILED_PATCH_SCHEMA: LazySchema = LazySchema::new(PATCH_SCHEMA);
 
 /// The lists of a configuration that a patch can change. Their items have names.
-const LISTS: [&str; 2] = ["Routes", "Services"];
+const PATCHABLE_LISTS: [&str; 2] = ["Routes", "Services"];
 /// The field that contains the name of an item.
-const NAME: &str = "Name";
+const NAME_FIELD: &str = "Name";
 
-/// A valid patch. Whether it can be applied to a base is checked by [`ConfigurationPatch::apply`].
+/// A valid patch. [`ConfigurationPatch::apply`] checks whether the patch can be applied to a base.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct ConfigurationPatch {
@@ -37,7 +37,7 @@
         let value = COMPILED_PATCH_SCHEMA.parse(bytes)?;
         let patch: ConfigurationPatch = serde_json::from_value(value)
             .map_err(|error| ConfigError::new(ConfigErrorKind::Schema, "", error.to_string()))?;
-        for list in LISTS {
+        for list in PATCHABLE_LISTS {
             patch.check_names(list)?;
         }
         Ok(patch)
@@ -49,7 +49,7 @@
         let mut configuration: Map<String, Value> = serde_json::from_slice(base)
             .map_err(|error| ConfigError::new(ConfigErrorKind::NotJson, "", error.to_string()))?;
         configuration.insert("Version".to_owned(), self.version.into());
-        for list in LISTS {
+        for list in PATCHABLE_LISTS {
             let items = configuration.entry(list).or_insert_with(|| Value::Array(Vec::new()));
             if let Value::Array(items) = items {
                 self.remove_items(list, items)?;
@@ -92,7 +92,7 @@
     fn remove_items(&self, list: &str, items: &mut Vec<Value>) -> Result<(), ConfigError> {
         for (index, name) in self.removals(list).iter().enumerate() {
             let before = items.len();
-            items.retain(|item| item.get(NAME) != Some(name));
+            items.retain(|item| item.get(NAME_FIELD) != Some(name));
             if items.len() == before {
                 let reason = format!("nothing is named {name}");
                 let field = format!("/Remove/{list}/{index}");
@@ -116,5 +116,5 @@
 }
 
 fn name_of(item: &Value) -> Option<&str> {
-    item.get(NAME).and_then(Value::as_str)
+    item.get(NAME_FIELD).and_then(Value::as_str)
 }
--- a/crates/config/src/route_table.rs
+++ b/crates/config/src/route_table.rs
@@ -24,7 +24,7 @@
     }
 
     /// The index of the route for `host`, the value of the `Host` header, and `path`, which may have a query.
-    /// `configuration` must be the one that the table was built for.
+    /// `configuration` must be the configuration that the table was built for.
     pub fn find(&self, configuration: &Configuration, host: &str, path: &str) -> Option<usize> {
         let host = host_name(host);
         let indices = match self.by_host.get(host) {
--- a/crates/config/tests/configuration.rs
+++ b/crates/config/tests/configuration.rs
@@ -4,7 +4,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-fn valid() -> Value {
+fn valid_configuration() -> Value {
     json!({
         "Version": 7,
         "Routes": [
@@ -30,14 +30,17 @@
 
 #[test]
 fn a_valid_configuration_is_parsed_completely() {
-    let configuration = parse(&valid()).expect("valid");
+    let configuration = parse(&valid_configuration()).expect("the configuration is valid");
     assert_eq!(configuration.version, 7);
     assert_eq!(configuration.routes[0].route_kind, RouteKind::Streaming);
     assert!(configuration.routes[0].resumable);
     let split = [("s-1", 90.0), ("s-2", 10.0)].map(|(service, weight)| RouteTarget { service, weight });
     assert_eq!(configuration.routes[1].targets().collect::<Vec<_>>(), split);
     assert_eq!(configuration.routes[1].max_attempts, 1);
-    let engine = configuration.service("s-1").and_then(|service| service.engine.clone()).expect("an engine");
+    let engine = configuration
+        .service("s-1")
+        .and_then(|service| service.engine.clone())
+        .expect("service s-1 has an engine");
     assert_eq!((engine.slots, engine.kv_tokens), (64, 765_689));
     assert_eq!(configuration.limits.idle_timeout_ms, 15_000);
 }
@@ -59,9 +62,9 @@
 fn the_error_of_an_invalid_configuration_names_the_place(
     #[case] pointer: &str, #[case] value: Value, #[case] kind: ConfigErrorKind, #[case] field: &str,
 ) {
-    let mut configuration = valid();
-    *configuration.pointer_mut(pointer).expect("the pointer matches") = value;
-    let error = parse(&configuration).expect_err("invalid");
+    let mut configuration = valid_configuration();
+    *configuration.pointer_mut(pointer).expect("the JSON pointer matches a field") = value;
+    let error = parse(&configuration).expect_err("the configuration is invalid");
     assert_eq!((error.kind, error.field.as_str()), (kind, field), "{error}");
 }
 
@@ -72,16 +75,20 @@
 #[case("TimeoutMs")]
 #[case("Service")]
 fn a_route_without_a_required_field_is_invalid(#[case] field: &str) {
-    let mut configuration = valid();
-    configuration["Routes"][0].as_object_mut().expect("a route").remove(field);
-    assert_eq!(parse(&configuration).expect_err("invalid").kind, ConfigErrorKind::Schema);
+    let mut configuration = valid_configuration();
+    configuration["Routes"][0].as_object_mut().expect("the route is a JSON object").remove(field);
+    assert_eq!(
+        parse(&configuration).expect_err("the configuration is invalid").kind,
+        ConfigErrorKind::Schema
+    );
 }
 
 #[test]
 fn a_truncated_configuration_is_invalid_at_every_length() {
-    let text = valid().to_string();
+    let text = valid_configuration().to_string();
     for length in 0..text.len() {
-        let error = Configuration::parse(&text.as_bytes()[..length]).expect_err("a truncated text");
+        let error =
+            Configuration::parse(&text.as_bytes()[..length]).expect_err("the truncated text is not JSON");
         assert_eq!(error.kind, ConfigErrorKind::NotJson, "{length}");
     }
 }
@@ -97,6 +104,6 @@
 fn the_longest_matching_prefix_of_the_host_wins(
     #[case] host: &str, #[case] path: &str, #[case] route: Option<usize>,
 ) {
-    let configuration = parse(&valid()).expect("valid");
+    let configuration = parse(&valid_configuration()).expect("the configuration is valid");
     assert_eq!(RouteTable::new(&configuration).find(&configuration, host, path), route);
 }
--- a/crates/config/tests/patch.rs
+++ b/crates/config/tests/patch.rs
@@ -9,7 +9,7 @@
            "Service": "s-1"})
 }
 
-fn base() -> Value {
+fn base_configuration() -> Value {
     json!({
         "Version": 7,
         "Routes": [route("r-1", "/x/", 100), route("r-2", "/y/", 200)],
@@ -19,12 +19,13 @@
     })
 }
 
-fn apply(patch: &Value) -> Result<Value, (ConfigErrorKind, String)> {
+/// Applies a patch to [`base_configuration`]. An error is returned as its kind and field.
+fn apply_to_base(patch: &Value) -> Result<Value, (ConfigErrorKind, String)> {
     let kind_and_field = |error: lugwharf_config::ConfigError| (error.kind, error.field);
     let patch = ConfigurationPatch::parse(patch.to_string().as_bytes()).map_err(kind_and_field)?;
-    let bytes = patch.apply(base().to_string().as_bytes()).map_err(kind_and_field)?;
-    Configuration::parse(&bytes).expect("a valid result");
-    Ok(serde_json::from_slice(&bytes).expect("JSON"))
+    let bytes = patch.apply(base_configuration().to_string().as_bytes()).map_err(kind_and_field)?;
+    Configuration::parse(&bytes).expect("the resulting configuration is valid");
+    Ok(serde_json::from_slice(&bytes).expect("the resulting configuration is JSON"))
 }
 
 #[rstest]
@@ -47,12 +48,12 @@
 )]
 #[case::a_service_is_removed(json!({"Version": 9, "Remove": {"Services": ["s-2"]}}), json!({"Services": [{"Name": "s-1"}]}))]
 fn a_patch_changes_only_the_named_items(#[case] patch: Value, #[case] changed_fields: Value) {
-    let mut expected = base();
+    let mut expected = base_configuration();
     expected["Version"] = json!(9);
-    for (field, value) in changed_fields.as_object().expect("fields") {
+    for (field, value) in changed_fields.as_object().expect("the changed fields are a JSON object") {
         expected[field] = value.clone();
     }
-    assert_eq!(apply(&patch), Ok(expected));
+    assert_eq!(apply_to_base(&patch), Ok(expected));
 }
 
 #[rstest]
@@ -84,12 +85,12 @@
 fn the_error_of_a_patch_names_the_place(
     #[case] patch: Value, #[case] kind: ConfigErrorKind, #[case] field: &str,
 ) {
-    assert_eq!(apply(&patch), Err((kind, field.to_owned())));
+    assert_eq!(apply_to_base(&patch), Err((kind, field.to_owned())));
 }
 
 #[test]
 fn text_that_is_not_json_is_reported_as_such() {
-    let error = ConfigurationPatch::parse(b"{").expect_err("an error");
+    let error = ConfigurationPatch::parse(b"{").expect_err("the text is not JSON");
     assert_eq!(error.kind, ConfigErrorKind::NotJson);
 }
 
@@ -97,8 +98,8 @@
 #[test]
 fn the_result_does_not_depend_on_the_whitespace_of_the_base() {
     let patch = json!({"Version": 9, "Upsert": {"Routes": [route("r-1", "/z/", 300)]}}).to_string();
-    let patch = ConfigurationPatch::parse(patch.as_bytes()).expect("a patch");
-    let pretty = serde_json::to_vec_pretty(&base()).expect("text");
-    let compact = base().to_string().into_bytes();
+    let patch = ConfigurationPatch::parse(patch.as_bytes()).expect("the patch is valid");
+    let pretty = serde_json::to_vec_pretty(&base_configuration()).expect("the base is encoded");
+    let compact = base_configuration().to_string().into_bytes();
     assert_eq!(patch.apply(&pretty), patch.apply(&compact));
 }
