--- a/crates/telemetry/src/endpoint.rs
+++ b/crates/telemetry/src/endpoint.rs
@@ -13,12 +13,12 @@
 const MAX_CONNECTIONS: usize = 16;
 /// The maximum number of requests that are queued for the owner of the metrics.
 const QUEUE_CAPACITY: usize = 4;
-/// The timeout for the owner of the metrics to write the text. Even a busy owner replies far sooner. After
-/// the timeout the request gets status 503.
+/// The timeout for the reply of the owner of the metrics. Even a busy owner replies far sooner. After the
+/// timeout the request gets status 503.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A request for the metrics in the OpenMetrics text format. The owner of the metrics sends the text through
-/// it.
+/// A request for the metrics in the OpenMetrics text format: the channel on which the owner of the metrics
+/// sends the text.
 pub type MetricsRequest = oneshot::Sender<String>;
 
 /// The metrics endpoint of a process. It forwards each request to the owner of the metrics, which writes the
--- a/crates/telemetry/src/log_rate_limiter.rs
+++ b/crates/telemetry/src/log_rate_limiter.rs
@@ -6,15 +6,15 @@
 /// Admits log lines at a limited rate, with bursts, and counts the suppressed lines.
 ///
 /// The limiter is a token bucket, implemented as the generic cell rate algorithm (GCRA). Its state is the
-/// time until which the admitted lines have used up the rate.
+/// time at which the bucket will be full again.
 #[derive(Clone, Debug)]
 pub struct LogRateLimiter {
     /// The time in which the bucket gains one token, which admits one line.
     interval: Duration,
     /// The maximum number of lines that are admitted at once after a quiet period; at least 1.
     burst: u32,
-    /// The time until which the admitted lines have used up the rate; in the past if the bucket is full.
-    used_until: Duration,
+    /// The time at which the bucket will be full again; in the past if the bucket is full.
+    full_at: Duration,
     /// The number of lines suppressed since the last admitted one.
     omitted: u64,
 }
@@ -29,17 +29,17 @@
 impl LogRateLimiter {
     /// Admits one line in each `interval`, and up to `burst` at once. A burst of 0 counts as 1.
     pub fn new(interval: Duration, burst: u32) -> LogRateLimiter {
-        LogRateLimiter { interval, burst: burst.max(1), used_until: Duration::ZERO, omitted: 0 }
+        LogRateLimiter { interval, burst: burst.max(1), full_at: Duration::ZERO, omitted: 0 }
     }
 
     /// Takes a token from the bucket; `None` if the bucket is empty. `now` is the time of a monotonic clock.
     pub fn try_acquire(&mut self, now: Duration) -> Option<LogPermit> {
-        let used_until = self.used_until.max(now);
-        if used_until - now > self.interval * (self.burst - 1) {
+        let full_at = self.full_at.max(now);
+        if full_at - now > self.interval * (self.burst - 1) {
             self.omitted += 1;
             return None;
         }
-        self.used_until = used_until + self.interval;
+        self.full_at = full_at + self.interval;
         Some(LogPermit { omitted: std::mem::take(&mut self.omitted) })
     }
 
