--- a/crates/emulator/src/model_server/report.rs
+++ b/crates/emulator/src/model_server/report.rs
@@ -7,7 +7,7 @@
 
 /// The minimum time between two kept snapshots. A snapshot that follows the last one sooner replaces that
 /// one.
-const MIN_SNAPSHOT_INTERVAL: Duration = Duration::from_millis(5);
+const MIN_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The load of a server at a point in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,9 +55,7 @@
     pub fn record(&mut self, now: Duration, snapshot: LoadSnapshot) {
         let has_several = self.snapshots.len() > 1;
         match self.snapshots.back_mut() {
-            Some((at, last)) if has_several && now.saturating_sub(*at) < MIN_SNAPSHOT_INTERVAL => {
-                *last = snapshot
-            }
+            Some((at, last)) if has_several && now.saturating_sub(*at) < MIN_INTERVAL => *last = snapshot,
             _ => self.snapshots.push_back((now, snapshot)),
         }
         while self.snapshots.get(1).is_some_and(|(at, _)| *at + self.lag <= now) {
