--- a/src/bin/lugwharf-sidecar/connection.rs
+++ b/src/bin/lugwharf-sidecar/connection.rs
@@ -17,13 +17,13 @@
 /// The limit on the buffer in which a message is read, in bytes. The head of a message must fit; its body is
 /// read in parts.
 pub const MAX_BUFFER_BYTES: usize = 16 * 1024;
-/// The limit on the headers of a message.
+/// The limit on the number of headers of a message.
 pub const MAX_HEADERS: usize = 64;
 
 /// An HTTP connection whose socket is closed when the value is dropped.
 pub struct TcpConnection<B> {
     pub sender: SendRequest<B>,
-    /// Cannot be upgraded once the HTTP library has closed the socket.
+    /// The socket. The reference cannot be upgraded once the HTTP library has closed the socket.
     pub socket: Weak<TcpStream>,
     gate: Arc<LastByteGate>,
     task: AbortHandle,
--- a/src/bin/lugwharf-sidecar/discovery/discovery_tests.rs
+++ b/src/bin/lugwharf-sidecar/discovery/discovery_tests.rs
@@ -14,21 +14,21 @@
 use tokio::sync::{Notify, mpsc, watch};
 use tokio::time::Instant;
 
-/// A stub of discovery, each step of which the test makes. It runs in the runtime of the test, so the paused
-/// clock does not advance while there is work to do.
+/// A stub of discovery that accepts and answers calls only when the test tells it to. The stub runs in the
+/// runtime of the test, so the paused clock does not advance while there is work to do.
 struct DiscoveryStub(TcpListener);
 
 impl DiscoveryStub {
     async fn start() -> DiscoveryStub {
-        DiscoveryStub(TcpListener::bind("127.0.0.1:0").await.expect("a port"))
+        DiscoveryStub(TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener"))
     }
 
     fn addr(&self) -> SocketAddr {
-        self.0.local_addr().expect("an address")
+        self.0.local_addr().expect("cannot read the local address")
     }
 
     async fn accept(&self) -> StubConnection {
-        StubConnection(self.0.accept().await.expect("a connection").0)
+        StubConnection(self.0.accept().await.expect("cannot accept a connection").0)
     }
 }
 
@@ -37,36 +37,42 @@
 
 impl StubConnection {
     /// Reads the next call and returns its path.
-    async fn path(&self) -> String {
+    async fn read_path(&self) -> String {
         let mut seen = Vec::new();
         while !seen.ends_with(b"\r\n\r\n") {
-            self.0.readable().await.expect("readable");
+            self.0.readable().await.expect("the connection failed");
             let mut byte = [0];
             match self.0.try_read(&mut byte) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                read => assert_eq!(read.expect("a head"), 1, "the call ends"),
+                read => assert_eq!(
+                    read.expect("cannot read the head of the call"),
+                    1,
+                    "the connection ended inside the head of a call"
+                ),
             }
             seen.push(byte[0]);
         }
-        let head = String::from_utf8(seen).expect("text").replace('\0', "");
-        head.split(' ').nth(1).expect("a path").to_owned()
+        let head = String::from_utf8(seen).expect("the head of the call is not UTF-8").replace('\0', "");
+        head.split(' ').nth(1).expect("the head of the call has no path").to_owned()
     }
 
     /// Answers a call with an empty complete list. The JSON is indented, which is valid as well.
     fn answer(&self, revision: u64) {
         let list = serde_json::json!({"revision": revision, "complete": true, "members": []});
-        let body = serde_json::to_string_pretty(&list).expect("text");
+        let body = serde_json::to_string_pretty(&list).expect("cannot encode the list as JSON");
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-        assert_eq!(self.0.try_write(text.as_bytes()).expect("written"), text.len());
+        assert_eq!(self.0.try_write(text.as_bytes()).expect("cannot write to the connection"), text.len());
     }
 
     /// Resets the connection.
     fn reset(self) {
-        socket2::SockRef::from(&self.0).set_linger(Some(Duration::ZERO)).expect("set");
+        socket2::SockRef::from(&self.0)
+            .set_linger(Some(Duration::ZERO))
+            .expect("cannot set the linger option of the socket");
     }
 }
 
-/// The far side of `follow`: what it is given, and the events that it reports.
+/// The inputs of a running `follow`, and the events that it reports.
 struct Follower {
     address: watch::Sender<SocketAddr>,
     subscribe: Arc<Notify>,
@@ -76,7 +82,7 @@
 /// Starts to follow the stub from revision 100, with `mode` as the setting `discovery`.
 fn follow_from(stub: &DiscoveryStub, mode: &str) -> Follower {
     let json = JSON.replace("\"pushed\"", &format!("\"{mode}\""));
-    let config = Arc::new(Config::read(&json, |_| None).expect("readable"));
+    let config = Arc::new(Config::read(&json, |_| None).expect("cannot read the configuration"));
     let (address, from) = watch::channel(stub.addr());
     let (driver, events) = DriverHandle::new();
     let subscribe = Arc::<Notify>::default();
@@ -86,19 +92,21 @@
 
 impl Follower {
     /// Waits for a list and returns its revision.
-    async fn list(&mut self) -> u64 {
+    async fn next_revision(&mut self) -> u64 {
         match self.events.recv().await {
             Some(DriverEvent::List(update)) => update.revision,
-            Some(DriverEvent::ListFailed(failure)) => panic!("{failure:?}"),
-            _ => panic!("no list"),
+            Some(DriverEvent::ListFailed(failure)) => {
+                panic!("a call failed instead of returning a list: {failure:?}")
+            }
+            _ => panic!("no list was handed to the driver"),
         }
     }
 
     /// Waits for a failure and returns its kind.
-    async fn failed(&mut self) -> ServerListEvent {
+    async fn next_failure(&mut self) -> ServerListEvent {
         match self.events.recv().await {
             Some(DriverEvent::ListFailed(failure)) => failure,
-            _ => panic!("no failure"),
+            _ => panic!("no failure was reported to the driver"),
         }
     }
 }
@@ -110,13 +118,13 @@
     // The first call is at the start, the second after a watch was reset.
     for revision in [50, 3] {
         let call = stub.accept().await;
-        assert_eq!(call.path().await, "/registry/instances");
+        assert_eq!(call.read_path().await, "/registry/instances");
         call.answer(revision);
-        assert_eq!(follower.list().await, revision);
+        assert_eq!(follower.next_revision().await, revision);
         let watch = format!("/registry/instances?index={revision}&wait={}", PUSHED_WATCH_TIME.as_millis());
-        assert_eq!(call.path().await, watch);
+        assert_eq!(call.read_path().await, watch);
         call.reset();
-        assert_eq!(follower.failed().await, ServerListEvent::Interrupted);
+        assert_eq!(follower.next_failure().await, ServerListEvent::Interrupted);
     }
 }
 
@@ -127,20 +135,20 @@
         let mut follower = follow_from(&stub, mode);
         follower.subscribe.notify_one();
         let call = stub.accept().await;
-        call.path().await;
+        call.read_path().await;
         call.answer(101);
-        follower.list().await;
-        call.path().await;
+        follower.next_revision().await;
+        call.read_path().await;
         let since = Instant::now();
-        assert_eq!(follower.failed().await, ServerListEvent::Interrupted);
+        assert_eq!(follower.next_failure().await, ServerListEvent::Interrupted);
         follower.subscribe.notify_one();
         let second_call = stub.accept().await;
-        second_call.path().await;
+        second_call.read_path().await;
         assert!(since.elapsed() < wait + Duration::from_millis(1_200), "{mode}: {:?}", since.elapsed());
         // A late answer on the old connection is ignored.
         call.answer(500);
         second_call.answer(102);
-        assert_eq!(follower.list().await, 102, "{mode}");
+        assert_eq!(follower.next_revision().await, 102, "{mode}");
     }
 }
 
@@ -150,28 +158,28 @@
         let (old, new) = (DiscoveryStub::start().await, DiscoveryStub::start().await);
         let mut follower = follow_from(&old, "pushed");
         let call = old.accept().await;
-        call.path().await;
+        call.read_path().await;
         call.answer(7);
-        follower.list().await;
+        follower.next_revision().await;
         if is_calling_again {
             // The watch has just been reset, and the next call is about to be made.
-            call.path().await;
+            call.read_path().await;
             call.reset();
-            assert_eq!(follower.failed().await, ServerListEvent::Interrupted);
+            assert_eq!(follower.next_failure().await, ServerListEvent::Interrupted);
         } else {
             // The watch is waiting, and its answer is written at the same moment.
-            call.path().await;
+            call.read_path().await;
             call.answer(900);
         }
         follower.address.send_replace(new.addr());
         let since = Instant::now();
         let call = new.accept().await;
-        assert_eq!(call.path().await, "/registry/instances");
+        assert_eq!(call.read_path().await, "/registry/instances");
         call.answer(2);
-        while follower.list().await != 2 {}
+        while follower.next_revision().await != 2 {}
         assert!(since.elapsed() < Duration::from_millis(300), "{:?}", since.elapsed());
         assert_eq!(
-            call.path().await,
+            call.read_path().await,
             "/registry/instances?index=2&wait=2000",
             "the watch continues from the new address's revision"
         );
@@ -180,22 +188,22 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_connect_timeout_is_shorter_than_a_watch() {
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
+    let socket = tokio::net::TcpSocket::new_v4().expect("cannot create a socket");
+    socket.bind(([127, 0, 0, 1], 0).into()).expect("cannot bind the socket");
     // Nobody accepts: once the backlog is full, no further connection is established.
-    let stub = DiscoveryStub(socket.listen(1).expect("listening"));
+    let stub = DiscoveryStub(socket.listen(1).expect("cannot listen on the socket"));
     let mut backlog = Vec::new();
     for _ in 0..8 {
         let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
-        let socket = socket.expect("a socket");
-        socket.set_nonblocking(true).expect("set");
+        let socket = socket.expect("cannot create a socket");
+        socket.set_nonblocking(true).expect("cannot set the socket to non-blocking mode");
         drop(socket.connect(&stub.addr().into()));
         backlog.push(socket);
     }
     let mut follower = follow_from(&stub, "on_request");
     follower.subscribe.notify_one();
     let since = Instant::now();
-    assert_eq!(follower.failed().await, ServerListEvent::Failed);
+    assert_eq!(follower.next_failure().await, ServerListEvent::Failed);
     assert!(since.elapsed() <= ON_REQUEST_CALL_TIMEOUT + Duration::from_millis(100), "{:?}", since.elapsed());
 }
 
@@ -206,15 +214,15 @@
     for failure in [ServerListEvent::Interrupted, ServerListEvent::Failed] {
         follower.subscribe.notify_one();
         let call = stub.accept().await;
-        call.path().await;
+        call.read_path().await;
         call.reset();
-        assert_eq!(follower.failed().await, failure);
+        assert_eq!(follower.next_failure().await, failure);
     }
     let stub = DiscoveryStub::start().await;
     let mut follower = follow_from(&stub, "on_request");
     follower.subscribe.notify_one();
     let call = stub.accept().await;
-    call.path().await;
-    call.0.try_write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").expect("written");
-    assert_eq!(follower.failed().await, ServerListEvent::Failed, "rejected");
+    call.read_path().await;
+    call.0.try_write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n").expect("cannot write to the connection");
+    assert_eq!(follower.next_failure().await, ServerListEvent::Failed, "rejected");
 }
--- a/src/bin/lugwharf-sidecar/discovery/follow.rs
+++ b/src/bin/lugwharf-sidecar/discovery/follow.rs
@@ -31,15 +31,15 @@
 /// The time-out of a call for the complete list where discovery is on request. It is longer, since one
 /// service for all sidecars may queue calls.
 pub(super) const ON_REQUEST_CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// A watch fails when its answer is this long overdue. Changes that it misses count as known to the sidecar
-/// one second later, so the sidecar has to ask again within that second.
+/// A watch fails when its answer is this long overdue. The sidecar has to know a change one second after a
+/// watch missed it, and therefore has to ask again within that second.
 const WATCH_GRACE: Duration = Duration::from_secs(1);
 /// The first delay of the exponential backoff after failed calls to an agent. Where discovery is on request,
 /// the decision module determines when to ask again.
 const MIN_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest delay of the backoff. It is below the 200 ms within which a watch has to be renewed. In either
-/// mode of discovery it is also the pause after a watch that returned without a change in less than this
-/// time.
+/// The longest delay of the backoff, which is below the 200 ms within which a watch has to be renewed. In
+/// either mode of discovery, a watch that returned without a change in less than this time is also followed
+/// by a pause of this length.
 const MAX_BACKOFF: Duration = Duration::from_millis(160);
 /// The limit on a list, in bytes. Each upstream takes some hundred bytes, so the limit is above that of a
 /// request's body.
@@ -49,9 +49,10 @@
 
 /// Follows the list at the current address; returns only when the sender of the address is dropped.
 ///
-/// Where discovery is on request, the first call is made when the decision module subscribes, or at once at a
-/// new address. It continues from the known revision, if there is one. Where discovery is pushed, the agent
-/// is asked for the complete list first, since it may have restarted its revision count.
+/// Where discovery is on request, the first call is made when the decision module subscribes, and continues
+/// from the known revision, if there is one. If the address changes before that, the first call is made at
+/// once and asks the new address for the complete list. Where discovery is pushed, the agent is asked for the
+/// complete list first, since the agent may have restarted its revision count.
 pub async fn follow(
     config: Arc<Config>, mut address: watch::Receiver<SocketAddr>, mut known_revision: Option<u64>,
     subscribe: Arc<Notify>, driver: DriverHandle,
@@ -67,8 +68,8 @@
     loop {
         let current = *address.borrow_and_update();
         let watcher = Watcher::new(current, &config, known_revision, &driver);
-        // A new address ends the current call, or the wait for the next one. The old revision has no meaning
-        // there.
+        // A new address ends the current call, or the wait for the next one. The revision of the old address
+        // has no meaning at the new one.
         tokio::select! {
             () = watcher.run(&subscribe) => {}
             changed = address.changed() => if changed.is_err() { return },
@@ -84,7 +85,8 @@
     driver: &'a DriverHandle,
     /// The revision of the current list; `None` if the complete list is to be read next.
     revision: Option<u64>,
-    /// The wait after the next failed call; [`MIN_BACKOFF`] if the last call succeeded.
+    /// The wait after the next failed call; [`MIN_BACKOFF`] if no call has failed since the last update that
+    /// was handed to the driver.
     backoff: Duration,
     /// The idle connection, if there is one.
     connection: Option<Connection>,
@@ -143,8 +145,8 @@
         }
     }
 
-    /// Logs the first error in a row, reports the failure to the driver, and decides what the next call asks
-    /// for.
+    /// Logs the first error in a row, and decides what the next call asks for. Where discovery is on request,
+    /// each failure is reported to the driver; where discovery is pushed, only the first in a row.
     fn on_error(&mut self, error: &DiscoveryError) {
         self.connection = None;
         let is_first = self.backoff == MIN_BACKOFF;
@@ -152,9 +154,9 @@
             eprintln!("discovery: {error}");
         }
         if is_first || self.is_on_request() {
-            // The module renews an interrupted watch at once. A service that is down or rejects calls must
-            // not get calls at that rate, so such an error, or a second one in a row, is reported as a
-            // failure.
+            // The decision module renews an interrupted watch at once. A service that is down or rejects
+            // calls must not get calls at that rate, so such an error, or a second error in a row, is
+            // reported as a failure.
             let is_interrupted = is_first
                 && self.revision.is_some()
                 && matches!(error, DiscoveryError::TimedOut | DiscoveryError::Http(_));
@@ -162,7 +164,7 @@
             self.driver.send(DriverEvent::ListFailed(event));
         }
         // An agent that has restarted its revision count would wait for a revision that is far ahead. Reading
-        // the complete list from it costs nothing.
+        // the complete list from the agent costs nothing.
         if !self.is_on_request() {
             self.revision = None;
         }
--- a/src/bin/lugwharf-sidecar/driver/actions.rs
+++ b/src/bin/lugwharf-sidecar/driver/actions.rs
@@ -17,7 +17,7 @@
 
 impl Driver {
     /// Hands one event to the decision module and carries out the resulting actions. Events that these
-    /// actions cause at once are handled after it, in order.
+    /// actions cause at once are handled after the given event, in order.
     pub(super) fn handle_event(&mut self, event: Event) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
@@ -96,8 +96,8 @@
         };
         let (pool, handle, config) = (self.pool.clone(), self.handle.clone(), self.config.clone());
         tokio::spawn(async move {
-            // The decision module has its own time-out for probes; this one only ends probes that it no
-            // longer waits for.
+            // The decision module has its own time-out for probes; this one only ends probes that the module
+            // no longer waits for.
             let answer_by = Instant::now() + config.network.connect_timeout;
             let load_field_name = config.network.load_field_name.as_deref();
             let result = upstream::probe(pool, endpoint, answer_by, load_field_name).await;
--- a/src/bin/lugwharf-sidecar/driver/driver_tests.rs
+++ b/src/bin/lugwharf-sidecar/driver/driver_tests.rs
@@ -32,7 +32,7 @@
     tokio::spawn(driver.run(None));
     let (since, budget) = (Instant::now(), Duration::from_millis(200));
     let answer = tokio::time::timeout(Duration::from_secs(30), handle.execute(request(budget))).await;
-    assert!(matches!(answer.expect("an answer"), FinalAnswer::Failed));
+    assert!(matches!(answer.expect("the request was not answered within 30 s"), FinalAnswer::Failed));
     assert!(since.elapsed() >= budget - answer_margin(budget), "the module had its share of the time");
 }
 
@@ -44,7 +44,7 @@
 }
 
 fn driver(json: &str) -> (Driver, DriverHandle) {
-    let config = Arc::new(Config::read(json, |_| None).expect("readable"));
+    let config = Arc::new(Config::read(json, |_| None).expect("cannot read the configuration"));
     Driver::new(config, Pool::new(1, Duration::ZERO, Duration::ZERO, true), Arc::new(Notify::new()))
 }
 
@@ -58,7 +58,7 @@
 fn put_in_flight(driver: &mut Driver, id: RequestId) -> Arc<Notify> {
     let abandoned = Arc::<Notify>::default();
     let task = tokio::spawn(std::future::pending::<()>()).abort_handle();
-    let pending = driver.requests.get_mut(&id).expect("accepted");
+    let pending = driver.requests.get_mut(&id).expect("the request is not pending");
     let task = Some(AttemptTask { task, abandoned: abandoned.clone() });
     pending.attempts.push(PendingAttempt { sent_at: Instant::now(), task });
     abandoned
@@ -75,7 +75,7 @@
     handle.send(attempt_ended(id, Outcome::Ok, b"in time"));
     tokio::time::advance(budget).await;
     tokio::spawn(driver.run(None));
-    let answer = answer.await.expect("an answer");
+    let answer = answer.await.expect("the driver dropped the request without an answer");
     assert!(matches!(&answer, FinalAnswer::Served(served) if served.body == "in time"), "{answer:?}");
 }
 
@@ -107,7 +107,7 @@
     assert!(matches!(event, Some(Event::Outcome { outcome: Outcome::Cancelled, .. })));
     driver.carry_out(Action::Fail(id));
     assert!(driver.requests.is_empty());
-    let late = driver.events.try_recv().expect("the late outcome");
+    let late = driver.events.try_recv().expect("the late outcome is not in the channel");
     driver.on_event(late);
     assert!(matches!(answer.await, Ok(FinalAnswer::Failed)), "one final answer");
 }
--- a/src/bin/lugwharf-sidecar/driver/event_loop.rs
+++ b/src/bin/lugwharf-sidecar/driver/event_loop.rs
@@ -17,15 +17,20 @@
 use tokio::sync::{Notify, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-/// The margin is a client's time-out divided by this, within the bounds below. It is reserved because the
-/// answer has to be written and read within the time-out. The decision module gets the time-out less two
-/// margins. If it has not decided by then, the request is answered as failed when one margin is left. A
-/// request spends a fraction of a millisecond in this process itself.
+/// The answer margin is a client's time-out divided by this, but at least [`MIN_MARGIN`] and at most
+/// [`MAX_MARGIN`].
+///
+/// The margin is reserved because the answer has to be written and read within the time-out. The decision
+/// module gets the time-out less two margins. If the module has not decided by then, the request is answered
+/// as failed when one margin is left. A request spends a fraction of a millisecond in this process itself.
 const MARGIN_DIVISOR: u32 = 40;
+/// The shortest answer margin.
 const MIN_MARGIN: Duration = Duration::from_millis(1);
+/// The longest answer margin.
 const MAX_MARGIN: Duration = Duration::from_millis(10);
 
-/// Returns the margin of a client's time-out.
+/// Returns the answer margin: the part of a client's time-out that is reserved for writing and reading the
+/// answer.
 pub(super) fn answer_margin(client_timeout: Duration) -> Duration {
     (client_timeout / MARGIN_DIVISOR).clamp(MIN_MARGIN, MAX_MARGIN)
 }
@@ -189,8 +194,8 @@
     fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id) else { return };
         if pending.answer.take().is_some() {
-            // This holds also where the settings don't permit the module to cancel attempts: not sending the
-            // rest of a request needs no permission.
+            // Attempts are abandoned even where the settings don't permit the module to cancel them: not
+            // sending the rest of a request needs no permission.
             pending.abandon_attempts();
             self.handle_event(Event::ClientDisconnected(id));
             self.remove_if_finished(id);
--- a/src/bin/lugwharf-sidecar/main.rs
+++ b/src/bin/lugwharf-sidecar/main.rs
@@ -88,7 +88,7 @@
 }
 
 async fn run() -> Result<(), StartError> {
-    // Before anything else: without a handler, SIGHUP would end the process.
+    // The handler is installed before anything else: without one, SIGHUP would end the process.
     let mut hangup = signal(SignalKind::hangup())?;
     let config = Arc::new(Config::from_env()?);
     let mut terminate = signal(SignalKind::terminate())?;
--- a/src/bin/lugwharf-sidecar/pool.rs
+++ b/src/bin/lugwharf-sidecar/pool.rs
@@ -13,13 +13,13 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// An idle connection is no longer used when this fraction of the upstream's keep-alive time is left: one
-/// divided by this.
+/// An idle connection is no longer used once no more than the upstream's keep-alive time divided by this is
+/// left.
 const KEEP_ALIVE_MARGIN_DIVISOR: u32 = 10;
-/// The cooldown of a connection after an answer: the last byte of the next request is not written before its
-/// end. Some upstreams send an answer twice, the second copy up to 6 ms after the first. If the next request
-/// were complete by then, the copy would be taken for its answer. In tests the cooldown is long enough that
-/// the copy arrives within it on any machine.
+/// The cooldown of a connection after an answer: the last byte of the next request is not written before the
+/// cooldown ends. Some upstreams send an answer twice, the second copy up to 6 ms after the first. If the
+/// next request were complete by then, the copy would be taken for its answer. In tests the cooldown is long
+/// enough that the copy arrives within it on any machine.
 const COOLDOWN: Duration = Duration::from_millis(if cfg!(test) { 1_000 } else { 10 });
 /// A request waits for the cooldown of a connection only if at least this much of its time is left
 /// afterwards.
--- a/src/bin/lugwharf-sidecar/request.rs
+++ b/src/bin/lugwharf-sidecar/request.rs
@@ -8,17 +8,20 @@
 use lugwharf_sidecar::api::{Idempotency, Origin};
 use std::time::Duration;
 
-const ID: HeaderName = HeaderName::from_static("x-call-id");
-const CLASS: HeaderName = HeaderName::from_static("x-call-class");
+/// The id of the request, chosen by the client.
+const X_CALL_ID: HeaderName = HeaderName::from_static("x-call-id");
+/// The name of the request's class.
+const X_CALL_CLASS: HeaderName = HeaderName::from_static("x-call-class");
 /// How long the client waits, in seconds.
-const BUDGET: HeaderName = HeaderName::from_static("x-budget");
+const X_BUDGET: HeaderName = HeaderName::from_static("x-budget");
 /// The work that the client expects the request to take, in microseconds.
-const COST: HeaderName = HeaderName::from_static("x-call-cost");
+const X_CALL_COST: HeaderName = HeaderName::from_static("x-call-cost");
 /// `1` on a retry by the client.
-const RETRY: HeaderName = HeaderName::from_static("x-again");
-const KEY: HeaderName = HeaderName::from_static("idempotency-key");
+const X_AGAIN: HeaderName = HeaderName::from_static("x-again");
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 /// Headers that must not be repeated: two readers might use different values.
-const SINGLE_VALUED: [HeaderName; 8] = [ID, CLASS, BUDGET, COST, RETRY, KEY, CONTENT_LENGTH, HOST];
+const SINGLE_VALUED: [HeaderName; 8] =
+    [X_CALL_ID, X_CALL_CLASS, X_BUDGET, X_CALL_COST, X_AGAIN, IDEMPOTENCY_KEY, CONTENT_LENGTH, HOST];
 /// Headers that are not forwarded: the hop-by-hop headers of the application's connection, and those that the
 /// sidecar writes itself.
 const NOT_FORWARDED: [&str; 10] = [
@@ -79,23 +82,23 @@
     let headers = &head.headers;
     let body_length = check_framing(headers)?;
     let has_id = |id: &&HeaderValue| !id.as_bytes().trim_ascii().is_empty();
-    let id = headers.get(ID).filter(has_id).ok_or(InvalidRequest::bad_request("no id"))?;
-    let class_name = text(headers, CLASS).map(normalize_name);
+    let id = headers.get(X_CALL_ID).filter(has_id).ok_or(InvalidRequest::bad_request("no id"))?;
+    let class_name = text(headers, X_CALL_CLASS).map(normalize_name);
     let class = config.network.classes.iter().position(|name| Some(name) == class_name.as_ref());
     let class = class.ok_or(InvalidRequest::bad_request("no such class"))?;
     let class_settings = &config.settings.classes[class];
     if !matches_idempotency(head, class_settings.idempotency, body_length) {
         return Err(InvalidRequest::bad_request("a method or a key that does not fit the class"));
     }
-    let seconds = number(headers, BUDGET);
+    let seconds = number(headers, X_BUDGET);
     let budget = seconds.and_then(|seconds| Duration::try_from_secs_f64(seconds).ok());
     let budget = budget.ok_or(InvalidRequest::bad_request("no readable budget"))?;
     // No client waits past the deadline of its class. The cap also prevents an overflow of the clock, since a
     // client may send any time.
     let client_timeout = budget.min(config::client_timeout(class_settings));
-    let microseconds = number(headers, COST);
+    let microseconds = number(headers, X_CALL_COST);
     let cost = microseconds.and_then(|us| Duration::try_from_secs_f64(us / 1e6).ok());
-    let is_retry = text(headers, RETRY) == Some("1");
+    let is_retry = text(headers, X_AGAIN) == Some("1");
     Ok(RequestMetadata {
         id: id.clone(),
         class,
@@ -128,7 +131,7 @@
 
 /// Returns whether the method, the idempotency key and the body are those of a class with this idempotency.
 fn matches_idempotency(head: &Parts, idempotency: Idempotency, body_length: u64) -> bool {
-    let key = head.headers.get(KEY);
+    let key = head.headers.get(IDEMPOTENCY_KEY);
     match idempotency {
         Idempotency::Idempotent => head.method == Method::GET && key.is_none() && body_length == 0,
         Idempotency::Keyed { .. } => head.method == Method::POST && key.is_some_and(|key| !key.is_empty()),
--- a/src/bin/lugwharf-sidecar/request_tests.rs
+++ b/src/bin/lugwharf-sidecar/request_tests.rs
@@ -9,12 +9,12 @@
         r#""deadline":740.0,"idempotency":"fragile"},{"name":"report","aim":290.0,"deadline":740.0,
         "idempotency":"dedup","group":"cell","dedupWindow":7500.0},{"name":"look","aim":290.0,"idempotency":"retryable"}"#,
     );
-    let config = Config::read(&json, |_| None).expect("readable");
+    let config = Config::read(&json, |_| None).expect("cannot read the configuration");
     let mut request = Request::builder().method(method).uri("/api");
     for (name, value) in headers {
         request = request.header(*name, *value);
     }
-    super::check(&request.body(()).expect("a request").into_parts().0, &config)
+    super::check(&request.body(()).expect("cannot build the request").into_parts().0, &config)
 }
 
 const PAY: [(&str, &str); 3] = [("X-Call-Id", "1"), ("X-Call-Class", "pay"), ("X-Budget", "0.5")];
@@ -24,10 +24,18 @@
 #[test]
 fn requests_that_fit_their_class_are_accepted() {
     let with = |headers: &[(&'static str, &'static str)], more| [headers, &[more]].concat();
-    assert_eq!(check("POST", &PAY).expect("fits").client_timeout, Duration::from_millis(500));
-    assert_eq!(check("POST", &with(&REPORT, ("Idempotency-Key", "k"))).expect("fits").class, 1);
-    assert_eq!(check("GET", &LOOK).expect("fits").class, 2);
-    let retry = check("POST", &with(&PAY, ("X-Again", "1"))).expect("fits");
+    assert_eq!(
+        check("POST", &PAY).expect("the valid request was rejected").client_timeout,
+        Duration::from_millis(500)
+    );
+    assert_eq!(
+        check("POST", &with(&REPORT, ("Idempotency-Key", "k")))
+            .expect("the valid request was rejected")
+            .class,
+        1
+    );
+    assert_eq!(check("GET", &LOOK).expect("the valid request was rejected").class, 2);
+    let retry = check("POST", &with(&PAY, ("X-Again", "1"))).expect("the valid request was rejected");
     assert_eq!((retry.origin, retry.cost), (Origin::ClientRetry, None));
 }
 
@@ -64,7 +72,7 @@
 #[test]
 fn budget_and_cost_are_bounded_by_the_deadline() {
     let metadata = check("POST", &[&PAY[..2], &[("X-Budget", "1e18"), ("X-Call-Cost", "1e22")]].concat());
-    let metadata = metadata.expect("fits");
+    let metadata = metadata.expect("the valid request was rejected");
     let deadline = Duration::from_millis(740);
     assert_eq!((metadata.client_timeout, metadata.cost), (deadline, Some(deadline)));
 }
--- a/src/bin/lugwharf-sidecar/server/server_tests.rs
+++ b/src/bin/lugwharf-sidecar/server/server_tests.rs
@@ -12,7 +12,7 @@
 use bytes::Bytes;
 use lugwharf_sidecar::api::RequestId;
 use std::io::Write;
-use std::net::{Shutdown, SocketAddr, TcpStream as Blocking};
+use std::net::{Shutdown, SocketAddr, TcpStream as BlockingTcpStream};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -20,7 +20,7 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A server, with the test as its driver.
+/// A server whose requests the test receives and answers in place of the driver.
 struct TestServer {
     server: Arc<Server>,
     events: mpsc::UnboundedReceiver<DriverEvent>,
@@ -31,13 +31,15 @@
 /// if given.
 async fn start_server(deadline: u32, send_buffer: Option<usize>) -> TestServer {
     let json = JSON.replace("\"aim\":290.0", &format!("\"aim\":290.0,\"deadline\":{deadline}"));
-    let config = Arc::new(Config::read(&json, |_| None).expect("readable"));
+    let config = Arc::new(Config::read(&json, |_| None).expect("cannot read the configuration"));
     let (handle, events) = DriverHandle::new();
     let server = Server::new(config, handle, 8, 8);
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind a listener");
+    let addr = listener.local_addr().expect("cannot read the local address");
     let socket = socket2::SockRef::from(&listener);
-    send_buffer.into_iter().for_each(|bytes| socket.set_send_buffer_size(bytes).expect("set"));
+    send_buffer.into_iter().for_each(|bytes| {
+        socket.set_send_buffer_size(bytes).expect("cannot set the send buffer of the socket")
+    });
     tokio::spawn(server.clone().listen(listener));
     tokio::spawn(server.clone().sweep());
     TestServer { server, events, addr }
@@ -48,7 +50,7 @@
     async fn request(&mut self) -> (RequestId, Box<ClientRequest>, oneshot::Sender<FinalAnswer>) {
         match timeout(Duration::from_secs(30), self.events.recv()).await {
             Ok(Some(DriverEvent::Request { id, request, answer })) => (id, request, answer),
-            _ => panic!("no request"),
+            _ => panic!("no request was passed to the driver within 30 s"),
         }
     }
 
@@ -73,9 +75,9 @@
 }
 
 /// Reads until the connection is closed or reset.
-async fn read_to_end(client: Blocking) -> String {
-    client.set_nonblocking(true).expect("set");
-    let client = TcpStream::from_std(client).expect("a socket");
+async fn read_to_end(client: BlockingTcpStream) -> String {
+    client.set_nonblocking(true).expect("cannot set the socket to non-blocking mode");
+    let client = TcpStream::from_std(client).expect("cannot register the socket with the runtime");
     let (mut all, mut bytes) = (Vec::new(), [0; 4_096]);
     loop {
         drop(client.readable().await);
@@ -92,13 +94,18 @@
     for pipelined in [0, 1, 300] {
         for reset in [false, true] {
             let mut test_server = start_server(60_000, None).await;
-            let mut client = Blocking::connect(test_server.addr).expect("accepted");
+            let mut client =
+                BlockingTcpStream::connect(test_server.addr).expect("cannot connect to the server");
             let more: String = (0..pipelined).map(|i| request_text(&i.to_string(), "", 0)).collect();
-            client.write_all((request_text("first", "body", 4) + &more).as_bytes()).expect("written");
+            client
+                .write_all((request_text("first", "body", 4) + &more).as_bytes())
+                .expect("cannot write to the connection");
             let (id, _, _answer) = test_server.request().await;
             let since = Instant::now();
             if reset {
-                socket2::SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("set");
+                socket2::SockRef::from(&client)
+                    .set_linger(Some(Duration::ZERO))
+                    .expect("cannot set the linger option of the socket");
             }
             drop(client);
             let next = timeout(Duration::from_secs(30), test_server.events.recv()).await;
@@ -112,17 +119,17 @@
 #[tokio::test(start_paused = true)]
 async fn bytes_read_ahead_are_the_next_request() {
     let mut test_server = start_server(60_000, None).await;
-    let mut client = Blocking::connect(test_server.addr).expect("accepted");
+    let mut client = BlockingTcpStream::connect(test_server.addr).expect("cannot connect to the server");
     client
         .write_all((request_text("one", "body", 4) + &request_text("two", "more", 4)).as_bytes())
-        .expect("written");
+        .expect("cannot write to the connection");
     for body in ["body", "more"] {
         let (_, request, answer) = test_server.request().await;
         let ForwardedRequest { body: seen, .. } = request.forwarded;
         assert_eq!(seen, body);
         assert!(answer.send(served(3)).is_ok());
     }
-    client.shutdown(Shutdown::Write).expect("shut");
+    client.shutdown(Shutdown::Write).expect("cannot shut down the connection for writing");
     assert_eq!(read_to_end(client).await.matches("200 OK").count(), 2);
 }
 
@@ -130,12 +137,12 @@
 async fn a_slow_reader_gets_its_complete_answer_despite_close_requests() {
     let mut test_server = start_server(60_000, Some(4_096)).await;
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
-    let socket = socket.expect("a socket");
+    let socket = socket.expect("cannot create a socket");
     // The answer fits into neither the send buffer nor the receive buffer.
-    socket.set_recv_buffer_size(4_096).expect("set");
-    socket.connect(&test_server.addr.into()).expect("accepted");
-    let mut client = Blocking::from(socket);
-    client.write_all(request_text("slow", "", 0).as_bytes()).expect("written");
+    socket.set_recv_buffer_size(4_096).expect("cannot set the receive buffer of the socket");
+    socket.connect(&test_server.addr.into()).expect("cannot connect to the server");
+    let mut client = BlockingTcpStream::from(socket);
+    client.write_all(request_text("slow", "", 0).as_bytes()).expect("cannot write to the connection");
     let (_, _, answer) = test_server.request().await;
     assert!(answer.send(served(MAX_BODY_BYTES)).is_ok());
     test_server.wait_for(ClientPhase::WritingAnswer).await;
@@ -151,17 +158,17 @@
     assert!(!test_server.server.evict(|_| true), "the connection is not evicted either");
     let answer_text = read_to_end(client).await;
     assert_eq!(answer_text.matches('x').count(), MAX_BODY_BYTES);
-    shutdown.await.expect("an end");
+    shutdown.await.expect("the shutdown task panicked");
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_request_that_crosses_its_eviction_is_served() {
     let mut test_server = start_server(60_000, None).await;
-    let mut client = Blocking::connect(test_server.addr).expect("accepted");
+    let mut client = BlockingTcpStream::connect(test_server.addr).expect("cannot connect to the server");
     test_server.wait_for(ClientPhase::New).await;
     // The connection's task does not run between the eviction and the write.
     assert!(test_server.server.evict(|_| true));
-    client.write_all(request_text("crossing", "", 0).as_bytes()).expect("written");
+    client.write_all(request_text("crossing", "", 0).as_bytes()).expect("cannot write to the connection");
     let (_, _, answer) = test_server.request().await;
     assert_eq!(lock(&test_server.server.clients).len(), 1, "a shutdown sees it");
     assert!(answer.send(served(3)).is_ok());
@@ -172,11 +179,11 @@
 #[tokio::test(start_paused = true)]
 async fn a_shutdown_waits_for_answers_until_their_deadline() {
     let mut test_server = start_server(9_000, None).await;
-    let mut client = Blocking::connect(test_server.addr).expect("accepted");
-    client.write_all(request_text("long", "", 0).as_bytes()).expect("written");
+    let mut client = BlockingTcpStream::connect(test_server.addr).expect("cannot connect to the server");
+    client.write_all(request_text("long", "", 0).as_bytes()).expect("cannot write to the connection");
     let (_, _, answer) = test_server.request().await;
     // A client that connects and sends nothing.
-    let _silent = Blocking::connect(test_server.addr).expect("accepted");
+    let _silent = BlockingTcpStream::connect(test_server.addr).expect("cannot connect to the server");
     let late_answer = async {
         sleep(Duration::from_millis(8_900)).await;
         assert!(answer.send(served(3)).is_ok());
@@ -200,11 +207,11 @@
         // the other never gets an answer.
         let clients = ["unread", "unanswered"].map(|id| {
             let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
-            let socket = socket.expect("a socket");
-            socket.set_recv_buffer_size(4_096).expect("set");
-            socket.connect(&test_server.addr.into()).expect("accepted");
-            let mut client = Blocking::from(socket);
-            client.write_all(request_text(id, "", 0).as_bytes()).expect("written");
+            let socket = socket.expect("cannot create a socket");
+            socket.set_recv_buffer_size(4_096).expect("cannot set the receive buffer of the socket");
+            socket.connect(&test_server.addr.into()).expect("cannot connect to the server");
+            let mut client = BlockingTcpStream::from(socket);
+            client.write_all(request_text(id, "", 0).as_bytes()).expect("cannot write to the connection");
             client
         });
         let (_, _, answer) = test_server.request().await;
@@ -224,15 +231,15 @@
 async fn clients_connected_when_accepting_stops_are_served() {
     let mut test_server = start_server(9_000, None).await;
     // The task that accepts does not run before accepting is stopped.
-    let mut client = Blocking::connect(test_server.addr).expect("accepted");
-    client.write_all(request_text("late", "", 0).as_bytes()).expect("written");
+    let mut client = BlockingTcpStream::connect(test_server.addr).expect("cannot connect to the server");
+    client.write_all(request_text("late", "", 0).as_bytes()).expect("cannot write to the connection");
     test_server.server.stop_accepting.notify_one();
     let (_, _, answer) = test_server.request().await;
     assert!(answer.send(served(3)).is_ok());
     tokio::join!(test_server.server.shut_down(), async {
         assert!(read_to_end(client).await.contains("200 OK"));
     });
-    assert!(Blocking::connect(test_server.addr).is_err(), "no later client is accepted");
+    assert!(BlockingTcpStream::connect(test_server.addr).is_err(), "no later client is accepted");
 }
 
 #[tokio::test(start_paused = true)]
@@ -240,11 +247,11 @@
     let mut test_server = start_server(60_000, None).await;
     let complete_request = request_text("half", "body", 9);
     for (pause, sent) in [(0, complete_request.len()), (1_900, complete_request.len()), (0, 30), (0, 0)] {
-        let mut client = Blocking::connect(test_server.addr).expect("accepted");
+        let mut client = BlockingTcpStream::connect(test_server.addr).expect("cannot connect to the server");
         let since = Instant::now();
         test_server.wait_for(ClientPhase::New).await;
         sleep(Duration::from_millis(pause)).await;
-        client.write_all(&complete_request.as_bytes()[..sent]).expect("written");
+        client.write_all(&complete_request.as_bytes()[..sent]).expect("cannot write to the connection");
         let answer_text = read_to_end(client).await;
         assert!(since.elapsed() <= Duration::from_secs(3), "{sent} bytes: {:?}", since.elapsed());
         assert!(answer_text.is_empty() || answer_text.starts_with("HTTP/1.1 408"), "{answer_text}");
--- a/src/bin/lugwharf-sidecar/server/shutdown.rs
+++ b/src/bin/lugwharf-sidecar/server/shutdown.rs
@@ -22,7 +22,10 @@
 /// A shutdown ends at the latest this long after the longest deadline: before SIGKILL, and after the last
 /// answer to clients that connected while connections were accepted.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(660);
-const _: () = assert!(MAX_ACCEPT_TIME.as_millis() < SHUTDOWN_MARGIN.as_millis(), "an answer is still due");
+const _: () = assert!(
+    MAX_ACCEPT_TIME.as_millis() < SHUTDOWN_MARGIN.as_millis(),
+    "the shutdown may end before the last answer is due"
+);
 
 /// Returns the longest that a shutdown takes.
 pub fn shutdown_time(config: &Config) -> Duration {
--- a/src/bin/lugwharf-sidecar/upstream/attempt.rs
+++ b/src/bin/lugwharf-sidecar/upstream/attempt.rs
@@ -65,8 +65,9 @@
 ///
 /// If a connection breaks before the request is completely written, the request has not run, and the attempt
 /// goes on with another connection. The attempt ends as [`Outcome::NotSent`] if it is `abandoned`, or passes
-/// `write_by`, before its last byte is written, and as [`Outcome::ConnectFailed`] if its time is over before
-/// it has a connection.
+/// `write_by`, before its last byte is written, or if the endpoint is closed before the attempt has a
+/// connection. The attempt ends as [`Outcome::ConnectFailed`] if no connection is available by `answer_by`,
+/// or if each of [`MAX_CONNECTIONS`] connections broke before the request was completely written.
 pub async fn attempt(
     pool: Pool, endpoint: Arc<Endpoint>, forwarded: Arc<ForwardedRequest>, deadlines: AttemptDeadlines,
     abandoned: Arc<Notify>, on_end: impl FnOnce(Outcome, ServedBody),
--- a/src/bin/lugwharf-sidecar/upstream/upstream_tests.rs
+++ b/src/bin/lugwharf-sidecar/upstream/upstream_tests.rs
@@ -16,6 +16,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+/// A time-out that no test reaches. It exceeds [`MIN_TIME_FOR_HOLD_BACK`], so that last bytes are held back.
 const LONG: Duration = Duration::from_secs(100);
 
 /// A request as it is forwarded.
@@ -30,33 +31,34 @@
     AttemptDeadlines { answer_by, write_by: answer_by }
 }
 
-/// An upstream that the test plays, a pool, and the upstream's endpoint.
-fn peer() -> (TcpListener, Pool, Arc<Endpoint>) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+/// The listener of an upstream whose answers the test writes, a pool, and the upstream's endpoint.
+fn upstream() -> (TcpListener, Pool, Arc<Endpoint>) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind a listener");
     let pool = Pool::new(4, LONG, LONG, true);
-    let endpoint = pool.endpoint(listener.local_addr().expect("an address"));
+    let endpoint = pool.endpoint(listener.local_addr().expect("cannot read the local address"));
     (listener, pool, endpoint)
 }
 
 fn read_until(stream: &mut impl Read, end: &[u8]) {
     let (mut seen, mut byte) = (Vec::new(), [0]);
     while !seen.ends_with(end) {
-        stream.read_exact(&mut byte).expect("a byte");
+        stream.read_exact(&mut byte).expect("cannot read from the connection");
         seen.push(byte[0]);
     }
 }
 
+/// A complete answer with the body `new`.
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nnew";
 
 #[tokio::test]
 async fn an_abandoned_attempt_is_not_written_completely() {
-    let (listener, pool, endpoint) = peer();
+    let (listener, pool, endpoint) = upstream();
     let abandoned = Arc::new(Notify::new());
     let abandon = abandoned.clone();
     // The last byte is held back for a second in tests, so the client always disconnects before it is
     // written.
     let peer = std::thread::spawn(move || {
-        let mut stream = listener.accept().expect("a connection").0;
+        let mut stream = listener.accept().expect("cannot accept a connection").0;
         read_until(&mut stream, b"some bod");
         abandon.notify_one();
         let mut rest = Vec::new();
@@ -70,17 +72,20 @@
     })
     .await;
     assert_eq!(outcome, Some(Outcome::NotSent));
-    let rest = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
+    let rest = tokio::task::spawn_blocking(|| peer.join())
+        .await
+        .expect("the blocking task panicked")
+        .expect("the upstream thread panicked");
     assert!(rest.is_empty(), "the last byte is never written");
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_abandoned_attempt_does_not_wait_for_a_connection() {
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
-    let addr = socket.local_addr().expect("an address");
+    let socket = tokio::net::TcpSocket::new_v4().expect("cannot create a socket");
+    socket.bind(([127, 0, 0, 1], 0).into()).expect("cannot bind the socket");
+    let addr = socket.local_addr().expect("cannot read the local address");
     // Nobody accepts: once the backlog is full, no further connection is established.
-    let _listener = socket.listen(0).expect("listening");
+    let _listener = socket.listen(0).expect("cannot listen on the socket");
     let _backlog: Vec<_> = (0..8).map(|_| nonblocking_connect(addr)).collect();
     let pool = Pool::new(4, LONG, LONG, true);
     let (endpoint, abandoned, answer_by) =
@@ -100,11 +105,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_attempt_past_its_write_deadline_does_not_wait_for_a_connection() {
-    let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
-    socket.bind(([127, 0, 0, 1], 0).into()).expect("a port");
-    let addr = socket.local_addr().expect("an address");
+    let socket = tokio::net::TcpSocket::new_v4().expect("cannot create a socket");
+    socket.bind(([127, 0, 0, 1], 0).into()).expect("cannot bind the socket");
+    let addr = socket.local_addr().expect("cannot read the local address");
     // Nobody accepts: once the backlog is full, no further connection is established.
-    let _listener = socket.listen(0).expect("listening");
+    let _listener = socket.listen(0).expect("cannot listen on the socket");
     let _backlog: Vec<_> = (0..8).map(|_| nonblocking_connect(addr)).collect();
     let pool = Pool::new(4, LONG, LONG, true);
     let (endpoint, since) = (pool.endpoint(addr), Instant::now());
@@ -117,11 +122,11 @@
 
 #[tokio::test]
 async fn an_attempt_past_its_write_deadline_is_not_written_completely() {
-    let (listener, pool, endpoint) = peer();
+    let (listener, pool, endpoint) = upstream();
     // The last byte is held back for a second in tests, and the write deadline is half a second away.
     let peer = std::thread::spawn(move || {
         let mut seen = Vec::new();
-        drop(listener.accept().expect("a connection").0.read_to_end(&mut seen));
+        drop(listener.accept().expect("cannot accept a connection").0.read_to_end(&mut seen));
         seen
     });
     let deadlines = AttemptDeadlines {
@@ -132,28 +137,31 @@
     let on_end = |ended, _: ServedBody| outcome = Some(ended);
     attempt(pool, endpoint, request("some body"), deadlines, Arc::default(), on_end).await;
     assert_eq!(outcome, Some(Outcome::NotSent));
-    let seen = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
+    let seen = tokio::task::spawn_blocking(|| peer.join())
+        .await
+        .expect("the blocking task panicked")
+        .expect("the upstream thread panicked");
     assert!(!seen.ends_with(b"some body"), "the last byte is never written");
 }
 
 fn nonblocking_connect(addr: std::net::SocketAddr) -> socket2::Socket {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
-    let socket = socket.expect("a socket");
-    socket.set_nonblocking(true).expect("set");
+    let socket = socket.expect("cannot create a socket");
+    socket.set_nonblocking(true).expect("cannot set the socket to non-blocking mode");
     drop(socket.connect(&addr.into()));
     socket
 }
 
 #[tokio::test]
 async fn an_attempt_that_may_have_run_is_awaited_after_its_client_disconnected() {
-    let (listener, pool, endpoint) = peer();
+    let (listener, pool, endpoint) = upstream();
     let abandoned = Arc::new(Notify::new());
     let abandon = abandoned.clone();
     let peer = std::thread::spawn(move || {
-        let mut stream = listener.accept().expect("a connection").0;
+        let mut stream = listener.accept().expect("cannot accept a connection").0;
         read_until(&mut stream, b"some body");
         abandon.notify_one();
-        stream.write_all(ANSWER).expect("written");
+        stream.write_all(ANSWER).expect("cannot write to the connection");
         stream
     });
     let mut outcome = None;
@@ -168,9 +176,10 @@
 
 #[tokio::test(start_paused = true)]
 async fn nothing_is_written_to_an_idle_connection_after_the_deadline() {
-    let (listener, pool, endpoint) = peer();
+    let (listener, pool, endpoint) = upstream();
     let answer_by = Instant::now();
-    let kept = pool.connection(&endpoint, answer_by + LONG).await.expect("room");
+    let kept =
+        pool.connection(&endpoint, answer_by + LONG).await.expect("cannot get a connection from the pool");
     pool.put_back(&endpoint, kept);
     // The connection is past its cooldown and usable.
     tokio::time::advance(Duration::from_secs(1)).await;
@@ -181,15 +190,15 @@
     assert!(outcome.is_some_and(Outcome::never_ran), "{outcome:?}");
     let seen = tokio::task::spawn_blocking(move || {
         let mut seen = Vec::new();
-        drop(listener.accept().expect("a connection").0.read_to_end(&mut seen));
+        drop(listener.accept().expect("cannot accept a connection").0.read_to_end(&mut seen));
         seen
     });
-    assert_eq!(String::from_utf8_lossy(&seen.await.expect("run")), "");
+    assert_eq!(String::from_utf8_lossy(&seen.await.expect("the blocking task panicked")), "");
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_takes_precedence_over_a_simultaneous_timeout() {
-    let (listener, pool, endpoint) = peer();
+    let (listener, pool, endpoint) = upstream();
     // So little time is left that no byte is held back.
     let time = MIN_TIME_FOR_HOLD_BACK / 2;
     let (sender, result) = tokio::sync::oneshot::channel();
@@ -198,14 +207,14 @@
     tokio::spawn(attempt(pool, endpoint, request("some body"), until(answer_by), abandoned, on_end));
     // The request is read and answered while the runtime does not run, and then the clock passes the
     // deadline.
-    listener.set_nonblocking(true).expect("set");
+    listener.set_nonblocking(true).expect("cannot set the socket to non-blocking mode");
     let mut stream = loop {
         match listener.accept() {
             Ok((stream, _)) => break stream,
             Err(_) => tokio::task::yield_now().await,
         }
     };
-    stream.set_nonblocking(true).expect("set");
+    stream.set_nonblocking(true).expect("cannot set the socket to non-blocking mode");
     let mut seen = Vec::new();
     while !seen.ends_with(b"some body") {
         let mut bytes = [0; 512];
@@ -214,9 +223,12 @@
             Err(_) => tokio::task::yield_now().await,
         }
     }
-    stream.write_all(ANSWER).expect("written");
+    stream.write_all(ANSWER).expect("cannot write to the connection");
     tokio::time::advance(time * 2).await;
-    assert_eq!(result.await.expect("an outcome"), (Outcome::Ok, Bytes::from_static(b"new")));
+    assert_eq!(
+        result.await.expect("the attempt ended without an outcome"),
+        (Outcome::Ok, Bytes::from_static(b"new"))
+    );
 }
 
 /// Makes an attempt whose first `broken_count` connections break at their first byte. Returns its outcome and
@@ -224,24 +236,26 @@
 async fn attempt_with_broken_connections(
     broken_count: usize, body: &'static str, time: Duration,
 ) -> (Option<Outcome>, usize) {
-    let (listener, pool, endpoint) = peer();
+    let (listener, pool, endpoint) = upstream();
     let opened = Arc::new(AtomicUsize::new(0));
     let counter = opened.clone();
     // The thread ends with the test process.
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let mut stream = stream.expect("a connection");
+            let mut stream = stream.expect("cannot accept a connection");
             let (mut seen, mut byte) = (Vec::new(), [0]);
             let is_broken = counter.fetch_add(1, Ordering::SeqCst) < broken_count;
             let complete_request = format!("\r\n\r\n{body}").into_bytes();
             let enough =
                 |seen: &[u8]| if is_broken { !seen.is_empty() } else { seen.ends_with(&complete_request) };
             while !enough(&seen) {
-                stream.read_exact(&mut byte).expect("a byte");
+                stream.read_exact(&mut byte).expect("cannot read from the connection");
                 seen.push(byte[0]);
             }
             if !is_broken {
-                stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n").expect("written");
+                stream
+                    .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    .expect("cannot write to the connection");
             }
         }
     });
@@ -270,17 +284,17 @@
 #[tokio::test]
 async fn an_answer_before_the_requests_last_byte_is_discarded() {
     for early in ["200 OK", "503 X\r\nX-Rejected: 1", "500 X"] {
-        let (listener, pool, endpoint) = peer();
+        let (listener, pool, endpoint) = upstream();
         let peer = std::thread::spawn(move || {
             let answer =
                 |status, body| format!("HTTP/1.1 {status}\r\nContent-Length: 3\r\n\r\n{body}").into_bytes();
             // The last byte is held back for a second in tests, so this answer always comes before it.
-            let mut first = listener.accept().expect("a connection").0;
-            first.read_exact(&mut [0; 8]).expect("the start");
-            first.write_all(&answer(early, "old")).expect("written");
-            let mut second = listener.accept().expect("another connection").0;
+            let mut first = listener.accept().expect("cannot accept a connection").0;
+            first.read_exact(&mut [0; 8]).expect("cannot read the start of the request");
+            first.write_all(&answer(early, "old")).expect("cannot write to the connection");
+            let mut second = listener.accept().expect("cannot accept another connection").0;
             read_until(&mut second, b"some body");
-            second.write_all(&answer("200 OK", "new")).expect("written");
+            second.write_all(&answer("200 OK", "new")).expect("cannot write to the connection");
             let mut all = Vec::new();
             // A reset ends the connection as well.
             drop(first.read_to_end(&mut all));
@@ -292,8 +306,10 @@
         let on_end = |ended, served: ServedBody| result = Some((ended, served.body));
         attempt(pool, endpoint, forwarded, until(answer_by), Arc::default(), on_end).await;
         assert_eq!(result, Some((Outcome::Ok, Bytes::from_static(b"new"))), "{early}");
-        let (_second, rest) =
-            tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
+        let (_second, rest) = tokio::task::spawn_blocking(|| peer.join())
+            .await
+            .expect("the blocking task panicked")
+            .expect("the upstream thread panicked");
         assert!(!rest.ends_with(b"some body"), "the request never ran on the first connection");
     }
 }
@@ -308,15 +324,15 @@
         let [old, new] = bodies.map(|body| {
             format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
         });
-        let mut first = listener.accept().expect("a connection").0;
-        first.set_read_timeout(Some(LONG)).expect("set");
+        let mut first = listener.accept().expect("cannot accept a connection").0;
+        first.set_read_timeout(Some(LONG)).expect("cannot set the read time-out of the socket");
         read_until(&mut first, end);
-        first.write_all(&old).expect("written");
-        first.read_exact(&mut [0; 8]).expect("the next one's start");
-        first.write_all(&old).expect("written");
-        let mut second = listener.accept().expect("another connection").0;
+        first.write_all(&old).expect("cannot write to the connection");
+        first.read_exact(&mut [0; 8]).expect("cannot read the start of the next request");
+        first.write_all(&old).expect("cannot write to the connection");
+        let mut second = listener.accept().expect("cannot accept another connection").0;
         read_until(&mut second, end);
-        second.write_all(&new).expect("written");
+        second.write_all(&new).expect("cannot write to the connection");
         let mut rest = Vec::new();
         // A reset ends the connection as well.
         drop(first.read_to_end(&mut rest));
@@ -326,7 +342,7 @@
 
 #[tokio::test]
 async fn a_duplicate_answer_is_not_taken_for_the_next_requests_answer() {
-    let (listener, pool, endpoint) = peer();
+    let (listener, pool, endpoint) = upstream();
     let peer = answers_twice(listener, b"some body", ["old", "new"]);
     // So little time is left that only the cooldown of the connection holds the last byte back.
     let answer_by = Instant::now() + MIN_TIME_FOR_HOLD_BACK / 2;
@@ -348,13 +364,16 @@
             "the answer does not belong to another request"
         );
     }
-    let rest = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
+    let rest = tokio::task::spawn_blocking(|| peer.join())
+        .await
+        .expect("the blocking task panicked")
+        .expect("the upstream thread panicked");
     assert!(!rest.ends_with(b"some body"), "the request never ran on the first connection");
 }
 
 #[tokio::test]
 async fn a_duplicate_answer_is_not_taken_for_the_next_probes_answer() {
-    let (listener, pool, endpoint) = peer();
+    let (listener, pool, endpoint) = upstream();
     let peer = answers_twice(listener, b"\r\n\r\n", ["{\"held\":1}", "{\"held\":2}"]);
     for held in [1.0, 2.0] {
         let probed = probe(pool.clone(), endpoint.clone(), Instant::now() + LONG, Some("held")).await;
@@ -364,7 +383,10 @@
             "the answer does not belong to another request"
         );
     }
-    let rest = tokio::task::spawn_blocking(|| peer.join()).await.expect("run").expect("an end");
+    let rest = tokio::task::spawn_blocking(|| peer.join())
+        .await
+        .expect("the blocking task panicked")
+        .expect("the upstream thread panicked");
     assert!(!rest.ends_with(b"\r\n\r\n"), "the probe was not written completely on the first connection");
 }
 
--- a/src/bin/lugwharf-simulator/wire/frame.rs
+++ b/src/bin/lugwharf-simulator/wire/frame.rs
@@ -6,7 +6,10 @@
 use std::io::{self, Read};
 use std::time::Duration;
 
+/// The size of a frame's header, in bytes: the length of the records and the tail, the clock reading, and the
+/// number of records.
 const HEADER_SIZE: usize = 16;
+/// The size of a record, in bytes.
 pub(super) const RECORD_SIZE: usize = 48;
 
 /// One frame, whose records are not decoded yet.
--- a/src/bin/lugwharf-simulator/wire/record_tests.rs
+++ b/src/bin/lugwharf-simulator/wire/record_tests.rs
@@ -14,14 +14,14 @@
     // 1500.25 ms, and one record.
     frame.extend_from_slice(&[0, 0, 0, 0, 0, 0x71, 0x97, 0x40, 1, 0, 0, 0]);
     frame.extend_from_slice(&body);
-    read_batch(&mut &frame[..]).expect("readable").expect("a frame")
+    read_batch(&mut &frame[..]).expect("cannot read the frame").expect("the input has no frame")
 }
 
 /// Returns the only record of a batch.
 fn single_record<'a>(batch: &'a Batch) -> Record<'a> {
     assert_eq!(batch.now, Duration::from_micros(1_500_250));
     let mut records = batch.records();
-    let record = records.next().expect("a record").expect("readable");
+    let record = records.next().expect("the frame has no record").expect("cannot decode the record");
     assert!(records.next().is_none());
     record
 }
