--- a/crates/distribution/tests/server_table.rs
+++ b/crates/distribution/tests/server_table.rs
@@ -1,4 +1,4 @@
-//! Deltas for readers at older positions.
+//! Tests of the server table, and of its deltas for readers at older positions.
 
 use fastrand::Rng;
 use lugwharf_distribution::{
@@ -229,8 +229,8 @@
     let mut other = table_of(&[(PROVISIONAL_EPOCH, &["a", "b"])]);
     assert_eq!(one.position(), other.position());
     assert_eq!(one.delta_since(TablePosition::default()).map(|delta| delta.is_full), Some(true));
-    other.replace(7, entries(&["a", "b", "c"])).expect("a later epoch");
-    let delta = other.delta_since(one.position()).expect("a delta");
+    other.replace(7, entries(&["a", "b", "c"])).expect("cannot replace the server list");
+    let delta = other.delta_since(one.position()).expect("the reader gets no delta");
     assert!(delta.is_full);
     let mut reader = one.clone();
     assert_eq!(reader.apply(&delta), Ok(true));
--- a/crates/distribution/tests/tables.rs
+++ b/crates/distribution/tests/tables.rs
@@ -1,4 +1,4 @@
-//! The version vector over all tables, and the updates computed from it.
+//! Tests of the version vector over all tables, and the updates computed from it.
 
 use lugwharf_distribution::Tables;
 use lugwharf_protocol::{ConfigRecord, FleetSummary, ServerDelta, TablePosition, Update, VersionVector};
--- a/crates/membership/tests/failure_detector.rs
+++ b/crates/membership/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Which peers are suspected, and when.
+//! Tests of which peers the failure detector suspects, and when.
 
 use lugwharf_membership::{FailureDetector, FailureDetectorSettings};
 use rstest::rstest;
--- a/crates/membership/tests/hash_ring.rs
+++ b/crates/membership/tests/hash_ring.rs
@@ -1,9 +1,10 @@
-//! Which monitors a node sends heartbeats to.
+//! Tests of which monitors a node sends heartbeats to.
 
 use lugwharf_membership::HashRing;
 use rstest::rstest;
 use std::net::SocketAddr;
 
+/// The number of nodes that are placed on a ring.
 const NODES: usize = 420;
 
 fn monitors(count: u8) -> Vec<SocketAddr> {
@@ -19,13 +20,13 @@
 #[case::one(1, 2, 1)]
 #[case::two_of_three(3, 2, 2)]
 #[case::all(5, 9, 5)]
-fn monitors_of_a_node_are_distinct(#[case] count: u8, #[case] wanted: usize, #[case] named: usize) {
+fn monitors_of_a_node_are_distinct(#[case] count: u8, #[case] wanted: usize, #[case] expected: usize) {
     let ring = HashRing::new(&monitors(count));
     for node in nodes() {
         let mut chosen = ring.monitors_of(&node, wanted);
         chosen.sort_unstable();
         chosen.dedup();
-        assert_eq!(chosen.len(), named);
+        assert_eq!(chosen.len(), expected);
     }
 }
 
--- a/crates/membership/tests/live_nodes.rs
+++ b/crates/membership/tests/live_nodes.rs
@@ -1,4 +1,4 @@
-//! Count of live nodes.
+//! Tests of the count of live nodes.
 
 use lugwharf_membership::{LiveNodeCounter, LiveNodeCounterSettings, MAX_NODES, MAX_PEERS};
 use std::net::SocketAddr;
@@ -121,7 +121,7 @@
     send_heartbeats(&mut counter, 0..10, seconds(13.9));
     assert_eq!(counter.total(seconds(13.9)), 30);
     send_heartbeats(&mut counter, 0..10, seconds(14.0));
-    assert_eq!(counter.total(seconds(14.0)), 30, "for as long as the delay");
+    assert_eq!(counter.total(seconds(14.0)), 30, "the lower count has not yet lasted for the delay");
     send_heartbeats(&mut counter, 0..10, seconds(14.6));
     assert_eq!(counter.total(seconds(14.6)), 10);
 }
--- a/crates/stages/tests/lease_takeover.rs
+++ b/crates/stages/tests/lease_takeover.rs
@@ -1,5 +1,5 @@
-//! Lease takeover: a holder stops between an order and the end of the ordered change, and its successor knows
-//! only the list, which lags, and the servers' reports.
+//! Tests of lease takeover: a holder stops between an order and the end of the ordered change, and its
+//! successor knows only the list, which lags, and the servers' reports.
 
 use fastrand::Rng;
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
@@ -9,12 +9,16 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
+/// The number of simulated runs.
 const SEEDS: u64 = 400;
 const SERVERS: u8 = 6;
+/// The time that a server without running requests takes to change its stage.
 const SWITCH: Duration = Duration::from_secs(2);
 /// Running requests delay a server's change for up to this time.
 const MAX_DRAIN_MS: u64 = 9_000;
+/// The time step of a simulation.
 const TICK: Duration = Duration::from_millis(50);
+/// The interval at which the holder reads the list.
 const LIST_INTERVAL_TICKS: u32 = 20;
 /// The age of the platform's list.
 const LIST_LAG_TICKS: usize = 14;
@@ -189,7 +193,7 @@
 }
 
 fn number_of(id: &str) -> usize {
-    id.trim_start_matches("i-").parse().expect("a number")
+    id.trim_start_matches("i-").parse().expect("the id does not end in a number")
 }
 
 fn opposite(stage: Stage) -> Stage {
--- a/crates/stages/tests/planner.rs
+++ b/crates/stages/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Decisions of the planner: which servers change their stage, and when.
+//! Tests of the planner's decisions: which servers change their stage, and when.
 
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
 use lugwharf_stages::target::{Demand, decode_targets};
@@ -7,6 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// The time that a server takes to change its stage.
 const SWITCH: Duration = Duration::from_secs(2);
 
 fn seconds(seconds: f64) -> Duration {
@@ -299,7 +300,7 @@
 #[case::while_it_is_asked(Duration::from_secs(3), Duration::from_millis(1), 2, 2)]
 #[case::without_an_answer(Duration::from_secs(3), Duration::ZERO, 0, 0)]
 fn changing_server_is_draining_until_it_is_confirmed(
-    #[case] after: Duration, #[case] before: Duration, #[case] out: usize, #[case] asked: usize,
+    #[case] after: Duration, #[case] before: Duration, #[case] draining: usize, #[case] queried: usize,
 ) {
     let mut planner = planner_with_lease();
     let servers = fleet(2);
@@ -321,8 +322,8 @@
         planner.plan(end, "other", &[], &demand(0.0));
     }
     planner.plan(end + after - before, "other", &[], &demand(0.0));
-    assert_eq!(draining_count(&planner, &servers), out);
-    assert_eq!(planner.servers_to_query(end + after, &servers).len(), asked);
+    assert_eq!(draining_count(&planner, &servers), draining);
+    assert_eq!(planner.servers_to_query(end + after, &servers).len(), queried);
 }
 
 #[test]
@@ -474,7 +475,7 @@
     }
 }
 
-/// All orders for some seeds, as recorded with release 1a8c4db: `+` orders a server to decode, `-` to
+/// All orders for some seeds, as recorded with commit 1a8c4db: `+` orders a server to decode, `-` to
 /// prefill.
 #[rstest]
 #[case(
--- a/crates/stages/tests/stale_tokens.rs
+++ b/crates/stages/tests/stale_tokens.rs
@@ -1,11 +1,13 @@
-//! Servers that reject the fencing tokens of this process (412).
+//! Tests of servers that reject the fencing tokens of this process (412).
 
 use lugwharf_protocol::{ServerEntry, ServerState, Stage};
 use lugwharf_stages::target::Demand;
 use lugwharf_stages::{OrderOutcome, Planner, PlannerSettings};
 use std::time::Duration;
 
+/// The time that a server takes to change its stage.
 const SWITCH: Duration = Duration::from_secs(2);
+/// The fencing token of the first lease.
 const FIRST_TOKEN: u64 = 7;
 
 const fn seconds(seconds: u64) -> Duration {
