--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -86,7 +86,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => return Ok(()),
-            _ = hangup.recv() => match settings.reread() {
+            _ = hangup.recv() => match settings.reload() {
                 // The control link reads the newest settings between two passes.
                 Ok(settings) => drop(reload.send_replace(settings)),
                 Err(error) => warn!("settings", kv: { outcome = "not_reloaded", error: = error }),
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -68,7 +68,7 @@
         let mut text = Exposition::new(PREFIX);
         let pulls = PullOutcome::ALL.into_iter().zip(&self.pulls);
         let pulls = pulls.map(|(outcome, count)| (outcome.label(), count.load(Ordering::Relaxed)));
-        text.outcomes("pulls", "Pulls from control processes by outcome", pulls);
+        text.counters_by_outcome("pulls", "Pulls from control processes by outcome", pulls);
         text.counter(
             "followed",
             "Times that a control process was followed anew",
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -74,7 +74,7 @@
     pub resumable: bool,
     /// The objective for the time between two events of a stream, in ms. Default 0, none.
     #[serde(rename = "gap_aim_ms", default)]
-    pub gap_aim_ms: f64,
+    pub event_gap_target_ms: f64,
 }
 
 fn default_max_attempts() -> u32 {
@@ -112,8 +112,8 @@
     #[serde(default)]
     pub link_mbps: f64,
     /// How long a server keeps a prefilled KV cache for its decode server, in s.
-    #[serde(default)]
-    pub kv_hold_s: f64,
+    #[serde(rename = "KvHoldS", default)]
+    pub kv_handle_ttl_s: f64,
     /// How long a server takes to change its stage, in s.
     #[serde(default)]
     pub switch_s: f64,
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -138,7 +138,7 @@
 
 /// Reads the settings file again. If that fails, the present settings stay in effect.
 async fn reload_settings(settings: &Settings, commands: &mpsc::Sender<Command>) {
-    match settings.reread() {
+    match settings.reload() {
         Ok(settings) => send_command(commands, Command::Reload { settings: Box::new(settings) }).await,
         Err(error) => warn!("settings", kv: { outcome = "not_reloaded", error: = error }),
     }
--- a/crates/emulator/src/client/exchange.rs
+++ b/crates/emulator/src/client/exchange.rs
@@ -1,10 +1,10 @@
 //! One request of a client and its response.
 
-use super::outcome::{AttemptEnd, Finding, Outcome};
+use super::outcome::{AttemptEnd, AttemptOutcome, FailedCheck};
 use super::request::ClientRequest;
 use crate::events::EventParser;
-use crate::names;
-use crate::server_core::millis;
+use crate::header_names;
+use crate::server_core::duration_from_ms;
 use crate::wire::{Connection, Framing, Response, WireError};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -45,8 +45,8 @@
     }
 
     /// Sends a request, on a new connection if none is open, and reads and checks its response within its deadline.
-    pub async fn send(&mut self, request: &ClientRequest) -> Outcome {
-        let deadline = Instant::now() + millis(request.deadline_ms as f64);
+    pub async fn send(&mut self, request: &ClientRequest) -> AttemptOutcome {
+        let deadline = Instant::now() + duration_from_ms(request.deadline_ms as f64);
         let mut outcome = request.outcome();
         let mut connection = match self.take_connection(&mut outcome, deadline).await {
             Some(connection) => connection,
@@ -56,12 +56,12 @@
             Err(_) => outcome.ending = AttemptEnd::TimedOut,
             Ok(Err(WireError::Malformed(_) | WireError::TooLong)) => {
                 outcome.ending = AttemptEnd::Malformed;
-                outcome.findings.push(Finding::MalformedResponse);
+                outcome.failed_checks.push(FailedCheck::MalformedResponse);
             }
             Ok(Err(_)) => outcome.ending = AttemptEnd::Truncated,
             Ok(Ok(())) => {
                 outcome.ending = AttemptEnd::Complete;
-                if !outcome.headers.has_token(names::CONNECTION, "close") {
+                if !outcome.headers.has_token(header_names::CONNECTION, "close") {
                     self.connection = Some(connection);
                 }
             }
@@ -70,13 +70,15 @@
         outcome
     }
 
-    async fn take_connection(&mut self, outcome: &mut Outcome, deadline: Instant) -> Option<Connection> {
+    async fn take_connection(
+        &mut self, outcome: &mut AttemptOutcome, deadline: Instant,
+    ) -> Option<Connection> {
         if let Some(mut connection) = self.connection.take() {
             connection.fill_now();
             if connection.unread().is_empty() {
                 return Some(connection);
             }
-            outcome.findings.push(Finding::SurplusBytes);
+            outcome.failed_checks.push(FailedCheck::SurplusBytes);
         }
         let deadline = deadline.min(Instant::now() + self.connect_timeout);
         match timeout_at(deadline, Connection::open(self.address)).await {
@@ -89,7 +91,7 @@
     }
 
     /// The bytes that arrived on the open connection although no request waits for a response.
-    pub fn surplus(&mut self) -> Vec<u8> {
+    pub fn surplus_bytes(&mut self) -> Vec<u8> {
         let Some(connection) = &mut self.connection else {
             return Vec::new();
         };
@@ -99,7 +101,7 @@
 }
 
 async fn exchange(
-    connection: &mut Connection, request: &ClientRequest, pause: Duration, outcome: &mut Outcome,
+    connection: &mut Connection, request: &ClientRequest, pause: Duration, outcome: &mut AttemptOutcome,
 ) -> Result<(), WireError> {
     let bytes = request.to_wire().encode();
     let (first, second) = bytes.split_at(if pause.is_zero() { 0 } else { bytes.len() / 2 });
@@ -110,10 +112,10 @@
     connection.write(second).await?;
     let (head, mut framing): (Response, Framing) = connection.read_response_head().await?;
     outcome.status = Some(head.status);
-    outcome.stamp = head.headers.get(names::SERVER_STAMP).and_then(|stamp| stamp.parse().ok());
+    outcome.stamp = head.headers.get(header_names::SERVER_STAMP).and_then(|stamp| stamp.parse().ok());
     outcome.headers = head.headers;
     let mut reader = EventParser::default();
-    let is_stream = outcome.headers.get(names::CONTENT_TYPE) == Some(names::EVENT_STREAM);
+    let is_stream = outcome.headers.get(header_names::CONTENT_TYPE) == Some(header_names::EVENT_STREAM);
     while let Some(chunk_bytes) = connection.read_body_chunk(&mut framing).await? {
         outcome.body.extend_from_slice(&chunk_bytes);
         if is_stream {
@@ -121,7 +123,7 @@
         }
     }
     if reader.has_partial_event() {
-        outcome.findings.push(Finding::PartialEvent);
+        outcome.failed_checks.push(FailedCheck::PartialEvent);
     }
     Ok(())
 }
--- a/crates/emulator/src/client/mod.rs
+++ b/crates/emulator/src/client/mod.rs
@@ -4,7 +4,7 @@
 //! | --- | --- |
 //! | `request` | what a client sends |
 //! | `exchange` | one request and its response on a connection |
-//! | `outcome` | what a client got, and the findings of its checks |
+//! | `outcome` | what a client got, and the checks that it failed |
 //! | `retry` | further attempts of a client |
 
 mod exchange;
@@ -13,6 +13,6 @@
 mod retry;
 
 pub use exchange::Client;
-pub use outcome::{AttemptEnd, Finding, Outcome};
-pub use request::{ClientRequest, Kind};
+pub use outcome::{AttemptEnd, AttemptOutcome, FailedCheck};
+pub use request::{ClientRequest, RequestKind};
 pub use retry::RetryPolicy;
--- a/crates/emulator/src/client/outcome.rs
+++ b/crates/emulator/src/client/outcome.rs
@@ -1,8 +1,8 @@
-//! What a client got for one attempt, and the findings of its checks.
+//! What a client got for one attempt, and the checks that it failed.
 
 use crate::content;
 use crate::events::Event;
-use crate::names;
+use crate::header_names;
 use crate::stamp::{ExpectedBody, Stamp};
 use crate::wire::Headers;
 
@@ -23,7 +23,7 @@
 
 /// A check that a response failed (promises MIXED and ORDER of `docs/PROMISES.md`).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Finding {
+pub enum FailedCheck {
     /// A success without a server's stamp.
     MissingStamp,
     /// The status differs from that in the stamp.
@@ -58,11 +58,11 @@
 
 /// What a client got for one attempt.
 #[derive(Clone, Debug)]
-pub struct Outcome {
+pub struct AttemptOutcome {
     /// The id of the attempt.
     pub request_id: String,
     /// Hash of method, target and body, as servers compute it.
-    pub content: u64,
+    pub content_hash: u64,
     /// The host of the request.
     pub host: String,
     /// Path and query.
@@ -84,10 +84,10 @@
     /// How the attempt ended.
     pub ending: AttemptEnd,
     /// The checks that failed.
-    pub findings: Vec<Finding>,
+    pub failed_checks: Vec<FailedCheck>,
 }
 
-impl Outcome {
+impl AttemptOutcome {
     /// Whether a complete 2xx response was received.
     pub fn is_success(&self) -> bool {
         self.ending == AttemptEnd::Complete && self.status.is_some_and(|status| (200..300).contains(&status))
@@ -103,19 +103,19 @@
             return;
         };
         let is_success = (200..300).contains(&status);
-        let other_id = self.headers.get(names::REQUEST_ID).is_some_and(|id| id != self.request_id);
+        let other_id = self.headers.get(header_names::REQUEST_ID).is_some_and(|id| id != self.request_id);
         if other_id {
-            self.findings.push(Finding::RequestIdMismatch);
+            self.failed_checks.push(FailedCheck::RequestIdMismatch);
         }
-        if is_success && self.headers.get(names::CONTENT_ENCODING).is_some() {
-            self.findings.push(Finding::EncodedBody);
+        if is_success && self.headers.get(header_names::CONTENT_ENCODING).is_some() {
+            self.failed_checks.push(FailedCheck::EncodedBody);
         }
         match self.stamp.clone() {
-            None if is_success => self.findings.push(Finding::MissingStamp),
+            None if is_success => self.failed_checks.push(FailedCheck::MissingStamp),
             None => {}
             Some(stamp) => {
                 if stamp.status != status {
-                    self.findings.push(Finding::StatusMismatch);
+                    self.failed_checks.push(FailedCheck::StatusMismatch);
                 }
                 self.check_body(stamp.expected_body);
             }
@@ -127,7 +127,7 @@
             ExpectedBody::Bytes { length, hash } => {
                 let is_same = self.body.len() == length && content::hash(&self.body) == hash;
                 if self.ending == AttemptEnd::Complete && !is_same {
-                    self.findings.push(Finding::BodyMismatch);
+                    self.failed_checks.push(FailedCheck::BodyMismatch);
                 }
             }
             ExpectedBody::Events { last, event_bytes, seed } => self.check_events(last, event_bytes, seed),
@@ -139,16 +139,16 @@
         for event in &self.events {
             let expected = received + 1;
             if event.id != Some(expected) {
-                self.findings.push(Finding::EventOrder { expected, received: event.id });
+                self.failed_checks.push(FailedCheck::EventOrder { expected, received: event.id });
                 return;
             }
             if event.data != content::event_data(seed, expected, event_bytes) {
-                self.findings.push(Finding::EventMismatch { id: expected });
+                self.failed_checks.push(FailedCheck::EventMismatch { id: expected });
             }
             received = expected;
         }
         if self.ending == AttemptEnd::Complete && received != last {
-            self.findings.push(Finding::MissingEvents);
+            self.failed_checks.push(FailedCheck::MissingEvents);
         }
     }
 }
--- a/crates/emulator/src/client/request.rs
+++ b/crates/emulator/src/client/request.rs
@@ -1,13 +1,13 @@
 //! What a client sends.
 
-use super::outcome::{AttemptEnd, Outcome};
-use crate::names;
+use super::outcome::{AttemptEnd, AttemptOutcome};
+use crate::header_names;
 use crate::server_core::ServerRequest;
 use crate::wire::{Headers, Request};
 
 /// Whether and how a request may be executed again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum RequestKind {
     /// May be executed more than once.
     Safe,
     /// Is executed at most once.
@@ -18,10 +18,10 @@
     ResumableStream,
 }
 
-impl Kind {
+impl RequestKind {
     /// Whether a second execution does no harm.
     pub fn is_idempotent(self) -> bool {
-        matches!(self, Kind::Safe | Kind::ResumableStream)
+        matches!(self, RequestKind::Safe | RequestKind::ResumableStream)
     }
 }
 
@@ -37,7 +37,7 @@
     /// Path and query.
     pub target: String,
     /// Whether and how a request may be executed again.
-    pub kind: Kind,
+    pub kind: RequestKind,
     /// How long the client waits (`Deadline-Ms`), in ms.
     pub deadline_ms: u64,
     /// Further headers.
@@ -48,7 +48,7 @@
 
 impl ClientRequest {
     /// A `POST` with a small body and a deadline of 5 s.
-    pub fn post(request_id: &str, host: &str, target: &str, kind: Kind) -> ClientRequest {
+    pub fn post(request_id: &str, host: &str, target: &str, kind: RequestKind) -> ClientRequest {
         ClientRequest {
             request_id: request_id.to_owned(),
             method: "POST".to_owned(),
@@ -65,13 +65,13 @@
     pub fn generation(
         request_id: &str, host: &str, target: &str, tokens: (u64, u64), segments: &[(u64, u64)],
     ) -> ClientRequest {
-        let mut request = ClientRequest::post(request_id, host, target, Kind::Stream);
-        request.headers.push(names::MODEL, "m");
-        request.headers.push(names::TOKEN_COUNTS, format!("{},{}", tokens.0, tokens.1));
+        let mut request = ClientRequest::post(request_id, host, target, RequestKind::Stream);
+        request.headers.push(header_names::MODEL, "m");
+        request.headers.push(header_names::TOKEN_COUNTS, format!("{},{}", tokens.0, tokens.1));
         if !segments.is_empty() {
             let segments: Vec<String> =
                 segments.iter().map(|(id, tokens)| format!("{id:08x}:{tokens}")).collect();
-            request.headers.push(names::PROMPT_PREFIX, segments.join(","));
+            request.headers.push(header_names::PROMPT_PREFIX, segments.join(","));
         }
         request
     }
@@ -90,21 +90,21 @@
     }
 
     /// The outcome of an attempt that has not connected yet.
-    pub fn outcome(&self) -> Outcome {
-        Outcome {
+    pub fn outcome(&self) -> AttemptOutcome {
+        AttemptOutcome {
             request_id: self.request_id.clone(),
-            content: ServerRequest::from(self.to_wire()).content,
+            content_hash: ServerRequest::from(self.to_wire()).content_hash,
             host: self.host.clone(),
             target: self.target.clone(),
             idempotent: self.kind.is_idempotent(),
-            received_events: self.headers.parsed(names::LAST_EVENT_ID).unwrap_or(0),
+            received_events: self.headers.parsed(header_names::LAST_EVENT_ID).unwrap_or(0),
             status: None,
             headers: Headers::new(),
             stamp: None,
             body: Vec::new(),
             events: Vec::new(),
             ending: AttemptEnd::ConnectFailed,
-            findings: Vec::new(),
+            failed_checks: Vec::new(),
         }
     }
 }
--- a/crates/emulator/src/client/retry.rs
+++ b/crates/emulator/src/client/retry.rs
@@ -1,10 +1,10 @@
 //! Retries of a client.
 
 use super::exchange::Client;
-use super::outcome::{AttemptEnd, Outcome};
+use super::outcome::{AttemptEnd, AttemptOutcome};
 use super::request::ClientRequest;
-use crate::names;
-use crate::server_core::millis;
+use crate::header_names;
+use crate::server_core::duration_from_ms;
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
@@ -21,8 +21,8 @@
 impl RetryPolicy {
     /// Sends the request to the front-end nodes in turn until its response is final; returns the outcomes of all attempts. Each
     /// attempt has an id of its own.
-    pub async fn send(&self, fronts: &[SocketAddr], request: &ClientRequest) -> Vec<Outcome> {
-        let deadline = Instant::now() + millis(request.deadline_ms as f64);
+    pub async fn send(&self, fronts: &[SocketAddr], request: &ClientRequest) -> Vec<AttemptOutcome> {
+        let deadline = Instant::now() + duration_from_ms(request.deadline_ms as f64);
         let mut outcomes = Vec::new();
         for (index, front) in fronts.iter().cycle().take(1 + self.retries as usize).enumerate() {
             let left = deadline.saturating_duration_since(Instant::now());
@@ -38,13 +38,13 @@
                 break;
             };
             let left = deadline.saturating_duration_since(Instant::now()).mul_f64(MAX_WAIT_SHARE);
-            tokio::time::sleep(millis(pause).min(left)).await;
+            tokio::time::sleep(duration_from_ms(pause).min(left)).await;
         }
         outcomes
     }
 }
 
-fn is_retryable(outcome: &Outcome) -> bool {
+fn is_retryable(outcome: &AttemptOutcome) -> bool {
     if outcome.promises_not_executed() || outcome.ending == AttemptEnd::ConnectFailed {
         return true;
     }
@@ -52,6 +52,6 @@
     outcome.idempotent && !is_final
 }
 
-fn retry_after_ms(outcome: &Outcome) -> f64 {
-    outcome.headers.parsed::<f64>(names::RETRY_AFTER).map_or(0.0, |seconds| seconds.max(0.0) * 1_000.0)
+fn retry_after_ms(outcome: &AttemptOutcome) -> f64 {
+    outcome.headers.parsed::<f64>(header_names::RETRY_AFTER).map_or(0.0, |seconds| seconds.max(0.0) * 1_000.0)
 }
--- a/crates/emulator/src/cluster/layout.rs
+++ b/crates/emulator/src/cluster/layout.rs
@@ -1,6 +1,6 @@
 //! The addresses of a cluster's machines.
 
-use super::{Cluster, Placement, ports};
+use super::{Cluster, ControlPlacement, ports};
 use std::net::{Ipv4Addr, SocketAddr};
 
 impl Cluster {
@@ -11,7 +11,7 @@
 
     /// Where all front-end nodes accept clients.
     pub fn front_addresses(&self) -> Vec<SocketAddr> {
-        (0..self.options.fronts).map(|index| self.front_address(index)).collect()
+        (0..self.options.front_ends).map(|index| self.front_address(index)).collect()
     }
 
     /// Where a front-end node answers readiness checks.
@@ -32,8 +32,8 @@
     /// The gateways: [`Cluster::gateway_address`] of all front-end nodes that host no control machine.
     pub fn gateway_addresses(&self) -> Vec<SocketAddr> {
         let fronts = match self.options.placement {
-            Placement::Core => 0..0,
-            Placement::Fronts => self.options.controls..self.options.fronts,
+            ControlPlacement::Dedicated => 0..0,
+            ControlPlacement::FrontEndNodes => self.options.control_machines..self.options.front_ends,
         };
         fronts.map(|front| self.gateway_address(front)).collect()
     }
@@ -41,14 +41,14 @@
     /// The public address of a control machine.
     pub(super) fn control_ip(&self, index: usize) -> Ipv4Addr {
         match self.options.placement {
-            Placement::Core => self.subnet.control(index),
-            Placement::Fronts => self.subnet.front(index),
+            ControlPlacement::Dedicated => self.subnet.control(index),
+            ControlPlacement::FrontEndNodes => self.subnet.front(index),
         }
     }
 
     /// Whether the agent of a front-end node hosts a control machine.
     pub fn hosts_control(&self, front: usize) -> bool {
-        self.options.placement == Placement::Fronts && front < self.options.controls
+        self.options.placement == ControlPlacement::FrontEndNodes && front < self.options.control_machines
     }
 
     /// An address for an emulated server, which nothing else on this machine gets while the server is down.
@@ -58,20 +58,24 @@
 
     /// The address on which the processes of a control machine listen and from which they connect.
     pub fn control_bind_ip(&self, index: usize) -> Ipv4Addr {
-        match (self.options.placement, self.options.relayed) {
-            (Placement::Core, true) => self.subnet.control_behind_relay(index),
-            (Placement::Core, false) => self.subnet.control(index),
-            (Placement::Fronts, _) => self.front_bind_ip(index),
+        match (self.options.placement, self.options.uses_relays) {
+            (ControlPlacement::Dedicated, true) => self.subnet.control_behind_relay(index),
+            (ControlPlacement::Dedicated, false) => self.subnet.control(index),
+            (ControlPlacement::FrontEndNodes, _) => self.front_bind_ip(index),
         }
     }
 
     /// The address on which the processes of a front-end node listen and from which they connect.
     pub fn front_bind_ip(&self, index: usize) -> Ipv4Addr {
-        if self.options.relayed { self.subnet.front_behind_relay(index) } else { self.subnet.front(index) }
+        if self.options.uses_relays {
+            self.subnet.front_behind_relay(index)
+        } else {
+            self.subnet.front(index)
+        }
     }
 
     /// The relays that a control machine needs, as (public, bound) addresses: the operator's API, peers, agents.
-    pub fn relayed_addresses(&self, index: usize) -> [(SocketAddr, SocketAddr); 3] {
+    pub fn relay_addresses(&self, index: usize) -> [(SocketAddr, SocketAddr); 3] {
         let (public, bound) = (self.control_ip(index), self.control_bind_ip(index));
         [ports::CONTROL, ports::INTERNAL_FIRST, ports::INTERNAL_FIRST + 1]
             .map(|port| (SocketAddr::from((public, port)), SocketAddr::from((bound, port))))
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -25,10 +25,10 @@
 
 pub use addresses::Subnet;
 pub use observation::readiness_status;
-pub use options::{ClusterOptions, Placement};
+pub use options::{ClusterOptions, ControlPlacement};
 pub use poll::poll;
 pub use process::{Process, Signal};
-pub use settings_file::{SettingsSpec, class};
+pub use settings_file::{SettingsSpec, machine_class};
 
 use std::collections::BTreeMap;
 use std::io;
@@ -98,12 +98,12 @@
 
     /// Starts all processes of all machines, control first. The first call bootstraps the fleet.
     pub fn start_all(&mut self) -> io::Result<()> {
-        for index in 0..self.options.controls {
+        for index in 0..self.options.control_machines {
             if !self.hosts_control(index) {
                 self.start_control(index)?;
             }
         }
-        for index in 0..self.options.fronts {
+        for index in 0..self.options.front_ends {
             self.start_front(index)?;
         }
         self.is_first_start = false;
--- a/crates/emulator/src/cluster/observation.rs
+++ b/crates/emulator/src/cluster/observation.rs
@@ -1,7 +1,7 @@
 //! What a cluster shows of itself: status, metrics, logs, readiness and violated invariants.
 
 use super::poll::poll;
-use super::{Cluster, Placement, ports};
+use super::{Cluster, ControlPlacement, ports};
 use crate::operator::{Operator, call_once};
 use crate::wire::{Connection, Request};
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
     /// An operator who knows all control machines and gateways.
     pub fn operator(&self) -> Operator {
-        let controls = (0..self.options.controls).map(|index| self.control_address(index));
+        let controls = (0..self.options.control_machines).map(|index| self.control_address(index));
         Operator::new(controls.chain(self.gateway_addresses()).collect())
     }
 
@@ -33,9 +33,9 @@
     /// The metrics of a control process; `None` if it does not answer.
     pub async fn control_metrics(&self, index: usize) -> Option<String> {
         let port = match self.options.placement {
-            Placement::Core => ports::METRICS,
+            ControlPlacement::Dedicated => ports::METRICS,
             // METRICS is the port of the node's proxy; a hosted replica serves its metrics beside the operator's API.
-            Placement::Fronts => ports::CONTROL,
+            ControlPlacement::FrontEndNodes => ports::CONTROL,
         };
         metrics_text(SocketAddr::from((self.control_bind_ip(index), port))).await
     }
@@ -64,7 +64,7 @@
 
     /// Waits until all front-end nodes are ready; false if one is not after 15 s ([`poll`]).
     pub async fn wait_ready(&self) -> bool {
-        for index in 0..self.options.fronts {
+        for index in 0..self.options.front_ends {
             if !self.wait_front_ready(index).await {
                 return false;
             }
--- a/crates/emulator/src/cluster/options.rs
+++ b/crates/emulator/src/cluster/options.rs
@@ -4,23 +4,24 @@
 
 /// Where the control processes run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Placement {
+pub enum ControlPlacement {
     /// On machines of its own.
     #[default]
-    Core,
+    Dedicated,
     /// On the first front-end nodes, hosted by their agents; the agents of the others forward callers of control (gateways).
-    Fronts,
+    FrontEndNodes,
 }
 
 /// The machines of a cluster and the settings of their processes.
 #[derive(Clone, Debug)]
 pub struct ClusterOptions {
     /// Front-end nodes: machines with a proxy and an agent.
-    pub fronts: usize,
+    pub front_ends: usize,
     /// Control machines.
-    pub controls: usize,
-    /// Where the control processes run. [`Placement::Fronts`] needs at least as many front-end nodes as control machines.
-    pub placement: Placement,
+    pub control_machines: usize,
+    /// Where the control processes run. [`ControlPlacement::FrontEndNodes`]
+    /// needs at least as many front-end nodes as control machines.
+    pub placement: ControlPlacement,
     /// Voting control machines that may be lost at once (`[FaultTolerance]`).
     pub fault_tolerance: usize,
     /// Where the platform lists servers (`[Cloud]`).
@@ -33,5 +34,5 @@
     pub max_fds: usize,
     /// Whether the caller runs relays on the machines' addresses, to delay and cut links: processes then listen on, and connect
     /// from, other addresses (`Bind`).
-    pub relayed: bool,
+    pub uses_relays: bool,
 }
--- a/crates/emulator/src/cluster/process.rs
+++ b/crates/emulator/src/cluster/process.rs
@@ -19,9 +19,9 @@
     /// SIGHUP: reload of the settings file.
     Reload,
     /// SIGSTOP: it is paused, with its connections open.
-    Freeze,
+    Stop,
     /// SIGCONT: it continues.
-    Thaw,
+    Continue,
     /// SIGKILL.
     Kill,
 }
@@ -67,8 +67,8 @@
             Signal::Kill => return self.child.kill(),
             Signal::Terminate => "-TERM",
             Signal::Reload => "-HUP",
-            Signal::Freeze => "-STOP",
-            Signal::Thaw => "-CONT",
+            Signal::Stop => "-STOP",
+            Signal::Continue => "-CONT",
         };
         // The standard library sends SIGKILL only. The child has not been waited for, so that its id can't have been reused.
         let status = Command::new("kill").arg(name).arg(self.child.id().to_string()).status()?;
@@ -116,7 +116,7 @@
     }
 
     /// Its exit status; `None` while it runs.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
--- a/crates/emulator/src/cluster/settings.rs
+++ b/crates/emulator/src/cluster/settings.rs
@@ -1,14 +1,14 @@
 //! The settings of each process of a cluster.
 
-use super::settings_file::{SettingsSpec, class};
-use super::{AGENT, Cluster, Placement, control_name, ports};
+use super::settings_file::{SettingsSpec, machine_class};
+use super::{AGENT, Cluster, ControlPlacement, control_name, ports};
 use std::net::{IpAddr, SocketAddr};
 
 impl Cluster {
     /// What the settings of all processes have in common.
     fn common_settings(&self, node: String) -> SettingsSpec {
         let default_seeds =
-            || (0..self.options.controls.min(3)).map(|index| self.control_address(index)).collect();
+            || (0..self.options.control_machines.min(3)).map(|index| self.control_address(index)).collect();
         SettingsSpec {
             node,
             bootstrap: self.is_first_start,
@@ -23,15 +23,16 @@
 
     /// The settings of a control process, or of an agent that hosts one.
     pub(super) fn control_settings(&self, index: usize) -> SettingsSpec {
-        let is_hosted = self.options.placement == Placement::Fronts;
-        let (role, machine_class) = if is_hosted { (AGENT, class::FRONT) } else { ("control", class::CORE) };
+        let is_hosted = self.options.placement == ControlPlacement::FrontEndNodes;
+        let (role, machine_class) =
+            if is_hosted { (AGENT, machine_class::FRONT) } else { ("control", machine_class::CORE) };
         SettingsSpec {
             role: role.to_owned(),
             machine_class,
             serves: vec!["control".to_owned()],
             ip: self.control_ip(index).into(),
             feed_address: is_hosted.then(|| SocketAddr::from((self.subnet.front(index), ports::FEED))),
-            bind: self.options.relayed.then(|| IpAddr::from(self.control_bind_ip(index))),
+            bind: self.options.uses_relays.then(|| IpAddr::from(self.control_bind_ip(index))),
             control: Some(SocketAddr::from((self.control_bind_ip(index), ports::CONTROL))),
             data_dir: Some(self.data_directory(index)),
             counts_for_quorum: index < self.voting_machines,
@@ -42,7 +43,7 @@
     /// The settings of a proxy, or of an agent that hosts no control machine.
     pub(super) fn front_settings(&self, index: usize, role: &str) -> SettingsSpec {
         let is_proxy = role == "proxy";
-        let is_gateway = !is_proxy && self.options.placement == Placement::Fronts;
+        let is_gateway = !is_proxy && self.options.placement == ControlPlacement::FrontEndNodes;
         let serves = match (is_proxy, is_gateway) {
             (true, _) => vec!["front".to_owned()],
             (false, true) => vec!["control".to_owned()],
@@ -51,10 +52,10 @@
         SettingsSpec {
             control: is_gateway.then(|| SocketAddr::from((self.front_bind_ip(index), ports::CONTROL))),
             role: role.to_owned(),
-            machine_class: class::FRONT,
+            machine_class: machine_class::FRONT,
             serves,
             ip: self.subnet.front(index).into(),
-            bind: self.options.relayed.then(|| IpAddr::from(self.front_bind_ip(index))),
+            bind: self.options.uses_relays.then(|| IpAddr::from(self.front_bind_ip(index))),
             front: is_proxy.then(|| self.front_address(index)),
             ready: is_proxy.then(|| self.ready_address(index)),
             feed_address: Some(SocketAddr::from((self.subnet.front(index), ports::FEED))),
--- a/crates/emulator/src/cluster/settings_file.rs
+++ b/crates/emulator/src/cluster/settings_file.rs
@@ -7,7 +7,7 @@
 use super::ports;
 
 /// Values of `MachineClass`.
-pub mod class {
+pub mod machine_class {
     /// Machines that clients connect to.
     pub const FRONT: &str = "front";
     /// Machines with a disk, for control.
@@ -21,7 +21,7 @@
     pub node: String,
     /// `Role`: the role of the process.
     pub role: String,
-    /// `MachineClass`, see [`class`].
+    /// `MachineClass`, see [`mod@machine_class`].
     pub machine_class: &'static str,
     /// `Serves`.
     pub serves: Vec<String>,
@@ -60,7 +60,7 @@
         SettingsSpec {
             node: "node-0".to_owned(),
             role: String::new(),
-            machine_class: class::FRONT,
+            machine_class: machine_class::FRONT,
             serves: Vec::new(),
             ip: Ipv4Addr::LOCALHOST.into(),
             bind: None,
--- a/crates/emulator/src/configuration.rs
+++ b/crates/emulator/src/configuration.rs
@@ -180,19 +180,19 @@
     }
 
     /// The same with a further route.
-    pub fn route(mut self, route: RouteSpec) -> Self {
+    pub fn with_route(mut self, route: RouteSpec) -> Self {
         self.routes.push(route);
         self
     }
 
     /// The same with a further service.
-    pub fn service(mut self, service: ServiceSpec) -> Self {
+    pub fn with_service(mut self, service: ServiceSpec) -> Self {
         self.services.push(service);
         self
     }
 
     /// The same with another version.
-    pub fn numbered(&self, version: u64) -> Self {
+    pub fn with_version(&self, version: u64) -> Self {
         ConfigurationSpec { version, ..self.clone() }
     }
 
--- a/crates/emulator/src/fault.rs
+++ b/crates/emulator/src/fault.rs
@@ -1,6 +1,6 @@
 //! Faults of a server, planned by a test.
 
-use crate::names;
+use crate::header_names;
 use crate::wire::Request;
 
 /// A fault in the handling of one request.
@@ -33,7 +33,7 @@
 
 /// Which requests a fault is for; a field that is not set matches all. Requests without an id never match.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Matcher {
+pub struct RequestMatcher {
     /// The id of the client's attempt.
     pub request_id: Option<String>,
     /// The prefix of path and query.
@@ -42,17 +42,17 @@
     pub prefill: Option<bool>,
 }
 
-impl Matcher {
+impl RequestMatcher {
     /// Matches every request that has an id.
-    pub fn any() -> Matcher {
-        Matcher::default()
+    pub fn any() -> RequestMatcher {
+        RequestMatcher::default()
     }
 
     fn matches(&self, request: &Request) -> bool {
-        let Some(id) = request.headers.get(names::REQUEST_ID) else {
+        let Some(id) = request.headers.get(header_names::REQUEST_ID) else {
             return false;
         };
-        let is_prefill = request.headers.get(names::SERVING_STAGE).is_some();
+        let is_prefill = request.headers.get(header_names::SERVING_STAGE).is_some();
         self.request_id.as_deref().is_none_or(|wanted| wanted == id)
             && self.path_prefix.as_deref().is_none_or(|prefix| request.target.starts_with(prefix))
             && self.prefill.is_none_or(|wanted| wanted == is_prefill)
@@ -61,7 +61,7 @@
 
 #[derive(Clone, Debug)]
 struct Rule {
-    matcher: Matcher,
+    matcher: RequestMatcher,
     fault: Fault,
     remaining: usize,
 }
@@ -74,7 +74,7 @@
 
 impl FaultPlan {
     /// Plans a fault for the next `times` requests that match.
-    pub fn add(&mut self, matcher: Matcher, fault: Fault, times: usize) {
+    pub fn add(&mut self, matcher: RequestMatcher, fault: Fault, times: usize) {
         self.rules.push(Rule { matcher, fault, remaining: times });
     }
 
--- a/crates/emulator/src/host/connection.rs
+++ b/crates/emulator/src/host/connection.rs
@@ -3,7 +3,7 @@
 use super::response::{Disposition, ResponseWriter};
 use super::state::ServerState;
 use crate::fault::{Fault, Reachability};
-use crate::names;
+use crate::header_names;
 use crate::server_core::{CallId, ServerCore, ServerEvent, ServerRequest};
 use crate::sync::lock;
 use crate::wire::{Connection, Request, Response, WireError};
@@ -71,7 +71,7 @@
     state: &ServerState<C>, connection: &mut Connection, request: Request,
 ) -> io::Result<Disposition> {
     let fault = lock(&state.faults).draw(&request);
-    let asks_to_close = request.headers.has_token(names::CONNECTION, "close");
+    let asks_to_close = request.headers.has_token(header_names::CONNECTION, "close");
     let request = ServerRequest::from(request);
     state.record_arrival(&request);
     if let Some(disposition) = serve_unexecuted(state, connection, &request, fault.as_ref()).await? {
--- a/crates/emulator/src/host/world.rs
+++ b/crates/emulator/src/host/environment.rs
@@ -1,4 +1,4 @@
-//! What all servers of a world share: the clock, the request log, and the transfer of KV caches.
+//! What all servers of a environment share: the clock, the request log, and the transfer of KV caches.
 
 use crate::request_log::RequestLog;
 use crate::server_core::{CallId, KvContents};
@@ -25,26 +25,26 @@
 
 /// The surroundings of a test's servers; clones share them. Its clock is that of the tokio runtime.
 #[derive(Clone)]
-pub struct World {
+pub struct Environment {
     inner: Arc<Inner>,
 }
 
-impl Default for World {
+impl Default for Environment {
     fn default() -> Self {
-        World::new()
+        Environment::new()
     }
 }
 
-impl World {
-    /// A world that starts now.
-    pub fn new() -> World {
+impl Environment {
+    /// A environment that starts now.
+    pub fn new() -> Environment {
         let inner = Inner {
             started: Instant::now(),
             calls: AtomicU64::new(0),
             request_log: RequestLog::new(),
             servers: Mutex::default(),
         };
-        World { inner: Arc::new(inner) }
+        Environment { inner: Arc::new(inner) }
     }
 
     /// The log of arrivals, executions and orders.
@@ -52,7 +52,7 @@
         &self.inner.request_log
     }
 
-    /// The time since the start of the world.
+    /// The time since the start of the environment.
     pub fn now(&self) -> Duration {
         self.inner.started.elapsed()
     }
--- a/crates/emulator/src/host/mod.rs
+++ b/crates/emulator/src/host/mod.rs
@@ -7,15 +7,15 @@
 //! | `options` | connection limit, idle timeout, cancellation |
 //! | `connection` | requests on one connection of a caller |
 //! | `response` | the response to one request, with its planned fault |
-//! | `world` | what all servers share: clock, request log and the transfer of KV caches |
+//! | `environment` | what all servers share: clock, request log and the transfer of KV caches |
 
 mod connection;
+mod environment;
 mod options;
 mod response;
 mod server;
 mod state;
-mod world;
 
+pub use environment::Environment;
 pub use options::ServerOptions;
 pub use server::{EmulatedServer, StageSource};
-pub use world::World;
--- a/crates/emulator/src/host/response.rs
+++ b/crates/emulator/src/host/response.rs
@@ -2,7 +2,7 @@
 
 use super::state::ServerState;
 use crate::fault::Fault;
-use crate::names;
+use crate::header_names;
 use crate::server_core::{Action, ServerCore};
 use crate::wire::{Connection, Response, chunk};
 use std::io;
@@ -79,13 +79,13 @@
     async fn write_action(&mut self, action: Action) -> io::Result<Option<Disposition>> {
         match action {
             Action::Respond { response, .. } => {
-                self.closes = response.headers.has_token(names::CONNECTION, "close");
+                self.closes = response.headers.has_token(header_names::CONNECTION, "close");
                 let response = self.with_planned_id(response);
                 self.connection.write(&response.encode()).await?;
                 self.finish().await.map(Some)
             }
             Action::Head { head, .. } => {
-                self.closes = head.headers.has_token(names::CONNECTION, "close");
+                self.closes = head.headers.has_token(header_names::CONNECTION, "close");
                 let head = self.with_planned_id(head);
                 self.connection.write(&head.encode_chunked_head()).await?;
                 Ok(None)
@@ -115,7 +115,7 @@
 
     fn with_planned_id(&self, response: Response) -> Response {
         match self.fault {
-            Some(Fault::WrongRequestId) => response.with(names::REQUEST_ID, FOREIGN_ID),
+            Some(Fault::WrongRequestId) => response.with(header_names::REQUEST_ID, FOREIGN_ID),
             _ => response,
         }
     }
@@ -125,7 +125,7 @@
         match self.fault {
             Some(Fault::ResetAfterResponse) => return Ok(Disposition::Reset),
             Some(Fault::SurplusResponse) => {
-                let mut surplus = Response::new(200).with(names::REQUEST_ID, FOREIGN_ID);
+                let mut surplus = Response::new(200).with(header_names::REQUEST_ID, FOREIGN_ID);
                 surplus.body = b"belongs to no request".to_vec();
                 self.connection.write(&surplus.encode()).await?;
             }
--- a/crates/emulator/src/host/server.rs
+++ b/crates/emulator/src/host/server.rs
@@ -1,10 +1,10 @@
 //! A running server.
 
 use super::connection;
+use super::environment::Environment;
 use super::options::ServerOptions;
 use super::state::ServerState;
-use super::world::World;
-use crate::fault::{Fault, Matcher, Reachability};
+use crate::fault::{Fault, Reachability, RequestMatcher};
 use crate::model_server::{ModelServer, Stage};
 use crate::server_core::{ServerCore, ServerEvent};
 use crate::sync::lock;
@@ -30,11 +30,11 @@
     ///
     /// The address can't be bound.
     pub async fn start(
-        world: &World, address: SocketAddr, core: C, options: ServerOptions,
+        environment: &Environment, address: SocketAddr, core: C, options: ServerOptions,
     ) -> io::Result<EmulatedServer<C>> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let state = Arc::new(ServerState::new(world, address, core, options));
+        let state = Arc::new(ServerState::new(environment, address, core, options));
         ServerState::register(&state);
         tokio::spawn(accept(Arc::clone(&state), listener));
         tokio::spawn(Arc::clone(&state).run_timers());
@@ -52,7 +52,7 @@
     }
 
     /// Plans a fault for the next `times` requests that match.
-    pub fn inject(&self, matcher: Matcher, fault: Fault, times: usize) {
+    pub fn inject(&self, matcher: RequestMatcher, fault: Fault, times: usize) {
         lock(&self.state.faults).add(matcher, fault, times);
     }
 
@@ -88,7 +88,7 @@
     pub async fn crash(self) -> SocketAddr {
         let address = self.address();
         self.set_reachability(Reachability::Down);
-        self.state.world.deregister(address);
+        self.state.environment.deregister(address);
         drop(self);
         while TcpListener::bind(address).await.is_err() {
             tokio::task::yield_now().await;
--- a/crates/emulator/src/host/state.rs
+++ b/crates/emulator/src/host/state.rs
@@ -1,7 +1,7 @@
 //! What the tasks of one server share.
 
+use super::environment::{Environment, HandleSource};
 use super::options::ServerOptions;
-use super::world::{HandleSource, World};
 use crate::fault::{FaultPlan, Reachability};
 use crate::request_log::{Arrival, Completion, Execution, ReceivedOrder};
 use crate::server_core::{Action, CallId, KvContents, ServerCore, ServerEvent, ServerRequest};
@@ -17,7 +17,7 @@
 struct OpenCall {
     actions: mpsc::UnboundedSender<Action>,
     request_id: String,
-    content: u64,
+    content_hash: u64,
 }
 
 /// A server's core with its open calls, planned faults and surroundings. Locks are taken in the order of the fields.
@@ -30,14 +30,16 @@
     pub drops_idle: AtomicBool,
     /// The core's next wake-up may have changed.
     pub wake: Notify,
-    pub world: World,
+    pub environment: Environment,
     pub options: ServerOptions,
     pub address: SocketAddr,
 }
 
 impl<C: ServerCore> ServerState<C> {
     /// The state of a server that serves.
-    pub fn new(world: &World, address: SocketAddr, core: C, options: ServerOptions) -> ServerState<C> {
+    pub fn new(
+        environment: &Environment, address: SocketAddr, core: C, options: ServerOptions,
+    ) -> ServerState<C> {
         ServerState {
             core: Mutex::new(core),
             calls: Mutex::default(),
@@ -45,16 +47,16 @@
             reachability: watch::Sender::new(Reachability::Serving),
             drops_idle: AtomicBool::new(false),
             wake: Notify::new(),
-            world: world.clone(),
+            environment: environment.clone(),
             options,
             address,
         }
     }
 
-    /// Lets other servers of the world fetch KV caches from this one.
+    /// Lets other servers of the environment fetch KV caches from this one.
     pub fn register(state: &Arc<ServerState<C>>) {
         let source: Arc<dyn HandleSource> = Arc::clone(state) as _;
-        state.world.register(state.address, Arc::downgrade(&source));
+        state.environment.register(state.address, Arc::downgrade(&source));
     }
 
     /// Hands the core an event and carries out the actions that follow. KV caches are fetched without a lock, since their
@@ -66,7 +68,7 @@
             {
                 let mut core = lock(&self.core);
                 let mut actions = Vec::new();
-                core.handle(event, self.world.now(), &mut actions);
+                core.handle(event, self.environment.now(), &mut actions);
                 for action in actions {
                     match action {
                         Action::FetchHandle { call, address, handle } => {
@@ -78,7 +80,7 @@
                 }
             }
             for (call, address, handle) in fetches {
-                let contents = self.world.take_handle(address, &handle);
+                let contents = self.environment.take_handle(address, &handle);
                 events.push(ServerEvent::HandleFetched { call, contents });
             }
         }
@@ -87,10 +89,10 @@
 
     /// Opens a call for a request; the receiver gets its actions.
     pub fn open_call(&self, request: &ServerRequest) -> (CallId, mpsc::UnboundedReceiver<Action>) {
-        let call = self.world.next_call();
+        let call = self.environment.next_call();
         let (actions, receiver) = mpsc::unbounded_channel();
         let request_id = request.request_id().unwrap_or_default().to_owned();
-        lock(&self.calls).insert(call, OpenCall { actions, request_id, content: request.content });
+        lock(&self.calls).insert(call, OpenCall { actions, request_id, content_hash: request.content_hash });
         (call, receiver)
     }
 
@@ -133,7 +135,7 @@
             let next = lock(&self.core).next_wake();
             let due = async {
                 match next {
-                    Some(at) => tokio::time::sleep_until(self.world.instant(at)).await,
+                    Some(at) => tokio::time::sleep_until(self.environment.instant(at)).await,
                     None => std::future::pending().await,
                 }
             };
@@ -155,18 +157,18 @@
     /// Records the arrival of a request or an order.
     pub fn record_arrival(&self, request: &ServerRequest) {
         let identity = lock(&self.core).identity().clone();
-        let request_log = self.world.request_log();
+        let request_log = self.environment.request_log();
         if request.method == "POST" && request.path() == "/order" {
             let body = String::from_utf8_lossy(&request.body).into_owned();
             request_log.record_order(ReceivedOrder {
-                at: self.world.now(),
+                at: self.environment.now(),
                 instance: identity.instance,
                 body,
             });
             return;
         }
         request_log.record_arrival(Arrival {
-            at: self.world.now(),
+            at: self.environment.now(),
             instance: identity.instance,
             service: identity.service,
             address: self.address,
@@ -174,7 +176,7 @@
             method: request.method.clone(),
             target: request.target.clone(),
             headers: request.headers.clone(),
-            content: request.content,
+            content_hash: request.content_hash,
             body_bytes: request.body.len(),
         });
     }
@@ -184,27 +186,28 @@
         let Some(open) = calls.get(&call) else {
             return;
         };
-        self.world.request_log().record_execution(Execution {
-            at: self.world.now(),
+        self.environment.request_log().record_execution(Execution {
+            at: self.environment.now(),
             instance: core.identity().instance.clone(),
             service: core.identity().service.clone(),
             request_id: open.request_id.clone(),
-            content: open.content,
+            content_hash: open.content_hash,
             kv_owner,
         });
     }
 
     /// Records that the server is done with a call, completely or not.
     fn record_completion(&self, open: OpenCall) {
-        let completion = Completion { at: self.world.now(), request_id: open.request_id };
-        self.world.request_log().record_completion(completion);
+        let completion = Completion { at: self.environment.now(), request_id: open.request_id };
+        self.environment.request_log().record_completion(completion);
     }
 }
 
 impl<C: ServerCore> HandleSource for ServerState<C> {
     fn take(&self, handle: &str) -> Option<KvContents> {
         let is_serving = *self.reachability.borrow() == Reachability::Serving;
-        let contents = is_serving.then(|| lock(&self.core).take_handle(handle, self.world.now())).flatten();
+        let contents =
+            is_serving.then(|| lock(&self.core).take_handle(handle, self.environment.now())).flatten();
         self.wake.notify_one();
         contents
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -9,11 +9,11 @@
 //! | [`client`] | clients, which check what they get |
 //! | [`cluster`] | the machines: settings files and processes of the real binary |
 //!
-//! [`wire`], [`names`], [`events`], [`stamp`] and [`content`] are the protocol between them: HTTP/1.1, header names, events of
+//! [`wire`], [`header_names`], [`events`], [`stamp`] and [`content`] are the protocol between them: HTTP/1.1, header names, events of
 //! streams, and stamps by which a client knows the complete response of a server.
 //!
 //! The servers and the platform are state machines without I/O, `(event, now) -> actions`; `now` is the time since the
-//! start of the world. [`host`] drives a server core on a socket, injects the faults of a [`fault::FaultPlan`] and records
+//! start of the environment. [`host`] drives a server core on a socket, injects the faults of a [`fault::FaultPlan`] and records
 //! arrivals and executions in a [`request_log::RequestLog`]. A caller on virtual time drives the cores itself.
 #![forbid(unsafe_code)]
 
@@ -23,9 +23,9 @@
 pub mod content;
 pub mod events;
 pub mod fault;
+pub mod header_names;
 pub mod host;
 pub mod model_server;
-pub mod names;
 pub mod operator;
 pub mod plain_server;
 pub mod platform;
--- a/crates/emulator/src/model_server/generation.rs
+++ b/crates/emulator/src/model_server/generation.rs
@@ -2,8 +2,8 @@
 
 use super::kv_memory::{KvAllocation, SegmentKey, chain_keys};
 use super::parameters::ModelParameters;
-use crate::names;
-use crate::server_core::{CallId, ServerRequest, millis};
+use crate::header_names;
+use crate::server_core::{CallId, ServerRequest, duration_from_ms};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -59,20 +59,20 @@
     pub fn from_request(
         call: CallId, request: ServerRequest, order: u64, now: Duration, parameters: &ModelParameters,
     ) -> Option<Generation> {
-        let counts = request.headers.get(names::TOKEN_COUNTS)?;
+        let counts = request.headers.get(header_names::TOKEN_COUNTS)?;
         let (prompt, out) = counts.split_once(',')?;
         let prompt_tokens: u64 = prompt.trim().parse().ok()?;
         let out_tokens: u64 = out.trim().parse().ok()?;
-        let segments = parse_segments(request.headers.get(names::PROMPT_PREFIX).unwrap_or_default())?;
+        let segments = parse_segments(request.headers.get(header_names::PROMPT_PREFIX).unwrap_or_default())?;
         let named: u64 = segments.iter().map(|(_, tokens)| tokens).sum();
-        let seen = request.headers.parsed(names::LAST_EVENT_ID).unwrap_or(0);
-        let model = request.headers.get(names::MODEL).unwrap_or_default();
+        let seen = request.headers.parsed(header_names::LAST_EVENT_ID).unwrap_or(0);
+        let model = request.headers.get(header_names::MODEL).unwrap_or_default();
         Some(Generation {
             call,
-            priority: request.headers.parsed(names::PRIORITY).unwrap_or(DEFAULT_PRIORITY),
+            priority: request.headers.parsed(header_names::PRIORITY).unwrap_or(DEFAULT_PRIORITY),
             order,
             deadline: request.deadline(now),
-            is_prefill: request.headers.get(names::SERVING_STAGE).is_some(),
+            is_prefill: request.headers.get(header_names::SERVING_STAGE).is_some(),
             chain: chain_keys(model, parameters.version, &segments),
             segments,
             unnamed_tokens: prompt_tokens.saturating_sub(named),
@@ -81,7 +81,7 @@
             made: parameters.tokens_before(seen, out_tokens.max(1)),
             remaining_prefill: 0,
             allocation: None,
-            begins_at: now + millis(parameters.startup_ms),
+            begins_at: now + duration_from_ms(parameters.startup_ms),
             run: None,
             kv_owner: None,
             request,
--- a/crates/emulator/src/model_server/mod.rs
+++ b/crates/emulator/src/model_server/mod.rs
@@ -27,7 +27,7 @@
 pub use kv_memory::{KvAllocation, KvMemory, SegmentKey, chain_keys};
 pub use parameters::{ModelParameters, Stage};
 
-use crate::names;
+use crate::header_names;
 use crate::server_core::{Action, CallId, Identity, KvContents, ServerCore, ServerEvent, ServerRequest};
 use crate::wire::Response;
 use batch::Step;
@@ -87,7 +87,7 @@
             memory: KvMemory::new(parameters.kv_tokens, parameters.block_tokens),
             handles: Handles::default(),
             link: TransferLink::default(),
-            orders: OrderState::new(parameters.stage, parameters.fenced),
+            orders: OrderState::new(parameters.stage, parameters.checks_fencing_tokens),
             reports: ReportHistory::new(parameters.report_lag),
             transfers: Vec::new(),
             waiting: Vec::new(),
@@ -197,13 +197,13 @@
 
     /// The response with the headers that depend on the server's state: load report and `Connection: close`.
     fn loaded(&self, mut response: Response) -> Response {
-        if self.identity.tells_load {
+        if self.identity.sends_load_reports {
             let waiting = self.waiting.len() + self.transfers.len();
             let load = format!("{},{waiting},{}", self.running.len(), self.parameters.slots);
-            response.headers.set(names::LOAD_REPORT, load);
+            response.headers.set(header_names::LOAD_REPORT, load);
         }
         if self.is_draining {
-            response.headers.set(names::CONNECTION, "close");
+            response.headers.set(header_names::CONNECTION, "close");
         }
         response
     }
--- a/crates/emulator/src/model_server/transfer_link.rs
+++ b/crates/emulator/src/model_server/transfer_link.rs
@@ -1,7 +1,7 @@
 //! The link over which a server fetches KV caches, one after another.
 
 use super::parameters::ModelParameters;
-use crate::server_core::{Location, millis};
+use crate::server_core::{Location, duration_from_ms};
 use std::time::Duration;
 
 /// A transfer that would be queued for longer is rejected.
@@ -29,7 +29,7 @@
     ) -> Duration {
         let bits = tokens as f64 * parameters.kv_token_bytes * 8.0;
         let bits_per_ms = (parameters.link_mbps * 1_000.0).max(1.0);
-        let time = millis(parameters.transfer_setup_ms + bits / bits_per_ms * distance(from, to));
+        let time = duration_from_ms(parameters.transfer_setup_ms + bits / bits_per_ms * distance(from, to));
         self.free_at = self.free_at.max(now) + time;
         self.free_at
     }
--- a/crates/emulator/src/operator.rs
+++ b/crates/emulator/src/operator.rs
@@ -1,6 +1,6 @@
 //! The operator: changes and reads configurations at any control address, and moves on to the next one when a call fails.
 
-use crate::names;
+use crate::header_names;
 use crate::wire::{Connection, Request, Response, WireError};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -118,8 +118,8 @@
 
 fn change(method: &str, body: &[u8], base: u64) -> Request {
     let mut request = Request::new(method, "/config");
-    request.headers.push(names::IF_MATCH, base.to_string());
-    request.headers.push(names::CONTENT_TYPE, names::JSON);
+    request.headers.push(header_names::IF_MATCH, base.to_string());
+    request.headers.push(header_names::CONTENT_TYPE, header_names::JSON);
     request.body = body.to_vec();
     request
 }
@@ -133,26 +133,26 @@
 #[derive(Debug)]
 pub struct RedirectedCall {
     /// The address that was called last: where redirects led, or the first one.
-    pub reached: SocketAddr,
+    pub final_address: SocketAddr,
     /// What came of it.
     pub result: Result<Response, CallError>,
 }
 
 /// One attempt at one address, with its redirects and where they led.
 pub async fn call_with_redirects(address: SocketAddr, request: &Request) -> RedirectedCall {
-    let mut reached = address;
-    let result = follow_redirects(&mut reached, request.clone()).await;
-    RedirectedCall { reached, result }
+    let mut final_address = address;
+    let result = follow_redirects(&mut final_address, request.clone()).await;
+    RedirectedCall { final_address, result }
 }
 
 async fn follow_redirects(address: &mut SocketAddr, mut request: Request) -> Result<Response, CallError> {
     for _ in 0..=MAX_REDIRECTS {
-        request.headers.set(names::HOST, address.to_string());
+        request.headers.set(header_names::HOST, address.to_string());
         let response = exchange(*address, &request).await?;
         if response.status != 307 {
             return Ok(response);
         }
-        let location = response.headers.get(names::LOCATION).and_then(parse_location);
+        let location = response.headers.get(header_names::LOCATION).and_then(parse_location);
         let (next, target) = location.ok_or(CallError::BadRedirect)?;
         *address = next;
         request.target = target;
@@ -161,8 +161,8 @@
 }
 
 async fn exchange(address: SocketAddr, request: &Request) -> Result<Response, CallError> {
-    let response_timeout =
-        RESPONSE_TIMEOUT + crate::server_core::millis(request.body.len() as f64 * TIMEOUT_MS_PER_BYTE);
+    let response_timeout = RESPONSE_TIMEOUT
+        + crate::server_core::duration_from_ms(request.body.len() as f64 * TIMEOUT_MS_PER_BYTE);
     let call = async {
         let mut connection = Connection::open(address).await.map_err(WireError::from)?;
         connection.write(&request.encode()).await.map_err(WireError::from)?;
--- a/crates/emulator/src/plain_server.rs
+++ b/crates/emulator/src/plain_server.rs
@@ -1,7 +1,7 @@
 //! A server of a plain service: slots, a bounded queue, and a fixed service time.
 
 use crate::content;
-use crate::names;
+use crate::header_names;
 use crate::server_core::{Action, CallId, Identity, ServerCore, ServerEvent, ServerRequest};
 use crate::stamp::ExpectedBody;
 use crate::wire::Response;
@@ -14,16 +14,21 @@
     /// Requests that are executed at once.
     pub slots: usize,
     /// The maximum of waiting requests; further ones are rejected.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// The service time of a request.
-    pub work: Duration,
+    pub service_time: Duration,
     /// Bytes of a response's body.
     pub response_bytes: usize,
 }
 
 impl Default for PlainParameters {
     fn default() -> Self {
-        PlainParameters { slots: 6, queue: 24, work: Duration::from_millis(2), response_bytes: 800 }
+        PlainParameters {
+            slots: 6,
+            queue_capacity: 24,
+            service_time: Duration::from_millis(2),
+            response_bytes: 800,
+        }
     }
 }
 
@@ -86,7 +91,8 @@
             actions.push(Action::Respond { call, response });
             return;
         }
-        if self.waiting.len() >= self.parameters.queue && self.working.len() >= self.parameters.slots {
+        if self.waiting.len() >= self.parameters.queue_capacity && self.working.len() >= self.parameters.slots
+        {
             self.reject(call, &request, actions);
             return;
         }
@@ -110,7 +116,7 @@
             let working = Working {
                 request: next.request,
                 run: self.executions,
-                done_at: now + self.parameters.work,
+                done_at: now + self.parameters.service_time,
                 deadline: next.deadline,
             };
             self.working.insert(next.call, working);
@@ -155,12 +161,12 @@
     }
 
     fn with_state_headers(&self, mut response: Response) -> Response {
-        if self.identity.tells_load {
+        if self.identity.sends_load_reports {
             let load = format!("{},{},{}", self.working.len(), self.waiting.len(), self.parameters.slots);
-            response.headers.set(names::LOAD_REPORT, load);
+            response.headers.set(header_names::LOAD_REPORT, load);
         }
         if self.is_draining {
-            response.headers.set(names::CONNECTION, "close");
+            response.headers.set(header_names::CONNECTION, "close");
         }
         response
     }
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -81,7 +81,7 @@
     }
 
     /// The same entry as a model server of a stage, with one model.
-    pub fn staged(mut self, stage: Stage, model: &str, version: u64) -> InstanceEntry {
+    pub fn with_stage(mut self, stage: Stage, model: &str, version: u64) -> InstanceEntry {
         self.stage = Some(stage.as_str().to_owned());
         self.models = vec![InstanceModel { name: model.to_owned(), version, adapters: Vec::new() }];
         self
@@ -102,12 +102,12 @@
     /// The rate limit, in requests a second; further ones get 429. Default 50.
     pub rate_per_s: f64,
     /// Entries on one page. Default 50.
-    pub page: usize,
+    pub page_size: usize,
 }
 
 impl Default for PlatformParameters {
     fn default() -> Self {
-        PlatformParameters { lag: Duration::from_millis(50), rate_per_s: 50.0, page: 50 }
+        PlatformParameters { lag: Duration::from_millis(50), rate_per_s: 50.0, page_size: 50 }
     }
 }
 
@@ -184,7 +184,7 @@
         let fitting = self.shown.values().filter(|entry| zone.is_none_or(|zone| zone == entry.zone));
         let entries: Vec<&InstanceEntry> = fitting.collect();
         let page: Vec<&InstanceEntry> =
-            entries.iter().skip(first).take(self.parameters.page).copied().collect();
+            entries.iter().skip(first).take(self.parameters.page_size).copied().collect();
         let next = first + page.len();
         let token = (next < entries.len()).then(|| format!("p-{next}"));
         Response::json(200, &json!({"Instances": page, "NextToken": token}))
--- a/crates/emulator/src/platform/host.rs
+++ b/crates/emulator/src/platform/host.rs
@@ -2,7 +2,7 @@
 
 use super::{InstanceEntry, InstanceState, Platform, PlatformParameters};
 use crate::fault::Reachability;
-use crate::host::{StageSource, World};
+use crate::host::{Environment, StageSource};
 use crate::sync::lock;
 use crate::wire::{Connection, Request, Response};
 use std::collections::BTreeMap;
@@ -16,7 +16,7 @@
 /// One request that the platform got.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlatformRequest {
-    /// Since the start of the world.
+    /// Since the start of the environment.
     pub at: Duration,
     /// Path and query.
     pub target: String,
@@ -35,13 +35,13 @@
     stages: Mutex<BTreeMap<String, StageSource>>,
     calls: Mutex<Vec<PlatformRequest>>,
     reachability: watch::Sender<Reachability>,
-    world: World,
+    environment: Environment,
 }
 
 impl Shared {
     /// Updates the stages of tracked servers, and drops servers that are gone.
     fn refresh_stages(&self) {
-        let now = self.world.now();
+        let now = self.environment.now();
         let mut platform = lock(&self.platform);
         lock(&self.stages).retain(|id, source| {
             let stage = source();
@@ -66,7 +66,7 @@
     ///
     /// The address can't be bound.
     pub async fn start(
-        world: &World, address: SocketAddr, parameters: PlatformParameters,
+        environment: &Environment, address: SocketAddr, parameters: PlatformParameters,
     ) -> io::Result<PlatformHost> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -75,7 +75,7 @@
             stages: Mutex::default(),
             calls: Mutex::default(),
             reachability: watch::Sender::new(Reachability::Serving),
-            world: world.clone(),
+            environment: environment.clone(),
         });
         tokio::spawn(accept(Arc::clone(&shared), listener));
         Ok(PlatformHost { shared, address })
@@ -88,7 +88,7 @@
 
     /// Adds an entry, or replaces that of the same id.
     pub fn put(&self, entry: InstanceEntry) {
-        lock(&self.shared.platform).put(entry, self.shared.world.now());
+        lock(&self.shared.platform).put(entry, self.shared.environment.now());
     }
 
     /// Lets the list show the stage that a server has, as orders change it.
@@ -98,7 +98,7 @@
 
     /// Changes an entry.
     pub fn change(&self, id: &str, change: impl FnOnce(&mut InstanceEntry)) {
-        lock(&self.shared.platform).change(id, self.shared.world.now(), change);
+        lock(&self.shared.platform).change(id, self.shared.environment.now(), change);
     }
 
     /// Lists a server as draining.
@@ -108,7 +108,7 @@
 
     /// Removes an entry.
     pub fn remove(&self, id: &str) {
-        lock(&self.shared.platform).remove(id, self.shared.world.now());
+        lock(&self.shared.platform).remove(id, self.shared.environment.now());
     }
 
     /// Changes whether it can be reached.
@@ -117,7 +117,7 @@
     }
 
     /// The last 10,000 requests.
-    pub fn calls(&self) -> Vec<PlatformRequest> {
+    pub fn requests(&self) -> Vec<PlatformRequest> {
         lock(&self.shared.calls).clone()
     }
 }
@@ -160,7 +160,7 @@
     while let Ok(Some(request)) = connection.read_request().await {
         let _ = reachability.wait_for(|reachability| *reachability != Reachability::Blackholed).await;
         shared.refresh_stages();
-        let response = lock(&shared.platform).call(&request, shared.world.now());
+        let response = lock(&shared.platform).call(&request, shared.environment.now());
         record(shared, &request, &response);
         if connection.write(&response.encode()).await.is_err() {
             return;
@@ -174,7 +174,7 @@
         calls.remove(0);
     }
     calls.push(PlatformRequest {
-        at: shared.world.now(),
+        at: shared.environment.now(),
         target: request.target.clone(),
         status: response.status,
         body: String::from_utf8_lossy(&response.body).into_owned(),
--- a/crates/emulator/src/request_log.rs
+++ b/crates/emulator/src/request_log.rs
@@ -1,7 +1,7 @@
-//! The log of all servers of a world: arrivals, executions, completions and orders, and the check of promises against it.
+//! The log of all servers of a environment: arrivals, executions, completions and orders, and the check of promises against it.
 
-use crate::client::Outcome;
-use crate::names;
+use crate::client::AttemptOutcome;
+use crate::header_names;
 use crate::wire::Headers;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 /// The arrival of a request at a server.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Since the start of the world.
+    /// Since the start of the environment.
     pub at: Duration,
     /// The server's incarnation.
     pub instance: String,
@@ -28,7 +28,7 @@
     /// The headers.
     pub headers: Headers,
     /// Hash of method, target and body.
-    pub content: u64,
+    pub content_hash: u64,
     /// Bytes of the body.
     pub body_bytes: usize,
 }
@@ -36,14 +36,14 @@
 impl Arrival {
     /// Whether the request is for the prefill phase only.
     pub fn is_prefill(&self) -> bool {
-        self.headers.get(names::SERVING_STAGE) == Some("prefill")
+        self.headers.get(header_names::SERVING_STAGE) == Some("prefill")
     }
 }
 
 /// The start of an execution.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// Since the start of the world.
+    /// Since the start of the environment.
     pub at: Duration,
     /// The server's incarnation.
     pub instance: String,
@@ -52,7 +52,7 @@
     /// The id of the client's attempt.
     pub request_id: String,
     /// Hash of method, target and body.
-    pub content: u64,
+    pub content_hash: u64,
     /// The request whose KV cache it goes on from, if one was fetched.
     pub kv_owner: Option<String>,
 }
@@ -60,7 +60,7 @@
 /// The end of a request at a server, completely answered or abandoned.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completion {
-    /// Since the start of the world.
+    /// Since the start of the environment.
     pub at: Duration,
     /// The id of the client's attempt.
     pub request_id: String,
@@ -69,7 +69,7 @@
 /// An order that a server received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedOrder {
-    /// Since the start of the world.
+    /// Since the start of the environment.
     pub at: Duration,
     /// The server's incarnation.
     pub instance: String,
@@ -119,7 +119,7 @@
     orders: Vec<ReceivedOrder>,
 }
 
-/// The log of a world; clones share it.
+/// The log of a environment; clones share it.
 #[derive(Clone, Debug, Default)]
 pub struct RequestLog {
     records: Arc<Mutex<Records>>,
@@ -194,9 +194,9 @@
     /// The promises that were broken, given the outcomes of all attempts of clients. `services_of` names the services that may
     /// execute a request.
     pub fn violations(
-        &self, outcomes: &[Outcome], services_of: impl Fn(&Outcome) -> BTreeSet<String>,
+        &self, outcomes: &[AttemptOutcome], services_of: impl Fn(&AttemptOutcome) -> BTreeSet<String>,
     ) -> Vec<Violation> {
-        let sent: BTreeMap<&str, &Outcome> =
+        let sent: BTreeMap<&str, &AttemptOutcome> =
             outcomes.iter().map(|outcome| (outcome.request_id.as_str(), outcome)).collect();
         let records = self.records();
         let mut found = Vec::new();
@@ -208,7 +208,7 @@
                 found.push(Violation::ForeignKv { request_id: request_id.clone() });
             }
             match sent.get(run.request_id.as_str()) {
-                Some(outcome) if outcome.content == run.content => {
+                Some(outcome) if outcome.content_hash == run.content_hash => {
                     if !services_of(outcome).contains(&run.service) {
                         found.push(Violation::WrongService { request_id, service: run.service.clone() });
                     }
--- a/crates/emulator/src/server_core/mod.rs
+++ b/crates/emulator/src/server_core/mod.rs
@@ -10,11 +10,11 @@
 pub use event::ServerEvent;
 pub use identity::Identity;
 pub use kv::{KvContents, Location};
-pub use request::{CallId, ServerRequest, millis};
+pub use request::{CallId, ServerRequest, duration_from_ms};
 
 use std::time::Duration;
 
-/// A server as a state machine without I/O: `(event, now) -> actions`. `now` is the time since the start of the world and never
+/// A server as a state machine without I/O: `(event, now) -> actions`. `now` is the time since the start of the environment and never
 /// goes back.
 pub trait ServerCore: Send + 'static {
     /// Handles one event and appends the actions that follow.
--- a/crates/emulator/src/server_core/request.rs
+++ b/crates/emulator/src/server_core/request.rs
@@ -1,10 +1,10 @@
 //! Requests as a server core gets them.
 
-use crate::names;
+use crate::header_names;
 use crate::wire::{Headers, Request};
 use std::time::Duration;
 
-/// Names one request at the servers of one world; a number is not used twice.
+/// Names one request at the servers of one environment; a number is not used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
@@ -20,15 +20,15 @@
     /// The body.
     pub body: Vec<u8>,
     /// [`crate::content::hash_all`] of method, target and body.
-    pub content: u64,
+    pub content_hash: u64,
 }
 
 impl From<Request> for ServerRequest {
     fn from(request: Request) -> Self {
         let segments = [request.method.as_bytes(), request.target.as_bytes(), &request.body];
-        let content = crate::content::hash_all(&segments);
+        let content_hash = crate::content::hash_all(&segments);
         ServerRequest {
-            content,
+            content_hash,
             method: request.method,
             target: request.target,
             headers: request.headers,
@@ -45,17 +45,17 @@
 
     /// The id of the client's attempt (`Request-Id`).
     pub fn request_id(&self) -> Option<&str> {
-        self.headers.get(names::REQUEST_ID)
+        self.headers.get(header_names::REQUEST_ID)
     }
 
     /// When the caller stops waiting, by `Deadline-Ms`; `None` without one.
     pub fn deadline(&self, now: Duration) -> Option<Duration> {
-        let ms: f64 = self.headers.parsed(names::DEADLINE_MS)?;
-        Some(now + millis(ms))
+        let ms: f64 = self.headers.parsed(header_names::DEADLINE_MS)?;
+        Some(now + duration_from_ms(ms))
     }
 }
 
 /// Milliseconds as a duration; negative, infinite and NaN count as zero.
-pub fn millis(ms: f64) -> Duration {
+pub fn duration_from_ms(ms: f64) -> Duration {
     Duration::try_from_secs_f64(ms / 1_000.0).unwrap_or(Duration::ZERO)
 }
--- a/crates/emulator/src/wire/framing.rs
+++ b/crates/emulator/src/wire/framing.rs
@@ -2,7 +2,7 @@
 
 use super::error::WireError;
 use super::message::Headers;
-use crate::names;
+use crate::header_names;
 
 /// What is left of a body that is being read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -53,13 +53,13 @@
     }
 
     fn from_headers(headers: &Headers) -> Result<Option<Framing>, WireError> {
-        if headers.get(names::TRANSFER_ENCODING).is_some() {
-            if !headers.has_token(names::TRANSFER_ENCODING, "chunked") {
+        if headers.get(header_names::TRANSFER_ENCODING).is_some() {
+            if !headers.has_token(header_names::TRANSFER_ENCODING, "chunked") {
                 return Err(WireError::Malformed("an unknown transfer encoding"));
             }
             return Ok(Some(Framing::Chunked(0)));
         }
-        match headers.get(names::CONTENT_LENGTH) {
+        match headers.get(header_names::CONTENT_LENGTH) {
             None => Ok(None),
             Some(text) => match text.trim().parse() {
                 Ok(0) => Ok(Some(Framing::Done)),
--- a/crates/emulator/src/wire/message.rs
+++ b/crates/emulator/src/wire/message.rs
@@ -1,6 +1,6 @@
 //! Requests and responses, and how they are encoded.
 
-use crate::names;
+use crate::header_names;
 
 /// The headers of a message in their order; names are compared without case.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -96,7 +96,7 @@
         let mut out = format!("{} {} HTTP/1.1\r\n", self.method, self.target).into_bytes();
         self.headers.write(&mut out);
         if !self.body.is_empty() || self.method == "POST" || self.method == "PUT" {
-            let length = format!("{}: {}\r\n", names::CONTENT_LENGTH, self.body.len());
+            let length = format!("{}: {}\r\n", header_names::CONTENT_LENGTH, self.body.len());
             out.extend_from_slice(length.as_bytes());
         }
         out.extend_from_slice(b"\r\n");
@@ -125,7 +125,7 @@
     /// A response with a JSON body.
     pub fn json(status: u16, body: &serde_json::Value) -> Response {
         let mut response = Response::new(status);
-        response.headers.push(names::CONTENT_TYPE, names::JSON);
+        response.headers.push(header_names::CONTENT_TYPE, header_names::JSON);
         response.body = body.to_string().into_bytes();
         response
     }
@@ -139,7 +139,9 @@
     /// The bytes of the response, its body with `Content-Length`.
     pub fn encode(&self) -> Vec<u8> {
         let mut out = self.begin();
-        out.extend_from_slice(format!("{}: {}\r\n\r\n", names::CONTENT_LENGTH, self.body.len()).as_bytes());
+        out.extend_from_slice(
+            format!("{}: {}\r\n\r\n", header_names::CONTENT_LENGTH, self.body.len()).as_bytes(),
+        );
         out.extend_from_slice(&self.body);
         out
     }
@@ -147,7 +149,7 @@
     /// The bytes of the head of a response whose body follows in chunks.
     pub fn encode_chunked_head(&self) -> Vec<u8> {
         let mut out = self.begin();
-        out.extend_from_slice(format!("{}: chunked\r\n\r\n", names::TRANSFER_ENCODING).as_bytes());
+        out.extend_from_slice(format!("{}: chunked\r\n\r\n", header_names::TRANSFER_ENCODING).as_bytes());
         out
     }
 
--- a/crates/lugwharf/src/roles.rs
+++ b/crates/lugwharf/src/roles.rs
@@ -44,7 +44,7 @@
 pub fn prepare_process(level: Level) -> Result<()> {
     logging::start(level)?;
     lugwharf_invariants::count_violations_only();
-    lugwharf_telemetry::log_violations();
+    lugwharf_telemetry::install_violation_logger();
     Ok(())
 }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -131,7 +131,7 @@
 /// Reads the settings file again at each SIGHUP. An invalid file changes nothing.
 async fn reload_at_hangup(state: Rc<ProxyState>, mut hangup: Signal, settings: Settings) {
     while hangup.recv().await.is_some() {
-        match settings.reread() {
+        match settings.reload() {
             Ok(settings) => {
                 state.reload(&settings);
                 spdlog::info!("settings outcome=reloaded");
--- a/crates/proxy/src/telemetry/metrics.rs
+++ b/crates/proxy/src/telemetry/metrics.rs
@@ -74,9 +74,9 @@
     pub fn expose(&self, exposition: &mut Exposition) {
         let requests =
             RequestOutcome::all().map(|outcome| (outcome.name(), self.requests[outcome.index()].get()));
-        exposition.outcomes("requests", "Requests by outcome", requests);
+        exposition.counters_by_outcome("requests", "Requests by outcome", requests);
         let attempts = AttemptLabel::NAMES.into_iter().zip(self.attempts.iter().map(Cell::get));
-        exposition.outcomes("sends", "Attempts at servers by outcome", attempts);
+        exposition.counters_by_outcome("sends", "Attempts at servers by outcome", attempts);
         let counters = [
             ("budget_denials", "Retries that the retry budget did not allow", &self.budget_denials),
             ("handles_freed", "KV handles that were freed unused", &self.handles_freed),
--- a/crates/settings/src/bounds.rs
+++ b/crates/settings/src/bounds.rs
@@ -38,7 +38,7 @@
     /// A shared prefix of prompts counts as reusable if it is used again within this, in s. Default 8. The key in the file is
     /// lower case, unlike the others.
     #[serde(rename = "again_s")]
-    pub again_s: f64,
+    pub prefix_reuse_s: f64,
     /// Whether servers reject orders with a lower fencing token than they have seen. Default true.
     pub fenced: bool,
     /// Two holders of one singleton role must not alternate within this, in ms. Default 3,000.
@@ -62,7 +62,7 @@
             budget_window_s: 10.0,
             budget_slack: 20.0,
             transit_ms: 120,
-            again_s: 8.0,
+            prefix_reuse_s: 8.0,
             fenced: true,
             lease_ms: 3_000,
         }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -199,7 +199,7 @@
     ///
     /// # Errors
     /// As [`Settings::read`].
-    pub fn reread(&self) -> Result<Settings, SettingsError> {
+    pub fn reload(&self) -> Result<Settings, SettingsError> {
         match &self.source {
             Some(path) => Settings::read(path),
             None => Settings::read(&Settings::path()),
--- a/crates/soak/src/checker/records.rs
+++ b/crates/soak/src/checker/records.rs
@@ -12,7 +12,7 @@
 pub struct DrainedServer {
     /// The id of the incarnation.
     pub instance: String,
-    /// When it was listed as draining, since the start of the world.
+    /// When it was listed as draining, since the start of the environment.
     pub since: Duration,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// The records of a run. All times are since the start of the world.
+/// The records of a run. All times are since the start of the environment.
 pub struct RunRecords<'a> {
     /// The faults, with the times at which they were injected and recovered from in fact.
     pub schedule: &'a Schedule,
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -25,19 +25,19 @@
 
 /// The configuration of a version.
 pub fn configuration(version: u64) -> ConfigurationSpec {
-    let engine = EngineSpec::from(&ModelParameters::quick(Stage::Decode));
+    let engine = EngineSpec::from(&ModelParameters::small_and_fast(Stage::Decode));
     ConfigurationSpec::new(version)
-        .service(ServiceSpec::new(MODEL_SERVICE, Some(engine)))
-        .service(ServiceSpec::new(PLAIN_SERVICE, None))
-        .service(ServiceSpec::new(SLOW_SERVICE, None))
-        .service(ServiceSpec::new(ALTERNATE_SERVICE, None))
-        .route(stream("/gen/"))
-        .route(RouteSpec::new(HOST, "/work/", "unsafe", PLAIN_SERVICE))
-        .route(RouteSpec::new(HOST, "/read/", "safe", PLAIN_SERVICE))
-        .route(RouteSpec::new(HOST, "/slow/", "safe", SLOW_SERVICE))
-        .route(RouteSpec { resumable: true, ..stream("/resume/") })
-        .route(RouteSpec::new(HOST, MOVING_PREFIX, "unsafe", moving_service(version)))
-        .route(RouteSpec::new(HOST, &format!("/only-{version}/"), "safe", PLAIN_SERVICE))
+        .with_service(ServiceSpec::new(MODEL_SERVICE, Some(engine)))
+        .with_service(ServiceSpec::new(PLAIN_SERVICE, None))
+        .with_service(ServiceSpec::new(SLOW_SERVICE, None))
+        .with_service(ServiceSpec::new(ALTERNATE_SERVICE, None))
+        .with_route(stream("/gen/"))
+        .with_route(RouteSpec::new(HOST, "/work/", "unsafe", PLAIN_SERVICE))
+        .with_route(RouteSpec::new(HOST, "/read/", "safe", PLAIN_SERVICE))
+        .with_route(RouteSpec::new(HOST, "/slow/", "safe", SLOW_SERVICE))
+        .with_route(RouteSpec { resumable: true, ..stream("/resume/") })
+        .with_route(RouteSpec::new(HOST, MOVING_PREFIX, "unsafe", moving_service(version)))
+        .with_route(RouteSpec::new(HOST, &format!("/only-{version}/"), "safe", PLAIN_SERVICE))
 }
 
 fn stream(prefix: &str) -> RouteSpec {
--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::servers::ServerPool;
 use eyre::{Result, WrapErr, ensure};
 use lugwharf_emulator::cluster::{Cluster, ClusterOptions, Signal, Subnet};
-use lugwharf_emulator::host::World;
+use lugwharf_emulator::host::Environment;
 use lugwharf_emulator::operator::Operator;
 use lugwharf_emulator::platform::{PlatformHost, PlatformParameters};
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,7 @@
 /// All processes of one run and what surrounds them.
 pub struct Fleet {
     /// The clock of the run, and the log of what servers received.
-    pub world: World,
+    pub environment: Environment,
     /// The servers and the platform.
     pub servers: ServerPool,
     /// The links between machines.
@@ -77,16 +77,17 @@
     /// # Errors
     /// An address cannot be bound, or a process cannot be started.
     pub async fn start(scenario: &Scenario, binary: &Path) -> Result<Fleet> {
-        let world = World::new();
+        let environment = Environment::new();
         let any_port: SocketAddr = ([127, 0, 0, 1], 0).into();
-        let platform = PlatformHost::start(&world, any_port, PlatformParameters::default()).await?;
+        let platform = PlatformHost::start(&environment, any_port, PlatformParameters::default()).await?;
         let options = cluster_options(scenario, platform.address());
         let cluster = Cluster::new(binary, Subnet::claim()?, options)?;
         let links = LinkTable::default();
         let link_proxies = start_link_proxies(&cluster, &links).await?;
-        let servers = ServerPool::start(&world, platform, |index| cluster.server_address(index)).await?;
+        let servers =
+            ServerPool::start(&environment, platform, |index| cluster.server_address(index)).await?;
         let mut fleet = Fleet {
-            world,
+            environment,
             servers,
             links,
             cluster,
@@ -183,7 +184,7 @@
 
     /// Whether a process has exited, or never ran.
     pub fn has_exited(&mut self, process_id: ProcessId) -> bool {
-        self.cluster.process(&process_id.name()).is_none_or(|process| process.ended().is_some())
+        self.cluster.process(&process_id.name()).is_none_or(|process| process.exit_status().is_some())
     }
 
     /// Takes back one stop. The process is restarted once no fault stops it, unless it was replaced or has not exited.
@@ -205,14 +206,14 @@
     /// Pauses a process (SIGSTOP) until [`Fleet::release_pause`].
     pub fn pause(&mut self, process_id: ProcessId) -> Result<()> {
         *self.pause_counts.entry(process_id.name()).or_default() += 1;
-        self.signal(process_id, Signal::Freeze)
+        self.signal(process_id, Signal::Stop)
     }
 
     /// Takes back one pause. The process continues (SIGCONT) once no fault pauses it.
     pub fn release_pause(&mut self, process_id: ProcessId) -> Result<()> {
         let count = self.pause_counts.entry(process_id.name()).or_default();
         *count = count.saturating_sub(1);
-        if *count == 0 { self.signal(process_id, Signal::Thaw) } else { Ok(()) }
+        if *count == 0 { self.signal(process_id, Signal::Continue) } else { Ok(()) }
     }
 
     /// Sets the limit of file descriptors of a process that runs.
@@ -241,7 +242,7 @@
     pub fn throttle(&mut self, processes: &[ProcessId]) -> Result<()> {
         processes.iter().try_for_each(|process_id| {
             let is_idle = self.is_stopped_or_paused(&process_id.name());
-            if is_idle { Ok(()) } else { self.signal(*process_id, Signal::Freeze) }
+            if is_idle { Ok(()) } else { self.signal(*process_id, Signal::Stop) }
         })
     }
 
@@ -249,7 +250,7 @@
     pub fn release_throttle(&mut self, processes: &[ProcessId]) -> Result<()> {
         processes.iter().try_for_each(|process_id| {
             let is_paused = self.pause_counts.get(&process_id.name()).is_some_and(|count| *count > 0);
-            if is_paused { Ok(()) } else { self.signal(*process_id, Signal::Thaw) }
+            if is_paused { Ok(()) } else { self.signal(*process_id, Signal::Continue) }
         })
     }
 
@@ -282,15 +283,15 @@
 
 fn cluster_options(scenario: &Scenario, platform: SocketAddr) -> ClusterOptions {
     ClusterOptions {
-        fronts: scenario.front_count,
-        controls: scenario.control_count,
+        front_ends: scenario.front_count,
+        control_machines: scenario.control_count,
         placement: scenario.placement,
         fault_tolerance: if scenario.control_count > 3 { 2 } else { 1 },
         cloud: platform,
         bounds: Vec::new(),
         arguments: ["--log", "info"].map(str::to_owned).to_vec(),
         max_fds: MAX_FDS,
-        relayed: true,
+        uses_relays: true,
     }
 }
 
@@ -298,7 +299,7 @@
 async fn start_link_proxies(cluster: &Cluster, links: &LinkTable) -> Result<Vec<LinkProxy>> {
     let mut proxies = Vec::new();
     for index in 0..MAX_CONTROL_NODES {
-        for (public, target) in cluster.relayed_addresses(index) {
+        for (public, target) in cluster.relay_addresses(index) {
             proxies.push(LinkProxy::start(links, public, target).await.wrap_err("a relay")?);
         }
     }
--- a/crates/soak/src/operator_log.rs
+++ b/crates/soak/src/operator_log.rs
@@ -16,9 +16,9 @@
     pub bytes: Arc<[u8]>,
     /// Whether the configuration is valid. An invalid one must be refused.
     pub is_valid: bool,
-    /// When the first attempt was sent, since the start of the world.
+    /// When the first attempt was sent, since the start of the environment.
     pub started_at: Duration,
-    /// When the last attempt ended, since the start of the world.
+    /// When the last attempt ended, since the start of the environment.
     pub ended_at: Duration,
     /// How the write ended.
     pub outcome: CallOutcome,
@@ -45,9 +45,9 @@
     pub from: SocketAddr,
     /// Where its redirects led; the same address if there were none.
     pub reached: SocketAddr,
-    /// When the request was sent, since the start of the world.
+    /// When the request was sent, since the start of the environment.
     pub started_at: Duration,
-    /// When the response was received or the attempt ended, since the start of the world.
+    /// When the response was received or the attempt ended, since the start of the environment.
     pub ended_at: Duration,
     /// The configuration, byte for byte; `None` for any status other than 200, and for no response.
     pub bytes: Option<Vec<u8>>,
--- a/crates/soak/src/operators.rs
+++ b/crates/soak/src/operators.rs
@@ -2,7 +2,7 @@
 
 use crate::configuration::{configuration, version_of};
 use crate::operator_log::{ConfigRead, ConfigWrite, OperatorLog};
-use lugwharf_emulator::host::World;
+use lugwharf_emulator::host::Environment;
 use lugwharf_emulator::operator::{CallOutcome, Operator, RedirectedCall, call_with_redirects};
 use lugwharf_emulator::wire::Request;
 use std::net::SocketAddr;
@@ -41,12 +41,12 @@
 
 impl Operators {
     /// Starts the operators. Version 1 of the configuration is in force.
-    pub fn start(world: &World, addresses: Vec<SocketAddr>, seed: u64) -> Operators {
+    pub fn start(environment: &Environment, addresses: Vec<SocketAddr>, seed: u64) -> Operators {
         let (requests, received_requests) = unbounded_channel();
         let (addresses, stop) = (watch::Sender::new(addresses), watch::Sender::new(false));
         let log = OperatorLog::default();
         let context = OperatorContext {
-            world: world.clone(),
+            environment: environment.clone(),
             log: log.clone(),
             addresses: addresses.subscribe(),
             stop: stop.subscribe(),
@@ -74,7 +74,7 @@
 /// What both tasks share.
 #[derive(Clone)]
 struct OperatorContext {
-    world: World,
+    environment: Environment,
     log: OperatorLog,
     addresses: watch::Receiver<Vec<SocketAddr>>,
     stop: watch::Receiver<bool>,
@@ -92,9 +92,9 @@
     /// Sends a write until there is a clear response, and records it.
     async fn write(&self, operator: &Operator, draft: Draft) -> CallOutcome {
         let Draft { version, base, bytes, is_valid, is_resend } = draft;
-        let started_at = self.world.now();
+        let started_at = self.environment.now();
         let outcome = operator.put(&bytes, base).await;
-        let ended_at = self.world.now();
+        let ended_at = self.environment.now();
         let write = ConfigWrite {
             version,
             base,
@@ -239,16 +239,17 @@
     while !context.has_stopped() {
         let addresses = context.addresses();
         let from = addresses[rng.usize(..addresses.len())];
-        let read = read_once(&context.world, from).await;
+        let read = read_once(&context.environment, from).await;
         context.log.record_read(read);
         tokio::time::sleep(Duration::from_millis(rng.u64(READ_PAUSE_MS))).await;
     }
 }
 
 /// Reads the newest configuration once, at one address.
-pub async fn read_once(world: &World, from: SocketAddr) -> ConfigRead {
-    let started_at = world.now();
-    let RedirectedCall { reached, result } = call_with_redirects(from, &Request::new("GET", "/config")).await;
+pub async fn read_once(environment: &Environment, from: SocketAddr) -> ConfigRead {
+    let started_at = environment.now();
+    let RedirectedCall { final_address, result } =
+        call_with_redirects(from, &Request::new("GET", "/config")).await;
     let bytes = result.ok().filter(|response| response.status == 200).map(|response| response.body);
-    ConfigRead { from, reached, started_at, ended_at: world.now(), bytes }
+    ConfigRead { from, reached: final_address, started_at, ended_at: environment.now(), bytes }
 }
--- a/crates/soak/src/process_monitor.rs
+++ b/crates/soak/src/process_monitor.rs
@@ -44,7 +44,7 @@
         for process_id in fleet.processes() {
             let name = process_id.name();
             let Some(process) = fleet.cluster.process(&name) else { continue };
-            let (pid, exit_status) = (process.id(), process.ended());
+            let (pid, exit_status) = (process.id(), process.exit_status());
             // A paused process would let the harness wait for its metrics.
             if fleet.is_stopped_or_paused(&name) {
                 continue;
@@ -68,7 +68,7 @@
         let text = timeout(METRICS_TIMEOUT, metrics_of(fleet, *first)).await.ok().flatten();
         if text.is_some_and(|text| holds_list_lease(&text)) {
             let names: Vec<String> = holders.iter().map(|process_id| process_id.name()).collect();
-            self.report("two_holders", format!("{names:?} at {} ms", fleet.world.now().as_millis()));
+            self.report("two_holders", format!("{names:?} at {} ms", fleet.environment.now().as_millis()));
         }
     }
 
--- a/crates/soak/src/recovery.rs
+++ b/crates/soak/src/recovery.rs
@@ -82,7 +82,7 @@
     let Some(base) = version_of(newest.body()) else {
         return failed(format!("no configuration is read back: {newest:?}"));
     };
-    let (started_at, bytes) = (fleet.world.now(), configuration(version).to_bytes());
+    let (started_at, bytes) = (fleet.environment.now(), configuration(version).to_bytes());
     let outcome = operator.put(&bytes, base).await;
     log.record_write(ConfigWrite {
         version,
@@ -90,7 +90,7 @@
         bytes: bytes.into(),
         is_valid: true,
         started_at,
-        ended_at: fleet.world.now(),
+        ended_at: fleet.environment.now(),
         outcome: outcome.clone(),
         is_resend: false,
     });
@@ -130,7 +130,7 @@
 pub async fn verify_final_reads(fleet: &Fleet, log: &OperatorLog) -> Vec<Finding> {
     let mut found = Vec::new();
     for index in &fleet.control_nodes {
-        let read = read_once(&fleet.world, fleet.cluster.control_address(*index)).await;
+        let read = read_once(&fleet.environment, fleet.cluster.control_address(*index)).await;
         if read.bytes.is_none() {
             let facts = format!("control-{index} does not read the configuration back");
             found.push(Finding { rule: RULE, facts });
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -4,7 +4,7 @@
 //! schedule; `schedule_tests` has the digests.
 
 use crate::fault::{FaultKind, ParseFaultError, ScheduledFault};
-use lugwharf_emulator::cluster::Placement;
+use lugwharf_emulator::cluster::ControlPlacement;
 use std::fmt;
 use std::time::Duration;
 
@@ -41,7 +41,7 @@
     /// Front-end nodes.
     pub front_count: usize,
     /// Which machines run control.
-    pub placement: Placement,
+    pub placement: ControlPlacement,
     /// Faults at a time.
     pub overlap: Overlap,
     /// For how long faults are injected.
@@ -57,7 +57,7 @@
             seed,
             control_count: if seed % 4 == 3 { 5 } else { 3 },
             front_count: 2,
-            placement: Placement::Core,
+            placement: ControlPlacement::Dedicated,
             overlap,
             fault_phase,
             has_startup_faults: false,
@@ -67,13 +67,17 @@
     /// The scenario of a seed whose front-end nodes host control, with one more front-end node that does not.
     pub fn without_core(seed: u64, overlap: Overlap, fault_phase: Duration) -> Scenario {
         let scenario = Scenario::with_core(seed, overlap, fault_phase);
-        Scenario { front_count: scenario.control_count + 1, placement: Placement::Fronts, ..scenario }
+        Scenario {
+            front_count: scenario.control_count + 1,
+            placement: ControlPlacement::FrontEndNodes,
+            ..scenario
+        }
     }
 
     /// Whether the harness can inject such a fault here. A replacement of a node that hosts control would move a front-end
     /// node to another address, which the clients of the harness do not follow.
     fn supports(&self, kind: FaultKind) -> bool {
-        self.placement == Placement::Core || kind != FaultKind::ControlReplace
+        self.placement == ControlPlacement::Dedicated || kind != FaultKind::ControlReplace
     }
 }
 
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -2,8 +2,8 @@
 
 use crate::configuration::{ALTERNATE_SERVICE, MODEL_SERVICE, PLAIN_SERVICE, SLOW_SERVICE};
 use eyre::Result;
-use lugwharf_emulator::fault::{Fault, Matcher, Reachability};
-use lugwharf_emulator::host::{EmulatedServer, ServerOptions, World};
+use lugwharf_emulator::fault::{Fault, Reachability, RequestMatcher};
+use lugwharf_emulator::host::{EmulatedServer, Environment, ServerOptions};
 use lugwharf_emulator::model_server::{ModelParameters, ModelServer, Stage};
 use lugwharf_emulator::operator::call_once;
 use lugwharf_emulator::plain_server::{PlainParameters, PlainServer};
@@ -83,7 +83,7 @@
 
 /// The servers of a run and the platform that lists them.
 pub struct ServerPool {
-    world: World,
+    environment: Environment,
     /// The platform.
     pub platform: PlatformHost,
     servers: Vec<Server>,
@@ -92,14 +92,14 @@
 impl ServerPool {
     /// Starts and lists all servers. `address_of` gives the address of the server with an index.
     pub async fn start(
-        world: &World, platform: PlatformHost, address_of: impl Fn(usize) -> SocketAddr,
+        environment: &Environment, platform: PlatformHost, address_of: impl Fn(usize) -> SocketAddr,
     ) -> Result<ServerPool> {
         let roles = std::iter::repeat_n(ServerRole::Model(Stage::Prefill), PREFILL_SERVERS)
             .chain(std::iter::repeat_n(ServerRole::Model(Stage::Decode), DECODE_SERVERS))
             .chain(std::iter::repeat_n(ServerRole::Plain, PLAIN_SERVERS))
             .chain([ServerRole::Slow])
             .chain(std::iter::repeat_n(ServerRole::Alternate, ALTERNATE_SERVERS));
-        let mut pool = ServerPool { world: world.clone(), platform, servers: Vec::new() };
+        let mut pool = ServerPool { environment: environment.clone(), platform, servers: Vec::new() };
         for (index, role) in roles.enumerate() {
             let address = address_of(index);
             let instance_id = String::new();
@@ -129,18 +129,23 @@
         server.instance_id = format!("i-{index}-{}", server.incarnations);
         let started = match server.role {
             ServerRole::Model(stage) => {
-                start_model_server(&self.world, &self.platform, server, stage).await?
+                start_model_server(&self.environment, &self.platform, server, stage).await?
             }
             ServerRole::Plain => {
-                start_plain_server(&self.world, server, PLAIN_SERVICE, PlainParameters::default()).await?
+                start_plain_server(&self.environment, server, PLAIN_SERVICE, PlainParameters::default())
+                    .await?
             }
             ServerRole::Alternate => {
-                start_plain_server(&self.world, server, ALTERNATE_SERVICE, PlainParameters::default()).await?
+                start_plain_server(&self.environment, server, ALTERNATE_SERVICE, PlainParameters::default())
+                    .await?
             }
             ServerRole::Slow => {
-                let slow =
-                    PlainParameters { work: SLOW_EXECUTION, slots: SLOW_SLOTS, ..PlainParameters::default() };
-                start_plain_server(&self.world, server, SLOW_SERVICE, slow).await?
+                let slow = PlainParameters {
+                    service_time: SLOW_EXECUTION,
+                    slots: SLOW_SLOTS,
+                    ..PlainParameters::default()
+                };
+                start_plain_server(&self.environment, server, SLOW_SERVICE, slow).await?
             }
         };
         server.address = started.address;
@@ -206,7 +211,7 @@
     /// Plans a fault for the next requests at each server, `count` of them each.
     pub fn inject_request_fault(&self, fault: &Fault, count: usize) {
         for running in self.running() {
-            with_host!(running, host => host.inject(Matcher::any(), fault.clone(), count));
+            with_host!(running, host => host.inject(RequestMatcher::any(), fault.clone(), count));
         }
     }
 
@@ -224,26 +229,26 @@
 
 /// Starts a server of generations whose listed stage follows its own.
 async fn start_model_server(
-    world: &World, platform: &PlatformHost, server: &Server, stage: Stage,
+    environment: &Environment, platform: &PlatformHost, server: &Server, stage: Stage,
 ) -> Result<StartedServer> {
-    let parameters = ModelParameters::quick(stage);
+    let parameters = ModelParameters::small_and_fast(stage);
     let slots = u32::try_from(parameters.slots)?;
     let mut identity = Identity::new(&server.instance_id, MODEL_SERVICE);
     identity.location.zone = ZONE.to_owned();
     let core = ModelServer::new(identity, parameters);
-    let host = EmulatedServer::start(world, server.address, core, ServerOptions::default()).await?;
+    let host = EmulatedServer::start(environment, server.address, core, ServerOptions::default()).await?;
     let address = host.address();
     platform.track_stage(&server.instance_id, host.stage_source());
     let entry = InstanceEntry::plain(&server.instance_id, MODEL_SERVICE, address, ZONE, slots);
-    Ok(StartedServer { running: RunningServer::Model(host), address, entry: entry.staged(stage, "m", 1) })
+    Ok(StartedServer { running: RunningServer::Model(host), address, entry: entry.with_stage(stage, "m", 1) })
 }
 
 /// Starts a server without stages.
 async fn start_plain_server(
-    world: &World, server: &Server, service: &str, parameters: PlainParameters,
+    environment: &Environment, server: &Server, service: &str, parameters: PlainParameters,
 ) -> Result<StartedServer> {
     let core = PlainServer::new(Identity::new(&server.instance_id, service), parameters);
-    let host = EmulatedServer::start(world, server.address, core, ServerOptions::default()).await?;
+    let host = EmulatedServer::start(environment, server.address, core, ServerOptions::default()).await?;
     let address = host.address();
     let entry = InstanceEntry::plain(&server.instance_id, service, address, ZONE, LISTED_SLOTS);
     Ok(StartedServer { running: RunningServer::Plain(host), address, entry })
--- a/crates/soak/src/timeline.rs
+++ b/crates/soak/src/timeline.rs
@@ -41,7 +41,7 @@
     Observe,
 }
 
-/// Something that is due at a time of the world.
+/// Something that is due at a time of the environment.
 #[derive(Clone, Copy, Debug)]
 struct Step {
     due: Duration,
@@ -59,7 +59,7 @@
     fleet: &'a mut Fleet,
     operators: &'a Operators,
     monitor: &'a mut ProcessMonitor,
-    /// The schedule as it was drawn, in the time of the world.
+    /// The schedule as it was drawn, in the time of the environment.
     schedule: Schedule,
     steps: Vec<Step>,
     injected: Vec<InjectedFault>,
@@ -69,7 +69,7 @@
 }
 
 impl<'a> Timeline<'a> {
-    /// Prepares a schedule, whose starts are in the time of the world.
+    /// Prepares a schedule, whose starts are in the time of the environment.
     pub fn new(
         fleet: &'a mut Fleet, operators: &'a Operators, monitor: &'a mut ProcessMonitor, schedule: Schedule,
         fault_phase: Duration,
@@ -77,7 +77,7 @@
         let starts = schedule.faults.iter().enumerate();
         let mut steps: Vec<Step> =
             starts.map(|(index, fault)| Step { due: fault.start, action: Action::Inject(index) }).collect();
-        let now = fleet.world.now();
+        let now = fleet.environment.now();
         steps.push(Step { due: now + OBSERVE_INTERVAL, action: Action::Observe });
         let played = PlayedSchedule { schedule: schedule.clone(), drained_servers: Vec::new() };
         let (injected, observe_until) = (Vec::new(), now + fault_phase);
@@ -90,7 +90,7 @@
     /// A fault cannot be injected or recovered from.
     pub async fn play(mut self) -> Result<PlayedSchedule> {
         while let Some(step) = self.take_next_step() {
-            let remaining = step.due.saturating_sub(self.fleet.world.now());
+            let remaining = step.due.saturating_sub(self.fleet.environment.now());
             sleep_until(Instant::now() + remaining).await;
             if !matches!(step.action, Action::Stop(_) | Action::Continue(_)) {
                 self.continue_all_throttled()?;
@@ -114,14 +114,14 @@
     }
 
     fn schedule_step(&mut self, delay: Duration, action: Action) {
-        let due = self.fleet.world.now() + delay;
+        let due = self.fleet.environment.now() + delay;
         self.steps.push(Step { due, action });
     }
 
     async fn inject(&mut self, index: usize) -> Result<()> {
         let fault = &self.schedule.faults[index];
         let mut active = ActiveFault::select(self.fleet, fault);
-        let injected_at = self.fleet.world.now();
+        let injected_at = self.fleet.environment.now();
         if let Some(instance) = active.drained_instance(self.fleet) {
             self.played.drained_servers.push(DrainedServer { instance, since: injected_at });
         }
@@ -140,7 +140,7 @@
         let Some(position) = position else { return Ok(()) };
         let progress = self.injected[position].active.recover(self.fleet).await?;
         let played = &mut self.played.schedule.faults[index];
-        played.duration = self.fleet.world.now() - played.start;
+        played.duration = self.fleet.environment.now() - played.start;
         match progress {
             RecoveryProgress::Complete => drop(self.injected.swap_remove(position)),
             RecoveryProgress::Pending => {
@@ -182,7 +182,7 @@
     async fn observe(&mut self) {
         self.monitor.observe(self.fleet).await;
         let has_more_steps = self.steps.iter().any(|step| step.action != Action::Observe);
-        if has_more_steps || self.fleet.world.now() < self.observe_until {
+        if has_more_steps || self.fleet.environment.now() < self.observe_until {
             self.schedule_step(OBSERVE_INTERVAL, Action::Observe);
         }
     }
--- a/crates/soak/src/traffic.rs
+++ b/crates/soak/src/traffic.rs
@@ -1,8 +1,8 @@
 //! The client load of a run: requests of all routes, also from clients that disconnect early, send slowly or stop midway.
 
 use crate::configuration::HOST;
-use lugwharf_emulator::client::{AttemptEnd, Client, ClientRequest, Kind, Outcome};
-use lugwharf_emulator::host::World;
+use lugwharf_emulator::client::{AttemptEnd, AttemptOutcome, Client, ClientRequest, RequestKind};
+use lugwharf_emulator::host::Environment;
 use lugwharf_emulator::wire::Connection;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -44,7 +44,7 @@
     }
 }
 
-/// One request of a client. Times are since the start of the world.
+/// One request of a client. Times are since the start of the environment.
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The index of the front-end node that it was sent to.
@@ -58,13 +58,13 @@
     /// When the client had the response, or disconnected.
     pub ended_at: Duration,
     /// What the client received.
-    pub outcome: Outcome,
+    pub outcome: AttemptOutcome,
 }
 
 /// What all clients share.
 #[derive(Clone)]
 struct ClientContext {
-    world: World,
+    environment: Environment,
     fronts: Vec<SocketAddr>,
     attempts: Arc<Mutex<Vec<Attempt>>>,
     /// Numbers the requests of all clients.
@@ -81,10 +81,10 @@
 
 impl Traffic {
     /// Starts all clients. Each draws from an RNG of its own, so that one does not shift the draws of another.
-    pub fn start(world: &World, fronts: Vec<SocketAddr>, seed: u64) -> Traffic {
+    pub fn start(environment: &Environment, fronts: Vec<SocketAddr>, seed: u64) -> Traffic {
         let stop = watch::Sender::new(false);
         let context = ClientContext {
-            world: world.clone(),
+            environment: environment.clone(),
             fronts,
             attempts: Arc::default(),
             next_id: Arc::new(AtomicU64::new(1)),
@@ -140,7 +140,7 @@
     context: &ClientContext, behaviour: Behaviour, front: usize, client: &mut Client, rng: &mut fastrand::Rng,
 ) -> bool {
     let request = draw_request(context, behaviour, rng);
-    let (is_connection_reused, started_at) = (client.is_connected(), context.world.now());
+    let (is_connection_reused, started_at) = (client.is_connected(), context.environment.now());
     let outcome = match behaviour {
         Behaviour::Steady | Behaviour::Slow => client.send(&request).await,
         Behaviour::Leaving => {
@@ -151,18 +151,18 @@
             if sent.is_none() {
                 *client = Client::new(address);
             }
-            sent.unwrap_or_else(|| Outcome { ending: AttemptEnd::TimedOut, ..request.outcome() })
+            sent.unwrap_or_else(|| AttemptOutcome { ending: AttemptEnd::TimedOut, ..request.outcome() })
         }
         Behaviour::Stopping => stop_midway(context.fronts[front], &request, rng).await,
     };
-    let ended_at = context.world.now();
+    let ended_at = context.environment.now();
     let attempt = Attempt { front, behaviour, is_connection_reused, started_at, ended_at, outcome };
     context.attempts.lock().unwrap_or_else(PoisonError::into_inner).push(attempt);
     client.is_connected()
 }
 
 /// Sends a part of a request and closes the connection.
-async fn stop_midway(front: SocketAddr, request: &ClientRequest, rng: &mut fastrand::Rng) -> Outcome {
+async fn stop_midway(front: SocketAddr, request: &ClientRequest, rng: &mut fastrand::Rng) -> AttemptOutcome {
     let mut outcome = request.outcome();
     let Ok(mut connection) = Connection::open(front).await else { return outcome };
     outcome.ending = AttemptEnd::Truncated;
@@ -187,15 +187,15 @@
     let segments = [(rng.u64(..20), 2_000), (0x1_0000 + number, 2_000)];
     let route = if behaviour == Behaviour::Leaving { rng.u32(3..10) } else { rng.u32(..8) };
     let request = match route {
-        0 | 1 => ClientRequest::post(&id, HOST, "/work/1", Kind::Unsafe),
-        2 => ClientRequest::post(&id, HOST, "/move/1", Kind::Unsafe),
-        3 => ClientRequest::post(&id, HOST, "/read/1", Kind::Safe),
+        0 | 1 => ClientRequest::post(&id, HOST, "/work/1", RequestKind::Unsafe),
+        2 => ClientRequest::post(&id, HOST, "/move/1", RequestKind::Unsafe),
+        3 => ClientRequest::post(&id, HOST, "/read/1", RequestKind::Safe),
         4 | 5 => ClientRequest::generation(&id, HOST, "/gen/1", (5_000, out_tokens), &segments),
         6 | 7 => {
             let request = ClientRequest::generation(&id, HOST, "/resume/1", (5_000, out_tokens), &segments);
-            ClientRequest { kind: Kind::ResumableStream, ..request }
+            ClientRequest { kind: RequestKind::ResumableStream, ..request }
         }
-        _ => ClientRequest::post(&id, HOST, "/slow/1", Kind::Safe),
+        _ => ClientRequest::post(&id, HOST, "/slow/1", RequestKind::Safe),
     };
     ClientRequest { deadline_ms: DEADLINE_MS, ..request }
 }
--- a/crates/telemetry/src/exposition.rs
+++ b/crates/telemetry/src/exposition.rs
@@ -52,7 +52,7 @@
     }
 
     /// Adds a family of counters, one for each value of the label `outcome`.
-    pub fn outcomes(
+    pub fn counters_by_outcome(
         &mut self, name: &'static str, help: &'static str, counts: impl Iterator<Item = (&'static str, u64)>,
     ) {
         let family: Family<OutcomeLabel, Counter> = Family::default();
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -16,4 +16,4 @@
 pub use endpoint::{MetricsEndpoint, MetricsRequest};
 pub use exposition::{CONTENT_TYPE, Exposition, InvariantCounters};
 pub use log_rate_limiter::{LogPermit, LogRateLimiter};
-pub use violations::log_violations;
+pub use violations::install_violation_logger;
--- a/crates/telemetry/src/violations.rs
+++ b/crates/telemetry/src/violations.rs
@@ -4,7 +4,7 @@
 use spdlog::prelude::*;
 
 /// Writes the first violations of each invariant to the log of this process from now on.
-pub fn log_violations() {
+pub fn install_violation_logger() {
     set_reporter(log_violation);
 }
 
