--- a/crates/lugwharf/tests/descriptor_exhaustion.rs
+++ b/crates/lugwharf/tests/descriptor_exhaustion.rs
@@ -1,4 +1,5 @@
-//! A proxy that runs out of file descriptors must not blame its servers.
+//! Tests that a proxy without free file descriptors does not count its failed connections as failures of its
+//! servers.
 
 mod support;
 
@@ -8,12 +9,12 @@
 use support::{Fleet, SMALL};
 use tokio::task::JoinSet;
 
-/// Clients with a connection of their own; more than there are idle connections to servers.
+/// The number of clients, each with its own connection. There are fewer idle connections to servers.
 const CLIENTS: usize = 8;
-/// Enough descriptors for the small fleet.
+/// A descriptor limit that is sufficient for the small fleet.
 const AMPLE_DESCRIPTORS: usize = 1_024;
 
-/// The proxy's count of attempts with an outcome.
+/// Returns the proxy's count of attempts with this outcome.
 async fn attempts_with(fleet: &Fleet, outcome: &str) -> u64 {
     let [proxy, _] = fleet.cluster.front_metrics(0).await;
     let text = proxy.unwrap_or_default();
@@ -35,7 +36,7 @@
         clients.push(client);
     }
     let before = attempts_with(&fleet, "connect").await;
-    // All requests are in flight at once, as no server responds until then.
+    // No server responds from now on, so that all requests are in flight at once.
     fleet.plain_servers.iter().for_each(|server| server.set_reachability(Reachability::Blackholed));
     let proxy = fleet.cluster.process("front-0-proxy").expect("a process");
     let open = proxy.open_descriptors();
@@ -45,7 +46,7 @@
         let request = fleet.work();
         in_flight.spawn(async move { client.send(&request).await });
     }
-    // The first ones that no connection is left for are refused.
+    // Requests without a connection are refused first.
     let first: AttemptOutcome = in_flight.join_next().await.expect("a response").expect("a client");
     assert_eq!(first.status, Some(503), "{first:?}");
     fleet.plain_servers.iter().for_each(|server| server.set_reachability(Reachability::Serving));
--- a/crates/lugwharf/tests/end_to_end.rs
+++ b/crates/lugwharf/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The path of a configuration and of a request through real processes.
+//! End-to-end tests of configurations and requests through real processes.
 
 mod support;
 
@@ -105,10 +105,10 @@
     assert_eq!(fleet.violations(&[outcome]), []);
 }
 
-/// A valid configuration with the value at a JSON pointer replaced.
+/// Returns a valid configuration with the value at a JSON pointer replaced.
 fn with_value(pointer: &str, value: Value) -> Vec<u8> {
     let mut configuration = next_configuration(5, "/added/").to_json();
-    *configuration.pointer_mut(pointer).expect("a place in the configuration") = value;
+    *configuration.pointer_mut(pointer).expect("a value at the pointer") = value;
     configuration.to_string().into_bytes()
 }
 
@@ -135,7 +135,8 @@
     let CallOutcome::Refused(response) = fleet.operator.put(&bytes, 1).await else {
         panic!("not refused\n{}", fleet.cluster.logs());
     };
-    // Any 4xx that ends a call will do; a version that is not newer is a conflict as well.
+    // Any status with which an operator ends a call is accepted: a version that is not newer is also a
+    // conflict.
     assert!(matches!(response.status, 400 | 409 | 422), "{}", response.status);
     assert!(response.headers.get("Content-Type").is_some_and(|kind| kind.starts_with("application/json")));
     let body = String::from_utf8_lossy(&response.body).into_owned();
--- a/crates/lugwharf/tests/soak.rs
+++ b/crates/lugwharf/tests/soak.rs
@@ -1,6 +1,7 @@
-//! The short form of the soak: fixed seeds without faults, with one, and with several at a time.
+//! Short soak tests: fixed seeds without faults, with one fault at a time, and with several.
 //!
-//! `lugwharf-soak` plays more seeds; one that fails here leaves its records in the directory that the panic names.
+//! `lugwharf-soak` runs more seeds. The records of a seed that fails here are in the directory that the panic
+//! names.
 
 use lugwharf_soak::{Overlap, Scenario, Schedule, run, write_run_folder};
 use rstest::rstest;
