--- a/crates/emulator/src/client/outcome.rs
+++ b/crates/emulator/src/client/outcome.rs
@@ -30,7 +30,7 @@
     StatusMismatch,
     /// The response carries the id of another request.
     RequestIdMismatch,
-    /// The body differs from the one that the stamp states.
+    /// The body differs from the body that the stamp states.
     BodyMismatch,
     /// The body has a content encoding.
     EncodedBody,
--- a/crates/emulator/src/client/request.rs
+++ b/crates/emulator/src/client/request.rs
@@ -90,7 +90,7 @@
         request
     }
 
-    /// The initial outcome of an attempt: not connected.
+    /// The outcome of an attempt before a connection is open: no response, and the connection failed.
     pub fn outcome(&self) -> AttemptOutcome {
         AttemptOutcome {
             request_id: self.request_id.clone(),
--- a/crates/emulator/src/client/retry.rs
+++ b/crates/emulator/src/client/retry.rs
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The maximum wait before a retry, as a share of the remaining time. It limits the wait that `Retry-After`
-/// asks for.
+/// The maximum wait before a retry, as a share of the time that remains until the deadline. A longer wait
+/// that `Retry-After` asks for is shortened to this share.
 const MAX_WAIT_SHARE: f64 = 1.0 / 3.0;
 
 /// The retry policy of a client.
@@ -20,8 +20,8 @@
 }
 
 impl RetryPolicy {
-    /// Sends the request to the front-end nodes in turn until a response is final. Returns the outcomes of
-    /// all attempts. Each attempt has a different request id.
+    /// Sends the request to the front-end nodes in turn until an attempt may not be retried. Returns the
+    /// outcomes of all attempts. Each attempt has a different request id.
     pub async fn send(&self, front_ends: &[SocketAddr], request: &ClientRequest) -> Vec<AttemptOutcome> {
         let deadline = Instant::now() + duration_from_ms(request.deadline_ms as f64);
         let mut outcomes = Vec::new();
@@ -33,18 +33,19 @@
                 attempt.request_id = format!("{}-{index}", request.request_id);
             }
             let outcome = Client::new(*front_end).send(&attempt).await;
-            let pause = is_retryable(&outcome).then(|| retry_after_ms(&outcome));
+            let pause_ms = is_retryable(&outcome).then(|| retry_after_ms(&outcome));
             outcomes.push(outcome);
-            let Some(pause) = pause else {
+            let Some(pause_ms) = pause_ms else {
                 break;
             };
-            let remaining = deadline.saturating_duration_since(Instant::now()).mul_f64(MAX_WAIT_SHARE);
-            tokio::time::sleep(duration_from_ms(pause).min(remaining)).await;
+            let max_pause = deadline.saturating_duration_since(Instant::now()).mul_f64(MAX_WAIT_SHARE);
+            tokio::time::sleep(duration_from_ms(pause_ms).min(max_pause)).await;
         }
         outcomes
     }
 }
 
+/// Whether a request may be sent again: it was not executed, or it is idempotent and has no final response.
 fn is_retryable(outcome: &AttemptOutcome) -> bool {
     if outcome.promises_not_executed() || outcome.ending == AttemptEnd::ConnectFailed {
         return true;
--- a/crates/emulator/src/cluster/addresses.rs
+++ b/crates/emulator/src/cluster/addresses.rs
@@ -4,21 +4,25 @@
 use std::net::{Ipv4Addr, TcpListener};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// The maximum number of machines of one kind (control machines, front-end nodes) in a block.
+/// The maximum number of machines of one kind (control machines, front-end nodes) in a block. Further
+/// machines get the address of the last one.
 const MAX_MACHINES: u8 = 100;
 /// The distance from the public address of a machine to its address behind the relay. With relays, this is
 /// also the maximum number of machines of one kind.
 const RELAY_OFFSET: u8 = 50;
-/// The maximum number of servers in a block. Their addresses end below the one that claims the block.
+/// The maximum number of servers in a block. Their last octets are below [`CLAIM_HOST`]. Further servers get
+/// the addresses of earlier ones again.
 const MAX_SERVERS: usize = 50;
 /// The maximum number of blocks that are tried.
 const MAX_CLAIM_ATTEMPTS: u16 = 2_000;
-/// The last octet and the port of the socket that claims a block.
+/// The last octet of the address of the socket that claims a block.
 const CLAIM_HOST: u8 = 254;
+/// The port of the socket that claims a block.
 const CLAIM_PORT: u16 = 7_700;
 /// The first value of the second octet. Lower values are left to other uses of the loopback network.
-const FIRST_OCTET: u16 = 100;
-const OCTET_COUNT: u16 = 100;
+const MIN_SECOND_OCTET: u16 = 100;
+/// The number of values of the second octet.
+const SECOND_OCTET_COUNT: u16 = 100;
 
 /// The number of blocks that this process has tried.
 static TRIED_BLOCKS: AtomicU16 = AtomicU16::new(0);
@@ -37,18 +41,18 @@
     ///
     /// None of 2,000 blocks is free, or sockets cannot be bound.
     pub fn claim() -> io::Result<Subnet> {
-        let mut last = io::Error::other("no address block in 127.0.0.0/8 is free");
+        let mut last_error = io::Error::other("no address block in 127.0.0.0/8 is free");
         for _ in 0..MAX_CLAIM_ATTEMPTS {
             let process_offset = (std::process::id() as u16).wrapping_mul(31);
             let number = process_offset.wrapping_add(TRIED_BLOCKS.fetch_add(1, Ordering::Relaxed))
-                % (OCTET_COUNT * 256);
-            let octets = [(FIRST_OCTET + number / 256) as u8, (number % 256) as u8];
+                % (SECOND_OCTET_COUNT * 256);
+            let octets = [(MIN_SECOND_OCTET + number / 256) as u8, (number % 256) as u8];
             match TcpListener::bind((address(octets, CLAIM_HOST), CLAIM_PORT)) {
                 Ok(claim) => return Ok(Subnet { octets, _claim: claim }),
-                Err(error) => last = error,
+                Err(error) => last_error = error,
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
     /// A number that identifies the block.
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -37,8 +37,9 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The processes of a front-end node.
+/// The roles of the processes of a front-end node.
 const FRONT_ROLES: [&str; 2] = ["proxy", AGENT];
+/// The role of an agent.
 const AGENT: &str = "agent";
 
 /// The machines and processes of a fleet.
@@ -186,8 +187,7 @@
         let violations = self.violations();
         self.processes.clear();
         let _ = std::fs::remove_dir_all(&self.directory);
-        // A test must not pass despite a violated invariant. A test that is already panicking has its own
-        // reason.
+        // A test must not pass despite a violated invariant. A test that is already panicking fails anyway.
         if !std::thread::panicking() && !self.are_violations_reported {
             assert!(violations.is_empty(), "processes logged violated invariants: {violations:#?}");
         }
--- a/crates/emulator/src/cluster/observation.rs
+++ b/crates/emulator/src/cluster/observation.rs
@@ -11,7 +11,7 @@
 const READINESS_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Cluster {
-    /// The response of a control machine to `GET /status`; `None` if there is none.
+    /// The response of a control machine to `GET /status`; `None` without a response in JSON.
     pub async fn control_status(&self, index: usize) -> Option<serde_json::Value> {
         let response = call_once(self.control_address(index), &Request::new("GET", "/status")).await.ok()?;
         serde_json::from_slice(&response.body).ok()
@@ -23,15 +23,15 @@
         Operator::new(controls.chain(self.gateway_addresses()).collect())
     }
 
-    /// The metrics of the proxy and of the agent of a front-end node; `None` for a process that does not
-    /// respond.
+    /// The metrics of the proxy and of the agent of a front-end node; `None` for a process without a response
+    /// of status 200.
     pub async fn front_metrics(&self, index: usize) -> [Option<String>; 2] {
         let ip = self.front_bind_ip(index);
         let proxy = metrics_text(SocketAddr::from((ip, ports::METRICS))).await;
         [proxy, metrics_text(SocketAddr::from((ip, ports::AGENT_METRICS))).await]
     }
 
-    /// The metrics of a control process; `None` if it does not respond.
+    /// The metrics of a control process; `None` without a response of status 200.
     pub async fn control_metrics(&self, index: usize) -> Option<String> {
         let port = match self.options.placement {
             ControlPlacement::Dedicated => ports::METRICS,
--- a/crates/emulator/src/cluster/ports.rs
+++ b/crates/emulator/src/cluster/ports.rs
@@ -1,20 +1,20 @@
 //! The ports of a machine. They are the same on all machines.
 
-/// The requests of clients.
+/// The port for the requests of clients (`[Listen] Front`).
 pub const FRONT: u16 = 8_161;
-/// The operator's API.
+/// The port of the operator's API (`[Listen] Control`).
 pub const CONTROL: u16 = 8_166;
-/// Readiness checks.
+/// The port for readiness checks (`[Listen] Ready`).
 pub const READY: u16 = 8_167;
 /// The first port for internal traffic (`PortRange`).
 pub const INTERNAL_FIRST: u16 = 7_720;
 /// The last port for internal traffic.
 pub const INTERNAL_LAST: u16 = 7_735;
-/// The connection from the agent to its proxy (`FeedAddress`).
+/// The port of the connection between the agent and its proxy (`FeedAddress`).
 pub const FEED: u16 = 7_722;
-/// An emulated server. Each server has its own address.
+/// The port of every emulated server. Each server has its own address.
 pub const SERVER: u16 = 9_100;
-/// `GET /metrics` of the proxy, or of a control process.
+/// The port for `GET /metrics` of the proxy, or of a control process.
 pub const METRICS: u16 = 7_733;
-/// `GET /metrics` of the agent.
+/// The port for `GET /metrics` of the agent.
 pub const AGENT_METRICS: u16 = 7_734;
--- a/crates/emulator/src/cluster/process.rs
+++ b/crates/emulator/src/cluster/process.rs
@@ -91,8 +91,8 @@
         self.set_limit(&format!("--nofile={max_open}:"))
     }
 
-    /// Sets the maximum size of files, in bytes; `None` for no limit. Writes beyond it fail with EFBIG. With
-    /// 0 all writes fail, also those to the output of the process.
+    /// Sets the maximum size of files, in bytes; `None` for no limit. Writes beyond the limit fail with
+    /// EFBIG. With 0 all writes fail, also those to the output of the process.
     pub fn limit_file_size(&mut self, max_bytes: Option<u64>) -> io::Result<()> {
         if self.child.try_wait()?.is_some() {
             return Ok(());
--- a/crates/emulator/src/cluster/settings_file.rs
+++ b/crates/emulator/src/cluster/settings_file.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// The names and default values in `[Bounds]`.
+/// The names and values in `[Bounds]` that the emulator writes by default.
 const DEFAULT_BOUNDS: [(&str, &str); 18] = [
     ("SeedLagS", "3"),
     ("ReuseAfterS", "2"),
--- a/crates/emulator/src/configuration.rs
+++ b/crates/emulator/src/configuration.rs
@@ -70,7 +70,7 @@
     }
 }
 
-/// What a configuration states about the servers of a model service.
+/// The properties of the model servers of a service, as a configuration states them.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct EngineSpec {
--- a/crates/emulator/src/fault.rs
+++ b/crates/emulator/src/fault.rs
@@ -19,21 +19,21 @@
         /// Whether the connection is reset; otherwise it is closed.
         reset: bool,
     },
-    /// The complete response is followed by a second response with the id of no request, on the same
-    /// connection.
+    /// The complete response is followed, on the same connection, by a second response with a request id that
+    /// no client sent.
     SurplusResponse,
     /// The response carries a request id that no client sent.
     WrongRequestId,
     /// Bytes that are not an HTTP response are sent. The request is not executed.
     Garbage,
-    /// The request is read and never answered. It is not executed.
+    /// The request is read and never answered. The request is not executed.
     Hang,
     /// The request is rejected with status 503 and `Not-Executed`.
     Reject,
 }
 
-/// Selects the requests that a fault is for. A field that is `None` matches all requests. A request without
-/// an id never matches.
+/// Selects the requests that a fault applies to. A field that is `None` matches all requests. A request
+/// without an id never matches.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestMatcher {
     /// The id of the client's attempt.
@@ -61,6 +61,7 @@
     }
 }
 
+/// A fault for the next `remaining` requests that match.
 #[derive(Clone, Debug)]
 struct Rule {
     matcher: RequestMatcher,
@@ -68,7 +69,8 @@
     remaining: usize,
 }
 
-/// The planned faults of one server, in order. Each request gets the first one that matches it.
+/// The planned faults of one server, in order. Each request gets the first fault whose matcher selects the
+/// request.
 #[derive(Clone, Debug, Default)]
 pub struct FaultPlan {
     rules: Vec<Rule>,
--- a/crates/emulator/src/header_names.rs
+++ b/crates/emulator/src/header_names.rs
@@ -22,13 +22,13 @@
 pub const RETRY_AFTER: &str = "retry-after";
 /// The version of the configuration that a change is based on.
 pub const IF_MATCH: &str = "if-match";
-/// The id of a server instance. A restarted server has another one.
+/// The id of a server instance. A restarted server has another id.
 pub const INSTANCE_ID: &str = "instance-id";
 /// The model of a generation.
 pub const MODEL: &str = "model";
 /// The number of prompt tokens and the maximum number of output tokens, separated by a comma.
 pub const TOKEN_COUNTS: &str = "token-counts";
-/// The only stage of a generation that is requested: `prefill`.
+/// `prefill` if only the prefill stage of a generation is requested.
 pub const SERVING_STAGE: &str = "serving-stage";
 /// Where to fetch the KV cache of the prompt: `IP:PORT/HANDLE`.
 pub const KV_FROM: &str = "kv-from";
--- a/crates/emulator/src/host/connection.rs
+++ b/crates/emulator/src/host/connection.rs
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-/// How long a connection is idle before a server that drops idle connections drops it.
+/// The idle time after which a connection is dropped by a server that drops idle connections.
 const IDLE_DROP_DELAY: Duration = Duration::from_millis(300);
 
 /// Serves a connection until the connection or the server ends.
@@ -91,8 +91,8 @@
     }
 }
 
-/// Carries out the faults that keep a request from being executed. Returns `None` for any other fault, or
-/// none.
+/// Carries out a fault that keeps the request from being executed. Returns `None` if there is no such fault,
+/// so that the request must be executed.
 async fn serve_unexecuted<C: ServerCore>(
     state: &ServerState<C>, connection: &mut Connection, request: &ServerRequest, fault: Option<&Fault>,
 ) -> io::Result<Option<Disposition>> {
--- a/crates/emulator/src/host/environment.rs
+++ b/crates/emulator/src/host/environment.rs
@@ -25,7 +25,8 @@
     servers: Mutex<HashMap<SocketAddr, Weak<dyn HandleSource>>>,
 }
 
-/// The environment of the servers of a test. Clones share it. The clock is the one of the tokio runtime.
+/// The environment of the servers of a test. Clones refer to the same environment. The clock is that of the
+/// tokio runtime.
 #[derive(Clone)]
 pub struct Environment {
     shared: Arc<Shared>,
--- a/crates/emulator/src/host/response.rs
+++ b/crates/emulator/src/host/response.rs
@@ -30,15 +30,15 @@
     sent_events: usize,
     /// Whether the response carries `Connection: close`.
     asks_to_close: bool,
-    /// Whether the connection is still read, to detect that the caller has closed it.
-    is_watching: bool,
+    /// Whether the connection is still read, to detect that the caller has closed the connection.
+    detects_close: bool,
 }
 
 impl<'a, C: ServerCore> ResponseWriter<'a, C> {
     pub fn new(
         state: &'a ServerState<C>, connection: &'a mut Connection, fault: Option<Fault>,
     ) -> ResponseWriter<'a, C> {
-        ResponseWriter { state, connection, fault, sent_events: 0, asks_to_close: false, is_watching: true }
+        ResponseWriter { state, connection, fault, sent_events: 0, asks_to_close: false, detects_close: true }
     }
 
     /// Writes the actions of a call.
@@ -60,16 +60,16 @@
         Ok(Disposition::Close)
     }
 
-    /// The next action; `None` if the call has ended, or if the caller has closed the connection and that
-    /// cancels calls.
+    /// The next action; `None` if the call has ended, or if the caller has closed the connection and the
+    /// options of the server say that this cancels the call.
     async fn next_action(&mut self, actions: &mut UnboundedReceiver<Action>) -> Option<Action> {
         loop {
             tokio::select! {
                 biased;
                 action = actions.recv() => return action,
-                filled = self.connection.fill(), if self.is_watching => match filled {
+                filled = self.connection.fill(), if self.detects_close => match filled {
                     Ok(0) | Err(_) if self.state.options.cancels_on_close => return None,
-                    Ok(0) | Err(_) => self.is_watching = false,
+                    Ok(0) | Err(_) => self.detects_close = false,
                     Ok(_) => {}
                 },
             }
--- a/crates/emulator/src/host/server.rs
+++ b/crates/emulator/src/host/server.rs
@@ -18,7 +18,7 @@
 /// Returns the current stage of a model server; `None` once the server has ended.
 pub type StageSource = Box<dyn Fn() -> Option<Stage> + Send>;
 
-/// An emulated server on its socket. Dropping it stops the server abruptly, as a crash would.
+/// An emulated server on its socket. Dropping the value stops the server abruptly, as a crash would.
 pub struct EmulatedServer<C: ServerCore> {
     state: Arc<ServerState<C>>,
 }
@@ -113,11 +113,12 @@
     }
 }
 
-/// Accepts connections until the server is down. Connections beyond the limit are reset, and all connections
-/// while the server refuses them.
+/// Accepts connections until the server is down. Connections beyond the limit are reset. While the server is
+/// [`Reachability::Refusing`], all new connections are reset.
 async fn accept<C: ServerCore>(state: Arc<ServerState<C>>, listener: TcpListener) {
     let mut reachability = state.reachability.subscribe();
-    let open = Arc::new(());
+    // Each open connection holds a clone, so that the strong count tells the number of connections.
+    let connection_counter = Arc::new(());
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -126,13 +127,13 @@
         let Ok((stream, _)) = accepted else {
             continue;
         };
-        let connections = Arc::strong_count(&open) - 1;
+        let connections = Arc::strong_count(&connection_counter) - 1;
         let is_refused = *state.reachability.borrow() == Reachability::Refusing;
         if is_refused || connections >= state.options.max_connections {
             reset(stream);
             continue;
         }
-        let guard = Arc::clone(&open);
+        let guard = Arc::clone(&connection_counter);
         let state = Arc::clone(&state);
         tokio::spawn(async move {
             connection::serve(state, stream).await;
--- a/crates/emulator/src/host/state.rs
+++ b/crates/emulator/src/host/state.rs
@@ -106,7 +106,7 @@
         self.dispatch(ServerEvent::Cancelled { call });
     }
 
-    /// Forwards an action to the connection of its call. The last one closes the call.
+    /// Forwards an action to the connection of its call. The last action of a call closes the call.
     fn forward(&self, action: Action) {
         let call = match &action {
             Action::Respond { call, .. }
@@ -197,7 +197,7 @@
         });
     }
 
-    /// Records that a call has ended, by a complete response or by cancellation.
+    /// Records that a call has ended: by a complete response, by truncation of a stream or by cancellation.
     fn record_completion(&self, open: OpenCall) {
         let completion = Completion { at: self.environment.now(), request_id: open.request_id };
         self.environment.request_log().record_completion(completion);
--- a/crates/emulator/src/model_server/admission.rs
+++ b/crates/emulator/src/model_server/admission.rs
@@ -14,7 +14,7 @@
 
 impl ModelServer {
     /// Handles an arrived request: answers a management request, or admits or rejects a generation.
-    pub(super) fn request(
+    pub(super) fn handle_request(
         &mut self, call: CallId, request: ServerRequest, now: Duration, actions: &mut Vec<Action>,
     ) {
         if let Some(response) = self.management_request(&request, now) {
@@ -72,7 +72,7 @@
         let is_other_model = model.is_some_and(|model| model != self.parameters.model);
         let requested_stage = match request.headers.get(header_names::SERVING_STAGE) {
             None => Stage::Decode,
-            Some(word) => Stage::parse(word).unwrap_or(Stage::Decode),
+            Some(name) => Stage::parse(name).unwrap_or(Stage::Decode),
         };
         if is_other_version || is_other_model || requested_stage != self.stage() {
             return Some(421);
@@ -129,8 +129,9 @@
         self.transfers.push(Transfer { generation, done_at: Some(done_at) });
     }
 
-    /// Ends the requests whose deadline has passed, and those that cannot start because of a stage change.
-    pub(super) fn expire(&mut self, now: Duration, actions: &mut Vec<Action>) {
+    /// Ends the requests whose deadline has passed, and the waiting requests that cannot start because of a
+    /// stage change.
+    pub(super) fn end_expired_requests(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let is_late = |generation: &Generation| generation.deadline.is_some_and(|deadline| deadline <= now);
         let is_busy = self.orders.is_busy();
         let must_end =
--- a/crates/emulator/src/model_server/batch.rs
+++ b/crates/emulator/src/model_server/batch.rs
@@ -225,7 +225,8 @@
     }
 
     /// Grows the allocation of a request by one token. If there is no room, requests of the lowest priority
-    /// are preempted, which may be the request itself. Returns false if it was.
+    /// are preempted, among them possibly the request itself. Returns false if the request was preempted or
+    /// has no allocation.
     fn grow_for_token(&mut self, call: CallId) -> bool {
         loop {
             let Some(generation) = self.running.iter_mut().find(|generation| generation.call == call) else {
--- a/crates/emulator/src/model_server/generation.rs
+++ b/crates/emulator/src/model_server/generation.rs
@@ -49,9 +49,9 @@
     /// The number of prompt tokens that are still to be prefilled.
     pub remaining_prefill: u64,
     pub allocation: Option<KvAllocation>,
-    /// The earliest time of its first step.
+    /// The earliest time of the first step of the generation.
     pub may_start_at: Duration,
-    /// The number of its execution, from its first token on.
+    /// The number of the execution at the server; `None` before the first token is generated.
     pub execution: Option<u64>,
     /// The id of the request that the fetched KV cache was prefilled for; `None` if no KV cache was fetched.
     pub kv_owner: Option<String>,
--- a/crates/emulator/src/model_server/handles.rs
+++ b/crates/emulator/src/model_server/handles.rs
@@ -6,6 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// A prefilled prompt, which is kept until its handle is fetched, is released or expires.
 #[derive(Clone, Debug)]
 struct PrefilledPrompt {
     allocation: KvAllocation,
@@ -79,12 +80,12 @@
         self.expire(Duration::MAX, memory);
     }
 
-    /// The number of handles.
+    /// The number of handles that can be fetched.
     pub fn count(&self) -> usize {
         self.prompts.len()
     }
 
-    /// When the next handle expires.
+    /// When the next handle expires; `None` if there are no handles.
     pub fn next_wake(&self) -> Option<Duration> {
         self.prompts.values().map(|prompt| prompt.expires_at).min()
     }
--- a/crates/emulator/src/model_server/mod.rs
+++ b/crates/emulator/src/model_server/mod.rs
@@ -126,7 +126,7 @@
         self.running.len()
     }
 
-    /// Expires all handles at once.
+    /// Expires all handles now, whatever their remaining time.
     pub fn expire_handles(&mut self) {
         self.handles.expire_all(&mut self.memory);
     }
@@ -140,7 +140,7 @@
     fn run_due_work(&mut self, now: Duration, actions: &mut Vec<Action>) {
         self.handles.expire(now, &mut self.memory);
         self.finish_step(now, actions);
-        self.expire(now, actions);
+        self.end_expired_requests(now, actions);
         self.finish_transfers(now);
         let is_idle = self.running.is_empty() && self.transfers.is_empty() && self.waiting.is_empty();
         self.orders.advance(now, is_idle, self.parameters.switch_duration);
@@ -214,7 +214,7 @@
 impl ServerCore for ModelServer {
     fn handle(&mut self, event: ServerEvent, now: Duration, actions: &mut Vec<Action>) {
         match event {
-            ServerEvent::Request { call, request } => self.request(call, request, now, actions),
+            ServerEvent::Request { call, request } => self.handle_request(call, request, now, actions),
             ServerEvent::Cancelled { call } => self.cancel(call),
             ServerEvent::HandleFetched { call, contents } => {
                 self.handle_fetched(call, contents, now, actions)
--- a/crates/emulator/src/operator.rs
+++ b/crates/emulator/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator: a client that changes and reads configurations at any control address, and uses the next
-//! address when a call fails.
+//! The operator: a client that changes and reads configurations at any control address. After an attempt
+//! without a final response, it tries the next address.
 
 use crate::header_names;
 use crate::wire::{Connection, Request, Response, WireError};
@@ -9,7 +9,7 @@
 
 /// The maximum number of redirects that one attempt follows.
 const MAX_REDIRECTS: usize = 2;
-/// The timeout of an attempt without a body.
+/// The timeout of a request without a body. Each redirect that is followed starts a new timeout.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The time that each byte of the body adds to the timeout, in ms.
 const TIMEOUT_MS_PER_BYTE: f64 = 0.001;
@@ -17,8 +17,8 @@
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
 /// The maximum backoff.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// A call ends after this number of 4xx responses that are neither a clear refusal nor a request to retry
-/// later.
+/// The number of 4xx responses, other than refusals (400, 409, 412, 413, 422) and requests to retry (408,
+/// 429), after which a call ends.
 const MAX_OTHER_4XX: usize = 3;
 
 /// Why an attempt has no response.
@@ -42,12 +42,12 @@
     Acknowledged(Response),
     /// A final 4xx response.
     Refused(Response),
-    /// No clear response in any attempt. A change may have been applied or not.
+    /// No final response in any attempt. A change may have been applied or not.
     Unknown,
 }
 
 impl CallOutcome {
-    /// The status, if there was a clear response.
+    /// The status of the final response; `None` if there was none.
     pub fn status(&self) -> Option<u16> {
         match self {
             CallOutcome::Acknowledged(response) | CallOutcome::Refused(response) => Some(response.status),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The body, if there was a clear response.
+    /// The body of the final response; empty if there was none.
     pub fn body(&self) -> &[u8] {
         match self {
             CallOutcome::Acknowledged(response) | CallOutcome::Refused(response) => &response.body,
@@ -78,12 +78,14 @@
         Operator { addresses, max_attempts: 24 }
     }
 
-    /// Sends a configuration that replaces version `base`, until there is a clear response.
+    /// Sends a configuration that replaces version `base`. Repeats the request until there is a final
+    /// response, in at most [`Operator::max_attempts`] attempts.
     pub async fn put(&self, body: &[u8], base: u64) -> CallOutcome {
         self.call(&change_request("PUT", body, base)).await
     }
 
-    /// Sends a patch of named items to version `base`, until there is a clear response.
+    /// Sends a patch of named items to version `base`. Repeats the request until there is a final response,
+    /// in at most [`Operator::max_attempts`] attempts.
     pub async fn patch(&self, body: &[u8], base: u64) -> CallOutcome {
         self.call(&change_request("PATCH", body, base)).await
     }
@@ -95,7 +97,7 @@
 
     async fn call(&self, request: &Request) -> CallOutcome {
         let mut backoff = INITIAL_BACKOFF;
-        let mut other_refusals = 0;
+        let mut other_4xx_responses = 0;
         for address in self.addresses.iter().cycle().take(self.max_attempts) {
             if let Ok(response) = call_once(*address, request).await {
                 match response.status {
@@ -103,8 +105,8 @@
                     400 | 409 | 412 | 413 | 422 => return CallOutcome::Refused(response),
                     408 | 429 => {}
                     400..=499 => {
-                        other_refusals += 1;
-                        if other_refusals >= MAX_OTHER_4XX {
+                        other_4xx_responses += 1;
+                        if other_4xx_responses >= MAX_OTHER_4XX {
                             return CallOutcome::Refused(response);
                         }
                     }
--- a/crates/emulator/src/plain_server.rs
+++ b/crates/emulator/src/plain_server.rs
@@ -42,13 +42,14 @@
 #[derive(Clone, Debug)]
 struct Running {
     request: ServerRequest,
+    /// The number of the execution at the server.
     number: u64,
     done_at: Duration,
     deadline: Option<Duration>,
 }
 
 impl Running {
-    /// When the execution ends: when it is done, or at the deadline if that is earlier.
+    /// When the execution ends: at `done_at`, or at the deadline if that is earlier.
     fn ends_at(&self) -> Duration {
         self.deadline.map_or(self.done_at, |deadline| deadline.min(self.done_at))
     }
@@ -80,7 +81,9 @@
         }
     }
 
-    fn request(&mut self, call: CallId, request: ServerRequest, now: Duration, actions: &mut Vec<Action>) {
+    fn handle_request(
+        &mut self, call: CallId, request: ServerRequest, now: Duration, actions: &mut Vec<Action>,
+    ) {
         if request.method == "GET" && request.path() == self.identity.health_path {
             let is_healthy = !self.is_draining && !self.is_failing;
             let response = self.with_state_headers(self.identity.health(is_healthy));
@@ -125,7 +128,8 @@
         }
     }
 
-    /// Ends the executions that are due and rejects the waiting requests whose deadline has passed.
+    /// Ends the executions that are due, rejects the waiting requests whose deadline has passed, and starts
+    /// further requests.
     fn finish_due(&mut self, now: Duration, actions: &mut Vec<Action>) {
         let done: Vec<CallId> = self
             .running
@@ -188,7 +192,7 @@
 impl ServerCore for PlainServer {
     fn handle(&mut self, event: ServerEvent, now: Duration, actions: &mut Vec<Action>) {
         match event {
-            ServerEvent::Request { call, request } => self.request(call, request, now, actions),
+            ServerEvent::Request { call, request } => self.handle_request(call, request, now, actions),
             ServerEvent::Cancelled { call } => {
                 self.waiting.retain(|waiting| waiting.call != call);
                 self.running.remove(&call);
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -188,8 +188,8 @@
         let page: Vec<&InstanceEntry> =
             entries.iter().skip(first).take(self.parameters.page_size).copied().collect();
         let next = first + page.len();
-        let token = (next < entries.len()).then(|| format!("p-{next}"));
-        Response::json(200, &json!({"Instances": page, "NextToken": token}))
+        let next_token = (next < entries.len()).then(|| format!("p-{next}"));
+        Response::json(200, &json!({"Instances": page, "NextToken": next_token}))
     }
 
     /// Takes a token from the rate limit's bucket; false if the bucket is empty.
--- a/crates/emulator/src/platform/host.rs
+++ b/crates/emulator/src/platform/host.rs
@@ -91,7 +91,8 @@
         lock(&self.shared.platform).put(entry, self.shared.environment.now());
     }
 
-    /// Keeps the listed stage of a server equal to the stage that `source` returns.
+    /// Tracks the stage of a server: before each request is answered, its listed stage is updated to the
+    /// stage that `source` returns.
     pub fn track_stage(&self, id: &str, source: StageSource) {
         lock(&self.shared.stage_sources).insert(id.to_owned(), source);
     }
@@ -158,6 +159,7 @@
 async fn serve_requests(shared: &Shared, connection: &mut Connection) {
     let mut reachability = shared.reachability.subscribe();
     while let Ok(Some(request)) = connection.read_request().await {
+        // The sender lives as long as `shared`, so the wait cannot fail.
         let _ = reachability.wait_for(|reachability| *reachability != Reachability::Blackholed).await;
         shared.refresh_stages();
         let response = lock(&shared.platform).handle_request(&request, shared.environment.now());
--- a/crates/emulator/src/request_log.rs
+++ b/crates/emulator/src/request_log.rs
@@ -58,7 +58,7 @@
     pub kv_owner: Option<String>,
 }
 
-/// The end of a request at a server, by a complete response or by cancellation.
+/// The end of a request at a server: by a complete response, by truncation of a stream or by cancellation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completion {
     /// The time since the start of the environment.
@@ -88,8 +88,8 @@
         /// The number of executions.
         runs: usize,
     },
-    /// UNASKED: a server executed a request that no client sent, or one that differs from what the client
-    /// sent.
+    /// UNASKED: a server executed a request that no client sent, or a request whose method, target or body
+    /// differs from what the client sent.
     UnknownRequest {
         /// The id of the request.
         request_id: String,
@@ -198,8 +198,8 @@
             .collect()
     }
 
-    /// The violations that the log shows, given the outcomes of all attempts of clients. `services_of`
-    /// returns the services that may execute a request.
+    /// Returns the violations in the log. `outcomes` must contain the outcomes of all attempts of clients.
+    /// `services_of` returns the services that may execute a request.
     pub fn violations(
         &self, outcomes: &[AttemptOutcome], services_of: impl Fn(&AttemptOutcome) -> BTreeSet<String>,
     ) -> Vec<Violation> {
--- a/crates/emulator/src/stamp.rs
+++ b/crates/emulator/src/stamp.rs
@@ -4,7 +4,8 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// What the complete body of a stamped response is. A client compares the received body with this.
+/// What the complete body of a stamped response is. A client compares the received body with this
+/// description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExpectedBody {
     /// A body of known length and hash.
@@ -38,7 +39,7 @@
     pub expected_body: ExpectedBody,
 }
 
-/// The text is not a stamp of an emulated server.
+/// The error for a text that is not a stamp of an emulated server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("invalid Server-Stamp header")]
 pub struct InvalidStamp;
--- a/crates/emulator/src/wire/connection.rs
+++ b/crates/emulator/src/wire/connection.rs
@@ -15,7 +15,9 @@
 pub const MAX_HEAD_BYTES: usize = 64 * 1024;
 /// The maximum size of a body and of a chunk of a body, in bytes.
 pub const MAX_BODY_BYTES: usize = 16 * 1024 * 1024;
+/// The maximum number of headers of a message.
 const MAX_HEADERS: usize = 64;
+/// The maximum number of bytes that may arrive without the end of a chunk-size or trailer line.
 const MAX_CHUNK_LINE_BYTES: usize = 64;
 
 /// A connection and the bytes that were received but not yet consumed.
@@ -37,7 +39,7 @@
         Ok(Connection::new(TcpStream::connect(address).await?))
     }
 
-    /// The bytes that were received after the last message that was read.
+    /// The received bytes that follow the part that was read.
     pub fn unread(&self) -> &[u8] {
         &self.buffer
     }
