--- a/crates/lugwharf/src/roles.rs
+++ b/crates/lugwharf/src/roles.rs
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// `lugwharf proxy`
+/// Runs `lugwharf proxy`.
 pub fn run_proxy(matches: &Matches) -> Result<()> {
     let metrics_port = metrics_port(matches)?;
     let tuning = TuningFile::from_options(matches)?.routing;
@@ -58,13 +58,13 @@
     block_on(lugwharf_proxy::run_with_options(settings(matches)?, options))
 }
 
-/// `lugwharf agent`
+/// Runs `lugwharf agent`.
 pub fn run_agent(matches: &Matches) -> Result<()> {
     let options = AgentOptions { metrics_port: metrics_port(matches)?, ..AgentOptions::default() };
     front_end::run_agent(settings(matches)?, options, TuningFile::from_options(matches)?.stages)
 }
 
-/// `lugwharf control`
+/// Runs `lugwharf control`.
 pub fn run_control(matches: &Matches) -> Result<()> {
     let stages = TuningFile::from_options(matches)?.stages;
     let options = ControlOptions { metrics_port: metrics_port(matches)?, stages };
--- a/crates/lugwharf/src/tools.rs
+++ b/crates/lugwharf/src/tools.rs
@@ -16,7 +16,7 @@
     options.optflag("p", PATCH_OPTION, "the schema of patches of named items (PATCH /config)");
 }
 
-/// `lugwharf check-config FILE`
+/// Runs `lugwharf check-config FILE`.
 pub fn check_config(matches: &Matches) -> Result<()> {
     let path = file_operand(matches);
     let bytes = std::fs::read(path).wrap_err_with(|| path.to_owned())?;
@@ -30,7 +30,7 @@
     Ok(())
 }
 
-/// `lugwharf check-settings FILE`
+/// Runs `lugwharf check-settings FILE`.
 pub fn check_settings(matches: &Matches) -> Result<()> {
     let path = file_operand(matches);
     let settings = Settings::read(Path::new(path)).map_err(|error| match error {
@@ -43,7 +43,7 @@
     Ok(())
 }
 
-/// `lugwharf check-tuning FILE`
+/// Runs `lugwharf check-tuning FILE`.
 pub fn check_tuning(matches: &Matches) -> Result<()> {
     let path = file_operand(matches);
     let tuning = TuningFile::read(Path::new(path))?;
@@ -51,7 +51,7 @@
     Ok(())
 }
 
-/// `lugwharf print-schema`
+/// Runs `lugwharf print-schema`.
 pub fn print_schema(matches: &Matches) -> Result<()> {
     let schema = if matches.opt_present(PATCH_OPTION) { PATCH_SCHEMA } else { SCHEMA };
     let mut out = std::io::stdout().lock();
